--- a/bench/driver.c
+++ b/bench/driver.c
@@ -18,7 +18,7 @@
   fb_spec spec;
   uint64_t end_ms;
   gboolean ended;
-  FbNews news;
+  FbRunStatus run_status;
 } Run;
 
 typedef struct
@@ -105,7 +105,7 @@
 }
 
 static gboolean
-range_choose (gpointer user, FbRange *range, const FbRouteAsk *ask, FbRouteChoice *choice)
+range_choose (gpointer user, FbRange *range, const FbRouteRequest *ask, FbRouteChoice *choice)
 {
   (void) range;
   RangeUser *ru = user;
@@ -194,10 +194,10 @@
 }
 
 static void
-end_run (Host *host, Run *run, FbNews news)
+end_run (Host *host, Run *run, FbRunStatus run_status)
 {
   run->ended = TRUE;
-  run->news = news;
+  run->run_status = run_status;
   fb_res_sub (&host->held, &run->spec.demand);
 }
 
@@ -215,7 +215,7 @@
   fb_res_add (&host->held, &spec->demand);
   note_started (self, spec);
   if (host->bad)
-    end_run (host, run, FB_NEWS_FAILED);
+    end_run (host, run, FB_RUN_STATUS_FAILED);
 }
 
 static void
@@ -227,7 +227,7 @@
       const Run *run = g_ptr_array_index (host->runs, i);
       FbSyncRun out = { .spec = run->spec,
                         .state = run->ended ? FB_SYNC_ENDED : FB_SYNC_LIVE,
-                        .news = run->news,
+                        .run_status = run->run_status,
                         .usage = run->spec.demand };
       for (guint r = 0; r < FB_RES_ACCEL_COUNT; r++)
         out.usage.amount[r] = out.usage.amount[r] * self->scenario->usage_percent / 100;
@@ -257,7 +257,7 @@
     {
       Run *run = find_run (host, &g_array_index (request->stops, FbSyncStop, i).run);
       if (run != NULL && !run->ended)
-        end_run (host, run, FB_NEWS_STOPPED);
+        end_run (host, run, FB_RUN_STATUS_STOPPED);
     }
   if (request->incarnation == host->incarnation)
     {
@@ -284,7 +284,7 @@
 }
 
 static void
-rack_surveyed (gpointer user, FbRack *rack, const fb_surveyed *surveyed)
+rack_surveyed (gpointer user, FbRack *rack, const fb_survey_reply *surveyed)
 {
   (void) user;
   (void) rack;
@@ -343,7 +343,7 @@
 static void
 deliver_record (Bench *self, GBytes *bytes)
 {
-  static const FbRecordPlace nowhere;
+  static const FbRecordPosition nowhere;
   gsize len = 0;
   const void *data = g_bytes_get_data (bytes, &len);
   fb_record record;
@@ -429,7 +429,7 @@
                  .flags = load->flags,
                  .count = load->tasks,
                  .demand = load->demand,
-                 .left_ms = load->deadline_ms > 0 ? load->deadline_ms : FB_NO_DEADLINE_MS,
+                 .remaining_ms = load->deadline_ms > 0 ? load->deadline_ms : FB_NO_DEADLINE_MS,
                  .run_ms = load->run_ms,
                  .key = (char *) "" };
   JobSlot *slot = g_new0 (JobSlot, 1);
@@ -465,17 +465,17 @@
       for (guint h = 0; h < slot->host_n; h++)
         {
           Host *host = &slot->hosts[h];
-          gboolean news = host->dirty;
+          gboolean run_status = host->dirty;
           for (guint i = 0; i < host->runs->len; i++)
             {
               Run *run = g_ptr_array_index (host->runs, i);
               if (run->ended || run->end_ms > self->now_ms)
                 continue;
-              end_run (host, run, FB_NEWS_COMPLETED);
-              news = TRUE;
+              end_run (host, run, FB_RUN_STATUS_COMPLETED);
+              run_status = TRUE;
             }
-          if (news)
-            fb_rack_hint (slot->rack, h);
+          if (run_status)
+            fb_rack_worker_changed (slot->rack, h);
           host->dirty = FALSE;
         }
     }
@@ -501,7 +501,7 @@
       open += (double) load->demand.amount[FB_RES_ACCEL_COUNT] * load->tasks;
     }
   self->samples++;
-  self->result.cpu_held
+  self->result.cpu_reserved
       += (double) held.amount[FB_RES_CPU_MILLI] / (double) self->total.amount[FB_RES_CPU_MILLI];
   self->result.accel_held
       += accel_total > 0 ? (double) held.amount[FB_RES_ACCEL_COUNT] / accel_total : 0;
@@ -538,7 +538,7 @@
     {
       uint64_t id = g_array_index (ids, uint64_t, i);
       JobSlot *job = g_hash_table_lookup (self->jobs, &id);
-      fb_job_word word = { id, self->scenario->loads[job->load].partner };
+      fb_job_command word = { id, self->scenario->loads[job->load].partner };
       fb_range_cancel (range_of (self, word.partner, id), self->now_ms, &word, "bench");
     }
 }
@@ -605,7 +605,7 @@
   RackSlot *slot = &self->racks[id];
   slot->partner = partner;
   slot->host_n = host_n;
-  FbRackFacts facts = { partner, id % 20, *capacity, { { 0 } } };
+  FbRackInfo facts = { partner, id % 20, *capacity, { { 0 } } };
   for (guint h = 0; h < host_n; h++)
     {
       slot->hosts[h] = (Host){ .runs = g_ptr_array_new_with_free_func (g_free),
@@ -671,7 +671,7 @@
       class->p99_ms = g_array_index (waits, uint32_t, (waits->len - 1) * 99 / 100);
       class->max_ms = g_array_index (waits, uint32_t, waits->len - 1);
     }
-  result->cpu_held /= MAX (self->samples, 1);
+  result->cpu_reserved /= MAX (self->samples, 1);
   result->accel_held /= MAX (self->samples, 1);
   result->accel_bound /= MAX (self->samples, 1);
   result->cpu_us_per_placement = cpu_s * 1e6 / (double) MAX (result->placements, 1);
--- a/bench/driver.h
+++ b/bench/driver.h
@@ -60,7 +60,7 @@
 typedef struct
 {
   BenchClass classes[BENCH_LOAD_MAX];
-  double cpu_held; /* of all, average over time */
+  double cpu_reserved; /* of all, average over time */
   double accel_held;
   double accel_bound; /* fractional relaxation, computed apart */
   guint64 placements;
--- a/bench/flamingobarrow-bench.c
+++ b/bench/flamingobarrow-bench.c
@@ -101,7 +101,7 @@
     .name = g_strdup (name),
     .partner = (uint32_t) raw.partner % FB_PARTNER_N,
     .kind = (FbKind) raw.kind,
-    .flags = (raw.once ? FB_FLAG_ONCE : 0) | (raw.preemptible ? FB_FLAG_PREEMPTIBLE : 0)
+    .flags = (raw.once ? FB_FLAG_AT_MOST_ONCE : 0) | (raw.preemptible ? FB_FLAG_PREEMPTIBLE : 0)
              | (raw.checkpoint ? FB_FLAG_CHECKPOINT : 0),
     .demand = { { raw.cpu_milli, raw.mem_bytes, raw.accel_count, 1 } },
     .tasks = (uint32_t) MAX (raw.tasks, 1),
@@ -200,7 +200,7 @@
 {
   printf ("  %-24s cpu %5.1f%%  accel %5.1f%% of bound %5.1f%%  preempted %" G_GUINT64_FORMAT
           "  refused %" G_GUINT64_FORMAT "  %.1f us/placement\n",
-          policy, 100 * result->cpu_held, 100 * result->accel_held, 100 * result->accel_bound,
+          policy, 100 * result->cpu_reserved, 100 * result->accel_held, 100 * result->accel_bound,
           result->preempted, result->refused, result->cpu_us_per_placement);
   for (guint i = 0; i < scenario->load_n; i++)
     {
@@ -217,7 +217,7 @@
 {
   printf ("{\"scenario\":\"%s\",\"policy\":\"%s\",\"cpu_held\":%.4f,\"accel_held\":%.4f,"
           "\"accel_bound\":%.4f,\"preempted\":%" G_GUINT64_FORMAT ",\"classes\":[",
-          scenario->name, policy, result->cpu_held, result->accel_held, result->accel_bound,
+          scenario->name, policy, result->cpu_reserved, result->accel_held, result->accel_bound,
           result->preempted);
   for (guint i = 0; i < scenario->load_n; i++)
     {
--- a/bench/pool-crashes.c
+++ b/bench/pool-crashes.c
@@ -52,13 +52,13 @@
 {
   char id[32];
   char address[16];
-  guint life;
+  guint incarnation;
   gboolean up;
   uint64_t back_ms;
   char old_id[32];      /* of the life before, while it is listed */
   uint64_t unlisted_ms; /* when it is not any more */
   GArray *runs;         /* of Run */
-  GArray *ends;         /* of FbEndSeen */
+  GArray *ends;         /* of FbReportedEnd */
   uint64_t next_end;
 } Host;
 
@@ -136,7 +136,7 @@
 }
 
 static void
-on_look (gpointer user, const FbLookOrder *order)
+on_look (gpointer user, const FbPollOrder *order)
 {
   Call call = { .kind = CALL_LOOK, .acknowledged = order->acknowledged };
   add_call (user, &call, order->worker, order->wait_ms, order->answer_ms);
@@ -182,8 +182,8 @@
 host_begin (Play *play, guint i)
 {
   Host *host = &play->hosts[i];
-  host->life++;
-  g_snprintf (host->id, sizeof host->id, "w%u-%u", i, host->life);
+  host->incarnation++;
+  g_snprintf (host->id, sizeof host->id, "w%u-%u", i, host->incarnation);
   g_snprintf (host->address, sizeof host->address, "a%u", i);
   host->up = TRUE;
   host->next_end = 0;
@@ -214,13 +214,13 @@
 }
 
 static void
-add_end (Host *host, const Run *run, FbEndHow how)
+add_end (Host *host, const Run *run, FbEndReason how)
 {
-  const FbEndSeen end = { .number = ++host->next_end,
-                          .task = g_strdup (run->task),
-                          .attempt = run->attempt,
-                          .how = how,
-                          .checkpoint = g_strdup ("") };
+  const FbReportedEnd end = { .number = ++host->next_end,
+                              .task = g_strdup (run->task),
+                              .attempt = run->attempt,
+                              .how = how,
+                              .checkpoint = g_strdup ("") };
   g_array_append_val (host->ends, end);
 }
 
@@ -287,28 +287,28 @@
 static void
 clear_end (gpointer end)
 {
-  g_free (((FbEndSeen *) end)->task);
-  g_free (((FbEndSeen *) end)->checkpoint);
+  g_free (((FbReportedEnd *) end)->task);
+  g_free (((FbReportedEnd *) end)->checkpoint);
 }
 
 static void
 answer_look (Play *play, Host *host, const Call *call, FbOrderResult result)
 {
-  g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbRunSeen));
+  g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbReportedRun));
   for (guint i = 0; result == FB_ORDER_DONE && i < host->runs->len; i++)
     {
       Run *run = &g_array_index (host->runs, Run, i);
-      const FbRunSeen seen = { run->task, run->attempt, (char *) "" };
+      const FbReportedRun seen = { run->task, run->attempt, (char *) "" };
       g_array_append_val (running, seen);
     }
   for (guint i = host->ends->len; result == FB_ORDER_DONE && i > 0; i--)
     {
-      if (g_array_index (host->ends, FbEndSeen, i - 1).number <= call->acknowledged)
+      if (g_array_index (host->ends, FbReportedEnd, i - 1).number <= call->acknowledged)
         g_array_remove_index (host->ends, i - 1);
     }
-  const FbLookAnswer answer
+  const FbPollAnswer answer
       = { .result = result, .clock_ms = play->now_ms, .running = running, .finished = host->ends };
-  fb_pool_look_answered (play->pool, call->worker, &answer, play->now_ms, WALL_MS + play->now_ms);
+  fb_pool_poll_answered (play->pool, call->worker, &answer, play->now_ms, WALL_MS + play->now_ms);
 }
 
 static void
@@ -345,7 +345,7 @@
       answer (play, call, FB_ORDER_UNKNOWN);
     }
   else if (!there)
-    answer (play, call, FB_ORDER_OTHER_LIFE);
+    answer (play, call, FB_ORDER_OTHER_INCARNATION);
   else if (play->now_ms < call->due_ms && !has_news)
     return FALSE;
   else
@@ -382,13 +382,13 @@
                         .cpu_milli = kind->cpu_milli,
                         .mem_mb = 500,
                         .estimate_ms = kind->run_ms,
-                        .data_rack = (char *) "",
+                        .preferred_rack = (char *) "",
                         .required_label = (char *) "",
                         .image = (char *) "" };
   const fb_work_admit record = { .policy = { .queue = (char *) "q",
                                              .service = (char *) "svc",
                                              .max_attempts = 3,
-                                             .stretch_milli = 1500,
+                                             .stretch_factor_milli = 1500,
                                              .target_ms = 250 },
                                  .spec = { .payload = (char *) "p", .steps = { 1, &step } },
                                  .accepted_ms = WALL_MS + play->now_ms };
@@ -450,7 +450,7 @@
   submit_due (play, crasher_n, tasks);
   uint64_t from_ns = cpu_ns ();
   calls_tick (play);
-  fb_pool_step (play->pool, TRUE, play->now_ms, WALL_MS + play->now_ms);
+  fb_pool_tick (play->pool, TRUE, play->now_ms, WALL_MS + play->now_ms);
   GPtrArray *flush = fb_pool_flush (play->pool, play->now_ms, WALL_MS + play->now_ms);
   if (flush != NULL)
     {
@@ -502,7 +502,8 @@
 static void
 play_one (guint host_n, guint crasher_n, uint32_t tasks, guint32 seed)
 {
-  static const FbPoolLimits limits = { .hold_max_ms = 6000, .stop_ms = 200, .gang_wait_ms = 3000 };
+  static const FbPoolLimits limits
+      = { .max_lease_ms = 6000, .max_stop_ms = 200, .gang_wait_ms = 3000 };
   Play play = { .now_ms = BEGIN_MS, .host_n = host_n, .rand = g_rand_new_with_seed (seed) };
   play.pool = fb_pool_new ("svc", 1, &limits, &sink, &play, play.now_ms);
   play.hosts = g_new0 (Host, host_n);
@@ -511,7 +512,7 @@
   for (guint i = 0; i < host_n; i++)
     {
       play.hosts[i].runs = g_array_new (FALSE, TRUE, sizeof (Run));
-      play.hosts[i].ends = g_array_new (FALSE, TRUE, sizeof (FbEndSeen));
+      play.hosts[i].ends = g_array_new (FALSE, TRUE, sizeof (FbReportedEnd));
       g_array_set_clear_func (play.hosts[i].ends, clear_end);
       host_begin (&play, i);
     }
--- a/fuzz/fuzz-node.c
+++ b/fuzz/fuzz-node.c
@@ -39,7 +39,9 @@
   job.kind = (FbKind) (shape / 2 % FB_KIND_N);
   if (job.kind == FB_KIND_SERVICE)
     job.kind = FB_KIND_BATCH;
-  job.flags = (shape / 8 % 3 == 0) ? FB_FLAG_ONCE : (shape / 8 % 3 == 1) ? FB_FLAG_PREEMPTIBLE : 0;
+  job.flags = (shape / 8 % 3 == 0)   ? FB_FLAG_AT_MOST_ONCE
+              : (shape / 8 % 3 == 1) ? FB_FLAG_PREEMPTIBLE
+                                     : 0;
   job.count = job.kind == FB_KIND_GANG ? 2 + shape / 24 % 3 : 1 + shape / 24 % 4;
   /* A gang of full hosts could wait for ever beside standing services. */
   guint cpu_max = job.kind == FB_KIND_GANG ? 2 : 3;
--- a/fuzz/fuzz-pool.c
+++ b/fuzz/fuzz-pool.c
@@ -29,7 +29,7 @@
                                      .service = "svc",
                                      .priority = world_chance (world, 3),
                                      .max_attempts = MAX_ATTEMPTS,
-                                     .stretch_milli = 1500,
+                                     .stretch_factor_milli = 1500,
                                      .target_ms = 1000 };
   record->policy.advised = world->advised && world->job_n % 2 == 0;
   record->spec.payload = "p";
@@ -44,7 +44,7 @@
       step->cpu_milli = 1000 * (1 + world_chance (world, 8));
       step->mem_mb = 100;
       step->estimate_ms = 1000;
-      step->data_rack = step->required_label = step->image = "";
+      step->preferred_rack = step->required_label = step->image = "";
       step->speculative = world->advised && world->job_n % 3 == 0;
       step->gang = FALSE; /* workers here end runs one by one; scripts judge gangs */
       step->after.after_val = g_new0 (u_int, 1);
@@ -291,7 +291,7 @@
   for (guint i = 0; i < CARRIER_N; i++)
     {
       world->carriers[i] = fb_recent_starts_new ();
-      world->keepers[i] = fb_kept_suspects_new ();
+      world->keepers[i] = fb_suspect_backups_new ();
     }
   world_owner_begin (world, 0);
   return world;
@@ -320,7 +320,7 @@
   for (guint i = 0; i < CARRIER_N; i++)
     {
       fb_recent_starts_free (world->carriers[i]);
-      fb_kept_suspects_free (world->keepers[i]);
+      fb_suspect_backups_free (world->keepers[i]);
     }
   g_hash_table_unref (world->progress);
   g_clear_pointer (&world->known_workers, g_bytes_unref);
--- a/fuzz/fuzz-readers-target.c
+++ b/fuzz/fuzz-readers-target.c
@@ -55,7 +55,7 @@
   if (fb_codec_decode_revision (data, size, &revision))
     fb_codec_clear_revision (&revision);
   FbStream *stream = fb_stream_new (0);
-  FbStreamVerdict verdict = fb_stream_read (stream, 0, data, size, &record);
+  FbStreamResult verdict = fb_stream_read (stream, 0, data, size, &record);
   if (verdict == FB_STREAM_OK || verdict == FB_STREAM_CLAIMED)
     fb_codec_clear_record (&record);
   fb_stream_free (stream);
--- a/fuzz/pool-world-calls.c
+++ b/fuzz/pool-world-calls.c
@@ -9,11 +9,12 @@
 {
   guint code;
   const char *reason;
-} replies[] = { [FB_ORDER_DONE] = { 200, NULL },        [FB_ORDER_FENCED] = { 409, "fence" },
-                [FB_ORDER_SUPERSEDED] = { 409, "old" }, [FB_ORDER_LATE] = { 409, "late" },
-                [FB_ORDER_NO_ROOM] = { 409, "room" },   [FB_ORDER_BAD_TICKET] = { 409, "ticket" },
-                [FB_ORDER_NOT_DONE] = { 503, NULL },    [FB_ORDER_OTHER_LIFE] = { 421, NULL },
-                [FB_ORDER_NO_LISTENER] = { 0, NULL },   [FB_ORDER_UNKNOWN] = { 0, NULL } };
+} replies[]
+    = { [FB_ORDER_DONE] = { 200, NULL },          [FB_ORDER_FENCED] = { 409, "fence" },
+        [FB_ORDER_SUPERSEDED] = { 409, "old" },   [FB_ORDER_PAST_DEADLINE] = { 409, "late" },
+        [FB_ORDER_NO_CAPACITY] = { 409, "room" }, [FB_ORDER_BAD_TICKET] = { 409, "ticket" },
+        [FB_ORDER_NOT_DONE] = { 503, NULL },      [FB_ORDER_OTHER_INCARNATION] = { 421, NULL },
+        [FB_ORDER_NO_LISTENER] = { 0, NULL },     [FB_ORDER_UNKNOWN] = { 0, NULL } };
 
 /* ---- replies --------------------------------------------------------------------------- */
 
@@ -67,7 +68,7 @@
   if (worker != NULL)
     add_rows (body, worker, ends_most);
   if (worker != NULL && says_birth)
-    g_string_append_printf (body, ",\"born\":%" G_GUINT64_FORMAT, worker->born_ms);
+    g_string_append_printf (body, ",\"born\":%" G_GUINT64_FORMAT, worker->incarnation_started_ms);
   g_string_append_c (body, '}');
   reply.body = g_string_free_to_bytes (body);
   return reply;
@@ -77,20 +78,20 @@
 world_reply (const Order *order, FbOrderResult result, uint64_t *clock_ms)
 {
   FbHttpReply reply = make_reply (order, result, NULL, 0, FALSE, *clock_ms);
-  FbOrderResult told = fb_wire_order_result (&reply, clock_ms);
+  FbOrderResult told = fb_wire_parse_order_result (&reply, clock_ms);
   g_clear_pointer (&reply.body, g_bytes_unref);
   return told;
 }
 
 void
 world_reply_to_look (const World *world, const Order *order, FbOrderResult result,
-                     const Worker *worker, uint64_t clock_ms, FbLookAnswer *answer)
+                     const Worker *worker, uint64_t clock_ms, FbPollAnswer *answer)
 {
   guint ends_most = world->repeats ? ENDS_LISTED : G_MAXUINT;
   const Worker *listed = result == FB_ORDER_DONE ? worker : NULL;
   gboolean says_birth = world->returns != RETURNS_UNDER_NEW_IDS;
   FbHttpReply reply = make_reply (order, result, listed, ends_most, says_birth, clock_ms);
-  fb_wire_look_answer (&reply, order->worker_name, answer);
+  fb_wire_parse_poll (&reply, order->worker_name, answer);
   g_clear_pointer (&reply.body, g_bytes_unref);
 }
 
@@ -107,12 +108,13 @@
     gboolean unsent; /* no connection came about */
     gboolean of_start;
     gboolean of_ticket;
-  } table[] = {
-    { FB_ORDER_NOT_DONE, 0, FALSE, FALSE, FALSE }, { FB_ORDER_NOT_DONE, 429, FALSE, FALSE, FALSE },
-    { FB_ORDER_NOT_DONE, 0, TRUE, FALSE, FALSE },  { FB_ORDER_NO_LISTENER, 0, FALSE, TRUE, FALSE },
-    { FB_ORDER_NO_ROOM, 0, FALSE, TRUE, FALSE },   { FB_ORDER_LATE, 0, FALSE, TRUE, FALSE },
-    { FB_ORDER_BAD_TICKET, 0, FALSE, TRUE, TRUE }
-  };
+  } table[] = { { FB_ORDER_NOT_DONE, 0, FALSE, FALSE, FALSE },
+                { FB_ORDER_NOT_DONE, 429, FALSE, FALSE, FALSE },
+                { FB_ORDER_NOT_DONE, 0, TRUE, FALSE, FALSE },
+                { FB_ORDER_NO_LISTENER, 0, FALSE, TRUE, FALSE },
+                { FB_ORDER_NO_CAPACITY, 0, FALSE, TRUE, FALSE },
+                { FB_ORDER_PAST_DEADLINE, 0, FALSE, TRUE, FALSE },
+                { FB_ORDER_BAD_TICKET, 0, FALSE, TRUE, TRUE } };
   guint i = world_chance (world, G_N_ELEMENTS (table));
   if ((table[i].of_start && order->kind != ORDER_START) || (table[i].of_ticket && !order->ticket))
     i = 0;
--- a/fuzz/pool-world-lives.c
+++ b/fuzz/pool-world-lives.c
@@ -14,7 +14,7 @@
 static void
 keep_id (World *world, Worker *worker)
 {
-  worker->before = (Entry){ .born_ms = worker->born_ms };
+  worker->before = (Entry){ .incarnation_started_ms = worker->incarnation_started_ms };
   g_strlcpy (worker->before.id, worker->id, sizeof worker->before.id);
   worker->entry_ms = world->now_ms + world_return_chance (world, ENTRY_LAG_MS);
   worker->stale_ms = 0;
@@ -28,7 +28,7 @@
 static void
 take_new_id (Worker *worker, guint i)
 {
-  g_snprintf (worker->id, sizeof worker->id, "w%u-%u", i, worker->life);
+  g_snprintf (worker->id, sizeof worker->id, "w%u-%u", i, worker->incarnation);
   worker->entry_ms = 0;
   worker->stale_ms = 0;
   worker->clock_from_ms = 5000;
@@ -38,15 +38,15 @@
 world_worker_begin (World *world, guint i)
 {
   Worker *worker = &world->workers[i];
-  gboolean returns = world->returns != RETURNS_UNDER_NEW_IDS && worker->life > 0
+  gboolean returns = world->returns != RETURNS_UNDER_NEW_IDS && worker->incarnation > 0
                      && world_return_chance (world, 2) == 0;
-  worker->life++;
+  worker->incarnation++;
   worker->crash_again_ms = 0;
   if (returns)
     keep_id (world, worker);
   else
     take_new_id (worker, i);
-  worker->born_ms = WALL_MS + world->now_ms;
+  worker->incarnation_started_ms = WALL_MS + world->now_ms;
   worker->up = TRUE;
   worker->back_ms = 0;
   /* It may have ended and started again behind a cut. */
@@ -67,7 +67,7 @@
   g_array_set_size (worker->runs, 0);
   g_array_set_size (worker->ends, 0);
   g_hash_table_remove_all (worker->highest);
-  world_trace (world, "%s, life %u, begins", worker->id, worker->life);
+  world_trace (world, "%s, life %u, begins", worker->id, worker->incarnation);
 }
 
 Entry
@@ -77,7 +77,7 @@
                       && world->now_ms < worker->stale_ms + LIST_LAG_MS;
   if (world->now_ms < worker->entry_ms || is_stale)
     return worker->before;
-  Entry entry = { .born_ms = worker->born_ms };
+  Entry entry = { .incarnation_started_ms = worker->incarnation_started_ms };
   g_strlcpy (entry.id, worker->id, sizeof entry.id);
   return entry;
 }
--- a/fuzz/pool-world-owners.c
+++ b/fuzz/pool-world-owners.c
@@ -34,9 +34,9 @@
   const char *id = g_hash_table_lookup (world->ids, worker);
   if (id != NULL)
     return id;
-  const FbLookOrder order = { .worker = worker, .address = "" };
+  const FbPollOrder order = { .worker = worker, .address = "" };
   FbHttpCall call;
-  fb_wire_look (&call, &order);
+  fb_wire_poll (&call, &order);
   g_hash_table_insert (world->ids, g_strdup (worker), g_strdup (call.header_values[0]));
   fb_http_call_clear (&call);
   return g_hash_table_lookup (world->ids, worker);
@@ -54,8 +54,8 @@
   guint i = world->carriers_lost_n++ % CARRIER_N;
   fb_recent_starts_free (world->carriers[i]);
   world->carriers[i] = fb_recent_starts_new ();
-  fb_kept_suspects_free (world->keepers[i]);
-  world->keepers[i] = fb_kept_suspects_new ();
+  fb_suspect_backups_free (world->keepers[i]);
+  world->keepers[i] = fb_suspect_backups_new ();
 }
 
 static void
@@ -63,7 +63,7 @@
 {
   World *world = owner->world;
   order->owner = (guint) (owner - world->owners);
-  order->owner_life = owner->life;
+  order->owner_life = owner->incarnation;
   order->knows_ms = owner->list_seen_ms;
   order->in_touch = world_in_touch (world, order->owner);
   order->worker = worker_index (worker);
@@ -114,15 +114,15 @@
 }
 
 static void
-on_look (gpointer user, const FbLookOrder *look)
+on_look (gpointer user, const FbPollOrder *poll)
 {
   Order *order = g_new0 (Order, 1);
   order->kind = ORDER_LOOK;
-  order->epoch = look->epoch;
-  order->acknowledged = look->acknowledged;
-  order->deadline_ms = look->deadline_ms;
-  order->wait_ms = look->wait_ms;
-  send_order (user, order, look->worker, look->wait_ms + look->answer_ms);
+  order->epoch = poll->epoch;
+  order->acknowledged = poll->acknowledged;
+  order->deadline_ms = poll->deadline_ms;
+  order->wait_ms = poll->wait_ms;
+  send_order (user, order, poll->worker, poll->wait_ms + poll->answer_ms);
 }
 
 static void
@@ -154,7 +154,7 @@
 answer_question (Owner *owner, const Question *question)
 {
   g_autofree fb_ticket *tickets = g_new0 (fb_ticket, question->workers->len + 1);
-  fb_told_advice told = { .tickets = { 0, tickets }, .validity_ms = 2000 };
+  fb_advice_reply told = { .tickets = { 0, tickets }, .validity_ms = 2000 };
   for (guint i = 0; i < question->workers->len; i++)
     {
       char *id = question->workers->pdata[i];
@@ -190,7 +190,7 @@
 }
 
 static const FbPoolSink sink
-    = { on_start, on_stop, on_look, on_advise, on_fenced, fb_wire_life_follows };
+    = { on_start, on_stop, on_look, on_advise, on_fenced, fb_wire_incarnation_is_newer };
 
 /* ---- owners --------------------------------------------------------------------- */
 
@@ -219,10 +219,10 @@
                    address, worker->draining ? "draining" : "ready",
                    (int) MAX (worker->cpu_milli, 1)); /* an entry with no room can not be read */
   if (world->returns != RETURNS_UNDER_NEW_IDS)
-    g_string_append_printf (text, ",\"born\":%" G_GUINT64_FORMAT, entry.born_ms);
+    g_string_append_printf (text, ",\"born\":%" G_GUINT64_FORMAT, entry.incarnation_started_ms);
   g_string_append_c (text, '}');
   g_autoptr (GBytes) value = g_string_free_to_bytes (text);
-  return fb_wire_listed_worker (entry.id, value);
+  return fb_wire_parse_worker (entry.id, value);
 }
 
 static void
@@ -316,9 +316,9 @@
 {
   for (guint i = 0; i < CARRIER_N; i++)
     {
-      fb_told_starts told;
-      fb_recent_starts_tell (world->carriers[i], world->now_ms, &told);
-      fb_pool_recall_starts (owner->pool, &told, world->now_ms);
+      fb_recent_starts_reply told;
+      fb_recent_starts_list (world->carriers[i], world->now_ms, &told);
+      fb_pool_import_starts (owner->pool, &told, world->now_ms);
       g_free (told.starts.starts_val);
     }
 }
@@ -329,20 +329,20 @@
 {
   for (guint i = 0; i < CARRIER_N; i++)
     {
-      fb_told_kept told;
-      fb_kept_suspects_tell (world->keepers[i], world->now_ms, &told);
+      fb_suspect_backups_reply told;
+      fb_suspect_backups_list (world->keepers[i], world->now_ms, &told);
       for (u_int j = 0; j < told.jobs.jobs_len; j++)
-        fb_pool_recall_unstored (owner->pool, told.jobs.jobs_val[j].job,
+        fb_pool_import_suspects (owner->pool, told.jobs.jobs_val[j].job,
                                  &told.jobs.jobs_val[j].suspects, world->now_ms);
-      xdr_free ((xdrproc_t) xdr_fb_told_kept, (char *) &told);
+      xdr_free ((xdrproc_t) xdr_fb_suspect_backups_reply, (char *) &told);
     }
 }
 
 /* Each of them may miss it. */
 static void
-hand_to_keepers (World *world, const Owner *owner, const FbPoolUnstored *unstored)
+hand_to_keepers (World *world, const Owner *owner, const FbPoolUnstoredSuspects *unstored)
 {
-  fb_kept_job kept = { .job = unstored->job, .epoch = owner->epoch };
+  fb_suspects_backup kept = { .job = unstored->job, .epoch = owner->epoch };
   gsize len = 0;
   gconstpointer data
       = unstored->suspects != NULL ? g_bytes_get_data (unstored->suspects, &len) : NULL;
@@ -351,7 +351,7 @@
   for (guint i = 0; i < CARRIER_N; i++)
     {
       if (world->healing || world_return_chance (world, 10) > 0)
-        fb_kept_suspects_take (world->keepers[i], &kept, world->now_ms);
+        fb_suspect_backups_put (world->keepers[i], &kept, world->now_ms);
     }
   xdr_free ((xdrproc_t) xdr_fb_work_suspects, (char *) &kept.suspects);
 }
@@ -359,7 +359,7 @@
 static void
 hand_unstored (World *world, Owner *owner)
 {
-  g_autoptr (GPtrArray) unstored = fb_pool_unstored (owner->pool, world->now_ms);
+  g_autoptr (GPtrArray) unstored = fb_pool_take_unstored_suspects (owner->pool, world->now_ms);
   for (guint i = 0; unstored != NULL && i < unstored->len; i++)
     hand_to_keepers (world, owner, unstored->pdata[i]);
 }
@@ -367,13 +367,15 @@
 void
 world_owner_begin (World *world, guint i)
 {
-  const FbPoolLimits limits = { .hold_max_ms = HOLD_MAX_MS,
-                                .stop_ms = STOP_TAKES_MS,
+  const FbPoolLimits limits = { .max_lease_ms = HOLD_MAX_MS,
+                                .max_stop_ms = STOP_TAKES_MS,
                                 .gang_wait_ms = 3000,
-                                .ends_listed_n = world->repeats ? ENDS_LISTED : 0 };
+                                .max_reported_ends = world->repeats ? ENDS_LISTED : 0 };
   Owner *owner = &world->owners[i];
   world_owner_end (world, i);
-  *owner = (Owner){ .world = world, .life = ++world->lives, .epoch = ++world->store_epoch };
+  *owner = (Owner){ .world = world,
+                    .incarnation = ++world->incarnations,
+                    .epoch = ++world->store_epoch };
   owner->questions = g_ptr_array_new_with_free_func (question_free);
   owner->authority_ms = world->now_ms;
   owner->fenced_store_ms = world->now_ms;
@@ -456,7 +458,7 @@
   gboolean sure = member || fb_pool_holds_majority (owner->pool, MAJORITY_MS, world->now_ms);
   if (sure)
     owner->authority_ms = world->now_ms;
-  fb_pool_step (owner->pool, sure, world->now_ms, WALL_MS + world->now_ms);
+  fb_pool_tick (owner->pool, sure, world->now_ms, WALL_MS + world->now_ms);
   flush_tick (world, owner);
   hand_unstored (world, owner);
   if (owner->fenced || world->now_ms > owner->authority_ms + STEP_DOWN_MS)
--- a/fuzz/pool-world-workers.c
+++ b/fuzz/pool-world-workers.c
@@ -94,7 +94,7 @@
 world_worker_crash (World *world, Worker *worker, const Run *by)
 {
   worker->up = FALSE;
-  world_trace (world, "%s, life %u, crashes%s%s", worker->id, worker->life,
+  world_trace (world, "%s, life %u, crashes%s%s", worker->id, worker->incarnation,
                by != NULL ? " under " : "", by != NULL ? by->task : "");
   for (guint i = 0; i < worker->runs->len; i++)
     {
@@ -111,7 +111,7 @@
 }
 
 static void
-add_end (const World *world, Worker *worker, const Run *run, FbEndHow how)
+add_end (const World *world, Worker *worker, const Run *run, FbEndReason how)
 {
   End end = {
     .number = ++worker->next_end, .attempt = run->attempt, .how = how, .at_ms = world->now_ms
@@ -122,7 +122,7 @@
 }
 
 static void
-end_run (World *world, Worker *worker, guint at, FbEndHow how)
+end_run (World *world, Worker *worker, guint at, FbEndReason how)
 {
   Run run = g_array_index (worker->runs, Run, at);
   world_trace (world, "%s of attempt %u ends on %s, how %d", run.task, run.attempt, worker->id,
@@ -165,12 +165,12 @@
   for (guint i = worker->runs->len; i > 0; i--)
     {
       const Run *run = &g_array_index (worker->runs, Run, i - 1);
-      if (run->stop_ms != 0 && world->now_ms >= run->stop_ms)
+      if (run->max_stop_ms != 0 && world->now_ms >= run->max_stop_ms)
         end_run (world, worker, i - 1, FB_END_STOPPED);
       else if (world->now_ms >= run->ends_ms)
         end_run (world, worker, i - 1, run->fails ? FB_END_FAILED : FB_END_DONE);
       else if (lapsed)
-        end_run (world, worker, i - 1, FB_END_LAPSED);
+        end_run (world, worker, i - 1, FB_END_LEASE_EXPIRED);
     }
 }
 
@@ -252,15 +252,15 @@
   if (highest >= order->attempt)
     return FB_ORDER_SUPERSEDED;
   if (clock_of (world, worker) >= order->deadline_ms)
-    return FB_ORDER_LATE;
+    return FB_ORDER_PAST_DEADLINE;
   guint step = 0;
   guint index = 0;
   const Job *job = job_of (world, order->task, &step, &index);
   if (job != NULL && job->record.policy.advised && !world_allows (order->task, order->worker))
     return FB_ORDER_BAD_TICKET;
   world_trace (world, "%s of attempt %u starts on %s, life %u, by epoch %u, sent at %u ms",
-               order->task, order->attempt, worker->id, worker->life, (unsigned) order->epoch,
-               (unsigned) (order->sent_ms % 1000000));
+               order->task, order->attempt, worker->id, worker->incarnation,
+               (unsigned) order->epoch, (unsigned) (order->sent_ms % 1000000));
   judge_start (world, worker, order);
   if (job == NULL)
     return FB_ORDER_NOT_DONE;
@@ -294,8 +294,8 @@
     {
       Run *run = &g_array_index (worker->runs, Run, i);
       if (g_str_equal (run->task, order->task) && run->attempt <= order->attempt
-          && run->stop_ms == 0)
-        run->stop_ms = world->now_ms + STOP_TAKES_MS;
+          && run->max_stop_ms == 0)
+        run->max_stop_ms = world->now_ms + STOP_TAKES_MS;
     }
 }
 
@@ -337,7 +337,7 @@
 sender_of (World *world, const Order *order)
 {
   Owner *owner = &world->owners[order->owner];
-  return owner->pool != NULL && owner->life == order->owner_life ? owner : NULL;
+  return owner->pool != NULL && owner->incarnation == order->owner_life ? owner : NULL;
 }
 
 /* Who carries ORDER hears what became of it, also when its sender is gone. */
@@ -346,7 +346,7 @@
 {
   FbRecentStarts *carrier = world_carrier (world, order->worker);
   if (order->kind == ORDER_LOOK)
-    fb_recent_starts_looked (carrier, order->worker_name, &order->answer);
+    fb_recent_starts_polled (carrier, order->worker_name, &order->answer);
   else if (order->kind == ORDER_START)
     fb_recent_starts_answered (carrier, order->worker_name, order->task, order->attempt,
                                order->answer.result);
@@ -357,10 +357,10 @@
 deliver (World *world, Order *order)
 {
   Owner *owner = sender_of (world, order);
-  const FbLookAnswer *told = &order->answer;
+  const FbPollAnswer *told = &order->answer;
   tell_carrier (world, order);
   if (owner != NULL && order->kind == ORDER_LOOK)
-    fb_pool_look_answered (owner->pool, order->worker_name, told, world->now_ms,
+    fb_pool_poll_answered (owner->pool, order->worker_name, told, world->now_ms,
                            WALL_MS + world->now_ms);
   else if (owner != NULL && order->kind == ORDER_START)
     fb_pool_start_answered (owner->pool, order->order, told->result, told->clock_ms, world->now_ms);
@@ -374,13 +374,13 @@
 static void
 make_answer (World *world, Order *order, FbOrderResult result, uint64_t clock_ms)
 {
-  fb_look_answer_clear (&order->answer);
+  fb_poll_answer_clear (&order->answer);
   if (order->kind == ORDER_LOOK)
     world_reply_to_look (world, order, result, &world->workers[order->worker], clock_ms,
                          &order->answer);
   else
     order->answer
-        = (FbLookAnswer){ .result = world_reply (order, result, &clock_ms), .clock_ms = clock_ms };
+        = (FbPollAnswer){ .result = world_reply (order, result, &clock_ms), .clock_ms = clock_ms };
 }
 
 /* Answers overtake each other on their ways back. */
@@ -403,14 +403,14 @@
   const Worker *worker = &world->workers[order->worker];
   if (order->taken_ms == 0 || order->taken_life != 0 || world->now_ms < order->taken_ms)
     return;
-  order->taken_life = worker->up && !worker->cut ? worker->life : G_MAXUINT;
+  order->taken_life = worker->up && !worker->cut ? worker->incarnation : G_MAXUINT;
 }
 
 static gboolean
 is_forgotten (const World *world, const Order *order)
 {
   return world->returns == RETURNS_EITHER_WAY && order->taken_ms != 0
-         && order->taken_life != world->workers[order->worker].life;
+         && order->taken_life != world->workers[order->worker].incarnation;
 }
 
 /* TRUE when the connection for ORDER is tried until its sender gives up. */
@@ -439,14 +439,14 @@
     return !waits_for_listener (world, order);
   gboolean is_same = g_str_equal (worker->id, order->worker_id);
   /* The life that took it has ended, and its connection with it. */
-  if (order->arrived && is_same && order->arrived_life != worker->life)
+  if (order->arrived && is_same && order->arrived_life != worker->incarnation)
     return TRUE;
   if (is_same && is_forgotten (world, order))
     return TRUE;
   if (order->refusal != FB_ORDER_DONE)
     result = order->refusal;
   else if (!is_same)
-    result = FB_ORDER_OTHER_LIFE;
+    result = FB_ORDER_OTHER_INCARNATION;
   else if (order->epoch < worker->token)
     result = FB_ORDER_FENCED;
   else
@@ -468,13 +468,13 @@
       else if (!order->arrived)
         {
           order->arrived = TRUE;
-          order->arrived_life = worker->life;
+          order->arrived_life = worker->incarnation;
           order->waits_until_ms = world->now_ms + order->wait_ms;
           if (order->acknowledged > 0 && worker->ends->len > 0)
             world_trace (world,
                          "a look at %s, sent at %u ms, acknowledges ends up to %u on life %u",
                          order->worker_name, (unsigned) (order->sent_ms % 1000000),
-                         (unsigned) order->acknowledged, worker->life);
+                         (unsigned) order->acknowledged, worker->incarnation);
           acknowledge (world, worker, order->acknowledged);
           if (order->deadline_ms > 0)
             extend_lease (world, worker, order->deadline_ms);
@@ -491,7 +491,7 @@
 world_order_free (gpointer data)
 {
   Order *order = data;
-  fb_look_answer_clear (&order->answer);
+  fb_poll_answer_clear (&order->answer);
   g_free (order);
 }
 
--- a/fuzz/pool-world.h
+++ b/fuzz/pool-world.h
@@ -5,8 +5,8 @@
 
 #include "internal/pool.h"
 #include "platform/wire.h"
-#include "src/entry/peers/kept-suspects.h"
 #include "src/entry/peers/recent-starts.h"
+#include "src/entry/peers/suspect-backups.h"
 
 #define WORKER_N 6
 #define JOB_MAX 40
@@ -47,8 +47,8 @@
   char task[64];
   uint32_t attempt;
   uint64_t ends_ms;
-  uint64_t stop_ms;  /* when an ordered stop takes effect; 0: none */
-  uint64_t crash_ms; /* when it takes its worker down; 0: never */
+  uint64_t max_stop_ms; /* when an ordered stop takes effect; 0: none */
+  uint64_t crash_ms;    /* when it takes its worker down; 0: never */
   gboolean fails;
 } Run;
 
@@ -57,7 +57,7 @@
   uint64_t number;
   char task[64];
   uint32_t attempt;
-  FbEndHow how;
+  FbEndReason how;
   uint64_t at_ms;
   gboolean lapsed; /* a lease of its worker ended since */
 } End;
@@ -66,17 +66,17 @@
 typedef struct
 {
   char id[32];
-  uint64_t born_ms; /* since 1970 */
+  uint64_t incarnation_started_ms; /* since 1970 */
 } Entry;
 
 typedef struct
 {
   char id[32];
-  guint life;
-  uint64_t born_ms;        /* since 1970 */
-  uint64_t clock_from_ms;  /* what its clock showed then */
-  Entry before;            /* of the life before under this id */
-  uint64_t entry_ms;       /* until then its entry is the one of the life before */
+  guint incarnation;
+  uint64_t incarnation_started_ms; /* since 1970 */
+  uint64_t clock_from_ms;          /* what its clock showed then */
+  Entry before;                    /* of the life before under this id */
+  uint64_t entry_ms;               /* until then its entry is the one of the life before */
   uint64_t stale_ms;       /* when a late write brings that one back for a moment; 0: never */
   uint64_t crash_again_ms; /* when it crashes once more; 0: it does not */
   gboolean up;
@@ -153,7 +153,7 @@
   guint refusal_code;    /* 0: the one of REFUSAL */
   gboolean unsent;       /* this copy found no connection */
   gboolean answer_lost;
-  FbLookAnswer answer; /* that is on its way back; of other orders without lists */
+  FbPollAnswer answer; /* that is on its way back; of other orders without lists */
   uint64_t answer_ms;  /* when it is back; 0: there is none */
   gboolean arrived;
   guint arrived_life; /* of its worker */
@@ -171,7 +171,7 @@
 {
   World *world;
   FbPool *pool; /* NULL: dead */
-  uint64_t life;
+  uint64_t incarnation;
   uint64_t epoch;
   gboolean paused;
   uint64_t resumes_ms; /* when it goes on by itself after a stall; 0: it does not */
@@ -222,14 +222,14 @@
   Owner owners[OWNER_N];
   guint current; /* the owner that the store knows */
   FbRecentStarts *carriers[CARRIER_N];
-  FbKeptSuspects *keepers[CARRIER_N]; /* the same daemons */
+  FbSuspectBackups *keepers[CARRIER_N]; /* the same daemons */
   guint carriers_lost_n;
   uint64_t store_epoch;
   uint64_t current_seen_ms;
   GHashTable *progress; /* job -> GBytes */
   GBytes *known_workers;
   GPtrArray *orders;
-  uint64_t lives;
+  uint64_t incarnations;
   uint64_t starts;
   gboolean traced; /* what happens is printed, with the time */
   char *broken;
@@ -277,9 +277,9 @@
  * adapter that decodes replies; FB_ORDER_UNKNOWN: nothing was heard. */
 FbOrderResult world_reply (const Order *order, FbOrderResult result, uint64_t *clock_ms);
 /* The same for a look, with what runs and ended on WORKER; ANSWER is cleared with
- * fb_look_answer_clear(). */
+ * fb_poll_answer_clear(). */
 void world_reply_to_look (const World *world, const Order *order, FbOrderResult result,
-                          const Worker *worker, uint64_t clock_ms, FbLookAnswer *answer);
+                          const Worker *worker, uint64_t clock_ms, FbPollAnswer *answer);
 
 /* ---- owners: pool-world-owners.c -------------------------------------------------------- */
 
--- a/include/fb-policy.h
+++ b/include/fb-policy.h
@@ -10,11 +10,11 @@
 typedef enum
 {
   FB_POLICY_OK,
-  FB_POLICY_SYNTAX,  /* not an INI file */
-  FB_POLICY_UNKNOWN, /* a group or key that does not exist */
-  FB_POLICY_VALUE,   /* a value out of its range or set */
-  FB_POLICY_MISSING, /* a key that must be there, or a name not declared */
-  FB_POLICY_DOUBLE   /* declared twice */
+  FB_POLICY_SYNTAX,   /* not an INI file */
+  FB_POLICY_UNKNOWN,  /* a group or key that does not exist */
+  FB_POLICY_VALUE,    /* a value out of its range or set */
+  FB_POLICY_MISSING,  /* a key that must be there, or a name not declared */
+  FB_POLICY_DUPLICATE /* declared twice */
 } FbPolicyStatus;
 
 typedef struct
--- a/include/fb-types.h
+++ b/include/fb-types.h
@@ -35,37 +35,37 @@
 
 typedef enum
 {
-  FB_FLAG_ONCE = 1 << 0,        /* not idempotent: runs at most once */
-  FB_FLAG_PREEMPTIBLE = 1 << 1, /* may be stopped and run again */
-  FB_FLAG_CHECKPOINT = 1 << 2,  /* keeps its progress when stopped */
-  FB_FLAG_RESERVE = 1 << 3,     /* hold the capacity, start on commit */
-  FB_FLAG_EPHEMERAL = 1 << 4    /* no record in the log; dies with its caller */
+  FB_FLAG_AT_MOST_ONCE = 1 << 0, /* not idempotent: runs at most once */
+  FB_FLAG_PREEMPTIBLE = 1 << 1,  /* may be stopped and run again */
+  FB_FLAG_CHECKPOINT = 1 << 2,   /* keeps its progress when stopped */
+  FB_FLAG_RESERVE = 1 << 3,      /* hold the capacity, start on commit */
+  FB_FLAG_EPHEMERAL = 1 << 4     /* no record in the log; dies with its caller */
 } FbFlag;
 
 /* What waiting work stands in line with. */
 typedef enum
 {
-  FB_WAITING_URGENT,
-  FB_WAITING_ACCEL,
-  FB_WAITING_OTHER,
-  FB_WAITING_N
-} FbWaiting;
+  FB_WAIT_CLASS_URGENT,
+  FB_WAIT_CLASS_ACCEL,
+  FB_WAIT_CLASS_OTHER,
+  FB_WAIT_CLASS_N
+} FbWaitClass;
 
 /* News of a run, from the owner of a rack to the owner of a range. */
 typedef enum
 {
-  FB_NEWS_QUEUED = 1,
-  FB_NEWS_RESERVED,
-  FB_NEWS_STARTED,
-  FB_NEWS_REFUSED,   /* never ran, never will under this attempt */
-  FB_NEWS_NOT_RUN,   /* was accepted, never ran, never will */
-  FB_NEWS_COMPLETED, /* whole answer attached */
-  FB_NEWS_FAILED,    /* the target's own failure, answer attached */
-  FB_NEWS_STOPPED,   /* started, was stopped, has ended */
-  FB_NEWS_LOST,      /* may have run, cannot be running any more */
-  FB_NEWS_NOT_HERE,  /* complete knowledge of the rack, and no such run */
-  FB_NEWS_UNSURE     /* some worker has not answered yet */
-} FbNews;
+  FB_RUN_STATUS_QUEUED = 1,
+  FB_RUN_STATUS_RESERVED,
+  FB_RUN_STATUS_STARTED,
+  FB_RUN_STATUS_REFUSED,     /* never ran, never will under this attempt */
+  FB_RUN_STATUS_NOT_RUN,     /* was accepted, never ran, never will */
+  FB_RUN_STATUS_COMPLETED,   /* whole answer attached */
+  FB_RUN_STATUS_FAILED,      /* the target's own failure, answer attached */
+  FB_RUN_STATUS_STOPPED,     /* started, was stopped, has ended */
+  FB_RUN_STATUS_LOST,        /* may have run, cannot be running any more */
+  FB_RUN_STATUS_NOT_FOUND,   /* complete knowledge of the rack, and no such run */
+  FB_RUN_STATUS_UNDETERMINED /* some worker has not answered yet */
+} FbRunStatus;
 
 typedef enum
 {
@@ -107,7 +107,7 @@
 
 /* Returns: static names for logs, JSON and the command line. */
 const char *fb_kind_name (FbKind kind);
-const char *fb_news_name (FbNews news);
+const char *fb_run_status_name (FbRunStatus run_status);
 const char *fb_reason_name (FbReason reason);
 const char *fb_outcome_name (FbOutcome outcome);
 
@@ -129,7 +129,7 @@
 gboolean fb_run_equal (gconstpointer a, gconstpointer b);
 
 /* Returns: the line that SPEC waits in. */
-FbWaiting fb_spec_waiting (const fb_spec *spec);
+FbWaitClass fb_spec_wait_class (const fb_spec *spec);
 
 /* Deep copy and release of a wire struct with its payload. */
 void fb_job_copy (fb_job *to, const fb_job *from);
@@ -138,9 +138,9 @@
 void fb_spec_clear (fb_spec *spec);
 
 /* Returns: NOW + LEFT without overflow; FB_NO_DEADLINE_MS stays itself. */
-uint64_t fb_deadline_after (uint64_t now_ms, uint64_t left_ms);
+uint64_t fb_deadline_after (uint64_t now_ms, uint64_t remaining_ms);
 /* Returns: what is left of DUE at NOW, 0 when it is past. */
-uint64_t fb_deadline_left (uint64_t now_ms, uint64_t due_ms);
+uint64_t fb_deadline_remaining (uint64_t now_ms, uint64_t due_ms);
 
 /* Returns: a 64-bit hash of TEXT and SALT (xxHash, equal on every host). */
 uint64_t fb_hash64 (const char *text, uint64_t salt);
--- a/include/internal/member.h
+++ b/include/internal/member.h
@@ -31,15 +31,16 @@
 uint64_t fb_members_incarnation (const FbMembers *self, guint index);
 
 /* A heartbeat arrived.  Returns: TRUE when it begins a new incarnation. */
-gboolean fb_members_heard (FbMembers *self, uint64_t now_ms, guint index, uint64_t incarnation,
-                           gboolean leaving);
+gboolean fb_members_note_heartbeat (FbMembers *self, uint64_t now_ms, guint index,
+                                    uint64_t incarnation, gboolean leaving);
 /* Suspects who has been silent. */
 void fb_members_tick (FbMembers *self, uint64_t now_ms);
 
 /* Returns: the member that should own SHARD of PARTNER: the highest random
  * weight among its members that are alive and not leaving, or -1.  WITHOUT is
  * left out; G_MAXUINT leaves out nobody. */
-int fb_members_rightful (const FbMembers *self, uint32_t shard, uint32_t partner, guint without);
+int fb_members_preferred_owner (const FbMembers *self, uint32_t shard, uint32_t partner,
+                                guint without);
 
 /* Returns: TRUE when member INDEX has been alive for the stable time, so that a
  * shard moved to it will not move back at once. */
--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -44,12 +44,12 @@
   uint64_t renewed_ms; /* 0: at the next occasion */
   gboolean renew_read; /* the last RENEW read, if any: */
   uint64_t renew_oldest;
-  uint64_t renew_unsure_ms;
+  uint64_t renew_history_gap_ms;
   gboolean renew_surveying;
   int handed_to; /* member, or -1 */
   uint64_t handed_epoch;
-  GArray *handed_lives; /* uint64_t, see fb_handover */
-  gboolean handed_here; /* the owner before gave its word to claim */
+  GArray *handed_incarnations; /* uint64_t, see fb_handover */
+  gboolean handed_here;        /* the owner before gave its word to claim */
 } FbShard;
 
 typedef struct
@@ -138,13 +138,14 @@
 gboolean fb_node_send_to_owner (FbNode *self, uint32_t shard, const fb_body *body);
 FbShard *fb_node_shard (FbNode *self, uint32_t shard);
 /* Tells the rack of SHARD what the host list says of its workers. */
-void fb_node_tell_hosts (FbNode *self, FbShard *shard);
+void fb_node_apply_host_states (FbNode *self, FbShard *shard);
 
 /* node-shards.c: ownership */
 void fb_node_shards_tick (FbNode *self);
-void fb_node_note_claim (FbNode *self, guint member, const fb_claim_view *claim);
+void fb_node_note_claim (FbNode *self, guint member, const fb_claim_notice *claim);
 void fb_node_note_handover (FbNode *self, const fb_handover *handover);
-void fb_node_shard_record (FbNode *self, FbShard *shard, GBytes *data, const FbRecordPlace *place);
+void fb_node_shard_record (FbNode *self, FbShard *shard, GBytes *data,
+                           const FbRecordPosition *place);
 void fb_node_shard_read_end (FbNode *self, FbShard *shard);
 void fb_node_step_down (FbNode *self, FbShard *shard);
 void fb_node_reap (FbNode *self);
--- a/include/internal/node.h
+++ b/include/internal/node.h
@@ -69,14 +69,15 @@
 void fb_node_sync_failed (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker,
                           uint64_t request_epoch);
 /* Something changed at a worker: ask it soon. */
-void fb_node_hint (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker);
+void fb_node_worker_changed (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker);
 typedef enum
 {
   FB_HOST_LIVE,
   FB_HOST_LEAVING,
   FB_HOST_GONE
 } FbHostState;
-void fb_node_host (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker, FbHostState state);
+void fb_node_set_host_state (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker,
+                             FbHostState state);
 
 /* The log.  OFFSETS has one entry for each record of the call; NULL means that
  * it failed or that its fate is unknown. */
@@ -87,7 +88,7 @@
 typedef struct
 {
   uint64_t log_now_ms;
-  uint64_t first_kept;
+  uint64_t first_retained;
   gboolean at_end;
   const FbLogRecord *records; /* borrowed */
   guint record_n;
@@ -101,7 +102,7 @@
 void fb_node_submit (FbNode *self, uint64_t now_ms, const fb_job *job, gboolean until_admitted);
 /* Returns: FALSE when the owner of the job's range is not known; nothing was
  * sent.  Else an answer comes through the sink, unless it is lost. */
-gboolean fb_node_ask (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job);
+gboolean fb_node_query_job (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job);
 gboolean fb_node_cancel (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job);
 
 /* Operators: RECORD is an encoded, signed fb_rec_config body.  The outcome is
--- a/include/internal/place.h
+++ b/include/internal/place.h
@@ -13,13 +13,13 @@
   const fb_res *demand;
   guint index;
   uint32_t guard_milli; /* how much of its even share a free accelerator keeps */
-} FbPlaceView;
+} FbPlaceCandidate;
 
 struct _FbPlacePolicy
 {
   const char *name;
   /* Returns: the cost of a placement, the smallest wins; negative forbids. */
-  int64_t (*cost) (const FbPlaceView *view);
+  int64_t (*cost) (const FbPlaceCandidate *view);
 };
 typedef struct _FbPlacePolicy FbPlacePolicy;
 
--- a/include/internal/pool-crash.h
+++ b/include/internal/pool-crash.h
@@ -9,7 +9,7 @@
   char *worker; /* its id */
   char *address;
   gboolean seen; /* it was seen at work there */
-} FbPoolTried;
+} FbPoolUnresolvedStart;
 
 /* ---- pool-crash.c: counts, limit, placing -----------------------------------------------------
  */
@@ -21,7 +21,7 @@
 /* Fills in what LIMITS leaves to the pool. */
 void fb_pool_crash_set_limits (FbPoolLimits *limits);
 /* What speaks against task INDEX has changed: finds whether it is withheld. */
-void fb_pool_task_weigh (const FbPool *self, FbPoolStep *step, uint32_t index);
+void fb_pool_task_update_withheld (const FbPool *self, FbPoolStep *step, uint32_t index);
 /* A flush that held JOB is stored. */
 void fb_pool_crash_stored (FbPool *self, FbPoolJob *job);
 /* TRUE when a worker has crashed under TASK, or may have. */
@@ -36,7 +36,7 @@
                               uint32_t index);
 /* A run of task INDEX ended on WORKER, which goes on. */
 void fb_pool_crash_task_ended (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
-                               uint32_t index, FbEndHow how);
+                               uint32_t index, FbEndReason how);
 /* A start was ordered: the job's record says where, if the task is suspected. */
 void fb_pool_crash_task_ordered (FbPool *self, FbPoolWorker *worker, FbPoolStep *step,
                                  uint32_t index);
@@ -60,7 +60,7 @@
  * there. */
 void fb_pool_crash_clear_lasted (FbPool *self, FbPoolWorker *worker);
 /* TRUE when TASK must not start on WORKER, its best, before that is calm; WORKER is kept for it. */
-gboolean fb_pool_crash_waits_for_calm (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms);
+gboolean fb_pool_crash_waits_for_stable (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms);
 /* What speaks against WORKER for TASK, which is suspected. */
 double fb_pool_crash_cost (const FbPoolWorker *worker, const FbPoolTask *task, uint64_t now_ms);
 /* RUN, which has a step, comes to WORKER (SIGN 1) or goes (-1). */
@@ -75,16 +75,19 @@
 /* TRUE when only one is left. */
 gboolean fb_pool_crash_has_one_cause (const FbPool *self, uint64_t worker);
 
-/* ---- pool-doubt.c: losses that may have been crashes ----------------------------------------- */
+/* ---- pool-unresolved-losses.c: losses that may have been crashes
+ * ----------------------------------------- */
 
-GHashTable *fb_pool_doubts_new (void);
+GHashTable *fb_pool_unresolved_losses_new (void);
 /* Task INDEX was on the worker called ID at ADDRESS.  CRASH: what counts if that crashed. */
-void fb_pool_doubt_add (FbPool *self, const char *id, const char *address, FbPoolStep *step,
-                        uint32_t index, FbPoolCrash crash, uint64_t now_ms);
+void fb_pool_unresolved_loss_add (FbPool *self, const char *id, const char *address,
+                                  FbPoolStep *step, uint32_t index, FbPoolCrash crash,
+                                  uint64_t now_ms);
 /* It is known of the worker called ID whether it crashed. */
-void fb_pool_doubt_end (FbPool *self, const char *id, gboolean crashed, uint64_t now_ms);
+void fb_pool_unresolved_loss_resolve (FbPool *self, const char *id, gboolean crashed,
+                                      uint64_t now_ms);
 /* Settles doubts by the list of workers, and gives up those that nothing has settled. */
-void fb_pool_doubts_tend (FbPool *self, uint64_t now_ms);
+void fb_pool_unresolved_losses_check (FbPool *self, uint64_t now_ms);
 
 /* ---- pool-probe.c: steps that start one task at a time ----------------------------------------
  */
@@ -102,27 +105,29 @@
 /* ---- pool-crash-record.c -----------------------------------------------------------------------
  */
 
-void fb_pool_tried_note (FbPoolTask *task, const char *worker, const char *address, gboolean seen);
+void fb_pool_unresolved_start_add (FbPoolTask *task, const char *worker, const char *address,
+                                   gboolean seen);
 /* TRUE when it is not known yet what became of TASK on WORKER. */
-gboolean fb_pool_tried_has (const FbPoolTask *task, const char *worker);
+gboolean fb_pool_unresolved_start_has (const FbPoolTask *task, const char *worker);
 /* TRUE when what became of TASK on WORKER is known, or in doubt already. */
-gboolean fb_pool_tried_is_settled (const FbPool *self, const FbPoolTask *task, const char *worker);
+gboolean fb_pool_start_is_resolved (const FbPool *self, const FbPoolTask *task, const char *worker);
 /* TASK was seen at work on WORKER.  Returns: FALSE when that is no news, or not asked for. */
-gboolean fb_pool_tried_see (FbPoolTask *task, const char *worker);
+gboolean fb_pool_unresolved_start_set_seen (FbPoolTask *task, const char *worker);
 /* It is known what became of TASK on WORKER. */
-void fb_pool_tried_drop (FbPoolTask *task, const char *worker);
+void fb_pool_unresolved_start_drop (FbPoolTask *task, const char *worker);
 /* The same of the worker of that rank. */
-void fb_pool_tried_drop_rank (FbPoolTask *task, uint64_t rank);
+void fb_pool_unresolved_start_drop_id_hash (FbPoolTask *task, uint64_t id_hash);
 /* RECORD borrows from the job; it is the caller's to clear. */
 void fb_pool_crash_record (const FbPoolJob *job, fb_work_suspects *record);
 void fb_pool_crash_record_clear (fb_work_suspects *record);
 void fb_pool_crash_restore (FbPool *self, FbPoolJob *job, const fb_work_suspects *record,
                             uint64_t now_ms);
 
-/* ---- pool-unstored.c ---------------------------------------------------------------------------
+/* ---- pool-unstored-suspects.c
+ * ---------------------------------------------------------------------------
  */
 
 /* What is held against tasks of JOB has changed. */
-void fb_pool_unstored_note (FbPool *self, FbPoolJob *job);
+void fb_pool_unstored_suspects_add (FbPool *self, FbPoolJob *job);
 /* JOB is about to be freed. */
-void fb_pool_unstored_forget (FbPool *self, const FbPoolJob *job);
+void fb_pool_unstored_suspects_forget (FbPool *self, const FbPoolJob *job);
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -31,7 +31,7 @@
   uint32_t mem_mb;
   uint32_t gpu_count;
   gboolean draining;
-  gboolean returns; /* a later life may take calls that are meant for this one */
+  gboolean may_restart; /* a later life may take calls that are meant for this one */
 } FbWorkerEntry;
 
 typedef struct
@@ -39,26 +39,26 @@
   char *task;
   uint32_t attempt;
   char *checkpoint;
-} FbRunSeen;
+} FbReportedRun;
 
 typedef enum
 {
   FB_END_DONE,
   FB_END_FAILED,
   FB_END_STOPPED,
-  FB_END_LAPSED,
-  FB_END_BROKEN, /* another member of its gang ended */
-  FB_END_ALONE   /* it waited too long for its gang */
-} FbEndHow;
+  FB_END_LEASE_EXPIRED,
+  FB_END_GANG_BROKEN, /* another member of its gang ended */
+  FB_END_GANG_TIMEOUT /* it waited too long for its gang */
+} FbEndReason;
 
 typedef struct
 {
   uint64_t number; /* grows over one life of the worker */
   char *task;
   uint32_t attempt;
-  FbEndHow how;
+  FbEndReason how;
   char *checkpoint;
-} FbEndSeen;
+} FbReportedEnd;
 
 /* How a worker answered an order. */
 typedef enum
@@ -66,13 +66,13 @@
   FB_ORDER_DONE,
   FB_ORDER_FENCED,     /* a higher epoch was seen */
   FB_ORDER_SUPERSEDED, /* this attempt or a higher one was there */
-  FB_ORDER_LATE,
-  FB_ORDER_NO_ROOM,
+  FB_ORDER_PAST_DEADLINE,
+  FB_ORDER_NO_CAPACITY,
   FB_ORDER_BAD_TICKET,
-  FB_ORDER_NOT_DONE,    /* it certainly did nothing */
-  FB_ORDER_OTHER_LIFE,  /* another life of a worker is at this address */
-  FB_ORDER_NO_LISTENER, /* its host answers that nothing listens there; it did nothing */
-  FB_ORDER_UNKNOWN      /* it may be carried out, now or later */
+  FB_ORDER_NOT_DONE,          /* it certainly did nothing */
+  FB_ORDER_OTHER_INCARNATION, /* another life of a worker is at this address */
+  FB_ORDER_NO_LISTENER,       /* its host answers that nothing listens there; it did nothing */
+  FB_ORDER_UNKNOWN            /* it may be carried out, now or later */
 } FbOrderResult;
 
 /* Returns: a word for the log; static. */
@@ -82,11 +82,11 @@
 {
   FbOrderResult result;
   uint64_t clock_ms; /* the worker's, 0 if not told */
-  GArray *running;   /* of FbRunSeen; NULL unless DONE */
-  GArray *finished;  /* of FbEndSeen */
-  char *life;        /* of OTHER_LIFE: the one that answered, if it takes what is meant for the life
+  GArray *running;   /* of FbReportedRun; NULL unless DONE */
+  GArray *finished;  /* of FbReportedEnd */
+  char *incarnation; /* of OTHER_LIFE: the one that answered, if it takes what is meant for the life
                       * that was asked; else NULL */
-} FbLookAnswer;
+} FbPollAnswer;
 
 /* ---- orders --------------------------------------------------------------- */
 
@@ -123,14 +123,14 @@
   uint64_t deadline_ms; /* on the worker's clock; 0: extends no lease */
   uint32_t wait_ms;     /* for news, at the worker */
   uint32_t answer_ms;   /* given up when it has not answered so long after that */
-} FbLookOrder;
+} FbPollOrder;
 
 /* Everything passed is borrowed for the call. */
 typedef struct
 {
   void (*start) (gpointer user, const FbStartOrder *order);
   void (*stop) (gpointer user, const FbStopOrder *order);
-  void (*look) (gpointer user, const FbLookOrder *order);
+  void (*poll) (gpointer user, const FbPollOrder *order);
   /* EXPECTED_MS: what the advice service needs for it.
    * Returns: FALSE when no daemon can take the question now. */
   gboolean (*advise) (gpointer user, const char *step, const char *const *workers, guint n,
@@ -139,21 +139,21 @@
   void (*fenced) (gpointer user, const char *worker);
   /* Returns: TRUE when LIFE began after OTHER, under the same id.  NULL: no worker starts again
    * under its id. */
-  gboolean (*follows) (const char *life, const char *other);
+  gboolean (*is_newer_incarnation) (const char *incarnation, const char *other);
 } FbPoolSink;
 
 /* Limits that come from the site. */
 typedef struct
 {
-  uint32_t hold_max_ms; /* longest lease that a worker grants */
-  uint32_t stop_ms;     /* longest time that a stop takes */
+  uint32_t max_lease_ms; /* longest lease that a worker grants */
+  uint32_t max_stop_ms;  /* longest time that a stop takes */
   uint32_t gang_wait_ms;
   /* Workers that may crash under a task: if nothing else was on one of them that could have done
    * it, and in any case; 0: what the pool takes by itself. */
-  uint32_t crashes_n;
-  uint32_t shared_crashes_n;
+  uint32_t max_isolated_crashes;
+  uint32_t max_shared_crashes;
   /* Ends that a worker lists in one answer; 0: what the pool takes by itself. */
-  uint32_t ends_listed_n;
+  uint32_t max_reported_ends;
 } FbPoolLimits;
 
 /* ---- life ------------------------------------------------------------------ */
@@ -189,13 +189,13 @@
  * names none.  Until then runs and ends of jobs that are not known are left alone. */
 void fb_pool_jobs_read (FbPool *self, uint64_t until_ms);
 /* Starts by earlier owners of which no record may tell; rows of other pools are passed over. */
-void fb_pool_recall_starts (FbPool *self, const fb_told_starts *told, uint64_t now_ms);
+void fb_pool_import_starts (FbPool *self, const fb_recent_starts_reply *told, uint64_t now_ms);
 void fb_pool_cancel (FbPool *self, const char *job, uint64_t now_ms, uint64_t wall_ms);
 /* Policies changed.  POLICIES: name of a queue -> fb_work_policy; a queue that is not there
  * keeps the one it has. */
 void fb_pool_policies (FbPool *self, GHashTable *policies);
 
-void fb_pool_look_answered (FbPool *self, const char *worker, const FbLookAnswer *answer,
+void fb_pool_poll_answered (FbPool *self, const char *worker, const FbPollAnswer *answer,
                             uint64_t now_ms, uint64_t wall_ms);
 void fb_pool_start_answered (FbPool *self, uint64_t order, FbOrderResult result, uint64_t clock_ms,
                              uint64_t now_ms);
@@ -203,11 +203,11 @@
                             uint64_t now_ms);
 /* TOLD is NULL when the question failed. */
 void fb_pool_advised (FbPool *self, const char *step, const char *const *asked, guint n,
-                      const fb_told_advice *told, uint64_t now_ms);
+                      const fb_advice_reply *told, uint64_t now_ms);
 
 /* Lets time pass and, with MAY_START, starts what can start; to be called after
  * events and at least every 100 ms. */
-void fb_pool_step (FbPool *self, gboolean may_start, uint64_t now_ms, uint64_t wall_ms);
+void fb_pool_tick (FbPool *self, gboolean may_start, uint64_t now_ms, uint64_t wall_ms);
 
 /* ---- durability -------------------------------------------------------------- */
 
@@ -229,13 +229,13 @@
 {
   char *job;
   GBytes *suspects; /* fb_work_suspects; NULL: it is stored, or nothing is held against them */
-} FbPoolUnstored;
+} FbPoolUnstoredSuspects;
 
 /* What other daemons are to keep for the next owner, while the store takes nothing, or to forget.
- * Returns: (transfer full): of FbPoolUnstored, or NULL when there is nothing new. */
-GPtrArray *fb_pool_unstored (FbPool *self, uint64_t now_ms);
+ * Returns: (transfer full): of FbPoolUnstoredSuspects, or NULL when there is nothing new. */
+GPtrArray *fb_pool_take_unstored_suspects (FbPool *self, uint64_t now_ms);
 /* Another daemon has kept SUSPECTS of JOB for an earlier owner. */
-void fb_pool_recall_unstored (FbPool *self, const char *job, const fb_work_suspects *suspects,
+void fb_pool_import_suspects (FbPool *self, const char *job, const fb_work_suspects *suspects,
                               uint64_t now_ms);
 
 /* ---- queries ------------------------------------------------------------------ */
--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -1,9 +1,9 @@
 /* Data of a rack, shared by the files that implement it and by no one else. */
 #pragma once
 
-#include "internal/lane.h"
 #include "internal/place.h"
 #include "internal/rack.h"
+#include "internal/task-queue.h"
 
 typedef enum
 {
@@ -31,7 +31,7 @@
   fb_res charge;          /* what it takes from its worker: declared or seen */
   gboolean checkpoint_stop;
   FbReason stop_reason;
-  FbNews news; /* when ENDED */
+  FbRunStatus run_status; /* when ENDED */
   FbReason reason;
   GBytes *answer;
   uint64_t report_at_ms;
@@ -60,8 +60,8 @@
   gboolean in_flight;
   gboolean promised; /* space is being freed here for urgent work */
   uint64_t incarnation;
-  uint64_t life_heard_ms;      /* first word of this incarnation */
-  uint64_t proven_incarnation; /* see fb_rack_ownership_confirmed() */
+  uint64_t incarnation_heard_ms;  /* first word of this incarnation */
+  uint64_t confirmed_incarnation; /* see fb_rack_ownership_confirmed() */
   uint64_t clock_ms;
   uint64_t heard_ms;
   uint64_t sync_at_ms;
@@ -89,7 +89,7 @@
   gboolean draining;
   GPtrArray *workers; /* FbWorker owned */
   GHashTable *tasks;  /* fb_run * in the task -> FbTask owned */
-  FbLanes *lanes;
+  FbTaskQueues *lanes;
   GSequence *by_due; /* waiting FbTask with a due time */
   GQueue ended;      /* FbTask not yet acknowledged */
   fb_res total;
@@ -123,12 +123,13 @@
 gboolean fb_task_never_sent (const FbTask *task);
 void fb_rack_enqueue (FbRack *self, FbTask *task);
 /* Tells the owner of SPEC's range; ANSWER may be NULL. */
-void fb_rack_report (FbRack *self, const fb_spec *spec, guint worker, FbNews news, FbReason reason,
-                     GBytes *answer);
+void fb_rack_report (FbRack *self, const fb_spec *spec, guint worker, FbRunStatus run_status,
+                     FbReason reason, GBytes *answer);
 FbTask *fb_rack_adopt (FbRack *self, uint64_t now_ms, guint worker, const fb_spec *spec);
-void fb_rack_end_task (FbRack *self, uint64_t now_ms, FbTask *task, FbNews news, FbReason reason,
-                       const char *answer, uint32_t answer_len);
-void fb_rack_send_news (FbRack *self, const FbTask *task, FbNews news, FbReason reason);
+void fb_rack_end_task (FbRack *self, uint64_t now_ms, FbTask *task, FbRunStatus run_status,
+                       FbReason reason, const char *answer, uint32_t answer_len);
+void fb_rack_send_run_status (FbRack *self, const FbTask *task, FbRunStatus run_status,
+                              FbReason reason);
 void fb_rack_dequeue (FbRack *self, FbTask *task);
 void fb_rack_forget (FbRack *self, FbTask *task);
 void fb_rack_stop_task (FbRack *self, FbTask *task, FbReason reason);
@@ -143,12 +144,12 @@
 /* preempt.c: see the note at the top of that file. */
 void fb_preempt_for_waiting (FbRack *self, uint64_t now_ms, uint32_t partner, FbKind kind);
 
-/* quality.c: workers that fail what they start. */
-void fb_quality_note_end (FbRack *self, uint64_t now_ms, guint worker, const FbTask *task,
-                          FbNews news);
+/* worker-health.c: workers that fail what they start. */
+void fb_worker_health_note_end (FbRack *self, uint64_t now_ms, guint worker, const FbTask *task,
+                                FbRunStatus run_status);
 /* Returns: what to add to the cost of a placement. */
-int64_t fb_quality_cost (const FbWorker *worker, const FbTask *task);
-void fb_quality_note_start (FbWorker *worker, uint64_t now_ms);
-void fb_quality_tick (FbRack *self, uint64_t now_ms);
-gboolean fb_quality_allows (const FbRack *self, uint64_t now_ms, const FbWorker *worker,
-                            const FbTask *task);
+int64_t fb_worker_health_cost (const FbWorker *worker, const FbTask *task);
+void fb_worker_health_note_start (FbWorker *worker, uint64_t now_ms);
+void fb_worker_health_tick (FbRack *self, uint64_t now_ms);
+gboolean fb_worker_health_allows (const FbRack *self, uint64_t now_ms, const FbWorker *worker,
+                                  const FbTask *task);
--- a/include/internal/rack-query.h
+++ b/include/internal/rack-query.h
@@ -16,7 +16,7 @@
 fb_res fb_rack_worker_capacity (const FbRack *self, guint worker);
 const char *fb_rack_worker_name (const FbRack *self, guint worker);
 /* Returns: the incarnation on which this owner has proved itself, or 0. */
-uint64_t fb_rack_worker_proven (const FbRack *self, guint worker);
+uint64_t fb_rack_worker_confirmed_incarnation (const FbRack *self, guint worker);
 /* Returns: "ok", "unknown", "silent", "lapsed", "gone", "leaving" or
  * "quarantined", static. */
 const char *fb_rack_worker_state (const FbRack *self, guint worker);
--- a/include/internal/rack.h
+++ b/include/internal/rack.h
@@ -16,7 +16,7 @@
  * their owner; a lost worker's runs are started again after it. */
 #define FB_RACK_LEASE_MS 10000
 #define FB_RACK_START_MS 2000 /* how long a start order is valid at a worker */
-#define FB_RACK_DRIFT_PERCENT 2
+#define FB_RACK_CLOCK_DRIFT_PERCENT 2
 #define FB_RACK_SYNC_PERIOD_MS 2500
 #define FB_RACK_REPORT_PERIOD_MS 1000
 #define FB_RACK_RESERVE_MS 5000
@@ -36,7 +36,7 @@
 {
   fb_spec spec; /* payload not set; borrowed */
   FbSyncState state;
-  FbNews news; /* when ENDED: COMPLETED, FAILED, STOPPED or LOST (lease lapsed) */
+  FbRunStatus run_status; /* when ENDED: COMPLETED, FAILED, STOPPED or LOST (lease lapsed) */
   fb_res usage;
   const char *answer; /* borrowed */
   uint32_t answer_len;
@@ -90,7 +90,7 @@
   /* Asks for proof from the log that this daemon still owns the rack; answered
    * with fb_rack_ownership_confirmed(), or by dropping the rack. */
   void (*confirm_ownership) (gpointer user, FbRack *rack);
-  void (*surveyed) (gpointer user, FbRack *rack, const fb_surveyed *surveyed);
+  void (*surveyed) (gpointer user, FbRack *rack, const fb_survey_reply *surveyed);
   /* A worker holds a higher epoch: this daemon is no longer the owner. */
   void (*fenced) (gpointer user, FbRack *rack);
 } FbRackSink;
@@ -116,23 +116,23 @@
 
 /* Commands from range owners.  Each answers through sink->report. */
 void fb_rack_place (FbRack *self, uint64_t now_ms, const fb_place *place);
-void fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_word *word);
-void fb_rack_query (FbRack *self, uint64_t now_ms, const fb_word *word);
-void fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_word *word);
+void fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_run_command *word);
+void fb_rack_query (FbRack *self, uint64_t now_ms, const fb_run_command *word);
+void fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_run_command *word);
 /* Answers with all runs of a range, through sink->surveyed(), once complete. */
-void fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_word *word);
-void fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_word *word);
+void fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_run_command *word);
+void fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_run_command *word);
 
 /* Commands from the workers' side. */
 void fb_rack_sync_done (FbRack *self, uint64_t now_ms, guint worker, const FbSyncReply *reply);
 void fb_rack_sync_failed (FbRack *self, uint64_t now_ms, guint worker);
-void fb_rack_hint (FbRack *self, guint worker);
+void fb_rack_worker_changed (FbRack *self, guint worker);
 void fb_rack_set_leaving (FbRack *self, uint64_t now_ms, guint worker, gboolean leaving);
 void fb_rack_set_gone (FbRack *self, uint64_t now_ms, guint worker);
 void fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t asked_ms);
 
 /* The owner before, who handed the rack over, had proved itself on this life. */
-void fb_rack_set_proven (FbRack *self, guint worker, uint64_t incarnation);
+void fb_rack_set_confirmed_incarnation (FbRack *self, guint worker, uint64_t incarnation);
 
 /* Starts nothing until UNTIL_MS. */
 void fb_rack_hold_starts (FbRack *self, uint64_t until_ms);
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -5,13 +5,13 @@
 
 typedef enum
 {
-  FB_JT_WAITING,  /* no attempt is alive */
-  FB_JT_INTENT,   /* the next attempt is being written to the log */
-  FB_JT_PLACED,   /* sent to a rack; may wait, start or have been lost */
-  FB_JT_RESERVED, /* a gang's member holds its capacity */
-  FB_JT_RUNNING,
-  FB_JT_ENDING, /* its final outcome is being written to the log */
-  FB_JT_DONE
+  FB_JOB_TASK_WAITING,  /* no attempt is alive */
+  FB_JOB_TASK_INTENT,   /* the next attempt is being written to the log */
+  FB_JOB_TASK_PLACED,   /* sent to a rack; may wait, start or have been lost */
+  FB_JOB_TASK_RESERVED, /* a gang's member holds its capacity */
+  FB_JOB_TASK_RUNNING,
+  FB_JOB_TASK_ENDING, /* its final outcome is being written to the log */
+  FB_JOB_TASK_DONE
 } FbJobTaskState;
 
 typedef struct _FbJob FbJob;
@@ -64,7 +64,7 @@
   GBytes *ending_body; /* on its way to the log */
   FbJobTask *tasks;
   guint task_n;
-  guint state_n[FB_JT_DONE + 1];
+  guint state_n[FB_JOB_TASK_DONE + 1];
   guint outcome_n[FB_OUTCOME_N];
   gboolean committed; /* a gang whose members were told to start */
   guint cancel_next;
@@ -87,9 +87,9 @@
   guint survey_n;
   guint survey_left;
   uint64_t survey_at_ms;
-  uint64_t next_due_ms;     /* of the timers set since the last dispatch */
-  uint64_t unsure_until_ms; /* keys used before may have been forgotten */
-  GHashTable *jobs;         /* &job->spec.id -> FbJob owned */
+  uint64_t next_due_ms;          /* of the timers set since the last dispatch */
+  uint64_t history_gap_until_ms; /* keys used before may have been forgotten */
+  GHashTable *jobs;              /* &job->spec.id -> FbJob owned */
   GSequence *timers[FB_KIND_N];
   GQueue cancelling;       /* FbJob with tasks still to cancel */
   GQueue ended;            /* FbJob in the order they ended */
@@ -100,7 +100,7 @@
 /* A job from its caller, or from its record. */
 FbJob *fb_job_new (uint64_t now_ms, const fb_job *spec);
 FbJob *fb_job_new_recovered (uint64_t now_ms, const fb_rec_admit *admit, uint64_t age_ms,
-                             const FbRecordPlace *place);
+                             const FbRecordPosition *place);
 void fb_job_free (gpointer job);
 void fb_job_set_doubt (FbJob *job, uint32_t first_attempt);
 void fb_job_resize (FbRange *self, uint64_t now_ms, FbJob *job, guint count);
@@ -117,9 +117,9 @@
 void fb_range_clear_timer (FbRange *self, FbJobTask *task);
 
 /* The attempt is certainly over and left no outcome: wait for the next one. */
-void fb_range_task_again (FbRange *self, uint64_t now_ms, FbJobTask *task, gboolean back_off);
+void fb_range_retry_task (FbRange *self, uint64_t now_ms, FbJobTask *task, gboolean back_off);
 /* Writes the final outcome of a task; it takes effect in fb_range_apply(). */
-void fb_range_task_end (FbRange *self, FbJobTask *task, FbOutcome outcome, FbReason reason,
+void fb_range_end_task (FbRange *self, FbJobTask *task, FbOutcome outcome, FbReason reason,
                         const char *body, uint32_t body_len);
 void fb_range_task_past_due (FbRange *self, FbJobTask *task);
 void fb_range_settle (FbRange *self, uint64_t now_ms, FbJob *job);
@@ -132,7 +132,7 @@
 void fb_range_dispatch (FbRange *self, uint64_t now_ms);
 
 /* gang.c: all members of a job, or none. */
-void fb_gang_gather (FbRange *self, uint64_t now_ms, FbJob *job);
+void fb_gang_reserve (FbRange *self, uint64_t now_ms, FbJob *job);
 void fb_gang_advance (FbRange *self, uint64_t now_ms, FbJob *job);
 void fb_gang_break (FbRange *self, uint64_t now_ms, FbJob *job);
 
--- a/include/internal/range-query.h
+++ b/include/internal/range-query.h
@@ -8,7 +8,7 @@
 
 /* Returns: how long keys used before may still be unknown, and whether racks are
  * still being asked. */
-uint64_t fb_range_unsure_ms (const FbRange *self, uint64_t now_ms);
+uint64_t fb_range_history_gap_ms (const FbRange *self, uint64_t now_ms);
 gboolean fb_range_is_surveying (const FbRange *self);
 
 /* Returns: the offset of the oldest full record of a job that is needed, or
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -17,8 +17,8 @@
 
 #define FB_RANGE_QUERY_MS 2000
 #define FB_RANGE_REBALANCE_MS 3000
-#define FB_RANGE_UNSURE_GRACE_MS 2000
-#define FB_RANGE_GATHER_MS 15000
+#define FB_RANGE_DUE_GRACE_MS 2000
+#define FB_RANGE_GANG_RESERVE_MS 15000
 #define FB_RANGE_JOB_MAX 20000
 #define FB_RANGE_TASK_MAX 20000
 #define FB_RANGE_KEEP_MS (60 * 60 * 1000)
@@ -32,7 +32,8 @@
   /* Sends BODY to the owner of RACK.  Returns: FALSE when none is known; then
    * nothing was sent. */
   gboolean (*send) (gpointer user, FbRange *range, uint32_t rack, const fb_body *body);
-  gboolean (*choose) (gpointer user, FbRange *range, const FbRouteAsk *ask, FbRouteChoice *choice);
+  gboolean (*choose) (gpointer user, FbRange *range, const FbRouteRequest *ask,
+                      FbRouteChoice *choice);
   gboolean (*ever_fits) (gpointer user, const fb_spec *spec);
   void (*refused) (gpointer user, uint32_t rack, FbReason reason);
   /* Returns: the clock of the log, or somewhat less; 0 when not known yet. */
@@ -54,11 +55,11 @@
   uint64_t offset;
   uint64_t age_ms;
   uint64_t log_now_ms;
-} FbRecordPlace;
+} FbRecordPosition;
 
 /* Applies one record of the range's stream. */
 void fb_range_apply (FbRange *self, uint64_t now_ms, const fb_rec_body *body,
-                     const FbRecordPlace *place);
+                     const FbRecordPosition *place);
 
 /* The daemon owns the range at EPOCH and has applied all before its claim. */
 void fb_range_activate (FbRange *self, uint64_t now_ms, uint64_t epoch);
@@ -69,8 +70,8 @@
  * asked for what runs; until all have answered nothing is admitted. */
 void fb_range_begin_survey (FbRange *self, uint64_t now_ms, guint rack_n);
 /* Takes over what is left of a predecessor's doubt. */
-void fb_range_set_unsure (FbRange *self, uint64_t now_ms, uint64_t unsure_ms);
-void fb_range_surveyed (FbRange *self, uint64_t now_ms, const fb_surveyed *surveyed);
+void fb_range_set_history_gap (FbRange *self, uint64_t now_ms, uint64_t history_gap_ms);
+void fb_range_surveyed (FbRange *self, uint64_t now_ms, const fb_survey_reply *surveyed);
 
 /* Whether appends are getting through; while not, new durable work is refused
  * at once instead of hanging. */
@@ -80,8 +81,10 @@
 /* COPY comes back with a refusal, see fb_answer. */
 void fb_range_submit (FbRange *self, uint64_t now_ms, const fb_job *job, uint32_t copy,
                       const char *front);
-void fb_range_ask (FbRange *self, uint64_t now_ms, const fb_job_word *word, const char *front);
-void fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_word *word, const char *front);
+void fb_range_query_job (FbRange *self, uint64_t now_ms, const fb_job_command *word,
+                         const char *front);
+void fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_command *word,
+                      const char *front);
 
 /* Ends the services of this range that are not in WANTED (a set of &job id). */
 void fb_range_keep_services (FbRange *self, uint64_t now_ms, GHashTable *wanted);
--- a/include/internal/router.h
+++ b/include/internal/router.h
@@ -14,20 +14,20 @@
   uint32_t domain;
   fb_res host_capacity; /* of its largest host */
   fb_res total;
-} FbRackFacts;
+} FbRackInfo;
 
 typedef struct
 {
   const fb_spec *spec;
   uint64_t now_ms;
   uint32_t avoid_rack; /* the last that refused, or FB_NO_RACK */
-  gboolean look_only;  /* is there room now?  Nothing is sent there */
+  gboolean probe_only; /* is there room now?  Nothing is sent there */
   /* Returns: how many tasks of the same job a rack already holds; NULL for
    * work that need not be spread. */
   guint (*count_in_rack) (gpointer user, uint32_t rack);
   guint (*count_in_domain) (gpointer user, uint32_t domain);
   gpointer user;
-} FbRouteAsk;
+} FbRouteRequest;
 
 typedef struct
 {
@@ -41,7 +41,7 @@
   const char *name;
   /* Returns: TRUE and fills CHOICE, or FALSE when no rack is known to have
    * room now.  CANDIDATES are racks that fit by the summaries. */
-  gboolean (*choose) (FbRouter *router, const FbRouteAsk *ask, const GArray *candidates,
+  gboolean (*choose) (FbRouter *router, const FbRouteRequest *ask, const GArray *candidates,
                       FbRouteChoice *choice);
 } FbRoutePolicy;
 
@@ -54,8 +54,8 @@
 void fb_router_free (FbRouter *self);
 
 /* Adds the next rack; ids are counted from 0. */
-void fb_router_add_rack (FbRouter *self, const FbRackFacts *facts);
-const FbRackFacts *fb_router_rack (const FbRouter *self, uint32_t rack);
+void fb_router_add_rack (FbRouter *self, const FbRackInfo *facts);
+const FbRackInfo *fb_router_rack (const FbRouter *self, uint32_t rack);
 
 /* Takes a summary, unless a newer epoch is known.  What was sent there since
  * the last one is forgotten: the owner has counted it. */
@@ -65,7 +65,7 @@
 /* A refusal says that the picture was too good. */
 void fb_router_note_refusal (FbRouter *self, uint64_t now_ms, uint32_t rack, FbReason reason);
 
-gboolean fb_router_choose (FbRouter *self, const FbRouteAsk *ask, FbRouteChoice *choice);
+gboolean fb_router_choose (FbRouter *self, const FbRouteRequest *ask, FbRouteChoice *choice);
 
 /* Returns: TRUE when SPEC fits an empty host of some rack it may use. */
 gboolean fb_router_ever_fits (const FbRouter *self, const fb_spec *spec);
--- a/rpc/peer-xdr.c
+++ b/rpc/peer-xdr.c
@@ -66,7 +66,7 @@
 		}
 		 if (!xdr_fb_res (xdrs, &objp->demand))
 			 return FALSE;
-		 if (!xdr_u_quad_t (xdrs, &objp->left_ms))
+		 if (!xdr_u_quad_t (xdrs, &objp->remaining_ms))
 			 return FALSE;
 		 if (!xdr_u_quad_t (xdrs, &objp->waited_ms))
 			 return FALSE;
@@ -104,7 +104,7 @@
 		}
 		 if (!xdr_fb_res (xdrs, &objp->demand))
 			 return FALSE;
-		 if (!xdr_u_quad_t (xdrs, &objp->left_ms))
+		 if (!xdr_u_quad_t (xdrs, &objp->remaining_ms))
 			 return FALSE;
 		 if (!xdr_u_quad_t (xdrs, &objp->waited_ms))
 			 return FALSE;
@@ -133,7 +133,7 @@
 		 return FALSE;
 	 if (!xdr_fb_res (xdrs, &objp->demand))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->left_ms))
+	 if (!xdr_u_quad_t (xdrs, &objp->remaining_ms))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->waited_ms))
 		 return FALSE;
@@ -175,7 +175,7 @@
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
-			 if (!xdr_u_int (xdrs, &objp->news))
+			 if (!xdr_u_int (xdrs, &objp->run_status))
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->reason))
 				 return FALSE;
@@ -183,7 +183,7 @@
 				 return FALSE;
 
 		} else {
-		IXDR_PUT_U_LONG(buf, objp->news);
+		IXDR_PUT_U_LONG(buf, objp->run_status);
 		IXDR_PUT_U_LONG(buf, objp->reason);
 		IXDR_PUT_U_LONG(buf, objp->worker);
 		}
@@ -201,7 +201,7 @@
 			 return FALSE;
 		buf = XDR_INLINE (xdrs, 3 * BYTES_PER_XDR_UNIT);
 		if (buf == NULL) {
-			 if (!xdr_u_int (xdrs, &objp->news))
+			 if (!xdr_u_int (xdrs, &objp->run_status))
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->reason))
 				 return FALSE;
@@ -209,7 +209,7 @@
 				 return FALSE;
 
 		} else {
-		objp->news = IXDR_GET_U_LONG(buf);
+		objp->run_status = IXDR_GET_U_LONG(buf);
 		objp->reason = IXDR_GET_U_LONG(buf);
 		objp->worker = IXDR_GET_U_LONG(buf);
 		}
@@ -226,7 +226,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->rack_epoch))
 		 return FALSE;
-	 if (!xdr_u_int (xdrs, &objp->news))
+	 if (!xdr_u_int (xdrs, &objp->run_status))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->reason))
 		 return FALSE;
@@ -238,7 +238,7 @@
 }
 
 bool_t
-xdr_fb_word (XDR *xdrs, fb_word *objp)
+xdr_fb_run_command (XDR *xdrs, fb_run_command *objp)
 {
 	register int32_t *buf;
 
@@ -258,7 +258,7 @@
 }
 
 bool_t
-xdr_fb_surveyed (XDR *xdrs, fb_surveyed *objp)
+xdr_fb_survey_reply (XDR *xdrs, fb_survey_reply *objp)
 {
 	register int32_t *buf;
 
@@ -303,7 +303,7 @@
 		}
 		 if (!xdr_fb_res (xdrs, &objp->demand))
 			 return FALSE;
-		 if (!xdr_u_quad_t (xdrs, &objp->left_ms))
+		 if (!xdr_u_quad_t (xdrs, &objp->remaining_ms))
 			 return FALSE;
 		 if (!xdr_u_quad_t (xdrs, &objp->run_ms))
 			 return FALSE;
@@ -337,7 +337,7 @@
 		}
 		 if (!xdr_fb_res (xdrs, &objp->demand))
 			 return FALSE;
-		 if (!xdr_u_quad_t (xdrs, &objp->left_ms))
+		 if (!xdr_u_quad_t (xdrs, &objp->remaining_ms))
 			 return FALSE;
 		 if (!xdr_u_quad_t (xdrs, &objp->run_ms))
 			 return FALSE;
@@ -362,7 +362,7 @@
 		 return FALSE;
 	 if (!xdr_fb_res (xdrs, &objp->demand))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->left_ms))
+	 if (!xdr_u_quad_t (xdrs, &objp->remaining_ms))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->run_ms))
 		 return FALSE;
@@ -475,7 +475,7 @@
 }
 
 bool_t
-xdr_fb_job_word (XDR *xdrs, fb_job_word *objp)
+xdr_fb_job_command (XDR *xdrs, fb_job_command *objp)
 {
 	register int32_t *buf;
 
@@ -568,7 +568,7 @@
 }
 
 bool_t
-xdr_fb_claim_view (XDR *xdrs, fb_claim_view *objp)
+xdr_fb_claim_notice (XDR *xdrs, fb_claim_notice *objp)
 {
 	register int32_t *buf;
 
@@ -600,7 +600,7 @@
 		sizeof (fb_summary), (xdrproc_t) xdr_fb_summary))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->claims.claims_val, (u_int *) &objp->claims.claims_len, FB_MAX_SUMMARIES,
-		sizeof (fb_claim_view), (xdrproc_t) xdr_fb_claim_view))
+		sizeof (fb_claim_notice), (xdrproc_t) xdr_fb_claim_notice))
 		 return FALSE;
 	return TRUE;
 }
@@ -614,7 +614,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->epoch))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->lives.lives_val, (u_int *) &objp->lives.lives_len, FB_MAX_SUMMARIES,
+	 if (!xdr_array (xdrs, (char **)&objp->incarnations.incarnations_val, (u_int *) &objp->incarnations.incarnations_len, FB_MAX_SUMMARIES,
 		sizeof (u_quad_t), (xdrproc_t) xdr_u_quad_t))
 		 return FALSE;
 	return TRUE;
@@ -678,19 +678,19 @@
 			 return FALSE;
 		break;
 	case FB_MSG_ACK:
-		 if (!xdr_fb_word (xdrs, &objp->fb_body_u.ack))
+		 if (!xdr_fb_run_command (xdrs, &objp->fb_body_u.ack))
 			 return FALSE;
 		break;
 	case FB_MSG_WITHDRAW:
-		 if (!xdr_fb_word (xdrs, &objp->fb_body_u.withdraw))
+		 if (!xdr_fb_run_command (xdrs, &objp->fb_body_u.withdraw))
 			 return FALSE;
 		break;
 	case FB_MSG_QUERY:
-		 if (!xdr_fb_word (xdrs, &objp->fb_body_u.query))
+		 if (!xdr_fb_run_command (xdrs, &objp->fb_body_u.query))
 			 return FALSE;
 		break;
 	case FB_MSG_COMMIT:
-		 if (!xdr_fb_word (xdrs, &objp->fb_body_u.commit))
+		 if (!xdr_fb_run_command (xdrs, &objp->fb_body_u.commit))
 			 return FALSE;
 		break;
 	case FB_MSG_SUBMIT:
@@ -701,12 +701,12 @@
 		 if (!xdr_fb_answer (xdrs, &objp->fb_body_u.answer))
 			 return FALSE;
 		break;
-	case FB_MSG_ASK:
-		 if (!xdr_fb_job_word (xdrs, &objp->fb_body_u.ask))
+	case FB_MSG_JOB_QUERY:
+		 if (!xdr_fb_job_command (xdrs, &objp->fb_body_u.ask))
 			 return FALSE;
 		break;
 	case FB_MSG_CANCEL:
-		 if (!xdr_fb_job_word (xdrs, &objp->fb_body_u.cancel))
+		 if (!xdr_fb_job_command (xdrs, &objp->fb_body_u.cancel))
 			 return FALSE;
 		break;
 	case FB_MSG_HANDOVER:
@@ -722,11 +722,11 @@
 			 return FALSE;
 		break;
 	case FB_MSG_SURVEY:
-		 if (!xdr_fb_word (xdrs, &objp->fb_body_u.survey))
+		 if (!xdr_fb_run_command (xdrs, &objp->fb_body_u.survey))
 			 return FALSE;
 		break;
-	case FB_MSG_SURVEYED:
-		 if (!xdr_fb_surveyed (xdrs, &objp->fb_body_u.surveyed))
+	case FB_MSG_SURVEY_REPLY:
+		 if (!xdr_fb_survey_reply (xdrs, &objp->fb_body_u.surveyed))
 			 return FALSE;
 		break;
 	default:
--- a/rpc/peer.h
+++ b/rpc/peer.h
@@ -45,7 +45,7 @@
 	u_int flags;
 	u_int preempt_count;
 	fb_res demand;
-	u_quad_t left_ms;
+	u_quad_t remaining_ms;
 	u_quad_t waited_ms;
 	u_quad_t run_ms;
 	struct {
@@ -67,7 +67,7 @@
 	u_int range;
 	u_int rack;
 	u_quad_t rack_epoch;
-	u_int news;
+	u_int run_status;
 	u_int reason;
 	u_int worker;
 	struct {
@@ -77,7 +77,7 @@
 };
 typedef struct fb_report fb_report;
 
-struct fb_word {
+struct fb_run_command {
 	fb_run run;
 	u_int rack;
 	u_quad_t rack_epoch;
@@ -85,9 +85,9 @@
 	u_quad_t range_epoch;
 	u_int force;
 };
-typedef struct fb_word fb_word;
+typedef struct fb_run_command fb_run_command;
 
-struct fb_surveyed {
+struct fb_survey_reply {
 	u_int rack;
 	u_int range;
 	struct {
@@ -95,7 +95,7 @@
 		fb_run *runs_val;
 	} runs;
 };
-typedef struct fb_surveyed fb_surveyed;
+typedef struct fb_survey_reply fb_survey_reply;
 
 struct fb_job {
 	u_quad_t id;
@@ -105,7 +105,7 @@
 	u_int flags;
 	u_int count;
 	fb_res demand;
-	u_quad_t left_ms;
+	u_quad_t remaining_ms;
 	u_quad_t run_ms;
 	char *key;
 	struct {
@@ -137,11 +137,11 @@
 };
 typedef struct fb_answer fb_answer;
 
-struct fb_job_word {
+struct fb_job_command {
 	u_quad_t job;
 	u_int partner;
 };
-typedef struct fb_job_word fb_job_word;
+typedef struct fb_job_command fb_job_command;
 
 struct fb_summary {
 	u_int rack;
@@ -153,13 +153,13 @@
 };
 typedef struct fb_summary fb_summary;
 
-struct fb_claim_view {
+struct fb_claim_notice {
 	u_int shard;
 	u_quad_t epoch;
 	char *owner;
 	u_quad_t incarnation;
 };
-typedef struct fb_claim_view fb_claim_view;
+typedef struct fb_claim_notice fb_claim_notice;
 
 struct fb_heartbeat {
 	u_quad_t clock_ms;
@@ -171,7 +171,7 @@
 	} summaries;
 	struct {
 		u_int claims_len;
-		fb_claim_view *claims_val;
+		fb_claim_notice *claims_val;
 	} claims;
 };
 typedef struct fb_heartbeat fb_heartbeat;
@@ -180,9 +180,9 @@
 	u_int shard;
 	u_quad_t epoch;
 	struct {
-		u_int lives_len;
-		u_quad_t *lives_val;
-	} lives;
+		u_int incarnations_len;
+		u_quad_t *incarnations_val;
+	} incarnations;
 };
 typedef struct fb_handover fb_handover;
 
@@ -212,13 +212,13 @@
 	FB_MSG_COMMIT = 7,
 	FB_MSG_SUBMIT = 8,
 	FB_MSG_ANSWER = 9,
-	FB_MSG_ASK = 10,
+	FB_MSG_JOB_QUERY = 10,
 	FB_MSG_CANCEL = 11,
 	FB_MSG_HANDOVER = 12,
 	FB_MSG_CONFIG_PULL = 13,
 	FB_MSG_CONFIG_RECORD = 14,
 	FB_MSG_SURVEY = 15,
-	FB_MSG_SURVEYED = 16,
+	FB_MSG_SURVEY_REPLY = 16,
 };
 typedef enum fb_msg_type fb_msg_type;
 
@@ -228,19 +228,19 @@
 		fb_heartbeat heartbeat;
 		fb_place place;
 		fb_report report;
-		fb_word ack;
-		fb_word withdraw;
-		fb_word query;
-		fb_word commit;
+		fb_run_command ack;
+		fb_run_command withdraw;
+		fb_run_command query;
+		fb_run_command commit;
 		fb_submit submit;
 		fb_answer answer;
-		fb_job_word ask;
-		fb_job_word cancel;
+		fb_job_command ask;
+		fb_job_command cancel;
 		fb_handover handover;
 		fb_config_pull pull;
 		fb_config_record config;
-		fb_word survey;
-		fb_surveyed surveyed;
+		fb_run_command survey;
+		fb_survey_reply surveyed;
 	} fb_body_u;
 };
 typedef struct fb_body fb_body;
@@ -296,14 +296,14 @@
 extern  bool_t xdr_fb_spec (XDR *, fb_spec*);
 extern  bool_t xdr_fb_place (XDR *, fb_place*);
 extern  bool_t xdr_fb_report (XDR *, fb_report*);
-extern  bool_t xdr_fb_word (XDR *, fb_word*);
-extern  bool_t xdr_fb_surveyed (XDR *, fb_surveyed*);
+extern  bool_t xdr_fb_run_command (XDR *, fb_run_command*);
+extern  bool_t xdr_fb_survey_reply (XDR *, fb_survey_reply*);
 extern  bool_t xdr_fb_job (XDR *, fb_job*);
 extern  bool_t xdr_fb_submit (XDR *, fb_submit*);
 extern  bool_t xdr_fb_answer (XDR *, fb_answer*);
-extern  bool_t xdr_fb_job_word (XDR *, fb_job_word*);
+extern  bool_t xdr_fb_job_command (XDR *, fb_job_command*);
 extern  bool_t xdr_fb_summary (XDR *, fb_summary*);
-extern  bool_t xdr_fb_claim_view (XDR *, fb_claim_view*);
+extern  bool_t xdr_fb_claim_notice (XDR *, fb_claim_notice*);
 extern  bool_t xdr_fb_heartbeat (XDR *, fb_heartbeat*);
 extern  bool_t xdr_fb_handover (XDR *, fb_handover*);
 extern  bool_t xdr_fb_config_pull (XDR *, fb_config_pull*);
@@ -320,14 +320,14 @@
 extern bool_t xdr_fb_spec ();
 extern bool_t xdr_fb_place ();
 extern bool_t xdr_fb_report ();
-extern bool_t xdr_fb_word ();
-extern bool_t xdr_fb_surveyed ();
+extern bool_t xdr_fb_run_command ();
+extern bool_t xdr_fb_survey_reply ();
 extern bool_t xdr_fb_job ();
 extern bool_t xdr_fb_submit ();
 extern bool_t xdr_fb_answer ();
-extern bool_t xdr_fb_job_word ();
+extern bool_t xdr_fb_job_command ();
 extern bool_t xdr_fb_summary ();
-extern bool_t xdr_fb_claim_view ();
+extern bool_t xdr_fb_claim_notice ();
 extern bool_t xdr_fb_heartbeat ();
 extern bool_t xdr_fb_handover ();
 extern bool_t xdr_fb_config_pull ();
--- a/rpc/peer.x
+++ b/rpc/peer.x
@@ -35,7 +35,7 @@
   unsigned int flags;
   unsigned int preempt_count;
   fb_res demand;
-  unsigned hyper left_ms;
+  unsigned hyper remaining_ms;
   unsigned hyper waited_ms;
   unsigned hyper run_ms;
   opaque payload<FB_MAX_PAYLOAD>;
@@ -53,14 +53,14 @@
   unsigned int range;
   unsigned int rack;
   unsigned hyper rack_epoch;
-  unsigned int news;
+  unsigned int run_status;
   unsigned int reason;
   unsigned int worker;
   opaque answer<FB_MAX_PAYLOAD>;
 };
 
 /* A range owner's word about a run: acknowledge, withdraw, query or commit. */
-struct fb_word {
+struct fb_run_command {
   fb_run run;
   unsigned int rack;
   unsigned hyper rack_epoch;
@@ -70,7 +70,7 @@
 };
 
 /* All runs of RANGE that a complete rack holds, whatever their state. */
-struct fb_surveyed {
+struct fb_survey_reply {
   unsigned int rack;
   unsigned int range;
   fb_run runs<FB_MAX_MEMBERS>;
@@ -84,7 +84,7 @@
   unsigned int flags;
   unsigned int count;
   fb_res demand;
-  unsigned hyper left_ms;
+  unsigned hyper remaining_ms;
   unsigned hyper run_ms;
   string key<FB_MAX_KEY>;
   opaque payload<FB_MAX_PAYLOAD>;
@@ -109,13 +109,13 @@
   opaque body<FB_MAX_PAYLOAD>;
 };
 
-struct fb_job_word {
+struct fb_job_command {
   unsigned hyper job;
   unsigned int partner;
 };
 
 /* A lagging picture of one rack, for routing.  WAITING: the home partner's work
- * by FbWaiting, since each kind waits for something else. */
+ * by FbWaitClass, since each kind waits for something else. */
 struct fb_summary {
   unsigned int rack;
   unsigned hyper epoch;
@@ -125,7 +125,7 @@
   unsigned int complete;
 };
 
-struct fb_claim_view {
+struct fb_claim_notice {
   unsigned int shard;
   unsigned hyper epoch;
   string owner<FB_MAX_NAME>;
@@ -137,7 +137,7 @@
   unsigned int leaving;
   unsigned hyper config_serial[2];
   fb_summary summaries<FB_MAX_SUMMARIES>;
-  fb_claim_view claims<FB_MAX_SUMMARIES>;
+  fb_claim_notice claims<FB_MAX_SUMMARIES>;
 };
 
 /* LIVES: for each worker of a rack the incarnation on which the old owner has
@@ -145,7 +145,7 @@
 struct fb_handover {
   unsigned int shard;
   unsigned hyper epoch;
-  unsigned hyper lives<FB_MAX_SUMMARIES>;
+  unsigned hyper incarnations<FB_MAX_SUMMARIES>;
 };
 
 /* Asks for the revision of PARTNER behind SERIAL. */
@@ -170,32 +170,32 @@
   FB_MSG_COMMIT = 7,
   FB_MSG_SUBMIT = 8,
   FB_MSG_ANSWER = 9,
-  FB_MSG_ASK = 10,
+  FB_MSG_JOB_QUERY = 10,
   FB_MSG_CANCEL = 11,
   FB_MSG_HANDOVER = 12,
   FB_MSG_CONFIG_PULL = 13,
   FB_MSG_CONFIG_RECORD = 14,
   FB_MSG_SURVEY = 15,
-  FB_MSG_SURVEYED = 16
+  FB_MSG_SURVEY_REPLY = 16
 };
 
 union fb_body switch (fb_msg_type type) {
 case FB_MSG_HEARTBEAT: fb_heartbeat heartbeat;
 case FB_MSG_PLACE: fb_place place;
 case FB_MSG_REPORT: fb_report report;
-case FB_MSG_ACK: fb_word ack;
-case FB_MSG_WITHDRAW: fb_word withdraw;
-case FB_MSG_QUERY: fb_word query;
-case FB_MSG_COMMIT: fb_word commit;
+case FB_MSG_ACK: fb_run_command ack;
+case FB_MSG_WITHDRAW: fb_run_command withdraw;
+case FB_MSG_QUERY: fb_run_command query;
+case FB_MSG_COMMIT: fb_run_command commit;
 case FB_MSG_SUBMIT: fb_submit submit;
 case FB_MSG_ANSWER: fb_answer answer;
-case FB_MSG_ASK: fb_job_word ask;
-case FB_MSG_CANCEL: fb_job_word cancel;
+case FB_MSG_JOB_QUERY: fb_job_command ask;
+case FB_MSG_CANCEL: fb_job_command cancel;
 case FB_MSG_HANDOVER: fb_handover handover;
 case FB_MSG_CONFIG_PULL: fb_config_pull pull;
 case FB_MSG_CONFIG_RECORD: fb_config_record config;
-case FB_MSG_SURVEY: fb_word survey;
-case FB_MSG_SURVEYED: fb_surveyed surveyed;
+case FB_MSG_SURVEY: fb_run_command survey;
+case FB_MSG_SURVEY_REPLY: fb_survey_reply surveyed;
 };
 
 /* SEQ orders the messages of one sender incarnation to one receiver; a
--- a/rpc/record-xdr.c
+++ b/rpc/record-xdr.c
@@ -131,7 +131,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->oldest))
 		 return FALSE;
-	 if (!xdr_u_quad_t (xdrs, &objp->unsure_ms))
+	 if (!xdr_u_quad_t (xdrs, &objp->history_gap_ms))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->surveying))
 		 return FALSE;
--- a/rpc/record.h
+++ b/rpc/record.h
@@ -47,7 +47,7 @@
 	fb_rec_claim claim;
 	u_quad_t read_to;
 	u_quad_t oldest;
-	u_quad_t unsure_ms;
+	u_quad_t history_gap_ms;
 	u_int surveying;
 };
 typedef struct fb_rec_renew fb_rec_renew;
--- a/rpc/record.x
+++ b/rpc/record.x
@@ -41,7 +41,7 @@
   fb_rec_claim claim;
   unsigned hyper read_to;
   unsigned hyper oldest;
-  unsigned hyper unsure_ms;
+  unsigned hyper history_gap_ms;
   unsigned int surveying;
 };
 
--- a/rpc/work-xdr.c
+++ b/rpc/work-xdr.c
@@ -28,7 +28,7 @@
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->max_unavailable))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->tail_target_ms))
+			 if (!xdr_u_int (xdrs, &objp->tail_latency_target_ms))
 				 return FALSE;
 			 if (!xdr_bool (xdrs, &objp->gang))
 				 return FALSE;
@@ -38,9 +38,9 @@
 				 return FALSE;
 			 if (!xdr_bool (xdrs, &objp->speculative))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->lasting))
+			 if (!xdr_bool (xdrs, &objp->long_running))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->fills))
+			 if (!xdr_bool (xdrs, &objp->best_effort))
 				 return FALSE;
 
 		} else {
@@ -51,15 +51,15 @@
 		IXDR_PUT_U_LONG(buf, objp->estimate_ms);
 		IXDR_PUT_U_LONG(buf, objp->max_per_worker);
 		IXDR_PUT_U_LONG(buf, objp->max_unavailable);
-		IXDR_PUT_U_LONG(buf, objp->tail_target_ms);
+		IXDR_PUT_U_LONG(buf, objp->tail_latency_target_ms);
 		IXDR_PUT_BOOL(buf, objp->gang);
 		IXDR_PUT_BOOL(buf, objp->rack_local);
 		IXDR_PUT_BOOL(buf, objp->checkpointing);
 		IXDR_PUT_BOOL(buf, objp->speculative);
-		IXDR_PUT_BOOL(buf, objp->lasting);
-		IXDR_PUT_BOOL(buf, objp->fills);
+		IXDR_PUT_BOOL(buf, objp->long_running);
+		IXDR_PUT_BOOL(buf, objp->best_effort);
 		}
-		 if (!xdr_string (xdrs, &objp->data_rack, FB_WORK_MAX_NAME))
+		 if (!xdr_string (xdrs, &objp->preferred_rack, FB_WORK_MAX_NAME))
 			 return FALSE;
 		 if (!xdr_string (xdrs, &objp->required_label, FB_WORK_MAX_NAME))
 			 return FALSE;
@@ -86,7 +86,7 @@
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->max_unavailable))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->tail_target_ms))
+			 if (!xdr_u_int (xdrs, &objp->tail_latency_target_ms))
 				 return FALSE;
 			 if (!xdr_bool (xdrs, &objp->gang))
 				 return FALSE;
@@ -96,9 +96,9 @@
 				 return FALSE;
 			 if (!xdr_bool (xdrs, &objp->speculative))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->lasting))
+			 if (!xdr_bool (xdrs, &objp->long_running))
 				 return FALSE;
-			 if (!xdr_bool (xdrs, &objp->fills))
+			 if (!xdr_bool (xdrs, &objp->best_effort))
 				 return FALSE;
 
 		} else {
@@ -109,15 +109,15 @@
 		objp->estimate_ms = IXDR_GET_U_LONG(buf);
 		objp->max_per_worker = IXDR_GET_U_LONG(buf);
 		objp->max_unavailable = IXDR_GET_U_LONG(buf);
-		objp->tail_target_ms = IXDR_GET_U_LONG(buf);
+		objp->tail_latency_target_ms = IXDR_GET_U_LONG(buf);
 		objp->gang = IXDR_GET_BOOL(buf);
 		objp->rack_local = IXDR_GET_BOOL(buf);
 		objp->checkpointing = IXDR_GET_BOOL(buf);
 		objp->speculative = IXDR_GET_BOOL(buf);
-		objp->lasting = IXDR_GET_BOOL(buf);
-		objp->fills = IXDR_GET_BOOL(buf);
+		objp->long_running = IXDR_GET_BOOL(buf);
+		objp->best_effort = IXDR_GET_BOOL(buf);
 		}
-		 if (!xdr_string (xdrs, &objp->data_rack, FB_WORK_MAX_NAME))
+		 if (!xdr_string (xdrs, &objp->preferred_rack, FB_WORK_MAX_NAME))
 			 return FALSE;
 		 if (!xdr_string (xdrs, &objp->required_label, FB_WORK_MAX_NAME))
 			 return FALSE;
@@ -143,7 +143,7 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->max_unavailable))
 		 return FALSE;
-	 if (!xdr_u_int (xdrs, &objp->tail_target_ms))
+	 if (!xdr_u_int (xdrs, &objp->tail_latency_target_ms))
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->gang))
 		 return FALSE;
@@ -153,11 +153,11 @@
 		 return FALSE;
 	 if (!xdr_bool (xdrs, &objp->speculative))
 		 return FALSE;
-	 if (!xdr_bool (xdrs, &objp->lasting))
+	 if (!xdr_bool (xdrs, &objp->long_running))
 		 return FALSE;
-	 if (!xdr_bool (xdrs, &objp->fills))
+	 if (!xdr_bool (xdrs, &objp->best_effort))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->data_rack, FB_WORK_MAX_NAME))
+	 if (!xdr_string (xdrs, &objp->preferred_rack, FB_WORK_MAX_NAME))
 		 return FALSE;
 	 if (!xdr_string (xdrs, &objp->required_label, FB_WORK_MAX_NAME))
 		 return FALSE;
@@ -205,7 +205,7 @@
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->max_attempts))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->stretch_milli))
+			 if (!xdr_u_int (xdrs, &objp->stretch_factor_milli))
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->target_ms))
 				 return FALSE;
@@ -220,7 +220,7 @@
 		} else {
 			IXDR_PUT_U_LONG(buf, objp->priority);
 			IXDR_PUT_U_LONG(buf, objp->max_attempts);
-			IXDR_PUT_U_LONG(buf, objp->stretch_milli);
+			IXDR_PUT_U_LONG(buf, objp->stretch_factor_milli);
 			IXDR_PUT_U_LONG(buf, objp->target_ms);
 			IXDR_PUT_BOOL(buf, objp->advised);
 			IXDR_PUT_U_LONG(buf, objp->advice_decision_us);
@@ -239,7 +239,7 @@
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->max_attempts))
 				 return FALSE;
-			 if (!xdr_u_int (xdrs, &objp->stretch_milli))
+			 if (!xdr_u_int (xdrs, &objp->stretch_factor_milli))
 				 return FALSE;
 			 if (!xdr_u_int (xdrs, &objp->target_ms))
 				 return FALSE;
@@ -254,7 +254,7 @@
 		} else {
 			objp->priority = IXDR_GET_U_LONG(buf);
 			objp->max_attempts = IXDR_GET_U_LONG(buf);
-			objp->stretch_milli = IXDR_GET_U_LONG(buf);
+			objp->stretch_factor_milli = IXDR_GET_U_LONG(buf);
 			objp->target_ms = IXDR_GET_U_LONG(buf);
 			objp->advised = IXDR_GET_BOOL(buf);
 			objp->advice_decision_us = IXDR_GET_U_LONG(buf);
@@ -272,7 +272,7 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->max_attempts))
 		 return FALSE;
-	 if (!xdr_u_int (xdrs, &objp->stretch_milli))
+	 if (!xdr_u_int (xdrs, &objp->stretch_factor_milli))
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->target_ms))
 		 return FALSE;
@@ -302,7 +302,7 @@
 }
 
 bool_t
-xdr_fb_work_mark (XDR *xdrs, fb_work_mark *objp)
+xdr_fb_work_task_progress (XDR *xdrs, fb_work_task_progress *objp)
 {
 	register int32_t *buf;
 
@@ -398,14 +398,14 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->ended_ms))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->marks.marks_val, (u_int *) &objp->marks.marks_len, FB_WORK_MAX_MARKS,
-		sizeof (fb_work_mark), (xdrproc_t) xdr_fb_work_mark))
+	 if (!xdr_array (xdrs, (char **)&objp->task_progress.task_progress_val, (u_int *) &objp->task_progress.task_progress_len, FB_WORK_MAX_TASK_ROWS,
+		sizeof (fb_work_task_progress), (xdrproc_t) xdr_fb_work_task_progress))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_fb_work_tried (XDR *xdrs, fb_work_tried *objp)
+xdr_fb_work_unresolved_start (XDR *xdrs, fb_work_unresolved_start *objp)
 {
 	register int32_t *buf;
 
@@ -437,14 +437,14 @@
 		IXDR_PUT_U_LONG(buf, objp->step);
 		IXDR_PUT_U_LONG(buf, objp->index);
 		}
-		 if (!xdr_array (xdrs, (char **)&objp->apart.apart_val, (u_int *) &objp->apart.apart_len, FB_WORK_MAX_CRASHES,
+		 if (!xdr_array (xdrs, (char **)&objp->isolated.isolated_val, (u_int *) &objp->isolated.isolated_len, FB_WORK_MAX_CRASHES,
 			sizeof (u_quad_t), (xdrproc_t) xdr_u_quad_t))
 			 return FALSE;
 		 if (!xdr_array (xdrs, (char **)&objp->shared.shared_val, (u_int *) &objp->shared.shared_len, FB_WORK_MAX_CRASHES,
 			sizeof (u_quad_t), (xdrproc_t) xdr_u_quad_t))
 			 return FALSE;
-		 if (!xdr_array (xdrs, (char **)&objp->tried.tried_val, (u_int *) &objp->tried.tried_len, FB_WORK_MAX_CRASHES,
-			sizeof (fb_work_tried), (xdrproc_t) xdr_fb_work_tried))
+		 if (!xdr_array (xdrs, (char **)&objp->unresolved.unresolved_val, (u_int *) &objp->unresolved.unresolved_len, FB_WORK_MAX_CRASHES,
+			sizeof (fb_work_unresolved_start), (xdrproc_t) xdr_fb_work_unresolved_start))
 			 return FALSE;
 		return TRUE;
 	} else if (xdrs->x_op == XDR_DECODE) {
@@ -462,14 +462,14 @@
 		objp->step = IXDR_GET_U_LONG(buf);
 		objp->index = IXDR_GET_U_LONG(buf);
 		}
-		 if (!xdr_array (xdrs, (char **)&objp->apart.apart_val, (u_int *) &objp->apart.apart_len, FB_WORK_MAX_CRASHES,
+		 if (!xdr_array (xdrs, (char **)&objp->isolated.isolated_val, (u_int *) &objp->isolated.isolated_len, FB_WORK_MAX_CRASHES,
 			sizeof (u_quad_t), (xdrproc_t) xdr_u_quad_t))
 			 return FALSE;
 		 if (!xdr_array (xdrs, (char **)&objp->shared.shared_val, (u_int *) &objp->shared.shared_len, FB_WORK_MAX_CRASHES,
 			sizeof (u_quad_t), (xdrproc_t) xdr_u_quad_t))
 			 return FALSE;
-		 if (!xdr_array (xdrs, (char **)&objp->tried.tried_val, (u_int *) &objp->tried.tried_len, FB_WORK_MAX_CRASHES,
-			sizeof (fb_work_tried), (xdrproc_t) xdr_fb_work_tried))
+		 if (!xdr_array (xdrs, (char **)&objp->unresolved.unresolved_val, (u_int *) &objp->unresolved.unresolved_len, FB_WORK_MAX_CRASHES,
+			sizeof (fb_work_unresolved_start), (xdrproc_t) xdr_fb_work_unresolved_start))
 			 return FALSE;
 	 return TRUE;
 	}
@@ -480,14 +480,14 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->index))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->apart.apart_val, (u_int *) &objp->apart.apart_len, FB_WORK_MAX_CRASHES,
+	 if (!xdr_array (xdrs, (char **)&objp->isolated.isolated_val, (u_int *) &objp->isolated.isolated_len, FB_WORK_MAX_CRASHES,
 		sizeof (u_quad_t), (xdrproc_t) xdr_u_quad_t))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->shared.shared_val, (u_int *) &objp->shared.shared_len, FB_WORK_MAX_CRASHES,
 		sizeof (u_quad_t), (xdrproc_t) xdr_u_quad_t))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->tried.tried_val, (u_int *) &objp->tried.tried_len, FB_WORK_MAX_CRASHES,
-		sizeof (fb_work_tried), (xdrproc_t) xdr_fb_work_tried))
+	 if (!xdr_array (xdrs, (char **)&objp->unresolved.unresolved_val, (u_int *) &objp->unresolved.unresolved_len, FB_WORK_MAX_CRASHES,
+		sizeof (fb_work_unresolved_start), (xdrproc_t) xdr_fb_work_unresolved_start))
 		 return FALSE;
 	return TRUE;
 }
@@ -497,7 +497,7 @@
 {
 	register int32_t *buf;
 
-	 if (!xdr_array (xdrs, (char **)&objp->tasks.tasks_val, (u_int *) &objp->tasks.tasks_len, FB_WORK_MAX_MARKS,
+	 if (!xdr_array (xdrs, (char **)&objp->tasks.tasks_val, (u_int *) &objp->tasks.tasks_len, FB_WORK_MAX_TASK_ROWS,
 		sizeof (fb_work_suspect), (xdrproc_t) xdr_fb_work_suspect))
 		 return FALSE;
 	return TRUE;
@@ -514,7 +514,7 @@
 }
 
 bool_t
-xdr_fb_work_known (XDR *xdrs, fb_work_known *objp)
+xdr_fb_work_known_worker (XDR *xdrs, fb_work_known_worker *objp)
 {
 	register int32_t *buf;
 
@@ -536,13 +536,13 @@
 	register int32_t *buf;
 
 	 if (!xdr_array (xdrs, (char **)&objp->workers.workers_val, (u_int *) &objp->workers.workers_len, FB_WORK_MAX_WORKERS,
-		sizeof (fb_work_known), (xdrproc_t) xdr_fb_work_known))
+		sizeof (fb_work_known_worker), (xdrproc_t) xdr_fb_work_known_worker))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_fb_ask_type (XDR *xdrs, fb_ask_type *objp)
+xdr_fb_peer_request_type (XDR *xdrs, fb_peer_request_type *objp)
 {
 	register int32_t *buf;
 
@@ -552,7 +552,7 @@
 }
 
 bool_t
-xdr_fb_ask_job (XDR *xdrs, fb_ask_job *objp)
+xdr_fb_job_state_request (XDR *xdrs, fb_job_state_request *objp)
 {
 	register int32_t *buf;
 
@@ -564,7 +564,7 @@
 }
 
 bool_t
-xdr_fb_ask_queue (XDR *xdrs, fb_ask_queue *objp)
+xdr_fb_pending_request (XDR *xdrs, fb_pending_request *objp)
 {
 	register int32_t *buf;
 
@@ -586,7 +586,7 @@
 }
 
 bool_t
-xdr_fb_ask_advice (XDR *xdrs, fb_ask_advice *objp)
+xdr_fb_advice_request (XDR *xdrs, fb_advice_request *objp)
 {
 	register int32_t *buf;
 
@@ -601,7 +601,7 @@
 }
 
 bool_t
-xdr_fb_ask_append (XDR *xdrs, fb_ask_append *objp)
+xdr_fb_append_request (XDR *xdrs, fb_append_request *objp)
 {
 	register int32_t *buf;
 
@@ -613,7 +613,7 @@
 }
 
 bool_t
-xdr_fb_ask_write (XDR *xdrs, fb_ask_write *objp)
+xdr_fb_progress_append_request (XDR *xdrs, fb_progress_append_request *objp)
 {
 	register int32_t *buf;
 
@@ -631,7 +631,7 @@
 }
 
 bool_t
-xdr_fb_ask_stored (XDR *xdrs, fb_ask_stored *objp)
+xdr_fb_stored_notice (XDR *xdrs, fb_stored_notice *objp)
 {
 	register int32_t *buf;
 
@@ -655,7 +655,7 @@
 }
 
 bool_t
-xdr_fb_ask_order (XDR *xdrs, fb_ask_order *objp)
+xdr_fb_relay_request (XDR *xdrs, fb_relay_request *objp)
 {
 	register int32_t *buf;
 
@@ -691,7 +691,7 @@
 }
 
 bool_t
-xdr_fb_kept_job (XDR *xdrs, fb_kept_job *objp)
+xdr_fb_suspects_backup (XDR *xdrs, fb_suspects_backup *objp)
 {
 	register int32_t *buf;
 
@@ -705,50 +705,50 @@
 }
 
 bool_t
-xdr_fb_ask (XDR *xdrs, fb_ask *objp)
+xdr_fb_peer_request (XDR *xdrs, fb_peer_request *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_fb_ask_type (xdrs, &objp->type))
+	 if (!xdr_fb_peer_request_type (xdrs, &objp->type))
 		 return FALSE;
 	switch (objp->type) {
-	case FB_ASK_STATE:
-		 if (!xdr_fb_ask_job (xdrs, &objp->fb_ask_u.job))
+	case FB_REQUEST_JOB_STATE:
+		 if (!xdr_fb_job_state_request (xdrs, &objp->fb_peer_request_u.job))
 			 return FALSE;
 		break;
-	case FB_ASK_PENDING:
-		 if (!xdr_fb_ask_queue (xdrs, &objp->fb_ask_u.queue))
+	case FB_REQUEST_PENDING_COUNT:
+		 if (!xdr_fb_pending_request (xdrs, &objp->fb_peer_request_u.queue))
 			 return FALSE;
 		break;
-	case FB_ASK_ADVICE:
-		 if (!xdr_fb_ask_advice (xdrs, &objp->fb_ask_u.advice))
+	case FB_REQUEST_ADVICE:
+		 if (!xdr_fb_advice_request (xdrs, &objp->fb_peer_request_u.advice))
 			 return FALSE;
 		break;
-	case FB_ASK_APPEND:
-		 if (!xdr_fb_ask_append (xdrs, &objp->fb_ask_u.append))
+	case FB_REQUEST_APPEND_JOB_RECORD:
+		 if (!xdr_fb_append_request (xdrs, &objp->fb_peer_request_u.append))
 			 return FALSE;
 		break;
-	case FB_ASK_STORED:
-		 if (!xdr_fb_ask_stored (xdrs, &objp->fb_ask_u.stored))
+	case FB_REQUEST_NOTIFY_STORED:
+		 if (!xdr_fb_stored_notice (xdrs, &objp->fb_peer_request_u.stored))
 			 return FALSE;
 		break;
-	case FB_ASK_OWNERS:
+	case FB_REQUEST_PARTITION_OWNERS:
 		break;
-	case FB_ASK_WRITE:
-		 if (!xdr_fb_ask_write (xdrs, &objp->fb_ask_u.write))
+	case FB_REQUEST_APPEND_PROGRESS:
+		 if (!xdr_fb_progress_append_request (xdrs, &objp->fb_peer_request_u.write))
 			 return FALSE;
 		break;
-	case FB_ASK_ORDER:
-		 if (!xdr_fb_ask_order (xdrs, &objp->fb_ask_u.order))
+	case FB_REQUEST_RELAY_ORDER:
+		 if (!xdr_fb_relay_request (xdrs, &objp->fb_peer_request_u.order))
 			 return FALSE;
 		break;
-	case FB_ASK_STARTS:
+	case FB_REQUEST_RECENT_STARTS:
 		break;
-	case FB_ASK_KEEP:
-		 if (!xdr_fb_kept_job (xdrs, &objp->fb_ask_u.keep))
+	case FB_REQUEST_BACK_UP_SUSPECTS:
+		 if (!xdr_fb_suspects_backup (xdrs, &objp->fb_peer_request_u.keep))
 			 return FALSE;
 		break;
-	case FB_ASK_KEPT:
+	case FB_REQUEST_SUSPECT_BACKUPS:
 		break;
 	default:
 		return FALSE;
@@ -757,7 +757,7 @@
 }
 
 bool_t
-xdr_fb_told_type (XDR *xdrs, fb_told_type *objp)
+xdr_fb_peer_reply_type (XDR *xdrs, fb_peer_reply_type *objp)
 {
 	register int32_t *buf;
 
@@ -779,7 +779,7 @@
 }
 
 bool_t
-xdr_fb_told_advice (XDR *xdrs, fb_told_advice *objp)
+xdr_fb_advice_reply (XDR *xdrs, fb_advice_reply *objp)
 {
 	register int32_t *buf;
 
@@ -804,7 +804,7 @@
 }
 
 bool_t
-xdr_fb_told_owners (XDR *xdrs, fb_told_owners *objp)
+xdr_fb_owners_reply (XDR *xdrs, fb_owners_reply *objp)
 {
 	register int32_t *buf;
 
@@ -815,7 +815,7 @@
 }
 
 bool_t
-xdr_fb_seen_run (XDR *xdrs, fb_seen_run *objp)
+xdr_fb_reported_run (XDR *xdrs, fb_reported_run *objp)
 {
 	register int32_t *buf;
 
@@ -829,7 +829,7 @@
 }
 
 bool_t
-xdr_fb_seen_end (XDR *xdrs, fb_seen_end *objp)
+xdr_fb_reported_end (XDR *xdrs, fb_reported_end *objp)
 {
 	register int32_t *buf;
 
@@ -847,7 +847,7 @@
 }
 
 bool_t
-xdr_fb_told_order (XDR *xdrs, fb_told_order *objp)
+xdr_fb_relay_reply (XDR *xdrs, fb_relay_reply *objp)
 {
 	register int32_t *buf;
 
@@ -855,13 +855,13 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->clock_ms))
 		 return FALSE;
-	 if (!xdr_string (xdrs, &objp->life, FB_WORK_MAX_NAME))
+	 if (!xdr_string (xdrs, &objp->incarnation, FB_WORK_MAX_NAME))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->running.running_val, (u_int *) &objp->running.running_len, FB_WORK_MAX_SEEN,
-		sizeof (fb_seen_run), (xdrproc_t) xdr_fb_seen_run))
+	 if (!xdr_array (xdrs, (char **)&objp->running.running_val, (u_int *) &objp->running.running_len, FB_WORK_MAX_REPORTED,
+		sizeof (fb_reported_run), (xdrproc_t) xdr_fb_reported_run))
 		 return FALSE;
-	 if (!xdr_array (xdrs, (char **)&objp->finished.finished_val, (u_int *) &objp->finished.finished_len, FB_WORK_MAX_SEEN,
-		sizeof (fb_seen_end), (xdrproc_t) xdr_fb_seen_end))
+	 if (!xdr_array (xdrs, (char **)&objp->finished.finished_val, (u_int *) &objp->finished.finished_len, FB_WORK_MAX_REPORTED,
+		sizeof (fb_reported_end), (xdrproc_t) xdr_fb_reported_end))
 		 return FALSE;
 	return TRUE;
 }
@@ -885,7 +885,7 @@
 }
 
 bool_t
-xdr_fb_told_starts (XDR *xdrs, fb_told_starts *objp)
+xdr_fb_recent_starts_reply (XDR *xdrs, fb_recent_starts_reply *objp)
 {
 	register int32_t *buf;
 
@@ -896,50 +896,50 @@
 }
 
 bool_t
-xdr_fb_told_kept (XDR *xdrs, fb_told_kept *objp)
+xdr_fb_suspect_backups_reply (XDR *xdrs, fb_suspect_backups_reply *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_array (xdrs, (char **)&objp->jobs.jobs_val, (u_int *) &objp->jobs.jobs_len, FB_WORK_MAX_KEPT,
-		sizeof (fb_kept_job), (xdrproc_t) xdr_fb_kept_job))
+	 if (!xdr_array (xdrs, (char **)&objp->jobs.jobs_val, (u_int *) &objp->jobs.jobs_len, FB_WORK_MAX_SUSPECT_BACKUPS,
+		sizeof (fb_suspects_backup), (xdrproc_t) xdr_fb_suspects_backup))
 		 return FALSE;
 	return TRUE;
 }
 
 bool_t
-xdr_fb_told (XDR *xdrs, fb_told *objp)
+xdr_fb_peer_reply (XDR *xdrs, fb_peer_reply *objp)
 {
 	register int32_t *buf;
 
-	 if (!xdr_fb_told_type (xdrs, &objp->type))
+	 if (!xdr_fb_peer_reply_type (xdrs, &objp->type))
 		 return FALSE;
 	switch (objp->type) {
-	case FB_TOLD_STATE:
-		 if (!xdr_fb_work_state (xdrs, &objp->fb_told_u.state))
+	case FB_REPLY_JOB_STATE:
+		 if (!xdr_fb_work_state (xdrs, &objp->fb_peer_reply_u.state))
 			 return FALSE;
 		break;
-	case FB_TOLD_PENDING:
-		 if (!xdr_u_int (xdrs, &objp->fb_told_u.pending))
+	case FB_REPLY_PENDING_COUNT:
+		 if (!xdr_u_int (xdrs, &objp->fb_peer_reply_u.pending))
 			 return FALSE;
 		break;
-	case FB_TOLD_ADVICE:
-		 if (!xdr_fb_told_advice (xdrs, &objp->fb_told_u.advice))
+	case FB_REPLY_ADVICE:
+		 if (!xdr_fb_advice_reply (xdrs, &objp->fb_peer_reply_u.advice))
 			 return FALSE;
 		break;
-	case FB_TOLD_OWNERS:
-		 if (!xdr_fb_told_owners (xdrs, &objp->fb_told_u.owners))
+	case FB_REPLY_PARTITION_OWNERS:
+		 if (!xdr_fb_owners_reply (xdrs, &objp->fb_peer_reply_u.owners))
 			 return FALSE;
 		break;
-	case FB_TOLD_ORDER:
-		 if (!xdr_fb_told_order (xdrs, &objp->fb_told_u.order))
+	case FB_REPLY_ORDER_RESULT:
+		 if (!xdr_fb_relay_reply (xdrs, &objp->fb_peer_reply_u.order))
 			 return FALSE;
 		break;
-	case FB_TOLD_STARTS:
-		 if (!xdr_fb_told_starts (xdrs, &objp->fb_told_u.starts))
+	case FB_REPLY_RECENT_STARTS:
+		 if (!xdr_fb_recent_starts_reply (xdrs, &objp->fb_peer_reply_u.starts))
 			 return FALSE;
 		break;
-	case FB_TOLD_KEPT:
-		 if (!xdr_fb_told_kept (xdrs, &objp->fb_told_u.kept))
+	case FB_REPLY_SUSPECT_BACKUPS:
+		 if (!xdr_fb_suspect_backups_reply (xdrs, &objp->fb_peer_reply_u.kept))
 			 return FALSE;
 		break;
 	default:
--- a/rpc/work.h
+++ b/rpc/work.h
@@ -18,16 +18,16 @@
 #define FB_WORK_MAX_STEPS 64
 #define FB_WORK_MAX_NAME 128
 #define FB_WORK_JOB_ID_CHARS 16
-#define FB_WORK_MAX_MARKS 65536
+#define FB_WORK_MAX_TASK_ROWS 65536
 #define FB_WORK_MAX_FAILED 1024
 #define FB_WORK_MAX_CRASHES 8
 #define FB_WORK_MAX_TICKETS 128
 #define FB_WORK_MAX_WORKERS 20000
 #define FB_WORK_MAX_RUNS 256
-#define FB_WORK_MAX_SEEN 4096
+#define FB_WORK_MAX_REPORTED 4096
 #define FB_WORK_MAX_PARTITIONS 4096
 #define FB_WORK_MAX_STARTS 512
-#define FB_WORK_MAX_KEPT 256
+#define FB_WORK_MAX_SUSPECT_BACKUPS 256
 #define FB_WORK_DIGEST_BYTES 16
 
 struct fb_work_step {
@@ -38,14 +38,14 @@
 	u_int estimate_ms;
 	u_int max_per_worker;
 	u_int max_unavailable;
-	u_int tail_target_ms;
+	u_int tail_latency_target_ms;
 	bool_t gang;
 	bool_t rack_local;
 	bool_t checkpointing;
 	bool_t speculative;
-	bool_t lasting;
-	bool_t fills;
-	char *data_rack;
+	bool_t long_running;
+	bool_t best_effort;
+	char *preferred_rack;
 	char *required_label;
 	char *image;
 	struct {
@@ -72,7 +72,7 @@
 	char *service;
 	u_int priority;
 	u_int max_attempts;
-	u_int stretch_milli;
+	u_int stretch_factor_milli;
 	u_int target_ms;
 	bool_t advised;
 	u_int advice_decision_us;
@@ -88,7 +88,7 @@
 };
 typedef struct fb_work_admit fb_work_admit;
 
-struct fb_work_mark {
+struct fb_work_task_progress {
 	u_int occurrence;
 	u_int step;
 	u_int index;
@@ -100,7 +100,7 @@
 	bool_t done;
 	char *checkpoint;
 };
-typedef struct fb_work_mark fb_work_mark;
+typedef struct fb_work_task_progress fb_work_task_progress;
 
 enum fb_work_state {
 	FB_WORK_QUEUED = 0,
@@ -115,34 +115,34 @@
 	fb_work_state state;
 	u_quad_t ended_ms;
 	struct {
-		u_int marks_len;
-		fb_work_mark *marks_val;
-	} marks;
+		u_int task_progress_len;
+		fb_work_task_progress *task_progress_val;
+	} task_progress;
 };
 typedef struct fb_work_progress fb_work_progress;
 
-struct fb_work_tried {
+struct fb_work_unresolved_start {
 	char *worker;
 	char *address;
 };
-typedef struct fb_work_tried fb_work_tried;
+typedef struct fb_work_unresolved_start fb_work_unresolved_start;
 
 struct fb_work_suspect {
 	u_int occurrence;
 	u_int step;
 	u_int index;
 	struct {
-		u_int apart_len;
-		u_quad_t *apart_val;
-	} apart;
+		u_int isolated_len;
+		u_quad_t *isolated_val;
+	} isolated;
 	struct {
 		u_int shared_len;
 		u_quad_t *shared_val;
 	} shared;
 	struct {
-		u_int tried_len;
-		fb_work_tried *tried_val;
-	} tried;
+		u_int unresolved_len;
+		fb_work_unresolved_start *unresolved_val;
+	} unresolved;
 };
 typedef struct fb_work_suspect fb_work_suspect;
 
@@ -159,7 +159,7 @@
 };
 typedef struct fb_step_name fb_step_name;
 
-struct fb_work_known {
+struct fb_work_known_worker {
 	char *id;
 	char *address;
 	bool_t closed;
@@ -168,49 +168,49 @@
 		fb_step_name *steps_val;
 	} steps;
 };
-typedef struct fb_work_known fb_work_known;
+typedef struct fb_work_known_worker fb_work_known_worker;
 
 struct fb_work_workers {
 	struct {
 		u_int workers_len;
-		fb_work_known *workers_val;
+		fb_work_known_worker *workers_val;
 	} workers;
 };
 typedef struct fb_work_workers fb_work_workers;
 
-enum fb_ask_type {
-	FB_ASK_STATE = 1,
-	FB_ASK_PENDING = 2,
-	FB_ASK_ADVICE = 3,
-	FB_ASK_APPEND = 4,
-	FB_ASK_STORED = 5,
-	FB_ASK_OWNERS = 6,
-	FB_ASK_WRITE = 7,
-	FB_ASK_STARTS = 9,
-	FB_ASK_ORDER = 10,
-	FB_ASK_KEEP = 11,
-	FB_ASK_KEPT = 12,
-};
-typedef enum fb_ask_type fb_ask_type;
-
-struct fb_ask_job {
+enum fb_peer_request_type {
+	FB_REQUEST_JOB_STATE = 1,
+	FB_REQUEST_PENDING_COUNT = 2,
+	FB_REQUEST_ADVICE = 3,
+	FB_REQUEST_APPEND_JOB_RECORD = 4,
+	FB_REQUEST_NOTIFY_STORED = 5,
+	FB_REQUEST_PARTITION_OWNERS = 6,
+	FB_REQUEST_APPEND_PROGRESS = 7,
+	FB_REQUEST_RECENT_STARTS = 9,
+	FB_REQUEST_RELAY_ORDER = 10,
+	FB_REQUEST_BACK_UP_SUSPECTS = 11,
+	FB_REQUEST_SUSPECT_BACKUPS = 12,
+};
+typedef enum fb_peer_request_type fb_peer_request_type;
+
+struct fb_job_state_request {
 	char *service;
 	char *job;
 };
-typedef struct fb_ask_job fb_ask_job;
+typedef struct fb_job_state_request fb_job_state_request;
 
-struct fb_ask_queue {
+struct fb_pending_request {
 	char *service;
 	char *queue;
 };
-typedef struct fb_ask_queue fb_ask_queue;
+typedef struct fb_pending_request fb_pending_request;
 
 struct fb_worker_name {
 	char *id;
 };
 typedef struct fb_worker_name fb_worker_name;
 
-struct fb_ask_advice {
+struct fb_advice_request {
 	char *step;
 	struct {
 		u_int workers_len;
@@ -218,18 +218,18 @@
 	} workers;
 	u_int expected_ms;
 };
-typedef struct fb_ask_advice fb_ask_advice;
+typedef struct fb_advice_request fb_advice_request;
 
-struct fb_ask_append {
+struct fb_append_request {
 	u_int partition;
 	struct {
 		u_int records_len;
 		char *records_val;
 	} records;
 };
-typedef struct fb_ask_append fb_ask_append;
+typedef struct fb_append_request fb_append_request;
 
-struct fb_ask_write {
+struct fb_progress_append_request {
 	u_int partition;
 	char *writer;
 	u_quad_t epoch;
@@ -239,9 +239,9 @@
 		char *records_val;
 	} records;
 };
-typedef struct fb_ask_write fb_ask_write;
+typedef struct fb_progress_append_request fb_progress_append_request;
 
-struct fb_ask_stored {
+struct fb_stored_notice {
 	u_int partition;
 	char *key;
 	struct {
@@ -249,16 +249,16 @@
 		char *value_val;
 	} value;
 };
-typedef struct fb_ask_stored fb_ask_stored;
+typedef struct fb_stored_notice fb_stored_notice;
 
 enum fb_order_kind {
-	FB_CARRY_START = 1,
-	FB_CARRY_STOP = 2,
-	FB_CARRY_LOOK = 3,
+	FB_ORDER_KIND_START = 1,
+	FB_ORDER_KIND_STOP = 2,
+	FB_ORDER_KIND_POLL = 3,
 };
 typedef enum fb_order_kind fb_order_kind;
 
-struct fb_ask_order {
+struct fb_relay_request {
 	fb_order_kind kind;
 	char *worker;
 	char *address;
@@ -277,48 +277,48 @@
 	u_int wait_ms;
 	u_int answer_ms;
 };
-typedef struct fb_ask_order fb_ask_order;
+typedef struct fb_relay_request fb_relay_request;
 
-struct fb_kept_job {
+struct fb_suspects_backup {
 	char *job;
 	u_quad_t epoch;
 	fb_work_suspects suspects;
 };
-typedef struct fb_kept_job fb_kept_job;
+typedef struct fb_suspects_backup fb_suspects_backup;
 
-struct fb_ask {
-	fb_ask_type type;
+struct fb_peer_request {
+	fb_peer_request_type type;
 	union {
-		fb_ask_job job;
-		fb_ask_queue queue;
-		fb_ask_advice advice;
-		fb_ask_append append;
-		fb_ask_stored stored;
-		fb_ask_write write;
-		fb_ask_order order;
-		fb_kept_job keep;
-	} fb_ask_u;
-};
-typedef struct fb_ask fb_ask;
-
-enum fb_told_type {
-	FB_TOLD_UNSURE = 1,
-	FB_TOLD_STATE = 2,
-	FB_TOLD_NO_JOB = 3,
-	FB_TOLD_PENDING = 4,
-	FB_TOLD_ADVICE = 5,
-	FB_TOLD_STORED = 6,
-	FB_TOLD_NOT_STORED = 7,
-	FB_TOLD_IN_DOUBT = 8,
-	FB_TOLD_OWNERS = 9,
-	FB_TOLD_FENCED = 10,
-	FB_TOLD_SEQUENCE = 11,
-	FB_TOLD_ORDER = 12,
-	FB_TOLD_NO_PAYLOAD = 13,
-	FB_TOLD_STARTS = 14,
-	FB_TOLD_KEPT = 15,
-};
-typedef enum fb_told_type fb_told_type;
+		fb_job_state_request job;
+		fb_pending_request queue;
+		fb_advice_request advice;
+		fb_append_request append;
+		fb_stored_notice stored;
+		fb_progress_append_request write;
+		fb_relay_request order;
+		fb_suspects_backup keep;
+	} fb_peer_request_u;
+};
+typedef struct fb_peer_request fb_peer_request;
+
+enum fb_peer_reply_type {
+	FB_REPLY_UNAVAILABLE = 1,
+	FB_REPLY_JOB_STATE = 2,
+	FB_REPLY_NO_SUCH_JOB = 3,
+	FB_REPLY_PENDING_COUNT = 4,
+	FB_REPLY_ADVICE = 5,
+	FB_REPLY_STORED = 6,
+	FB_REPLY_NOT_STORED = 7,
+	FB_REPLY_IN_DOUBT = 8,
+	FB_REPLY_PARTITION_OWNERS = 9,
+	FB_REPLY_FENCED = 10,
+	FB_REPLY_OUT_OF_SEQUENCE = 11,
+	FB_REPLY_ORDER_RESULT = 12,
+	FB_REPLY_PAYLOAD_MISSING = 13,
+	FB_REPLY_RECENT_STARTS = 14,
+	FB_REPLY_SUSPECT_BACKUPS = 15,
+};
+typedef enum fb_peer_reply_type fb_peer_reply_type;
 
 struct fb_ticket {
 	char *worker;
@@ -326,14 +326,14 @@
 };
 typedef struct fb_ticket fb_ticket;
 
-struct fb_told_advice {
+struct fb_advice_reply {
 	struct {
 		u_int tickets_len;
 		fb_ticket *tickets_val;
 	} tickets;
 	u_int validity_ms;
 };
-typedef struct fb_told_advice fb_told_advice;
+typedef struct fb_advice_reply fb_advice_reply;
 
 struct fb_partition_owner {
 	u_int partition;
@@ -341,44 +341,44 @@
 };
 typedef struct fb_partition_owner fb_partition_owner;
 
-struct fb_told_owners {
+struct fb_owners_reply {
 	struct {
 		u_int owners_len;
 		fb_partition_owner *owners_val;
 	} owners;
 };
-typedef struct fb_told_owners fb_told_owners;
+typedef struct fb_owners_reply fb_owners_reply;
 
-struct fb_seen_run {
+struct fb_reported_run {
 	char *task;
 	u_int attempt;
 	char *checkpoint;
 };
-typedef struct fb_seen_run fb_seen_run;
+typedef struct fb_reported_run fb_reported_run;
 
-struct fb_seen_end {
+struct fb_reported_end {
 	u_quad_t number;
 	char *task;
 	u_int attempt;
 	u_int how;
 	char *checkpoint;
 };
-typedef struct fb_seen_end fb_seen_end;
+typedef struct fb_reported_end fb_reported_end;
 
-struct fb_told_order {
+struct fb_relay_reply {
 	u_int result;
 	u_quad_t clock_ms;
-	char *life;
+	char *incarnation;
 	struct {
 		u_int running_len;
-		fb_seen_run *running_val;
+		fb_reported_run *running_val;
 	} running;
 	struct {
 		u_int finished_len;
-		fb_seen_end *finished_val;
+		fb_reported_end *finished_val;
 	} finished;
 };
-typedef struct fb_told_order fb_told_order;
+typedef struct fb_relay_reply fb_relay_reply;
 
 struct fb_recent_start {
 	char *worker;
@@ -389,35 +389,35 @@
 };
 typedef struct fb_recent_start fb_recent_start;
 
-struct fb_told_starts {
+struct fb_recent_starts_reply {
 	struct {
 		u_int starts_len;
 		fb_recent_start *starts_val;
 	} starts;
 };
-typedef struct fb_told_starts fb_told_starts;
+typedef struct fb_recent_starts_reply fb_recent_starts_reply;
 
-struct fb_told_kept {
+struct fb_suspect_backups_reply {
 	struct {
 		u_int jobs_len;
-		fb_kept_job *jobs_val;
+		fb_suspects_backup *jobs_val;
 	} jobs;
 };
-typedef struct fb_told_kept fb_told_kept;
+typedef struct fb_suspect_backups_reply fb_suspect_backups_reply;
 
-struct fb_told {
-	fb_told_type type;
+struct fb_peer_reply {
+	fb_peer_reply_type type;
 	union {
 		fb_work_state state;
 		u_int pending;
-		fb_told_advice advice;
-		fb_told_owners owners;
-		fb_told_order order;
-		fb_told_starts starts;
-		fb_told_kept kept;
-	} fb_told_u;
+		fb_advice_reply advice;
+		fb_owners_reply owners;
+		fb_relay_reply order;
+		fb_recent_starts_reply starts;
+		fb_suspect_backups_reply kept;
+	} fb_peer_reply_u;
 };
-typedef struct fb_told fb_told;
+typedef struct fb_peer_reply fb_peer_reply;
 
 /* the xdr functions */
 
@@ -426,78 +426,78 @@
 extern  bool_t xdr_fb_work_spec (XDR *, fb_work_spec*);
 extern  bool_t xdr_fb_work_policy (XDR *, fb_work_policy*);
 extern  bool_t xdr_fb_work_admit (XDR *, fb_work_admit*);
-extern  bool_t xdr_fb_work_mark (XDR *, fb_work_mark*);
+extern  bool_t xdr_fb_work_task_progress (XDR *, fb_work_task_progress*);
 extern  bool_t xdr_fb_work_state (XDR *, fb_work_state*);
 extern  bool_t xdr_fb_work_progress (XDR *, fb_work_progress*);
-extern  bool_t xdr_fb_work_tried (XDR *, fb_work_tried*);
+extern  bool_t xdr_fb_work_unresolved_start (XDR *, fb_work_unresolved_start*);
 extern  bool_t xdr_fb_work_suspect (XDR *, fb_work_suspect*);
 extern  bool_t xdr_fb_work_suspects (XDR *, fb_work_suspects*);
 extern  bool_t xdr_fb_step_name (XDR *, fb_step_name*);
-extern  bool_t xdr_fb_work_known (XDR *, fb_work_known*);
+extern  bool_t xdr_fb_work_known_worker (XDR *, fb_work_known_worker*);
 extern  bool_t xdr_fb_work_workers (XDR *, fb_work_workers*);
-extern  bool_t xdr_fb_ask_type (XDR *, fb_ask_type*);
-extern  bool_t xdr_fb_ask_job (XDR *, fb_ask_job*);
-extern  bool_t xdr_fb_ask_queue (XDR *, fb_ask_queue*);
+extern  bool_t xdr_fb_peer_request_type (XDR *, fb_peer_request_type*);
+extern  bool_t xdr_fb_job_state_request (XDR *, fb_job_state_request*);
+extern  bool_t xdr_fb_pending_request (XDR *, fb_pending_request*);
 extern  bool_t xdr_fb_worker_name (XDR *, fb_worker_name*);
-extern  bool_t xdr_fb_ask_advice (XDR *, fb_ask_advice*);
-extern  bool_t xdr_fb_ask_append (XDR *, fb_ask_append*);
-extern  bool_t xdr_fb_ask_write (XDR *, fb_ask_write*);
-extern  bool_t xdr_fb_ask_stored (XDR *, fb_ask_stored*);
+extern  bool_t xdr_fb_advice_request (XDR *, fb_advice_request*);
+extern  bool_t xdr_fb_append_request (XDR *, fb_append_request*);
+extern  bool_t xdr_fb_progress_append_request (XDR *, fb_progress_append_request*);
+extern  bool_t xdr_fb_stored_notice (XDR *, fb_stored_notice*);
 extern  bool_t xdr_fb_order_kind (XDR *, fb_order_kind*);
-extern  bool_t xdr_fb_ask_order (XDR *, fb_ask_order*);
-extern  bool_t xdr_fb_kept_job (XDR *, fb_kept_job*);
-extern  bool_t xdr_fb_ask (XDR *, fb_ask*);
-extern  bool_t xdr_fb_told_type (XDR *, fb_told_type*);
+extern  bool_t xdr_fb_relay_request (XDR *, fb_relay_request*);
+extern  bool_t xdr_fb_suspects_backup (XDR *, fb_suspects_backup*);
+extern  bool_t xdr_fb_peer_request (XDR *, fb_peer_request*);
+extern  bool_t xdr_fb_peer_reply_type (XDR *, fb_peer_reply_type*);
 extern  bool_t xdr_fb_ticket (XDR *, fb_ticket*);
-extern  bool_t xdr_fb_told_advice (XDR *, fb_told_advice*);
+extern  bool_t xdr_fb_advice_reply (XDR *, fb_advice_reply*);
 extern  bool_t xdr_fb_partition_owner (XDR *, fb_partition_owner*);
-extern  bool_t xdr_fb_told_owners (XDR *, fb_told_owners*);
-extern  bool_t xdr_fb_seen_run (XDR *, fb_seen_run*);
-extern  bool_t xdr_fb_seen_end (XDR *, fb_seen_end*);
-extern  bool_t xdr_fb_told_order (XDR *, fb_told_order*);
+extern  bool_t xdr_fb_owners_reply (XDR *, fb_owners_reply*);
+extern  bool_t xdr_fb_reported_run (XDR *, fb_reported_run*);
+extern  bool_t xdr_fb_reported_end (XDR *, fb_reported_end*);
+extern  bool_t xdr_fb_relay_reply (XDR *, fb_relay_reply*);
 extern  bool_t xdr_fb_recent_start (XDR *, fb_recent_start*);
-extern  bool_t xdr_fb_told_starts (XDR *, fb_told_starts*);
-extern  bool_t xdr_fb_told_kept (XDR *, fb_told_kept*);
-extern  bool_t xdr_fb_told (XDR *, fb_told*);
+extern  bool_t xdr_fb_recent_starts_reply (XDR *, fb_recent_starts_reply*);
+extern  bool_t xdr_fb_suspect_backups_reply (XDR *, fb_suspect_backups_reply*);
+extern  bool_t xdr_fb_peer_reply (XDR *, fb_peer_reply*);
 
 #else /* K&R C */
 extern bool_t xdr_fb_work_step ();
 extern bool_t xdr_fb_work_spec ();
 extern bool_t xdr_fb_work_policy ();
 extern bool_t xdr_fb_work_admit ();
-extern bool_t xdr_fb_work_mark ();
+extern bool_t xdr_fb_work_task_progress ();
 extern bool_t xdr_fb_work_state ();
 extern bool_t xdr_fb_work_progress ();
-extern bool_t xdr_fb_work_tried ();
+extern bool_t xdr_fb_work_unresolved_start ();
 extern bool_t xdr_fb_work_suspect ();
 extern bool_t xdr_fb_work_suspects ();
 extern bool_t xdr_fb_step_name ();
-extern bool_t xdr_fb_work_known ();
+extern bool_t xdr_fb_work_known_worker ();
 extern bool_t xdr_fb_work_workers ();
-extern bool_t xdr_fb_ask_type ();
-extern bool_t xdr_fb_ask_job ();
-extern bool_t xdr_fb_ask_queue ();
+extern bool_t xdr_fb_peer_request_type ();
+extern bool_t xdr_fb_job_state_request ();
+extern bool_t xdr_fb_pending_request ();
 extern bool_t xdr_fb_worker_name ();
-extern bool_t xdr_fb_ask_advice ();
-extern bool_t xdr_fb_ask_append ();
-extern bool_t xdr_fb_ask_write ();
-extern bool_t xdr_fb_ask_stored ();
+extern bool_t xdr_fb_advice_request ();
+extern bool_t xdr_fb_append_request ();
+extern bool_t xdr_fb_progress_append_request ();
+extern bool_t xdr_fb_stored_notice ();
 extern bool_t xdr_fb_order_kind ();
-extern bool_t xdr_fb_ask_order ();
-extern bool_t xdr_fb_kept_job ();
-extern bool_t xdr_fb_ask ();
-extern bool_t xdr_fb_told_type ();
+extern bool_t xdr_fb_relay_request ();
+extern bool_t xdr_fb_suspects_backup ();
+extern bool_t xdr_fb_peer_request ();
+extern bool_t xdr_fb_peer_reply_type ();
 extern bool_t xdr_fb_ticket ();
-extern bool_t xdr_fb_told_advice ();
+extern bool_t xdr_fb_advice_reply ();
 extern bool_t xdr_fb_partition_owner ();
-extern bool_t xdr_fb_told_owners ();
-extern bool_t xdr_fb_seen_run ();
-extern bool_t xdr_fb_seen_end ();
-extern bool_t xdr_fb_told_order ();
+extern bool_t xdr_fb_owners_reply ();
+extern bool_t xdr_fb_reported_run ();
+extern bool_t xdr_fb_reported_end ();
+extern bool_t xdr_fb_relay_reply ();
 extern bool_t xdr_fb_recent_start ();
-extern bool_t xdr_fb_told_starts ();
-extern bool_t xdr_fb_told_kept ();
-extern bool_t xdr_fb_told ();
+extern bool_t xdr_fb_recent_starts_reply ();
+extern bool_t xdr_fb_suspect_backups_reply ();
+extern bool_t xdr_fb_peer_reply ();
 
 #endif /* K&R C */
 
--- a/rpc/work.x
+++ b/rpc/work.x
@@ -7,16 +7,16 @@
 const FB_WORK_MAX_STEPS = 64;
 const FB_WORK_MAX_NAME = 128;
 const FB_WORK_JOB_ID_CHARS = 16;
-const FB_WORK_MAX_MARKS = 65536;
+const FB_WORK_MAX_TASK_ROWS = 65536;
 const FB_WORK_MAX_FAILED = 1024;
 const FB_WORK_MAX_CRASHES = 8;
 const FB_WORK_MAX_TICKETS = 128;
 const FB_WORK_MAX_WORKERS = 20000;
 const FB_WORK_MAX_RUNS = 256;
-const FB_WORK_MAX_SEEN = 4096;
+const FB_WORK_MAX_REPORTED = 4096;
 const FB_WORK_MAX_PARTITIONS = 4096;
 const FB_WORK_MAX_STARTS = 512;
-const FB_WORK_MAX_KEPT = 256;
+const FB_WORK_MAX_SUSPECT_BACKUPS = 256;
 const FB_WORK_DIGEST_BYTES = 16;
 
 /* One step: COUNT equal tasks, each of the size given. */
@@ -28,14 +28,14 @@
   unsigned int estimate_ms;
   unsigned int max_per_worker;  /* 0: no bound */
   unsigned int max_unavailable; /* of a lasting step; 0: no bound */
-  unsigned int tail_target_ms;  /* of a serving step; 0: none */
+  unsigned int tail_latency_target_ms;  /* of a serving step; 0: none */
   bool gang;
   bool rack_local;
   bool checkpointing;
   bool speculative;
-  bool lasting;
-  bool fills; /* takes only what other tasks leave; its cpu is not counted */
-  string data_rack<FB_WORK_MAX_NAME>;
+  bool long_running;
+  bool best_effort; /* takes only what other tasks leave; its cpu is not counted */
+  string preferred_rack<FB_WORK_MAX_NAME>;
   string required_label<FB_WORK_MAX_NAME>;
   string image<FB_WORK_MAX_NAME>;
   unsigned int after<FB_WORK_MAX_STEPS>;
@@ -55,7 +55,7 @@
   string service<FB_WORK_MAX_NAME>;
   unsigned int priority; /* 0 goes first */
   unsigned int max_attempts;
-  unsigned int stretch_milli;
+  unsigned int stretch_factor_milli;
   unsigned int target_ms;
   bool advised;
   unsigned int advice_decision_us;
@@ -71,7 +71,7 @@
 };
 
 /* What is known of one task, left out while it has neither ended nor saved. */
-struct fb_work_mark {
+struct fb_work_task_progress {
   unsigned int occurrence;
   unsigned int step;
   unsigned int index;
@@ -92,10 +92,10 @@
 struct fb_work_progress {
   fb_work_state state;
   unsigned hyper ended_ms; /* since 1970; 0 while it has not ended */
-  fb_work_mark marks<FB_WORK_MAX_MARKS>;
+  fb_work_task_progress task_progress<FB_WORK_MAX_TASK_ROWS>;
 };
 
-struct fb_work_tried {
+struct fb_work_unresolved_start {
   string worker<FB_WORK_MAX_NAME>;
   string address<FB_WORK_MAX_NAME>;
 };
@@ -107,14 +107,14 @@
   unsigned int occurrence;
   unsigned int step;
   unsigned int index;
-  unsigned hyper apart<FB_WORK_MAX_CRASHES>;  /* nothing else was there that could have done it */
+  unsigned hyper isolated<FB_WORK_MAX_CRASHES>;  /* nothing else was there that could have done it */
   unsigned hyper shared<FB_WORK_MAX_CRASHES>;
-  fb_work_tried tried<FB_WORK_MAX_CRASHES>; /* where it was ordered, and it is not known what became */
+  fb_work_unresolved_start unresolved<FB_WORK_MAX_CRASHES>; /* where it was ordered, and it is not known what became */
 };
 
 /* Follows the progress of a job in its record; left out when there are none. */
 struct fb_work_suspects {
-  fb_work_suspect tasks<FB_WORK_MAX_MARKS>;
+  fb_work_suspect tasks<FB_WORK_MAX_TASK_ROWS>;
 };
 
 /* The workers of a pool that may run something, as its owner knew them.  The
@@ -123,7 +123,7 @@
   string name<FB_WORK_MAX_NAME>;
 };
 
-struct fb_work_known {
+struct fb_work_known_worker {
   string id<FB_WORK_MAX_NAME>;
   string address<FB_WORK_MAX_NAME>;
   bool closed; /* nothing is started there any more: no other step can run there */
@@ -131,32 +131,32 @@
 };
 
 struct fb_work_workers {
-  fb_work_known workers<FB_WORK_MAX_WORKERS>;
+  fb_work_known_worker workers<FB_WORK_MAX_WORKERS>;
 };
 
 /* Between daemons: asked of the owner of a pool, or of a helper. */
 
-enum fb_ask_type {
-  FB_ASK_STATE = 1,  /* of a job, by the owner of its pool */
-  FB_ASK_PENDING = 2, /* of a queue */
-  FB_ASK_ADVICE = 3, /* call the advice service from the daemon asked */
-  FB_ASK_APPEND = 4, /* append to the log for a daemon that it turns away */
-  FB_ASK_STORED = 5, /* tells the owner of a record that is in the log */
-  FB_ASK_OWNERS = 6, /* who owns which partition, as the log's group has it */
-  FB_ASK_WRITE = 7,  /* append progress for an owner that the log turns away */
-  FB_ASK_STARTS = 9, /* which starts went out from the daemon asked to workers that fell silent */
-  FB_ASK_ORDER = 10, /* carry an order to a worker; 8 was one that named no life: daemons of both
+enum fb_peer_request_type {
+  FB_REQUEST_JOB_STATE = 1,  /* of a job, by the owner of its pool */
+  FB_REQUEST_PENDING_COUNT = 2, /* of a queue */
+  FB_REQUEST_ADVICE = 3, /* call the advice service from the daemon asked */
+  FB_REQUEST_APPEND_JOB_RECORD = 4, /* append to the log for a daemon that it turns away */
+  FB_REQUEST_NOTIFY_STORED = 5, /* tells the owner of a record that is in the log */
+  FB_REQUEST_PARTITION_OWNERS = 6, /* who owns which partition, as the log's group has it */
+  FB_REQUEST_APPEND_PROGRESS = 7,  /* append progress for an owner that the log turns away */
+  FB_REQUEST_RECENT_STARTS = 9, /* which starts went out from the daemon asked to workers that fell silent */
+  FB_REQUEST_RELAY_ORDER = 10, /* carry an order to a worker; 8 was one that named no life: daemons of both
                       * versions carry nothing for each other */
-  FB_ASK_KEEP = 11,  /* keep what is held against tasks of a job, until the store has it */
-  FB_ASK_KEPT = 12   /* what is kept so */
+  FB_REQUEST_BACK_UP_SUSPECTS = 11,  /* keep what is held against tasks of a job, until the store has it */
+  FB_REQUEST_SUSPECT_BACKUPS = 12   /* what is kept so */
 };
 
-struct fb_ask_job {
+struct fb_job_state_request {
   string service<FB_WORK_MAX_NAME>;
   string job<FB_WORK_MAX_NAME>;
 };
 
-struct fb_ask_queue {
+struct fb_pending_request {
   string service<FB_WORK_MAX_NAME>;
   string queue<FB_WORK_MAX_NAME>;
 };
@@ -165,19 +165,19 @@
   string id<FB_WORK_MAX_NAME>;
 };
 
-struct fb_ask_advice {
+struct fb_advice_request {
   string step<FB_WORK_MAX_NAME>;
   fb_worker_name workers<FB_WORK_MAX_TICKETS>;
   unsigned int expected_ms;  /* how long the service takes to decide */
 };
 
-struct fb_ask_append {
+struct fb_append_request {
   unsigned int partition;
   opaque records<>;
 };
 
 /* The log takes each SEQUENCE of a writer once, whoever sends it. */
-struct fb_ask_write {
+struct fb_progress_append_request {
   unsigned int partition;
   string writer<FB_WORK_MAX_NAME>;
   unsigned hyper epoch;
@@ -185,21 +185,21 @@
   opaque records<>;
 };
 
-struct fb_ask_stored {
+struct fb_stored_notice {
   unsigned int partition;
   string key<FB_WORK_MAX_NAME>;
   opaque value<>;
 };
 
 enum fb_order_kind {
-  FB_CARRY_START = 1,
-  FB_CARRY_STOP = 2,
-  FB_CARRY_LOOK = 3
+  FB_ORDER_KIND_START = 1,
+  FB_ORDER_KIND_STOP = 2,
+  FB_ORDER_KIND_POLL = 3
 };
 
 /* An order of the owner of a pool, carried by the daemon asked.  What a kind does not need is
  * empty or 0. */
-struct fb_ask_order {
+struct fb_relay_request {
   fb_order_kind kind;
   string worker<FB_WORK_MAX_NAME>;
   string address<FB_WORK_MAX_NAME>;
@@ -218,42 +218,42 @@
 
 /* What the owner of a pool holds against tasks of a job and could not store yet; nothing: it is
  * stored, or nothing is held against them any more. */
-struct fb_kept_job {
+struct fb_suspects_backup {
   string job<FB_WORK_MAX_NAME>;
   unsigned hyper epoch; /* of the owner */
   fb_work_suspects suspects;
 };
 
-union fb_ask switch (fb_ask_type type) {
-case FB_ASK_STATE: fb_ask_job job;
-case FB_ASK_PENDING: fb_ask_queue queue;
-case FB_ASK_ADVICE: fb_ask_advice advice;
-case FB_ASK_APPEND: fb_ask_append append;
-case FB_ASK_STORED: fb_ask_stored stored;
-case FB_ASK_OWNERS: void;
-case FB_ASK_WRITE: fb_ask_write write;
-case FB_ASK_ORDER: fb_ask_order order;
-case FB_ASK_STARTS: void;
-case FB_ASK_KEEP: fb_kept_job keep;
-case FB_ASK_KEPT: void;
-};
-
-enum fb_told_type {
-  FB_TOLD_UNSURE = 1, /* not the owner, or not caught up: ask again */
-  FB_TOLD_STATE = 2,
-  FB_TOLD_NO_JOB = 3,
-  FB_TOLD_PENDING = 4,
-  FB_TOLD_ADVICE = 5,
-  FB_TOLD_STORED = 6,
-  FB_TOLD_NOT_STORED = 7, /* certainly */
-  FB_TOLD_IN_DOUBT = 8,
-  FB_TOLD_OWNERS = 9,
-  FB_TOLD_FENCED = 10,  /* a higher epoch writes there */
-  FB_TOLD_SEQUENCE = 11, /* another sequence was expected */
-  FB_TOLD_ORDER = 12,    /* what became of an order */
-  FB_TOLD_NO_PAYLOAD = 13, /* nothing was done: the payload that the order names is not there */
-  FB_TOLD_STARTS = 14,
-  FB_TOLD_KEPT = 15
+union fb_peer_request switch (fb_peer_request_type type) {
+case FB_REQUEST_JOB_STATE: fb_job_state_request job;
+case FB_REQUEST_PENDING_COUNT: fb_pending_request queue;
+case FB_REQUEST_ADVICE: fb_advice_request advice;
+case FB_REQUEST_APPEND_JOB_RECORD: fb_append_request append;
+case FB_REQUEST_NOTIFY_STORED: fb_stored_notice stored;
+case FB_REQUEST_PARTITION_OWNERS: void;
+case FB_REQUEST_APPEND_PROGRESS: fb_progress_append_request write;
+case FB_REQUEST_RELAY_ORDER: fb_relay_request order;
+case FB_REQUEST_RECENT_STARTS: void;
+case FB_REQUEST_BACK_UP_SUSPECTS: fb_suspects_backup keep;
+case FB_REQUEST_SUSPECT_BACKUPS: void;
+};
+
+enum fb_peer_reply_type {
+  FB_REPLY_UNAVAILABLE = 1, /* not the owner, or not caught up: ask again */
+  FB_REPLY_JOB_STATE = 2,
+  FB_REPLY_NO_SUCH_JOB = 3,
+  FB_REPLY_PENDING_COUNT = 4,
+  FB_REPLY_ADVICE = 5,
+  FB_REPLY_STORED = 6,
+  FB_REPLY_NOT_STORED = 7, /* certainly */
+  FB_REPLY_IN_DOUBT = 8,
+  FB_REPLY_PARTITION_OWNERS = 9,
+  FB_REPLY_FENCED = 10,  /* a higher epoch writes there */
+  FB_REPLY_OUT_OF_SEQUENCE = 11, /* another sequence was expected */
+  FB_REPLY_ORDER_RESULT = 12,    /* what became of an order */
+  FB_REPLY_PAYLOAD_MISSING = 13, /* nothing was done: the payload that the order names is not there */
+  FB_REPLY_RECENT_STARTS = 14,
+  FB_REPLY_SUSPECT_BACKUPS = 15
 };
 
 struct fb_ticket {
@@ -261,7 +261,7 @@
   string ticket<FB_WORK_MAX_NAME>;
 };
 
-struct fb_told_advice {
+struct fb_advice_reply {
   fb_ticket tickets<FB_WORK_MAX_TICKETS>;
   unsigned int validity_ms;
 };
@@ -271,31 +271,31 @@
   string address<FB_WORK_MAX_NAME>; /* of the daemon, for its peers */
 };
 
-struct fb_told_owners {
+struct fb_owners_reply {
   fb_partition_owner owners<FB_WORK_MAX_PARTITIONS>;
 };
 
-struct fb_seen_run {
+struct fb_reported_run {
   string task<FB_WORK_MAX_NAME>;
   unsigned int attempt;
   string checkpoint<FB_WORK_MAX_NAME>;
 };
 
-struct fb_seen_end {
+struct fb_reported_end {
   unsigned hyper number;
   string task<FB_WORK_MAX_NAME>;
   unsigned int attempt;
-  unsigned int how; /* FbEndHow */
+  unsigned int how; /* FbEndReason */
   string checkpoint<FB_WORK_MAX_NAME>;
 };
 
 /* The lists are those of a look. */
-struct fb_told_order {
+struct fb_relay_reply {
   unsigned int result;     /* FbOrderResult */
   unsigned hyper clock_ms; /* the worker's; 0: not told */
-  string life<FB_WORK_MAX_NAME>; /* that answered instead of the one asked; "": not known */
-  fb_seen_run running<FB_WORK_MAX_SEEN>;
-  fb_seen_end finished<FB_WORK_MAX_SEEN>;
+  string incarnation<FB_WORK_MAX_NAME>; /* that answered instead of the one asked; "": not known */
+  fb_reported_run running<FB_WORK_MAX_REPORTED>;
+  fb_reported_end finished<FB_WORK_MAX_REPORTED>;
 };
 
 /* A start of the last seconds whose run is not known to have ended. */
@@ -307,21 +307,21 @@
   bool seen; /* the worker has said that it is there */
 };
 
-struct fb_told_starts {
+struct fb_recent_starts_reply {
   fb_recent_start starts<FB_WORK_MAX_STARTS>;
 };
 
-struct fb_told_kept {
-  fb_kept_job jobs<FB_WORK_MAX_KEPT>;
+struct fb_suspect_backups_reply {
+  fb_suspects_backup jobs<FB_WORK_MAX_SUSPECT_BACKUPS>;
 };
 
-union fb_told switch (fb_told_type type) {
-case FB_TOLD_STATE: fb_work_state state;
-case FB_TOLD_PENDING: unsigned int pending;
-case FB_TOLD_ADVICE: fb_told_advice advice;
-case FB_TOLD_OWNERS: fb_told_owners owners;
-case FB_TOLD_ORDER: fb_told_order order;
-case FB_TOLD_STARTS: fb_told_starts starts;
-case FB_TOLD_KEPT: fb_told_kept kept;
+union fb_peer_reply switch (fb_peer_reply_type type) {
+case FB_REPLY_JOB_STATE: fb_work_state state;
+case FB_REPLY_PENDING_COUNT: unsigned int pending;
+case FB_REPLY_ADVICE: fb_advice_reply advice;
+case FB_REPLY_PARTITION_OWNERS: fb_owners_reply owners;
+case FB_REPLY_ORDER_RESULT: fb_relay_reply order;
+case FB_REPLY_RECENT_STARTS: fb_recent_starts_reply starts;
+case FB_REPLY_SUSPECT_BACKUPS: fb_suspect_backups_reply kept;
 default: void;
 };
--- a/src/base/types.c
+++ b/src/base/types.c
@@ -5,7 +5,7 @@
 
 static const char *const kind_names[FB_KIND_N] = { "urgent", "service", "gang", "batch" };
 
-static const char *const news_names[]
+static const char *const run_status_names[]
     = { "none",      "queued", "reserved", "started", "refused",  "not-run",
         "completed", "failed", "stopped",  "lost",    "not-here", "unsure" };
 
@@ -31,9 +31,9 @@
 }
 
 const char *
-fb_news_name (FbNews news)
+fb_run_status_name (FbRunStatus run_status)
 {
-  return name_or_unknown (news_names, G_N_ELEMENTS (news_names), news);
+  return name_or_unknown (run_status_names, G_N_ELEMENTS (run_status_names), run_status);
 }
 
 const char *
@@ -130,12 +130,12 @@
   return x->job == y->job && x->index == y->index && x->attempt == y->attempt;
 }
 
-FbWaiting
-fb_spec_waiting (const fb_spec *spec)
+FbWaitClass
+fb_spec_wait_class (const fb_spec *spec)
 {
   if (spec->kind == FB_KIND_URGENT)
-    return FB_WAITING_URGENT;
-  return spec->demand.amount[FB_RES_ACCEL_COUNT] > 0 ? FB_WAITING_ACCEL : FB_WAITING_OTHER;
+    return FB_WAIT_CLASS_URGENT;
+  return spec->demand.amount[FB_RES_ACCEL_COUNT] > 0 ? FB_WAIT_CLASS_ACCEL : FB_WAIT_CLASS_OTHER;
 }
 
 void
@@ -169,13 +169,13 @@
 }
 
 uint64_t
-fb_deadline_after (uint64_t now_ms, uint64_t left_ms)
+fb_deadline_after (uint64_t now_ms, uint64_t remaining_ms)
 {
-  return left_ms >= FB_NO_DEADLINE_MS - now_ms ? FB_NO_DEADLINE_MS : now_ms + left_ms;
+  return remaining_ms >= FB_NO_DEADLINE_MS - now_ms ? FB_NO_DEADLINE_MS : now_ms + remaining_ms;
 }
 
 uint64_t
-fb_deadline_left (uint64_t now_ms, uint64_t due_ms)
+fb_deadline_remaining (uint64_t now_ms, uint64_t due_ms)
 {
   if (due_ms == FB_NO_DEADLINE_MS)
     return FB_NO_DEADLINE_MS;
--- a/src/core/codec.c
+++ b/src/core/codec.c
@@ -188,27 +188,27 @@
 }
 
 GBytes *
-fb_codec_encode_ask (const fb_ask *ask)
+fb_codec_encode_peer_request (const fb_peer_request *ask)
 {
-  return encode ((xdrproc_t) xdr_fb_ask, ask, RECORD_MAX_BYTES);
+  return encode ((xdrproc_t) xdr_fb_peer_request, ask, RECORD_MAX_BYTES);
 }
 
 gboolean
-fb_codec_decode_ask (const void *data, gsize len, fb_ask *ask)
+fb_codec_decode_peer_request (const void *data, gsize len, fb_peer_request *ask)
 {
-  return decode_whole ((xdrproc_t) xdr_fb_ask, data, len, sizeof *ask, ask);
+  return decode_whole ((xdrproc_t) xdr_fb_peer_request, data, len, sizeof *ask, ask);
 }
 
 GBytes *
-fb_codec_encode_told (const fb_told *told)
+fb_codec_encode_peer_reply (const fb_peer_reply *told)
 {
-  return encode ((xdrproc_t) xdr_fb_told, told, RECORD_MAX_BYTES);
+  return encode ((xdrproc_t) xdr_fb_peer_reply, told, RECORD_MAX_BYTES);
 }
 
 gboolean
-fb_codec_decode_told (const void *data, gsize len, fb_told *told)
+fb_codec_decode_peer_reply (const void *data, gsize len, fb_peer_reply *told)
 {
-  return decode_whole ((xdrproc_t) xdr_fb_told, data, len, sizeof *told, told);
+  return decode_whole ((xdrproc_t) xdr_fb_peer_reply, data, len, sizeof *told, told);
 }
 
 GBytes *
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -8,7 +8,7 @@
  * served before batch work, so small work cannot starve a gang.
  *
  * Reserved room stands idle.  The cost is bounded twice: a gang that has not
- * gathered within FB_RANGE_GATHER_MS gives all back and tries again later, and
+ * gathered within FB_RANGE_GANG_RESERVE_MS gives all back and tries again later, and
  * a rack drops a reservation that its range has stopped asking for.
  *
  * The commit is not atomic over racks: a rack whose owner changed between
@@ -31,8 +31,9 @@
 static guint
 alive_members (const FbJob *job)
 {
-  return job->state_n[FB_JT_INTENT] + job->state_n[FB_JT_PLACED] + job->state_n[FB_JT_RESERVED]
-         + job->state_n[FB_JT_RUNNING] + job->state_n[FB_JT_ENDING];
+  return job->state_n[FB_JOB_TASK_INTENT] + job->state_n[FB_JOB_TASK_PLACED]
+         + job->state_n[FB_JOB_TASK_RESERVED] + job->state_n[FB_JOB_TASK_RUNNING]
+         + job->state_n[FB_JOB_TASK_ENDING];
 }
 
 static void
@@ -42,7 +43,7 @@
       = now_ms + GATHER_RETRY_MS / 2 + (uint64_t) g_rand_int_range (self->rand, 0, GATHER_RETRY_MS);
   for (guint i = 0; i < job->task_n; i++)
     {
-      if (job->tasks[i].state == FB_JT_WAITING)
+      if (job->tasks[i].state == FB_JOB_TASK_WAITING)
         fb_range_set_timer (self, &job->tasks[i], MIN (at_ms, job->due_ms));
     }
 }
@@ -57,7 +58,7 @@
   for (guint i = 0; i < job->task_n && found; i++)
     {
       FbJobTask *task = &job->tasks[i];
-      if (task->state != FB_JT_WAITING)
+      if (task->state != FB_JOB_TASK_WAITING)
         continue;
       found = fb_range_choose_rack (self, now_ms, task);
       if (!found)
@@ -75,7 +76,7 @@
 static gboolean
 has_failed (const FbJob *job)
 {
-  return job->state_n[FB_JT_DONE] > job->outcome_n[FB_OUTCOME_COMPLETED];
+  return job->state_n[FB_JOB_TASK_DONE] > job->outcome_n[FB_OUTCOME_COMPLETED];
 }
 
 static void
@@ -84,15 +85,15 @@
   for (guint i = 0; i < job->task_n; i++)
     {
       FbJobTask *task = &job->tasks[i];
-      if (task->state == FB_JT_WAITING)
-        fb_range_task_end (self, task,
+      if (task->state == FB_JOB_TASK_WAITING)
+        fb_range_end_task (self, task,
                            task->started_count > 0 ? FB_OUTCOME_UNKNOWN : FB_OUTCOME_NOT_RUN,
                            FB_REASON_CANCELLED, NULL, 0);
     }
 }
 
 void
-fb_gang_gather (FbRange *self, uint64_t now_ms, FbJob *job)
+fb_gang_reserve (FbRange *self, uint64_t now_ms, FbJob *job)
 {
   if (has_failed (job))
     {
@@ -112,10 +113,10 @@
     }
   for (guint i = 0; i < job->task_n; i++)
     {
-      if (job->tasks[i].state == FB_JT_WAITING)
+      if (job->tasks[i].state == FB_JOB_TASK_WAITING)
         fb_range_add_intent (self, &job->tasks[i]);
     }
-  job->gather_until_ms = now_ms + FB_RANGE_GATHER_MS;
+  job->gather_until_ms = now_ms + FB_RANGE_GANG_RESERVE_MS;
 }
 
 static void
@@ -125,7 +126,7 @@
   for (guint i = 0; i < job->task_n; i++)
     {
       FbJobTask *task = &job->tasks[i];
-      if (task->state != FB_JT_RESERVED)
+      if (task->state != FB_JOB_TASK_RESERVED)
         continue;
       fb_range_send_word (self, task, FB_MSG_COMMIT, FALSE);
       fb_range_set_timer (self, task, now_ms + FB_RANGE_QUERY_MS / 4);
@@ -142,17 +143,17 @@
       fb_gang_break (self, now_ms, job);
       return;
     }
-  if (job->state_n[FB_JT_WAITING] + job->state_n[FB_JT_INTENT] > 0)
+  if (job->state_n[FB_JOB_TASK_WAITING] + job->state_n[FB_JOB_TASK_INTENT] > 0)
     return;
   g_autoptr (GPtrArray) members = g_ptr_array_new ();
   for (guint i = 0; i < job->task_n; i++)
     {
-      if (job->tasks[i].state == FB_JT_PLACED)
+      if (job->tasks[i].state == FB_JOB_TASK_PLACED)
         g_ptr_array_add (members, &job->tasks[i]);
     }
   if (members->len == 0)
     {
-      if (job->state_n[FB_JT_RESERVED] > 0)
+      if (job->state_n[FB_JOB_TASK_RESERVED] > 0)
         commit (self, now_ms, job);
       return;
     }
@@ -165,7 +166,7 @@
         fb_range_send_place (self, now_ms, task);
     }
   /* One that could not be sent holds up the rest for ever. */
-  if (job->state_n[FB_JT_WAITING] > 0)
+  if (job->state_n[FB_JOB_TASK_WAITING] > 0)
     fb_gang_break (self, now_ms, job);
 }
 
@@ -176,13 +177,13 @@
   for (guint i = 0; i < job->task_n; i++)
     {
       FbJobTask *task = &job->tasks[i];
-      if (task->state == FB_JT_PLACED && !task->sent)
-        fb_range_task_again (self, now_ms, task, TRUE);
-      else if (task->state == FB_JT_PLACED || task->state == FB_JT_RESERVED
-               || task->state == FB_JT_RUNNING)
+      if (task->state == FB_JOB_TASK_PLACED && !task->sent)
+        fb_range_retry_task (self, now_ms, task, TRUE);
+      else if (task->state == FB_JOB_TASK_PLACED || task->state == FB_JOB_TASK_RESERVED
+               || task->state == FB_JOB_TASK_RUNNING)
         {
           /* Where it still waits the picture was too good: look elsewhere. */
-          if (task->state == FB_JT_PLACED)
+          if (task->state == FB_JOB_TASK_PLACED)
             task->avoid_rack = task->rack;
           fb_range_send_word (self, task, FB_MSG_WITHDRAW, TRUE);
           fb_range_set_timer (self, task, now_ms + FB_RANGE_QUERY_MS);
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -6,7 +6,7 @@
 static gboolean
 counts_for_spread (FbJobTaskState state)
 {
-  return state >= FB_JT_INTENT && state <= FB_JT_RUNNING;
+  return state >= FB_JOB_TASK_INTENT && state <= FB_JOB_TASK_RUNNING;
 }
 
 void
@@ -44,7 +44,7 @@
       task->rack = FB_NO_RACK;
       task->avoid_rack = FB_NO_RACK;
       task->outcome = FB_OUTCOME_PENDING;
-      job->state_n[FB_JT_WAITING]++;
+      job->state_n[FB_JOB_TASK_WAITING]++;
     }
 }
 
@@ -54,7 +54,7 @@
   FbJob *job = g_new0 (FbJob, 1);
   fb_job_copy (&job->spec, spec);
   job->arrived_ms = now_ms;
-  job->due_ms = fb_deadline_after (now_ms, spec->left_ms);
+  job->due_ms = fb_deadline_after (now_ms, spec->remaining_ms);
   job->written_ms = now_ms;
   job->outcome = FB_OUTCOME_PENDING;
   job->task_n = spec->count;
@@ -68,7 +68,7 @@
 
 FbJob *
 fb_job_new_recovered (uint64_t now_ms, const fb_rec_admit *admit, uint64_t age_ms,
-                      const FbRecordPlace *place)
+                      const FbRecordPosition *place)
 {
   FbJob *job = fb_job_new (now_ms, &admit->job);
   job->arrived_ms = now_ms - MIN (now_ms, age_ms);
@@ -76,8 +76,8 @@
   if (admit->doubt)
     fb_job_set_doubt (job, admit->doubt);
   /* Without a clock of the log the due time cannot be known: nothing starts. */
-  if (admit->job.left_ms != FB_NO_DEADLINE_MS)
-    job->due_ms = now_ms + fb_deadline_left (place->log_now_ms, admit->due_log_ms);
+  if (admit->job.remaining_ms != FB_NO_DEADLINE_MS)
+    job->due_ms = now_ms + fb_deadline_remaining (place->log_now_ms, admit->due_log_ms);
   return job;
 }
 
@@ -131,13 +131,13 @@
   for (guint i = 0; i < job->task_n; i++)
     {
       FbJobTask *task = &job->tasks[i];
-      if (i < count && task->state == FB_JT_DONE)
+      if (i < count && task->state == FB_JOB_TASK_DONE)
         {
           job->outcome_n[task->outcome]--;
           task->outcome = FB_OUTCOME_PENDING;
-          fb_job_set_state (job, task, FB_JT_WAITING);
+          fb_job_set_state (job, task, FB_JOB_TASK_WAITING);
         }
-      if (task->state != FB_JT_DONE)
+      if (task->state != FB_JOB_TASK_DONE)
         fb_range_set_timer (self, task, now_ms);
     }
 }
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -92,5 +92,5 @@
 fb_worker_takes_work (const FbWorker *worker)
 {
   return worker->state == FB_WORKER_OK && !worker->leaving
-         && worker->proven_incarnation == worker->incarnation;
+         && worker->confirmed_incarnation == worker->incarnation;
 }
--- a/src/core/member.c
+++ b/src/core/member.c
@@ -109,8 +109,8 @@
 }
 
 gboolean
-fb_members_heard (FbMembers *self, uint64_t now_ms, guint index, uint64_t incarnation,
-                  gboolean leaving)
+fb_members_note_heartbeat (FbMembers *self, uint64_t now_ms, guint index, uint64_t incarnation,
+                           gboolean leaving)
 {
   Member *member = at (self, index);
   gboolean fresh = incarnation != member->incarnation;
@@ -144,7 +144,7 @@
 }
 
 int
-fb_members_rightful (const FbMembers *self, uint32_t shard, uint32_t partner, guint without)
+fb_members_preferred_owner (const FbMembers *self, uint32_t shard, uint32_t partner, guint without)
 {
   int best = -1;
   uint64_t best_weight = 0;
--- a/src/core/node-config.c
+++ b/src/core/node-config.c
@@ -76,7 +76,7 @@
       if (self->shards[i].rack != NULL && !self->shards[i].lost)
         {
           fb_node_apply_policy (self, &self->shards[i]);
-          fb_node_tell_hosts (self, &self->shards[i]);
+          fb_node_apply_host_states (self, &self->shards[i]);
         }
     }
   self->sink->config_changed (self->user, revision->partner, revision->serial);
@@ -355,7 +355,8 @@
 {
   FbConfigState *state = &self->config[partner];
   const uint64_t age_max_ms = self->cell->retention_ms / 3;
-  int writer = fb_members_rightful (self->members, self->shard_n + partner, partner, G_MAXUINT);
+  int writer
+      = fb_members_preferred_owner (self->members, self->shard_n + partner, partner, G_MAXUINT);
   if (state->serial == 0 || age_max_ms == 0 || writer != (int) self->self_index
       || self->now_ms - state->written_ms < age_max_ms)
     return;
@@ -415,7 +416,7 @@
                      .kind = FB_KIND_SERVICE,
                      .count = service->count,
                      .demand = service->demand,
-                     .left_ms = FB_NO_DEADLINE_MS,
+                     .remaining_ms = FB_NO_DEADLINE_MS,
                      .key = service->name };
       fb_range_submit (shard->range, self->now_ms, &job, 0, "");
     }
--- a/src/core/node-front.c
+++ b/src/core/node-front.c
@@ -49,7 +49,7 @@
   fb_submit *submit = &body.fb_body_u.submit;
   submit->copy = caller->copies + 1;
   submit->job = caller->job;
-  submit->job.left_ms = fb_deadline_left (self->now_ms, caller->due_ms);
+  submit->job.remaining_ms = fb_deadline_remaining (self->now_ms, caller->due_ms);
   if (caller->job.flags & FB_FLAG_EPHEMERAL)
     {
       note_sent (self, caller, (int) self->self_index);
@@ -67,7 +67,7 @@
 send_word (FbNode *self, fb_msg_type type, uint32_t partner, uint64_t job)
 {
   fb_body body = { .type = type };
-  body.fb_body_u.ask = (fb_job_word){ job, partner };
+  body.fb_body_u.ask = (fb_job_command){ job, partner };
   return fb_node_send_to_owner (self, fb_cell_range_of_job (self->cell, partner, job), &body);
 }
 
@@ -84,7 +84,7 @@
       caller->since_ms = self->now_ms;
       caller->sent_to = -1;
       caller->until_admitted = TRUE;
-      caller->due_ms = fb_deadline_after (self->now_ms, job->left_ms);
+      caller->due_ms = fb_deadline_after (self->now_ms, job->remaining_ms);
       g_hash_table_insert (self->callers, &caller->job.id, caller);
     }
   caller->until_admitted = caller->until_admitted && until_admitted;
@@ -93,10 +93,10 @@
 }
 
 gboolean
-fb_node_ask (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job)
+fb_node_query_job (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job)
 {
   fb_node_enter (self, now_ms);
-  gboolean sent = send_word (self, FB_MSG_ASK, partner, job);
+  gboolean sent = send_word (self, FB_MSG_JOB_QUERY, partner, job);
   fb_node_leave (self);
   return sent;
 }
@@ -173,7 +173,7 @@
       else if (!(caller->job.flags & FB_FLAG_EPHEMERAL))
         {
           caller->resend_ms = self->now_ms + ASK_MS;
-          (void) send_word (self, FB_MSG_ASK, caller->job.partner, caller->job.id);
+          (void) send_word (self, FB_MSG_JOB_QUERY, caller->job.partner, caller->job.id);
         }
     }
 }
--- a/src/core/node-log.c
+++ b/src/core/node-log.c
@@ -131,7 +131,7 @@
   if (!shard->reading && offset == fb_stream_next (shard->stream))
     {
       /* Jobs of this owner are known with their true times already. */
-      FbRecordPlace place = { .offset = offset };
+      FbRecordPosition place = { .offset = offset };
       fb_node_shard_record (self, shard, entry->data, &place);
       return;
     }
@@ -175,9 +175,9 @@
 static void
 read_config (FbNode *self, const FbLogPage *page)
 {
-  if (page->first_kept > self->config_next)
+  if (page->first_retained > self->config_next)
     fb_node_config_gap (self);
-  self->config_next = MAX (self->config_next, page->first_kept);
+  self->config_next = MAX (self->config_next, page->first_retained);
   for (guint i = 0; i < page->record_n; i++)
     {
       const FbLogRecord *record = &page->records[i];
@@ -195,17 +195,17 @@
    * not see that another owned the shard meanwhile, and goes on without what that
    * one admitted.  Guard: an owner that has missed records gives up, and claims
    * anew like anyone else. */
-  if (page->first_kept > fb_stream_next (shard->stream) && fb_stream_next (shard->stream) > 0
+  if (page->first_retained > fb_stream_next (shard->stream) && fb_stream_next (shard->stream) > 0
       && fb_shard_is_mine (shard))
     {
       fb_node_step_down (self, shard);
       return;
     }
-  fb_stream_note_first (shard->stream, page->first_kept);
+  fb_stream_note_first_retained (shard->stream, page->first_retained);
   for (guint i = 0; i < page->record_n && !shard->lost; i++)
     {
       const FbLogRecord *record = &page->records[i];
-      FbRecordPlace place = { record->offset, record->age_ms, log_now_ms };
+      FbRecordPosition place = { record->offset, record->age_ms, log_now_ms };
       fb_node_shard_record (self, shard, record->data, &place);
     }
   if (shard->lost)
@@ -281,7 +281,7 @@
       if (shard->range != NULL)
         {
           renew->oldest = fb_range_oldest_offset (shard->range, fb_stream_next (shard->stream));
-          renew->unsure_ms = fb_range_unsure_ms (shard->range, self->now_ms);
+          renew->history_gap_ms = fb_range_history_gap_ms (shard->range, self->now_ms);
           renew->surveying = fb_range_is_surveying (shard->range);
         }
       fb_node_append (self, shard->id, shard->epoch, &body);
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -49,7 +49,7 @@
       fb_rack_add_worker (shard->rack, host->name, &facts->host_capacity);
     }
   fb_node_apply_policy (self, shard);
-  fb_node_tell_hosts (self, shard);
+  fb_node_apply_host_states (self, shard);
 }
 
 /* Every job that was needed at the last RENEW has its full record at or behind
@@ -60,7 +60,7 @@
   uint64_t first;
   if (!fb_stream_has_gap (shard->stream, &first))
     return FALSE;
-  return !shard->renew_read || shard->renew_oldest < fb_stream_anchor (shard->stream);
+  return !shard->renew_read || shard->renew_oldest < fb_stream_validated_from (shard->stream);
 }
 
 static void
@@ -81,7 +81,7 @@
       fb_range_set_log_ok (shard->range, self->log_ok);
       fb_range_activate (shard->range, self->now_ms, epoch);
       if (shard->renew_read)
-        fb_range_set_unsure (shard->range, self->now_ms, shard->renew_unsure_ms);
+        fb_range_set_history_gap (shard->range, self->now_ms, shard->renew_history_gap_ms);
       if (lost_records (shard) || (shard->renew_read && shard->renew_surveying))
         {
           fb_counter_add (FB_COUNTER_RETENTION_ALARMS, 1);
@@ -135,7 +135,7 @@
 /* ---- what peers say --------------------------------------------------- */
 
 void
-fb_node_note_claim (FbNode *self, guint member, const fb_claim_view *claim)
+fb_node_note_claim (FbNode *self, guint member, const fb_claim_notice *claim)
 {
   FbShard *shard = fb_node_shard (self, claim->shard);
   if (shard == NULL || claim->epoch < shard->known_epoch)
@@ -170,9 +170,9 @@
     }
   shard->stream = fb_stream_new (shard->id);
   become_owner (self, shard, handover->epoch + 1);
-  guint known = MIN (handover->lives.lives_len, fb_rack_worker_count (shard->rack));
+  guint known = MIN (handover->incarnations.incarnations_len, fb_rack_worker_count (shard->rack));
   for (guint i = 0; i < known; i++)
-    fb_rack_set_proven (shard->rack, i, handover->lives.lives_val[i]);
+    fb_rack_set_confirmed_incarnation (shard->rack, i, handover->incarnations.incarnations_val[i]);
 }
 
 /* ---- records of a shard's stream -------------------------------------- */
@@ -201,18 +201,18 @@
 }
 
 void
-fb_node_shard_record (FbNode *self, FbShard *shard, GBytes *data, const FbRecordPlace *place)
+fb_node_shard_record (FbNode *self, FbShard *shard, GBytes *data, const FbRecordPosition *place)
 {
   fb_record record;
   gsize len = 0;
   const void *bytes = g_bytes_get_data (data, &len);
-  FbStreamVerdict verdict = fb_stream_read (shard->stream, place->offset, bytes, len, &record);
+  FbStreamResult verdict = fb_stream_read (shard->stream, place->offset, bytes, len, &record);
   gboolean read = verdict == FB_STREAM_OK || verdict == FB_STREAM_CLAIMED;
   if (read && record.body.type == FB_REC_RENEW)
     {
       shard->renew_read = TRUE;
       shard->renew_oldest = record.body.fb_rec_body_u.renew.oldest;
-      shard->renew_unsure_ms = record.body.fb_rec_body_u.renew.unsure_ms;
+      shard->renew_history_gap_ms = record.body.fb_rec_body_u.renew.history_gap_ms;
       shard->renew_surveying = record.body.fb_rec_body_u.renew.surveying;
     }
   switch (verdict)
@@ -226,13 +226,14 @@
                            record.body.type == FB_REC_RENEW ? &record.body.fb_rec_body_u.renew.claim
                                                             : &record.body.fb_rec_body_u.claim);
       break;
-    case FB_STREAM_VOID:
+    case FB_STREAM_SUPERSEDED:
     case FB_STREAM_MALFORMED:
       fb_counter_add (FB_COUNTER_LOG_SKIPPED, 1);
       fb_event_log (FB_EVENT_LOG_RECORD_SKIPPED, "shard=%u offset=%" G_GUINT64_FORMAT " reason=%s",
-                    shard->id, place->offset, verdict == FB_STREAM_VOID ? "void" : "malformed");
+                    shard->id, place->offset,
+                    verdict == FB_STREAM_SUPERSEDED ? "void" : "malformed");
       return;
-    case FB_STREAM_DOUBLE:
+    case FB_STREAM_DUPLICATE:
     case FB_STREAM_OLD:
       return;
     }
@@ -322,10 +323,11 @@
   fb_handover *handover = &body.fb_body_u.handover;
   handover->shard = shard->id;
   handover->epoch = shard->handed_epoch;
-  if (shard->handed_lives != NULL)
+  if (shard->handed_incarnations != NULL)
     {
-      handover->lives.lives_len = shard->handed_lives->len;
-      handover->lives.lives_val = (u_quad_t *) (void *) shard->handed_lives->data;
+      handover->incarnations.incarnations_len = shard->handed_incarnations->len;
+      handover->incarnations.incarnations_val
+          = (u_quad_t *) (void *) shard->handed_incarnations->data;
     }
   fb_node_send (self, (guint) shard->handed_to, &body);
 }
@@ -333,14 +335,14 @@
 static void
 note_lives (FbShard *shard)
 {
-  g_clear_pointer (&shard->handed_lives, g_array_unref);
+  g_clear_pointer (&shard->handed_incarnations, g_array_unref);
   if (shard->rack == NULL)
     return;
-  shard->handed_lives = g_array_new (FALSE, FALSE, sizeof (uint64_t));
+  shard->handed_incarnations = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   for (guint i = 0; i < fb_rack_worker_count (shard->rack); i++)
     {
-      uint64_t life = fb_rack_worker_proven (shard->rack, i);
-      g_array_append_val (shard->handed_lives, life);
+      uint64_t incarnation = fb_rack_worker_confirmed_incarnation (shard->rack, i);
+      g_array_append_val (shard->handed_incarnations, incarnation);
     }
 }
 
@@ -413,8 +415,8 @@
       FbShard *shard = &self->shards[i];
       if (shard->lost)
         continue;
-      int rightful = fb_members_rightful (self->members, i, shard->partner,
-                                          self->draining ? self->self_index : G_MAXUINT);
+      int rightful = fb_members_preferred_owner (self->members, i, shard->partner,
+                                                 self->draining ? self->self_index : G_MAXUINT);
       if (fb_shard_is_mine (shard))
         tick_mine (self, shard, rightful);
       else if (shard->role == FB_SHARD_FOREIGN)
--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -52,10 +52,10 @@
 }
 
 static void
-rack_surveyed (gpointer user, FbRack *rack, const fb_surveyed *surveyed)
+rack_surveyed (gpointer user, FbRack *rack, const fb_survey_reply *surveyed)
 {
   (void) rack;
-  fb_body body = { .type = FB_MSG_SURVEYED };
+  fb_body body = { .type = FB_MSG_SURVEY_REPLY };
   body.fb_body_u.surveyed = *surveyed;
   (void) fb_node_send_to_owner (user, surveyed->range, &body);
 }
@@ -98,7 +98,7 @@
 }
 
 static gboolean
-range_choose (gpointer user, FbRange *range, const FbRouteAsk *ask, FbRouteChoice *choice)
+range_choose (gpointer user, FbRange *range, const FbRouteRequest *ask, FbRouteChoice *choice)
 {
   (void) range;
   FbNode *self = user;
@@ -164,7 +164,7 @@
   fb_report report = { .run = place->spec.run,
                        .range = place->spec.range,
                        .rack = place->rack,
-                       .news = FB_NEWS_REFUSED,
+                       .run_status = FB_RUN_STATUS_REFUSED,
                        .reason = FB_REASON_WRONG_EPOCH,
                        .worker = FB_NO_WORKER };
   send_to_range (self, &report);
@@ -195,7 +195,7 @@
 }
 
 static void
-rack_word (FbNode *self, fb_msg_type type, const fb_word *word)
+rack_word (FbNode *self, fb_msg_type type, const fb_run_command *word)
 {
   FbRack *rack = my_rack (self, word->rack);
   if (rack == NULL)
@@ -225,14 +225,14 @@
 static void
 job_word (FbNode *self, const char *from, const fb_body *body)
 {
-  const fb_job_word *word = &body->fb_body_u.ask;
+  const fb_job_command *word = &body->fb_body_u.ask;
   FbRange *range = range_of_job (self, word->partner, word->job);
   if (range == NULL)
     return;
   if (body->type == FB_MSG_CANCEL)
     fb_range_cancel (range, self->now_ms, word, from);
   else
-    fb_range_ask (range, self->now_ms, word, from);
+    fb_range_query_job (range, self->now_ms, word, from);
 }
 
 void
@@ -266,15 +266,15 @@
           fb_range_submit (range, self->now_ms, job, body->fb_body_u.submit.copy, from);
         break;
       }
-    case FB_MSG_SURVEYED:
+    case FB_MSG_SURVEY_REPLY:
       {
-        const fb_surveyed *surveyed = &body->fb_body_u.surveyed;
+        const fb_survey_reply *surveyed = &body->fb_body_u.surveyed;
         FbRange *range = my_range (self, surveyed->range);
         if (range != NULL)
           fb_range_surveyed (range, self->now_ms, surveyed);
         break;
       }
-    case FB_MSG_ASK:
+    case FB_MSG_JOB_QUERY:
     case FB_MSG_CANCEL:
       job_word (self, from, body);
       break;
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -96,7 +96,7 @@
   FbNode *self = user;
   (void) now_ms;
   g_autofree fb_summary *summaries = g_new0 (fb_summary, self->shard_n + 1);
-  g_autofree fb_claim_view *claims = g_new0 (fb_claim_view, self->shard_n + 1);
+  g_autofree fb_claim_notice *claims = g_new0 (fb_claim_notice, self->shard_n + 1);
   fb_body body = { .type = FB_MSG_HEARTBEAT };
   fb_heartbeat *beat = &body.fb_body_u.heartbeat;
   beat->clock_ms = self->now_ms;
@@ -112,7 +112,7 @@
       if (!fb_shard_is_mine (shard))
         continue;
       claims[beat->claims.claims_len++]
-          = (fb_claim_view){ shard->id, shard->epoch, name, self->incarnation };
+          = (fb_claim_notice){ shard->id, shard->epoch, name, self->incarnation };
       if (shard->rack == NULL)
         continue;
       fb_summary *summary = &summaries[beat->summaries.summaries_len++];
@@ -130,7 +130,8 @@
 note_heartbeat (FbNode *self, guint member, const fb_msg *msg)
 {
   const fb_heartbeat *beat = &msg->body.fb_body_u.heartbeat;
-  fb_members_heard (self->members, self->now_ms, member, msg->from_incarnation, beat->leaving != 0);
+  fb_members_note_heartbeat (self->members, self->now_ms, member, msg->from_incarnation,
+                             beat->leaving != 0);
   self->links[member].peer_clock_ms = beat->clock_ms;
   self->links[member].heartbeat_ms = self->now_ms;
   for (guint p = 0; p < FB_PARTNER_N; p++)
@@ -150,15 +151,15 @@
 static void
 take_off_transit (const FbNode *self, fb_msg *msg)
 {
-  uint64_t *left_ms = NULL;
+  uint64_t *remaining_ms = NULL;
   if (msg->body.type == FB_MSG_PLACE)
-    left_ms = &msg->body.fb_body_u.place.spec.left_ms;
+    remaining_ms = &msg->body.fb_body_u.place.spec.remaining_ms;
   else if (msg->body.type == FB_MSG_SUBMIT)
-    left_ms = &msg->body.fb_body_u.submit.job.left_ms;
-  if (left_ms == NULL || *left_ms == FB_NO_DEADLINE_MS)
+    remaining_ms = &msg->body.fb_body_u.submit.job.remaining_ms;
+  if (remaining_ms == NULL || *remaining_ms == FB_NO_DEADLINE_MS)
     return;
   uint64_t transit_ms = self->now_ms - MIN (self->now_ms, msg->echo_ms);
-  *left_ms -= MIN (*left_ms, transit_ms);
+  *remaining_ms -= MIN (*remaining_ms, transit_ms);
 }
 
 static void
@@ -244,7 +245,7 @@
   const void *data = g_bytes_get_data (bytes, &len);
   if (fb_codec_decode_record (data, len, &record))
     {
-      static const FbRecordPlace nowhere;
+      static const FbRecordPosition nowhere;
       fb_range_apply (self->local, self->now_ms, &record.body, &nowhere);
       fb_codec_clear_record (&record);
     }
@@ -402,13 +403,13 @@
 }
 
 void
-fb_node_hint (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker)
+fb_node_worker_changed (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker)
 {
   FbShard *shard = fb_node_shard (self, rack);
   if (shard == NULL || shard->rack == NULL || shard->lost)
     return;
   fb_node_enter (self, now_ms);
-  fb_rack_hint (shard->rack, worker);
+  fb_rack_worker_changed (shard->rack, worker);
   fb_node_leave (self);
 }
 
@@ -425,14 +426,15 @@
 }
 
 void
-fb_node_tell_hosts (FbNode *self, FbShard *shard)
+fb_node_apply_host_states (FbNode *self, FbShard *shard)
 {
   for (guint i = 0; i < fb_rack_worker_count (shard->rack); i++)
     tell_rack (self, shard->rack, i, self->hosts[shard->id][i]);
 }
 
 void
-fb_node_host (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker, FbHostState state)
+fb_node_set_host_state (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker,
+                        FbHostState state)
 {
   if (rack >= self->cell->racks->len || worker >= fb_cell_rack (self->cell, rack)->hosts->len)
     return;
@@ -465,7 +467,7 @@
       if (!shard->is_rack)
         continue;
       const FbCellRack *rack = fb_cell_rack (self->cell, i);
-      FbRackFacts facts = { rack->partner, rack->domain, rack->host_capacity, { { 0 } } };
+      FbRackInfo facts = { rack->partner, rack->domain, rack->host_capacity, { { 0 } } };
       for (guint h = 0; h < rack->hosts->len; h++)
         fb_res_add (&facts.total, &rack->host_capacity);
       fb_router_add_rack (self->router, &facts);
@@ -530,7 +532,7 @@
       g_clear_pointer (&self->shards[i].rack, fb_rack_free);
       g_clear_pointer (&self->shards[i].range, fb_range_free);
       g_clear_pointer (&self->shards[i].stream, fb_stream_free);
-      g_clear_pointer (&self->shards[i].handed_lives, g_array_unref);
+      g_clear_pointer (&self->shards[i].handed_incarnations, g_array_unref);
     }
   for (guint i = 0; i < self->cell->racks->len; i++)
     {
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -28,7 +28,7 @@
 }
 
 static int64_t
-left_over_milli (const FbPlaceView *view)
+left_over_milli (const FbPlaceCandidate *view)
 {
   uint64_t sum_milli = 0;
   for (guint i = 0; i < FB_RES_N; i++)
@@ -38,19 +38,19 @@
 }
 
 static int64_t
-first_fit_cost (const FbPlaceView *view)
+first_fit_cost (const FbPlaceCandidate *view)
 {
   return view->index;
 }
 
 static int64_t
-worst_fit_cost (const FbPlaceView *view)
+worst_fit_cost (const FbPlaceCandidate *view)
 {
   return FB_RES_N * 1000 - left_over_milli (view);
 }
 
 static int64_t
-dot_product_cost (const FbPlaceView *view)
+dot_product_cost (const FbPlaceCandidate *view)
 {
   uint64_t dot = 0;
   for (guint i = 0; i < FB_RES_N; i++)
@@ -60,7 +60,7 @@
 }
 
 static gboolean
-strands_accelerators (const FbPlaceView *view)
+strands_accelerators (const FbPlaceCandidate *view)
 {
   uint64_t accel_free = view->free->amount[FB_RES_ACCEL_COUNT];
   uint64_t accel_total = view->capacity->amount[FB_RES_ACCEL_COUNT];
@@ -79,7 +79,7 @@
 }
 
 static int64_t
-accel_guard_cost (const FbPlaceView *view)
+accel_guard_cost (const FbPlaceCandidate *view)
 {
   return strands_accelerators (view) ? -1 : left_over_milli (view);
 }
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -28,7 +28,7 @@
 may_stop (const FbRack *self, const FbTask *victim, const FbTask *for_task)
 {
   if (victim->state != FB_TASK_RUNNING || !(victim->spec.flags & FB_FLAG_PREEMPTIBLE)
-      || (victim->spec.flags & FB_FLAG_ONCE))
+      || (victim->spec.flags & FB_FLAG_AT_MOST_ONCE))
     return FALSE;
   if (victim->spec.partner != for_task->spec.partner)
     return for_task->spec.partner == self->home;
@@ -120,7 +120,7 @@
   for (guint i = 0; i < self->workers->len; i++)
     {
       const FbWorker *w = fb_rack_worker (self, i);
-      if (!fb_worker_takes_work (w) || !fb_quality_allows (self, now_ms, w, task)
+      if (!fb_worker_takes_work (w) || !fb_worker_health_allows (self, now_ms, w, task)
           || !fb_res_fits (&task->spec.demand, &w->capacity))
         continue;
       uint64_t loss_ms = 0;
@@ -150,7 +150,7 @@
 static gboolean
 has_right (const FbRack *self, uint32_t partner, FbKind kind)
 {
-  if (kind == FB_KIND_URGENT || fb_lanes_accel_count (self->lanes) > 0)
+  if (kind == FB_KIND_URGENT || fb_task_queues_accel_count (self->lanes) > 0)
     return TRUE;
   return partner == self->home && !fb_res_is_zero (&self->partner_used[1 - self->home]);
 }
@@ -164,10 +164,10 @@
   for (guint i = 0; i < self->workers->len; i++)
     spaces[i] = space_to_come (fb_rack_worker (self, i));
   guint seen = 0;
-  const GPtrArray *lanes = fb_lanes_of (self->lanes, partner, kind);
+  const GPtrArray *lanes = fb_task_queues_of (self->lanes, partner, kind);
   for (guint l = 0; l < lanes->len && seen < WAITING_SEEN_MAX; l++)
     {
-      FbLane *lane = g_ptr_array_index (lanes, l);
+      FbTaskQueue *lane = g_ptr_array_index (lanes, l);
       GSequenceIter *iter = g_sequence_get_begin_iter (lane->tasks);
       while (!g_sequence_iter_is_end (iter) && seen++ < WAITING_SEEN_MAX)
         {
--- a/src/core/rack-words.c
+++ b/src/core/rack-commands.c
@@ -70,10 +70,12 @@
     return FB_REASON_NOT_LENT;
   /* A guest's work may cross with the room it saw, but not stand in line. */
   if (guest
-      && fb_lanes_count_of (self->lanes, spec->partner, (FbKind) spec->kind) >= GUEST_LINE_MAX)
+      && fb_task_queues_count_of (self->lanes, spec->partner, (FbKind) spec->kind)
+             >= GUEST_LINE_MAX)
     return FB_REASON_QUEUE_FULL;
   /* Bounded for each partner and kind, so that a flood fills only its own. */
-  if (fb_lanes_count_of (self->lanes, spec->partner, (FbKind) spec->kind) >= self->policy.queue_max)
+  if (fb_task_queues_count_of (self->lanes, spec->partner, (FbKind) spec->kind)
+      >= self->policy.queue_max)
     return FB_REASON_QUEUE_FULL;
   return FB_REASON_NONE;
 }
@@ -93,7 +95,7 @@
       fb_event_log (
           FB_EVENT_REFUSED, "job=%016" G_GINT64_MODIFIER "x task=%u attempt=%u rack=%s reason=%s",
           spec->run.job, spec->run.index, spec->run.attempt, self->name, fb_reason_name (refusal));
-      fb_rack_report (self, spec, FB_NO_WORKER, FB_NEWS_REFUSED, refusal, NULL);
+      fb_rack_report (self, spec, FB_NO_WORKER, FB_RUN_STATUS_REFUSED, refusal, NULL);
       return;
     }
   FbTask *task = fb_task_new (now_ms, spec);
@@ -102,7 +104,7 @@
 }
 
 void
-fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_word *word)
+fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_run_command *word)
 {
   if (!range_is_current (self, word->range, word->range_epoch))
     return;
@@ -114,28 +116,29 @@
     }
   if (task->state == FB_TASK_ENDED)
     {
-      fb_rack_send_news (self, task, task->news, task->reason);
+      fb_rack_send_run_status (self, task, task->run_status, task->reason);
       return;
     }
   if (fb_task_never_sent (task))
-    fb_rack_end_task (self, now_ms, task, FB_NEWS_NOT_RUN, FB_REASON_WITHDRAWN, NULL, 0);
+    fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN, FB_REASON_WITHDRAWN, NULL, 0);
   else if (word->force && task->state != FB_TASK_STOPPING)
     fb_rack_stop_task (self, task, FB_REASON_CANCELLED);
   else
-    fb_rack_send_news (self, task, FB_NEWS_STARTED, FB_REASON_NONE);
+    fb_rack_send_run_status (self, task, FB_RUN_STATUS_STARTED, FB_REASON_NONE);
 }
 
 void
-fb_rack_query (FbRack *self, uint64_t now_ms, const fb_word *word)
+fb_rack_query (FbRack *self, uint64_t now_ms, const fb_run_command *word)
 {
   if (!range_is_current (self, word->range, word->range_epoch))
     return;
   FbTask *task = fb_rack_find (self, &word->run);
   if (task == NULL)
     {
-      FbNews news = fb_rack_is_complete (self) ? FB_NEWS_NOT_HERE : FB_NEWS_UNSURE;
+      FbRunStatus run_status
+          = fb_rack_is_complete (self) ? FB_RUN_STATUS_NOT_FOUND : FB_RUN_STATUS_UNDETERMINED;
       fb_spec asked = { .run = word->run, .range = word->range };
-      fb_rack_report (self, &asked, FB_NO_WORKER, news, FB_REASON_NONE, NULL);
+      fb_rack_report (self, &asked, FB_NO_WORKER, run_status, FB_REASON_NONE, NULL);
       return;
     }
   switch (task->state)
@@ -146,26 +149,26 @@
                     "x task=%u attempt=%u rack=%s waited_ms=%" G_GUINT64_FORMAT,
                     task->spec.run.job, task->spec.run.index, task->spec.run.attempt, self->name,
                     now_ms - task->arrived_ms);
-      fb_rack_send_news (self, task, FB_NEWS_QUEUED, FB_REASON_NONE);
+      fb_rack_send_run_status (self, task, FB_RUN_STATUS_QUEUED, FB_REASON_NONE);
       break;
     case FB_TASK_RESERVED:
       /* The range still gathers: asking keeps the reservation. */
       task->reserved_until_ms = now_ms + FB_RACK_RESERVE_MS;
-      fb_rack_send_news (self, task, FB_NEWS_RESERVED, FB_REASON_NONE);
+      fb_rack_send_run_status (self, task, FB_RUN_STATUS_RESERVED, FB_REASON_NONE);
       break;
     case FB_TASK_STARTING:
     case FB_TASK_RUNNING:
     case FB_TASK_STOPPING:
-      fb_rack_send_news (self, task, FB_NEWS_STARTED, FB_REASON_NONE);
+      fb_rack_send_run_status (self, task, FB_RUN_STATUS_STARTED, FB_REASON_NONE);
       break;
     case FB_TASK_ENDED:
-      fb_rack_send_news (self, task, task->news, task->reason);
+      fb_rack_send_run_status (self, task, task->run_status, task->reason);
       break;
     }
 }
 
 void
-fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_word *word)
+fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_run_command *word)
 {
   if (!range_is_current (self, word->range, word->range_epoch))
     return;
@@ -180,7 +183,7 @@
 }
 
 void
-fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_word *word)
+fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_run_command *word)
 {
   (void) now_ms;
   if (!range_is_current (self, word->range, word->range_epoch))
@@ -199,7 +202,7 @@
 }
 
 void
-fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_word *word)
+fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_run_command *word)
 {
   (void) now_ms;
   if (!range_is_current (self, word->range, word->range_epoch) || !fb_rack_is_complete (self))
@@ -215,7 +218,7 @@
       if (task->spec.range == word->range && !done)
         g_array_append_val (runs, task->spec.run);
     }
-  fb_surveyed surveyed = { .rack = self->id, .range = word->range };
+  fb_survey_reply surveyed = { .rack = self->id, .range = word->range };
   surveyed.runs.runs_len = runs->len;
   surveyed.runs.runs_val = (fb_run *) (void *) runs->data;
   self->sink->surveyed (self->user, self, &surveyed);
--- a/src/core/rack-query.c
+++ b/src/core/rack-query.c
@@ -6,8 +6,8 @@
 fb_rack_summary (const FbRack *self, fb_summary *summary)
 {
   *summary = (fb_summary){ .rack = self->id, .epoch = self->epoch };
-  for (guint i = 0; i < FB_WAITING_N; i++)
-    summary->waiting[i] = fb_lanes_waiting (self->lanes, self->home, (FbWaiting) i);
+  for (guint i = 0; i < FB_WAIT_CLASS_N; i++)
+    summary->waiting[i] = fb_task_queues_waiting (self->lanes, self->home, (FbWaitClass) i);
   summary->complete = fb_rack_is_complete (self);
   if (self->draining)
     return;
@@ -44,7 +44,7 @@
 guint
 fb_rack_queue_count (const FbRack *self)
 {
-  return fb_lanes_count (self->lanes);
+  return fb_task_queues_count (self->lanes);
 }
 
 guint
@@ -75,9 +75,9 @@
 }
 
 uint64_t
-fb_rack_worker_proven (const FbRack *self, guint worker)
+fb_rack_worker_confirmed_incarnation (const FbRack *self, guint worker)
 {
-  return fb_rack_worker (self, worker)->proven_incarnation;
+  return fb_rack_worker (self, worker)->confirmed_incarnation;
 }
 
 const char *
@@ -122,8 +122,8 @@
       return g_strdup_printf ("waits at rack %s for %" G_GUINT64_FORMAT " ms: %s", self->name,
                               waited_ms, waiting_reason (self, task));
     case FB_TASK_ENDED:
-      return g_strdup_printf ("ended at rack %s: %s (%s)", self->name, fb_news_name (task->news),
-                              fb_reason_name (task->reason));
+      return g_strdup_printf ("ended at rack %s: %s (%s)", self->name,
+                              fb_run_status_name (task->run_status), fb_reason_name (task->reason));
     default:
       return g_strdup_printf ("%s on worker %s of rack %s",
                               task->state == FB_TASK_RESERVED   ? "reserved"
--- a/src/core/rack-sync.c
+++ b/src/core/rack-sync.c
@@ -19,10 +19,10 @@
   uint64_t clock_now_ms = w->clock_ms + (now_ms - w->heard_ms);
   /* A run that began after the lease would begin after it was declared lost. */
   uint64_t limit_ms = MIN (clock_now_ms + FB_RACK_START_MS, w->clock_ms + FB_RACK_LEASE_MS);
-  uint64_t left_ms = fb_deadline_left (now_ms, task->due_ms);
-  if (left_ms == FB_NO_DEADLINE_MS)
+  uint64_t remaining_ms = fb_deadline_remaining (now_ms, task->due_ms);
+  if (remaining_ms == FB_NO_DEADLINE_MS)
     return limit_ms;
-  uint64_t due_on_worker_ms = fb_deadline_after (clock_now_ms, left_ms);
+  uint64_t due_on_worker_ms = fb_deadline_after (clock_now_ms, remaining_ms);
   return MIN (limit_ms, due_on_worker_ms);
 }
 
@@ -146,7 +146,7 @@
     {
       task->state = FB_TASK_RUNNING;
       task->started_ms = now_ms;
-      fb_rack_send_news (self, task, FB_NEWS_STARTED, FB_REASON_NONE);
+      fb_rack_send_run_status (self, task, FB_RUN_STATUS_STARTED, FB_REASON_NONE);
     }
   if (task->state != FB_TASK_RUNNING && task->state != FB_TASK_STOPPING)
     return;
@@ -157,11 +157,11 @@
 }
 
 static FbReason
-end_reason (const FbTask *task, FbNews news)
+end_reason (const FbTask *task, FbRunStatus run_status)
 {
-  if (news == FB_NEWS_STOPPED)
+  if (run_status == FB_RUN_STATUS_STOPPED)
     return task->stop_reason;
-  return news == FB_NEWS_LOST ? FB_REASON_WORKER_LOST : FB_REASON_NONE;
+  return run_status == FB_RUN_STATUS_LOST ? FB_REASON_WORKER_LOST : FB_REASON_NONE;
 }
 
 static void
@@ -176,9 +176,9 @@
     }
   if (task->state == FB_TASK_ENDED)
     return;
-  fb_quality_note_end (self, now_ms, index, task, run->news);
-  fb_rack_end_task (self, now_ms, task, run->news, end_reason (task, run->news), run->answer,
-                    run->answer_len);
+  fb_worker_health_note_end (self, now_ms, index, task, run->run_status);
+  fb_rack_end_task (self, now_ms, task, run->run_status, end_reason (task, run->run_status),
+                    run->answer, run->answer_len);
 }
 
 /* Failure: an exchange is given up and the next one repeats the start; the
@@ -193,7 +193,7 @@
     return;
   FbTask *task = fb_rack_find (self, &run->spec.run);
   if (task != NULL && (task->state == FB_TASK_STARTING || task->state == FB_TASK_STOPPING))
-    fb_rack_end_task (self, now_ms, task, FB_NEWS_NOT_RUN,
+    fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN,
                       task->due_ms <= now_ms ? FB_REASON_PAST_DUE : FB_REASON_WORKER_REFUSED, NULL,
                       0);
 }
@@ -227,11 +227,11 @@
       if (task->sent_seq == 0 || !handled || reply_lists (reply, &task->spec.run))
         continue;
       if (restarted || task->state == FB_TASK_RUNNING || task->started_ms > 0)
-        fb_rack_end_task (self, now_ms, task, FB_NEWS_LOST, FB_REASON_WORKER_LOST, NULL, 0);
+        fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_LOST, FB_REASON_WORKER_LOST, NULL, 0);
       else if (task->state == FB_TASK_STOPPING)
-        fb_rack_end_task (self, now_ms, task, FB_NEWS_NOT_RUN, FB_REASON_WITHDRAWN, NULL, 0);
+        fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN, FB_REASON_WITHDRAWN, NULL, 0);
       else if (task->state == FB_TASK_STARTING && w->leaving && task->last_sent_seq <= reply->seq)
-        fb_rack_end_task (self, now_ms, task, FB_NEWS_NOT_RUN, FB_REASON_LEAVING, NULL, 0);
+        fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN, FB_REASON_LEAVING, NULL, 0);
     }
 }
 
@@ -270,7 +270,7 @@
                   reply->run_n);
   w->state = FB_WORKER_OK;
   if (other_life)
-    w->life_heard_ms = now_ms;
+    w->incarnation_heard_ms = now_ms;
   w->gone_ms = 0;
   w->heard_seq = reply->seq;
   w->heard_ms = now_ms;
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -32,8 +32,8 @@
   task->worker = FB_NO_WORKER;
   task->last_worker = FB_NO_WORKER;
   task->arrived_ms = now_ms - MIN (now_ms, spec->waited_ms);
-  task->due_ms = fb_deadline_after (now_ms, spec->left_ms);
-  task->rank_ms = fb_lane_rank ((FbKind) spec->kind, task->arrived_ms, task->due_ms);
+  task->due_ms = fb_deadline_after (now_ms, spec->remaining_ms);
+  task->rank_ms = fb_task_queue_rank ((FbKind) spec->kind, task->arrived_ms, task->due_ms);
   return task;
 }
 
@@ -51,7 +51,7 @@
   self->policy = (FbRackPolicy){ 1000, &fb_place_accel_guard, FB_RACK_QUEUE_MAX, NULL };
   self->workers = g_ptr_array_new_with_free_func (worker_free);
   self->tasks = g_hash_table_new_full (fb_run_hash, fb_run_equal, NULL, task_free);
-  self->lanes = fb_lanes_new ();
+  self->lanes = fb_task_queues_new ();
   self->by_due = g_sequence_new (NULL);
   self->team_used = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   self->range_epochs = g_hash_table_new_full (NULL, NULL, NULL, g_free);
@@ -65,7 +65,7 @@
 {
   g_queue_clear (&self->ended);
   g_sequence_free (self->by_due);
-  fb_lanes_free (self->lanes);
+  fb_task_queues_free (self->lanes);
   g_hash_table_destroy (self->tasks);
   g_hash_table_destroy (self->team_used);
   g_hash_table_destroy (self->range_epochs);
@@ -126,8 +126,8 @@
 }
 
 void
-fb_rack_report (FbRack *self, const fb_spec *spec, guint worker, FbNews news, FbReason reason,
-                GBytes *answer)
+fb_rack_report (FbRack *self, const fb_spec *spec, guint worker, FbRunStatus run_status,
+                FbReason reason, GBytes *answer)
 {
   gsize len = 0;
   const char *data = answer != NULL ? g_bytes_get_data (answer, &len) : NULL;
@@ -135,7 +135,7 @@
                        .range = spec->range,
                        .rack = self->id,
                        .rack_epoch = self->epoch,
-                       .news = news,
+                       .run_status = run_status,
                        .reason = reason,
                        .worker = worker,
                        .answer = { (u_int) len, (char *) data } };
@@ -143,9 +143,9 @@
 }
 
 void
-fb_rack_send_news (FbRack *self, const FbTask *task, FbNews news, FbReason reason)
+fb_rack_send_run_status (FbRack *self, const FbTask *task, FbRunStatus run_status, FbReason reason)
 {
-  fb_rack_report (self, &task->spec, task->worker, news, reason, task->answer);
+  fb_rack_report (self, &task->spec, task->worker, run_status, reason, task->answer);
 }
 
 static int
@@ -161,7 +161,7 @@
 fb_rack_enqueue (FbRack *self, FbTask *task)
 {
   task->state = FB_TASK_QUEUED;
-  fb_lanes_insert (self->lanes, task);
+  fb_task_queues_insert (self->lanes, task);
   if (task->due_ms != FB_NO_DEADLINE_MS)
     task->due_pos = g_sequence_insert_sorted (self->by_due, task, compare_due, NULL);
   self->wants_schedule = TRUE;
@@ -171,7 +171,7 @@
 fb_rack_dequeue (FbRack *self, FbTask *task)
 {
   if (task->lane_pos != NULL)
-    fb_lanes_remove (self->lanes, task);
+    fb_task_queues_remove (self->lanes, task);
   if (task->due_pos != NULL)
     g_sequence_remove (task->due_pos);
   task->due_pos = NULL;
@@ -180,8 +180,8 @@
 }
 
 void
-fb_rack_end_task (FbRack *self, uint64_t now_ms, FbTask *task, FbNews news, FbReason reason,
-                  const char *answer, uint32_t answer_len)
+fb_rack_end_task (FbRack *self, uint64_t now_ms, FbTask *task, FbRunStatus run_status,
+                  FbReason reason, const char *answer, uint32_t answer_len)
 {
   guint worker = task->worker;
   if (task->state != FB_TASK_ENDED)
@@ -189,17 +189,17 @@
   fb_rack_dequeue (self, task);
   fb_ledger_release (self, task);
   task->state = FB_TASK_ENDED;
-  task->news = news;
+  task->run_status = run_status;
   task->reason = reason;
   task->report_at_ms = now_ms + FB_RACK_REPORT_PERIOD_MS;
   g_clear_pointer (&task->answer, g_bytes_unref);
   if (answer_len > 0)
     task->answer = g_bytes_new (answer, answer_len);
-  fb_rack_report (self, &task->spec, worker, news, reason, task->answer);
+  fb_rack_report (self, &task->spec, worker, run_status, reason, task->answer);
   fb_event_log (FB_EVENT_RUN_ENDED,
                 "job=%016" G_GINT64_MODIFIER "x task=%u attempt=%u rack=%s news=%s reason=%s",
                 task->spec.run.job, task->spec.run.index, task->spec.run.attempt, self->name,
-                fb_news_name (news), fb_reason_name (reason));
+                fb_run_status_name (run_status), fb_reason_name (reason));
 }
 
 void
@@ -249,7 +249,7 @@
       FbTask *task = g_sequence_get (first);
       if (task->due_ms > now_ms)
         return;
-      fb_rack_end_task (self, now_ms, task, FB_NEWS_NOT_RUN, FB_REASON_PAST_DUE, NULL, 0);
+      fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN, FB_REASON_PAST_DUE, NULL, 0);
     }
 }
 
@@ -264,10 +264,11 @@
           FbTask *task = g_ptr_array_index (w->tasks, t - 1);
           gboolean late = task->due_ms <= now_ms;
           if (task->state == FB_TASK_RESERVED && (late || task->reserved_until_ms <= now_ms))
-            fb_rack_end_task (self, now_ms, task, FB_NEWS_NOT_RUN,
+            fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN,
                               late ? FB_REASON_PAST_DUE : FB_REASON_EXPIRED, NULL, 0);
           else if (task->state == FB_TASK_STARTING && task->sent_seq == 0 && late)
-            fb_rack_end_task (self, now_ms, task, FB_NEWS_NOT_RUN, FB_REASON_PAST_DUE, NULL, 0);
+            fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN, FB_REASON_PAST_DUE, NULL,
+                              0);
         }
     }
 }
@@ -281,7 +282,7 @@
       if (task->acked || task->report_at_ms > now_ms)
         continue;
       task->report_at_ms = now_ms + FB_RACK_REPORT_PERIOD_MS;
-      fb_rack_send_news (self, task, task->news, task->reason);
+      fb_rack_send_run_status (self, task, task->run_status, task->reason);
     }
 }
 
@@ -299,14 +300,14 @@
         g_ptr_array_add (waiting, value);
     }
   for (guint i = 0; i < waiting->len; i++)
-    fb_rack_end_task (self, now_ms, g_ptr_array_index (waiting, i), FB_NEWS_NOT_RUN,
+    fb_rack_end_task (self, now_ms, g_ptr_array_index (waiting, i), FB_RUN_STATUS_NOT_RUN,
                       FB_REASON_LEAVING, NULL, 0);
 }
 
 static void
 watch_leases (FbRack *self, uint64_t now_ms)
 {
-  const uint64_t lapse_ms = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_DRIFT_PERCENT / 100;
+  const uint64_t lapse_ms = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
   gboolean ask = FALSE;
   for (guint i = 0; i < self->workers->len; i++)
     {
@@ -318,7 +319,7 @@
         }
       if (w->state == FB_WORKER_UNKNOWN && w->gone_ms > 0 && now_ms - w->gone_ms >= lapse_ms)
         w->state = FB_WORKER_GONE;
-      gboolean unproven = w->state == FB_WORKER_OK && w->proven_incarnation != w->incarnation;
+      gboolean unproven = w->state == FB_WORKER_OK && w->confirmed_incarnation != w->incarnation;
       ask = ask || unproven || w->state == FB_WORKER_SILENT;
     }
   if (ask && now_ms - self->confirm_asked_ms >= FB_RACK_REPORT_PERIOD_MS)
@@ -339,16 +340,16 @@
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state == FB_WORKER_OK && w->life_heard_ms <= asked_ms)
-        w->proven_incarnation = w->incarnation;
+      if (w->state == FB_WORKER_OK && w->incarnation_heard_ms <= asked_ms)
+        w->confirmed_incarnation = w->incarnation;
     }
   self->wants_schedule = TRUE;
 }
 
 void
-fb_rack_set_proven (FbRack *self, guint worker, uint64_t incarnation)
+fb_rack_set_confirmed_incarnation (FbRack *self, guint worker, uint64_t incarnation)
 {
-  fb_rack_worker (self, worker)->proven_incarnation = incarnation;
+  fb_rack_worker (self, worker)->confirmed_incarnation = incarnation;
 }
 
 /* Failure: this owner is cut off from the log and its workers, a successor has
@@ -359,7 +360,7 @@
 void
 fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t asked_ms)
 {
-  const uint64_t lapse_ms = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_DRIFT_PERCENT / 100;
+  const uint64_t lapse_ms = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
   prove_lives (self, asked_ms);
   for (guint i = 0; i < self->workers->len; i++)
     {
@@ -372,8 +373,8 @@
           FbTask *task = g_ptr_array_index (w->tasks, w->tasks->len - 1);
           if (fb_task_never_sent (task))
             {
-              fb_rack_end_task (self, now_ms, task, FB_NEWS_NOT_RUN, FB_REASON_WORKER_LOST, NULL,
-                                0);
+              fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN, FB_REASON_WORKER_LOST,
+                                NULL, 0);
               continue;
             }
           fb_counter_add (FB_COUNTER_LOST_RUNS, 1);
@@ -381,13 +382,13 @@
                         "job=%016" G_GINT64_MODIFIER "x task=%u attempt=%u rack=%s worker=%s",
                         task->spec.run.job, task->spec.run.index, task->spec.run.attempt,
                         self->name, w->name);
-          fb_rack_end_task (self, now_ms, task, FB_NEWS_LOST, FB_REASON_WORKER_LOST, NULL, 0);
+          fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_LOST, FB_REASON_WORKER_LOST, NULL, 0);
         }
     }
 }
 
 void
-fb_rack_hint (FbRack *self, guint worker)
+fb_rack_worker_changed (FbRack *self, guint worker)
 {
   fb_rack_mark_dirty (self, worker);
 }
@@ -409,7 +410,7 @@
     {
       FbTask *task = g_ptr_array_index (w->tasks, i - 1);
       if (fb_task_never_sent (task))
-        fb_rack_end_task (self, now_ms, task, FB_NEWS_NOT_RUN, FB_REASON_LEAVING, NULL, 0);
+        fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN, FB_REASON_LEAVING, NULL, 0);
       else if (task->state == FB_TASK_RUNNING && (task->spec.flags & FB_FLAG_PREEMPTIBLE))
         fb_rack_stop_task (self, task, FB_REASON_LEAVING);
     }
@@ -429,9 +430,9 @@
   end_past_due (self, now_ms);
   end_expired_reservations (self, now_ms);
   watch_leases (self, now_ms);
-  fb_quality_tick (self, now_ms);
+  fb_worker_health_tick (self, now_ms);
   resend_reports (self, now_ms);
-  if (fb_lanes_count (self->lanes) > 0)
+  if (fb_task_queues_count (self->lanes) > 0)
     self->wants_schedule = TRUE;
 }
 
