--- a/src/core/range-apply.c
+++ b/src/core/range-apply.c
@@ -8,7 +8,7 @@
 #include "fb-event.h"
 
 static void
-note_written (FbJob *job, uint64_t now_ms, const FbRecordPlace *place)
+note_written (FbJob *job, uint64_t now_ms, const FbRecordPosition *place)
 {
   job->written_ms = now_ms - MIN (now_ms, place->age_ms);
   job->written_offset = place->offset;
@@ -17,7 +17,7 @@
 
 static void
 apply_admit (FbRange *self, uint64_t now_ms, const fb_rec_admit *admit, uint64_t age_ms,
-             const FbRecordPlace *place)
+             const FbRecordPosition *place)
 {
   const fb_job *spec = &admit->job;
   FbJob *job = fb_range_find (self, spec->id);
@@ -64,15 +64,16 @@
 apply_intent_task (FbRange *self, uint64_t now_ms, FbJob *job, const fb_rec_task *record)
 {
   FbJobTask *task = task_of (job, record);
-  if (task == NULL || task->state == FB_JT_DONE || task->state == FB_JT_ENDING)
+  if (task == NULL || task->state == FB_JOB_TASK_DONE || task->state == FB_JOB_TASK_ENDING)
     return;
-  gboolean mine = self->active && task->state == FB_JT_INTENT && task->attempt == record->attempt;
+  gboolean mine
+      = self->active && task->state == FB_JOB_TASK_INTENT && task->attempt == record->attempt;
   task->attempt = record->attempt;
   task->preempt_count = record->preempt_count;
   task->started_count = record->started_count;
   if (mine && fb_job_is_gang (job))
     {
-      fb_job_set_state (job, task, FB_JT_PLACED);
+      fb_job_set_state (job, task, FB_JOB_TASK_PLACED);
       return;
     }
   if (mine)
@@ -80,15 +81,15 @@
       fb_range_send_place (self, now_ms, task);
       return;
     }
-  if (task->state != FB_JT_WAITING)
-    fb_job_set_state (job, task, FB_JT_WAITING);
+  if (task->state != FB_JOB_TASK_WAITING)
+    fb_job_set_state (job, task, FB_JOB_TASK_WAITING);
   task->rack = record->rack;
   task->rack_epoch = record->rack_epoch;
   task->placed_ms = now_ms;
   task->sent = TRUE;
   task->recovered = TRUE;
-  job->gather_until_ms = now_ms + FB_RANGE_GATHER_MS;
-  fb_job_set_state (job, task, FB_JT_PLACED);
+  job->gather_until_ms = now_ms + FB_RANGE_GANG_RESERVE_MS;
+  fb_job_set_state (job, task, FB_JOB_TASK_PLACED);
   fb_range_set_timer (self, task, now_ms);
 }
 
@@ -108,7 +109,7 @@
 static gboolean
 may_replace (const FbJobTask *task, FbOutcome outcome)
 {
-  if (task->state != FB_JT_DONE)
+  if (task->state != FB_JOB_TASK_DONE)
     return TRUE;
   return task->outcome == FB_OUTCOME_UNKNOWN && outcome != FB_OUTCOME_UNKNOWN;
 }
@@ -120,10 +121,10 @@
   if (task == NULL || record->outcome >= FB_OUTCOME_PENDING
       || !may_replace (task, (FbOutcome) record->outcome))
     return;
-  if (task->state == FB_JT_DONE)
+  if (task->state == FB_JOB_TASK_DONE)
     job->outcome_n[task->outcome]--;
   fb_range_clear_timer (self, task);
-  fb_job_set_state (job, task, FB_JT_DONE);
+  fb_job_set_state (job, task, FB_JOB_TASK_DONE);
   task->attempt = record->attempt;
   task->rack = record->rack;
   task->rack_epoch = record->rack_epoch;
@@ -185,7 +186,8 @@
 
 /* A rewritten state counts only for a reader that does not know the job. */
 static void
-apply_state (FbRange *self, uint64_t now_ms, const fb_rec_state *state, const FbRecordPlace *place)
+apply_state (FbRange *self, uint64_t now_ms, const fb_rec_state *state,
+             const FbRecordPosition *place)
 {
   FbJob *job = fb_range_find (self, state->admit.job.id);
   if (job != NULL && job->admitted)
@@ -223,7 +225,8 @@
 }
 
 void
-fb_range_apply (FbRange *self, uint64_t now_ms, const fb_rec_body *body, const FbRecordPlace *place)
+fb_range_apply (FbRange *self, uint64_t now_ms, const fb_rec_body *body,
+                const FbRecordPosition *place)
 {
   switch (body->type)
     {
@@ -254,10 +257,10 @@
 {
   /* An end on its way to the log counts already: its own record stands before
    * this one, where a reader may have to skip it. */
-  gboolean ending = task->state == FB_JT_ENDING;
+  gboolean ending = task->state == FB_JOB_TASK_ENDING;
   return (fb_rec_task){ .index = task->index,
                         .attempt = task->attempt,
-                        .rack = task->state == FB_JT_WAITING ? FB_NO_RACK : task->rack,
+                        .rack = task->state == FB_JOB_TASK_WAITING ? FB_NO_RACK : task->rack,
                         .rack_epoch = task->rack_epoch,
                         .outcome = ending ? task->ending : task->outcome,
                         .reason = ending ? task->ending_reason : task->reason,
@@ -277,7 +280,7 @@
     {
       /* A used attempt number is kept even when nothing is open, since a late
        * report may still carry it. */
-      if (job->tasks[i].state != FB_JT_WAITING || job->tasks[i].attempt > 0)
+      if (job->tasks[i].state != FB_JOB_TASK_WAITING || job->tasks[i].attempt > 0)
         tasks[n++] = record_of (&job->tasks[i]);
     }
   fb_rec_body body = { .type = FB_REC_STATE };
--- a/src/core/range-dispatch.c
+++ b/src/core/range-dispatch.c
@@ -63,7 +63,7 @@
                      .flags = job->spec.flags,
                      .preempt_count = task->preempt_count,
                      .demand = job->spec.demand,
-                     .left_ms = fb_deadline_left (now_ms, job->due_ms),
+                     .remaining_ms = fb_deadline_remaining (now_ms, job->due_ms),
                      .waited_ms = now_ms - job->arrived_ms,
                      .run_ms = job->spec.run_ms };
   spec->payload.payload_len = job->spec.payload.payload_len;
@@ -80,12 +80,12 @@
   fill_spec (self, now_ms, task, &spec);
   SpreadView view = { self, job };
   gboolean spread = fb_job_is_service (job) || fb_job_is_gang (job);
-  FbRouteAsk ask = { .spec = &spec,
-                     .now_ms = now_ms,
-                     .avoid_rack = task->avoid_rack,
-                     .count_in_rack = spread ? spread_in_rack : NULL,
-                     .count_in_domain = spread ? spread_in_domain : NULL,
-                     .user = &view };
+  FbRouteRequest ask = { .spec = &spec,
+                         .now_ms = now_ms,
+                         .avoid_rack = task->avoid_rack,
+                         .count_in_rack = spread ? spread_in_rack : NULL,
+                         .count_in_domain = spread ? spread_in_domain : NULL,
+                         .user = &view };
   FbRouteChoice choice;
   if (!self->sink->choose (self->user, self, &ask, &choice))
     {
@@ -109,7 +109,8 @@
   fb_spec spec;
   FbRouteChoice choice;
   fill_spec (self, now_ms, task, &spec);
-  FbRouteAsk ask = { .spec = &spec, .now_ms = now_ms, .avoid_rack = task->rack, .look_only = TRUE };
+  FbRouteRequest ask
+      = { .spec = &spec, .now_ms = now_ms, .avoid_rack = task->rack, .probe_only = TRUE };
   return self->sink->choose (self->user, self, &ask, &choice);
 }
 
@@ -122,7 +123,7 @@
   task->recovered = FALSE;
   task->placed_ms = 0;
   fb_range_clear_timer (self, task);
-  fb_job_set_state (job, task, FB_JT_INTENT);
+  fb_job_set_state (job, task, FB_JOB_TASK_INTENT);
   if (job->intents->len == 0)
     g_ptr_array_add (self->with_intents, job);
   g_array_append_val (job->intents, task->index);
@@ -168,7 +169,7 @@
   if (job->cancelled || job->due_ms <= now_ms)
     {
       /* Not sent, so certainly not run. */
-      fb_range_task_again (self, now_ms, task, FALSE);
+      fb_range_retry_task (self, now_ms, task, FALSE);
       return;
     }
   fb_body body = { .type = FB_MSG_PLACE };
@@ -177,13 +178,13 @@
   fill_spec (self, now_ms, task, &body.fb_body_u.place.spec);
   if (!self->sink->send (self->user, self, task->rack, &body))
     {
-      fb_range_task_again (self, now_ms, task, TRUE);
+      fb_range_retry_task (self, now_ms, task, TRUE);
       return;
     }
   task->sent = TRUE;
   task->placed_ms = now_ms;
-  if (task->state != FB_JT_PLACED)
-    fb_job_set_state (job, task, FB_JT_PLACED);
+  if (task->state != FB_JOB_TASK_PLACED)
+    fb_job_set_state (job, task, FB_JOB_TASK_PLACED);
   fb_range_set_timer (self, task, now_ms + FB_RANGE_QUERY_MS);
 }
 
@@ -191,12 +192,12 @@
 fb_range_send_word (FbRange *self, FbJobTask *task, fb_msg_type type, gboolean force)
 {
   fb_body body = { .type = type };
-  fb_word word = { .run = fb_job_run (task->job, task),
-                   .rack = task->rack,
-                   .rack_epoch = task->rack_epoch,
-                   .range = self->id,
-                   .range_epoch = self->epoch,
-                   .force = force };
+  fb_run_command word = { .run = fb_job_run (task->job, task),
+                          .rack = task->rack,
+                          .rack_epoch = task->rack_epoch,
+                          .range = self->id,
+                          .range_epoch = self->epoch,
+                          .force = force };
   /* All words share one layout, so any arm of the union will do. */
   body.fb_body_u.query = word;
   return self->sink->send (self->user, self, task->rack, &body);
@@ -206,7 +207,7 @@
 fb_range_send_ack (FbRange *self, const fb_report *report)
 {
   fb_body body = { .type = FB_MSG_ACK };
-  body.fb_body_u.ack = (fb_word){
+  body.fb_body_u.ack = (fb_run_command){
     .run = report->run, .rack = report->rack, .range = self->id, .range_epoch = self->epoch
   };
   (void) self->sink->send (self->user, self, report->rack, &body);
@@ -218,7 +219,7 @@
   FbJob *job = task->job;
   if (job->cancelled || task->index >= job->spec.count)
     {
-      fb_range_task_again (self, now_ms, task, FALSE);
+      fb_range_retry_task (self, now_ms, task, FALSE);
       return;
     }
   if (job->due_ms <= now_ms)
@@ -228,7 +229,7 @@
     }
   if (fb_job_is_gang (job))
     {
-      fb_gang_gather (self, now_ms, job);
+      fb_gang_reserve (self, now_ms, job);
       return;
     }
   gboolean blocked = job->blocked_until_ms > now_ms;
@@ -249,12 +250,11 @@
 ask_about (FbRange *self, uint64_t now_ms, FbJobTask *task)
 {
   FbJob *job = task->job;
-  gboolean unheard = task->state == FB_JT_PLACED || task->state == FB_JT_RESERVED;
-  if (unheard && job->due_ms != FB_NO_DEADLINE_MS
-      && now_ms >= job->due_ms + FB_RANGE_UNSURE_GRACE_MS)
+  gboolean unheard = task->state == FB_JOB_TASK_PLACED || task->state == FB_JOB_TASK_RESERVED;
+  if (unheard && job->due_ms != FB_NO_DEADLINE_MS && now_ms >= job->due_ms + FB_RANGE_DUE_GRACE_MS)
     {
       /* The rack should have ended it; it does not answer.  It may have run. */
-      fb_range_task_end (self, task, FB_OUTCOME_UNKNOWN, FB_REASON_WORKER_LOST, NULL, 0);
+      fb_range_end_task (self, task, FB_OUTCOME_UNKNOWN, FB_REASON_WORKER_LOST, NULL, 0);
       if (fb_job_is_gang (job))
         fb_gang_break (self, now_ms, job);
       return;
@@ -262,12 +262,12 @@
   gboolean unwanted = job->cancelled || task->index >= job->spec.count;
   if (unwanted)
     fb_range_send_word (self, task, FB_MSG_WITHDRAW, TRUE);
-  else if (task->state == FB_JT_RESERVED && job->committed)
+  else if (task->state == FB_JOB_TASK_RESERVED && job->committed)
     fb_range_send_word (self, task, FB_MSG_COMMIT, FALSE);
   else
     fb_range_send_word (self, task, FB_MSG_QUERY, FALSE);
   uint64_t wait_ms
-      = task->state == FB_JT_RUNNING && !unwanted ? RUNNING_QUERY_MS : FB_RANGE_QUERY_MS;
+      = task->state == FB_JOB_TASK_RUNNING && !unwanted ? RUNNING_QUERY_MS : FB_RANGE_QUERY_MS;
   fb_range_set_timer (self, task, now_ms + wait_ms);
 }
 
@@ -279,18 +279,18 @@
     return;
   switch (task->state)
     {
-    case FB_JT_WAITING:
+    case FB_JOB_TASK_WAITING:
       try_waiting (self, now_ms, task);
       break;
-    case FB_JT_PLACED:
-    case FB_JT_RESERVED:
-    case FB_JT_RUNNING:
+    case FB_JOB_TASK_PLACED:
+    case FB_JOB_TASK_RESERVED:
+    case FB_JOB_TASK_RUNNING:
       if (task->sent)
         ask_about (self, now_ms, task);
       break;
-    case FB_JT_INTENT:
-    case FB_JT_ENDING:
-    case FB_JT_DONE:
+    case FB_JOB_TASK_INTENT:
+    case FB_JOB_TASK_ENDING:
+    case FB_JOB_TASK_DONE:
       break;
     }
 }
--- a/src/core/range-report.c
+++ b/src/core/range-report.c
@@ -8,16 +8,16 @@
 #include "fb-event.h"
 
 static gboolean
-is_end (FbNews news)
+is_end (FbRunStatus run_status)
 {
-  switch (news)
+  switch (run_status)
     {
-    case FB_NEWS_REFUSED:
-    case FB_NEWS_NOT_RUN:
-    case FB_NEWS_COMPLETED:
-    case FB_NEWS_FAILED:
-    case FB_NEWS_STOPPED:
-    case FB_NEWS_LOST:
+    case FB_RUN_STATUS_REFUSED:
+    case FB_RUN_STATUS_NOT_RUN:
+    case FB_RUN_STATUS_COMPLETED:
+    case FB_RUN_STATUS_FAILED:
+    case FB_RUN_STATUS_STOPPED:
+    case FB_RUN_STATUS_LOST:
       return TRUE;
     default:
       return FALSE;
@@ -28,14 +28,14 @@
 note_started (FbRange *self, uint64_t now_ms, FbJobTask *task)
 {
   FbJob *job = task->job;
-  if (task->state == FB_JT_RUNNING)
+  if (task->state == FB_JOB_TASK_RUNNING)
     return;
-  fb_job_set_state (job, task, FB_JT_RUNNING);
+  fb_job_set_state (job, task, FB_JOB_TASK_RUNNING);
   task->backoff_ms = 0;
   if (job->first_wait_ms == 0)
     job->first_wait_ms = MAX (now_ms - job->arrived_ms, 1);
   fb_range_set_timer (self, task, now_ms + FB_RANGE_QUERY_MS);
-  if (job->fronts->len > 0 && job->state_n[FB_JT_RUNNING] == 1)
+  if (job->fronts->len > 0 && job->state_n[FB_JOB_TASK_RUNNING] == 1)
     fb_range_answer_fronts (self, now_ms, job);
 }
 
@@ -43,11 +43,11 @@
 note_reserved (FbRange *self, uint64_t now_ms, FbJobTask *task)
 {
   FbJob *job = task->job;
-  if (task->state != FB_JT_PLACED && task->state != FB_JT_RESERVED)
+  if (task->state != FB_JOB_TASK_PLACED && task->state != FB_JOB_TASK_RESERVED)
     return;
-  if (task->state == FB_JT_PLACED)
+  if (task->state == FB_JOB_TASK_PLACED)
     {
-      fb_job_set_state (job, task, FB_JT_RESERVED);
+      fb_job_set_state (job, task, FB_JOB_TASK_RESERVED);
       fb_range_set_timer (self, task, now_ms + FB_RANGE_QUERY_MS);
     }
   if (!job->committed && job->gather_until_ms > 0 && now_ms >= job->gather_until_ms)
@@ -91,7 +91,7 @@
       task->avoid_rack = task->rack;
       self->sink->refused (self->user, task->rack, reason);
     }
-  fb_range_task_again (self, now_ms, task, reason != FB_REASON_WITHDRAWN);
+  fb_range_retry_task (self, now_ms, task, reason != FB_REASON_WITHDRAWN);
   if (fb_job_is_gang (job) && !job->cancelled)
     fb_gang_break (self, now_ms, job);
 }
@@ -100,16 +100,16 @@
 note_stopped (FbRange *self, uint64_t now_ms, FbJobTask *task, FbReason reason)
 {
   FbJob *job = task->job;
-  if ((job->spec.flags & FB_FLAG_ONCE) || job->cancelled)
+  if ((job->spec.flags & FB_FLAG_AT_MOST_ONCE) || job->cancelled)
     {
-      fb_range_task_end (self, task, FB_OUTCOME_FAILED, reason, NULL, 0);
+      fb_range_end_task (self, task, FB_OUTCOME_FAILED, reason, NULL, 0);
       if (fb_job_is_gang (job))
         fb_gang_break (self, now_ms, job);
       return;
     }
   task->preempt_count++;
   task->started_count++;
-  fb_range_task_again (self, now_ms, task, TRUE);
+  fb_range_retry_task (self, now_ms, task, TRUE);
   if (fb_job_is_gang (job) && !job->cancelled)
     fb_gang_break (self, now_ms, job);
 }
@@ -120,16 +120,16 @@
 {
   FbJob *job = task->job;
   gboolean used_up = !fb_job_is_service (job) && task->lost_count >= FB_RANGE_LOST_RETRIES;
-  if ((job->spec.flags & FB_FLAG_ONCE) || used_up)
+  if ((job->spec.flags & FB_FLAG_AT_MOST_ONCE) || used_up)
     {
-      fb_range_task_end (self, task, FB_OUTCOME_UNKNOWN, FB_REASON_WORKER_LOST, NULL, 0);
+      fb_range_end_task (self, task, FB_OUTCOME_UNKNOWN, FB_REASON_WORKER_LOST, NULL, 0);
       if (fb_job_is_gang (job))
         fb_gang_break (self, now_ms, job);
       return;
     }
   task->lost_count++;
   task->started_count++;
-  fb_range_task_again (self, now_ms, task, TRUE);
+  fb_range_retry_task (self, now_ms, task, TRUE);
   if (fb_job_is_gang (job) && !job->cancelled)
     fb_gang_break (self, now_ms, job);
 }
@@ -146,7 +146,7 @@
 {
   if (report->rack_epoch < task->rack_epoch)
     return;
-  gboolean once = (task->job->spec.flags & FB_FLAG_ONCE) != 0;
+  gboolean once = (task->job->spec.flags & FB_FLAG_AT_MOST_ONCE) != 0;
   if (report->rack_epoch == task->rack_epoch && (once || !task->recovered))
     note_not_run (self, now_ms, task, FB_REASON_NONE);
   else
@@ -160,12 +160,12 @@
   if (fb_job_is_service (job) && !job->cancelled && task->index < job->spec.count)
     {
       task->started_count++;
-      fb_range_task_again (self, now_ms, task, TRUE);
+      fb_range_retry_task (self, now_ms, task, TRUE);
       return;
     }
   if (job->first_wait_ms == 0)
     job->first_wait_ms = MAX (now_ms - job->arrived_ms, 1);
-  fb_range_task_end (self, task, FB_OUTCOME_COMPLETED, FB_REASON_NONE, report->answer.answer_val,
+  fb_range_end_task (self, task, FB_OUTCOME_COMPLETED, FB_REASON_NONE, report->answer.answer_val,
                      report->answer.answer_len);
 }
 
@@ -174,17 +174,17 @@
 {
   FbJob *job = task->job;
   gboolean service = fb_job_is_service (job);
-  gboolean retry
-      = !(job->spec.flags & FB_FLAG_ONCE) && (service || task->fail_count < FB_RANGE_FAIL_RETRIES);
+  gboolean retry = !(job->spec.flags & FB_FLAG_AT_MOST_ONCE)
+                   && (service || task->fail_count < FB_RANGE_FAIL_RETRIES);
   if (retry && !job->cancelled)
     {
       task->fail_count++;
       task->started_count++;
       task->avoid_rack = task->rack;
-      fb_range_task_again (self, now_ms, task, TRUE);
+      fb_range_retry_task (self, now_ms, task, TRUE);
     }
   else
-    fb_range_task_end (self, task, FB_OUTCOME_FAILED, FB_REASON_NONE, report->answer.answer_val,
+    fb_range_end_task (self, task, FB_OUTCOME_FAILED, FB_REASON_NONE, report->answer.answer_val,
                        report->answer.answer_len);
   if (fb_job_is_gang (job) && !job->cancelled)
     fb_gang_break (self, now_ms, job);
@@ -193,37 +193,37 @@
 static void
 note_live_task (FbRange *self, uint64_t now_ms, FbJobTask *task, const fb_report *report)
 {
-  switch ((FbNews) report->news)
+  switch ((FbRunStatus) report->run_status)
     {
-    case FB_NEWS_QUEUED:
+    case FB_RUN_STATUS_QUEUED:
       note_queued (self, now_ms, task);
       break;
-    case FB_NEWS_RESERVED:
+    case FB_RUN_STATUS_RESERVED:
       note_reserved (self, now_ms, task);
       break;
-    case FB_NEWS_STARTED:
+    case FB_RUN_STATUS_STARTED:
       note_started (self, now_ms, task);
       break;
-    case FB_NEWS_REFUSED:
-    case FB_NEWS_NOT_RUN:
+    case FB_RUN_STATUS_REFUSED:
+    case FB_RUN_STATUS_NOT_RUN:
       note_not_run (self, now_ms, task, (FbReason) report->reason);
       break;
-    case FB_NEWS_COMPLETED:
+    case FB_RUN_STATUS_COMPLETED:
       note_completed (self, now_ms, task, report);
       break;
-    case FB_NEWS_FAILED:
+    case FB_RUN_STATUS_FAILED:
       note_failed (self, now_ms, task, report);
       break;
-    case FB_NEWS_STOPPED:
+    case FB_RUN_STATUS_STOPPED:
       note_stopped (self, now_ms, task, (FbReason) report->reason);
       break;
-    case FB_NEWS_LOST:
+    case FB_RUN_STATUS_LOST:
       note_lost (self, now_ms, task);
       break;
-    case FB_NEWS_NOT_HERE:
+    case FB_RUN_STATUS_NOT_FOUND:
       note_not_here (self, now_ms, task, report);
       break;
-    case FB_NEWS_UNSURE:
+    case FB_RUN_STATUS_UNDETERMINED:
       break;
     }
 }
@@ -232,19 +232,19 @@
 static gboolean
 improves_unknown (const FbJobTask *task, const fb_report *report, FbOutcome *outcome)
 {
-  if (task->state != FB_JT_DONE || task->outcome != FB_OUTCOME_UNKNOWN)
+  if (task->state != FB_JOB_TASK_DONE || task->outcome != FB_OUTCOME_UNKNOWN)
     return FALSE;
-  switch ((FbNews) report->news)
+  switch ((FbRunStatus) report->run_status)
     {
-    case FB_NEWS_COMPLETED:
+    case FB_RUN_STATUS_COMPLETED:
       *outcome = FB_OUTCOME_COMPLETED;
       return TRUE;
-    case FB_NEWS_FAILED:
-    case FB_NEWS_STOPPED:
+    case FB_RUN_STATUS_FAILED:
+    case FB_RUN_STATUS_STOPPED:
       *outcome = FB_OUTCOME_FAILED;
       return TRUE;
-    case FB_NEWS_REFUSED:
-    case FB_NEWS_NOT_RUN:
+    case FB_RUN_STATUS_REFUSED:
+    case FB_RUN_STATUS_NOT_RUN:
       *outcome = FB_OUTCOME_NOT_RUN;
       return task->started_count == 0;
     default:
@@ -257,7 +257,7 @@
 static gboolean
 may_ack (const FbJobTask *task)
 {
-  return task->state != FB_JT_ENDING;
+  return task->state != FB_JOB_TASK_ENDING;
 }
 
 void
@@ -268,24 +268,24 @@
   FbJob *job = fb_range_find (self, report->run.job);
   if (job == NULL || report->run.index >= job->task_n)
     {
-      if (is_end ((FbNews) report->news))
+      if (is_end ((FbRunStatus) report->run_status))
         fb_range_send_ack (self, report);
       return;
     }
   FbJobTask *task = &job->tasks[report->run.index];
   gboolean current = task->attempt == report->run.attempt;
-  gboolean live = task->state == FB_JT_PLACED || task->state == FB_JT_RESERVED
-                  || task->state == FB_JT_RUNNING;
+  gboolean live = task->state == FB_JOB_TASK_PLACED || task->state == FB_JOB_TASK_RESERVED
+                  || task->state == FB_JOB_TASK_RUNNING;
   FbOutcome better;
   if (current && live)
     note_live_task (self, now_ms, task, report);
   else if (current && improves_unknown (task, report, &better))
     {
       task->rack = report->rack;
-      fb_range_task_end (self, task, better, (FbReason) report->reason, report->answer.answer_val,
+      fb_range_end_task (self, task, better, (FbReason) report->reason, report->answer.answer_val,
                          report->answer.answer_len);
       return;
     }
-  if (is_end ((FbNews) report->news) && (!current || may_ack (task)))
+  if (is_end ((FbRunStatus) report->run_status) && (!current || may_ack (task)))
     fb_range_send_ack (self, report);
 }
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -100,8 +100,8 @@
           .outcome = job->outcome,
           .reason = job->reason,
           .task_count = job->spec.count,
-          .done_count = job->state_n[FB_JT_DONE],
-          .running_count = job->state_n[FB_JT_RUNNING],
+          .done_count = job->state_n[FB_JOB_TASK_DONE],
+          .running_count = job->state_n[FB_JOB_TASK_RUNNING],
           .wait_ms = job->first_wait_ms > 0 ? job->first_wait_ms : now_ms - job->arrived_ms,
           .body = { (u_int) len, (char *) data } };
   self->sink->answer (self->user, self, front, &answer);
@@ -130,7 +130,7 @@
 static void
 answer_unknown_job (FbRange *self, uint64_t now_ms, uint64_t job, const char *front)
 {
-  if (now_ms < self->unsure_until_ms)
+  if (now_ms < self->history_gap_until_ms)
     answer_plain (self, job, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, front);
   else
     answer_plain (self, job, FB_OUTCOME_NO_SUCH_JOB, FB_REASON_NONE, 0, front);
@@ -245,7 +245,7 @@
       submit_again (self, now_ms, job, spec, copy, front);
       return;
     }
-  if (now_ms < self->unsure_until_ms && (spec->flags & FB_FLAG_ONCE))
+  if (now_ms < self->history_gap_until_ms && (spec->flags & FB_FLAG_AT_MOST_ONCE))
     {
       answer_plain (self, spec->id, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, front);
       return;
@@ -260,11 +260,11 @@
       return;
     }
   job = fb_job_new (now_ms, spec);
-  if (now_ms < self->unsure_until_ms)
+  if (now_ms < self->history_gap_until_ms)
     fb_job_set_doubt (job, first_attempt_of (self->epoch));
   uint64_t log_now_ms = self->sink->log_clock_ms (self->user);
-  if (log_now_ms > 0 && spec->left_ms != FB_NO_DEADLINE_MS)
-    job->due_log_ms = fb_deadline_after (log_now_ms, spec->left_ms);
+  if (log_now_ms > 0 && spec->remaining_ms != FB_NO_DEADLINE_MS)
+    job->due_log_ms = fb_deadline_after (log_now_ms, spec->remaining_ms);
   g_hash_table_insert (self->jobs, &job->spec.id, job);
   add_front (job, front);
   fb_rec_body body = { .type = FB_REC_ADMIT };
@@ -273,7 +273,7 @@
 }
 
 void
-fb_range_ask (FbRange *self, uint64_t now_ms, const fb_job_word *word, const char *front)
+fb_range_query_job (FbRange *self, uint64_t now_ms, const fb_job_command *word, const char *front)
 {
   if (!self->active)
     return;
@@ -285,7 +285,7 @@
 }
 
 void
-fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_word *word, const char *front)
+fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_command *word, const char *front)
 {
   if (!self->active)
     return;
@@ -317,7 +317,7 @@
       if (!fb_job_is_service (job) || job->cancelled || !job->admitted
           || g_hash_table_contains (wanted, &job->spec.id))
         continue;
-      fb_job_word word = { job->spec.id, job->spec.partner };
+      fb_job_command word = { job->spec.id, job->spec.partner };
       fb_range_cancel (self, now_ms, &word, "");
     }
 }
@@ -325,18 +325,18 @@
 /* ---- ends ------------------------------------------------------------- */
 
 void
-fb_range_task_again (FbRange *self, uint64_t now_ms, FbJobTask *task, gboolean back_off)
+fb_range_retry_task (FbRange *self, uint64_t now_ms, FbJobTask *task, gboolean back_off)
 {
   FbJob *job = task->job;
   if (job->cancelled || task->index >= job->spec.count)
     {
-      fb_job_set_state (job, task, FB_JT_WAITING);
-      fb_range_task_end (self, task,
+      fb_job_set_state (job, task, FB_JOB_TASK_WAITING);
+      fb_range_end_task (self, task,
                          task->started_count > 0 ? FB_OUTCOME_UNKNOWN : FB_OUTCOME_NOT_RUN,
                          FB_REASON_CANCELLED, NULL, 0);
       return;
     }
-  fb_job_set_state (job, task, FB_JT_WAITING);
+  fb_job_set_state (job, task, FB_JOB_TASK_WAITING);
   uint32_t wait_ms = 0;
   if (back_off)
     {
@@ -352,14 +352,14 @@
 }
 
 void
-fb_range_task_end (FbRange *self, FbJobTask *task, FbOutcome outcome, FbReason reason,
+fb_range_end_task (FbRange *self, FbJobTask *task, FbOutcome outcome, FbReason reason,
                    const char *body, uint32_t body_len)
 {
   FbJob *job = task->job;
   fb_range_clear_timer (self, task);
-  if (task->state == FB_JT_DONE)
+  if (task->state == FB_JOB_TASK_DONE)
     job->outcome_n[task->outcome]--;
-  fb_job_set_state (job, task, FB_JT_ENDING);
+  fb_job_set_state (job, task, FB_JOB_TASK_ENDING);
   task->ending = outcome;
   task->ending_reason = reason;
   if (body_len > 0)
@@ -389,7 +389,7 @@
 fb_range_task_past_due (FbRange *self, FbJobTask *task)
 {
   FbOutcome outcome = task->started_count > 0 ? FB_OUTCOME_UNKNOWN : FB_OUTCOME_NOT_RUN;
-  fb_range_task_end (self, task, outcome, FB_REASON_PAST_DUE, NULL, 0);
+  fb_range_end_task (self, task, outcome, FB_REASON_PAST_DUE, NULL, 0);
 }
 
 /* "Not run" is said of a job only when no task of it ever ran; one that ran in
@@ -429,7 +429,7 @@
 void
 fb_range_settle (FbRange *self, uint64_t now_ms, FbJob *job)
 {
-  if (job->state_n[FB_JT_DONE] < job->task_n || (fb_job_is_service (job) && !job->cancelled))
+  if (job->state_n[FB_JOB_TASK_DONE] < job->task_n || (fb_job_is_service (job) && !job->cancelled))
     return;
   gboolean first = !fb_job_is_final (job);
   job->outcome = outcome_of (job);
@@ -459,10 +459,10 @@
         {
           FbJobTask *task = &job->tasks[job->cancel_next++];
           budget--;
-          gboolean unsent = task->state == FB_JT_PLACED && !task->sent;
-          if (task->state == FB_JT_WAITING || unsent)
-            fb_range_task_again (self, now_ms, task, FALSE);
-          else if (task->state < FB_JT_ENDING)
+          gboolean unsent = task->state == FB_JOB_TASK_PLACED && !task->sent;
+          if (task->state == FB_JOB_TASK_WAITING || unsent)
+            fb_range_retry_task (self, now_ms, task, FALSE);
+          else if (task->state < FB_JOB_TASK_ENDING)
             fb_range_send_word (self, task, FB_MSG_WITHDRAW, TRUE);
         }
       if (job->cancel_next >= job->task_n)
@@ -473,7 +473,7 @@
 static void
 forget_old (FbRange *self, uint64_t now_ms)
 {
-  const uint64_t keep_ms = self->durable ? FB_RANGE_KEEP_MS : 2 * FB_RANGE_UNSURE_GRACE_MS;
+  const uint64_t keep_ms = self->durable ? FB_RANGE_KEEP_MS : 2 * FB_RANGE_DUE_GRACE_MS;
   for (guint i = 0; i < FORGET_CHUNK; i++)
     {
       FbJob *job = g_queue_peek_head (&self->ended);
@@ -497,7 +497,7 @@
       FbJob *job = value;
       for (guint i = 0; i < job->task_n && !fb_job_is_final (job); i++)
         {
-          if (job->tasks[i].state < FB_JT_ENDING)
+          if (job->tasks[i].state < FB_JOB_TASK_ENDING)
             fb_range_set_timer (self, &job->tasks[i], now_ms);
         }
     }
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -42,13 +42,13 @@
 
 typedef struct
 {
-  FbRackFacts facts;
+  FbRackInfo facts;
   gboolean known;
   gboolean usable;
   uint64_t refused_until_ms;
   fb_summary summary;
   fb_res debit;
-  guint queue_debit[FB_WAITING_N];
+  guint queue_debit[FB_WAIT_CLASS_N];
 } Rack;
 
 struct _FbRouter
@@ -77,7 +77,7 @@
 }
 
 void
-fb_router_add_rack (FbRouter *self, const FbRackFacts *facts)
+fb_router_add_rack (FbRouter *self, const FbRackInfo *facts)
 {
   Rack *rack = g_new0 (Rack, 1);
   rack->facts = *facts;
@@ -90,7 +90,7 @@
   return g_ptr_array_index (self->racks, rack);
 }
 
-const FbRackFacts *
+const FbRackInfo *
 fb_router_rack (const FbRouter *self, uint32_t rack)
 {
   return rack < self->racks->len ? &rack_at (self, rack)->facts : NULL;
@@ -140,7 +140,7 @@
 }
 
 static gboolean
-may_use (const Rack *rack, const FbRouteAsk *ask)
+may_use (const Rack *rack, const FbRouteRequest *ask)
 {
   const fb_spec *spec = ask->spec;
   if (!rack->known || !rack->usable || rack->refused_until_ms > ask->now_ms)
@@ -154,18 +154,18 @@
 static guint
 line_at (const Rack *rack, const fb_spec *spec)
 {
-  FbWaiting waiting = fb_spec_waiting (spec);
+  FbWaitClass waiting = fb_spec_wait_class (spec);
   return rack->summary.waiting[waiting] + rack->queue_debit[waiting];
 }
 
 static gboolean
-is_candidate (const Rack *rack, const FbRouteAsk *ask)
+is_candidate (const Rack *rack, const FbRouteRequest *ask)
 {
   if (!may_use (rack, ask))
     return FALSE;
   if (fits_now (rack, &ask->spec->demand))
     return TRUE;
-  if (ask->look_only)
+  if (ask->probe_only)
     return FALSE;
   /* Only the home partner's work queues: a guest's would wait behind all of
    * it, and is better placed by its range when room is seen. */
@@ -173,7 +173,7 @@
 }
 
 static uint64_t
-cost_of (const FbRouter *self, const FbRouteAsk *ask, uint32_t id)
+cost_of (const FbRouter *self, const FbRouteRequest *ask, uint32_t id)
 {
   const Rack *rack = rack_at (self, id);
   const fb_res *demand = &ask->spec->demand;
@@ -204,7 +204,7 @@
 }
 
 static gboolean
-choose_random (FbRouter *self, const FbRouteAsk *ask, const GArray *candidates,
+choose_random (FbRouter *self, const FbRouteRequest *ask, const GArray *candidates,
                FbRouteChoice *choice)
 {
   (void) ask;
@@ -213,7 +213,8 @@
 }
 
 static gboolean
-choose_two (FbRouter *self, const FbRouteAsk *ask, const GArray *candidates, FbRouteChoice *choice)
+choose_two (FbRouter *self, const FbRouteRequest *ask, const GArray *candidates,
+            FbRouteChoice *choice)
 {
   uint32_t a = pick (self, candidates);
   uint32_t b = pick (self, candidates);
@@ -224,7 +225,8 @@
 }
 
 static gboolean
-choose_best (FbRouter *self, const FbRouteAsk *ask, const GArray *candidates, FbRouteChoice *choice)
+choose_best (FbRouter *self, const FbRouteRequest *ask, const GArray *candidates,
+             FbRouteChoice *choice)
 {
   uint64_t best_cost = G_MAXUINT64;
   /* Start at a random place so that equal racks do not all go to the first. */
@@ -250,14 +252,14 @@
 const FbRoutePolicy fb_route_best_known = { "best-known", choose_best };
 
 static void
-add_candidate (const FbRouter *self, const FbRouteAsk *ask, uint32_t id, GArray *candidates)
+add_candidate (const FbRouter *self, const FbRouteRequest *ask, uint32_t id, GArray *candidates)
 {
   if (id != ask->avoid_rack && is_candidate (rack_at (self, id), ask))
     g_array_append_val (candidates, id);
 }
 
 static void
-find_candidates (FbRouter *self, const FbRouteAsk *ask, GArray *candidates)
+find_candidates (FbRouter *self, const FbRouteRequest *ask, GArray *candidates)
 {
   guint n = self->racks->len;
   for (guint i = 0; i < SAMPLE_N && n > SAMPLE_N; i++)
@@ -269,19 +271,19 @@
 }
 
 gboolean
-fb_router_choose (FbRouter *self, const FbRouteAsk *ask, FbRouteChoice *choice)
+fb_router_choose (FbRouter *self, const FbRouteRequest *ask, FbRouteChoice *choice)
 {
   g_autoptr (GArray) candidates = g_array_sized_new (FALSE, FALSE, sizeof (uint32_t), SAMPLE_N);
   find_candidates (self, ask, candidates);
   *choice = (FbRouteChoice){ FB_NO_RACK, FB_NO_RACK, 0 };
   if (candidates->len == 0 || !self->policy->choose (self, ask, candidates, choice))
     return FALSE;
-  if (ask->look_only)
+  if (ask->probe_only)
     return TRUE;
   Rack *rack = rack_at (self, choice->rack);
   choice->epoch = rack->summary.epoch;
   if (!fits_now (rack, &ask->spec->demand))
-    rack->queue_debit[fb_spec_waiting (ask->spec)]++;
+    rack->queue_debit[fb_spec_wait_class (ask->spec)]++;
   fb_res_add (&rack->debit, &ask->spec->demand);
   return TRUE;
 }
@@ -291,7 +293,7 @@
 {
   for (uint32_t id = 0; id < self->racks->len; id++)
     {
-      const FbRackFacts *facts = &rack_at (self, id)->facts;
+      const FbRackInfo *facts = &rack_at (self, id)->facts;
       gboolean allowed = facts->partner == spec->partner || (spec->flags & FB_FLAG_PREEMPTIBLE);
       if (allowed && fb_res_fits (&spec->demand, &facts->host_capacity))
         return TRUE;
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -6,7 +6,7 @@
  *    have a word in the other's order.
  *  - inside a partner: urgent, service, gang, batch.
  *  - inside a kind: the team with the least dominant share for its weight.
- *  - inside a team: the lane's rank (lane.c).
+ *  - inside a team: the lane's rank (task-queue.c).
  *
  * A head that does not fit lets up to BACKFILL_MAX later tasks of its lane
  * pass.  Left at that, a large task starves behind small ones for ever; so once
@@ -44,7 +44,7 @@
   if (w->promised && (task->spec.kind != FB_KIND_URGENT || task->spec.partner != self->home))
     return FALSE;
   fb_res free = fb_worker_free_space (w);
-  return fb_res_fits (&task->spec.demand, &free) && fb_quality_allows (self, now_ms, w, task);
+  return fb_res_fits (&task->spec.demand, &free) && fb_worker_health_allows (self, now_ms, w, task);
 }
 
 /* See place.c. */
@@ -55,7 +55,7 @@
    * the room that it holds on other racks, waiting. */
   if (task->spec.kind == FB_KIND_GANG)
     return 0;
-  if (fb_lanes_accel_count (self->lanes) > 0)
+  if (fb_task_queues_accel_count (self->lanes) > 0)
     return 1000;
   if (task->spec.flags & FB_FLAG_PREEMPTIBLE)
     return 0;
@@ -77,11 +77,11 @@
         continue;
       const FbWorker *w = fb_rack_worker (self, i);
       fb_res free = fb_worker_free_space (w);
-      FbPlaceView view = { &w->capacity, &free, &task->spec.demand, i, guard_milli };
+      FbPlaceCandidate view = { &w->capacity, &free, &task->spec.demand, i, guard_milli };
       int64_t cost = policy->cost (&view);
       if (cost < 0)
         continue;
-      cost += fb_quality_cost (w, task);
+      cost += fb_worker_health_cost (w, task);
       if (cost < choice.best_cost)
         {
           choice.runner_up = choice.best;
@@ -118,7 +118,7 @@
   fb_rack_dequeue (self, task);
   fb_ledger_charge (self, task, choice->best, &task->spec.demand);
   task->last_worker = choice->best;
-  fb_quality_note_start (fb_rack_worker (self, choice->best), now_ms);
+  fb_worker_health_note_start (fb_rack_worker (self, choice->best), now_ms);
   fb_counter_add (FB_COUNTER_PLACEMENTS, 1);
   fb_event_log (
       FB_EVENT_PLACED,
@@ -133,7 +133,7 @@
     {
       task->state = FB_TASK_RESERVED;
       task->reserved_until_ms = now_ms + FB_RACK_RESERVE_MS;
-      fb_rack_send_news (self, task, FB_NEWS_RESERVED, FB_REASON_NONE);
+      fb_rack_send_run_status (self, task, FB_RUN_STATUS_RESERVED, FB_REASON_NONE);
       return;
     }
   task->state = FB_TASK_STARTING;
@@ -163,8 +163,8 @@
     return;
   /* Kept off a host for the sake of its accelerators, it would hold the host idle
    * and still not start. */
-  gboolean guarded
-      = fb_spec_waiting (&head->spec) == FB_WAITING_OTHER && fb_lanes_accel_count (self->lanes) > 0;
+  gboolean guarded = fb_spec_wait_class (&head->spec) == FB_WAIT_CLASS_OTHER
+                     && fb_task_queues_accel_count (self->lanes) > 0;
   uint32_t least_milli = G_MAXUINT32;
   for (guint i = 0; i < self->workers->len; i++)
     {
@@ -184,7 +184,7 @@
 }
 
 static gboolean
-start_from_lane (FbRack *self, uint64_t now_ms, FbLane *lane)
+start_from_lane (FbRack *self, uint64_t now_ms, FbTaskQueue *lane)
 {
   GSequenceIter *iter = g_sequence_get_begin_iter (lane->tasks);
   FbTask *head = g_sequence_get (iter);
@@ -201,15 +201,15 @@
 }
 
 /* Returns: the unblocked lane whose team has the least weighted share. */
-static FbLane *
+static FbTaskQueue *
 next_lane (const FbRack *self, uint32_t partner, FbKind kind)
 {
-  const GPtrArray *lanes = fb_lanes_of (self->lanes, partner, kind);
-  FbLane *best = NULL;
+  const GPtrArray *lanes = fb_task_queues_of (self->lanes, partner, kind);
+  FbTaskQueue *best = NULL;
   uint64_t best_share = G_MAXUINT64;
   for (guint i = 0; i < lanes->len; i++)
     {
-      FbLane *lane = g_ptr_array_index (lanes, i);
+      FbTaskQueue *lane = g_ptr_array_index (lanes, i);
       if (lane->blocked)
         continue;
       const FbTeam *team = fb_teams_get (self->policy.teams, partner, lane->team);
@@ -228,7 +228,7 @@
 static void
 start_kind (FbRack *self, uint64_t now_ms, uint32_t partner, FbKind kind)
 {
-  FbLane *lane;
+  FbTaskQueue *lane;
   while ((lane = next_lane (self, partner, kind)) != NULL)
     {
       if (!start_from_lane (self, now_ms, lane))
@@ -239,9 +239,9 @@
 void
 fb_rack_schedule (FbRack *self, uint64_t now_ms)
 {
-  if (fb_lanes_count (self->lanes) == 0)
+  if (fb_task_queues_count (self->lanes) == 0)
     return;
-  fb_lanes_unblock (self->lanes);
+  fb_task_queues_unblock (self->lanes);
   for (guint i = 0; i < self->workers->len; i++)
     fb_rack_worker (self, i)->promised = FALSE;
   const uint32_t order[FB_PARTNER_N] = { self->home, 1 - self->home };
@@ -250,7 +250,7 @@
       for (guint kind = 0; kind < FB_KIND_N; kind++)
         {
           start_kind (self, now_ms, order[p], (FbKind) kind);
-          if (fb_lanes_count_of (self->lanes, order[p], (FbKind) kind) > 0)
+          if (fb_task_queues_count_of (self->lanes, order[p], (FbKind) kind) > 0)
             fb_preempt_for_waiting (self, now_ms, order[p], (FbKind) kind);
         }
     }
--- a/src/core/stream.c
+++ b/src/core/stream.c
@@ -86,25 +86,25 @@
   return FALSE;
 }
 
-static FbStreamVerdict
+static FbStreamResult
 judge_claim (FbStream *self, uint64_t offset, const fb_rec_claim *claim)
 {
   if (claim->shard != self->shard)
-    return FB_STREAM_VOID;
+    return FB_STREAM_SUPERSEDED;
   gboolean follows = (claim->previous >> FB_EPOCH_SUB_BITS) == (self->epoch >> FB_EPOCH_SUB_BITS);
   gboolean nothing_known = self->epoch == 0 && !self->anchored;
   gboolean first_after_gap = nothing_known && claim->read_to >= self->first;
   gboolean outlived = !nothing_known && claim->previous == 0 && claim->first > self->renewed_to
                       && claim->first > self->claim_read_to;
   if ((!follows || nothing_known) && !first_after_gap && !outlived)
-    return FB_STREAM_VOID;
+    return FB_STREAM_SUPERSEDED;
   self->epoch = fb_epoch_of_claim (offset);
   self->last_claim = offset;
   self->claim_read_to = claim->read_to;
   return FB_STREAM_CLAIMED;
 }
 
-static FbStreamVerdict
+static FbStreamResult
 judge_renew (FbStream *self, uint64_t offset, const fb_record *record)
 {
   uint64_t read_to = record->body.fb_rec_body_u.renew.read_to;
@@ -119,28 +119,28 @@
       return same ? FB_STREAM_OK : FB_STREAM_CLAIMED;
     }
   if (!fb_epoch_same_claim (record->epoch, self->epoch) || record->epoch < self->epoch)
-    return FB_STREAM_VOID;
+    return FB_STREAM_SUPERSEDED;
   self->epoch = record->epoch;
   self->renewed_to = MAX (self->renewed_to, read_to);
   return FB_STREAM_OK;
 }
 
-static FbStreamVerdict
+static FbStreamResult
 judge (FbStream *self, uint64_t offset, const fb_record *record)
 {
   if (is_double (self, record))
-    return FB_STREAM_DOUBLE;
+    return FB_STREAM_DUPLICATE;
   if (record->body.type == FB_REC_CLAIM)
     return judge_claim (self, offset, &record->body.fb_rec_body_u.claim);
   if (record->body.type == FB_REC_RENEW)
     return judge_renew (self, offset, record);
   if (!fb_epoch_same_claim (record->epoch, self->epoch) || record->epoch < self->epoch)
-    return FB_STREAM_VOID;
+    return FB_STREAM_SUPERSEDED;
   self->epoch = record->epoch;
   return FB_STREAM_OK;
 }
 
-FbStreamVerdict
+FbStreamResult
 fb_stream_read (FbStream *self, uint64_t offset, const void *data, gsize len, fb_record *record)
 {
   if (offset < self->next)
@@ -148,14 +148,14 @@
   self->next = offset + 1;
   if (!fb_codec_decode_record (data, len, record))
     return FB_STREAM_MALFORMED;
-  FbStreamVerdict verdict = judge (self, offset, record);
+  FbStreamResult verdict = judge (self, offset, record);
   if (verdict != FB_STREAM_OK && verdict != FB_STREAM_CLAIMED)
     fb_codec_clear_record (record);
   return verdict;
 }
 
 void
-fb_stream_note_first (FbStream *self, uint64_t first)
+fb_stream_note_first_retained (FbStream *self, uint64_t first)
 {
   if (first <= self->next)
     return;
@@ -186,7 +186,7 @@
 }
 
 uint64_t
-fb_stream_anchor (const FbStream *self)
+fb_stream_validated_from (const FbStream *self)
 {
   return self->anchor;
 }
--- a/src/core/survey.c
+++ b/src/core/survey.c
@@ -27,19 +27,19 @@
   self->survey_n = rack_n;
   self->survey_left = rack_n;
   self->survey_at_ms = now_ms;
-  self->unsure_until_ms = now_ms + FB_RANGE_KEEP_MS;
+  self->history_gap_until_ms = now_ms + FB_RANGE_KEEP_MS;
 }
 
 void
-fb_range_set_unsure (FbRange *self, uint64_t now_ms, uint64_t unsure_ms)
+fb_range_set_history_gap (FbRange *self, uint64_t now_ms, uint64_t history_gap_ms)
 {
-  self->unsure_until_ms = MAX (self->unsure_until_ms, now_ms + unsure_ms);
+  self->history_gap_until_ms = MAX (self->history_gap_until_ms, now_ms + history_gap_ms);
 }
 
 uint64_t
-fb_range_unsure_ms (const FbRange *self, uint64_t now_ms)
+fb_range_history_gap_ms (const FbRange *self, uint64_t now_ms)
 {
-  return self->unsure_until_ms > now_ms ? self->unsure_until_ms - now_ms : 0;
+  return self->history_gap_until_ms > now_ms ? self->history_gap_until_ms - now_ms : 0;
 }
 
 gboolean
@@ -60,7 +60,7 @@
         continue;
       fb_body body = { .type = FB_MSG_SURVEY };
       body.fb_body_u.survey
-          = (fb_word){ .rack = rack, .range = self->id, .range_epoch = self->epoch };
+          = (fb_run_command){ .rack = rack, .range = self->id, .range_epoch = self->epoch };
       (void) self->sink->send (self->user, self, rack, &body);
     }
 }
@@ -68,7 +68,7 @@
 static void
 stop_unknown (FbRange *self, uint32_t rack, const fb_run *run)
 {
-  fb_word word
+  fb_run_command word
       = { .run = *run, .rack = rack, .range = self->id, .range_epoch = self->epoch, .force = TRUE };
   fb_body stop = { .type = FB_MSG_WITHDRAW };
   stop.fb_body_u.withdraw = word;
@@ -87,14 +87,14 @@
   if (job == NULL || run->index >= job->task_n)
     return FALSE;
   FbJobTask *task = &job->tasks[run->index];
-  if (task->attempt == run->attempt && task->state != FB_JT_WAITING && task->rack == rack)
+  if (task->attempt == run->attempt && task->state != FB_JOB_TASK_WAITING && task->rack == rack)
     return TRUE;
   task->attempt = MAX (task->attempt, run->attempt);
   return FALSE;
 }
 
 void
-fb_range_surveyed (FbRange *self, uint64_t now_ms, const fb_surveyed *surveyed)
+fb_range_surveyed (FbRange *self, uint64_t now_ms, const fb_survey_reply *surveyed)
 {
   (void) now_ms;
   if (!self->active || self->surveyed == NULL || surveyed->rack >= self->survey_n
--- a/src/core/lane.c
+++ b/src/core/task-queue.c
@@ -7,18 +7,18 @@
  * standing still while later arrivals get later ranks, and a lane stays a
  * balanced tree: O(log n) to insert, O(log n) to cancel, O(1) for the head.
  * The cost: a deadline further away than the patience has no influence. */
-#include "internal/lane.h"
+#include "internal/task-queue.h"
 
 #include "internal/rack-private.h"
 
-struct _FbLanes
+struct _FbTaskQueues
 {
-  GHashTable *by_key;                       /* FbLane owned */
-  GPtrArray *busy[FB_PARTNER_N][FB_KIND_N]; /* FbLane borrowed */
+  GHashTable *by_key;                       /* FbTaskQueue owned */
+  GPtrArray *busy[FB_PARTNER_N][FB_KIND_N]; /* FbTaskQueue borrowed */
   guint count[FB_PARTNER_N][FB_KIND_N];
   guint total;
   guint accel;
-  guint waiting[FB_PARTNER_N][FB_WAITING_N];
+  guint waiting[FB_PARTNER_N][FB_WAIT_CLASS_N];
 };
 
 static const uint64_t patience_ms[FB_KIND_N] = {
@@ -44,7 +44,7 @@
 static void
 lane_free (gpointer data)
 {
-  FbLane *lane = data;
+  FbTaskQueue *lane = data;
   g_sequence_free (lane->tasks);
   g_free (lane);
 }
@@ -55,10 +55,10 @@
   return ((uint64_t) spec->partner << 40) | ((uint64_t) spec->kind << 32) | spec->team;
 }
 
-FbLanes *
-fb_lanes_new (void)
+FbTaskQueues *
+fb_task_queues_new (void)
 {
-  FbLanes *self = g_new0 (FbLanes, 1);
+  FbTaskQueues *self = g_new0 (FbTaskQueues, 1);
   self->by_key = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, lane_free);
   for (guint p = 0; p < FB_PARTNER_N; p++)
     {
@@ -69,7 +69,7 @@
 }
 
 void
-fb_lanes_free (FbLanes *self)
+fb_task_queues_free (FbTaskQueues *self)
 {
   for (guint p = 0; p < FB_PARTNER_N; p++)
     {
@@ -80,14 +80,14 @@
   g_free (self);
 }
 
-static FbLane *
-lane_for (FbLanes *self, const fb_spec *spec)
+static FbTaskQueue *
+lane_for (FbTaskQueues *self, const fb_spec *spec)
 {
   uint64_t key = key_of (spec);
-  FbLane *lane = g_hash_table_lookup (self->by_key, &key);
+  FbTaskQueue *lane = g_hash_table_lookup (self->by_key, &key);
   if (lane == NULL)
     {
-      lane = g_new0 (FbLane, 1);
+      lane = g_new0 (FbTaskQueue, 1);
       lane->partner = spec->partner;
       lane->team = spec->team;
       lane->kind = (FbKind) spec->kind;
@@ -104,40 +104,40 @@
 }
 
 guint
-fb_lanes_waiting (const FbLanes *self, uint32_t partner, FbWaiting waiting)
+fb_task_queues_waiting (const FbTaskQueues *self, uint32_t partner, FbWaitClass waiting)
 {
   return self->waiting[partner][waiting];
 }
 
 guint
-fb_lanes_accel_count (const FbLanes *self)
+fb_task_queues_accel_count (const FbTaskQueues *self)
 {
   return self->accel;
 }
 
 void
-fb_lanes_insert (FbLanes *self, FbTask *task)
+fb_task_queues_insert (FbTaskQueues *self, FbTask *task)
 {
-  FbLane *lane = lane_for (self, &task->spec);
+  FbTaskQueue *lane = lane_for (self, &task->spec);
   if (g_sequence_is_empty (lane->tasks))
     g_ptr_array_add (self->busy[lane->partner][lane->kind], lane);
   task->lane_pos = g_sequence_insert_sorted (lane->tasks, task, compare_rank, NULL);
   self->count[lane->partner][lane->kind]++;
   self->total++;
   self->accel += wants_accel (task) ? 1 : 0;
-  self->waiting[lane->partner][fb_spec_waiting (&task->spec)]++;
+  self->waiting[lane->partner][fb_spec_wait_class (&task->spec)]++;
 }
 
 void
-fb_lanes_remove (FbLanes *self, FbTask *task)
+fb_task_queues_remove (FbTaskQueues *self, FbTask *task)
 {
-  FbLane *lane = lane_for (self, &task->spec);
+  FbTaskQueue *lane = lane_for (self, &task->spec);
   g_sequence_remove (task->lane_pos);
   task->lane_pos = NULL;
   self->count[lane->partner][lane->kind]--;
   self->total--;
   self->accel -= wants_accel (task) ? 1 : 0;
-  self->waiting[lane->partner][fb_spec_waiting (&task->spec)]--;
+  self->waiting[lane->partner][fb_spec_wait_class (&task->spec)]--;
   if (g_sequence_is_empty (lane->tasks))
     {
       uint64_t key = key_of (&task->spec);
@@ -147,35 +147,35 @@
 }
 
 guint
-fb_lanes_count (const FbLanes *self)
+fb_task_queues_count (const FbTaskQueues *self)
 {
   return self->total;
 }
 
 guint
-fb_lanes_count_of (const FbLanes *self, uint32_t partner, FbKind kind)
+fb_task_queues_count_of (const FbTaskQueues *self, uint32_t partner, FbKind kind)
 {
   return self->count[partner][kind];
 }
 
 const GPtrArray *
-fb_lanes_of (const FbLanes *self, uint32_t partner, FbKind kind)
+fb_task_queues_of (const FbTaskQueues *self, uint32_t partner, FbKind kind)
 {
   return self->busy[partner][kind];
 }
 
 void
-fb_lanes_unblock (FbLanes *self)
+fb_task_queues_unblock (FbTaskQueues *self)
 {
   GHashTableIter iter;
   gpointer lane;
   g_hash_table_iter_init (&iter, self->by_key);
   while (g_hash_table_iter_next (&iter, NULL, &lane))
-    ((FbLane *) lane)->blocked = FALSE;
+    ((FbTaskQueue *) lane)->blocked = FALSE;
 }
 
 uint64_t
-fb_lane_rank (FbKind kind, uint64_t arrived_ms, uint64_t due_ms)
+fb_task_queue_rank (FbKind kind, uint64_t arrived_ms, uint64_t due_ms)
 {
   return MIN (due_ms, arrived_ms + patience_ms[kind]);
 }
--- a/src/core/quality.c
+++ b/src/core/worker-health.c
@@ -54,15 +54,16 @@
 }
 
 void
-fb_quality_note_end (FbRack *self, uint64_t now_ms, guint worker, const FbTask *task, FbNews news)
+fb_worker_health_note_end (FbRack *self, uint64_t now_ms, guint worker, const FbTask *task,
+                           FbRunStatus run_status)
 {
   FbWorker *w = fb_rack_worker (self, worker);
-  if (news == FB_NEWS_FAILED)
+  if (run_status == FB_RUN_STATUS_FAILED)
     {
       note_failure (self, now_ms, w, task->spec.run.job);
       return;
     }
-  if (news != FB_NEWS_COMPLETED)
+  if (run_status != FB_RUN_STATUS_COMPLETED)
     return;
   if (w->quarantined)
     fb_event_log (FB_EVENT_WORKER_RESTORED, "rack=%s worker=%s", self->name, w->name);
@@ -72,7 +73,7 @@
 }
 
 int64_t
-fb_quality_cost (const FbWorker *worker, const FbTask *task)
+fb_worker_health_cost (const FbWorker *worker, const FbTask *task)
 {
   if (worker->fail_streak == 0)
     return 0;
@@ -82,14 +83,14 @@
 }
 
 void
-fb_quality_note_start (FbWorker *worker, uint64_t now_ms)
+fb_worker_health_note_start (FbWorker *worker, uint64_t now_ms)
 {
   if (worker->quarantined)
     worker->probe_at_ms = now_ms + worker->probe_wait_ms;
 }
 
 void
-fb_quality_tick (FbRack *self, uint64_t now_ms)
+fb_worker_health_tick (FbRack *self, uint64_t now_ms)
 {
   for (guint i = 0; i < self->workers->len; i++)
     {
@@ -103,11 +104,12 @@
 }
 
 gboolean
-fb_quality_allows (const FbRack *self, uint64_t now_ms, const FbWorker *worker, const FbTask *task)
+fb_worker_health_allows (const FbRack *self, uint64_t now_ms, const FbWorker *worker,
+                         const FbTask *task)
 {
   (void) self;
   if (!worker->quarantined)
     return TRUE;
-  return now_ms >= worker->probe_at_ms && !(task->spec.flags & FB_FLAG_ONCE)
+  return now_ms >= worker->probe_at_ms && !(task->spec.flags & FB_FLAG_AT_MOST_ONCE)
          && task->spec.kind != FB_KIND_GANG;
 }
--- a/src/daemon/core.c
+++ b/src/daemon/core.c
@@ -243,7 +243,7 @@
   if (!news->ok || news->version == watch->version)
     return;
   watch->version = news->version;
-  fb_node_hint (watch->core->node, fb_loop_now_ms (), watch->rack, watch->host);
+  fb_node_worker_changed (watch->core->node, fb_loop_now_ms (), watch->rack, watch->host);
 }
 
 static void
@@ -335,7 +335,7 @@
 host_on_core (gpointer data)
 {
   HostNews *news = data;
-  fb_node_host (news->core->node, fb_loop_now_ms (), news->rack, news->host, news->state);
+  fb_node_set_host_state (news->core->node, fb_loop_now_ms (), news->rack, news->host, news->state);
 }
 
 static void
--- a/src/daemon/front-commands.c
+++ b/src/daemon/front-commands.c
@@ -57,7 +57,7 @@
     job->flags |= FB_FLAG_EPHEMERAL;
   job->count = (uint32_t) submit->tasks;
   job->demand = class->demand;
-  job->left_ms = submit->deadline_ms > 0 ? submit->deadline_ms : class->deadline_ms;
+  job->remaining_ms = submit->deadline_ms > 0 ? submit->deadline_ms : class->deadline_ms;
   job->run_ms = submit->run_ms > 0 ? submit->run_ms : class->run_ms;
   job->key = submit->key != NULL ? submit->key : (char *) "";
   job->payload.payload_len = (u_int) len;
--- a/src/daemon/front-queries.c
+++ b/src/daemon/front-queries.c
@@ -15,7 +15,7 @@
 ask_on_core (FbNode *node, uint64_t now_ms, gpointer data)
 {
   const FbFrontAsk *ask = data;
-  if (!fb_node_ask (node, now_ms, ask->front->partner, ask->job))
+  if (!fb_node_query_job (node, now_ms, ask->front->partner, ask->job))
     fb_front_post_error (ask->front, ask->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
                          "the range of this job has no owner now");
 }
--- a/src/daemon/log-http.c
+++ b/src/daemon/log-http.c
@@ -79,7 +79,7 @@
 {
   if (!json_object_has_member (root, "records") || !json_object_has_member (root, "first"))
     return FALSE;
-  page->first_kept = (uint64_t) json_object_get_int_member (root, "first");
+  page->first_retained = (uint64_t) json_object_get_int_member (root, "first");
   page->log_now_ms = (uint64_t) json_object_get_int_member_with_default (root, "now_ms", 0);
   page->at_end = json_object_get_boolean_member_with_default (root, "at_end", TRUE);
   JsonArray *list = json_object_get_array_member (root, "records");
--- a/src/daemon/worker-json.c
+++ b/src/daemon/worker-json.c
@@ -153,11 +153,11 @@
   static const struct
   {
     const char *name;
-    FbNews news;
-  } ends[] = { { "completed", FB_NEWS_COMPLETED },
-               { "failed", FB_NEWS_FAILED },
-               { "stopped", FB_NEWS_STOPPED },
-               { "lost", FB_NEWS_LOST } };
+    FbRunStatus run_status;
+  } ends[] = { { "completed", FB_RUN_STATUS_COMPLETED },
+               { "failed", FB_RUN_STATUS_FAILED },
+               { "stopped", FB_RUN_STATUS_STOPPED },
+               { "lost", FB_RUN_STATUS_LOST } };
   const char *state = json_object_get_string_member_with_default (item, "state", "");
   const char *end = json_object_get_string_member_with_default (item, "end", "");
   gboolean known = FALSE;
@@ -172,9 +172,9 @@
   for (guint i = 0; i < G_N_ELEMENTS (ends); i++)
     {
       if (g_str_equal (end, ends[i].name))
-        run->news = ends[i].news;
+        run->run_status = ends[i].run_status;
     }
-  return known && (run->state != FB_SYNC_ENDED || run->news != 0);
+  return known && (run->state != FB_SYNC_ENDED || run->run_status != 0);
 }
 
 static gboolean
--- a/src/entry/advice/advice-share.c
+++ b/src/entry/advice/advice-balancer.c
@@ -1,4 +1,4 @@
-#include "advice-share.h"
+#include "advice-balancer.h"
 
 #include <math.h>
 
--- a/src/entry/advice/advice-line.c
+++ b/src/entry/advice/advice-queue.c
@@ -1,6 +1,6 @@
-#include "advice-line.h"
+#include "advice-queue.h"
 
-#include "advice-share.h"
+#include "advice-balancer.h"
 
 /* Failure: two pools have questions, one of them long ones for every daemon; a daemon that takes
  * them as they come gives one short answer for each long one, 50 a second in all instead of 300
--- a/src/entry/advice/advisor.c
+++ b/src/entry/advice/advisor.c
@@ -1,15 +1,15 @@
 /* Questions for advice.  The advice service handles one call at a time for each
  * calling daemon, and a call takes up to a second: the owner of a pool spreads its
- * questions over all daemons, one open at each or two short ones (advice-share.h), where those of
- * several owners wait in one line (advice-line.h).
+ * questions over all daemons, one open at each or two short ones (advice-balancer.h), where those
+ * of several owners wait in one line (advice-queue.h).
  *
  * Failure: one daemon is left and owns two pools; the one whose answer has just come asks
  * again first, each time, and nothing of the other is started any more.  Guard: pools that
  * wait for a daemon take turns, by the time that their questions have taken. */
-#include "advice-line.h"
-#include "advice-share.h"
+#include "advice-balancer.h"
+#include "advice-queue.h"
+#include "fair-share.h"
 #include "src/entry/entry-private.h"
-#include "turns.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
@@ -64,7 +64,7 @@
 {
   for (guint i = 0; i < question->workers->len; i++)
     {
-      g_autofree char *asked = fb_wire_life_id (question->workers->pdata[i]);
+      g_autofree char *asked = fb_wire_incarnation_worker_id (question->workers->pdata[i]);
       if (g_str_equal (asked, id))
         return question->workers->pdata[i];
     }
@@ -74,36 +74,36 @@
 /* Tickets name workers by their ids; they are for the lives that were asked about.  TOLD: NULL
  * without an answer. */
 static void
-tell_owner (FbOwner *owner, const Question *question, const fb_told_advice *told)
+tell_owner (FbOwner *owner, const Question *question, const fb_advice_reply *told)
 {
   guint n = told != NULL ? told->tickets.tickets_len : 0;
   g_autofree fb_ticket *tickets = g_new0 (fb_ticket, n + 1);
-  fb_told_advice of_lives = { .tickets = { 0, tickets } };
+  fb_advice_reply of_lives = { .tickets = { 0, tickets } };
   of_lives.validity_ms = told != NULL ? told->validity_ms : 0;
   for (guint i = 0; i < n; i++)
     {
       const fb_ticket *got = &told->tickets.tickets_val[i];
-      char *life = life_of (question, got->worker);
-      if (life != NULL)
-        tickets[of_lives.tickets.tickets_len++] = (fb_ticket){ life, got->ticket };
+      char *incarnation = life_of (question, got->worker);
+      if (incarnation != NULL)
+        tickets[of_lives.tickets.tickets_len++] = (fb_ticket){ incarnation, got->ticket };
     }
   fb_owner_advised (owner, question->step, (const char *const *) question->workers->pdata,
                     question->workers->len, told != NULL ? &of_lives : NULL);
 }
 
 static void
-on_told (gpointer data, const fb_told *told)
+on_told (gpointer data, const fb_peer_reply *told)
 {
   Question *question = data;
   fb_advice_share_ended (question->entry->advisor->share, question->daemon);
   fb_histogram_add (FB_HISTOGRAM_ADVICE, fb_clock_ms () - question->sent_ms);
   FbOwner *owner = fb_entry_owner (question->entry, question->partition);
-  gboolean answered = told != NULL && told->type == FB_TOLD_ADVICE;
+  gboolean answered = told != NULL && told->type == FB_REPLY_ADVICE;
   if (!answered)
     fb_event_log (FB_EVENT_CALL_FAILED, "advice step=%s daemon=%s", question->step,
                   question->daemon);
   if (owner != NULL)
-    tell_owner (owner, question, answered ? &told->fb_told_u.advice : NULL);
+    tell_owner (owner, question, answered ? &told->fb_peer_reply_u.advice : NULL);
   /* Whose turn it is may ask now. */
   fb_entry_each_owner (question->entry, fb_owner_kick);
   question_free (question);
@@ -170,15 +170,15 @@
   for (guint i = 0; i < n; i++)
     {
       g_ptr_array_add (question->workers, g_strdup (workers[i]));
-      names[i].id = fb_wire_life_id (workers[i]);
+      names[i].id = fb_wire_incarnation_worker_id (workers[i]);
     }
-  fb_ask ask = { .type = FB_ASK_ADVICE };
-  ask.fb_ask_u.advice.step = question->step;
-  ask.fb_ask_u.advice.workers.workers_len = n;
-  ask.fb_ask_u.advice.workers.workers_val = names;
-  ask.fb_ask_u.advice.expected_ms = expected_ms;
+  fb_peer_request ask = { .type = FB_REQUEST_ADVICE };
+  ask.fb_peer_request_u.advice.step = question->step;
+  ask.fb_peer_request_u.advice.workers.workers_len = n;
+  ask.fb_peer_request_u.advice.workers.workers_val = names;
+  ask.fb_peer_request_u.advice.expected_ms = expected_ms;
   if (g_str_equal (daemon, self->entry->settings->peers))
-    fb_advisor_call (self->entry, &ask.fb_ask_u.advice, on_told, question);
+    fb_advisor_call (self->entry, &ask.fb_peer_request_u.advice, on_told, question);
   else
     fb_peers_ask (self->entry, daemon, &ask, expected_ms + patience_ms (expected_ms), on_told,
                   question);
@@ -203,7 +203,7 @@
 
 /* TOLD: NULL without an answer. */
 static void
-end_call (AdviceCall *call, const fb_told *told)
+end_call (AdviceCall *call, const fb_peer_reply *told)
 {
   fb_advice_line_ended (call->advisor->line, call);
   call->done (call->user, told);
@@ -216,11 +216,11 @@
 {
   AdviceCall *call = data;
   FbAdvisor *self = call->advisor;
-  fb_told told = { .type = FB_TOLD_ADVICE };
-  gboolean answered = fb_wire_advised (reply, &told.fb_told_u.advice);
+  fb_peer_reply told = { .type = FB_REPLY_ADVICE };
+  gboolean answered = fb_wire_parse_advice (reply, &told.fb_peer_reply_u.advice);
   end_call (call, answered ? &told : NULL);
   if (answered)
-    xdr_free ((xdrproc_t) xdr_fb_told, (char *) &told);
+    xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &told);
   call_next (self);
 }
 
@@ -246,7 +246,7 @@
 }
 
 void
-fb_advisor_call (FbEntry *entry, const fb_ask_advice *ask, FbTold done, gpointer user)
+fb_advisor_call (FbEntry *entry, const fb_advice_request *ask, FbTold done, gpointer user)
 {
   FbAdvisor *self = entry->advisor;
   AdviceCall *call = g_new0 (AdviceCall, 1);
--- a/src/entry/advice/turns.c
+++ b/src/entry/advice/fair-share.c
@@ -1,4 +1,4 @@
-#include "turns.h"
+#include "fair-share.h"
 
 /* One that waits asks again each 25 ms: after so long without it waits no more. */
 #define WAITS_MS 100
--- a/src/entry/entry-private.h
+++ b/src/entry/entry-private.h
@@ -13,19 +13,19 @@
 
 #include "src/entry/advice/advisor.h"
 #include "src/entry/owner/owner.h"
-#include "src/entry/peers/kept-suspects.h"
 #include "src/entry/peers/links.h"
-#include "src/entry/peers/payload-share.h"
+#include "src/entry/peers/payload-dedup.h"
 #include "src/entry/peers/peers.h"
 #include "src/entry/peers/recent-starts.h"
 #include "src/entry/peers/relay.h"
+#include "src/entry/peers/suspect-backups.h"
 #include "src/entry/store/appender.h"
 #include "src/entry/store/daemons.h"
-#include "src/entry/store/follower.h"
 #include "src/entry/store/group.h"
 #include "src/entry/store/join-watch.h"
 #include "src/entry/store/keepalive.h"
-#include "src/entry/store/store-pace.h"
+#include "src/entry/store/store-health.h"
+#include "src/entry/store/topic-reader.h"
 #include "src/entry/store/worker-list.h"
 
 #include "fb-timer.h"
@@ -47,8 +47,8 @@
   FbHttpClient *advice_client;
   FbLinks *links;   /* to the other daemons */
   FbRoutes *routes; /* NULL until the first configuration */
-  FbFollower *config_follower;
-  FbFollower *worker_follower; /* NULL until it owns something */
+  FbTopicReader *config_reader;
+  FbTopicReader *worker_reader; /* NULL until it owns something */
   FbWorkerList *workers;
   GHashTable *skipped;  /* ids of entries that could not be read, told of already */
   GHashTable *relisted; /* ids of the listing that is open; NULL: none is */
@@ -62,10 +62,10 @@
   FbTimer *timer;
   FbLoopWatch *loop;
   FbLinkWatch *link;
-  FbPayloadShare *payload_share; /* what was sent to other daemons */
-  FbPayloadCache *payload_cache; /* what they have sent here */
-  FbRecentStarts *recent_starts; /* that went out from here */
-  FbKeptSuspects *kept_suspects; /* for owners whose store takes nothing */
+  FbPayloadShare *payload_share;     /* what was sent to other daemons */
+  FbPayloadCache *payload_cache;     /* what they have sent here */
+  FbRecentStarts *recent_starts;     /* that went out from here */
+  FbSuspectBackups *suspect_backups; /* for owners whose store takes nothing */
   FbJoinWatch joins;
   gboolean stopping;
   gboolean refusing;    /* near its end: calls are turned away at once */
@@ -73,8 +73,8 @@
   uint64_t answered_ms; /* when a caller was given an answer last */
   uint64_t store_ok_ms; /* last answer of the store */
   gboolean store_lost;
-  FbStorePace pace;  /* of callers' records */
-  gboolean troubled; /* they had better not be stored from here, as was logged last */
+  FbStoreHealth pace; /* of callers' records */
+  gboolean troubled;  /* they had better not be stored from here, as was logged last */
 };
 
 uint32_t fb_entry_partition_of (const FbEntry *self, const char *service);
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -48,7 +48,7 @@
   SoupServer *internal;
   uint64_t stop_began_ms;
   gboolean leave_asked;
-  uint64_t left_ms; /* when the partitions were given back; 0: not yet */
+  uint64_t remaining_ms; /* when the partitions were given back; 0: not yet */
 } Daemon;
 
 /* ---- servers ---------------------------------------------------------------------- */
@@ -177,7 +177,7 @@
 on_left (gpointer data)
 {
   Daemon *self = data;
-  self->left_ms = fb_clock_ms ();
+  self->remaining_ms = fb_clock_ms ();
 }
 
 static gboolean
@@ -212,7 +212,7 @@
    * and get no answer.  Guard: it takes none that could last beyond its end. */
   if (spent_ms + STOP_MARGIN_MS + FB_FRONT_LONGEST_CALL_MS >= entry->settings->grace_ms)
     entry->refusing = TRUE;
-  gboolean done = self->left_ms != 0 && now_ms > self->left_ms + STOP_LINGER_MS
+  gboolean done = self->remaining_ms != 0 && now_ms > self->remaining_ms + STOP_LINGER_MS
                   && entry->open_calls == 0 && now_ms >= entry->answered_ms + STOP_SETTLE_MS;
   if (!done && spent_ms + STOP_MARGIN_MS < entry->settings->grace_ms)
     return G_SOURCE_CONTINUE;
@@ -269,7 +269,7 @@
   self->payload_share = fb_payload_share_new ((uint32_t) self->settings->link_kbit_s);
   self->payload_cache = fb_payload_cache_new (PAYLOADS_KEPT_BYTES);
   self->recent_starts = fb_recent_starts_new ();
-  self->kept_suspects = fb_kept_suspects_new ();
+  self->suspect_backups = fb_suspect_backups_new ();
   self->link = fb_link_watch_new ((uint32_t) self->settings->link_kbit_s, self->store_ok_ms);
   self->store_client = fb_http_client_new ();
   self->worker_client = fb_http_client_new ();
--- a/src/entry/front/gatherer.c
+++ b/src/entry/front/append-proxy.c
@@ -1,4 +1,4 @@
-#include "gatherer.h"
+#include "append-proxy.h"
 
 #include "front.h"
 
@@ -43,16 +43,16 @@
 }
 
 gboolean
-fb_gatherer_always (const GPtrArray *members)
+fb_append_proxy_always (const GPtrArray *members)
 {
   return members->len > DIRECT_MAX;
 }
 
 const char *
-fb_gatherer_for (const GPtrArray *members, const char *owner, const char *front,
-                 const GPtrArray *asked, uint32_t partition, uint64_t now_ms)
+fb_append_proxy_for (const GPtrArray *members, const char *owner, const char *front,
+                     const GPtrArray *asked, uint32_t partition, uint64_t now_ms)
 {
-  gboolean always = fb_gatherer_always (members);
+  gboolean always = fb_append_proxy_always (members);
   if (!always && owner != NULL && !was_asked (asked, owner))
     return owner;
   guint group = always ? (guint) (XXH64 (front, strlen (front), 0) % GATHERER_N) : 0;
@@ -63,39 +63,40 @@
 }
 
 gboolean
-fb_gatherer_is_troubled (const FbStorePace *pace, uint64_t now_ms)
+fb_append_proxy_store_is_degraded (const FbStoreHealth *pace, uint64_t now_ms)
 {
-  return fb_store_pace_has_failed (pace, now_ms) || fb_store_pace_is_slow (pace);
+  return fb_store_health_has_failed (pace, now_ms) || fb_store_health_is_slow (pace);
 }
 
 /* Returns: (nullable): whom to ask, borrowed. */
 static const char *
-next_gatherer (const FbGathererRecord *record, const FbStorePace *pace, const GPtrArray *members,
-               uint64_t now_ms)
+next_gatherer (const FbAppendProxyRecord *record, const FbStoreHealth *pace,
+               const GPtrArray *members, uint64_t now_ms)
 {
-  if ((!fb_gatherer_is_troubled (pace, now_ms) && !fb_gatherer_always (members))
+  if ((!fb_append_proxy_store_is_degraded (pace, now_ms) && !fb_append_proxy_always (members))
       || record->asked->len >= ASKED_MAX || now_ms >= record->since_ms + ASK_UNTIL_MS)
     return NULL;
-  const char *address = fb_gatherer_for (members, record->owner, record->front, record->asked,
-                                         record->partition, now_ms);
+  const char *address = fb_append_proxy_for (members, record->owner, record->front, record->asked,
+                                             record->partition, now_ms);
   return address != NULL && !g_str_equal (address, record->front) ? address : NULL;
 }
 
-FbGathererWay
-fb_gatherer_way (const FbGathererRecord *record, const FbStorePace *pace, const GPtrArray *members,
-                 uint64_t now_ms)
+FbAppendRoute
+fb_append_proxy_route (const FbAppendProxyRecord *record, const FbStoreHealth *pace,
+                       const GPtrArray *members, uint64_t now_ms)
 {
   const char *address = next_gatherer (record, pace, members, now_ms);
-  gboolean slow = fb_store_pace_is_slow (pace);
+  gboolean slow = fb_store_health_is_slow (pace);
   if (address != NULL)
     {
-      uint64_t left_ms = record->since_ms + FB_FRONT_LONGEST_CALL_MS - now_ms;
+      uint64_t remaining_ms = record->since_ms + FB_FRONT_LONGEST_CALL_MS - now_ms;
       uint32_t patience_ms = slow ? SLOW_PATIENCE_MS : PATIENCE_MS;
-      return (FbGathererWay){ FB_GATHERER_ASK, address, (uint32_t) MIN (patience_ms, left_ms) };
+      return (FbAppendRoute){ FB_APPEND_ROUTE_PROXY, address,
+                              (uint32_t) MIN (patience_ms, remaining_ms) };
     }
   /* Failure: who is refused by a slow store tries other ways, each of which is one more append in
    * the queue for which it was refused; it shows as callers without an answer for as long as the
    * store is slow.  Guard: then the caller is told so at once, and comes again later. */
   gboolean give_up = slow && record->asked->len > 0;
-  return (FbGathererWay){ .step = give_up ? FB_GATHERER_GIVE_UP : FB_GATHERER_NONE };
+  return (FbAppendRoute){ .step = give_up ? FB_APPEND_ROUTE_GIVE_UP : FB_APPEND_ROUTE_LOCAL };
 }
--- a/src/entry/front/gatherer.h
+++ b/src/entry/front/append-proxy.h
@@ -12,7 +12,7 @@
 #pragma once
 
 #include "src/entry/store/daemons.h"
-#include "src/entry/store/store-pace.h"
+#include "src/entry/store/store-health.h"
 
 /* A caller's record; what it points to is borrowed. */
 typedef struct
@@ -22,28 +22,28 @@
   const GPtrArray *asked; /* addresses of daemons that were asked to store it */
   uint32_t partition;
   uint64_t since_ms; /* when its caller came */
-} FbGathererRecord;
+} FbAppendProxyRecord;
 
 typedef enum
 {
-  FB_GATHERER_NONE,   /* it is to be stored from here */
-  FB_GATHERER_ASK,    /* by another daemon */
-  FB_GATHERER_GIVE_UP /* nothing more is tried */
-} FbGathererStep;
+  FB_APPEND_ROUTE_LOCAL,  /* it is to be stored from here */
+  FB_APPEND_ROUTE_PROXY,  /* by another daemon */
+  FB_APPEND_ROUTE_GIVE_UP /* nothing more is tried */
+} FbAppendProxyStep;
 
 typedef struct
 {
-  FbGathererStep step;
+  FbAppendProxyStep step;
   const char *address;  /* of that daemon, borrowed; NULL unless one is to be asked */
   uint32_t patience_ms; /* how long its answer is waited for */
-} FbGathererWay;
+} FbAppendRoute;
 
 /* TRUE when records had better not be stored from a daemon with PACE. */
-gboolean fb_gatherer_is_troubled (const FbStorePace *pace, uint64_t now_ms);
+gboolean fb_append_proxy_store_is_degraded (const FbStoreHealth *pace, uint64_t now_ms);
 /* What is to be done with RECORD first, or after the daemon asked last has not stored it.  PACE: of
  * the daemon that has taken it.  MEMBERS: of FbDaemon. */
-FbGathererWay fb_gatherer_way (const FbGathererRecord *record, const FbStorePace *pace,
-                               const GPtrArray *members, uint64_t now_ms);
+FbAppendRoute fb_append_proxy_route (const FbAppendProxyRecord *record, const FbStoreHealth *pace,
+                                     const GPtrArray *members, uint64_t now_ms);
 
 /* Which daemon is to store a record of PARTITION that the daemon at FRONT has taken: with many
  * daemons one of four that all choose alike, else the owner, or without it one that all choose.
@@ -51,7 +51,7 @@
  * are not to be chosen again.
  *
  * Returns: (nullable): its address, borrowed; NULL: there is none. */
-const char *fb_gatherer_for (const GPtrArray *members, const char *owner, const char *front,
-                             const GPtrArray *asked, uint32_t partition, uint64_t now_ms);
+const char *fb_append_proxy_for (const GPtrArray *members, const char *owner, const char *front,
+                                 const GPtrArray *asked, uint32_t partition, uint64_t now_ms);
 /* TRUE when records go through others at all times, not only while the store is slow. */
-gboolean fb_gatherer_always (const GPtrArray *members);
+gboolean fb_append_proxy_always (const GPtrArray *members);
--- a/src/entry/front/front-store.c
+++ b/src/entry/front/front-store.c
@@ -1,8 +1,8 @@
 /* How a caller's record gets into the store: from here, by a daemon that stores for many
- * (gatherer.h), or by peers while the store turns this daemon away.  A record is only said not to
- * be stored when no call that may have stored it is without an answer. */
+ * (append-proxy.h), or by peers while the store turns this daemon away.  A record is only said not
+ * to be stored when no call that may have stored it is without an answer. */
+#include "append-proxy.h"
 #include "front-private.h"
-#include "gatherer.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
@@ -63,8 +63,8 @@
 {
   uint64_t now_ms = fb_clock_ms ();
   uint64_t took_ms = now_ms - request->stored_since_ms;
-  fb_store_pace_appended (&request->entry->pace, taken, here, (uint32_t) MIN (took_ms, G_MAXUINT32),
-                          now_ms);
+  fb_store_health_appended (&request->entry->pace, taken, here,
+                            (uint32_t) MIN (took_ms, G_MAXUINT32), now_ms);
 }
 
 static void store_by_peer (FbFrontRequest *request);
@@ -72,30 +72,30 @@
 static void
 ask_to_append (FbFrontRequest *request, const char *daemon, uint32_t timeout_ms, FbTold done)
 {
-  fb_ask ask = { .type = FB_ASK_APPEND };
-  ask.fb_ask_u.append.partition = request->partition;
-  ask.fb_ask_u.append.records.records_len = request->records->len;
-  ask.fb_ask_u.append.records.records_val = (char *) request->records->data;
+  fb_peer_request ask = { .type = FB_REQUEST_APPEND_JOB_RECORD };
+  ask.fb_peer_request_u.append.partition = request->partition;
+  ask.fb_peer_request_u.append.records.records_len = request->records->len;
+  ask.fb_peer_request_u.append.records.records_val = (char *) request->records->data;
   fb_peers_ask (request->entry, daemon, &ask, timeout_ms, done, request);
 }
 
 /* TOLD: what another daemon has said of the record; NULL: nothing.
  * Returns: TRUE when it is stored; the caller is answered then, and REQUEST freed. */
 static gboolean
-is_stored_by_other (FbFrontRequest *request, const fb_told *told)
+is_stored_by_other (FbFrontRequest *request, const fb_peer_reply *told)
 {
-  if (told != NULL && told->type == FB_TOLD_STORED)
+  if (told != NULL && told->type == FB_REPLY_STORED)
     {
       note_pace (request, TRUE, FALSE);
       answer_stored (request, FB_APPEND_STORED);
       return TRUE;
     }
-  request->in_doubt = request->in_doubt || told == NULL || told->type == FB_TOLD_IN_DOUBT;
+  request->in_doubt = request->in_doubt || told == NULL || told->type == FB_REPLY_IN_DOUBT;
   return FALSE;
 }
 
 static void
-on_peer_stored (gpointer data, const fb_told *told)
+on_peer_stored (gpointer data, const fb_peer_reply *told)
 {
   FbFrontRequest *request = data;
   if (is_stored_by_other (request, told))
@@ -143,12 +143,12 @@
 static void
 note_trouble (FbEntry *entry, uint64_t now_ms)
 {
-  const FbStorePace *pace = &entry->pace;
-  gboolean troubled = fb_gatherer_is_troubled (pace, now_ms);
+  const FbStoreHealth *pace = &entry->pace;
+  gboolean troubled = fb_append_proxy_store_is_degraded (pace, now_ms);
   if (troubled != entry->troubled)
     fb_event_log (troubled ? FB_EVENT_STORE_SLOW : FB_EVENT_STORE_QUICK,
                   "append_ms=%u renewal_ms=%u failed=%d", pace->append_ms, pace->renewal_ms,
-                  fb_store_pace_has_failed (pace, now_ms));
+                  fb_store_health_has_failed (pace, now_ms));
   entry->troubled = troubled;
 }
 
@@ -163,7 +163,7 @@
 }
 
 static void
-on_gatherer_stored (gpointer data, const fb_told *told)
+on_gatherer_stored (gpointer data, const fb_peer_reply *told)
 {
   FbFrontRequest *request = data;
   if (is_stored_by_other (request, told))
@@ -178,24 +178,25 @@
 {
   FbEntry *entry = request->entry;
   uint64_t now_ms = fb_clock_ms ();
-  const FbGathererRecord record = { .front = entry->settings->peers,
-                                    .owner = fb_group_owner_of (entry->group, request->partition),
-                                    .asked = request->asked,
-                                    .partition = request->partition,
-                                    .since_ms = request->since_ms };
+  const FbAppendProxyRecord record
+      = { .front = entry->settings->peers,
+          .owner = fb_group_owner_of (entry->group, request->partition),
+          .asked = request->asked,
+          .partition = request->partition,
+          .since_ms = request->since_ms };
   note_trouble (entry, now_ms);
-  FbGathererWay way
-      = fb_gatherer_way (&record, &entry->pace, fb_daemons_all (entry->daemons), now_ms);
+  FbAppendRoute way
+      = fb_append_proxy_route (&record, &entry->pace, fb_daemons_all (entry->daemons), now_ms);
   switch (way.step)
     {
-    case FB_GATHERER_NONE:
+    case FB_APPEND_ROUTE_LOCAL:
       store_here (request);
       break;
-    case FB_GATHERER_ASK:
+    case FB_APPEND_ROUTE_PROXY:
       g_ptr_array_add (request->asked, g_strdup (way.address));
       ask_to_append (request, way.address, way.patience_ms, on_gatherer_stored);
       break;
-    case FB_GATHERER_GIVE_UP:
+    case FB_APPEND_ROUTE_GIVE_UP:
       answer_unstored (request);
       break;
     }
@@ -207,7 +208,7 @@
   request->key = talloc_asprintf (request, "%c%s", kind, request->job);
   request->value = g_bytes_ref (value);
   request->records = g_byte_array_new ();
-  fb_wire_put_record (request->records, request->key, value);
+  fb_wire_encode_record (request->records, request->key, value);
   request->stored_since_ms = fb_clock_ms ();
   /* Failure: the store takes calls and answers none; it shows as callers who wait for 2 s
    * and then are told that nobody knows.  Guard: a daemon that has heard nothing from it
--- a/src/entry/front/front.c
+++ b/src/entry/front/front.c
@@ -101,7 +101,7 @@
                              BODY_MAX_BYTES);
       return FALSE;
     }
-  if (!fb_wire_job_spec (text, len, spec))
+  if (!fb_wire_parse_job_spec (text, len, spec))
     return FALSE;
   if (fb_spec_check (spec))
     return TRUE;
@@ -129,14 +129,15 @@
 /* ---- state and cancel ---------------------------------------------------------------- */
 
 static void
-on_state (gpointer data, const fb_told *told)
+on_state (gpointer data, const fb_peer_reply *told)
 {
   FbFrontRequest *request = data;
   fb_event_log (FB_EVENT_JOB_ASKED, "job=%s told=%d state=%d after_ms=%u", request->job,
                 told != NULL ? (int) told->type : 0,
-                told != NULL && told->type == FB_TOLD_STATE ? (int) told->fb_told_u.state : -1,
+                told != NULL && told->type == FB_REPLY_JOB_STATE ? (int) told->fb_peer_reply_u.state
+                                                                 : -1,
                 (guint) (fb_clock_ms () - request->since_ms));
-  if (told != NULL && told->type == FB_TOLD_NO_JOB)
+  if (told != NULL && told->type == FB_REPLY_NO_SUCH_JOB)
     fb_front_finish (request, SOUP_STATUS_GONE, "{\"error\":\"no such job\"}");
   else if (request->is_delete)
     {
@@ -144,9 +145,9 @@
       g_autoptr (GBytes) mark = g_bytes_new_static ("x", 1);
       fb_front_store (request, FB_KEY_CANCEL, mark);
     }
-  else if (told != NULL && told->type == FB_TOLD_STATE)
+  else if (told != NULL && told->type == FB_REPLY_JOB_STATE)
     {
-      g_autofree char *body = fb_wire_job_state (told->fb_told_u.state);
+      g_autofree char *body = fb_wire_format_job_state (told->fb_peer_reply_u.state);
       fb_front_finish (request, SOUP_STATUS_OK, body);
     }
   else
@@ -159,9 +160,9 @@
 {
   FbFrontRequest *request = request_new (entry, message, route, job);
   request->is_delete = is_delete;
-  fb_ask ask = { .type = FB_ASK_STATE };
-  ask.fb_ask_u.job.service = request->service;
-  ask.fb_ask_u.job.job = request->job;
+  fb_peer_request ask = { .type = FB_REQUEST_JOB_STATE };
+  ask.fb_peer_request_u.job.service = request->service;
+  ask.fb_peer_request_u.job.job = request->job;
   fb_peers_ask_owner (entry, request->service, &ask, is_delete ? ASK_MS / 4 : ASK_MS, on_state,
                       request);
 }
@@ -169,11 +170,11 @@
 /* ---- pending ---------------------------------------------------------------------------- */
 
 static void
-on_pending (gpointer data, const fb_told *told)
+on_pending (gpointer data, const fb_peer_reply *told)
 {
-  if (told != NULL && told->type == FB_TOLD_PENDING)
+  if (told != NULL && told->type == FB_REPLY_PENDING_COUNT)
     {
-      g_autofree char *body = fb_wire_pending (told->fb_told_u.pending);
+      g_autofree char *body = fb_wire_format_pending (told->fb_peer_reply_u.pending);
       fb_front_finish (data, SOUP_STATUS_OK, body);
     }
   else
@@ -184,9 +185,9 @@
 ask_pending (FbEntry *entry, SoupServerMessage *message, const FbRoute *route)
 {
   FbFrontRequest *request = request_new (entry, message, route, "");
-  fb_ask ask = { .type = FB_ASK_PENDING };
-  ask.fb_ask_u.queue.service = request->service;
-  ask.fb_ask_u.queue.queue = request->queue;
+  fb_peer_request ask = { .type = FB_REQUEST_PENDING_COUNT };
+  ask.fb_peer_request_u.queue.service = request->service;
+  ask.fb_peer_request_u.queue.queue = request->queue;
   fb_peers_ask_owner (entry, request->service, &ask, ASK_MS, on_pending, request);
 }
 
--- a/src/entry/owner/owner-load.c
+++ b/src/entry/owner/owner-load.c
@@ -193,7 +193,7 @@
   self->load_turn = g_idle_add_full (G_PRIORITY_DEFAULT, on_load_some, self, NULL);
 }
 
-static const FbFollowerOps job_ops = { ignore_begin, on_job_record, on_jobs_listed };
+static const FbTopicReaderOps job_ops = { ignore_begin, on_job_record, on_jobs_listed };
 
 static void
 on_progress_record (gpointer user, const FbStoreRecord *record)
@@ -210,12 +210,13 @@
 {
   FbOwner *self = user;
   self->progress_ms = fb_clock_ms ();
-  g_clear_pointer (&self->progress_follower, fb_follower_free);
-  self->job_follower
-      = fb_follower_new (self->entry, FB_TOPIC_JOBS, self->partition, 0, &job_ops, self);
+  g_clear_pointer (&self->progress_reader, fb_topic_reader_free);
+  self->job_reader
+      = fb_topic_reader_new (self->entry, FB_TOPIC_JOBS, self->partition, 0, &job_ops, self);
 }
 
-static const FbFollowerOps progress_ops = { ignore_begin, on_progress_record, on_progress_listed };
+static const FbTopicReaderOps progress_ops
+    = { ignore_begin, on_progress_record, on_progress_listed };
 
 void
 fb_owner_writer_shut_out (gpointer data, FbAppendResult result)
@@ -227,7 +228,7 @@
       return;
     }
   self->fenced_ms = fb_clock_ms ();
-  fb_follower_hurry (self->entry->worker_follower);
-  self->progress_follower
-      = fb_follower_new (self->entry, FB_TOPIC_PROGRESS, self->partition, 0, &progress_ops, self);
+  fb_topic_reader_read_now (self->entry->worker_reader);
+  self->progress_reader = fb_topic_reader_new (self->entry, FB_TOPIC_PROGRESS, self->partition, 0,
+                                               &progress_ops, self);
 }
--- a/src/entry/owner/owner-orders.c
+++ b/src/entry/owner/owner-orders.c
@@ -51,12 +51,12 @@
 }
 
 static void
-take_answer (FbOwnerPart *part, const Order *order, const FbLookAnswer *answer)
+take_answer (FbOwnerPart *part, const Order *order, const FbPollAnswer *answer)
 {
   uint64_t now_ms = fb_clock_ms ();
-  if (order->kind == FB_CARRY_LOOK)
-    fb_pool_look_answered (part->pool, order->worker, answer, now_ms, fb_clock_wall_ms ());
-  else if (order->kind == FB_CARRY_START)
+  if (order->kind == FB_ORDER_KIND_POLL)
+    fb_pool_poll_answered (part->pool, order->worker, answer, now_ms, fb_clock_wall_ms ());
+  else if (order->kind == FB_ORDER_KIND_START)
     fb_pool_start_answered (part->pool, order->order, answer->result, answer->clock_ms, now_ms);
   else
     fb_pool_stop_answered (part->pool, order->order, answer->result, answer->clock_ms, now_ms);
@@ -64,10 +64,10 @@
 
 /* What became of ORDER, which ends here. */
 static void
-finish (Order *order, const FbLookAnswer *answer)
+finish (Order *order, const FbPollAnswer *answer)
 {
   FbOwnerPart *part = part_of_order (order);
-  if (order->kind != FB_CARRY_LOOK)
+  if (order->kind != FB_ORDER_KIND_POLL)
     fb_histogram_add (FB_HISTOGRAM_ORDER, fb_clock_ms () - order->sent_ms);
   if (part != NULL)
     {
@@ -90,39 +90,39 @@
 on_order_reply (gpointer data, const FbHttpReply *reply)
 {
   Order *order = data;
-  FbLookAnswer answer;
+  FbPollAnswer answer;
   if (reply->status != FB_HTTP_OK)
     log_failed (order, reply->status, reply->sent);
   fb_relay_worker_answer (order->kind, order->worker, reply, &answer);
-  if (order->kind == FB_CARRY_LOOK)
-    fb_recent_starts_looked (order->entry->recent_starts, order->worker, &answer);
+  if (order->kind == FB_ORDER_KIND_POLL)
+    fb_recent_starts_polled (order->entry->recent_starts, order->worker, &answer);
   finish (order, &answer);
-  fb_look_answer_clear (&answer);
+  fb_poll_answer_clear (&answer);
 }
 
 static void
-on_carried (gpointer data, FbRelayResult result, const fb_told_order *told)
+on_carried (gpointer data, FbRelayResult result, const fb_relay_reply *told)
 {
   Order *order = data;
-  FbLookAnswer answer
+  FbPollAnswer answer
       = { .result = result == FB_RELAY_LOST ? FB_ORDER_UNKNOWN : FB_ORDER_NOT_DONE };
   if (result == FB_RELAY_ANSWERED)
-    fb_relay_look_answer (told, &answer);
+    fb_relay_poll_answer (told, &answer);
   if (answer.result == FB_ORDER_UNKNOWN || result != FB_RELAY_ANSWERED)
-    log_failed (order, (int) result, result != FB_RELAY_NOT_CARRIED);
+    log_failed (order, (int) result, result != FB_RELAY_NOT_RELAYED);
   finish (order, &answer);
-  fb_look_answer_clear (&answer);
+  fb_poll_answer_clear (&answer);
 }
 
 static void
-send_order (const FbOwnerPart *part, const fb_ask_order *ask, uint64_t id)
+send_order (const FbOwnerPart *part, const fb_relay_request *ask, uint64_t id)
 {
   FbEntry *entry = part->owner->entry;
   Order *order = order_new (part, ask->worker, id, ask->kind);
   const char *relay = fb_relay_for (entry, ask);
   fb_counter_add (FB_COUNTER_WORKER_SYNCS, 1);
   if (relay != NULL)
-    fb_relay_carry (entry, relay, ask, on_carried, order);
+    fb_relay_send (entry, relay, ask, on_carried, order);
   else
     fb_relay_call_worker (entry, ask, on_order_reply, order);
 }
@@ -130,49 +130,49 @@
 static void
 sink_start (gpointer user, const FbStartOrder *order)
 {
-  const fb_ask_order ask = { .kind = FB_CARRY_START,
-                             .worker = (char *) order->worker,
-                             .address = (char *) order->address,
-                             .epoch = order->epoch,
-                             .task = (char *) order->task,
-                             .attempt = order->attempt,
-                             .payload = (char *) order->payload,
-                             .checkpoint = (char *) order->checkpoint,
-                             .ticket = (char *) (order->ticket != NULL ? order->ticket : ""),
-                             .deadline_ms = order->deadline_ms };
+  const fb_relay_request ask = { .kind = FB_ORDER_KIND_START,
+                                 .worker = (char *) order->worker,
+                                 .address = (char *) order->address,
+                                 .epoch = order->epoch,
+                                 .task = (char *) order->task,
+                                 .attempt = order->attempt,
+                                 .payload = (char *) order->payload,
+                                 .checkpoint = (char *) order->checkpoint,
+                                 .ticket = (char *) (order->ticket != NULL ? order->ticket : ""),
+                                 .deadline_ms = order->deadline_ms };
   send_order (user, &ask, order->order);
 }
 
 static void
 sink_stop (gpointer user, const FbStopOrder *order)
 {
-  const fb_ask_order ask = { .kind = FB_CARRY_STOP,
-                             .worker = (char *) order->worker,
-                             .address = (char *) order->address,
-                             .epoch = order->epoch,
-                             .task = (char *) order->task,
-                             .attempt = order->attempt,
-                             .payload = "",
-                             .checkpoint = "",
-                             .ticket = "" };
+  const fb_relay_request ask = { .kind = FB_ORDER_KIND_STOP,
+                                 .worker = (char *) order->worker,
+                                 .address = (char *) order->address,
+                                 .epoch = order->epoch,
+                                 .task = (char *) order->task,
+                                 .attempt = order->attempt,
+                                 .payload = "",
+                                 .checkpoint = "",
+                                 .ticket = "" };
   send_order (user, &ask, order->order);
 }
 
 static void
-sink_look (gpointer user, const FbLookOrder *order)
-{
-  const fb_ask_order ask = { .kind = FB_CARRY_LOOK,
-                             .worker = (char *) order->worker,
-                             .address = (char *) order->address,
-                             .epoch = order->epoch,
-                             .task = "",
-                             .payload = "",
-                             .checkpoint = "",
-                             .ticket = "",
-                             .deadline_ms = order->deadline_ms,
-                             .acknowledged = order->acknowledged,
-                             .wait_ms = order->wait_ms,
-                             .answer_ms = order->answer_ms };
+sink_look (gpointer user, const FbPollOrder *order)
+{
+  const fb_relay_request ask = { .kind = FB_ORDER_KIND_POLL,
+                                 .worker = (char *) order->worker,
+                                 .address = (char *) order->address,
+                                 .epoch = order->epoch,
+                                 .task = "",
+                                 .payload = "",
+                                 .checkpoint = "",
+                                 .ticket = "",
+                                 .deadline_ms = order->deadline_ms,
+                                 .acknowledged = order->acknowledged,
+                                 .wait_ms = order->wait_ms,
+                                 .answer_ms = order->answer_ms };
   send_order (user, &ask, 0);
 }
 
@@ -203,4 +203,4 @@
 }
 
 const FbPoolSink fb_owner_sink
-    = { sink_start, sink_stop, sink_look, sink_advise, sink_fenced, fb_wire_life_follows };
+    = { sink_start, sink_stop, sink_look, sink_advise, sink_fenced, fb_wire_incarnation_is_newer };
--- a/src/entry/owner/owner-private.h
+++ b/src/entry/owner/owner-private.h
@@ -17,8 +17,8 @@
   uint32_t partition;
   uint64_t epoch;
   FbAppender *appender;
-  FbFollower *progress_follower;
-  FbFollower *job_follower;
+  FbTopicReader *progress_reader;
+  FbTopicReader *job_reader;
   GHashTable *progress;  /* job -> GBytes, while loading */
   GHashTable *cancelled; /* jobs, while loading */
   GHashTable *loading;   /* job -> GBytes, while loading */
@@ -62,7 +62,7 @@
 /* Hands what the store does not take to other daemons. */
 void fb_owner_hand_unstored (const FbOwnerPart *part);
 /* Another daemon has kept TOLD for earlier owners. */
-void fb_owner_take_kept (FbOwner *self, const fb_told_kept *told);
+void fb_owner_take_kept (FbOwner *self, const fb_suspect_backups_reply *told);
 
 /* owner-recall.c */
 
--- a/src/entry/owner/owner-recall.c
+++ b/src/entry/owner/owner-recall.c
@@ -16,33 +16,33 @@
 } Recall;
 
 static void
-take_starts (FbOwner *self, const fb_told_starts *told)
+take_starts (FbOwner *self, const fb_recent_starts_reply *told)
 {
   GHashTableIter iter;
   gpointer part;
   g_hash_table_iter_init (&iter, self->parts);
   while (g_hash_table_iter_next (&iter, NULL, &part))
-    fb_pool_recall_starts (((FbOwnerPart *) part)->pool, told, fb_clock_ms ());
+    fb_pool_import_starts (((FbOwnerPart *) part)->pool, told, fb_clock_ms ());
 }
 
 static void
-on_told (gpointer data, const fb_told *told)
+on_told (gpointer data, const fb_peer_reply *told)
 {
   Recall *recall = data;
   FbOwner *owner = fb_entry_owner (recall->entry, recall->partition);
-  if (told != NULL && told->type == FB_TOLD_STARTS && owner != NULL
+  if (told != NULL && told->type == FB_REPLY_RECENT_STARTS && owner != NULL
       && owner->epoch == recall->epoch)
-    take_starts (owner, &told->fb_told_u.starts);
-  else if (told != NULL && told->type == FB_TOLD_KEPT && owner != NULL
+    take_starts (owner, &told->fb_peer_reply_u.starts);
+  else if (told != NULL && told->type == FB_REPLY_SUSPECT_BACKUPS && owner != NULL
            && owner->epoch == recall->epoch)
-    fb_owner_take_kept (owner, &told->fb_told_u.kept);
+    fb_owner_take_kept (owner, &told->fb_peer_reply_u.kept);
   g_free (recall);
 }
 
 static void
-ask_daemon (const FbOwner *self, const char *address, fb_ask_type what)
+ask_daemon (const FbOwner *self, const char *address, fb_peer_request_type what)
 {
-  const fb_ask ask = { .type = what };
+  const fb_peer_request ask = { .type = what };
   Recall *recall = g_new0 (Recall, 1);
   recall->entry = self->entry;
   recall->partition = self->partition;
@@ -53,8 +53,8 @@
 static void
 recall_own (FbOwner *self)
 {
-  fb_told_starts told;
-  fb_recent_starts_tell (self->entry->recent_starts, fb_clock_ms (), &told);
+  fb_recent_starts_reply told;
+  fb_recent_starts_list (self->entry->recent_starts, fb_clock_ms (), &told);
   take_starts (self, &told);
   g_free (told.starts.starts_val);
 }
@@ -62,10 +62,10 @@
 static void
 recall_own_kept (FbOwner *self)
 {
-  fb_told_kept told;
-  fb_kept_suspects_tell (self->entry->kept_suspects, fb_clock_ms (), &told);
+  fb_suspect_backups_reply told;
+  fb_suspect_backups_list (self->entry->suspect_backups, fb_clock_ms (), &told);
   fb_owner_take_kept (self, &told);
-  xdr_free ((xdrproc_t) xdr_fb_told_kept, (char *) &told);
+  xdr_free ((xdrproc_t) xdr_fb_suspect_backups_reply, (char *) &told);
 }
 
 static void
@@ -82,8 +82,8 @@
         continue;
       /* Asked for once: a task may have been cleared of it since. */
       if (self->recalled_n == 1)
-        ask_daemon (self, daemon->address, FB_ASK_KEPT);
-      ask_daemon (self, daemon->address, FB_ASK_STARTS);
+        ask_daemon (self, daemon->address, FB_REQUEST_SUSPECT_BACKUPS);
+      ask_daemon (self, daemon->address, FB_REQUEST_RECENT_STARTS);
     }
 }
 
--- a/src/entry/owner/owner-unstored.c
+++ b/src/entry/owner/owner-unstored.c
@@ -27,29 +27,30 @@
 
 /* The same daemons for a job, whatever is handed over, as long as they live. */
 static void
-hand_over (const FbOwner *self, const fb_ask *ask)
+hand_over (const FbOwner *self, const fb_peer_request *ask)
 {
   const GPtrArray *daemons = fb_daemons_all (self->entry->daemons);
   g_autoptr (GPtrArray) chosen = g_ptr_array_new ();
   const Choice choice = { self->entry->settings->peers, chosen };
   const FbDaemon *daemon = NULL;
   while (chosen->len < KEEPERS
-         && (daemon = fb_rendezvous_choose (daemons, ask->fb_ask_u.keep.job, may_keep, &choice))
+         && (daemon
+             = fb_rendezvous_choose (daemons, ask->fb_peer_request_u.keep.job, may_keep, &choice))
                 != NULL)
     {
       g_ptr_array_add (chosen, daemon->address);
       fb_peers_ask (self->entry, daemon->address, ask, ANSWER_MS, fb_peers_ignore_told, NULL);
     }
   fb_event_log (FB_EVENT_SUSPECTS_HANDED, "job=%s epoch=%" G_GUINT64_FORMAT " tasks=%u daemons=%u",
-                ask->fb_ask_u.keep.job, self->epoch, ask->fb_ask_u.keep.suspects.tasks.tasks_len,
-                chosen->len);
+                ask->fb_peer_request_u.keep.job, self->epoch,
+                ask->fb_peer_request_u.keep.suspects.tasks.tasks_len, chosen->len);
 }
 
 static void
-hand_job (const FbOwner *self, const FbPoolUnstored *unstored)
+hand_job (const FbOwner *self, const FbPoolUnstoredSuspects *unstored)
 {
-  fb_ask ask = { .type = FB_ASK_KEEP };
-  fb_kept_job *kept = &ask.fb_ask_u.keep;
+  fb_peer_request ask = { .type = FB_REQUEST_BACK_UP_SUSPECTS };
+  fb_suspects_backup *kept = &ask.fb_peer_request_u.keep;
   kept->job = unstored->job;
   kept->epoch = self->epoch;
   gsize len = 0;
@@ -64,7 +65,7 @@
 void
 fb_owner_hand_unstored (const FbOwnerPart *part)
 {
-  g_autoptr (GPtrArray) unstored = fb_pool_unstored (part->pool, fb_clock_ms ());
+  g_autoptr (GPtrArray) unstored = fb_pool_take_unstored_suspects (part->pool, fb_clock_ms ());
   for (guint i = 0; unstored != NULL && i < unstored->len; i++)
     hand_job (part->owner, unstored->pdata[i]);
 }
@@ -72,18 +73,18 @@
 /* ---- after a take-over ------------------------------------------------------------------- */
 
 void
-fb_owner_take_kept (FbOwner *self, const fb_told_kept *told)
+fb_owner_take_kept (FbOwner *self, const fb_suspect_backups_reply *told)
 {
   GHashTableIter iter;
   gpointer part;
   for (u_int i = 0; i < told->jobs.jobs_len; i++)
     {
-      const fb_kept_job *kept = &told->jobs.jobs_val[i];
+      const fb_suspects_backup *kept = &told->jobs.jobs_val[i];
       if (kept->epoch >= self->epoch)
         continue;
       g_hash_table_iter_init (&iter, self->parts);
       while (g_hash_table_iter_next (&iter, NULL, &part))
-        fb_pool_recall_unstored (((FbOwnerPart *) part)->pool, kept->job, &kept->suspects,
+        fb_pool_import_suspects (((FbOwnerPart *) part)->pool, kept->job, &kept->suspects,
                                  fb_clock_ms ());
     }
 }
--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -51,11 +51,11 @@
   if (part != NULL)
     return part;
   const FbEntrySettings *settings = self->entry->settings;
-  const FbPoolLimits limits = { .hold_max_ms = (uint32_t) settings->hold_max_ms,
-                                .stop_ms = (uint32_t) settings->stop_ms,
+  const FbPoolLimits limits = { .max_lease_ms = (uint32_t) settings->max_lease_ms,
+                                .max_stop_ms = (uint32_t) settings->max_stop_ms,
                                 .gang_wait_ms = (uint32_t) settings->gang_wait_ms,
-                                .crashes_n = (uint32_t) settings->crashes_n,
-                                .shared_crashes_n = (uint32_t) settings->shared_crashes_n };
+                                .max_isolated_crashes = (uint32_t) settings->max_isolated_crashes,
+                                .max_shared_crashes = (uint32_t) settings->max_shared_crashes };
   part = g_new0 (FbOwnerPart, 1);
   part->owner = self;
   part->service = g_strdup (service);
@@ -123,8 +123,8 @@
       const char *job = self->spent->pdata[i];
       g_autofree char *job_key = g_strdup_printf ("%c%s", FB_KEY_JOB, job);
       g_autofree char *cancel_key = g_strdup_printf ("%c%s", FB_KEY_CANCEL, job);
-      fb_wire_put_record (body, job_key, NULL);
-      fb_wire_put_record (body, cancel_key, NULL);
+      fb_wire_encode_record (body, job_key, NULL);
+      fb_wire_encode_record (body, cancel_key, NULL);
     }
   g_ptr_array_set_size (self->spent, 0);
   fb_appender_put (fb_entry_appender (self->entry, self->partition), body, 0, nothing_to_do, NULL);
@@ -143,7 +143,8 @@
     {
       const FbPoolRecord *record = records->pdata[i];
       g_autofree char *workers_key = g_strconcat (FB_KEY_WORKERS, part->service, NULL);
-      fb_wire_put_record (body, record->job != NULL ? record->job : workers_key, record->progress);
+      fb_wire_encode_record (body, record->job != NULL ? record->job : workers_key,
+                             record->progress);
       if (record->progress == NULL || record->ended)
         g_ptr_array_add (ended, g_strdup (record->job));
     }
@@ -176,8 +177,8 @@
 static void
 check_worker_list (FbOwner *self)
 {
-  const FbFollower *list = self->entry->worker_follower;
-  if (self->workers_known || fb_follower_fresh_ms (list) <= self->fenced_ms)
+  const FbTopicReader *list = self->entry->worker_reader;
+  if (self->workers_known || fb_topic_reader_fresh_ms (list) <= self->fenced_ms)
     return;
   self->workers_known = TRUE;
   fb_histogram_add (FB_HISTOGRAM_TAKE_OVER, fb_clock_ms () - self->began_ms);
@@ -201,8 +202,8 @@
     {
       FbOwnerPart *part = value;
       gboolean may_start = is_sure (self, part, now_ms) && !self->quiet;
-      fb_pool_jobs_read (part->pool, fb_follower_fresh_ms (self->job_follower));
-      fb_pool_step (part->pool, may_start, now_ms, fb_clock_wall_ms ());
+      fb_pool_jobs_read (part->pool, fb_topic_reader_fresh_ms (self->job_reader));
+      fb_pool_tick (part->pool, may_start, now_ms, fb_clock_wall_ms ());
       flush_part (part);
       fb_owner_hand_unstored (part);
     }
@@ -270,8 +271,8 @@
   if (self->load_turn != 0)
     g_source_remove (self->load_turn);
   fb_appender_free (self->appender);
-  fb_follower_free (self->progress_follower);
-  fb_follower_free (self->job_follower);
+  fb_topic_reader_free (self->progress_reader);
+  fb_topic_reader_free (self->job_reader);
   g_ptr_array_unref (self->spent);
   g_hash_table_unref (self->parts);
   g_hash_table_unref (self->loading);
@@ -332,7 +333,7 @@
 
 void
 fb_owner_advised (FbOwner *self, const char *step, const char *const *asked, guint n,
-                  const fb_told_advice *told)
+                  const fb_advice_reply *told)
 {
   GHashTableIter iter;
   gpointer part;
@@ -357,37 +358,37 @@
 /* ---- queries ------------------------------------------------------------------------------ */
 
 static void
-tell_state (FbOwner *self, const fb_ask_job *ask, fb_told *told)
+tell_state (FbOwner *self, const fb_job_state_request *ask, fb_peer_reply *told)
 {
   const FbOwnerPart *part = g_hash_table_lookup (self->parts, ask->service);
   fb_work_state state = FB_WORK_QUEUED;
   if (part != NULL && fb_pool_job_state (part->pool, ask->job, &state))
     {
-      told->type = FB_TOLD_STATE;
-      told->fb_told_u.state = state;
+      told->type = FB_REPLY_JOB_STATE;
+      told->fb_peer_reply_u.state = state;
       return;
     }
   uint64_t now_ms = fb_clock_ms ();
-  if (now_ms < fb_follower_fresh_ms (self->job_follower) + FRESH_MS)
-    told->type = FB_TOLD_NO_JOB;
+  if (now_ms < fb_topic_reader_fresh_ms (self->job_reader) + FRESH_MS)
+    told->type = FB_REPLY_NO_SUCH_JOB;
 }
 
 static void
-tell_pending (FbOwner *self, const fb_ask_queue *ask, fb_told *told)
+tell_pending (FbOwner *self, const fb_pending_request *ask, fb_peer_reply *told)
 {
   const FbOwnerPart *part = g_hash_table_lookup (self->parts, ask->service);
-  told->type = FB_TOLD_PENDING;
-  told->fb_told_u.pending = part != NULL ? fb_pool_pending (part->pool, ask->queue) : 0;
+  told->type = FB_REPLY_PENDING_COUNT;
+  told->fb_peer_reply_u.pending = part != NULL ? fb_pool_pending (part->pool, ask->queue) : 0;
 }
 
 void
-fb_owner_tell (FbOwner *self, const fb_ask *ask, fb_told *told)
+fb_owner_tell (FbOwner *self, const fb_peer_request *ask, fb_peer_reply *told)
 {
-  told->type = FB_TOLD_UNSURE;
+  told->type = FB_REPLY_UNAVAILABLE;
   if (!self->loaded || self->lost)
     return;
-  if (ask->type == FB_ASK_STATE)
-    tell_state (self, &ask->fb_ask_u.job, told);
-  else if (ask->type == FB_ASK_PENDING)
-    tell_pending (self, &ask->fb_ask_u.queue, told);
+  if (ask->type == FB_REQUEST_JOB_STATE)
+    tell_state (self, &ask->fb_peer_request_u.job, told);
+  else if (ask->type == FB_REQUEST_PENDING_COUNT)
+    tell_pending (self, &ask->fb_peer_request_u.queue, told);
 }
--- a/src/entry/owner/owner.h
+++ b/src/entry/owner/owner.h
@@ -10,7 +10,7 @@
 void fb_owner_free (FbOwner *self);
 gboolean fb_owner_lost (const FbOwner *self);
 /* Answers questions about jobs and queues. */
-void fb_owner_tell (FbOwner *self, const fb_ask *ask, fb_told *told);
+void fb_owner_tell (FbOwner *self, const fb_peer_request *ask, fb_peer_reply *told);
 /* Takes a record of FB_TOPIC_JOBS that is in the store, before it is read there. */
 void fb_owner_take_record (FbOwner *self, const char *key, GBytes *value);
 /* Something changed that pools should look at soon. */
@@ -23,4 +23,4 @@
 gboolean fb_owner_is_quiet (const FbOwner *self);
 /* TOLD is NULL when the question failed. */
 void fb_owner_advised (FbOwner *self, const char *step, const char *const *asked, guint n,
-                       const fb_told_advice *told);
+                       const fb_advice_reply *told);
--- a/src/entry/peers/payload-share.c
+++ b/src/entry/peers/payload-dedup.c
@@ -1,4 +1,4 @@
-#include "payload-share.h"
+#include "payload-dedup.h"
 
 #include <stdlib.h>
 #include <string.h>
--- a/src/entry/peers/peers.c
+++ b/src/entry/peers/peers.c
@@ -20,26 +20,26 @@
 /* ---- what calls are counted as ------------------------------------------------- */
 
 static FbTraffic
-traffic_of (const fb_ask *ask)
+traffic_of (const fb_peer_request *ask)
 {
   switch (ask->type)
     {
-    case FB_ASK_ADVICE:
+    case FB_REQUEST_ADVICE:
       return FB_TRAFFIC_PEER_ADVICE;
-    case FB_ASK_APPEND:
-    case FB_ASK_WRITE:
-    case FB_ASK_STORED:
+    case FB_REQUEST_APPEND_JOB_RECORD:
+    case FB_REQUEST_APPEND_PROGRESS:
+    case FB_REQUEST_NOTIFY_STORED:
       return FB_TRAFFIC_PEER_RECORDS;
-    case FB_ASK_ORDER:
-      return ask->fb_ask_u.order.kind == FB_CARRY_LOOK ? FB_TRAFFIC_CARRIED_LOOKS
-                                                       : FB_TRAFFIC_CARRIED_ORDERS;
-    case FB_ASK_STATE:
-    case FB_ASK_PENDING:
-    case FB_ASK_OWNERS:
-    case FB_ASK_STARTS:
-    case FB_ASK_KEPT:
+    case FB_REQUEST_RELAY_ORDER:
+      return ask->fb_peer_request_u.order.kind == FB_ORDER_KIND_POLL ? FB_TRAFFIC_RELAYED_POLLS
+                                                                     : FB_TRAFFIC_RELAYED_ORDERS;
+    case FB_REQUEST_JOB_STATE:
+    case FB_REQUEST_PENDING_COUNT:
+    case FB_REQUEST_PARTITION_OWNERS:
+    case FB_REQUEST_RECENT_STARTS:
+    case FB_REQUEST_SUSPECT_BACKUPS:
       return FB_TRAFFIC_PEER_QUESTIONS;
-    case FB_ASK_KEEP:
+    case FB_REQUEST_BACK_UP_SUSPECTS:
       return FB_TRAFFIC_PEER_RECORDS;
     }
   return FB_TRAFFIC_OTHER;
@@ -58,17 +58,17 @@
 on_reply (gpointer data, FbLinkResult result, gconstpointer body, gsize len)
 {
   Asked *asked = data;
-  fb_told told;
+  fb_peer_reply told;
   fb_traffic_add (asked->traffic, 0, len);
-  if (result == FB_LINK_ANSWERED && fb_codec_decode_told (body, len, &told))
+  if (result == FB_LINK_ANSWERED && fb_codec_decode_peer_reply (body, len, &told))
     {
       asked->done (asked->user, &told);
-      xdr_free ((xdrproc_t) xdr_fb_told, (char *) &told);
+      xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &told);
     }
   else if (result == FB_LINK_NOT_SENT)
     {
       /* The peer is down: it did nothing, and knows nothing. */
-      static const fb_told unsure = { .type = FB_TOLD_UNSURE };
+      static const fb_peer_reply unsure = { .type = FB_REPLY_UNAVAILABLE };
       asked->done (asked->user, &unsure);
     }
   else
@@ -77,14 +77,14 @@
 }
 
 void
-fb_peers_ask (FbEntry *entry, const char *address, const fb_ask *ask, uint32_t timeout_ms,
+fb_peers_ask (FbEntry *entry, const char *address, const fb_peer_request *ask, uint32_t timeout_ms,
               FbTold done, gpointer user)
 {
   Asked *asked = g_new0 (Asked, 1);
   asked->done = done;
   asked->user = user;
   asked->traffic = traffic_of (ask);
-  g_autoptr (GBytes) body = fb_codec_encode_ask (ask);
+  g_autoptr (GBytes) body = fb_codec_encode_peer_request (ask);
   fb_traffic_add (asked->traffic, body != NULL ? g_bytes_get_size (body) : 0, 0);
   fb_links_call (entry->links, address, body, timeout_ms, on_reply, asked);
 }
@@ -104,7 +104,7 @@
 static void ask_owner (OwnerQuestion *question);
 
 static void
-finish (OwnerQuestion *question, const fb_told *told)
+finish (OwnerQuestion *question, const fb_peer_reply *told)
 {
   question->done (question->user, told);
   g_bytes_unref (question->ask);
@@ -119,10 +119,10 @@
 }
 
 static void
-on_owner_told (gpointer data, const fb_told *told)
+on_owner_told (gpointer data, const fb_peer_reply *told)
 {
   OwnerQuestion *question = data;
-  if (told != NULL && told->type != FB_TOLD_UNSURE)
+  if (told != NULL && told->type != FB_REPLY_UNAVAILABLE)
     {
       finish (question, told);
       return;
@@ -140,34 +140,34 @@
   uint64_t now_ms = fb_clock_ms ();
   gsize len = 0;
   gconstpointer data = g_bytes_get_data (question->ask, &len);
-  fb_ask ask;
-  if (now_ms >= question->until_ms || !fb_codec_decode_ask (data, len, &ask))
+  fb_peer_request ask;
+  if (now_ms >= question->until_ms || !fb_codec_decode_peer_request (data, len, &ask))
     {
       finish (question, NULL);
       return;
     }
   FbOwner *owner = fb_entry_owner (question->entry, question->partition);
   const char *address = fb_group_owner_of (question->entry->group, question->partition);
-  fb_told told = { .type = FB_TOLD_UNSURE };
-  uint64_t left_ms = question->until_ms - now_ms;
+  fb_peer_reply told = { .type = FB_REPLY_UNAVAILABLE };
+  uint64_t remaining_ms = question->until_ms - now_ms;
   if (owner != NULL)
     fb_owner_tell (owner, &ask, &told);
   if (owner == NULL && address != NULL && !g_str_equal (address, question->entry->settings->peers))
-    fb_peers_ask (question->entry, address, &ask, (uint32_t) MIN (left_ms, 700), on_owner_told,
+    fb_peers_ask (question->entry, address, &ask, (uint32_t) MIN (remaining_ms, 700), on_owner_told,
                   question);
   else
     on_owner_told (question, &told);
-  xdr_free ((xdrproc_t) xdr_fb_ask, (char *) &ask);
+  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &ask);
 }
 
 void
-fb_peers_ask_owner (FbEntry *entry, const char *service, const fb_ask *ask, uint32_t timeout_ms,
-                    FbTold done, gpointer user)
+fb_peers_ask_owner (FbEntry *entry, const char *service, const fb_peer_request *ask,
+                    uint32_t timeout_ms, FbTold done, gpointer user)
 {
   OwnerQuestion *question = g_new0 (OwnerQuestion, 1);
   question->entry = entry;
   question->partition = fb_entry_partition_of (entry, service);
-  question->ask = fb_codec_encode_ask (ask);
+  question->ask = fb_codec_encode_peer_request (ask);
   question->until_ms = fb_clock_ms () + timeout_ms;
   question->done = done;
   question->user = user;
@@ -177,7 +177,7 @@
 /* ---- telling an owner --------------------------------------------------------------- */
 
 void
-fb_peers_ignore_told (gpointer user, const fb_told *told)
+fb_peers_ignore_told (gpointer user, const fb_peer_reply *told)
 {
   (void) user;
   (void) told;
@@ -202,11 +202,11 @@
       return;
     }
   gsize len = 0;
-  fb_ask ask = { .type = FB_ASK_STORED };
-  ask.fb_ask_u.stored.partition = partition;
-  ask.fb_ask_u.stored.key = (char *) key;
-  ask.fb_ask_u.stored.value.value_val = (char *) g_bytes_get_data (value, &len);
-  ask.fb_ask_u.stored.value.value_len = (u_int) len;
+  fb_peer_request ask = { .type = FB_REQUEST_NOTIFY_STORED };
+  ask.fb_peer_request_u.stored.partition = partition;
+  ask.fb_peer_request_u.stored.key = (char *) key;
+  ask.fb_peer_request_u.stored.value.value_val = (char *) g_bytes_get_data (value, &len);
+  ask.fb_peer_request_u.stored.value.value_len = (u_int) len;
   fb_peers_ask (entry, address, &ask, TELL_MS, fb_peers_ignore_told, NULL);
 }
 
@@ -216,12 +216,12 @@
 static const struct
 {
   FbAppendResult result;
-  fb_told_type told;
-} append_results[] = { { FB_APPEND_STORED, FB_TOLD_STORED },
-                       { FB_APPEND_NOT_STORED, FB_TOLD_NOT_STORED },
-                       { FB_APPEND_IN_DOUBT, FB_TOLD_IN_DOUBT },
-                       { FB_APPEND_FENCED, FB_TOLD_FENCED },
-                       { FB_APPEND_SEQUENCE, FB_TOLD_SEQUENCE } };
+  fb_peer_reply_type told;
+} append_results[] = { { FB_APPEND_STORED, FB_REPLY_STORED },
+                       { FB_APPEND_NOT_STORED, FB_REPLY_NOT_STORED },
+                       { FB_APPEND_IN_DOUBT, FB_REPLY_IN_DOUBT },
+                       { FB_APPEND_FENCED, FB_REPLY_FENCED },
+                       { FB_APPEND_OUT_OF_SEQUENCE, FB_REPLY_OUT_OF_SEQUENCE } };
 
 typedef struct
 {
@@ -230,7 +230,7 @@
 } PeerWrite;
 
 static void
-on_peer_wrote (gpointer data, const fb_told *told)
+on_peer_wrote (gpointer data, const fb_peer_reply *told)
 {
   PeerWrite *write = data;
   FbAppendResult result = FB_APPEND_IN_DOUBT;
@@ -239,21 +239,21 @@
       if (told->type == append_results[i].told)
         result = append_results[i].result;
     }
-  if (told != NULL && told->type == FB_TOLD_UNSURE)
+  if (told != NULL && told->type == FB_REPLY_UNAVAILABLE)
     result = FB_APPEND_NOT_STORED; /* the peer is down, or does not know the partition */
   write->done (write->user, result);
   g_free (write);
 }
 
 void
-fb_peers_write (FbEntry *entry, const char *peer, const fb_ask_write *write, uint32_t timeout_ms,
-                FbAppended done, gpointer user)
+fb_peers_write (FbEntry *entry, const char *peer, const fb_progress_append_request *write,
+                uint32_t timeout_ms, FbAppended done, gpointer user)
 {
   PeerWrite *open = g_new0 (PeerWrite, 1);
   open->done = done;
   open->user = user;
-  fb_ask ask = { .type = FB_ASK_WRITE };
-  ask.fb_ask_u.write = *write;
+  fb_peer_request ask = { .type = FB_REQUEST_APPEND_PROGRESS };
+  ask.fb_peer_request_u.write = *write;
   fb_peers_ask (entry, peer, &ask, timeout_ms, on_peer_wrote, open);
 }
 
@@ -268,13 +268,13 @@
 
 /* DATA: the Answer, which ends here. */
 static void
-on_answer_ready (gpointer data, const fb_told *told)
+on_answer_ready (gpointer data, const fb_peer_reply *told)
 {
   Answer *answer = data;
-  static const fb_told unsure = { .type = FB_TOLD_UNSURE };
-  g_autoptr (GBytes) body = fb_codec_encode_told (told != NULL ? told : &unsure);
+  static const fb_peer_reply unsure = { .type = FB_REPLY_UNAVAILABLE };
+  g_autoptr (GBytes) body = fb_codec_encode_peer_reply (told != NULL ? told : &unsure);
   if (body == NULL) /* more than one answer holds */
-    body = fb_codec_encode_told (&unsure);
+    body = fb_codec_encode_peer_reply (&unsure);
   fb_traffic_add (answer->traffic, g_bytes_get_size (body), 0);
   fb_link_call_answer (answer->call, body);
   g_free (answer);
@@ -283,7 +283,7 @@
 static void
 on_appended (gpointer data, FbAppendResult result)
 {
-  fb_told told = { .type = FB_TOLD_IN_DOUBT };
+  fb_peer_reply told = { .type = FB_REPLY_IN_DOUBT };
   for (guint i = 0; i < G_N_ELEMENTS (append_results); i++)
     {
       if (append_results[i].result == result)
@@ -295,12 +295,12 @@
 static void
 on_written (gpointer data, const FbHttpReply *reply)
 {
-  on_appended (data, fb_wire_append_result (reply));
+  on_appended (data, fb_wire_parse_append (reply));
 }
 
 /* Sent at once, under the owner's own sequence: a repeat from there does no harm. */
 static void
-write_for_owner (FbEntry *entry, const fb_ask_write *ask, Answer *answer)
+write_for_owner (FbEntry *entry, const fb_progress_append_request *ask, Answer *answer)
 {
   if (ask->partition >= entry->settings->partitions)
     {
@@ -316,7 +316,7 @@
 }
 
 static void
-append_for_peer (FbEntry *entry, const fb_ask_append *ask, Answer *answer)
+append_for_peer (FbEntry *entry, const fb_append_request *ask, Answer *answer)
 {
   if (ask->partition >= entry->settings->partitions)
     {
@@ -336,7 +336,7 @@
 }
 
 static void
-take_stored (FbEntry *entry, const fb_ask_stored *ask)
+take_stored (FbEntry *entry, const fb_stored_notice *ask)
 {
   FbOwner *owner = fb_entry_owner (entry, ask->partition);
   g_autoptr (GBytes) value = g_bytes_new (ask->value.value_val, ask->value.value_len);
@@ -347,65 +347,66 @@
 static void
 tell_starts (FbEntry *entry, Answer *answer)
 {
-  fb_told told = { .type = FB_TOLD_STARTS };
-  fb_recent_starts_tell (entry->recent_starts, fb_clock_ms (), &told.fb_told_u.starts);
+  fb_peer_reply told = { .type = FB_REPLY_RECENT_STARTS };
+  fb_recent_starts_list (entry->recent_starts, fb_clock_ms (), &told.fb_peer_reply_u.starts);
   on_answer_ready (answer, &told);
-  g_free (told.fb_told_u.starts.starts.starts_val);
+  g_free (told.fb_peer_reply_u.starts.starts.starts_val);
 }
 
 static void
 tell_kept (FbEntry *entry, Answer *answer)
 {
-  fb_told told = { .type = FB_TOLD_KEPT };
-  fb_kept_suspects_tell (entry->kept_suspects, fb_clock_ms (), &told.fb_told_u.kept);
+  fb_peer_reply told = { .type = FB_REPLY_SUSPECT_BACKUPS };
+  fb_suspect_backups_list (entry->suspect_backups, fb_clock_ms (), &told.fb_peer_reply_u.kept);
   on_answer_ready (answer, &told);
-  xdr_free ((xdrproc_t) xdr_fb_told, (char *) &told);
+  xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &told);
 }
 
 static const char *
-service_of (const fb_ask *ask)
+service_of (const fb_peer_request *ask)
 {
-  return ask->type == FB_ASK_STATE ? ask->fb_ask_u.job.service : ask->fb_ask_u.queue.service;
+  return ask->type == FB_REQUEST_JOB_STATE ? ask->fb_peer_request_u.job.service
+                                           : ask->fb_peer_request_u.queue.service;
 }
 
 static void
-answer_ask (FbEntry *entry, const fb_ask *ask, Answer *answer)
+answer_ask (FbEntry *entry, const fb_peer_request *ask, Answer *answer)
 {
-  fb_told told = { .type = FB_TOLD_UNSURE };
+  fb_peer_reply told = { .type = FB_REPLY_UNAVAILABLE };
   FbOwner *owner = NULL;
   switch (ask->type)
     {
-    case FB_ASK_ADVICE:
+    case FB_REQUEST_ADVICE:
       if (entry->settings->advice == NULL)
         break;
-      fb_advisor_call (entry, &ask->fb_ask_u.advice, on_answer_ready, answer);
+      fb_advisor_call (entry, &ask->fb_peer_request_u.advice, on_answer_ready, answer);
       return;
-    case FB_ASK_APPEND:
-      append_for_peer (entry, &ask->fb_ask_u.append, answer);
+    case FB_REQUEST_APPEND_JOB_RECORD:
+      append_for_peer (entry, &ask->fb_peer_request_u.append, answer);
       return;
-    case FB_ASK_WRITE:
-      write_for_owner (entry, &ask->fb_ask_u.write, answer);
+    case FB_REQUEST_APPEND_PROGRESS:
+      write_for_owner (entry, &ask->fb_peer_request_u.write, answer);
       return;
-    case FB_ASK_OWNERS:
+    case FB_REQUEST_PARTITION_OWNERS:
       fb_group_tell_owners (entry->group, on_answer_ready, answer);
       return;
-    case FB_ASK_ORDER:
-      fb_relay_serve (entry, &ask->fb_ask_u.order, on_answer_ready, answer);
+    case FB_REQUEST_RELAY_ORDER:
+      fb_relay_serve (entry, &ask->fb_peer_request_u.order, on_answer_ready, answer);
       return;
-    case FB_ASK_STARTS:
+    case FB_REQUEST_RECENT_STARTS:
       tell_starts (entry, answer);
       return;
-    case FB_ASK_KEPT:
+    case FB_REQUEST_SUSPECT_BACKUPS:
       tell_kept (entry, answer);
       return;
-    case FB_ASK_KEEP:
-      fb_kept_suspects_take (entry->kept_suspects, &ask->fb_ask_u.keep, fb_clock_ms ());
+    case FB_REQUEST_BACK_UP_SUSPECTS:
+      fb_suspect_backups_put (entry->suspect_backups, &ask->fb_peer_request_u.keep, fb_clock_ms ());
       break;
-    case FB_ASK_STORED:
-      take_stored (entry, &ask->fb_ask_u.stored);
+    case FB_REQUEST_NOTIFY_STORED:
+      take_stored (entry, &ask->fb_peer_request_u.stored);
       break;
-    case FB_ASK_STATE:
-    case FB_ASK_PENDING:
+    case FB_REQUEST_JOB_STATE:
+    case FB_REQUEST_PENDING_COUNT:
       owner = fb_entry_owner (entry, fb_entry_partition_of (entry, service_of (ask)));
       if (owner != NULL)
         fb_owner_tell (owner, ask, &told);
@@ -417,11 +418,11 @@
 void
 fb_peers_serve (gpointer data, FbLinkCall *call, gconstpointer body, gsize len)
 {
-  fb_ask ask;
+  fb_peer_request ask;
   Answer *answer = g_new0 (Answer, 1);
   answer->call = call;
   answer->traffic = FB_TRAFFIC_OTHER;
-  if (!fb_codec_decode_ask (body, len, &ask))
+  if (!fb_codec_decode_peer_request (body, len, &ask))
     {
       fb_event_log (FB_EVENT_PEER_REFUSED, "bytes=%u", (guint) len);
       on_answer_ready (answer, NULL);
@@ -430,5 +431,5 @@
   answer->traffic = traffic_of (&ask);
   fb_traffic_add (answer->traffic, 0, len);
   answer_ask (data, &ask, answer);
-  xdr_free ((xdrproc_t) xdr_fb_ask, (char *) &ask);
+  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &ask);
 }
--- a/src/entry/peers/recent-starts.c
+++ b/src/entry/peers/recent-starts.c
@@ -135,7 +135,7 @@
 static gboolean
 was_heard (FbOrderResult result)
 {
-  return result != FB_ORDER_UNKNOWN && result != FB_ORDER_OTHER_LIFE
+  return result != FB_ORDER_UNKNOWN && result != FB_ORDER_OTHER_INCARNATION
          && result != FB_ORDER_NO_LISTENER;
 }
 
@@ -162,7 +162,7 @@
 }
 
 static void
-take_end (FbRecentStarts *self, Target *target, const FbEndSeen *end)
+take_end (FbRecentStarts *self, Target *target, const FbReportedEnd *end)
 {
   for (GList *l = target->starts.head, *next = NULL; l != NULL; l = next)
     {
@@ -178,7 +178,7 @@
 {
   for (guint i = 0; i < running->len; i++)
     {
-      const FbRunSeen *run = &g_array_index (running, FbRunSeen, i);
+      const FbReportedRun *run = &g_array_index (running, FbReportedRun, i);
       if (start->attempt == run->attempt && g_str_equal (start->task, run->task))
         return TRUE;
     }
@@ -205,7 +205,7 @@
 }
 
 void
-fb_recent_starts_looked (FbRecentStarts *self, const char *worker, const FbLookAnswer *answer)
+fb_recent_starts_polled (FbRecentStarts *self, const char *worker, const FbPollAnswer *answer)
 {
   Target *target = g_hash_table_lookup (self->targets, worker);
   if (target == NULL)
@@ -214,12 +214,12 @@
   if (answer->result == FB_ORDER_DONE)
     take_running (self, target, answer->running);
   for (guint i = 0; answer->finished != NULL && i < answer->finished->len; i++)
-    take_end (self, target, &g_array_index (answer->finished, FbEndSeen, i));
+    take_end (self, target, &g_array_index (answer->finished, FbReportedEnd, i));
   drop_if_empty (self, worker, target);
 }
 
 void
-fb_recent_starts_tell (const FbRecentStarts *self, uint64_t now_ms, fb_told_starts *told)
+fb_recent_starts_list (const FbRecentStarts *self, uint64_t now_ms, fb_recent_starts_reply *told)
 {
   told->starts.starts_val = g_new0 (fb_recent_start, self->starts.length);
   told->starts.starts_len = 0;
--- a/src/entry/peers/recent-starts.h
+++ b/src/entry/peers/recent-starts.h
@@ -22,7 +22,8 @@
 void fb_recent_starts_answered (FbRecentStarts *self, const char *worker, const char *task,
                                 uint32_t attempt, FbOrderResult result);
 /* What a look at WORKER came to. */
-void fb_recent_starts_looked (FbRecentStarts *self, const char *worker, const FbLookAnswer *answer);
+void fb_recent_starts_polled (FbRecentStarts *self, const char *worker, const FbPollAnswer *answer);
 /* Fills in TOLD: the starts at workers that did not answer what was sent to them last.  Its array
  * is the caller's to free, its texts are borrowed until SELF changes. */
-void fb_recent_starts_tell (const FbRecentStarts *self, uint64_t now_ms, fb_told_starts *told);
+void fb_recent_starts_list (const FbRecentStarts *self, uint64_t now_ms,
+                            fb_recent_starts_reply *told);
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -4,7 +4,7 @@
  * each takes a request, a parse of its answer and several system calls.  So each worker has a
  * daemon of its own failure domain that carries the owner's orders to it, chosen by rendezvous
  * hashing weighted by processor, and the owner sends and hears frames of a few hundred bytes.
- * Starts of one job go through few daemons where the owner's link is thin (payload-share.h).
+ * Starts of one job go through few daemons where the owner's link is thin (payload-dedup.h).
  *
  * The relay decides nothing and repeats nothing.  An order that it delays is as one that the
  * network delays: it carries the owner's epoch and a deadline on the worker's clock.
@@ -59,14 +59,14 @@
 }
 
 const char *
-fb_relay_for (FbEntry *entry, const fb_ask_order *order)
+fb_relay_for (FbEntry *entry, const fb_relay_request *order)
 {
   const FbListedWorker *listed = fb_worker_list_find (entry->workers, order->worker);
   if (listed == NULL)
     return NULL;
   uint64_t now_ms = fb_clock_ms ();
   gboolean by_job
-      = order->kind == FB_CARRY_START
+      = order->kind == FB_ORDER_KIND_START
         && fb_payload_share_is_scarce (entry->payload_share, strlen (order->payload), now_ms);
   g_autofree char *job_key = by_job ? fb_payload_share_key (order->task) : NULL;
   const FbDaemon *member
@@ -78,17 +78,17 @@
 /* ---- calls to workers --------------------------------------------------------------- */
 
 static uint32_t
-limit_ms (const fb_ask_order *order)
+limit_ms (const fb_relay_request *order)
 {
-  return order->kind == FB_CARRY_LOOK ? order->wait_ms + order->answer_ms : ORDER_MS;
+  return order->kind == FB_ORDER_KIND_POLL ? order->wait_ms + order->answer_ms : ORDER_MS;
 }
 
 static void
-make_call (FbHttpCall *call, const fb_ask_order *order)
+make_call (FbHttpCall *call, const fb_relay_request *order)
 {
   switch (order->kind)
     {
-    case FB_CARRY_START:
+    case FB_ORDER_KIND_START:
       {
         const FbStartOrder start = { .worker = order->worker,
                                      .address = order->address,
@@ -102,7 +102,7 @@
         fb_wire_start (call, &start);
         break;
       }
-    case FB_CARRY_STOP:
+    case FB_ORDER_KIND_STOP:
       {
         const FbStopOrder stop = { .worker = order->worker,
                                    .address = order->address,
@@ -112,16 +112,16 @@
         fb_wire_stop (call, &stop);
         break;
       }
-    case FB_CARRY_LOOK:
+    case FB_ORDER_KIND_POLL:
       {
-        const FbLookOrder look = { .worker = order->worker,
+        const FbPollOrder poll = { .worker = order->worker,
                                    .address = order->address,
                                    .epoch = order->epoch,
                                    .acknowledged = order->acknowledged,
                                    .deadline_ms = order->deadline_ms,
                                    .wait_ms = order->wait_ms,
                                    .answer_ms = order->answer_ms };
-        fb_wire_look (call, &look);
+        fb_wire_poll (call, &poll);
         break;
       }
     }
@@ -142,7 +142,7 @@
 } WorkerCall;
 
 static WorkerCall *
-worker_call_new (FbEntry *entry, const fb_ask_order *order, FbHttpReplyDone done, gpointer user)
+worker_call_new (FbEntry *entry, const fb_relay_request *order, FbHttpReplyDone done, gpointer user)
 {
   WorkerCall *call = g_new0 (WorkerCall, 1);
   call->entry = entry;
@@ -176,10 +176,10 @@
   if (reply->status != FB_HTTP_OK || reply->code != FB_HTTP_CODE_OK)
     {
       uint64_t clock_ms = 0;
-      result = fb_wire_order_result (reply, &clock_ms);
+      result = fb_wire_parse_order_result (reply, &clock_ms);
       log_not_done (call, reply, result);
     }
-  if (call->kind == FB_CARRY_START)
+  if (call->kind == FB_ORDER_KIND_START)
     fb_recent_starts_answered (call->entry->recent_starts, call->worker, call->task, call->attempt,
                                result);
   call->done (call->user, reply);
@@ -189,15 +189,15 @@
 }
 
 void
-fb_relay_call_worker (FbEntry *entry, const fb_ask_order *order, FbHttpReplyDone done,
+fb_relay_call_worker (FbEntry *entry, const fb_relay_request *order, FbHttpReplyDone done,
                       gpointer user)
 {
   FbHttpCall call;
   make_call (&call, order);
-  if (order->kind == FB_CARRY_START)
+  if (order->kind == FB_ORDER_KIND_START)
     fb_recent_starts_sent (entry->recent_starts, order->worker, order->address, order->task,
                            order->attempt, fb_clock_ms ());
-  if (order->kind == FB_CARRY_LOOK)
+  if (order->kind == FB_ORDER_KIND_POLL)
     fb_http_client_exchange (entry->worker_client, &call, limit_ms (order), done, user);
   else
     fb_http_client_exchange (entry->worker_client, &call, limit_ms (order), on_worker_reply,
@@ -207,13 +207,13 @@
 
 void
 fb_relay_worker_answer (fb_order_kind kind, const char *worker, const FbHttpReply *reply,
-                        FbLookAnswer *answer)
+                        FbPollAnswer *answer)
 {
-  *answer = (FbLookAnswer){ 0 };
-  if (kind == FB_CARRY_LOOK)
-    fb_wire_look_answer (reply, worker, answer);
+  *answer = (FbPollAnswer){ 0 };
+  if (kind == FB_ORDER_KIND_POLL)
+    fb_wire_parse_poll (reply, worker, answer);
   else
-    answer->result = fb_wire_order_result (reply, &answer->clock_ms);
+    answer->result = fb_wire_parse_order_result (reply, &answer->clock_ms);
 }
 
 /* ---- asking ----------------------------------------------------------------------- */
@@ -229,7 +229,7 @@
   uint64_t until_ms;
 } Carried;
 
-static void on_told (gpointer data, const fb_told *told);
+static void on_told (gpointer data, const fb_peer_reply *told);
 
 /* The daemon has started anew, or dropped the payload.  Returns: FALSE when it was sent it. */
 static gboolean
@@ -239,25 +239,26 @@
   g_autoptr (GBytes) whole = g_steal_pointer (&carried->whole);
   gsize len = 0;
   gconstpointer data = whole != NULL ? g_bytes_get_data (whole, &len) : NULL;
-  fb_ask ask;
+  fb_peer_request ask;
   fb_payload_share_forget (carried->entry->payload_share, carried->daemon, &carried->digest);
-  if (data == NULL || now_ms >= carried->until_ms || !fb_codec_decode_ask (data, len, &ask))
+  if (data == NULL || now_ms >= carried->until_ms
+      || !fb_codec_decode_peer_request (data, len, &ask))
     return FALSE;
   (void) fb_payload_share_sent (carried->entry->payload_share, carried->daemon, &carried->digest,
                                 now_ms);
   fb_peers_ask (carried->entry, carried->daemon, &ask, (uint32_t) (carried->until_ms - now_ms),
                 on_told, carried);
-  xdr_free ((xdrproc_t) xdr_fb_ask, (char *) &ask);
+  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &ask);
   return TRUE;
 }
 
 static void
-on_told (gpointer data, const fb_told *told)
+on_told (gpointer data, const fb_peer_reply *told)
 {
   Carried *carried = data;
-  if (told != NULL && told->type == FB_TOLD_NO_PAYLOAD && send_whole (carried))
+  if (told != NULL && told->type == FB_REPLY_PAYLOAD_MISSING && send_whole (carried))
     return;
-  gboolean answered = told != NULL && told->type == FB_TOLD_ORDER;
+  gboolean answered = told != NULL && told->type == FB_REPLY_ORDER_RESULT;
   if (!answered)
     {
       fb_event_log (FB_EVENT_CALL_FAILED, "order by daemon=%s lost=%d", carried->daemon,
@@ -265,9 +266,9 @@
       fb_daemons_rest (carried->entry->daemons, carried->daemon, fb_clock_ms () + REST_MS);
     }
   if (answered)
-    carried->done (carried->user, FB_RELAY_ANSWERED, &told->fb_told_u.order);
+    carried->done (carried->user, FB_RELAY_ANSWERED, &told->fb_peer_reply_u.order);
   else
-    carried->done (carried->user, told != NULL ? FB_RELAY_NOT_CARRIED : FB_RELAY_LOST, NULL);
+    carried->done (carried->user, told != NULL ? FB_RELAY_NOT_RELAYED : FB_RELAY_LOST, NULL);
   g_clear_pointer (&carried->whole, g_bytes_unref);
   g_free (carried->daemon);
   g_free (carried);
@@ -275,10 +276,10 @@
 
 /* Names the payload of ASK, a start, instead of sending it where DAEMON has it. */
 static void
-share_payload (Carried *carried, fb_ask *ask, uint64_t now_ms)
+share_payload (Carried *carried, fb_peer_request *ask, uint64_t now_ms)
 {
-  fb_ask_order *order = &ask->fb_ask_u.order;
-  if (order->kind != FB_CARRY_START || strlen (order->payload) < SHARED_MIN_BYTES)
+  fb_relay_request *order = &ask->fb_peer_request_u.order;
+  if (order->kind != FB_ORDER_KIND_START || strlen (order->payload) < SHARED_MIN_BYTES)
     return;
   fb_payload_digest (order->payload, &carried->digest);
   order->payload_digest.payload_digest_val = (char *) carried->digest.bytes;
@@ -286,13 +287,13 @@
   if (!fb_payload_share_sent (carried->entry->payload_share, carried->daemon, &carried->digest,
                               now_ms))
     return;
-  carried->whole = fb_codec_encode_ask (ask);
+  carried->whole = fb_codec_encode_peer_request (ask);
   order->payload = "";
 }
 
 void
-fb_relay_carry (FbEntry *entry, const char *daemon, const fb_ask_order *order, FbRelayDone done,
-                gpointer user)
+fb_relay_send (FbEntry *entry, const char *daemon, const fb_relay_request *order, FbRelayDone done,
+               gpointer user)
 {
   Carried *carried = g_new0 (Carried, 1);
   carried->entry = entry;
@@ -302,8 +303,8 @@
   uint64_t now_ms = fb_clock_ms ();
   uint32_t patience_ms = limit_ms (order) + WAY_MS;
   carried->until_ms = now_ms + patience_ms;
-  fb_ask ask = { .type = FB_ASK_ORDER };
-  ask.fb_ask_u.order = *order;
+  fb_peer_request ask = { .type = FB_REQUEST_RELAY_ORDER };
+  ask.fb_peer_request_u.order = *order;
   share_payload (carried, &ask, now_ms);
   fb_peers_ask (entry, daemon, &ask, patience_ms, on_told, carried);
 }
@@ -321,17 +322,19 @@
 
 /* ROWS and ENDS borrow from ANSWER. */
 static void
-tell_look (const FbLookAnswer *answer, fb_told_order *told, fb_seen_run *rows, fb_seen_end *ends)
+tell_look (const FbPollAnswer *answer, fb_relay_reply *told, fb_reported_run *rows,
+           fb_reported_end *ends)
 {
   for (guint i = 0; i < answer->running->len; i++)
     {
-      const FbRunSeen *run = &g_array_index (answer->running, FbRunSeen, i);
-      rows[i] = (fb_seen_run){ run->task, run->attempt, run->checkpoint };
+      const FbReportedRun *run = &g_array_index (answer->running, FbReportedRun, i);
+      rows[i] = (fb_reported_run){ run->task, run->attempt, run->checkpoint };
     }
   for (guint i = 0; i < answer->finished->len; i++)
     {
-      const FbEndSeen *end = &g_array_index (answer->finished, FbEndSeen, i);
-      ends[i] = (fb_seen_end){ end->number, end->task, end->attempt, end->how, end->checkpoint };
+      const FbReportedEnd *end = &g_array_index (answer->finished, FbReportedEnd, i);
+      ends[i]
+          = (fb_reported_end){ end->number, end->task, end->attempt, end->how, end->checkpoint };
     }
   told->running.running_len = answer->running->len;
   told->running.running_val = rows;
@@ -343,23 +346,23 @@
 on_reply (gpointer data, const FbHttpReply *reply)
 {
   Order *order = data;
-  FbLookAnswer answer;
+  FbPollAnswer answer;
   fb_relay_worker_answer (order->kind, order->worker, reply, &answer);
-  if (order->kind == FB_CARRY_LOOK)
-    fb_recent_starts_looked (order->entry->recent_starts, order->worker, &answer);
-  fb_told told = { .type = FB_TOLD_ORDER };
-  fb_told_order *mine = &told.fb_told_u.order;
+  if (order->kind == FB_ORDER_KIND_POLL)
+    fb_recent_starts_polled (order->entry->recent_starts, order->worker, &answer);
+  fb_peer_reply told = { .type = FB_REPLY_ORDER_RESULT };
+  fb_relay_reply *mine = &told.fb_peer_reply_u.order;
   mine->result = answer.result;
   mine->clock_ms = answer.clock_ms;
-  mine->life = answer.life != NULL ? answer.life : "";
+  mine->incarnation = answer.incarnation != NULL ? answer.incarnation : "";
   guint runs_n = answer.running != NULL ? answer.running->len : 0;
   guint ends_n = answer.finished != NULL ? answer.finished->len : 0;
-  g_autofree fb_seen_run *rows = g_new0 (fb_seen_run, runs_n + 1);
-  g_autofree fb_seen_end *ends = g_new0 (fb_seen_end, ends_n + 1);
+  g_autofree fb_reported_run *rows = g_new0 (fb_reported_run, runs_n + 1);
+  g_autofree fb_reported_end *ends = g_new0 (fb_reported_end, ends_n + 1);
   if (answer.running != NULL && answer.finished != NULL)
     tell_look (&answer, mine, rows, ends);
   order->done (order->user, &told);
-  fb_look_answer_clear (&answer);
+  fb_poll_answer_clear (&answer);
   g_free (order->worker);
   g_free (order);
 }
@@ -367,7 +370,7 @@
 /* Keeps the payload of ASK, or puts the one that it names into it; borrowed.
  * Returns: FALSE when that is not here. */
 static gboolean
-complete_payload (FbEntry *entry, fb_ask_order *ask)
+complete_payload (FbEntry *entry, fb_relay_request *ask)
 {
   FbPayloadDigest digest;
   if (ask->payload_digest.payload_digest_len != sizeof digest.bytes)
@@ -383,12 +386,12 @@
 }
 
 void
-fb_relay_serve (FbEntry *entry, const fb_ask_order *ask, FbTold done, gpointer user)
+fb_relay_serve (FbEntry *entry, const fb_relay_request *ask, FbTold done, gpointer user)
 {
-  fb_ask_order complete = *ask;
+  fb_relay_request complete = *ask;
   if (!complete_payload (entry, &complete))
     {
-      static const fb_told no_payload = { .type = FB_TOLD_NO_PAYLOAD };
+      static const fb_peer_reply no_payload = { .type = FB_REPLY_PAYLOAD_MISSING };
       done (user, &no_payload);
       return;
     }
@@ -402,30 +405,33 @@
 }
 
 void
-fb_relay_look_answer (const fb_told_order *told, FbLookAnswer *answer)
+fb_relay_poll_answer (const fb_relay_reply *told, FbPollAnswer *answer)
 {
-  *answer = (FbLookAnswer){ .result = (FbOrderResult) MIN (told->result, FB_ORDER_UNKNOWN),
+  *answer = (FbPollAnswer){ .result = (FbOrderResult) MIN (told->result, FB_ORDER_UNKNOWN),
                             .clock_ms = told->clock_ms,
-                            .life = *told->life != '\0' ? g_strdup (told->life) : NULL };
+                            .incarnation
+                            = *told->incarnation != '\0' ? g_strdup (told->incarnation) : NULL };
   if (answer->result != FB_ORDER_DONE)
     return;
-  answer->running = g_array_sized_new (FALSE, TRUE, sizeof (FbRunSeen), told->running.running_len);
+  answer->running
+      = g_array_sized_new (FALSE, TRUE, sizeof (FbReportedRun), told->running.running_len);
   answer->finished
-      = g_array_sized_new (FALSE, TRUE, sizeof (FbEndSeen), told->finished.finished_len);
+      = g_array_sized_new (FALSE, TRUE, sizeof (FbReportedEnd), told->finished.finished_len);
   for (u_int i = 0; i < told->running.running_len; i++)
     {
-      const fb_seen_run *row = &told->running.running_val[i];
-      FbRunSeen run = { .task = row->task, .attempt = row->attempt, .checkpoint = row->checkpoint };
+      const fb_reported_run *row = &told->running.running_val[i];
+      FbReportedRun run
+          = { .task = row->task, .attempt = row->attempt, .checkpoint = row->checkpoint };
       g_array_append_val (answer->running, run);
     }
   for (u_int i = 0; i < told->finished.finished_len; i++)
     {
-      const fb_seen_end *row = &told->finished.finished_val[i];
-      FbEndSeen end = { .number = row->number,
-                        .task = row->task,
-                        .attempt = row->attempt,
-                        .how = (FbEndHow) MIN (row->how, FB_END_ALONE),
-                        .checkpoint = row->checkpoint };
+      const fb_reported_end *row = &told->finished.finished_val[i];
+      FbReportedEnd end = { .number = row->number,
+                            .task = row->task,
+                            .attempt = row->attempt,
+                            .how = (FbEndReason) MIN (row->how, FB_END_GANG_TIMEOUT),
+                            .checkpoint = row->checkpoint };
       g_array_append_val (answer->finished, end);
     }
 }
--- a/src/entry/peers/kept-suspects.c
+++ b/src/entry/peers/suspect-backups.c
@@ -1,4 +1,4 @@
-#include "kept-suspects.h"
+#include "suspect-backups.h"
 
 #include "internal/codec.h"
 
@@ -15,7 +15,7 @@
   GBytes *suspects;
 } Kept;
 
-struct _FbKeptSuspects
+struct _FbSuspectBackups
 {
   GHashTable *jobs; /* id -> Kept */
 };
@@ -28,16 +28,16 @@
   g_free (kept);
 }
 
-FbKeptSuspects *
-fb_kept_suspects_new (void)
+FbSuspectBackups *
+fb_suspect_backups_new (void)
 {
-  FbKeptSuspects *self = g_new0 (FbKeptSuspects, 1);
+  FbSuspectBackups *self = g_new0 (FbSuspectBackups, 1);
   self->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, kept_free);
   return self;
 }
 
 void
-fb_kept_suspects_free (FbKeptSuspects *self)
+fb_suspect_backups_free (FbSuspectBackups *self)
 {
   g_hash_table_unref (self->jobs);
   g_free (self);
@@ -57,14 +57,15 @@
 }
 
 void
-fb_kept_suspects_take (FbKeptSuspects *self, const fb_kept_job *kept, uint64_t now_ms)
+fb_suspect_backups_put (FbSuspectBackups *self, const fb_suspects_backup *kept, uint64_t now_ms)
 {
   const Kept *before = g_hash_table_lookup (self->jobs, kept->job);
   if (before != NULL && before->epoch > kept->epoch)
     return;
   g_hash_table_foreach_remove (self->jobs, drop_if_old, &now_ms);
   g_hash_table_remove (self->jobs, kept->job);
-  if (kept->suspects.tasks.tasks_len == 0 || g_hash_table_size (self->jobs) >= FB_WORK_MAX_KEPT)
+  if (kept->suspects.tasks.tasks_len == 0
+      || g_hash_table_size (self->jobs) >= FB_WORK_MAX_SUSPECT_BACKUPS)
     return;
   GBytes *suspects = fb_codec_encode_suspects (&kept->suspects);
   if (suspects == NULL)
@@ -77,9 +78,10 @@
 }
 
 void
-fb_kept_suspects_tell (const FbKeptSuspects *self, uint64_t now_ms, fb_told_kept *told)
+fb_suspect_backups_list (const FbSuspectBackups *self, uint64_t now_ms,
+                         fb_suspect_backups_reply *told)
 {
-  told->jobs.jobs_val = calloc (g_hash_table_size (self->jobs) + 1, sizeof (fb_kept_job));
+  told->jobs.jobs_val = calloc (g_hash_table_size (self->jobs) + 1, sizeof (fb_suspects_backup));
   told->jobs.jobs_len = 0;
   GHashTableIter iter;
   gpointer id;
@@ -90,7 +92,7 @@
       const Kept *kept = value;
       gsize len = 0;
       gconstpointer data = g_bytes_get_data (kept->suspects, &len);
-      fb_kept_job *job = &told->jobs.jobs_val[told->jobs.jobs_len];
+      fb_suspects_backup *job = &told->jobs.jobs_val[told->jobs.jobs_len];
       if (is_old (kept, now_ms) || !fb_codec_decode_suspects (data, len, &job->suspects))
         continue;
       job->job = strdup (id);
--- a/src/entry/peers/kept-suspects.h
+++ b/src/entry/peers/suspect-backups.h
@@ -6,11 +6,13 @@
 
 #include "internal/pool.h"
 
-typedef struct _FbKeptSuspects FbKeptSuspects;
+typedef struct _FbSuspectBackups FbSuspectBackups;
 
-FbKeptSuspects *fb_kept_suspects_new (void);
-void fb_kept_suspects_free (FbKeptSuspects *self);
+FbSuspectBackups *fb_suspect_backups_new (void);
+void fb_suspect_backups_free (FbSuspectBackups *self);
 /* Takes what KEPT says of its job, unless that is of an earlier owner than what is kept. */
-void fb_kept_suspects_take (FbKeptSuspects *self, const fb_kept_job *kept, uint64_t now_ms);
+void fb_suspect_backups_put (FbSuspectBackups *self, const fb_suspects_backup *kept,
+                             uint64_t now_ms);
 /* Fills in TOLD, which is the caller's to xdr_free(). */
-void fb_kept_suspects_tell (const FbKeptSuspects *self, uint64_t now_ms, fb_told_kept *told);
+void fb_suspect_backups_list (const FbSuspectBackups *self, uint64_t now_ms,
+                              fb_suspect_backups_reply *told);
--- a/src/entry/settings.c
+++ b/src/entry/settings.c
@@ -46,12 +46,13 @@
 
 static const FbIniField worker_fields[] = {
   { "longest-lease", FB_INI_DURATION, TRUE, 1, G_MAXUINT32, NULL,
-    offsetof (FbEntrySettings, hold_max_ms) },
-  { "longest-stop", FB_INI_DURATION, TRUE, 0, 0, NULL, offsetof (FbEntrySettings, stop_ms) },
+    offsetof (FbEntrySettings, max_lease_ms) },
+  { "longest-stop", FB_INI_DURATION, TRUE, 0, 0, NULL, offsetof (FbEntrySettings, max_stop_ms) },
   { "gang-patience", FB_INI_DURATION, TRUE, 0, 0, NULL, offsetof (FbEntrySettings, gang_wait_ms) },
-  { "crashes", FB_INI_UINT, FALSE, 2, CRASHES_MOST, NULL, offsetof (FbEntrySettings, crashes_n) },
+  { "crashes", FB_INI_UINT, FALSE, 2, CRASHES_MOST, NULL,
+    offsetof (FbEntrySettings, max_isolated_crashes) },
   { "shared-crashes", FB_INI_UINT, FALSE, 2, CRASHES_MOST, NULL,
-    offsetof (FbEntrySettings, shared_crashes_n) },
+    offsetof (FbEntrySettings, max_shared_crashes) },
   { NULL, 0, FALSE, 0, 0, NULL, 0 }
 };
 
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -16,11 +16,11 @@
   char *advice; /* NULL: no queue has advice */
   uint64_t partitions;
   uint64_t shortest_ttl_ms; /* of a member of a group */
-  uint64_t hold_max_ms;
-  uint64_t stop_ms;
+  uint64_t max_lease_ms;
+  uint64_t max_stop_ms;
   uint64_t gang_wait_ms;
-  uint64_t crashes_n;        /* of workers under a task before it is given up; 0 if not told */
-  uint64_t shared_crashes_n; /* the same if others were on the workers; 0 if not told */
+  uint64_t max_isolated_crashes; /* of workers under a task before it is given up; 0 if not told */
+  uint64_t max_shared_crashes;   /* the same if others were on the workers; 0 if not told */
   uint64_t grace_ms;
   uint64_t link_kbit_s; /* of its network link, each way; Mbit/s in the file; 0 if not told */
   uint64_t cpu_milli;   /* what it has of a core, in thousandths; 1000 if not told */
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -63,9 +63,9 @@
 {
   uint64_t now_ms = fb_clock_ms ();
   if (reply->status == FB_HTTP_OK)
-    fb_store_pace_renewed (&self->pace, (uint32_t) MIN (now_ms - sent_ms, G_MAXUINT32));
+    fb_store_health_renewed (&self->pace, (uint32_t) MIN (now_ms - sent_ms, G_MAXUINT32));
   else if (reply->status == FB_HTTP_TIMEOUT)
-    fb_store_pace_failed (&self->pace, now_ms);
+    fb_store_health_failed (&self->pace, now_ms);
 }
 
 static void
@@ -121,7 +121,7 @@
 list_worker (FbEntry *self, FbListedWorker *worker)
 {
   const FbListedWorker *before = fb_worker_list_of (self->workers, worker->id);
-  if (before != NULL && before->born_ms != worker->born_ms)
+  if (before != NULL && before->incarnation_started_ms != worker->incarnation_started_ms)
     unlist_worker (self, worker->id);
   fb_worker_list_put (self->workers, worker);
   GHashTableIter iter;
@@ -153,7 +153,7 @@
       unlist_worker (self, record->key);
       return;
     }
-  FbListedWorker *worker = fb_wire_listed_worker (record->key, record->value);
+  FbListedWorker *worker = fb_wire_parse_worker (record->key, record->value);
   if (worker == NULL)
     {
       skip_entry (self, record->key);
@@ -188,7 +188,8 @@
   g_clear_pointer (&self->relisted, g_hash_table_unref);
 }
 
-static const FbFollowerOps worker_ops = { on_workers_begin, on_worker_record, on_workers_listed };
+static const FbTopicReaderOps worker_ops
+    = { on_workers_begin, on_worker_record, on_workers_listed };
 
 /* ---- partitions --------------------------------------------------------------------- */
 
@@ -239,7 +240,7 @@
       "join_sent_ms_ago=%u join_answered_ms_ago=%u join_gap_ms=%u kept_ms_ago=%u loop_late_ms=%u",
       ms_ago (self->joins.sent_ms, now_ms), ms_ago (self->joins.answered_ms, now_ms),
       self->joins.gap_ms,
-      ms_ago (fb_keepalive_kept_ms (self->keepalive, FB_MEMBERSHIP_OWNERS), now_ms),
+      ms_ago (fb_keepalive_renewed_ms (self->keepalive, FB_MEMBERSHIP_OWNERS), now_ms),
       fb_loop_watch_longest_ms (self->loop, now_ms));
 }
 
@@ -278,9 +279,9 @@
       log_lost (self, partition, generation, "taken too often in one generation");
       return;
     }
-  if (self->worker_follower == NULL)
-    self->worker_follower
-        = fb_follower_new (self, FB_TOPIC_WORKERS, 0, WORKER_LIST_PAUSE_MS, &worker_ops, self);
+  if (self->worker_reader == NULL)
+    self->worker_reader
+        = fb_topic_reader_new (self, FB_TOPIC_WORKERS, 0, WORKER_LIST_PAUSE_MS, &worker_ops, self);
   uint64_t epoch = generation * EPOCHS_PER_GENERATION + take->n;
   g_hash_table_insert (self->owners, key, fb_owner_new (self, partition, epoch));
 }
@@ -367,7 +368,7 @@
   FbEntry *self = user;
   if (!g_str_equal (record->key, FB_KEY_CONFIG) || record->value == NULL)
     return;
-  FbRoutes *routes = fb_wire_routes (record->value);
+  FbRoutes *routes = fb_wire_parse_routes (record->value);
   if (routes == NULL)
     {
       fb_event_log (FB_EVENT_CONFIG_IGNORED, "why=\"%s\"", fb_status_message ());
@@ -386,11 +387,11 @@
   fb_entry_each_owner (self, fb_owner_routes_changed);
 }
 
-static const FbFollowerOps config_ops = { nothing, on_config_record, nothing };
+static const FbTopicReaderOps config_ops = { nothing, on_config_record, nothing };
 
 void
 fb_entry_watch (FbEntry *self)
 {
-  self->config_follower = fb_follower_new (self, FB_TOPIC_CONFIG, 0, 0, &config_ops, self);
+  self->config_reader = fb_topic_reader_new (self, FB_TOPIC_CONFIG, 0, 0, &config_ops, self);
   fb_timer_subscribe (self->timer, REAP_MS, reap_lost, self);
 }
--- a/src/entry/store/appender.c
+++ b/src/entry/store/appender.c
@@ -120,8 +120,8 @@
 take_result (FbAppender *self, FbAppendResult result)
 {
   self->doubt = self->doubt || result == FB_APPEND_IN_DOUBT;
-  gboolean final
-      = result == FB_APPEND_STORED || result == FB_APPEND_FENCED || result == FB_APPEND_SEQUENCE;
+  gboolean final = result == FB_APPEND_STORED || result == FB_APPEND_FENCED
+                   || result == FB_APPEND_OUT_OF_SEQUENCE;
   if (self->writer != NULL && !final)
     {
       self->failed_n++;
@@ -166,7 +166,7 @@
   FbAppender *self = data;
   if (!self->freed)
     fb_entry_store_answered (self->entry, reply);
-  end_call (self, fb_wire_append_result (reply), reply->code);
+  end_call (self, fb_wire_parse_append (reply), reply->code);
 }
 
 static void
@@ -203,11 +203,11 @@
     return FALSE;
   gsize len = 0;
   const char *records = g_bytes_get_data (self->body, &len);
-  const fb_ask_write write = { .partition = self->partition,
-                               .writer = self->writer,
-                               .epoch = self->epoch,
-                               .sequence = self->sequence,
-                               .records = { (u_int) len, (char *) records } };
+  const fb_progress_append_request write = { .partition = self->partition,
+                                             .writer = self->writer,
+                                             .epoch = self->epoch,
+                                             .sequence = self->sequence,
+                                             .records = { (u_int) len, (char *) records } };
   fb_peers_write (self->entry, peer, &write, PEER_ANSWER_MS, on_peer_wrote, self);
   return TRUE;
 }
@@ -229,7 +229,7 @@
                   self->writer, self->epoch, self->sequence);
   fb_counter_add (FB_COUNTER_LOG_APPENDS, 1);
   fb_http_client_exchange (self->entry->store_client, &call,
-                           fb_store_pace_patience_ms (&self->entry->pace), on_reply, self);
+                           fb_store_health_timeout_ms (&self->entry->pace), on_reply, self);
   fb_http_call_clear (&call);
 }
 
--- a/src/entry/store/daemons.c
+++ b/src/entry/store/daemons.c
@@ -1,6 +1,6 @@
 #include "daemons.h"
 
-#include "dismissal.h"
+#include "group-leave.h"
 
 #include "src/entry/entry-private.h"
 
@@ -175,7 +175,7 @@
   self->read_open = FALSE;
   g_autoptr (GArray) rows = g_array_new (FALSE, TRUE, sizeof (FbPartitionOwner));
   g_array_set_clear_func (rows, fb_partition_owner_clear);
-  if (!fb_wire_owners_told (reply, rows))
+  if (!fb_wire_parse_owners (reply, rows))
     {
       self->read_generation = 0;
       return;
@@ -213,7 +213,7 @@
   fb_entry_renewed (self->entry, reply, self->join_sent_ms);
   if (self->leaving)
     return;
-  gboolean joined = fb_wire_joined (reply, &generation, partitions);
+  gboolean joined = fb_wire_parse_join (reply, &generation, partitions);
   gboolean changed = joined && generation != self->generation;
   if (joined)
     self->generation = generation;
@@ -258,7 +258,7 @@
   if (self->timer != 0)
     g_source_remove (self->timer);
   self->timer = 0;
-  fb_keepalive_forget (self->entry->keepalive, FB_MEMBERSHIP_DAEMONS);
+  fb_keepalive_cancel (self->entry->keepalive, FB_MEMBERSHIP_DAEMONS);
   fb_dismissal_leave (self->dismissal, NULL, NULL);
 }
 
--- a/src/entry/store/dismissal.c
+++ b/src/entry/store/group-leave.c
@@ -1,4 +1,4 @@
-#include "dismissal.h"
+#include "group-leave.h"
 
 #include "src/entry/entry-private.h"
 
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -3,7 +3,7 @@
  * A daemon that the store can no longer hear is dealt out after its time to live.
  * Its name carries the moment of its start: a restarted process must not be taken
  * for the one before, whose orders may still be under way. */
-#include "dismissal.h"
+#include "group-leave.h"
 
 #include "src/entry/entry-private.h"
 
@@ -97,13 +97,13 @@
 /* ---- what the store says of owners ---------------------------------------------- */
 
 static void
-on_peer_owners (gpointer data, const fb_told *told)
+on_peer_owners (gpointer data, const fb_peer_reply *told)
 {
   FbGroup *self = data;
   self->peer_open = FALSE;
-  if (told == NULL || told->type != FB_TOLD_OWNERS)
+  if (told == NULL || told->type != FB_REPLY_PARTITION_OWNERS)
     return; /* who needs them asks again */
-  const fb_told_owners *owners = &told->fb_told_u.owners;
+  const fb_owners_reply *owners = &told->fb_peer_reply_u.owners;
   fb_event_log (FB_EVENT_OWNERS_FROM_PEER, "partitions=%u store_ok_ms_ago=%u",
                 owners->owners.owners_len, (guint) (fb_clock_ms () - self->entry->store_ok_ms));
   g_hash_table_remove_all (self->owner_of);
@@ -124,7 +124,7 @@
   const char *peer = fb_group_any_peer (self, NULL);
   if (self->peer_open || peer == NULL)
     return;
-  static const fb_ask ask = { .type = FB_ASK_OWNERS };
+  static const fb_peer_request ask = { .type = FB_REQUEST_PARTITION_OWNERS };
   self->peer_open = TRUE;
   fb_peers_ask (self->entry, peer, &ask, ANSWER_MS, on_peer_owners, self);
 }
@@ -136,7 +136,7 @@
   self->owners_open = FALSE;
   g_autoptr (GArray) owners = g_array_new (FALSE, TRUE, sizeof (FbPartitionOwner));
   g_array_set_clear_func (owners, fb_partition_owner_clear);
-  if (fb_wire_owners_told (reply, owners))
+  if (fb_wire_parse_owners (reply, owners))
     {
       self->owners_ms = fb_clock_ms ();
       take_owners (self, owners);
@@ -178,7 +178,7 @@
 void
 fb_group_tell_owners (const FbGroup *self, FbTold done, gpointer user)
 {
-  fb_told told = { .type = FB_TOLD_UNSURE };
+  fb_peer_reply told = { .type = FB_REPLY_UNAVAILABLE };
   if (fb_clock_ms () > self->owners_ms + OWNERS_FRESH_MS || self->owners_generation == 0)
     {
       done (user, &told);
@@ -193,9 +193,9 @@
   g_hash_table_iter_init (&iter, self->owner_of);
   while (g_hash_table_iter_next (&iter, &partition, &address))
     rows[n++] = (fb_partition_owner){ GPOINTER_TO_UINT (partition), address };
-  told.type = FB_TOLD_OWNERS;
-  told.fb_told_u.owners.owners.owners_len = n;
-  told.fb_told_u.owners.owners.owners_val = rows;
+  told.type = FB_REPLY_PARTITION_OWNERS;
+  told.fb_peer_reply_u.owners.owners.owners_len = n;
+  told.fb_peer_reply_u.owners.owners.owners_val = rows;
   done (user, &told);
 }
 
@@ -258,7 +258,7 @@
 {
   if (self->ok_sent_ms == 0)
     return 0;
-  uint64_t kept_ms = fb_keepalive_kept_ms (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
+  uint64_t kept_ms = fb_keepalive_renewed_ms (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
   return MAX (self->ok_sent_ms, kept_ms) + self->ttl_ms;
 }
 
@@ -292,7 +292,7 @@
   uint64_t now_ms = fb_clock_ms ();
   if (self->leaving)
     return;
-  if (!fb_wire_joined (reply, &generation, partitions))
+  if (!fb_wire_parse_join (reply, &generation, partitions))
     {
       gboolean silent = fb_entry_store_is_silent (self->entry);
       self->timer = g_timeout_add (silent ? PROBE_PAUSE_MS : JOIN_EVERY_MS / 2, join, self);
@@ -324,7 +324,7 @@
       self->generation = 0;
     }
   if (self->renews)
-    fb_keepalive_forget (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
+    fb_keepalive_cancel (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
   self->renews = FALSE;
   ask_owners (self, fb_clock_ms ());
   guint again_ms = fb_daemons_known (self->entry->daemons) ? JOIN_EVERY_MS : UNKNOWN_MS;
@@ -380,7 +380,7 @@
   if (self->timer != 0)
     g_source_remove (self->timer);
   self->timer = 0;
-  fb_keepalive_forget (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
+  fb_keepalive_cancel (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
   fb_dismissal_leave (self->dismissal, on_left, self);
 }
 
--- a/src/entry/store/keepalive.c
+++ b/src/entry/store/keepalive.c
@@ -155,13 +155,13 @@
 }
 
 void
-fb_keepalive_forget (FbKeepalive *self, FbMembership which)
+fb_keepalive_cancel (FbKeepalive *self, FbMembership which)
 {
   fb_loop_post (self->loop, drop_renewal, &self->memberships[which], NULL);
 }
 
 uint64_t
-fb_keepalive_kept_ms (const FbKeepalive *self, FbMembership which)
+fb_keepalive_renewed_ms (const FbKeepalive *self, FbMembership which)
 {
   return atomic_load (&self->memberships[which].kept_ms);
 }
--- a/src/entry/store/keepalive.h
+++ b/src/entry/store/keepalive.h
@@ -32,7 +32,7 @@
 void fb_keepalive_renewing (FbKeepalive *self, FbMembership which, const FbHttpCall *call,
                             uint32_t ttl_ms, uint64_t ok_sent_ms);
 /* WHICH is given up: nothing more is sent for it.  A call that is open may still arrive. */
-void fb_keepalive_forget (FbKeepalive *self, FbMembership which);
+void fb_keepalive_cancel (FbKeepalive *self, FbMembership which);
 /* Returns: when the last repeat was sent up to which WHICH was never without a renewal for its time
  * to live; 0: none was. */
-uint64_t fb_keepalive_kept_ms (const FbKeepalive *self, FbMembership which);
+uint64_t fb_keepalive_renewed_ms (const FbKeepalive *self, FbMembership which);
--- a/src/entry/store/store-pace.c
+++ b/src/entry/store/store-health.c
@@ -1,4 +1,4 @@
-#include "store-pace.h"
+#include "store-health.h"
 
 /* Appends take 10 to 20 ms; above this the store counts as slow. */
 #define SLOW_APPEND_MS 50
@@ -15,43 +15,43 @@
 #define SLOW_PATIENCE_MS 2400
 
 void
-fb_store_pace_failed (FbStorePace *self, uint64_t now_ms)
+fb_store_health_failed (FbStoreHealth *self, uint64_t now_ms)
 {
   self->failed_until_ms = now_ms + FAILED_FOR_MS;
 }
 
 void
-fb_store_pace_appended (FbStorePace *self, gboolean taken, gboolean here, uint32_t took_ms,
-                        uint64_t now_ms)
+fb_store_health_appended (FbStoreHealth *self, gboolean taken, gboolean here, uint32_t took_ms,
+                          uint64_t now_ms)
 {
   if (taken)
     self->append_ms = took_ms;
   if (here && taken)
     self->failed_until_ms = 0;
   else if (here)
-    fb_store_pace_failed (self, now_ms);
+    fb_store_health_failed (self, now_ms);
 }
 
 void
-fb_store_pace_renewed (FbStorePace *self, uint32_t took_ms)
+fb_store_health_renewed (FbStoreHealth *self, uint32_t took_ms)
 {
   self->renewal_ms = took_ms;
 }
 
 gboolean
-fb_store_pace_is_slow (const FbStorePace *self)
+fb_store_health_is_slow (const FbStoreHealth *self)
 {
   return self->append_ms >= SLOW_APPEND_MS || self->renewal_ms >= SLOW_RENEWAL_MS;
 }
 
 gboolean
-fb_store_pace_has_failed (const FbStorePace *self, uint64_t now_ms)
+fb_store_health_has_failed (const FbStoreHealth *self, uint64_t now_ms)
 {
   return now_ms < self->failed_until_ms;
 }
 
 uint32_t
-fb_store_pace_patience_ms (const FbStorePace *self)
+fb_store_health_timeout_ms (const FbStoreHealth *self)
 {
-  return fb_store_pace_is_slow (self) ? SLOW_PATIENCE_MS : PATIENCE_MS;
+  return fb_store_health_is_slow (self) ? SLOW_PATIENCE_MS : PATIENCE_MS;
 }
--- a/src/entry/store/store-pace.h
+++ b/src/entry/store/store-health.h
@@ -17,23 +17,23 @@
   uint32_t append_ms; /* how long the last append that was taken took, by whatever way */
   uint32_t renewal_ms;
   uint64_t failed_until_ms; /* the store did not take or answer a call from here lately */
-} FbStorePace;
+} FbStoreHealth;
 
 /* An append came to its end after TOOK_MS.  HERE: it was this daemon's own, not one through another
  * daemon. */
-void fb_store_pace_appended (FbStorePace *self, gboolean taken, gboolean here, uint32_t took_ms,
-                             uint64_t now_ms);
+void fb_store_health_appended (FbStoreHealth *self, gboolean taken, gboolean here, uint32_t took_ms,
+                               uint64_t now_ms);
 /* The store has answered a renewal of a membership after TOOK_MS. */
-void fb_store_pace_renewed (FbStorePace *self, uint32_t took_ms);
+void fb_store_health_renewed (FbStoreHealth *self, uint32_t took_ms);
 /* A call from here got no answer. */
-void fb_store_pace_failed (FbStorePace *self, uint64_t now_ms);
+void fb_store_health_failed (FbStoreHealth *self, uint64_t now_ms);
 /* TRUE while the store takes long for each call. */
-gboolean fb_store_pace_is_slow (const FbStorePace *self);
+gboolean fb_store_health_is_slow (const FbStoreHealth *self);
 /* Returns: how long an append is waited for before it is sent again.
  *
  * Failure: an append that is given up stays in the queue of the partition, and its repeat waits
  * behind it; while the store is slow each batch is sent two or three times, and callers wait for
  * all of them.  Guard: a slow store is given nearly all the time that callers have. */
-uint32_t fb_store_pace_patience_ms (const FbStorePace *self);
+uint32_t fb_store_health_timeout_ms (const FbStoreHealth *self);
 /* TRUE for a second after a call that failed. */
-gboolean fb_store_pace_has_failed (const FbStorePace *self, uint64_t now_ms);
+gboolean fb_store_health_has_failed (const FbStoreHealth *self, uint64_t now_ms);
--- a/src/entry/store/follower.c
+++ b/src/entry/store/topic-reader.c
@@ -27,13 +27,13 @@
 #define RETRY_FIRST_MS 50
 #define RETRY_LAST_MS 400
 
-struct _FbFollower
+struct _FbTopicReader
 {
   FbEntry *entry;
   char *topic;
   uint32_t partition;
   uint32_t pause_ms; /* between a page of changes and the next poll */
-  const FbFollowerOps *ops;
+  const FbTopicReaderOps *ops;
   gpointer user;
   char *after; /* last key of the listing so far; NULL: it begins */
   gboolean listing;
@@ -50,12 +50,12 @@
   gboolean freed;
 };
 
-static void proceed (FbFollower *self);
+static void proceed (FbTopicReader *self);
 
 static void
-really_free (FbFollower *self)
+really_free (FbTopicReader *self)
 {
-  fb_http_client_drop (self->entry->store_client, self);
+  fb_http_client_cancel (self->entry->store_client, self);
   g_free (self->after);
   g_free (self->topic);
   g_free (self);
@@ -64,14 +64,14 @@
 static gboolean
 on_retry (gpointer data)
 {
-  FbFollower *self = data;
+  FbTopicReader *self = data;
   self->timer = 0;
   proceed (self);
   return G_SOURCE_REMOVE;
 }
 
 static void
-retry_later (FbFollower *self)
+retry_later (FbTopicReader *self)
 {
   uint32_t wait_ms = self->retry_ms + (uint32_t) g_random_int_range (0, RETRY_FIRST_MS);
   self->retry_ms = MIN (self->retry_ms * 2, RETRY_LAST_MS);
@@ -79,26 +79,26 @@
 }
 
 static void
-pass_records (FbFollower *self, GPtrArray *records)
+pass_records (FbTopicReader *self, GPtrArray *records)
 {
   for (guint i = 0; i < records->len && !self->freed; i++)
     self->ops->record (self->user, records->pdata[i]);
 }
 
 static void
-begin_listing (FbFollower *self)
+begin_listing (FbTopicReader *self)
 {
   self->listing = TRUE;
   g_clear_pointer (&self->after, g_free);
 }
 
 static void
-take_listing (FbFollower *self, const FbHttpReply *reply)
+take_listing (FbTopicReader *self, const FbHttpReply *reply)
 {
   g_autoptr (GPtrArray) records = g_ptr_array_new_with_free_func (fb_store_record_free);
   gboolean more = FALSE;
   uint64_t end = 0;
-  if (!fb_wire_newest_page (reply, records, &more, &end))
+  if (!fb_wire_parse_newest (reply, records, &more, &end))
     {
       begin_listing (self);
       self->page_ms = MIN (self->page_ms * 2, PAGE_LAST_MS);
@@ -132,11 +132,11 @@
 }
 
 static void
-take_changes (FbFollower *self, const FbHttpReply *reply)
+take_changes (FbTopicReader *self, const FbHttpReply *reply)
 {
   g_autoptr (GPtrArray) records = g_ptr_array_new_with_free_func (fb_store_record_free);
   uint64_t end = 0;
-  switch (fb_wire_read_page (reply, self->from, records, &self->from, &end))
+  switch (fb_wire_parse_read (reply, self->from, records, &self->from, &end))
     {
     case FB_READ_FAILED:
       retry_later (self);
@@ -162,7 +162,7 @@
 static void
 on_reply (gpointer data, const FbHttpReply *reply)
 {
-  FbFollower *self = data;
+  FbTopicReader *self = data;
   self->call_open = FALSE;
   self->in_reply = TRUE;
   if (!self->freed)
@@ -179,7 +179,7 @@
 }
 
 static void
-proceed (FbFollower *self)
+proceed (FbTopicReader *self)
 {
   if (self->freed)
     return;
@@ -189,18 +189,18 @@
     fb_wire_newest (&call, store, self->topic, self->partition, self->after);
   else
     fb_wire_read (&call, store, self->topic, self->partition, self->from, POLL_WAIT_MS);
-  call.silence_ms = self->listing ? self->page_ms : POLL_WAIT_MS + ANSWER_MS;
+  call.idle_timeout_ms = self->listing ? self->page_ms : POLL_WAIT_MS + ANSWER_MS;
   self->call_open = TRUE;
   self->sent_ms = fb_clock_ms ();
   fb_http_client_exchange (self->entry->store_client, &call, WHOLE_MS, on_reply, self);
   fb_http_call_clear (&call);
 }
 
-FbFollower *
-fb_follower_new (FbEntry *entry, const char *topic, uint32_t partition, uint32_t pause_ms,
-                 const FbFollowerOps *ops, gpointer user)
+FbTopicReader *
+fb_topic_reader_new (FbEntry *entry, const char *topic, uint32_t partition, uint32_t pause_ms,
+                     const FbTopicReaderOps *ops, gpointer user)
 {
-  FbFollower *self = g_new0 (FbFollower, 1);
+  FbTopicReader *self = g_new0 (FbTopicReader, 1);
   self->entry = entry;
   self->topic = g_strdup (topic);
   self->partition = partition;
@@ -215,7 +215,7 @@
 }
 
 void
-fb_follower_free (FbFollower *self)
+fb_topic_reader_free (FbTopicReader *self)
 {
   if (self == NULL)
     return;
@@ -228,7 +228,7 @@
 }
 
 void
-fb_follower_hurry (FbFollower *self)
+fb_topic_reader_read_now (FbTopicReader *self)
 {
   self->hurry = TRUE;
   if (self->call_open || self->timer == 0)
@@ -239,7 +239,7 @@
 }
 
 uint64_t
-fb_follower_fresh_ms (const FbFollower *self)
+fb_topic_reader_fresh_ms (const FbTopicReader *self)
 {
   return self->fresh_ms;
 }
--- a/src/entry/store/follower.h
+++ b/src/entry/store/topic-reader.h
@@ -4,7 +4,7 @@
 #include "platform/wire.h"
 
 typedef struct _FbEntry FbEntry;
-typedef struct _FbFollower FbFollower;
+typedef struct _FbTopicReader FbTopicReader;
 
 typedef struct
 {
@@ -13,14 +13,14 @@
   void (*record) (gpointer user, const FbStoreRecord *record);
   /* The listing is complete; changes follow. */
   void (*listed) (gpointer user);
-} FbFollowerOps;
+} FbTopicReaderOps;
 
 /* PAUSE_MS lies between a page of changes and the next poll. */
-FbFollower *fb_follower_new (FbEntry *entry, const char *topic, uint32_t partition,
-                             uint32_t pause_ms, const FbFollowerOps *ops, gpointer user);
-void fb_follower_free (FbFollower *self);
+FbTopicReader *fb_topic_reader_new (FbEntry *entry, const char *topic, uint32_t partition,
+                                    uint32_t pause_ms, const FbTopicReaderOps *ops, gpointer user);
+void fb_topic_reader_free (FbTopicReader *self);
 /* Reads now what it would read after its pause. */
-void fb_follower_hurry (FbFollower *self);
+void fb_topic_reader_read_now (FbTopicReader *self);
 /* When the last answered read was sent: everything stored before is known.  0
  * while the first listing is open. */
-uint64_t fb_follower_fresh_ms (const FbFollower *self);
+uint64_t fb_topic_reader_fresh_ms (const FbTopicReader *self);
--- a/src/entry/store/worker-list.h
+++ b/src/entry/store/worker-list.h
@@ -16,7 +16,7 @@
 /* Returns: (nullable): borrowed; the life that is listed of the worker called ID. */
 const FbListedWorker *fb_worker_list_of (const FbWorkerList *self, const char *id);
 /* Returns: (nullable): borrowed. */
-const FbListedWorker *fb_worker_list_find (const FbWorkerList *self, const char *life);
+const FbListedWorker *fb_worker_list_find (const FbWorkerList *self, const char *incarnation);
 /* TRUE when WORKER, an entry that was just read, is to be passed over as one of an earlier life. */
 gboolean fb_worker_list_passes_over (FbWorkerList *self, const FbListedWorker *worker);
 /* WORKER (transfer full) takes the place of what was listed of it, of the same life. */
--- a/src/net/http-client.c
+++ b/src/net/http-client.c
@@ -57,7 +57,7 @@
   FbTraffic traffic;
   guint copies;
   uint64_t until_ms; /* its time limit, by a clock that goes on while the host is suspended */
-  guint silence_ms;
+  guint idle_timeout_ms;
   GSource *silence; /* NULL without such a limit */
 } Call;
 
@@ -192,16 +192,16 @@
 {
   if (call->silence != NULL)
     g_source_set_ready_time (call->silence,
-                             g_get_monotonic_time () + (gint64) call->silence_ms * 1000);
+                             g_get_monotonic_time () + (gint64) call->idle_timeout_ms * 1000);
 }
 
 static void
-watch_silence (FbHttpClient *self, Call *call, guint silence_ms)
+watch_silence (FbHttpClient *self, Call *call, guint idle_timeout_ms)
 {
-  if (silence_ms == 0)
+  if (idle_timeout_ms == 0)
     return;
-  call->silence_ms = silence_ms;
-  call->silence = g_timeout_source_new (silence_ms);
+  call->idle_timeout_ms = idle_timeout_ms;
+  call->silence = g_timeout_source_new (idle_timeout_ms);
   g_source_set_callback (call->silence, on_silence, call, NULL);
   g_source_attach (call->silence, g_main_context_get_thread_default ());
   g_hash_table_add (self->watched, call);
@@ -342,7 +342,7 @@
 }
 
 gboolean
-fb_http_reply_leaves_doubt (const FbHttpReply *reply)
+fb_http_reply_is_ambiguous (const FbHttpReply *reply)
 {
   return reply->status == FB_HTTP_OK ? reply->copies != 1 : reply->sent;
 }
@@ -471,7 +471,7 @@
   call->client = self;
   call->traffic = request->traffic;
   call->until_ms = clock_ms () + timeout_ms;
-  watch_silence (self, call, request->silence_ms);
+  watch_silence (self, call, request->idle_timeout_ms);
   set_options (call, request, timeout_ms);
   curl_multi_add_handle (self->multi, call->easy);
 }
@@ -491,7 +491,7 @@
 }
 
 void
-fb_http_client_drop (FbHttpClient *self, gconstpointer user)
+fb_http_client_cancel (FbHttpClient *self, gconstpointer user)
 {
   g_hash_table_foreach_steal (self->watched, drop_if_of, (gpointer) user);
 }
--- a/src/net/http-client.h
+++ b/src/net/http-client.h
@@ -32,13 +32,13 @@
   /* Sent twice it does what it does once.  Only such a call may use a connection that
    * was used before: the other end may close it just then, and the call is sent again
    * on a new one.  The answer is that to the last copy: a refusal of it does not prove that
-   * no copy was carried out (fb_http_reply_leaves_doubt()). */
+   * no copy was carried out (fb_http_reply_is_ambiguous()). */
   gboolean idempotent;
   char *url;
   const char *content_type; /* static; NULL without a body */
   GBytes *body;             /* may be NULL */
   FbTraffic traffic;        /* what its bytes are counted as */
-  guint silence_ms;         /* given up once nothing has come for so long; 0: no such limit */
+  guint idle_timeout_ms;    /* given up once nothing has come for so long; 0: no such limit */
   const char *header_names[2];
   char *header_values[2];
 } FbHttpCall;
@@ -55,7 +55,7 @@
 
 /* TRUE when a copy of the call before the one that was answered may have been carried out: what the
  * host says of the last copy is no word on that one. */
-gboolean fb_http_reply_leaves_doubt (const FbHttpReply *reply);
+gboolean fb_http_reply_is_ambiguous (const FbHttpReply *reply);
 
 typedef void (*FbHttpReplyDone) (gpointer user, const FbHttpReply *reply);
 
@@ -70,7 +70,7 @@
 
 /* Ends the calls of USER that name a silence; DONE is not called.  What of their answers is on the
  * way fills no link any more. */
-void fb_http_client_drop (FbHttpClient *self, gconstpointer user);
+void fb_http_client_cancel (FbHttpClient *self, gconstpointer user);
 
 /* Sends BODY (consumed; NULL for GET) and calls DONE once, on this task, never
  * from inside this call. */
--- a/src/policy/policy.c
+++ b/src/policy/policy.c
@@ -183,7 +183,7 @@
 {
   fb_status_set_message ("%s: [%s]: declared twice, expected one declaration in all files", file,
                          group);
-  return FB_POLICY_DOUBLE;
+  return FB_POLICY_DUPLICATE;
 }
 
 static FbPolicyStatus
@@ -260,7 +260,8 @@
   class->demand = demand_of (&raw);
   class->deadline_ms = raw.deadline_ms;
   class->run_ms = raw.run_ms;
-  class->flags = (raw.idempotent ? 0 : FB_FLAG_ONCE) | (raw.preemptible ? FB_FLAG_PREEMPTIBLE : 0)
+  class->flags = (raw.idempotent ? 0 : FB_FLAG_AT_MOST_ONCE)
+                 | (raw.preemptible ? FB_FLAG_PREEMPTIBLE : 0)
                  | (raw.checkpoint ? FB_FLAG_CHECKPOINT : 0);
   g_ptr_array_add (self->classes, class);
   return FB_POLICY_OK;
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -46,9 +46,9 @@
 typedef struct
 {
   const FbPoolWorker *worker;
-  gboolean unheard; /* the step waits for it unless the advice does not allow it */
-  double room;      /* it has a place now: more is better; 0: it has none */
-  uint64_t draw;    /* decides between equals, another way for each step */
+  gboolean unconfirmed_workers; /* the step waits for it unless the advice does not allow it */
+  double room;                  /* it has a place now: more is better; 0: it has none */
+  uint64_t draw;                /* decides between equals, another way for each step */
 } Candidate;
 
 static gint
@@ -56,8 +56,8 @@
 {
   const Candidate *x = a;
   const Candidate *y = b;
-  if (x->unheard != y->unheard)
-    return x->unheard ? -1 : 1;
+  if (x->unconfirmed_workers != y->unconfirmed_workers)
+    return x->unconfirmed_workers ? -1 : 1;
   if (x->room != y->room)
     return x->room > y->room ? -1 : 1;
   return (x->draw > y->draw) - (x->draw < y->draw);
@@ -66,8 +66,8 @@
 static gboolean
 can_be_named (const FbPoolWorker *worker, const FbPoolStep *step)
 {
-  return worker->listed && !worker->draining && !worker->gone
-         && fb_pool_could_run (worker, step->shape) && fb_pool_ruling (step, worker) == NULL;
+  return worker->listed && !worker->draining && !worker->runs_ended
+         && fb_pool_could_run (worker, step->shape) && fb_pool_worker_advice (step, worker) == NULL;
 }
 
 /* Members of a gang need whole workers, so the emptiest come first; single tasks are spread over
@@ -97,7 +97,7 @@
 static guint
 named_first (const FbPoolStep *step)
 {
-  if (step->shape->gang || step->shape->lasting)
+  if (step->shape->gang || step->shape->long_running)
     return ADVICE_MAX;
   guint most = MIN (step->shape->count, ADVICE_MAX) * NAMED_FOR_EACH;
   return CLAMP (most, NAMED_AT_LEAST, ADVICE_MAX);
@@ -106,11 +106,11 @@
 static guint
 named_most (const FbPool *self, const FbPoolStep *step)
 {
-  if (step->urgency != FB_URGENCY_INTERRUPTED)
+  if (step->urgency != FB_URGENCY_RESTARTING)
     return named_first (step);
-  guint unheard = self->settled ? 0 : self->unheard->len;
+  guint unconfirmed_workers = self->recovered ? 0 : self->unconfirmed_workers->len;
   guint waiting = MAX (fb_pool_step_waiting_n (step), 1);
-  return MIN (ADVICE_MAX, NAMED_FOR_ONE * waiting + unheard);
+  return MIN (ADVICE_MAX, NAMED_FOR_ONE * waiting + unconfirmed_workers);
 }
 
 /* TRUE for what a later question of STEP may name too.  Single tasks need a place now.
@@ -122,7 +122,7 @@
 static gboolean
 is_worth_naming (const FbPoolStep *step, double room)
 {
-  return !step->ruled || step->shape->gang || room > 0;
+  return !step->has_advice || step->shape->gang || room > 0;
 }
 
 /* Workers that were never named for STEP: for the first question, and for gangs, all that could
@@ -135,19 +135,20 @@
 static GPtrArray *
 never_asked (FbPool *self, const FbPoolStep *step, uint64_t now_ms)
 {
-  self->visits_n += self->roster->len;
+  self->visits_n += self->worker_slots->len;
   g_autoptr (GArray) candidates = g_array_new (FALSE, FALSE, sizeof (Candidate));
   uint64_t seed = XXH64 (step->job->id, strlen (step->job->id), step->index);
   guint slot = 0;
   const FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       if (!can_be_named (worker, step))
         continue;
-      const Candidate candidate = { .worker = worker,
-                                    .unheard = !self->settled && !worker->answered,
-                                    .room = room_of (worker, step, now_ms),
-                                    .draw = XXH64 (&worker->rank, sizeof worker->rank, seed) };
+      const Candidate candidate
+          = { .worker = worker,
+              .unconfirmed_workers = !self->recovered && !worker->answered,
+              .room = room_of (worker, step, now_ms),
+              .draw = XXH64 (&worker->id_hash, sizeof worker->id_hash, seed) };
       if (is_worth_naming (step, candidate.room))
         g_array_append_val (candidates, candidate);
     }
@@ -173,7 +174,7 @@
 static uint64_t
 hold_slack_ms (const FbPoolStep *step)
 {
-  return step->urgency == FB_URGENCY_INTERRUPTED ? HOLD_INTERRUPTED_MS : HOLD_SLACK_MS;
+  return step->urgency == FB_URGENCY_RESTARTING ? HOLD_INTERRUPTED_MS : HOLD_SLACK_MS;
 }
 
 /* For how many tasks of STEP other work is stopped at once. */
@@ -191,8 +192,8 @@
 static guint
 most_renewed (const FbPoolStep *step)
 {
-  return step->shape->lasting ? MIN (fb_pool_step_waiting_n (step), ADVICE_MAX)
-                              : most_at_once (step);
+  return step->shape->long_running ? MIN (fb_pool_step_waiting_n (step), ADVICE_MAX)
+                                   : most_at_once (step);
 }
 
 static guint
@@ -202,7 +203,7 @@
     return 0;
   step->room_asked_ms = now_ms;
   guint most = most_at_once (step);
-  uint64_t wait_ms = MAX (self->limits.stop_ms, takes_ms (step, most));
+  uint64_t wait_ms = MAX (self->limits.max_stop_ms, takes_ms (step, most));
   return fb_pool_make_room (self, step, most, chosen,
                             now_ms + wait_ms + MAX (ROOM_SLACK_MS, hold_slack_ms (step)), now_ms);
 }
@@ -244,9 +245,10 @@
   GPtrArray *ids = ids_of (chosen, n);
   if (n == 0)
     return ids;
-  if (step->shape->lasting && n < most)
+  if (step->shape->long_running && n < most)
     add_newcomers (self, step, ids, most - n, now_ms);
-  fb_pool_hold (self, step, chosen, n, now_ms + takes_ms (step, ids->len) + hold_slack_ms (step));
+  fb_pool_reserve (self, step, chosen, n,
+                   now_ms + takes_ms (step, ids->len) + hold_slack_ms (step));
   return ids;
 }
 
@@ -254,7 +256,7 @@
 static uint64_t
 room_comes_ms (const FbPool *self)
 {
-  return self->limits.stop_ms + ROOM_SLACK_MS;
+  return self->limits.max_stop_ms + ROOM_SLACK_MS;
 }
 
 static gboolean
@@ -278,7 +280,7 @@
   uint64_t there_ms = now_ms + room_comes_ms (self);
   if (n == 0 || !tickets_last (step, chosen, n, there_ms))
     return ids_of (chosen, n);
-  step->held_until_ms = there_ms;
+  step->reserved_until_ms = there_ms;
   return g_ptr_array_new ();
 }
 
@@ -298,7 +300,7 @@
 static GPtrArray *
 whom_to_ask (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
-  if (!step->ruled)
+  if (!step->has_advice)
     return never_asked (self, step, now_ms);
   if (!step->released)
     return g_ptr_array_new ();
@@ -355,7 +357,7 @@
 {
   if (!step->job->record.policy.advised)
     {
-      if (step->released && step->held_on->len == 0)
+      if (step->released && step->reserved_on->len == 0)
         make_room_unadvised (self, step, now_ms);
       return TRUE;
     }
@@ -369,7 +371,7 @@
     return TRUE;
   if (send_question (self, step, ids, now_ms))
     return TRUE;
-  g_ptr_array_unref (fb_pool_release_hold (self, step));
+  g_ptr_array_unref (fb_pool_release_reservation (self, step));
   return FALSE;
 }
 
@@ -386,14 +388,14 @@
 gboolean
 fb_pool_ask_first_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
-  if (!step->job->record.policy.advised || step->ruled)
+  if (!step->job->record.policy.advised || step->has_advice)
     return TRUE;
   return fb_pool_ask_advice (self, step, now_ms);
 }
 
 void
 fb_pool_advised (FbPool *self, const char *name, const char *const *asked, guint n,
-                 const fb_told_advice *told, uint64_t now_ms)
+                 const fb_advice_reply *told, uint64_t now_ms)
 {
   FbPoolStep *step = fb_pool_find_step (self, name);
   if (step == NULL)
@@ -408,14 +410,14 @@
     {
       const FbPoolWorker *worker = g_hash_table_lookup (self->workers, asked[i]);
       if (worker != NULL)
-        fb_pool_ruling_note (step, worker);
+        fb_pool_worker_advice_asked (step, worker);
     }
   for (u_int i = 0; i < told->tickets.tickets_len; i++)
     {
       const fb_ticket *got = &told->tickets.tickets_val[i];
       const FbPoolWorker *worker = g_hash_table_lookup (self->workers, got->worker);
       if (worker != NULL)
-        fb_pool_ruling_allow (step, worker, got->ticket, now_ms + told->validity_ms);
+        fb_pool_worker_advice_allow (step, worker, got->ticket, now_ms + told->validity_ms);
     }
   fb_event_log (FB_EVENT_ADVISED, "step=%s asked=%u allowed=%u validity_ms=%u", name, n,
                 told->tickets.tickets_len, told->validity_ms);
--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -18,7 +18,7 @@
 static gboolean
 disturbs (const FbPoolWorker *worker, const fb_work_step *shape)
 {
-  if (!shape->fills && shape->tail_target_ms == 0)
+  if (!shape->best_effort && shape->tail_latency_target_ms == 0)
     return FALSE;
   GHashTableIter iter;
   gpointer value;
@@ -29,7 +29,7 @@
       if (run->step == NULL)
         continue;
       const fb_work_step *other = run->step->shape;
-      if (shape->fills ? other->tail_target_ms > 0 : other->fills)
+      if (shape->best_effort ? other->tail_latency_target_ms > 0 : other->best_effort)
         return TRUE;
     }
   return FALSE;
@@ -63,17 +63,17 @@
 gboolean
 fb_pool_worker_takes (const FbPoolWorker *worker, uint64_t now_ms)
 {
-  return worker->listed && !worker->draining && !worker->gone && !worker->outlived
+  return worker->listed && !worker->draining && !worker->runs_ended && !worker->superseded
          && !fb_pool_owes_acknowledgement (worker) && !fb_pool_worker_silent (worker, now_ms)
-         && now_ms >= worker->paused_until_ms && now_ms >= worker->spared_until_ms;
+         && now_ms >= worker->paused_until_ms && now_ms >= worker->throttled_until_ms;
 }
 
-const FbPoolRuling *
+const FbPoolWorkerAdvice *
 fb_pool_valid_ticket (const FbPoolStep *step, const FbPoolWorker *worker, uint64_t now_ms)
 {
-  const FbPoolRuling *ruling = fb_pool_ruling (step, worker);
-  return ruling != NULL && ruling->allowed && now_ms + TICKET_MARGIN_MS < ruling->valid_until_ms
-             ? ruling
+  const FbPoolWorkerAdvice *advice = fb_pool_worker_advice (step, worker);
+  return advice != NULL && advice->allowed && now_ms + TICKET_MARGIN_MS < advice->valid_until_ms
+             ? advice
              : NULL;
 }
 
@@ -96,8 +96,8 @@
     return TRUE;
   if (rule == FB_TICKET_VALID)
     return fb_pool_valid_ticket (step, worker, now_ms) != NULL;
-  const FbPoolRuling *ruling = fb_pool_ruling (step, worker);
-  return ruling != NULL && ruling->allowed;
+  const FbPoolWorkerAdvice *advice = fb_pool_worker_advice (step, worker);
+  return advice != NULL && advice->allowed;
 }
 
 static gboolean
@@ -108,19 +108,20 @@
 }
 
 gboolean
-fb_pool_worth_a_look (FbPool *self, const FbPoolStep *step, uint64_t now_ms)
+fb_pool_step_may_fit (FbPool *self, const FbPoolStep *step, uint64_t now_ms)
 {
   /* What is held for the step itself looks taken below. */
   if (step->looked_round + 1 < self->round || now_ms >= step->full_look_ms
-      || step->held_on->len > 0)
+      || step->reserved_on->len > 0)
     return TRUE;
-  for (guint i = 0; i < self->opened->len; i++)
+  for (guint i = 0; i < self->gained_capacity->len; i++)
     {
       self->visits_n++;
-      const FbPoolWorker *worker = self->opened->pdata[i];
-      const FbPoolRuling *ruling = fb_pool_ruling (step, worker);
-      gboolean barred = step->job->record.policy.advised && ruling != NULL && !ruling->allowed;
-      if (!barred && fb_pool_has_place (worker, step, now_ms))
+      const FbPoolWorker *worker = self->gained_capacity->pdata[i];
+      const FbPoolWorkerAdvice *advice = fb_pool_worker_advice (step, worker);
+      gboolean no_start_reason
+          = step->job->record.policy.advised && advice != NULL && !advice->allowed;
+      if (!no_start_reason && fb_pool_has_place (worker, step, now_ms))
         return TRUE;
     }
   return FALSE;
@@ -144,10 +145,10 @@
   const fb_work_step *shape = step->shape;
   double tightness = step->job->tightness;
   double cost = SLOWNESS_WEIGHT * tightness * tightness * (worker->speed->slowness - 1);
-  if (*shape->data_rack != '\0' && !fb_pool_worker_has_label (worker, shape->data_rack))
+  if (*shape->preferred_rack != '\0' && !fb_pool_worker_has_label (worker, shape->preferred_rack))
     cost += 10;
-  if (worker->bad_streak > 0)
-    cost += 2.0 * worker->bad_streak;
+  if (worker->failure_streak > 0)
+    cost += 2.0 * worker->failure_streak;
   return cost;
 }
 
@@ -156,7 +157,7 @@
 cost_of (const FbPoolWorker *worker, const FbPoolStep *step)
 {
   double fit = fb_pool_free_shares (worker);
-  return (step->shape->lasting ? -fit : fit) + drawbacks (worker, step);
+  return (step->shape->long_running ? -fit : fit) + drawbacks (worker, step);
 }
 
 FbPoolWorker *
@@ -169,20 +170,21 @@
   double best_cost = 0;
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  self->visits_n += self->roster->len;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  self->visits_n += self->worker_slots->len;
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       if (worker == other_than || (rack != NULL && g_strcmp0 (rack, worker->rack) != 0)
           || worker->isolated_n > 0 || !may_start (worker, step, rule, now_ms)
           || !fb_pool_crash_is_open (worker, task, now_ms)
           || (suspect && !fb_pool_crash_may_share (worker, task))
-          || fb_pool_return_shuts_out (worker, step, index))
+          || fb_pool_restart_rejects (worker, step, index))
         continue;
-      if (worker->kept_for == task)
+      if (worker->exclusive_for == task)
         return worker;
       double cost
           = cost_of (worker, step) + (suspect ? fb_pool_crash_cost (worker, task, now_ms) : 0);
-      if (best == NULL || cost < best_cost || (cost == best_cost && worker->rank < best->rank))
+      if (best == NULL || cost < best_cost
+          || (cost == best_cost && worker->id_hash < best->id_hash))
         {
           best = worker;
           best_cost = cost;
@@ -212,7 +214,7 @@
       if (counted)
         runs[n] = fb_pool_worker_add_run (chosen[n], step, i, name, 0);
       else
-        fb_pool_worker_hold (chosen[n], step->shape, 1);
+        fb_pool_worker_reserve (chosen[n], step->shape, 1);
       n++;
     }
   for (guint i = 0; i < n; i++)
@@ -220,7 +222,7 @@
       if (counted)
         fb_pool_worker_drop_run (chosen[i], runs[i]);
       else
-        fb_pool_worker_hold (chosen[i], step->shape, -1);
+        fb_pool_worker_reserve (chosen[i], step->shape, -1);
     }
   return n;
 }
@@ -230,14 +232,14 @@
 choose_one_rack (FbPool *self, FbPoolStep *step, FbPoolTicketRule rule, FbPoolWorker **chosen,
                  uint64_t now_ms)
 {
-  g_autoptr (GHashTable) tried = g_hash_table_new (g_str_hash, g_str_equal);
+  g_autoptr (GHashTable) unresolved = g_hash_table_new (g_str_hash, g_str_equal);
   guint slot = 0;
   const FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       const char *rack = worker->rack;
       guint count = step->shape->count;
-      if (rack != NULL && g_hash_table_add (tried, (gpointer) rack)
+      if (rack != NULL && g_hash_table_add (unresolved, (gpointer) rack)
           && fb_pool_choose (self, step, count, rack, rule, chosen, now_ms) == count)
         return TRUE;
     }
@@ -266,45 +268,45 @@
 /* ---- room that is held ------------------------------------------------------------ */
 
 void
-fb_pool_hold (FbPool *self, FbPoolStep *step, FbPoolWorker **chosen, guint n, uint64_t until_ms)
+fb_pool_reserve (FbPool *self, FbPoolStep *step, FbPoolWorker **chosen, guint n, uint64_t until_ms)
 {
-  g_ptr_array_unref (fb_pool_release_hold (self, step));
-  step->held_until_ms = until_ms;
+  g_ptr_array_unref (fb_pool_release_reservation (self, step));
+  step->reserved_until_ms = until_ms;
   for (guint i = 0; i < n; i++)
     {
-      fb_pool_worker_hold (chosen[i], step->shape, 1);
-      g_ptr_array_add (step->held_on, g_strdup (chosen[i]->id));
+      fb_pool_worker_reserve (chosen[i], step->shape, 1);
+      g_ptr_array_add (step->reserved_on, g_strdup (chosen[i]->id));
     }
 }
 
 GPtrArray *
-fb_pool_release_hold (FbPool *self, FbPoolStep *step)
+fb_pool_release_reservation (FbPool *self, FbPoolStep *step)
 {
-  GPtrArray *held_on = step->held_on;
-  for (guint i = 0; i < held_on->len; i++)
+  GPtrArray *reserved_on = step->reserved_on;
+  for (guint i = 0; i < reserved_on->len; i++)
     {
-      FbPoolWorker *worker = g_hash_table_lookup (self->workers, held_on->pdata[i]);
+      FbPoolWorker *worker = g_hash_table_lookup (self->workers, reserved_on->pdata[i]);
       if (worker == NULL)
         continue;
-      fb_pool_worker_hold (worker, step->shape, -1);
-      fb_pool_worker_opened (self, worker);
+      fb_pool_worker_reserve (worker, step->shape, -1);
+      fb_pool_worker_gained_capacity (self, worker);
     }
-  step->held_on = g_ptr_array_new_with_free_func (g_free);
-  step->held_until_ms = 0;
-  return held_on;
+  step->reserved_on = g_ptr_array_new_with_free_func (g_free);
+  step->reserved_until_ms = 0;
+  return reserved_on;
 }
 
 void
-fb_pool_hold_again (FbPool *self, FbPoolStep *step, GPtrArray *held_on, guint most,
-                    uint64_t until_ms)
+fb_pool_reserve_again (FbPool *self, FbPoolStep *step, GPtrArray *reserved_on, guint most,
+                       uint64_t until_ms)
 {
-  step->held_until_ms = until_ms;
-  for (guint i = 0; i < MIN (held_on->len, most); i++)
+  step->reserved_until_ms = until_ms;
+  for (guint i = 0; i < MIN (reserved_on->len, most); i++)
     {
-      FbPoolWorker *worker = g_hash_table_lookup (self->workers, held_on->pdata[i]);
+      FbPoolWorker *worker = g_hash_table_lookup (self->workers, reserved_on->pdata[i]);
       if (worker == NULL)
         continue;
-      fb_pool_worker_hold (worker, step->shape, 1);
-      g_ptr_array_add (step->held_on, g_strdup (worker->id));
+      fb_pool_worker_reserve (worker, step->shape, 1);
+      g_ptr_array_add (step->reserved_on, g_strdup (worker->id));
     }
 }
--- a/src/work/pool-copy.c
+++ b/src/work/pool-copy.c
@@ -20,7 +20,7 @@
 wants_copy (const FbPoolWorker *worker, const FbPoolRun *run, uint64_t now_ms)
 {
   const FbPoolStep *step = run->step;
-  if (step == NULL || !step->shape->speculative || step->shape->gang || step->shape->lasting)
+  if (step == NULL || !step->shape->speculative || step->shape->gang || step->shape->long_running)
     return FALSE;
   const FbPoolTask *task = &step->tasks[run->index];
   /* A copy would take down a second worker before it is known that the first one crashed. */
@@ -48,7 +48,7 @@
     }
   fb_counter_add (FB_COUNTER_COPIES, 1);
   fb_event_log (FB_EVENT_TASK_COPIED, "task=%s attempt=%u worker=%s heard_ms_ago=%u ran_ms=%u",
-                run->name, run->attempt, worker->id, (guint) (now_ms - worker->heard_ms),
+                run->name, run->attempt, worker->id, (guint) (now_ms - worker->last_answer_ms),
                 (guint) (now_ms - run->started_ms));
   fb_pool_order_start (self, other, step, run->index, fb_pool_next_attempt (self, step, run->index),
                        now_ms);
@@ -59,7 +59,7 @@
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  while (!self->fenced && (worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while (!self->fenced && (worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       GHashTableIter runs;
       gpointer run;
@@ -74,7 +74,7 @@
 }
 
 void
-fb_pool_task_take_run (FbPoolTask *task, FbPoolRun *run)
+fb_pool_task_attach_run (FbPoolTask *task, FbPoolRun *run)
 {
   if (task->run == NULL)
     task->run = run;
@@ -83,7 +83,7 @@
 }
 
 void
-fb_pool_task_drop_run (FbPoolTask *task, const FbPoolRun *run)
+fb_pool_task_detach_run (FbPoolTask *task, const FbPoolRun *run)
 {
   if (task->copy == run)
     task->copy = NULL;
