--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -8,9 +8,9 @@
  *
  * What else ran on a crashed worker is counted as well, and must not be given up for it.  So only
  * what proves a crash counts: another life answers, or is listed, at the address.  Silence leaves
- * the runs in doubt (pool-doubt.c); a doubt holds back starts that would go past the limit.  A task
- * under which ISOLATED_CRASHES workers have crashed runs apart from all others that are suspected,
- * nothing is started beside it, and a crash then tells more. */
+ * the runs in doubt (pool-unresolved-losses.c); a doubt holds back starts that would go past the
+ * limit.  A task under which ISOLATED_CRASHES workers have crashed runs apart from all others that
+ * are suspected, nothing is started beside it, and a crash then tells more. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
@@ -57,8 +57,9 @@
   for (guint i = 0; task->crashes != NULL && i < task->crashes->len; i++)
     {
       const FbPoolCrash *crash = &g_array_index (task->crashes, FbPoolCrash, i);
-      n += crash->evidence == FB_CRASH_FIRM
-           && (crash->apart || (eliminated && fb_pool_crash_has_one_cause (self, crash->worker)));
+      n += crash->evidence == FB_CRASH_CONFIRMED
+           && (crash->isolated
+               || (eliminated && fb_pool_crash_has_one_cause (self, crash->worker)));
     }
   return n;
 }
@@ -76,11 +77,11 @@
 void
 fb_pool_crash_set_limits (FbPoolLimits *limits)
 {
-  if (limits->crashes_n == 0)
-    limits->crashes_n = CRASHES_MOST;
-  if (limits->shared_crashes_n == 0)
-    limits->shared_crashes_n = CRASHES_MOST_SHARED;
-  limits->shared_crashes_n = MAX (limits->shared_crashes_n, limits->crashes_n);
+  if (limits->max_isolated_crashes == 0)
+    limits->max_isolated_crashes = CRASHES_MOST;
+  if (limits->max_shared_crashes == 0)
+    limits->max_shared_crashes = CRASHES_MOST_SHARED;
+  limits->max_shared_crashes = MAX (limits->max_shared_crashes, limits->max_isolated_crashes);
 }
 
 /* Failure: starts that got no answer, or runs whose ends were not heard, count for workers that
@@ -89,8 +90,8 @@
 static gboolean
 is_well_known (const FbPoolTask *task)
 {
-  return evidence_n (task, FB_CRASH_FIRM) >= FIRM_CRASHES
-         && evidence_n (task, FB_CRASH_HEARSAY) == 0;
+  return evidence_n (task, FB_CRASH_CONFIRMED) >= FIRM_CRASHES
+         && evidence_n (task, FB_CRASH_REPORTED) == 0;
 }
 
 /* Returns: after how many crashes TASK is given up.  Where none is firm, one more is needed. */
@@ -100,14 +101,14 @@
   guint alone = alone_n (self, task, eliminated);
   guint shared = fb_pool_task_crashes_n (task) - alone;
   if (alone > 0 && is_well_known (task) && shared < SHARED_ENOUGH)
-    return self->limits.crashes_n;
-  return self->limits.shared_crashes_n + (evidence_n (task, FB_CRASH_FIRM) == 0);
+    return self->limits.max_isolated_crashes;
+  return self->limits.max_shared_crashes + (evidence_n (task, FB_CRASH_CONFIRMED) == 0);
 }
 
 gboolean
 fb_pool_task_is_suspect (const FbPoolTask *task)
 {
-  return task->crashes != NULL || task->doubts_n > 0;
+  return task->crashes != NULL || task->unresolved_losses_n > 0;
 }
 
 /* Failure: an owner whose store is gone starts a task on one worker after the other, and is
@@ -117,26 +118,27 @@
 static gboolean
 is_unstored (const FbPoolStep *step, const FbPoolTask *task)
 {
-  return fb_pool_task_crashes_n (task) + task->doubts_n >= ISOLATED_CRASHES
-         && step->job->suspicion_stored != step->job->suspicion;
+  return fb_pool_task_crashes_n (task) + task->unresolved_losses_n >= ISOLATED_CRASHES
+         && step->job->suspects_version_stored != step->job->suspects_version;
 }
 
 void
-fb_pool_task_weigh (const FbPool *self, FbPoolStep *step, uint32_t index)
+fb_pool_task_update_withheld (const FbPool *self, FbPoolStep *step, uint32_t index)
 {
   FbPoolTask *task = &step->tasks[index];
   /* What is in doubt may have been apart. */
-  guint limit = task->doubts_n > 0 ? self->limits.crashes_n : limit_of (self, task, FALSE);
-  task->withheld
-      = fb_pool_task_crashes_n (task) + task->doubts_n >= limit || is_unstored (step, task);
+  guint limit = task->unresolved_losses_n > 0 ? self->limits.max_isolated_crashes
+                                              : limit_of (self, task, FALSE);
+  task->withheld = fb_pool_task_crashes_n (task) + task->unresolved_losses_n >= limit
+                   || is_unstored (step, task);
 }
 
 void
 fb_pool_crash_stored (FbPool *self, FbPoolJob *job)
 {
-  if (job->suspicion_stored == job->suspicion_flushing)
+  if (job->suspects_version_stored == job->suspects_version_flushing)
     return;
-  job->suspicion_stored = job->suspicion_flushing;
+  job->suspects_version_stored = job->suspects_version_flushing;
   for (guint i = 0; i < job->occurrences->len; i++)
     {
       FbPoolOccurrence *occurrence = job->occurrences->pdata[i];
@@ -147,8 +149,8 @@
             {
               if (!step->tasks[k].withheld)
                 continue;
-              fb_pool_task_weigh (self, step, k);
-              fb_pool_task_may_wait (self, step, k);
+              fb_pool_task_update_withheld (self, step, k);
+              fb_pool_task_requeue (self, step, k);
             }
         }
     }
@@ -169,33 +171,33 @@
 fb_pool_crash_clear (FbPool *self, FbPoolStep *step, uint32_t index, const char *why)
 {
   FbPoolTask *task = &step->tasks[index];
-  g_clear_pointer (&task->tried, g_ptr_array_unref);
+  g_clear_pointer (&task->unresolved, g_ptr_array_unref);
   if (task->crashes == NULL)
     return;
   for (guint i = 0; i < task->crashes->len; i++)
     fb_pool_crash_cause_drop (self, g_array_index (task->crashes, FbPoolCrash, i).worker);
   g_clear_pointer (&task->crashes, g_array_unref);
-  fb_pool_task_weigh (self, step, index);
+  fb_pool_task_update_withheld (self, step, index);
   fb_event_log (FB_EVENT_TASK_CLEARED, "task=%s.%u.%u.%u why=\"%s\"", step->job->id,
                 step->occurrence, step->index, index, why);
   fb_pool_job_changed (self, step->job);
-  fb_pool_unstored_note (self, step->job);
-  fb_pool_task_may_wait (self, step, index);
+  fb_pool_unstored_suspects_add (self, step->job);
+  fb_pool_task_requeue (self, step, index);
 }
 
 void
 fb_pool_crash_task_gone (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step, uint32_t index)
 {
   FbPoolTask *task = &step->tasks[index];
-  if (task->tried == NULL)
+  if (task->unresolved == NULL)
     return;
-  fb_pool_tried_drop (task, worker->id);
+  fb_pool_unresolved_start_drop (task, worker->id);
   fb_pool_job_changed (self, step->job);
 }
 
 void
 fb_pool_crash_task_ended (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
-                          uint32_t index, FbEndHow how)
+                          uint32_t index, FbEndReason how)
 {
   fb_pool_crash_task_gone (self, worker, step, index);
   if (how == FB_END_DONE)
@@ -219,8 +221,9 @@
   return TRUE;
 }
 
-static const char *const evidence_names[]
-    = { [FB_CRASH_HEARSAY] = "hearsay", [FB_CRASH_LIKELY] = "likely", [FB_CRASH_FIRM] = "firm" };
+static const char *const evidence_names[] = {
+  [FB_CRASH_REPORTED] = "hearsay", [FB_CRASH_PROBABLE] = "likely", [FB_CRASH_CONFIRMED] = "firm"
+};
 
 void
 fb_pool_crash_count (FbPool *self, FbPoolStep *step, uint32_t index, FbPoolCrash crash,
@@ -233,23 +236,24 @@
   if (fb_pool_job_ended (step->job))
     return;
   fb_pool_probe_note_crash (step, crash.worker, now_ms);
-  step->job->suspicion++;
-  fb_pool_unstored_note (self, step->job);
-  fb_pool_task_weigh (self, step, index);
+  step->job->suspects_version++;
+  fb_pool_unstored_suspects_add (self, step->job);
+  fb_pool_task_update_withheld (self, step, index);
   g_hash_table_add (self->suspects, step);
-  self->limit_reached |= fb_pool_task_crashes_n (task) >= self->limits.crashes_n;
+  self->limit_reached |= fb_pool_task_crashes_n (task) >= self->limits.max_isolated_crashes;
   fb_pool_job_changed (self, step->job);
-  fb_event_log (
-      FB_EVENT_TASK_SUSPECTED, "task=%s.%u.%u.%u crashes=%u of=%u apart=%d evidence=%s doubts=%u",
-      step->job->id, step->occurrence, step->index, index, fb_pool_task_crashes_n (task),
-      limit_of (self, task, FALSE), crash.apart, evidence_names[crash.evidence], task->doubts_n);
+  fb_event_log (FB_EVENT_TASK_SUSPECTED,
+                "task=%s.%u.%u.%u crashes=%u of=%u apart=%d evidence=%s doubts=%u", step->job->id,
+                step->occurrence, step->index, index, fb_pool_task_crashes_n (task),
+                limit_of (self, task, FALSE), crash.isolated, evidence_names[crash.evidence],
+                task->unresolved_losses_n);
 }
 
 /* For how long RUN was seen at work by what was last heard of WORKER. */
 static uint64_t
 ran_ms (const FbPoolWorker *worker, const FbPoolRun *run)
 {
-  return worker->heard_ms > run->started_ms ? worker->heard_ms - run->started_ms : 0;
+  return worker->last_answer_ms > run->started_ms ? worker->last_answer_ms - run->started_ms : 0;
 }
 
 /* A start that no answer and no list ever told of did not begin, or its order is still on its way:
@@ -269,7 +273,7 @@
 static gboolean
 is_proven (const FbPoolWorker *worker, const FbPoolRun *run)
 {
-  return run->step != NULL && run->step->shape->lasting
+  return run->step != NULL && run->step->shape->long_running
          && ran_ms (worker, run) >= LASTING_PROVEN_MS;
 }
 
@@ -277,7 +281,7 @@
 static gboolean
 is_outlived (const FbPoolWorker *worker, const FbPoolRun *run, const FbPoolRun *other)
 {
-  return run->suspicion_n >= ISOLATED_CRASHES && ran_ms (worker, run) < BEGINNING_MS
+  return run->suspect_score >= ISOLATED_CRASHES && ran_ms (worker, run) < BEGINNING_MS
          && !is_beginning (other);
 }
 
@@ -286,10 +290,10 @@
 static FbCrashEvidence
 evidence_of (const FbPoolWorker *worker, const FbPoolRun *run)
 {
-  gboolean sent_soon
-      = run->started_ms >= worker->heard_ms && run->started_ms <= worker->heard_ms + ANSWER_MS;
-  gboolean firm = run->seen_clock_ms > 0 || (run->suspicion_n >= ISOLATED_CRASHES && sent_soon);
-  return firm ? FB_CRASH_FIRM : FB_CRASH_LIKELY;
+  gboolean sent_soon = run->started_ms >= worker->last_answer_ms
+                       && run->started_ms <= worker->last_answer_ms + ANSWER_MS;
+  gboolean firm = run->seen_clock_ms > 0 || (run->suspect_score >= ISOLATED_CRASHES && sent_soon);
+  return firm ? FB_CRASH_CONFIRMED : FB_CRASH_PROBABLE;
 }
 
 /* TRUE when RUN may have begun on WORKER as that crashed: its answer is awaited. */
@@ -321,33 +325,34 @@
              const FbPoolWorker *next, uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
-  const FbPoolCrash crash = { worker->rank, is_apart (worker, run), evidence_of (worker, run) };
-  if (next != NULL && run->listed_ms == 0 && fb_pool_return_may_come (self, run))
+  const FbPoolCrash crash = { worker->id_hash, is_apart (worker, run), evidence_of (worker, run) };
+  if (next != NULL && run->listed_ms == 0 && fb_pool_restart_may_deliver (self, run))
     {
-      if (run->lost_with.worker == 0)
-        run->lost_with = crash;
+      if (run->deferred_crash.worker == 0)
+        run->deferred_crash = crash;
       return;
     }
   /* One start crashes one life; if it did not come to this one, it was on the one before. */
-  if (run->lost_with.worker != 0)
+  if (run->deferred_crash.worker != 0)
     return;
-  if (loss == FB_LOSS_OTHER_LIFE)
+  if (loss == FB_LOSS_OTHER_INCARNATION)
     {
-      fb_pool_tried_drop (&step->tasks[run->index], worker->id);
+      fb_pool_unresolved_start_drop (&step->tasks[run->index], worker->id);
       fb_pool_crash_count (self, step, run->index, crash, now_ms);
       return;
     }
-  fb_pool_doubt_add (self, worker->id, worker->address, step, run->index, crash, now_ms);
+  fb_pool_unresolved_loss_add (self, worker->id, worker->address, step, run->index, crash, now_ms);
   /* It is recorded too, so that a successor can still learn what became of the worker. */
-  fb_pool_tried_note (&step->tasks[run->index], worker->id, worker->address,
-                      run->seen_clock_ms > 0);
+  fb_pool_unresolved_start_add (&step->tasks[run->index], worker->id, worker->address,
+                                run->seen_clock_ms > 0);
   fb_pool_job_changed (self, step->job);
 }
 
 void
 fb_pool_crash_task_seen (FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run)
 {
-  if (run->step != NULL && fb_pool_tried_see (&run->step->tasks[run->index], worker->id))
+  if (run->step != NULL
+      && fb_pool_unresolved_start_set_seen (&run->step->tasks[run->index], worker->id))
     fb_pool_job_changed (self, run->step->job);
 }
 
@@ -357,11 +362,11 @@
   FbPoolTask *task = &run->step->tasks[run->index];
   if (silent)
     {
-      fb_pool_tried_note (task, worker->id, worker->address, run->seen_clock_ms > 0);
+      fb_pool_unresolved_start_add (task, worker->id, worker->address, run->seen_clock_ms > 0);
       fb_pool_job_changed (self, run->step->job);
     }
   else if (task->crashes == NULL)
-    fb_pool_tried_drop (task, worker->id);
+    fb_pool_unresolved_start_drop (task, worker->id);
 }
 
 /* Failure: the owner is replaced within the 4 s in which a crash shows only as silence, and the
@@ -374,7 +379,7 @@
   gboolean silent = worker->answered && fb_pool_worker_silent (worker, now_ms);
   if (silent == worker->silence_noted || worker->draining)
     return;
-  if (silent && !self->hears_most)
+  if (silent && !self->majority_answers)
     return;
   worker->silence_noted = silent;
   GHashTableIter iter;
@@ -384,7 +389,7 @@
     {
       const FbPoolRun *run = value;
       /* Of a start that may have come from the life before, that one is recorded. */
-      if (run->step != NULL && was_there (run) && run->came_ms == 0)
+      if (run->step != NULL && was_there (run) && run->transferred_ms == 0)
         note_silence (self, worker, run, silent);
     }
 }
@@ -405,7 +410,7 @@
       fb_pool_worker_charge (worker, run, -1);
       fb_pool_crash_clear (self, run->step, run->index, "lasted");
       fb_pool_worker_charge (worker, run, 1);
-      fb_pool_worker_opened (self, worker);
+      fb_pool_worker_gained_capacity (self, worker);
     }
 }
 
@@ -422,7 +427,7 @@
       FbPoolRun *run = value;
       /* It is not counted for that, but what else was there is no longer the only cause. */
       if (may_have_begun (run))
-        fb_pool_crash_cause_add (self, worker->rank);
+        fb_pool_crash_cause_add (self, worker->id_hash);
       if (run->step == NULL || !was_there (run))
         continue;
       if (is_proven (worker, run))
@@ -430,10 +435,10 @@
       else
         suspect_run (self, worker, run, loss, next, now_ms);
     }
-  if (loss != FB_LOSS_OTHER_LIFE)
+  if (loss != FB_LOSS_OTHER_INCARNATION)
     return;
   fb_counter_add (FB_COUNTER_WORKER_CRASHES, !worker->draining);
-  fb_pool_doubt_end (self, worker->id, !worker->draining, now_ms);
+  fb_pool_unresolved_loss_resolve (self, worker->id, !worker->draining, now_ms);
 }
 
 /* ---- the limit ------------------------------------------------------------------------- */
@@ -494,7 +499,7 @@
 static guint
 suspicion_of (const FbPoolTask *task)
 {
-  return fb_pool_task_crashes_n (task) + task->doubts_n;
+  return fb_pool_task_crashes_n (task) + task->unresolved_losses_n;
 }
 
 gboolean
@@ -506,7 +511,8 @@
 gboolean
 fb_pool_crash_is_open (const FbPoolWorker *worker, const FbPoolTask *task, uint64_t now_ms)
 {
-  return worker->kept_for == NULL || worker->kept_for == task || now_ms >= worker->kept_until_ms;
+  return worker->exclusive_for == NULL || worker->exclusive_for == task
+         || now_ms >= worker->exclusive_until_ms;
 }
 
 static gboolean
@@ -528,16 +534,16 @@
  * more than those before.  Guard: it starts where nothing has begun of late, and nothing starts on
  * that worker meanwhile. */
 gboolean
-fb_pool_crash_waits_for_calm (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms)
+fb_pool_crash_waits_for_stable (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms)
 {
   if (suspicion_of (task) < ISOLATED_CRASHES || is_calm (worker))
     return FALSE;
-  if (task->calm_until_ms == 0)
-    task->calm_until_ms = now_ms + CALM_WAIT_MS;
-  if (now_ms >= task->calm_until_ms)
+  if (task->stable_wait_until_ms == 0)
+    task->stable_wait_until_ms = now_ms + CALM_WAIT_MS;
+  if (now_ms >= task->stable_wait_until_ms)
     return FALSE;
-  worker->kept_for = task;
-  worker->kept_until_ms = task->calm_until_ms;
+  worker->exclusive_for = task;
+  worker->exclusive_until_ms = task->stable_wait_until_ms;
   return TRUE;
 }
 
@@ -546,7 +552,7 @@
 {
   gboolean isolated = suspicion_of (task) >= ISOLATED_CRASHES;
   /* It may have crashed already, and that would count for TASK. */
-  gboolean quiet = now_ms > worker->heard_ms + FB_POOL_LOOK_WAIT_MS + ANSWER_MS;
+  gboolean quiet = now_ms > worker->last_answer_ms + FB_POOL_POLL_WAIT_MS + ANSWER_MS;
   /* What runs beside it would be lost with the worker. */
   return worker->suspects_n + (isolated ? g_hash_table_size (worker->runs) : 0)
          + (quiet ? QUIET_COST : 0);
@@ -556,9 +562,9 @@
 fb_pool_crash_charge (FbPoolWorker *worker, FbPoolRun *run, int sign)
 {
   if (sign > 0)
-    run->suspicion_n = suspicion_of (&run->step->tasks[run->index]);
-  worker->suspects_n += run->suspicion_n > 0 ? (guint) sign : 0;
-  worker->isolated_n += run->suspicion_n >= ISOLATED_CRASHES ? (guint) sign : 0;
+    run->suspect_score = suspicion_of (&run->step->tasks[run->index]);
+  worker->suspects_n += run->suspect_score > 0 ? (guint) sign : 0;
+  worker->isolated_n += run->suspect_score >= ISOLATED_CRASHES ? (guint) sign : 0;
 }
 
 void
@@ -567,9 +573,9 @@
   FbPoolTask *task = &step->tasks[index];
   if (!fb_pool_task_is_suspect (task))
     return;
-  task->calm_until_ms = 0;
-  if (worker->kept_for == task)
-    worker->kept_for = NULL;
-  fb_pool_tried_note (task, worker->id, worker->address, FALSE);
+  task->stable_wait_until_ms = 0;
+  if (worker->exclusive_for == task)
+    worker->exclusive_for = NULL;
+  fb_pool_unresolved_start_add (task, worker->id, worker->address, FALSE);
   g_hash_table_add (self->dirty, step->job);
 }
--- a/src/work/pool-closed.c
+++ b/src/work/pool-drain.c
@@ -33,7 +33,7 @@
   if (!worker->draining)
     return NULL;
   if (!worker->answered)
-    return worker->closed_to != NULL ? g_hash_table_ref (worker->closed_to) : NULL;
+    return worker->drain_steps != NULL ? g_hash_table_ref (worker->drain_steps) : NULL;
   GHashTable *steps = set_new ();
   GHashTableIter iter;
   gpointer name;
@@ -44,7 +44,7 @@
 }
 
 void
-fb_pool_closed_record (const FbPoolWorker *worker, fb_work_known *known)
+fb_pool_drain_record (const FbPoolWorker *worker, fb_work_known_worker *known)
 {
   g_autoptr (GHashTable) steps = steps_on (worker);
   if (steps == NULL || g_hash_table_size (steps) > FB_WORK_MAX_RUNS)
@@ -59,7 +59,7 @@
 }
 
 void
-fb_pool_closed_record_clear (fb_work_known *known)
+fb_pool_drain_record_clear (fb_work_known_worker *known)
 {
   for (u_int i = 0; i < known->steps.steps_len; i++)
     g_free (known->steps.steps_val[i].name);
@@ -68,7 +68,7 @@
 }
 
 void
-fb_pool_closed_restore (FbPool *self, const fb_work_known *known)
+fb_pool_drain_restore (FbPool *self, const fb_work_known_worker *known)
 {
   if (!known->closed)
     return;
@@ -79,26 +79,26 @@
 }
 
 void
-fb_pool_closed_take (FbPool *self, FbPoolWorker *worker)
+fb_pool_drain_apply (FbPool *self, FbPoolWorker *worker)
 {
   GHashTable *steps = g_hash_table_lookup (self->closed, worker->id);
-  if (steps == NULL || worker->closed_to != NULL)
+  if (steps == NULL || worker->drain_steps != NULL)
     return;
-  worker->closed_to = g_hash_table_ref (steps);
+  worker->drain_steps = g_hash_table_ref (steps);
   worker->draining = TRUE; /* a list that is behind may not know yet */
 }
 
 gboolean
-fb_pool_closed_may_hold (const FbPoolWorker *worker, const FbPoolStep *step)
+fb_pool_drain_may_run (const FbPoolWorker *worker, const FbPoolStep *step)
 {
-  if (worker->closed_to == NULL)
+  if (worker->drain_steps == NULL)
     return TRUE;
   g_autofree char *name = fb_pool_step_name (step);
-  return g_hash_table_contains (worker->closed_to, name);
+  return g_hash_table_contains (worker->drain_steps, name);
 }
 
 gboolean
-fb_pool_closed_is_empty (const FbPoolWorker *worker)
+fb_pool_drain_is_empty (const FbPoolWorker *worker)
 {
-  return worker->closed_to != NULL && g_hash_table_size (worker->closed_to) == 0;
+  return worker->drain_steps != NULL && g_hash_table_size (worker->drain_steps) == 0;
 }
--- a/src/work/pool-recall.c
+++ b/src/work/pool-import-starts.c
@@ -1,8 +1,8 @@
 /* Starts of earlier owners that other daemons remember and no record tells of.
  *
  * They are evidence only: such a start leaves its task in doubt, as a worker does that was lost
- * with the task on it (pool-doubt.c), until the worker answers or another life shows at its
- * address. */
+ * with the task on it (pool-unresolved-losses.c), until the worker answers or another life shows at
+ * its address. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
@@ -15,23 +15,23 @@
   FbPoolStep *step = fb_pool_find_task (self, start->task, &index);
   if (step == NULL || fb_pool_job_ended (step->job))
     return;
-  fb_pool_late_start_note (self, start->worker, start->address, start->task, start->attempt, now_ms,
-                           now_ms);
+  fb_pool_unanswered_start_add (self, start->worker, start->address, start->task, start->attempt,
+                                now_ms, now_ms);
   FbPoolTask *task = &step->tasks[index];
-  if (task->done || fb_pool_tried_is_settled (self, task, start->worker))
+  if (task->done || fb_pool_start_is_resolved (self, task, start->worker))
     return;
   fb_counter_add (FB_COUNTER_STARTS_RECALLED, 1);
   fb_event_log (FB_EVENT_START_RECALLED, "task=%s attempt=%u worker=%s seen=%d", start->task,
                 start->attempt, start->worker, start->seen);
-  const FbPoolCrash crash = { fb_pool_worker_rank (start->worker), FALSE,
-                              start->seen ? FB_CRASH_FIRM : FB_CRASH_HEARSAY };
-  fb_pool_tried_note (task, start->worker, start->address, start->seen);
-  fb_pool_doubt_add (self, start->worker, start->address, step, index, crash, now_ms);
+  const FbPoolCrash crash = { fb_pool_worker_id_hash (start->worker), FALSE,
+                              start->seen ? FB_CRASH_CONFIRMED : FB_CRASH_REPORTED };
+  fb_pool_unresolved_start_add (task, start->worker, start->address, start->seen);
+  fb_pool_unresolved_loss_add (self, start->worker, start->address, step, index, crash, now_ms);
   fb_pool_job_changed (self, step->job);
 }
 
 void
-fb_pool_recall_starts (FbPool *self, const fb_told_starts *told, uint64_t now_ms)
+fb_pool_import_starts (FbPool *self, const fb_recent_starts_reply *told, uint64_t now_ms)
 {
   for (u_int i = 0; i < told->starts.starts_len; i++)
     recall (self, &told->starts.starts_val[i], now_ms);
--- a/src/work/pool-lives.c
+++ b/src/work/pool-incarnations.c
@@ -8,9 +8,11 @@
 #include "internal/pool-private.h"
 
 static gboolean
-follows (const FbPool *self, const FbPoolWorker *life, const FbPoolWorker *other)
+is_newer_incarnation (const FbPool *self, const FbPoolWorker *incarnation,
+                      const FbPoolWorker *other)
 {
-  return self->sink->follows != NULL && self->sink->follows (life->id, other->id);
+  return self->sink->is_newer_incarnation != NULL
+         && self->sink->is_newer_incarnation (incarnation->id, other->id);
 }
 
 /* Returns: (nullable): borrowed. */
@@ -21,51 +23,51 @@
 }
 
 void
-fb_pool_life_set_latest (FbPool *self, FbPoolWorker *worker)
+fb_pool_incarnation_set_latest (FbPool *self, FbPoolWorker *worker)
 {
-  worker->outlived = FALSE;
-  if (self->sink->follows != NULL && worker->address != NULL)
+  worker->superseded = FALSE;
+  if (self->sink->is_newer_incarnation != NULL && worker->address != NULL)
     g_hash_table_replace (self->latest, g_strdup (worker->address), worker);
 }
 
 void
-fb_pool_life_known (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_incarnation_known (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
   FbPoolWorker *latest = latest_at (self, worker->address);
   if (latest == worker)
     return;
   /* The entry may be a late one; a host whose time went back is told apart by its answer. */
-  if (latest != NULL && follows (self, latest, worker))
+  if (latest != NULL && is_newer_incarnation (self, latest, worker))
     {
-      worker->outlived = TRUE;
+      worker->superseded = TRUE;
       return;
     }
-  fb_pool_life_set_latest (self, worker);
-  if (latest != NULL && follows (self, worker, latest))
-    fb_pool_worker_returned (self, latest, worker->id, now_ms);
+  fb_pool_incarnation_set_latest (self, worker);
+  if (latest != NULL && is_newer_incarnation (self, worker, latest))
+    fb_pool_worker_restarted (self, latest, worker->id, now_ms);
 }
 
 void
-fb_pool_life_answered (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_incarnation_answered (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (!worker->outlived)
+  if (!worker->superseded)
     return;
   FbPoolWorker *latest = latest_at (self, worker->address);
-  if (latest == NULL || latest->gone)
-    fb_pool_life_set_latest (self, worker);
-  else if (worker->look_sent_ms >= MAX (latest->heard_ms, worker->listed_ms))
-    fb_pool_worker_returned (self, latest, worker->id, now_ms);
+  if (latest == NULL || latest->runs_ended)
+    fb_pool_incarnation_set_latest (self, worker);
+  else if (worker->poll_sent_ms >= MAX (latest->last_answer_ms, worker->listed_ms))
+    fb_pool_worker_restarted (self, latest, worker->id, now_ms);
 }
 
 FbPoolWorker *
-fb_pool_life_running (const FbPool *self, FbPoolWorker *worker)
+fb_pool_incarnation_running (const FbPool *self, FbPoolWorker *worker)
 {
   FbPoolWorker *latest = worker->replaced ? latest_at (self, worker->address) : NULL;
-  return latest != NULL && follows (self, latest, worker) ? latest : worker;
+  return latest != NULL && is_newer_incarnation (self, latest, worker) ? latest : worker;
 }
 
 void
-fb_pool_life_forget (FbPool *self, const FbPoolWorker *worker)
+fb_pool_incarnation_forget (FbPool *self, const FbPoolWorker *worker)
 {
   if (latest_at (self, worker->address) == worker)
     g_hash_table_remove (self->latest, worker->address);
--- a/src/work/pool-job.c
+++ b/src/work/pool-job.c
@@ -48,10 +48,10 @@
 {
   const fb_work_policy *policy = &job->record.policy;
   uint64_t work_ms = chain_ms (&job->record.spec);
-  uint64_t objective_ms = work_ms * policy->stretch_milli / 1000 + policy->target_ms;
+  uint64_t objective_ms = work_ms * policy->stretch_factor_milli / 1000 + policy->target_ms;
   job->tightness = objective_ms > 0 ? MIN ((double) work_ms / (double) objective_ms, 1) : 0;
   job->objective_ms = job->admitted_ms + objective_ms;
-  job->hopeless_ms = job->admitted_ms + 3 * objective_ms;
+  job->worthless_ms = job->admitted_ms + 3 * objective_ms;
 }
 
 FbPoolJob *
@@ -78,12 +78,12 @@
       fb_pool_speed_unref (step->tasks[i].ran_at);
       g_clear_pointer (&step->tasks[i].failed, g_array_unref);
       g_clear_pointer (&step->tasks[i].crashes, g_array_unref);
-      g_clear_pointer (&step->tasks[i].tried, g_ptr_array_unref);
+      g_clear_pointer (&step->tasks[i].unresolved, g_ptr_array_unref);
     }
   g_free (step->tasks);
-  g_free (step->lasting);
-  g_ptr_array_unref (step->held_on);
-  fb_pool_rulings_clear (step);
+  g_free (step->long_running);
+  g_ptr_array_unref (step->reserved_on);
+  fb_pool_worker_advice_clear (step);
 }
 
 static void
@@ -126,7 +126,7 @@
 }
 
 void
-fb_pool_task_may_wait (FbPool *self, FbPoolStep *step, uint32_t index)
+fb_pool_task_requeue (FbPool *self, FbPoolStep *step, uint32_t index)
 {
   step->waiting_from = MIN (step->waiting_from, index);
   fb_pool_queue_add (self, step);
@@ -178,7 +178,7 @@
       step->index = i;
       step->shape = &job->record.spec.steps.steps_val[i];
       step->tasks = g_new0 (FbPoolTask, step->shape->count);
-      step->held_on = g_ptr_array_new_with_free_func (g_free);
+      step->reserved_on = g_ptr_array_new_with_free_func (g_free);
     }
   g_ptr_array_add (job->occurrences, occurrence);
   return occurrence;
@@ -261,25 +261,26 @@
 }
 
 static void
-add_marks (GArray *marks, const FbPoolStep *step)
+add_marks (GArray *task_progress, const FbPoolStep *step)
 {
-  for (uint32_t i = 0; i < step->shape->count && marks->len < FB_WORK_MAX_MARKS; i++)
+  for (uint32_t i = 0; i < step->shape->count && task_progress->len < FB_WORK_MAX_TASK_ROWS; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
       if (!needs_mark (task))
         continue;
-      fb_work_mark mark = { .occurrence = step->occurrence,
-                            .step = step->index,
-                            .index = i,
-                            .attempt = task->attempt,
-                            .done = task->done,
-                            .checkpoint = task->checkpoint != NULL ? task->checkpoint : "" };
+      fb_work_task_progress mark
+          = { .occurrence = step->occurrence,
+              .step = step->index,
+              .index = i,
+              .attempt = task->attempt,
+              .done = task->done,
+              .checkpoint = task->checkpoint != NULL ? task->checkpoint : "" };
       if (task->failed != NULL)
         {
           mark.failed.failed_len = task->failed->len;
           mark.failed.failed_val = (u_int *) (gpointer) task->failed->data;
         }
-      g_array_append_val (marks, mark);
+      g_array_append_val (task_progress, mark);
     }
 }
 
@@ -287,22 +288,23 @@
 void
 fb_pool_job_progress (const FbPoolJob *job, fb_work_progress *progress)
 {
-  GArray *marks = g_array_new (FALSE, TRUE, sizeof (fb_work_mark));
+  GArray *task_progress = g_array_new (FALSE, TRUE, sizeof (fb_work_task_progress));
   gboolean lasting_over = fb_pool_job_ended (job);
   for (guint i = 0; !lasting_over && i < job->occurrences->len; i++)
     {
       const FbPoolOccurrence *occurrence = job->occurrences->pdata[i];
       for (guint j = 0; j < job->record.spec.steps.steps_len; j++)
-        add_marks (marks, &occurrence->steps[j]);
+        add_marks (task_progress, &occurrence->steps[j]);
     }
   progress->state = job->state;
   progress->ended_ms = job->ended_wall_ms;
-  progress->marks.marks_len = marks->len;
-  progress->marks.marks_val = (fb_work_mark *) g_array_free (marks, FALSE);
+  progress->task_progress.task_progress_len = task_progress->len;
+  progress->task_progress.task_progress_val
+      = (fb_work_task_progress *) g_array_free (task_progress, FALSE);
 }
 
 static void
-restore_mark (FbPoolJob *job, const fb_work_mark *mark)
+restore_mark (FbPoolJob *job, const fb_work_task_progress *mark)
 {
   FbPoolStep *step = fb_pool_job_step (job, mark->occurrence, mark->step);
   if (step == NULL || mark->index >= step->shape->count)
@@ -311,7 +313,7 @@
   task->attempt = MAX (task->attempt, mark->attempt);
   for (u_int i = 0; i < mark->failed.failed_len; i++)
     (void) fb_pool_task_count_failed (task, mark->failed.failed_val[i]);
-  fb_pool_task_save (step, mark->index, mark->checkpoint);
+  fb_pool_task_set_checkpoint (step, mark->index, mark->checkpoint);
   if (mark->done && !task->done)
     {
       task->done = TRUE;
@@ -328,8 +330,8 @@
   job->flushing_state = progress->state;
   job->started = progress->state != FB_WORK_QUEUED;
   job->ended_wall_ms = progress->ended_ms;
-  for (u_int i = 0; i < progress->marks.marks_len; i++)
-    restore_mark (job, &progress->marks.marks_val[i]);
+  for (u_int i = 0; i < progress->task_progress.task_progress_len; i++)
+    restore_mark (job, &progress->task_progress.task_progress_val[i]);
 }
 
 gboolean
@@ -354,7 +356,7 @@
 }
 
 void
-fb_pool_task_save (FbPoolStep *step, uint32_t index, const char *checkpoint)
+fb_pool_task_set_checkpoint (FbPoolStep *step, uint32_t index, const char *checkpoint)
 {
   FbPoolTask *task = &step->tasks[index];
   if (checkpoint == NULL || *checkpoint == '\0' || g_strcmp0 (task->checkpoint, checkpoint) == 0)
--- a/src/work/pool-lasting.c
+++ b/src/work/pool-long-running.c
@@ -16,7 +16,7 @@
 } Away;
 
 /* Of a step that is to last, once a run of it was over or a round found no place for it. */
-struct _FbPoolLasting
+struct _FbPoolLongRunning
 {
   const char *waits_for; /* NULL: for nothing */
   uint64_t waits_ms;     /* since when for that */
@@ -25,67 +25,69 @@
   Away tasks[];
 };
 
-static FbPoolLasting *
+static FbPoolLongRunning *
 lasting_of (FbPoolStep *step)
 {
-  if (step->lasting == NULL)
-    step->lasting = g_malloc0 (sizeof (FbPoolLasting) + step->shape->count * sizeof (Away));
-  return step->lasting;
+  if (step->long_running == NULL)
+    step->long_running
+        = g_malloc0 (sizeof (FbPoolLongRunning) + step->shape->count * sizeof (Away));
+  return step->long_running;
 }
 
 static void
-forget_wait (FbPoolLasting *lasting)
+forget_wait (FbPoolLongRunning *long_running)
 {
-  lasting->waits_for = NULL;
-  lasting->told_ms = 0;
+  long_running->waits_for = NULL;
+  long_running->told_ms = 0;
 }
 
 void
-fb_pool_lasting_over (FbPoolStep *step, uint32_t index, const char *how, uint64_t now_ms)
+fb_pool_long_running_ended (FbPoolStep *step, uint32_t index, const char *how, uint64_t now_ms)
 {
-  if (!step->shape->lasting)
+  if (!step->shape->long_running)
     return;
-  FbPoolLasting *lasting = lasting_of (step);
-  lasting->tasks[index] = (Away){ .over_ms = now_ms, .how = how };
+  FbPoolLongRunning *long_running = lasting_of (step);
+  long_running->tasks[index] = (Away){ .over_ms = now_ms, .how = how };
   if (fb_pool_step_waiting_n (step) <= 1)
-    forget_wait (lasting);
+    forget_wait (long_running);
 }
 
 static void
 tell_wait (const FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
-  FbPoolLasting *lasting = step->lasting;
-  uint64_t from_ms = lasting->told_ms != 0 ? lasting->told_ms : lasting->began_ms;
+  FbPoolLongRunning *long_running = step->long_running;
+  uint64_t from_ms = long_running->told_ms != 0 ? long_running->told_ms : long_running->began_ms;
   if (now_ms < from_ms + LONG_WAIT_MS)
     return;
-  lasting->told_ms = now_ms;
+  long_running->told_ms = now_ms;
   g_autofree char *name = fb_pool_step_name (step);
   fb_event_log (
       FB_EVENT_LASTING_WAITS,
       "step=%s tasks=%u of=%u waited_ms=%u waits_for=%s for_ms=%u epoch=%" G_GUINT64_FORMAT, name,
-      fb_pool_step_waiting_n (step), step->shape->count, (guint) (now_ms - lasting->began_ms),
-      lasting->waits_for, (guint) (now_ms - lasting->waits_ms), self->epoch);
+      fb_pool_step_waiting_n (step), step->shape->count, (guint) (now_ms - long_running->began_ms),
+      long_running->waits_for, (guint) (now_ms - long_running->waits_ms), self->epoch);
 }
 
 void
-fb_pool_lasting_waits (const FbPool *self, FbPoolStep *step, const char *waits_for, uint64_t now_ms)
+fb_pool_long_running_waits (const FbPool *self, FbPoolStep *step, const char *waits_for,
+                            uint64_t now_ms)
 {
-  if (!step->shape->lasting)
+  if (!step->shape->long_running)
     return;
-  FbPoolLasting *lasting = lasting_of (step);
-  if (lasting->waits_for == NULL)
-    lasting->began_ms = now_ms;
-  if (lasting->waits_for != waits_for)
-    lasting->waits_ms = now_ms;
-  lasting->waits_for = waits_for;
+  FbPoolLongRunning *long_running = lasting_of (step);
+  if (long_running->waits_for == NULL)
+    long_running->began_ms = now_ms;
+  if (long_running->waits_for != waits_for)
+    long_running->waits_ms = now_ms;
+  long_running->waits_for = waits_for;
   tell_wait (self, step, now_ms);
 }
 
 void
-fb_pool_lasting_waits_no_more (FbPoolStep *step)
+fb_pool_long_running_wait_over (FbPoolStep *step)
 {
-  if (step->lasting != NULL)
-    forget_wait (step->lasting);
+  if (step->long_running != NULL)
+    forget_wait (step->long_running);
 }
 
 /* What task INDEX is known to be away for.  Of a job that an earlier owner had accepted, and of
@@ -93,16 +95,16 @@
 static Away
 away_of (const FbPool *self, const FbPoolStep *step, uint32_t index)
 {
-  if (step->lasting != NULL && step->lasting->tasks[index].over_ms != 0)
-    return step->lasting->tasks[index];
+  if (step->long_running != NULL && step->long_running->tasks[index].over_ms != 0)
+    return step->long_running->tasks[index];
   const FbPoolJob *job = step->job;
-  if (job->restored && !job->untouched && job->admitted_ms < self->began_ms)
+  if (job->restored && !job->never_started && job->admitted_ms < self->began_ms)
     return (Away){ .over_ms = self->began_ms, .how = "not known" };
   return (Away){ 0 };
 }
 
 uint32_t
-fb_pool_lasting_next (const FbPool *self, const FbPoolStep *step, GHashTable *but)
+fb_pool_long_running_next (const FbPool *self, const FbPoolStep *step, GHashTable *but)
 {
   uint32_t next = step->shape->count;
   uint64_t next_over_ms = 0;
@@ -126,25 +128,25 @@
 what_it_waited_for (const FbPool *self, const FbPoolStep *step, uint64_t over_ms, uint64_t now_ms,
                     uint64_t *for_ms)
 {
-  const FbPoolLasting *lasting = step->lasting;
-  if (lasting != NULL && lasting->waits_for != NULL)
+  const FbPoolLongRunning *long_running = step->long_running;
+  if (long_running != NULL && long_running->waits_for != NULL)
     {
-      *for_ms = now_ms - MAX (lasting->waits_ms, over_ms);
-      return lasting->waits_for;
+      *for_ms = now_ms - MAX (long_running->waits_ms, over_ms);
+      return long_running->waits_for;
     }
-  if (self->barred_ms >= over_ms && self->barred != NULL)
+  if (self->no_start_ms >= over_ms && self->no_start_reason != NULL)
     {
-      *for_ms = self->barred_ms - over_ms;
-      return self->barred;
+      *for_ms = self->no_start_ms - over_ms;
+      return self->no_start_reason;
     }
   return "nothing";
 }
 
 void
-fb_pool_lasting_started (const FbPool *self, FbPoolStep *step, const FbPoolRun *run,
-                         uint64_t now_ms)
+fb_pool_long_running_started (const FbPool *self, FbPoolStep *step, const FbPoolRun *run,
+                              uint64_t now_ms)
 {
-  if (!step->shape->lasting)
+  if (!step->shape->long_running)
     return;
   const Away away = away_of (self, step, run->index);
   if (away.over_ms == 0)
--- a/src/work/pool-loss.c
+++ b/src/work/pool-loss.c
@@ -9,16 +9,16 @@
 {
   static const char *const names[] = { "lease ended", "other life", "left" };
   const char *why = names[loss];
-  worker->replaced = worker->replaced || loss == FB_LOSS_OTHER_LIFE;
-  if (worker->gone && loss == FB_LOSS_OTHER_LIFE)
-    fb_pool_doubt_end (self, worker->id, !worker->draining, now_ms);
-  if (worker->gone)
+  worker->replaced = worker->replaced || loss == FB_LOSS_OTHER_INCARNATION;
+  if (worker->runs_ended && loss == FB_LOSS_OTHER_INCARNATION)
+    fb_pool_unresolved_loss_resolve (self, worker->id, !worker->draining, now_ms);
+  if (worker->runs_ended)
     return;
-  worker->gone = TRUE;
+  worker->runs_ended = TRUE;
   worker->answered = FALSE;
   fb_event_log (FB_EVENT_POOL_WORKER_LOST, "worker=%s why=%s runs=%u heard_ms_ago=%u", worker->id,
                 why, g_hash_table_size (worker->runs),
-                worker->heard_ms != 0 ? (guint) (now_ms - worker->heard_ms) : 0);
+                worker->last_answer_ms != 0 ? (guint) (now_ms - worker->last_answer_ms) : 0);
   fb_pool_crash_worker_lost (self, worker, loss, next, now_ms);
   g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
   guint beside_n = g_list_length (runs);
@@ -26,19 +26,19 @@
     {
       FbPoolRun *run = l->data;
       FbPoolStep *step = run->step;
-      if (next != NULL && fb_pool_return_take_over (self, worker, run, next, now_ms))
+      if (next != NULL && fb_pool_restart_transfer (self, worker, run, next, now_ms))
         {
           if (step->shape->gang)
-            fb_pool_gang_stop (self, step, now_ms);
+            fb_pool_stop_gang (self, step, now_ms);
           continue;
         }
-      fb_pool_return_count_crash (self, run, now_ms);
+      fb_pool_restart_count_crash (self, run, now_ms);
       fb_event_log (FB_EVENT_TASK_LOST,
                     "task=%s attempt=%u worker=%s why=%s seen=%d ran_ms=%u beside=%u", run->name,
                     run->attempt, worker->id, why, run->seen_clock_ms > 0,
                     (guint) (now_ms - run->started_ms), beside_n - 1);
-      fb_pool_run_over (self, worker, run, why, now_ms);
+      fb_pool_run_ended (self, worker, run, why, now_ms);
       if (step != NULL && step->shape->gang)
-        fb_pool_gang_stop (self, step, now_ms);
+        fb_pool_stop_gang (self, step, now_ms);
     }
 }
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -24,11 +24,11 @@
   static const char *const names[] = { [FB_ORDER_DONE] = "done",
                                        [FB_ORDER_FENCED] = "fenced",
                                        [FB_ORDER_SUPERSEDED] = "superseded",
-                                       [FB_ORDER_LATE] = "late",
-                                       [FB_ORDER_NO_ROOM] = "no-room",
+                                       [FB_ORDER_PAST_DEADLINE] = "late",
+                                       [FB_ORDER_NO_CAPACITY] = "no-room",
                                        [FB_ORDER_BAD_TICKET] = "bad-ticket",
                                        [FB_ORDER_NOT_DONE] = "not-done",
-                                       [FB_ORDER_OTHER_LIFE] = "other-life",
+                                       [FB_ORDER_OTHER_INCARNATION] = "other-life",
                                        [FB_ORDER_NO_LISTENER] = "no-listener",
                                        [FB_ORDER_UNKNOWN] = "unknown" };
   return names[MIN (result, FB_ORDER_UNKNOWN)];
@@ -125,18 +125,18 @@
 fb_pool_order_start (FbPool *self, FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
                      uint32_t attempt, uint64_t now_ms)
 {
-  const FbPoolRuling *ticket = fb_pool_valid_ticket (step, worker, now_ms);
+  const FbPoolWorkerAdvice *ticket = fb_pool_valid_ticket (step, worker, now_ms);
   g_autofree char *name = fb_pool_task_name (step, index);
   FbPoolTask *task = &step->tasks[index];
   FbPoolRun *run = fb_pool_worker_add_run (worker, step, index, name, attempt);
   run->state = FB_RUN_STARTING;
   run->deadline_ms = fb_pool_worker_clock_low (worker, now_ms) + FB_POOL_START_WINDOW_MS;
   run->started_ms = now_ms;
-  run->whole = task->checkpoint == NULL;
+  run->from_start = task->checkpoint == NULL;
   run->order = remember_order (self, worker, run);
   worker->lease_ms = MAX (worker->lease_ms, run->deadline_ms);
-  fb_pool_worker_spare (worker, now_ms);
-  fb_pool_task_take_run (task, run);
+  fb_pool_worker_throttle (worker, now_ms);
+  fb_pool_task_attach_run (task, run);
   task->attempt = attempt;
   fb_pool_crash_task_ordered (self, worker, step, index);
   if (!step->job->started)
@@ -150,8 +150,8 @@
       "task=%s attempt=%u worker=%s cpu_used=%" G_GINT64_FORMAT " cpu=%u mem_used=%" G_GINT64_FORMAT
       " heard_ms_ago=%" G_GUINT64_FORMAT " slowness=%.2f tightness=%.2f epoch=%" G_GUINT64_FORMAT,
       name, attempt, worker->id, worker->cpu_used, worker->cpu_milli, worker->mem_used,
-      now_ms - worker->heard_ms, worker->speed->slowness, step->job->tightness, self->epoch);
-  fb_pool_lasting_started (self, step, run, now_ms);
+      now_ms - worker->last_answer_ms, worker->speed->slowness, step->job->tightness, self->epoch);
+  fb_pool_long_running_started (self, step, run, now_ms);
   const FbStartOrder order = { .order = run->order,
                                .worker = worker->id,
                                .address = worker->address,
@@ -188,26 +188,26 @@
 {
   if (worker->answered)
     return LOOK_ANSWER_MS;
-  worker->first_answer_ms
-      = worker->first_answer_ms == 0 ? FIRST_ANSWER_MS : 2 * worker->first_answer_ms;
-  worker->first_answer_ms = MIN (worker->first_answer_ms, LOOK_ANSWER_MS);
-  return worker->first_answer_ms;
+  worker->first_poll_timeout_ms
+      = worker->first_poll_timeout_ms == 0 ? FIRST_ANSWER_MS : 2 * worker->first_poll_timeout_ms;
+  worker->first_poll_timeout_ms = MIN (worker->first_poll_timeout_ms, LOOK_ANSWER_MS);
+  return worker->first_poll_timeout_ms;
 }
 
 uint64_t
-fb_pool_first_look_again_ms (const FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_first_poll_retry_ms (const FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (worker->first_answer_ms <= FIRST_ANSWER_MS)
+  if (worker->first_poll_timeout_ms <= FIRST_ANSWER_MS)
     return now_ms;
   /* An answer that was lost has used up its patience.  A connection that is reset has not, and
    * would be tried again in each round. */
-  return MAX (now_ms, worker->look_sent_ms + worker->first_answer_ms / 2);
+  return MAX (now_ms, worker->poll_sent_ms + worker->first_poll_timeout_ms / 2);
 }
 
 gboolean
 fb_pool_owes_acknowledgement (const FbPoolWorker *worker)
 {
-  return worker->returns && worker->acknowledged > worker->told_acknowledged;
+  return worker->may_restart && worker->acknowledged > worker->told_acknowledged;
 }
 
 /* TRUE when WORKER has not listed a run since that was ordered: a later life may have it, as
@@ -216,7 +216,7 @@
 has_unlisted (const FbPoolWorker *worker)
 {
   /* Behind ends that are not read yet none is settled, and a full list of ends waits for this. */
-  if (worker->unread)
+  if (worker->has_unknown_end)
     return FALSE;
   GHashTableIter iter;
   gpointer value;
@@ -237,30 +237,30 @@
 static gboolean
 may_acknowledge (const FbPoolWorker *worker)
 {
-  if (worker->look_failed)
+  if (worker->poll_failed)
     return FALSE;
-  return !worker->returns || (fb_pool_owes_acknowledgement (worker) && !has_unlisted (worker));
+  return !worker->may_restart || (fb_pool_owes_acknowledgement (worker) && !has_unlisted (worker));
 }
 
 gboolean
-fb_pool_may_look_on (const FbPoolWorker *worker)
+fb_pool_may_poll_again (const FbPoolWorker *worker)
 {
   return !fb_pool_owes_acknowledgement (worker) || !has_unlisted (worker);
 }
 
 void
-fb_pool_order_look (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_order_poll (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (worker->look_open || self->fenced)
+  if (worker->poll_open || self->fenced)
     return;
   gboolean acknowledges = may_acknowledge (worker);
-  uint64_t lease_ms = MIN (FB_POOL_LEASE_MS, self->limits.hold_max_ms);
-  FbLookOrder order = { .worker = worker->id,
+  uint64_t lease_ms = MIN (FB_POOL_LEASE_MS, self->limits.max_lease_ms);
+  FbPollOrder order = { .worker = worker->id,
                         .address = worker->address,
                         .epoch = self->epoch,
                         .acknowledged = acknowledges ? worker->acknowledged : 0,
                         .answer_ms = answer_patience_ms (worker) };
-  worker->acknowledging = worker->returns ? order.acknowledged : 0;
+  worker->acknowledging = worker->may_restart ? order.acknowledged : 0;
   /* Failure: a worker falls silent, and each look that it may yet carry out extends its
    * lease; it shows as tasks that never start again.  Guard: a silent worker is
    * looked at without a lease, so that the last one ends. */
@@ -268,30 +268,30 @@
     order.deadline_ms = fb_pool_worker_clock_low (worker, now_ms) + lease_ms;
   /* Ends that may not be acknowledged yet would answer the look at once, again
    * and again. */
-  if (worker->answered && worker->acknowledged == worker->seen_end && !worker->unread
+  if (worker->answered && worker->acknowledged == worker->seen_end && !worker->has_unknown_end
       && !fb_pool_owes_acknowledgement (worker))
-    order.wait_ms = FB_POOL_LOOK_WAIT_MS;
+    order.wait_ms = FB_POOL_POLL_WAIT_MS;
   worker->lease_ms = MAX (worker->lease_ms, order.deadline_ms);
-  worker->look_open = TRUE;
-  worker->look_sent_ms = now_ms;
-  self->sink->look (self->user, &order);
+  worker->poll_open = TRUE;
+  worker->poll_sent_ms = now_ms;
+  self->sink->poll (self->user, &order);
 }
 
 void
-fb_pool_run_over (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *how,
-                  uint64_t now_ms)
+fb_pool_run_ended (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *how,
+                   uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
   uint32_t index = run->index;
   gboolean was_current = step != NULL && step->tasks[index].run == run;
   gboolean ran = run->seen_clock_ms > 0;
   fb_pool_worker_drop_run (worker, run);
-  fb_pool_worker_opened (self, worker);
+  fb_pool_worker_gained_capacity (self, worker);
   if (!was_current)
     return;
   if (ran)
-    fb_pool_lasting_over (step, index, how, now_ms);
-  fb_pool_task_may_wait (self, step, index);
+    fb_pool_long_running_ended (step, index, how, now_ms);
+  fb_pool_task_requeue (self, step, index);
 }
 
 /* The order was refused: the run is not there and never will be. */
@@ -304,14 +304,14 @@
                 run->attempt, worker->id, fb_order_result_name (result));
   /* The worker stays one of the allowed, so that it is asked for again. */
   if (result == FB_ORDER_BAD_TICKET)
-    fb_pool_ruling_expire (step, worker);
+    fb_pool_worker_advice_expire_ticket (step, worker);
   if (result != FB_ORDER_SUPERSEDED && result != FB_ORDER_BAD_TICKET)
     worker->paused_until_ms = now_ms + REFUSAL_PAUSE_MS;
   gboolean gang = step->shape->gang;
   fb_pool_crash_task_gone (self, worker, step, run->index);
-  fb_pool_run_over (self, worker, run, "refused", now_ms);
+  fb_pool_run_ended (self, worker, run, "refused", now_ms);
   if (gang)
-    fb_pool_gang_stop (self, step, now_ms);
+    fb_pool_stop_gang (self, step, now_ms);
 }
 
 /* Takes in an answer that tells of WORKER (nullable) and not of the run.
@@ -321,8 +321,8 @@
 {
   if (result == FB_ORDER_FENCED)
     fb_pool_fenced (self, worker);
-  else if (result == FB_ORDER_OTHER_LIFE && worker != NULL)
-    fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_LIFE, NULL, now_ms);
+  else if (result == FB_ORDER_OTHER_INCARNATION && worker != NULL)
+    fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_INCARNATION, NULL, now_ms);
   else
     return FALSE;
   return TRUE;
@@ -338,7 +338,7 @@
     return;
   if (run == NULL || (run->order != order && run->state != FB_RUN_STOPPING))
     return;
-  if (result == FB_ORDER_DONE && run->came_ms != 0)
+  if (result == FB_ORDER_DONE && run->transferred_ms != 0)
     run->unanswered = TRUE; /* either life may have said so */
   else if (result == FB_ORDER_DONE)
     {
@@ -355,15 +355,15 @@
   else
     {
       fb_event_log (FB_EVENT_ORDER_UNANSWERED, "task=%s attempt=%u worker=%s heard_ms_ago=%u",
-                    run->name, run->attempt, worker->id, (guint) (now_ms - worker->heard_ms));
+                    run->name, run->attempt, worker->id, (guint) (now_ms - worker->last_answer_ms));
       worker->paused_until_ms = now_ms + REFUSAL_PAUSE_MS;
       run->unanswered = TRUE;
-      if (worker->returns)
-        fb_pool_late_start_note (self, worker->id, worker->address, run->name, run->attempt,
-                                 run->started_ms, now_ms);
+      if (worker->may_restart)
+        fb_pool_unanswered_start_add (self, worker->id, worker->address, run->name, run->attempt,
+                                      run->started_ms, now_ms);
       /* The others would wait for this member until they give up alone. */
       if (run->step->shape->gang)
-        fb_pool_gang_stop (self, run->step, now_ms);
+        fb_pool_stop_gang (self, run->step, now_ms);
     }
 }
 
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -14,7 +14,7 @@
     return;
   FbPoolWorker *worker
       = fb_pool_best_worker (self, step, index, NULL, NULL, FB_TICKET_VALID, now_ms);
-  if (worker != NULL && !fb_pool_crash_waits_for_calm (worker, &step->tasks[index], now_ms))
+  if (worker != NULL && !fb_pool_crash_waits_for_stable (worker, &step->tasks[index], now_ms))
     fb_pool_order_start (self, worker, step, index, fb_pool_next_attempt (self, step, index),
                          now_ms);
 }
@@ -27,8 +27,8 @@
   while (step->waiting_from < step->shape->count
          && !fb_pool_task_waits (&step->tasks[step->waiting_from]))
     step->waiting_from++;
-  if (step->urgency == FB_URGENCY_INTERRUPTED)
-    return fb_pool_lasting_next (self, step, later);
+  if (step->urgency == FB_URGENCY_RESTARTING)
+    return fb_pool_long_running_next (self, step, later);
   uint32_t i = MAX (from, step->waiting_from);
   while (i < step->shape->count && !fb_pool_task_waits (&step->tasks[i]))
     i++;
@@ -37,17 +37,17 @@
 
 /* Room on WORKER is used: it is not to be held again. */
 static void
-forget_held (GPtrArray *held_on, const FbPoolWorker *worker)
+forget_held (GPtrArray *reserved_on, const FbPoolWorker *worker)
 {
   guint place = 0;
-  if (g_ptr_array_find_with_equal_func (held_on, worker->id, g_str_equal, &place))
-    g_ptr_array_remove_index (held_on, place);
+  if (g_ptr_array_find_with_equal_func (reserved_on, worker->id, g_str_equal, &place))
+    g_ptr_array_remove_index (reserved_on, place);
 }
 
 /* HELD_ON: on whose workers room was held; those that are used are taken out.
  * Returns: TRUE when no task waits for room any more. */
 static gboolean
-place_tasks (FbPool *self, FbPoolStep *step, GPtrArray *held_on, uint64_t now_ms)
+place_tasks (FbPool *self, FbPoolStep *step, GPtrArray *reserved_on, uint64_t now_ms)
 {
   if (fb_pool_probe_is_on (step))
     place_probe (self, step, now_ms);
@@ -62,14 +62,14 @@
           = fb_pool_best_worker (self, step, i, NULL, NULL, FB_TICKET_VALID, now_ms);
       if (worker == NULL)
         return FALSE;
-      if (fb_pool_crash_waits_for_calm (worker, task, now_ms))
+      if (fb_pool_crash_waits_for_stable (worker, task, now_ms))
         {
           later = later != NULL ? later : g_hash_table_new (NULL, NULL);
           g_hash_table_add (later, task);
           continue;
         }
       fb_pool_order_start (self, worker, step, i, fb_pool_next_attempt (self, step, i), now_ms);
-      forget_held (held_on, worker);
+      forget_held (reserved_on, worker);
     }
   return TRUE;
 }
@@ -116,7 +116,7 @@
   g_autofree char *checkpoint = g_strdup (gang_checkpoint (step));
   for (uint32_t i = 0; i < step->shape->count; i++)
     {
-      fb_pool_task_save (step, i, checkpoint);
+      fb_pool_task_set_checkpoint (step, i, checkpoint);
       fb_pool_order_start (self, chosen[i], step, i, attempt, now_ms);
     }
   return TRUE;
@@ -154,27 +154,29 @@
 look_at (FbPool *self, FbPoolStep *step, guint place, uint64_t now_ms)
 {
   gboolean advised = step->job->record.policy.advised;
-  gboolean unheard = fb_pool_may_run_unheard (self, step);
-  if (unheard || (advised && !step->ruled))
+  gboolean unconfirmed_workers = fb_pool_may_run_unconfirmed (self, step);
+  if (unconfirmed_workers || (advised && !step->has_advice))
     {
       gboolean can_ask = fb_pool_ask_first_advice (self, step, now_ms);
-      fb_pool_lasting_waits (self, step, unheard ? "take-over" : what_it_waits_for (step, can_ask),
-                             now_ms);
+      fb_pool_long_running_waits (
+          self, step, unconfirmed_workers ? "take-over" : what_it_waits_for (step, can_ask),
+          now_ms);
       return can_ask;
     }
-  uint64_t held_until_ms = step->held_until_ms;
-  g_autoptr (GPtrArray) held_on = fb_pool_release_hold (self, step);
+  uint64_t reserved_until_ms = step->reserved_until_ms;
+  g_autoptr (GPtrArray) reserved_on = fb_pool_release_reservation (self, step);
   gboolean placed = step->shape->gang ? place_gang (self, step, now_ms)
-                                      : place_tasks (self, step, held_on, now_ms);
+                                      : place_tasks (self, step, reserved_on, now_ms);
   if (placed)
     {
-      fb_pool_lasting_waits_no_more (step);
+      fb_pool_long_running_wait_over (step);
       return TRUE;
     }
-  if (now_ms < held_until_ms)
+  if (now_ms < reserved_until_ms)
     {
-      fb_pool_lasting_waits (self, step, what_it_waits_for (step, TRUE), now_ms);
-      fb_pool_hold_again (self, step, held_on, fb_pool_step_waiting_n (step), held_until_ms);
+      fb_pool_long_running_waits (self, step, what_it_waits_for (step, TRUE), now_ms);
+      fb_pool_reserve_again (self, step, reserved_on, fb_pool_step_waiting_n (step),
+                             reserved_until_ms);
       return TRUE;
     }
   gboolean can_ask = fb_pool_ask_advice (self, step, now_ms);
@@ -182,7 +184,7 @@
   if (can_ask)
     step->looked_round = self->round;
   step->full_look_ms = now_ms + MAX (LOOK_AGAIN_MS, place * LOOK_AGAIN_PER_PLACE_MS);
-  fb_pool_lasting_waits (self, step, what_it_waits_for (step, can_ask), now_ms);
+  fb_pool_long_running_waits (self, step, what_it_waits_for (step, can_ask), now_ms);
   return can_ask;
 }
 
@@ -190,8 +192,8 @@
 forget_opened (FbPool *self, guint n)
 {
   for (guint i = 0; i < n; i++)
-    ((FbPoolWorker *) self->opened->pdata[i])->opened = FALSE;
-  g_ptr_array_remove_range (self->opened, 0, n);
+    ((FbPoolWorker *) self->gained_capacity->pdata[i])->gained_capacity = FALSE;
+  g_ptr_array_remove_range (self->gained_capacity, 0, n);
 }
 
 /* Looks at the step in PLACE if that is of use.  Returns: FALSE when it could not ask for advice.
@@ -200,9 +202,9 @@
 look_at_place (FbPool *self, guint place, uint64_t now_ms)
 {
   FbPoolStep *step = self->waiting->pdata[place];
-  if (step->advice_until_ms != 0 && now_ms < step->held_until_ms)
+  if (step->advice_until_ms != 0 && now_ms < step->reserved_until_ms)
     return TRUE; /* its room is held until the advice comes */
-  if (fb_pool_worth_a_look (self, step, now_ms))
+  if (fb_pool_step_may_fit (self, step, now_ms))
     return look_at (self, step, place, now_ms);
   step->looked_round = self->round;
   return TRUE;
@@ -240,7 +242,7 @@
   if (self->place_from == 0)
     {
       self->round++;
-      self->round_opened_n = self->opened->len;
+      self->round_gained_n = self->gained_capacity->len;
     }
   gboolean can_ask = look_back (self, now_ms);
   for (;
@@ -253,7 +255,7 @@
       return;
     }
   self->place_from = 0;
-  forget_opened (self, MIN (self->round_opened_n, self->opened->len));
+  forget_opened (self, MIN (self->round_gained_n, self->gained_capacity->len));
   if (can_ask)
     ask_ahead (self, now_ms);
 }
--- a/src/work/pool-preempt.c
+++ b/src/work/pool-preempt.c
@@ -29,11 +29,11 @@
 static gboolean
 gives_way (const FbPoolRun *run, const FbPoolStep *to, uint64_t now_ms)
 {
-  if (run->step == NULL || run->state != FB_RUN_RUNNING || run->given_up)
+  if (run->step == NULL || run->state != FB_RUN_RUNNING || run->abandoned)
     return FALSE;
   const fb_work_step *shape = run->step->shape;
-  if (!shape->checkpointing || shape->gang || shape->lasting
-      || run->step->tasks[run->index].gave_way)
+  if (!shape->checkpointing || shape->gang || shape->long_running
+      || run->step->tasks[run->index].was_preempted)
     return FALSE;
   return run->step->job->record.policy.priority > to->job->record.policy.priority
          && slack_ms (run->step, now_ms) > MAX (slack_ms (to, now_ms), 0) + GIVE_WAY_MS;
@@ -45,7 +45,7 @@
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       GHashTableIter runs;
       gpointer run;
@@ -79,9 +79,9 @@
 static gboolean
 is_over_full (const FbPoolWorker *worker)
 {
-  return worker->cpu_used + worker->cpu_held > worker->cpu_milli
-         || worker->mem_used + worker->mem_held > worker->mem_mb
-         || worker->gpu_used + worker->gpu_held > worker->gpu_count;
+  return worker->cpu_used + worker->cpu_reserved > worker->cpu_milli
+         || worker->mem_used + worker->mem_reserved > worker->mem_mb
+         || worker->gpu_used + worker->gpu_reserved > worker->gpu_count;
 }
 
 /* Stops runs until what is held for the gang will fit when they have ended. */
@@ -97,7 +97,7 @@
       fb_event_log (FB_EVENT_TASK_PREEMPTED, "task=%s attempt=%u worker=%s for=%s priority=%u",
                     run->name, run->attempt, worker->id, step->job->id,
                     step->job->record.policy.priority);
-      run->step->tasks[run->index].gave_way = TRUE;
+      run->step->tasks[run->index].was_preempted = TRUE;
       fb_counter_add (FB_COUNTER_PREEMPTIONS, 1);
       fb_pool_order_stop (self, worker, run, now_ms);
       fb_pool_worker_charge (worker, run, -1);
@@ -117,7 +117,7 @@
   charge_all (self, step, 1, now_ms);
   if (n == 0)
     return 0;
-  fb_pool_hold (self, step, chosen, n, until_ms);
+  fb_pool_reserve (self, step, chosen, n, until_ms);
   for (guint i = 0; i < n; i++)
     stop_for (self, chosen[i], step, now_ms);
   return n;
--- a/src/work/pool-probe.c
+++ b/src/work/pool-probe.c
@@ -21,7 +21,7 @@
 void
 fb_pool_probe_note_crash (FbPoolStep *step, uint64_t worker, uint64_t now_ms)
 {
-  if (step->shape->lasting || step->shape->gang || worker == step->crashed_last)
+  if (step->shape->long_running || step->shape->gang || worker == step->crashed_last)
     return;
   step->crashed_last = worker;
   step->crashed_n++;
--- a/src/work/pool-queue.c
+++ b/src/work/pool-queue.c
@@ -35,7 +35,7 @@
 static gboolean
 is_interrupted (const FbPoolStep *step)
 {
-  gboolean may_have_run = step->job->restored && !step->job->untouched;
+  gboolean may_have_run = step->job->restored && !step->job->never_started;
   for (uint32_t i = 0; i < step->shape->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
@@ -54,10 +54,10 @@
 urgency_of (const FbPoolStep *step, uint64_t now_ms)
 {
   const FbPoolJob *job = step->job;
-  if (step->shape->lasting)
-    return is_interrupted (step) ? FB_URGENCY_INTERRUPTED : FB_URGENCY_IN_TIME;
-  if (job->record.spec.occurrences == 0 && now_ms > job->hopeless_ms)
-    return FB_URGENCY_HOPELESS;
+  if (step->shape->long_running)
+    return is_interrupted (step) ? FB_URGENCY_RESTARTING : FB_URGENCY_IN_TIME;
+  if (job->record.spec.occurrences == 0 && now_ms > job->worthless_ms)
+    return FB_URGENCY_WORTHLESS;
   return FB_URGENCY_IN_TIME;
 }
 
--- a/src/work/pool-record.c
+++ b/src/work/pool-record.c
@@ -23,7 +23,7 @@
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     worker->flushing_end = worker->seen_end;
 }
 
@@ -35,7 +35,7 @@
   fb_pool_job_progress (job, &progress);
   fb_pool_crash_record (job, &suspects);
   GBytes *bytes = fb_codec_encode_progress (&progress, &suspects);
-  g_free (progress.marks.marks_val);
+  g_free (progress.task_progress.task_progress_val);
   fb_pool_crash_record_clear (&suspects);
   return bytes;
 }
@@ -55,7 +55,7 @@
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       GHashTableIter runs;
       gpointer run;
@@ -80,7 +80,7 @@
     {
       FbPoolJob *job = value;
       job->flushing_state = job->state;
-      job->suspicion_flushing = job->suspicion;
+      job->suspects_version_flushing = job->suspects_version;
       g_ptr_array_add (self->in_flush, job);
       add_record (records, job->id, encode_progress (job))->ended = fb_pool_job_ended (job);
     }
@@ -90,23 +90,24 @@
 static void
 take_workers (FbPool *self, GPtrArray *records)
 {
-  if (!self->workers_dirty || !self->settled)
+  if (!self->workers_dirty || !self->recovered)
     return;
   self->workers_dirty = FALSE;
   guint n = MIN (g_hash_table_size (self->workers), FB_WORK_MAX_WORKERS);
-  g_autofree fb_work_known *known = g_new0 (fb_work_known, n + 1);
+  g_autofree fb_work_known_worker *known = g_new0 (fb_work_known_worker, n + 1);
   fb_work_workers record = { .workers = { 0, known } };
   guint slot = 0;
   const FbPoolWorker *worker = NULL;
-  while (record.workers.workers_len < n && (worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while (record.workers.workers_len < n
+         && (worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      fb_work_known *row = &known[record.workers.workers_len++];
-      *row = (fb_work_known){ .id = worker->id, .address = worker->address };
-      fb_pool_closed_record (worker, row);
+      fb_work_known_worker *row = &known[record.workers.workers_len++];
+      *row = (fb_work_known_worker){ .id = worker->id, .address = worker->address };
+      fb_pool_drain_record (worker, row);
     }
   add_record (records, NULL, fb_codec_encode_workers (&record));
   for (u_int i = 0; i < record.workers.workers_len; i++)
-    fb_pool_closed_record_clear (&known[i]);
+    fb_pool_drain_record_clear (&known[i]);
 }
 
 static void
@@ -124,7 +125,7 @@
       add_record (records, job->id, NULL);
       g_hash_table_iter_remove (&iter);
       fb_pool_queue_forget (self, job);
-      fb_pool_unstored_forget (self, job);
+      fb_pool_unstored_suspects_forget (self, job);
       g_hash_table_remove (self->jobs, job->id);
     }
 }
@@ -137,7 +138,7 @@
   GPtrArray *records = g_ptr_array_new_with_free_func (record_free);
   take_dirty (self, records);
   take_workers (self, records);
-  if (now_ms >= self->expired_ms + FB_POOL_EXPIRE_EVERY_MS)
+  if (now_ms >= self->expired_ms + FB_POOL_EXPIRE_INTERVAL_MS)
     {
       self->expired_ms = now_ms;
       take_expired (self, records, wall_ms);
@@ -166,12 +167,12 @@
   g_ptr_array_set_size (self->in_flush, 0);
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       if (worker->acknowledged == worker->flushing_end)
         continue;
       worker->acknowledged = worker->flushing_end;
       /* The worker keeps what is not acknowledged, and answers no look until then. */
-      fb_pool_order_look (self, worker, now_ms);
+      fb_pool_order_poll (self, worker, now_ms);
     }
 }
--- a/src/work/pool-settle.c
+++ b/src/work/pool-recovery.c
@@ -40,7 +40,7 @@
               FbPoolStep *step = &occurrence->steps[j];
               guint runs = step->shape->gang ? running_n (step) : 0;
               if (runs > 0 && runs < step->shape->count && !fb_pool_step_done (step))
-                fb_pool_gang_stop (self, step, now_ms);
+                fb_pool_stop_gang (self, step, now_ms);
             }
         }
     }
@@ -58,30 +58,30 @@
 static void
 find_unheard (FbPool *self)
 {
-  g_ptr_array_set_size (self->unheard, 0);
+  g_ptr_array_set_size (self->unconfirmed_workers, 0);
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      if ((!worker->answered || worker->unread) && !worker->gone
-          && !fb_pool_closed_is_empty (worker) && !came_too_late (self, worker))
-        g_ptr_array_add (self->unheard, worker);
+      if ((!worker->answered || worker->has_unknown_end) && !worker->runs_ended
+          && !fb_pool_drain_is_empty (worker) && !came_too_late (self, worker))
+        g_ptr_array_add (self->unconfirmed_workers, worker);
     }
 }
 
 void
-fb_pool_settle (FbPool *self, uint64_t now_ms)
+fb_pool_check_recovery (FbPool *self, uint64_t now_ms)
 {
-  if (self->settled || !self->workers_complete)
+  if (self->recovered || !self->workers_complete)
     return;
   if (self->majority_ms == 0 && fb_pool_holds_majority (self, G_MAXUINT32, now_ms))
     self->majority_ms = now_ms;
   if (self->majority_ms == 0)
     return;
   find_unheard (self);
-  if (self->unheard->len > 0)
+  if (self->unconfirmed_workers->len > 0)
     return;
-  self->settled = TRUE;
+  self->recovered = TRUE;
   self->place_due = TRUE;
   break_partial_gangs (self, now_ms);
   fb_event_log (FB_EVENT_POOL_SETTLED,
@@ -98,10 +98,10 @@
 }
 
 gboolean
-fb_pool_is_untouched (const FbPool *self)
+fb_pool_has_no_earlier_starts (const FbPool *self)
 {
   /* A job that comes now was stored after JOBS_READ_MS, or it would be known. */
-  return self->settled
+  return self->recovered
          || (self->majority_ms != 0
              && self->jobs_read_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);
 }
@@ -109,7 +109,7 @@
 static gboolean
 may_hold (const FbPoolWorker *worker, const FbPoolStep *step)
 {
-  if (!fb_pool_closed_may_hold (worker, step))
+  if (!fb_pool_drain_may_run (worker, step))
     return FALSE;
   /* Of a worker that is not listed no label is known. */
   if (!worker->listed)
@@ -119,8 +119,8 @@
     return FALSE;
   if (!step->job->record.policy.advised || !step->job->advised_when_stored)
     return TRUE;
-  const FbPoolRuling *ruling = fb_pool_ruling (step, worker);
-  return ruling == NULL || ruling->allowed;
+  const FbPoolWorkerAdvice *advice = fb_pool_worker_advice (step, worker);
+  return advice == NULL || advice->allowed;
 }
 
 /* Failure: reads of the store are behind, and a job is read after the new owner has heard its
@@ -131,40 +131,40 @@
 {
   guint slot = 0;
   const FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      if (worker->unread && worker->heard_ms <= job->taken_ms)
+      if (worker->has_unknown_end && worker->last_answer_ms <= job->taken_ms)
         return TRUE;
     }
-  job->end_unread = FALSE;
+  job->awaits_unknown_ends = FALSE;
   return FALSE;
 }
 
 void
-fb_pool_hear_ends_first (FbPool *self, FbPoolJob *job, uint64_t now_ms)
+fb_pool_await_unknown_ends (FbPool *self, FbPoolJob *job, uint64_t now_ms)
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
   job->taken_ms = now_ms;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      if (!worker->unread)
+      if (!worker->has_unknown_end)
         continue;
-      job->end_unread = TRUE;
-      worker->look_at_ms = now_ms;
+      job->awaits_unknown_ends = TRUE;
+      worker->next_poll_ms = now_ms;
     }
 }
 
 gboolean
-fb_pool_may_run_unheard (const FbPool *self, const FbPoolStep *step)
+fb_pool_may_run_unconfirmed (const FbPool *self, const FbPoolStep *step)
 {
-  if (step->job->end_unread && end_may_be_unread (self, step->job))
+  if (step->job->awaits_unknown_ends && end_may_be_unread (self, step->job))
     return TRUE;
-  if (self->settled || step->job->untouched)
+  if (self->recovered || step->job->never_started)
     return FALSE;
-  for (guint i = 0; i < self->unheard->len; i++)
+  for (guint i = 0; i < self->unconfirmed_workers->len; i++)
     {
-      if (may_hold (self->unheard->pdata[i], step))
+      if (may_hold (self->unconfirmed_workers->pdata[i], step))
         return TRUE;
     }
   return FALSE;
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -25,8 +25,8 @@
 void
 fb_pool_report_set_limits (FbPoolLimits *limits)
 {
-  if (limits->ends_listed_n == 0)
-    limits->ends_listed_n = ENDS_LISTED;
+  if (limits->max_reported_ends == 0)
+    limits->max_reported_ends = ENDS_LISTED;
 }
 
 void
@@ -50,7 +50,7 @@
 static void
 stop_run (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
 {
-  run->given_up = TRUE;
+  run->abandoned = TRUE;
   if (run->state != FB_RUN_STOPPING)
     fb_pool_order_stop (self, worker, run, now_ms);
 }
@@ -80,7 +80,7 @@
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       GHashTableIter runs;
       gpointer run;
@@ -97,7 +97,7 @@
  * wait for it and end alone.  Guard: they are stopped at once, and the gang starts
  * again under a new attempt when none of them is left. */
 void
-fb_pool_gang_stop (FbPool *self, FbPoolStep *step, uint64_t now_ms)
+fb_pool_stop_gang (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
   if (step->gang_broken)
     return;
@@ -115,7 +115,7 @@
     {
       FbPoolOccurrence *occurrence = job->occurrences->pdata[i];
       for (guint j = 0; j < job->record.spec.steps.steps_len; j++)
-        g_ptr_array_unref (fb_pool_release_hold (self, &occurrence->steps[j]));
+        g_ptr_array_unref (fb_pool_release_reservation (self, &occurrence->steps[j]));
     }
 }
 
@@ -150,23 +150,23 @@
 task_done (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms)
 {
   FbPoolTask *task = &step->tasks[index];
-  if (task->done || step->shape->lasting)
+  if (task->done || step->shape->long_running)
     return;
   task->done = TRUE;
   step->done_n++;
   if (task->run != NULL && task->run->state != FB_RUN_STOPPING)
-    task->run->given_up = TRUE;
+    task->run->abandoned = TRUE;
   if (step->shape->speculative)
     stop_all (self, is_of_task, task, now_ms);
 }
 
 static void
-count_failure (FbPool *self, FbPoolStep *step, uint32_t index, const FbEndSeen *end,
+count_failure (FbPool *self, FbPoolStep *step, uint32_t index, const FbReportedEnd *end,
                uint64_t now_ms, uint64_t wall_ms)
 {
   /* A gang fails as one: its first task keeps the count. */
   FbPoolTask *task = &step->tasks[step->shape->gang ? 0 : index];
-  if (step->shape->lasting || task->done || !fb_pool_task_count_failed (task, end->attempt))
+  if (step->shape->long_running || task->done || !fb_pool_task_count_failed (task, end->attempt))
     return;
   fb_pool_job_changed (self, step->job);
   if (fb_pool_task_failed_n (task) >= step->job->record.policy.max_attempts)
@@ -174,19 +174,19 @@
 }
 
 static void
-judge_worker (FbPoolWorker *worker, const FbPoolStep *step, FbEndHow how, uint64_t now_ms)
+judge_worker (FbPoolWorker *worker, const FbPoolStep *step, FbEndReason how, uint64_t now_ms)
 {
   if (how == FB_END_DONE)
     {
-      worker->bad_streak = 0;
-      worker->spared_until_ms = 0;
+      worker->failure_streak = 0;
+      worker->throttled_until_ms = 0;
     }
-  else if (how == FB_END_FAILED && g_strcmp0 (worker->last_bad_job, step->job->id) != 0)
+  else if (how == FB_END_FAILED && g_strcmp0 (worker->last_failed_job, step->job->id) != 0)
     {
-      worker->bad_streak++;
-      fb_pool_worker_spare (worker, now_ms);
-      g_free (worker->last_bad_job);
-      worker->last_bad_job = g_strdup (step->job->id);
+      worker->failure_streak++;
+      fb_pool_worker_throttle (worker, now_ms);
+      g_free (worker->last_failed_job);
+      worker->last_failed_job = g_strdup (step->job->id);
     }
 }
 
@@ -198,17 +198,17 @@
   step->timed_n++;
   step->timed_ms += took_ms;
   /* Members of a gang end together, whatever their workers are. */
-  if (run->whole && !step->shape->gang)
+  if (run->from_start && !step->shape->gang)
     fb_pool_speed_note (&step->tasks[run->index], worker->speed, took_ms);
 }
 
 static void
 end_of_task (FbPool *self, FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
-             const FbEndSeen *end, uint64_t now_ms, uint64_t wall_ms)
+             const FbReportedEnd *end, uint64_t now_ms, uint64_t wall_ms)
 {
   FbPoolTask *task = &step->tasks[index];
   FbPoolRun *run = g_hash_table_lookup (worker->runs, end->task);
-  fb_pool_task_save (step, index, end->checkpoint);
+  fb_pool_task_set_checkpoint (step, index, end->checkpoint);
   task->attempt = MAX (task->attempt, end->attempt);
   step->gang_attempt = MAX (step->gang_attempt, end->attempt);
   step->job->started = TRUE;
@@ -217,9 +217,9 @@
   if (run != NULL && run->step == step && run->attempt == end->attempt && end->how == FB_END_DONE)
     take_time (worker, run, now_ms);
   if (run != NULL && run->attempt <= end->attempt)
-    fb_pool_run_over (self, worker, run, end_names[end->how], now_ms);
+    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);
   if (task->run == NULL)
-    fb_pool_lasting_over (step, index, end_names[end->how], now_ms);
+    fb_pool_long_running_ended (step, index, end_names[end->how], now_ms);
   if (fb_pool_job_ended (step->job))
     return;
   if (end->how == FB_END_DONE && step->shape->gang)
@@ -233,7 +233,7 @@
     count_failure (self, step, index, end, now_ms, wall_ms);
   if (step->shape->gang && end->how != FB_END_DONE && end->attempt == step->gang_attempt
       && !fb_pool_step_done (step) && !fb_pool_job_ended (step->job))
-    fb_pool_gang_stop (self, step, now_ms);
+    fb_pool_stop_gang (self, step, now_ms);
   if (end->how == FB_END_DONE)
     {
       if (fb_pool_step_done (step))
@@ -245,7 +245,7 @@
 }
 
 static void
-take_end (FbPool *self, FbPoolWorker *worker, const FbEndSeen *end, uint64_t now_ms,
+take_end (FbPool *self, FbPoolWorker *worker, const FbReportedEnd *end, uint64_t now_ms,
           uint64_t wall_ms)
 {
   uint32_t index = 0;
@@ -253,10 +253,11 @@
   fb_event_log (FB_EVENT_TASK_ENDED, "task=%s attempt=%u worker=%s how=%s known=%d number=%u",
                 end->task, end->attempt, worker->id, end_names[end->how], step != NULL,
                 (guint) end->number);
-  static const FbCounter counters[]
-      = { [FB_END_DONE] = FB_COUNTER_TASKS_DONE,     [FB_END_FAILED] = FB_COUNTER_TASKS_FAILED,
-          [FB_END_STOPPED] = FB_COUNTER_TASKS_OTHER, [FB_END_LAPSED] = FB_COUNTER_TASKS_OTHER,
-          [FB_END_BROKEN] = FB_COUNTER_TASKS_OTHER,  [FB_END_ALONE] = FB_COUNTER_TASKS_OTHER };
+  static const FbCounter counters[] = {
+    [FB_END_DONE] = FB_COUNTER_TASKS_DONE,         [FB_END_FAILED] = FB_COUNTER_TASKS_FAILED,
+    [FB_END_STOPPED] = FB_COUNTER_TASKS_OTHER,     [FB_END_LEASE_EXPIRED] = FB_COUNTER_TASKS_OTHER,
+    [FB_END_GANG_BROKEN] = FB_COUNTER_TASKS_OTHER, [FB_END_GANG_TIMEOUT] = FB_COUNTER_TASKS_OTHER
+  };
   fb_counter_add (counters[end->how], 1);
   if (step != NULL)
     {
@@ -265,7 +266,7 @@
     }
   FbPoolRun *run = g_hash_table_lookup (worker->runs, end->task);
   if (run != NULL && run->attempt <= end->attempt)
-    fb_pool_run_over (self, worker, run, end_names[end->how], now_ms);
+    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);
 }
 
 /* ---- what runs ------------------------------------------------------------------ */
@@ -287,7 +288,7 @@
       return;
     }
   if (task->run == NULL || step->shape->speculative)
-    fb_pool_task_take_run (task, run);
+    fb_pool_task_attach_run (task, run);
   task->attempt = MAX (task->attempt, run->attempt);
   step->gang_attempt = MAX (step->gang_attempt, run->attempt);
   step->job->started = TRUE;
@@ -297,7 +298,7 @@
 
 /* A run that this owner did not order: a predecessor did. */
 static FbPoolRun *
-adopt (FbPool *self, FbPoolWorker *worker, const FbRunSeen *seen, uint64_t now_ms)
+adopt (FbPool *self, FbPoolWorker *worker, const FbReportedRun *seen, uint64_t now_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, seen->task, &index);
@@ -305,7 +306,7 @@
   run->state = FB_RUN_RUNNING;
   run->started_ms = now_ms;
   run->seen_ms = now_ms;
-  fb_pool_return_found (self, worker, run, now_ms);
+  fb_pool_restart_found (self, worker, run, now_ms);
   if (step != NULL)
     settle_run (self, worker, run, now_ms);
   else
@@ -319,14 +320,14 @@
  * job, once read, started a second time meanwhile.  Guard: a run of no known job keeps
  * its worker to itself until the job is read, or certainly does not exist. */
 void
-fb_pool_bind_runs (FbPool *self, const FbPoolJob *job)
+fb_pool_adopt_runs (FbPool *self, const FbPoolJob *job)
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       /* Only a run without a step can be of a job that was not known. */
-      if (worker->alien_n == 0)
+      if (worker->unknown_runs_n == 0)
         continue;
       g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
       for (GList *l = runs; l != NULL; l = l->next)
@@ -348,9 +349,9 @@
 }
 
 void
-fb_pool_stop_strays (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_stop_orphans (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (worker->alien_n == 0)
+  if (worker->unknown_runs_n == 0)
     return;
   GHashTableIter iter;
   gpointer value;
@@ -365,14 +366,14 @@
 }
 
 static void
-take_running (FbPool *self, FbPoolWorker *worker, const FbRunSeen *seen, uint64_t clock_ms,
+take_running (FbPool *self, FbPoolWorker *worker, const FbReportedRun *seen, uint64_t clock_ms,
               uint64_t now_ms)
 {
   FbPoolRun *run = g_hash_table_lookup (worker->runs, seen->task);
   /* What is listed has been started since. */
-  if (run != NULL && run->came_ms != 0 && run->attempt < seen->attempt)
+  if (run != NULL && run->transferred_ms != 0 && run->attempt < seen->attempt)
     {
-      fb_pool_run_over (self, worker, run, "superseded", now_ms);
+      fb_pool_run_ended (self, worker, run, "superseded", now_ms);
       run = NULL;
     }
   if (run == NULL)
@@ -381,12 +382,12 @@
     return;
   run->seen_clock_ms = MAX (run->seen_clock_ms, clock_ms);
   run->listed_ms = now_ms;
-  fb_pool_return_listed (self, worker, run, now_ms);
+  fb_pool_restart_listed (self, worker, run, now_ms);
   fb_pool_crash_task_seen (self, worker, run);
   if (run->state == FB_RUN_STARTING)
     run->state = FB_RUN_RUNNING;
   if (run->step != NULL)
-    fb_pool_task_save (run->step, run->index, seen->checkpoint);
+    fb_pool_task_set_checkpoint (run->step, run->index, seen->checkpoint);
 }
 
 /* TRUE when a look at CLOCK_MS that does not list RUN proves that it is over. */
@@ -394,12 +395,12 @@
 absence_proves (const FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
                 uint64_t clock_ms)
 {
-  if (run->came_ms != 0)
-    return fb_pool_return_is_over (self, worker, run, clock_ms);
+  if (run->transferred_ms != 0)
+    return fb_pool_restart_is_over (self, worker, run, clock_ms);
   if (run->seen_clock_ms >= clock_ms)
     return FALSE;
   if (run->state == FB_RUN_STOPPING && run->stopped_clock_ms > 0)
-    return clock_ms > run->stopped_clock_ms + self->limits.stop_ms;
+    return clock_ms > run->stopped_clock_ms + self->limits.max_stop_ms;
   return run->seen_clock_ms > 0 || clock_ms > run->deadline_ms;
 }
 
@@ -412,8 +413,8 @@
       FbPoolRun *run = l->data;
       if (!absence_proves (self, worker, run, clock_ms))
         {
-          if (run->came_ms != 0)
-            fb_pool_return_shut_out (self, worker, run, now_ms);
+          if (run->transferred_ms != 0)
+            fb_pool_restart_reject (self, worker, run, now_ms);
           continue;
         }
       FbPoolStep *step = run->step;
@@ -421,25 +422,25 @@
                     run->name, run->attempt, worker->id, run->state, (guint) clock_ms);
       if (step != NULL)
         fb_pool_crash_task_gone (self, worker, step, run->index);
-      fb_pool_return_count_crash (self, run, now_ms);
-      fb_pool_run_over (self, worker, run, "absent", now_ms);
+      fb_pool_restart_count_crash (self, run, now_ms);
+      fb_pool_run_ended (self, worker, run, "absent", now_ms);
       if (step != NULL && step->shape->gang && !fb_pool_step_done (step)
           && !fb_pool_job_ended (step->job))
-        fb_pool_gang_stop (self, step, now_ms);
+        fb_pool_stop_gang (self, step, now_ms);
     }
 }
 
 /* TRUE while END is of a job that may yet be read from the store.  Once acknowledged it
  * would be gone, and the job, when it is read, would run again. */
 static gboolean
-is_unread (const FbPool *self, FbPoolWorker *worker, const FbEndSeen *end, uint64_t now_ms)
+is_unread (const FbPool *self, FbPoolWorker *worker, const FbReportedEnd *end, uint64_t now_ms)
 {
   if (fb_pool_find_job (self, end->task) != NULL)
     return FALSE;
-  if (worker->unread_end != end->number)
-    worker->unread_ms = now_ms;
-  worker->unread_end = end->number;
-  return self->jobs_read_ms <= worker->unread_ms;
+  if (worker->unknown_end != end->number)
+    worker->unknown_end_ms = now_ms;
+  worker->unknown_end = end->number;
+  return self->jobs_read_ms <= worker->unknown_end_ms;
 }
 
 /* The record names what may still run on a worker that drains: once that is nothing, it is
@@ -456,26 +457,26 @@
 static uint64_t
 first_lease_ms (const FbPool *self, const FbPoolWorker *worker)
 {
-  return worker->follows_ms != 0
-             ? MAX (FB_POOL_LEASE_MS, self->limits.hold_max_ms + FB_POOL_HELD_CALL_MS)
+  return worker->misdirected_calls_since_ms != 0
+             ? MAX (FB_POOL_LEASE_MS, self->limits.max_lease_ms + FB_POOL_DELAYED_CALL_MS)
              : FB_POOL_LEASE_MS;
 }
 
 /* What WORKER lists it has not forgotten: an answer to another look was taken for that to the one
  * that acknowledged. */
 static void
-acknowledge_again (FbPoolWorker *worker, const FbLookAnswer *answer)
+acknowledge_again (FbPoolWorker *worker, const FbPollAnswer *answer)
 {
   for (guint i = 0; i < answer->finished->len; i++)
     {
-      uint64_t number = g_array_index (answer->finished, FbEndSeen, i).number;
+      uint64_t number = g_array_index (answer->finished, FbReportedEnd, i).number;
       if (number > 0 && number <= worker->told_acknowledged)
         worker->told_acknowledged = number - 1;
     }
 }
 
 static void
-take_answer (FbPool *self, FbPoolWorker *worker, const FbLookAnswer *answer, uint64_t now_ms,
+take_answer (FbPool *self, FbPoolWorker *worker, const FbPollAnswer *answer, uint64_t now_ms,
              uint64_t wall_ms)
 {
   guint runs_before = g_hash_table_size (worker->runs);
@@ -488,46 +489,46 @@
     {
       /* The owner before may have given it a lease a moment ago, which covers what starts there. */
       worker->lease_ms = MAX (worker->lease_ms, answer->clock_ms + first_lease_ms (self, worker));
-      fb_pool_worker_opened (self, worker);
+      fb_pool_worker_gained_capacity (self, worker);
       self->workers_dirty = self->workers_dirty || worker->draining;
     }
-  fb_pool_return_log_gone_back (worker, answer);
+  fb_pool_restart_log_stale (worker, answer);
   acknowledge_again (worker, answer);
-  fb_pool_doubt_end (self, worker->id, FALSE, now_ms);
+  fb_pool_unresolved_loss_resolve (self, worker->id, FALSE, now_ms);
   worker->answered = TRUE;
-  worker->gone = FALSE;
-  fb_pool_life_answered (self, worker, now_ms);
-  worker->proof_ms = worker->look_sent_ms;
-  worker->heard_ms = now_ms;
+  worker->runs_ended = FALSE;
+  fb_pool_incarnation_answered (self, worker, now_ms);
+  worker->answered_poll_sent_ms = worker->poll_sent_ms;
+  worker->last_answer_ms = now_ms;
   worker->clock_ms = answer->clock_ms;
   for (guint i = 0; i < answer->running->len; i++)
-    take_running (self, worker, &g_array_index (answer->running, FbRunSeen, i), answer->clock_ms,
-                  now_ms);
+    take_running (self, worker, &g_array_index (answer->running, FbReportedRun, i),
+                  answer->clock_ms, now_ms);
   if (is_first)
-    fb_pool_late_starts_shut_out (self, worker, now_ms);
-  worker->unread = FALSE;
+    fb_pool_unanswered_starts_reject (self, worker, now_ms);
+  worker->has_unknown_end = FALSE;
   for (guint i = 0; i < answer->finished->len; i++)
     {
-      const FbEndSeen *end = &g_array_index (answer->finished, FbEndSeen, i);
+      const FbReportedEnd *end = &g_array_index (answer->finished, FbReportedEnd, i);
       if (end->number <= worker->seen_end)
         continue;
-      worker->unread = is_unread (self, worker, end, now_ms);
-      if (worker->unread)
+      worker->has_unknown_end = is_unread (self, worker, end, now_ms);
+      if (worker->has_unknown_end)
         break;
       worker->seen_end = end->number;
       take_end (self, worker, end, now_ms, wall_ms);
     }
-  if (answer->finished->len >= self->limits.ends_listed_n)
-    worker->unread = TRUE;
+  if (answer->finished->len >= self->limits.max_reported_ends)
+    worker->has_unknown_end = TRUE;
   /* What is not listed any more may be among the ends behind the unread one, or behind those that
    * one answer holds. */
-  if (!worker->unread)
+  if (!worker->has_unknown_end)
     drop_absent (self, worker, answer->clock_ms, now_ms);
   note_if_emptied (self, worker, runs_before);
-  if (worker->unread)
-    worker->look_at_ms = now_ms + UNREAD_PAUSE_MS;
-  else if (worker->acknowledged == worker->seen_end && fb_pool_may_look_on (worker))
-    fb_pool_order_look (self, worker, now_ms);
+  if (worker->has_unknown_end)
+    worker->next_poll_ms = now_ms + UNREAD_PAUSE_MS;
+  else if (worker->acknowledged == worker->seen_end && fb_pool_may_poll_again (worker))
+    fb_pool_order_poll (self, worker, now_ms);
 }
 
 /* Failure: a worker leaves while its pool changes hands; the successor knows it from the
@@ -542,30 +543,30 @@
 }
 
 void
-fb_pool_look_answered (FbPool *self, const char *id, const FbLookAnswer *answer, uint64_t now_ms,
+fb_pool_poll_answered (FbPool *self, const char *id, const FbPollAnswer *answer, uint64_t now_ms,
                        uint64_t wall_ms)
 {
   FbPoolWorker *worker = g_hash_table_lookup (self->workers, id);
   if (worker == NULL)
     return;
-  worker->look_open = FALSE;
+  worker->poll_open = FALSE;
   if (answer->result == FB_ORDER_DONE)
     worker->told_acknowledged = MAX (worker->told_acknowledged, worker->acknowledging);
   if (worker->acknowledging != 0)
-    fb_pool_worker_opened (self, worker);
+    fb_pool_worker_gained_capacity (self, worker);
   worker->acknowledging = 0;
-  worker->look_failed = answer->result != FB_ORDER_DONE;
-  worker->look_at_ms = !worker->answered && answer->result == FB_ORDER_UNKNOWN
-                           ? fb_pool_first_look_again_ms (worker, now_ms)
-                           : now_ms + LOOK_PAUSE_MS;
+  worker->poll_failed = answer->result != FB_ORDER_DONE;
+  worker->next_poll_ms = !worker->answered && answer->result == FB_ORDER_UNKNOWN
+                             ? fb_pool_first_poll_retry_ms (worker, now_ms)
+                             : now_ms + LOOK_PAUSE_MS;
   if (answer->result == FB_ORDER_DONE && !worker->replaced)
     take_answer (self, worker, answer, now_ms, wall_ms);
   else if (answer->result == FB_ORDER_FENCED)
     fb_pool_fenced (self, worker);
-  else if (answer->result == FB_ORDER_OTHER_LIFE && answer->life != NULL)
-    fb_pool_worker_returned (self, worker, answer->life, now_ms);
-  else if (answer->result == FB_ORDER_OTHER_LIFE)
-    fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_LIFE, NULL, now_ms);
+  else if (answer->result == FB_ORDER_OTHER_INCARNATION && answer->incarnation != NULL)
+    fb_pool_worker_restarted (self, worker, answer->incarnation, now_ms);
+  else if (answer->result == FB_ORDER_OTHER_INCARNATION)
+    fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_INCARNATION, NULL, now_ms);
   else if (answer->result == FB_ORDER_NO_LISTENER && has_left (self, worker))
     fb_pool_worker_lost (self, worker, FB_LOSS_LEFT, NULL, now_ms);
 }
--- a/src/work/pool-return.c
+++ b/src/work/pool-restart.c
@@ -18,56 +18,57 @@
 /* A start that got no answer. */
 typedef struct
 {
-  char *life; /* that it was sent to */
+  char *incarnation; /* that it was sent to */
   char *address;
   char *task;
   uint32_t attempt;
   uint64_t sent_ms;
-} FbPoolLateStart;
+} FbPoolUnansweredStart;
 
 static void
-late_start_free (gpointer data)
+unanswered_start_free (gpointer data)
 {
-  FbPoolLateStart *start = data;
-  g_free (start->life);
+  FbPoolUnansweredStart *start = data;
+  g_free (start->incarnation);
   g_free (start->address);
   g_free (start->task);
   g_free (start);
 }
 
 GQueue *
-fb_pool_late_starts_new (void)
+fb_pool_unanswered_starts_new (void)
 {
   return g_queue_new ();
 }
 
 void
-fb_pool_late_starts_free (GQueue *starts)
+fb_pool_unanswered_starts_free (GQueue *starts)
 {
-  g_queue_free_full (starts, late_start_free);
+  g_queue_free_full (starts, unanswered_start_free);
 }
 
 void
-fb_pool_late_start_note (FbPool *self, const char *life, const char *address, const char *task,
-                         uint32_t attempt, uint64_t sent_ms, uint64_t now_ms)
+fb_pool_unanswered_start_add (FbPool *self, const char *incarnation, const char *address,
+                              const char *task, uint32_t attempt, uint64_t sent_ms, uint64_t now_ms)
 {
-  const FbPoolLateStart *oldest = NULL;
-  while (
-      (oldest = g_queue_peek_head (self->late_starts)) != NULL
-      && (now_ms > oldest->sent_ms + LATE_MOST_MS || self->late_starts->length >= LATE_STARTS_MOST))
-    late_start_free (g_queue_pop_head (self->late_starts));
-  FbPoolLateStart *start = g_new0 (FbPoolLateStart, 1);
-  start->life = g_strdup (life);
+  const FbPoolUnansweredStart *oldest = NULL;
+  while ((oldest = g_queue_peek_head (self->unanswered_starts)) != NULL
+         && (now_ms > oldest->sent_ms + LATE_MOST_MS
+             || self->unanswered_starts->length >= LATE_STARTS_MOST))
+    unanswered_start_free (g_queue_pop_head (self->unanswered_starts));
+  FbPoolUnansweredStart *start = g_new0 (FbPoolUnansweredStart, 1);
+  start->incarnation = g_strdup (incarnation);
   start->address = g_strdup (address);
   start->task = g_strdup (task);
   start->attempt = attempt;
   start->sent_ms = sent_ms;
-  g_queue_push_tail (self->late_starts, start);
+  g_queue_push_tail (self->unanswered_starts, start);
 }
 
 /* Charges START to WORKER, where it may come, until WORKER has taken a stop of it. */
 static void
-shut_out (FbPool *self, FbPoolWorker *worker, const FbPoolLateStart *start, uint64_t now_ms)
+is_tombstone (FbPool *self, FbPoolWorker *worker, const FbPoolUnansweredStart *start,
+              uint64_t now_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, start->task, &index);
@@ -76,31 +77,32 @@
   FbPoolRun *run = fb_pool_worker_add_run (worker, step, index, start->task, start->attempt);
   run->started_ms = start->sent_ms;
   run->deadline_ms = G_MAXUINT64;
-  run->given_up = TRUE;
-  run->shut_out = TRUE;
-  worker->shut_out_n++;
-  run->came_ms = now_ms;
+  run->abandoned = TRUE;
+  run->is_tombstone = TRUE;
+  worker->tombstones_n++;
+  run->transferred_ms = now_ms;
   fb_pool_order_stop (self, worker, run, now_ms);
 }
 
 void
-fb_pool_late_starts_shut_out (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_unanswered_starts_reject (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
-  for (const GList *l = worker->returns ? self->late_starts->head : NULL; l != NULL; l = l->next)
+  for (const GList *l = worker->may_restart ? self->unanswered_starts->head : NULL; l != NULL;
+       l = l->next)
     {
-      const FbPoolLateStart *start = l->data;
+      const FbPoolUnansweredStart *start = l->data;
       if (now_ms <= start->sent_ms + LATE_MOST_MS && g_str_equal (start->address, worker->address)
-          && !g_str_equal (start->life, worker->id))
-        shut_out (self, worker, start, now_ms);
+          && !g_str_equal (start->incarnation, worker->id))
+        is_tombstone (self, worker, start, now_ms);
     }
 }
 
 /* Failure: a task starts on the worker that is to shut an earlier start of it out, and takes that
  * one's place there; it shows as room that is never free again.  Guard: it waits for the answer. */
 gboolean
-fb_pool_return_shuts_out (const FbPoolWorker *worker, const FbPoolStep *step, uint32_t index)
+fb_pool_restart_rejects (const FbPoolWorker *worker, const FbPoolStep *step, uint32_t index)
 {
-  if (worker->shut_out_n == 0)
+  if (worker->tombstones_n == 0)
     return FALSE;
   g_autofree char *name = fb_pool_task_name (step, index);
   return g_hash_table_contains (worker->runs, name);
@@ -108,24 +110,24 @@
 
 /* Returns: the worker called LIFE, at the address of BEFORE, which ran there until then. */
 static FbPoolWorker *
-next_life (FbPool *self, const FbPoolWorker *before, const char *life, uint64_t now_ms)
+next_life (FbPool *self, const FbPoolWorker *before, const char *incarnation, uint64_t now_ms)
 {
-  FbPoolWorker *next = g_hash_table_lookup (self->workers, life);
+  FbPoolWorker *next = g_hash_table_lookup (self->workers, incarnation);
   if (next != NULL)
     return next;
-  next = fb_pool_worker_new (life);
+  next = fb_pool_worker_new (incarnation);
   next->address = g_strdup (before->address);
-  next->returns = TRUE;
-  fb_pool_roster_add (self, next);
+  next->may_restart = TRUE;
+  fb_pool_worker_slots_add (self, next);
   self->workers_dirty = TRUE;
-  fb_pool_life_known (self, next, now_ms);
+  fb_pool_incarnation_known (self, next, now_ms);
   return next;
 }
 
 /* A copy of a call that is not answered yet may still be on its way, though another was carried
  * out. */
 gboolean
-fb_pool_return_may_come (const FbPool *self, const FbPoolRun *run)
+fb_pool_restart_may_deliver (const FbPool *self, const FbPoolRun *run)
 {
   gboolean is_open = run->state != FB_RUN_STOPPING && fb_pool_order_is_open (self, run->order);
   return run->step != NULL && (run->listed_ms == 0 || is_open);
@@ -139,39 +141,41 @@
   gpointer run;
   g_hash_table_iter_init (&iter, worker->runs);
   while (g_hash_table_iter_next (&iter, NULL, &run))
-    n += fb_pool_return_may_come (self, run);
+    n += fb_pool_restart_may_deliver (self, run);
   return n;
 }
 
 void
-fb_pool_worker_returned (FbPool *self, FbPoolWorker *worker, const char *life, uint64_t now_ms)
+fb_pool_worker_restarted (FbPool *self, FbPoolWorker *worker, const char *incarnation,
+                          uint64_t now_ms)
 {
-  if (worker->gone)
+  if (worker->runs_ended)
     {
-      fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_LIFE, NULL, now_ms);
+      fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_INCARNATION, NULL, now_ms);
       return;
     }
-  FbPoolWorker *named = next_life (self, worker, life, now_ms);
-  FbPoolWorker *next = fb_pool_life_running (self, named);
-  if (worker->gone) /* it was found to have ended as the other life became known */
+  FbPoolWorker *named = next_life (self, worker, incarnation, now_ms);
+  FbPoolWorker *next = fb_pool_incarnation_running (self, named);
+  if (worker->runs_ended) /* it was found to have ended as the other life became known */
     return;
   if (next == worker) /* by its birth it began later; the answer knows better */
     next = named;
-  fb_pool_life_set_latest (self, next);
+  fb_pool_incarnation_set_latest (self, next);
   /* What may have come to it is settled by its answers, or by the end of its leases. */
-  next->gone = FALSE;
+  next->runs_ended = FALSE;
   next->replaced = FALSE;
   fb_event_log (FB_EVENT_POOL_WORKER_RETURNED,
                 "worker=%s life=%s runs=%u may_come=%u heard_ms_ago=%u", worker->id, next->id,
                 g_hash_table_size (worker->runs), starts_that_may_come (self, worker),
-                worker->heard_ms != 0 ? (guint) (now_ms - worker->heard_ms) : 0);
-  fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_LIFE, next, now_ms);
+                worker->last_answer_ms != 0 ? (guint) (now_ms - worker->last_answer_ms) : 0);
+  fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_INCARNATION, next, now_ms);
   /* Looks at the life before may have extended its lease by deadlines far ahead of its clock. */
-  next->follows_ms = now_ms;
+  next->misdirected_calls_since_ms = now_ms;
   if (next->answered)
-    next->lease_ms = MAX (next->lease_ms, next->clock_ms + now_ms - next->heard_ms
-                                              + FB_POOL_HELD_CALL_MS + self->limits.hold_max_ms);
-  next->look_at_ms = now_ms;
+    next->lease_ms
+        = MAX (next->lease_ms, next->clock_ms + now_ms - next->last_answer_ms
+                                   + FB_POOL_DELAYED_CALL_MS + self->limits.max_lease_ms);
+  next->next_poll_ms = now_ms;
 }
 
 /* Returns: RUN as it may come to NEXT. */
@@ -181,29 +185,29 @@
   FbPoolRun *moved = fb_pool_worker_add_run (next, run->step, run->index, run->name, run->attempt);
   moved->started_ms = run->started_ms;
   moved->deadline_ms = run->deadline_ms;
-  moved->given_up = run->given_up;
+  moved->abandoned = run->abandoned;
   moved->unanswered = run->unanswered;
-  moved->whole = run->whole;
+  moved->from_start = run->from_start;
   moved->order = run->state != FB_RUN_STOPPING ? run->order : 0;
-  moved->shut_out = run->shut_out;
-  next->shut_out_n += run->shut_out;
-  moved->came_ms = now_ms;
+  moved->is_tombstone = run->is_tombstone;
+  next->tombstones_n += run->is_tombstone;
+  moved->transferred_ms = now_ms;
   return moved;
 }
 
 gboolean
-fb_pool_return_take_over (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, FbPoolWorker *next,
+fb_pool_restart_transfer (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, FbPoolWorker *next,
                           uint64_t now_ms)
 {
-  if (!fb_pool_return_may_come (self, run))
+  if (!fb_pool_restart_may_deliver (self, run))
     return FALSE;
   /* It may be there already, to be refused. */
   FbPoolRun *moved = g_hash_table_lookup (next->runs, run->name);
-  if (moved != NULL && (moved->attempt != run->attempt || moved->came_ms == 0))
+  if (moved != NULL && (moved->attempt != run->attempt || moved->transferred_ms == 0))
     return FALSE;
   if (moved == NULL)
     moved = run_on_next (next, run, now_ms);
-  moved->lost_with = run->lost_with;
+  moved->deferred_crash = run->deferred_crash;
   fb_pool_orders_move (self, worker, run, next);
   fb_event_log (FB_EVENT_START_MAY_COME,
                 "task=%s attempt=%u worker=%s life=%s unanswered=%d sent_ms_ago=%u", run->name,
@@ -214,8 +218,8 @@
   fb_pool_worker_drop_run (worker, run);
   if (was_current && task->run == NULL)
     task->run = moved;
-  else if (!moved->shut_out) /* that one is no run of its task any more */
-    fb_pool_task_take_run (task, moved);
+  else if (!moved->is_tombstone) /* that one is no run of its task any more */
+    fb_pool_task_attach_run (task, moved);
   return TRUE;
 }
 
@@ -227,14 +231,14 @@
 
 /* The start went to one life only: what an earlier one was thought to have of it is not there. */
 void
-fb_pool_return_found (FbPool *self, const FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
+fb_pool_restart_found (FbPool *self, const FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
 {
   const FbPoolTask *task = run->step != NULL ? &run->step->tasks[run->index] : NULL;
   if (task == NULL || (!is_same_start (task->run, run) && !is_same_start (task->copy, run)))
     return;
   guint slot = 0;
   FbPoolWorker *other = NULL;
-  while ((other = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((other = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       FbPoolRun *same = other != worker ? g_hash_table_lookup (other->runs, run->name) : NULL;
       if (same == NULL || same->attempt != run->attempt
@@ -242,61 +246,62 @@
         continue;
       run->started_ms = same->started_ms;
       fb_pool_worker_drop_run (other, same);
-      fb_pool_worker_opened (self, other);
-      other->look_at_ms = now_ms;
+      fb_pool_worker_gained_capacity (self, other);
+      other->next_poll_ms = now_ms;
     }
 }
 
 void
-fb_pool_return_listed (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
+fb_pool_restart_listed (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
 {
-  if (run->came_ms == 0)
+  if (run->transferred_ms == 0)
     return;
-  run->came_ms = 0;
-  if (run->lost_with.worker != 0)
+  run->transferred_ms = 0;
+  if (run->deferred_crash.worker != 0)
     {
-      fb_pool_tried_drop_rank (&run->step->tasks[run->index], run->lost_with.worker);
+      fb_pool_unresolved_start_drop_id_hash (&run->step->tasks[run->index],
+                                             run->deferred_crash.worker);
       fb_pool_job_changed (self, run->step->job);
     }
-  run->lost_with.worker = 0;
-  if (run->given_up && run->state != FB_RUN_STOPPING)
+  run->deferred_crash.worker = 0;
+  if (run->abandoned && run->state != FB_RUN_STOPPING)
     fb_pool_order_stop (self, worker, run, now_ms);
 }
 
 void
-fb_pool_return_count_crash (FbPool *self, const FbPoolRun *run, uint64_t now_ms)
+fb_pool_restart_count_crash (FbPool *self, const FbPoolRun *run, uint64_t now_ms)
 {
-  if (run->lost_with.worker != 0)
-    fb_pool_crash_count (self, run->step, run->index, run->lost_with, now_ms);
+  if (run->deferred_crash.worker != 0)
+    fb_pool_crash_count (self, run->step, run->index, run->deferred_crash, now_ms);
 }
 
 gboolean
-fb_pool_return_is_over (const FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
-                        uint64_t clock_ms)
+fb_pool_restart_is_over (const FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
+                         uint64_t clock_ms)
 {
   /* A list that was asked for before may be older than the start. */
-  if (worker->look_sent_ms < run->came_ms)
+  if (worker->poll_sent_ms < run->transferred_ms)
     return FALSE;
   if (run->state == FB_RUN_STOPPING && run->stopped_clock_ms > 0)
-    return clock_ms > run->stopped_clock_ms + self->limits.stop_ms;
+    return clock_ms > run->stopped_clock_ms + self->limits.max_stop_ms;
   return clock_ms > run->deadline_ms;
 }
 
 void
-fb_pool_return_shut_out (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
+fb_pool_restart_reject (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
 {
-  if (worker->look_sent_ms >= run->came_ms && run->state == FB_RUN_STARTING)
+  if (worker->poll_sent_ms >= run->transferred_ms && run->state == FB_RUN_STARTING)
     fb_pool_order_stop (self, worker, run, now_ms);
 }
 
 /* A worker's clock only goes on, and it forgets ends that were acknowledged. */
 void
-fb_pool_return_log_gone_back (const FbPoolWorker *worker, const FbLookAnswer *answer)
+fb_pool_restart_log_stale (const FbPoolWorker *worker, const FbPollAnswer *answer)
 {
   guint again_n = 0;
-  uint64_t taken = worker->returns ? worker->told_acknowledged : worker->acknowledged;
+  uint64_t taken = worker->may_restart ? worker->told_acknowledged : worker->acknowledged;
   for (guint i = 0; i < answer->finished->len; i++)
-    again_n += g_array_index (answer->finished, FbEndSeen, i).number <= taken;
+    again_n += g_array_index (answer->finished, FbReportedEnd, i).number <= taken;
   if (answer->clock_ms >= worker->clock_ms && again_n == 0)
     return;
   fb_event_log (FB_EVENT_POOL_WORKER_WENT_BACK,
--- a/src/work/pool-stuck.c
+++ b/src/work/pool-stuck.c
@@ -29,7 +29,7 @@
 is_stuck (const FbPoolRun *run, uint64_t now_ms)
 {
   const FbPoolStep *step = run->step;
-  if (step == NULL || run->state != FB_RUN_RUNNING || step->shape->lasting
+  if (step == NULL || run->state != FB_RUN_RUNNING || step->shape->long_running
       || step->shape->estimate_ms == 0)
     return FALSE;
   uint32_t moved = step->tasks[run->index].moved;
@@ -43,10 +43,10 @@
                 run->name, run->attempt, worker->id, (guint) (now_ms - run->started_ms),
                 run->step->shape->estimate_ms);
   run->step->tasks[run->index].moved++;
-  worker->bad_streak++;
-  fb_pool_worker_spare (worker, now_ms);
+  worker->failure_streak++;
+  fb_pool_worker_throttle (worker, now_ms);
   if (run->step->shape->gang)
-    fb_pool_gang_stop (self, run->step, now_ms);
+    fb_pool_stop_gang (self, run->step, now_ms);
   else
     fb_pool_order_stop (self, worker, run, now_ms);
 }
--- a/src/work/pool-doubt.c
+++ b/src/work/pool-unresolved-losses.c
@@ -41,7 +41,7 @@
 }
 
 GHashTable *
-fb_pool_doubts_new (void)
+fb_pool_unresolved_losses_new (void)
 {
   return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, doubt_free);
 }
@@ -49,7 +49,7 @@
 static Doubt *
 doubt_about (FbPool *self, const char *id, const char *address, uint64_t now_ms)
 {
-  Doubt *doubt = g_hash_table_lookup (self->doubts, id);
+  Doubt *doubt = g_hash_table_lookup (self->unresolved_losses, id);
   if (doubt != NULL)
     return doubt;
   doubt = g_new0 (Doubt, 1);
@@ -57,21 +57,21 @@
   g_array_set_clear_func (doubt->lost, lost_task_clear);
   doubt->address = g_strdup (address);
   doubt->since_ms = now_ms;
-  g_hash_table_insert (self->doubts, g_strdup (id), doubt);
+  g_hash_table_insert (self->unresolved_losses, g_strdup (id), doubt);
   return doubt;
 }
 
 void
-fb_pool_doubt_add (FbPool *self, const char *id, const char *address, FbPoolStep *step,
-                   uint32_t index, FbPoolCrash crash, uint64_t now_ms)
+fb_pool_unresolved_loss_add (FbPool *self, const char *id, const char *address, FbPoolStep *step,
+                             uint32_t index, FbPoolCrash crash, uint64_t now_ms)
 {
   const LostTask lost = { fb_pool_task_name (step, index), crash };
   g_array_append_val (doubt_about (self, id, address, now_ms)->lost, lost);
-  step->tasks[index].doubts_n++;
-  step->job->suspicion++;
-  fb_pool_unstored_note (self, step->job);
-  fb_pool_task_weigh (self, step, index);
-  self->doubts_due = TRUE;
+  step->tasks[index].unresolved_losses_n++;
+  step->job->suspects_version++;
+  fb_pool_unstored_suspects_add (self, step->job);
+  fb_pool_task_update_withheld (self, step, index);
+  self->unresolved_losses_due = TRUE;
 }
 
 static void
@@ -83,14 +83,14 @@
   if (step == NULL)
     return;
   FbPoolTask *task = &step->tasks[index];
-  task->doubts_n--;
-  fb_pool_task_weigh (self, step, index);
-  fb_pool_tried_drop (task, id);
+  task->unresolved_losses_n--;
+  fb_pool_task_update_withheld (self, step, index);
+  fb_pool_unresolved_start_drop (task, id);
   fb_pool_job_changed (self, step->job);
-  fb_pool_unstored_note (self, step->job);
+  fb_pool_unstored_suspects_add (self, step->job);
   if (crashed)
     fb_pool_crash_count (self, step, index, lost->crash, now_ms);
-  fb_pool_task_may_wait (self, step, index);
+  fb_pool_task_requeue (self, step, index);
 }
 
 static void
@@ -102,13 +102,13 @@
 }
 
 void
-fb_pool_doubt_end (FbPool *self, const char *id, gboolean crashed, uint64_t now_ms)
+fb_pool_unresolved_loss_resolve (FbPool *self, const char *id, gboolean crashed, uint64_t now_ms)
 {
-  const Doubt *doubt = g_hash_table_lookup (self->doubts, id);
+  const Doubt *doubt = g_hash_table_lookup (self->unresolved_losses, id);
   if (doubt == NULL)
     return;
   settle (self, id, doubt, crashed, now_ms);
-  g_hash_table_remove (self->doubts, id);
+  g_hash_table_remove (self->unresolved_losses, id);
 }
 
 /* LOST may be NULL: it is not known any more.  A life that was listed and is gone by now proves as
@@ -116,7 +116,7 @@
 static gboolean
 is_successor (const FbPoolWorker *other, const FbPoolWorker *lost)
 {
-  if (lost != NULL && other->listed_ms > 0 && other->life > lost->life)
+  if (lost != NULL && other->listed_ms > 0 && other->incarnation > lost->incarnation)
     return TRUE;
   return other->listed && (lost == NULL || !lost->listed);
 }
@@ -131,7 +131,7 @@
     return FALSE;
   guint slot = 0;
   const FbPoolWorker *other = NULL;
-  while ((other = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((other = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       if (other != lost && g_strcmp0 (other->address, doubt->address) == 0
           && is_successor (other, lost))
@@ -148,14 +148,14 @@
 }
 
 void
-fb_pool_doubts_tend (FbPool *self, uint64_t now_ms)
+fb_pool_unresolved_losses_check (FbPool *self, uint64_t now_ms)
 {
   GHashTableIter iter;
   gpointer id;
   gpointer value;
-  gboolean due = self->doubts_due;
-  self->doubts_due = FALSE;
-  g_hash_table_iter_init (&iter, self->doubts);
+  gboolean due = self->unresolved_losses_due;
+  self->unresolved_losses_due = FALSE;
+  g_hash_table_iter_init (&iter, self->unresolved_losses);
   while (g_hash_table_iter_next (&iter, &id, &value))
     {
       const Doubt *doubt = value;
--- a/src/work/pool-unstored.c
+++ b/src/work/pool-unstored-suspects.c
@@ -15,21 +15,21 @@
 static void
 unstored_free (gpointer data)
 {
-  FbPoolUnstored *unstored = data;
+  FbPoolUnstoredSuspects *unstored = data;
   g_free (unstored->job);
   g_clear_pointer (&unstored->suspects, g_bytes_unref);
   g_free (unstored);
 }
 
 void
-fb_pool_unstored_note (FbPool *self, FbPoolJob *job)
+fb_pool_unstored_suspects_add (FbPool *self, FbPoolJob *job)
 {
   g_hash_table_add (self->unstored, job);
-  job->unstored_news = TRUE;
+  job->unstored_changed = TRUE;
 }
 
 void
-fb_pool_unstored_forget (FbPool *self, const FbPoolJob *job)
+fb_pool_unstored_suspects_forget (FbPool *self, const FbPoolJob *job)
 {
   g_hash_table_remove (self->unstored, job);
 }
@@ -54,18 +54,18 @@
 static void
 add (GPtrArray *all, FbPoolJob *job, GBytes *suspects)
 {
-  job->unstored_news = FALSE;
+  job->unstored_changed = FALSE;
   if (suspects == NULL && !job->kept)
     return;
   job->kept = suspects != NULL;
-  FbPoolUnstored *unstored = g_new0 (FbPoolUnstored, 1);
+  FbPoolUnstoredSuspects *unstored = g_new0 (FbPoolUnstoredSuspects, 1);
   unstored->job = g_strdup (job->id);
   unstored->suspects = suspects;
   g_ptr_array_add (all, unstored);
 }
 
 GPtrArray *
-fb_pool_unstored (FbPool *self, uint64_t now_ms)
+fb_pool_take_unstored_suspects (FbPool *self, uint64_t now_ms)
 {
   if (g_hash_table_size (self->unstored) == 0)
     return NULL;
@@ -82,7 +82,7 @@
           add (all, job, NULL);
           g_hash_table_iter_remove (&iter);
         }
-      else if (is_late && job->unstored_news)
+      else if (is_late && job->unstored_changed)
         add (all, job, encode_suspects (job));
     }
   if (all->len > 0)
@@ -92,7 +92,7 @@
 }
 
 void
-fb_pool_recall_unstored (FbPool *self, const char *id, const fb_work_suspects *suspects,
+fb_pool_import_suspects (FbPool *self, const char *id, const fb_work_suspects *suspects,
                          uint64_t now_ms)
 {
   FbPoolJob *job = g_hash_table_lookup (self->jobs, id);
@@ -101,6 +101,6 @@
   fb_event_log (FB_EVENT_SUSPECTS_RECALLED, "job=%s tasks=%u", id, suspects->tasks.tasks_len);
   fb_pool_crash_restore (self, job, suspects, now_ms);
   fb_pool_job_changed (self, job);
-  fb_pool_unstored_note (self, job);
+  fb_pool_unstored_suspects_add (self, job);
   job->kept = TRUE;
 }
--- /dev/null
+++ b/src/work/pool-worker-slots.c
@@ -0,0 +1,64 @@
+/* The workers of a pool in a dense array, and which of them have come to take more.
+ *
+ * What a worker has room for is asked for each waiting step in each round, so the round
+ * goes through an array instead of a table by name.  A slot is used again once its worker
+ * is forgotten; LIFE, which never repeats, tells the two workers apart. */
+#include "internal/pool-private.h"
+
+void
+fb_pool_worker_slots_add (FbPool *self, FbPoolWorker *worker)
+{
+  guint slot = 0;
+  while (slot < self->worker_slots->len && self->worker_slots->pdata[slot] != NULL)
+    slot++;
+  if (slot == self->worker_slots->len)
+    g_ptr_array_add (self->worker_slots, worker);
+  else
+    self->worker_slots->pdata[slot] = worker;
+  worker->slot = slot;
+  worker->incarnation = ++self->last_incarnation;
+  g_hash_table_insert (self->workers, worker->id, worker);
+}
+
+/* Those that the open round has begun with stay the first ones. */
+static void
+remove_opened (FbPool *self, FbPoolWorker *worker)
+{
+  guint at = 0;
+  if (!g_ptr_array_find (self->gained_capacity, worker, &at))
+    return;
+  g_ptr_array_remove_index (self->gained_capacity, at);
+  if (at < self->round_gained_n)
+    self->round_gained_n--;
+}
+
+void
+fb_pool_worker_slots_remove (FbPool *self, FbPoolWorker *worker)
+{
+  self->worker_slots->pdata[worker->slot] = NULL;
+  fb_pool_incarnation_forget (self, worker);
+  remove_opened (self, worker);
+  g_hash_table_remove (self->workers, worker->id);
+}
+
+FbPoolWorker *
+fb_pool_worker_slots_next (const FbPool *self, guint *slot)
+{
+  while (*slot < self->worker_slots->len)
+    {
+      FbPoolWorker *worker = self->worker_slots->pdata[(*slot)++];
+      if (worker != NULL)
+        return worker;
+    }
+  return NULL;
+}
+
+void
+fb_pool_worker_gained_capacity (FbPool *self, FbPoolWorker *worker)
+{
+  self->place_due = TRUE;
+  if (worker->gained_capacity)
+    return;
+  worker->gained_capacity = TRUE;
+  g_ptr_array_add (self->gained_capacity, worker);
+}
--- a/src/work/pool-worker.c
+++ b/src/work/pool-worker.c
@@ -9,7 +9,7 @@
 #include <xxhash.h>
 
 /* A worker that was silent for this long gets nothing new: a look takes up to
- * FB_POOL_LOOK_WAIT_MS, the rest is for the network and a slow daemon. */
+ * FB_POOL_POLL_WAIT_MS, the rest is for the network and a slow daemon. */
 #define SILENT_MS 1300
 /* A worker's clock may be this much slow. */
 #define CLOCK_SLOW_PERMILLE 20
@@ -24,7 +24,7 @@
 #define RANK_SEED 1
 
 uint64_t
-fb_pool_worker_rank (const char *id)
+fb_pool_worker_id_hash (const char *id)
 {
   return XXH64 (id, strlen (id), RANK_SEED);
 }
@@ -34,7 +34,7 @@
 {
   FbPoolWorker *worker = g_new0 (FbPoolWorker, 1);
   worker->id = g_strdup (id);
-  worker->rank = fb_pool_worker_rank (id);
+  worker->id_hash = fb_pool_worker_id_hash (id);
   worker->speed = fb_pool_speed_new ();
   worker->labels = g_new0 (char *, 1);
   worker->runs = g_hash_table_new (g_str_hash, g_str_equal);
@@ -45,7 +45,7 @@
 run_free (FbPoolRun *run)
 {
   if (run->step != NULL)
-    fb_pool_task_drop_run (&run->step->tasks[run->index], run);
+    fb_pool_task_detach_run (&run->step->tasks[run->index], run);
   g_free (run->name);
   g_free (run);
 }
@@ -60,10 +60,10 @@
   while (g_hash_table_iter_next (&iter, NULL, &run))
     run_free (run);
   g_hash_table_unref (worker->runs);
-  g_clear_pointer (&worker->closed_to, g_hash_table_unref);
+  g_clear_pointer (&worker->drain_steps, g_hash_table_unref);
   fb_pool_speed_unref (worker->speed);
   g_strfreev (worker->labels);
-  g_free (worker->last_bad_job);
+  g_free (worker->last_failed_job);
   g_free (worker->rack);
   g_free (worker->address);
   g_free (worker->id);
@@ -85,20 +85,20 @@
   /* A worker that has begun to leave never takes it back. */
   worker->draining = worker->draining || entry->draining;
   worker->listed = TRUE;
-  worker->returns = entry->returns;
+  worker->may_restart = entry->may_restart;
 }
 
 uint64_t
 fb_pool_worker_clock_low (const FbPoolWorker *worker, uint64_t now_ms)
 {
-  uint64_t passed_ms = now_ms > worker->heard_ms ? now_ms - worker->heard_ms : 0;
+  uint64_t passed_ms = now_ms > worker->last_answer_ms ? now_ms - worker->last_answer_ms : 0;
   return worker->clock_ms + passed_ms * (1000 - CLOCK_SLOW_PERMILLE) / 1000;
 }
 
 gboolean
 fb_pool_worker_silent (const FbPoolWorker *worker, uint64_t now_ms)
 {
-  return !worker->answered || now_ms > worker->heard_ms + SILENT_MS;
+  return !worker->answered || now_ms > worker->last_answer_ms + SILENT_MS;
 }
 
 /* For so long LEASE_MS of a worker's clock may take. */
@@ -117,9 +117,9 @@
 {
   if (self->majority_ms == 0)
     return FALSE;
-  if (worker->follows_ms != 0
-      && now_ms
-             <= worker->follows_ms + longest_ms (self->limits.hold_max_ms + FB_POOL_HELD_CALL_MS))
+  if (worker->misdirected_calls_since_ms != 0
+      && now_ms <= worker->misdirected_calls_since_ms
+                       + longest_ms (self->limits.max_lease_ms + FB_POOL_DELAYED_CALL_MS))
     return FALSE;
   return now_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS + longest_ms (FB_POOL_LEASE_MS);
 }
@@ -127,7 +127,7 @@
 gboolean
 fb_pool_worker_lapsed (const FbPool *self, const FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (worker->gone)
+  if (worker->runs_ended)
     return TRUE;
   if (!worker->answered)
     return unheard_lapsed (self, worker, now_ms);
@@ -140,11 +140,11 @@
 {
   if (run->step == NULL)
     {
-      worker->alien_n += (uint32_t) sign;
+      worker->unknown_runs_n += (uint32_t) sign;
       return;
     }
   const fb_work_step *shape = run->step->shape;
-  if (!shape->fills)
+  if (!shape->best_effort)
     worker->cpu_used += sign * (int64_t) shape->cpu_milli;
   worker->mem_used += sign * (int64_t) shape->mem_mb;
   worker->gpu_used += sign * (int64_t) shape->gpu_count;
@@ -169,7 +169,7 @@
 fb_pool_worker_drop_run (FbPoolWorker *worker, FbPoolRun *run)
 {
   fb_pool_worker_charge (worker, run, -1);
-  worker->shut_out_n -= run->shut_out;
+  worker->tombstones_n -= run->is_tombstone;
   g_hash_table_remove (worker->runs, run->name);
   run_free (run);
 }
@@ -177,31 +177,31 @@
 gboolean
 fb_pool_worker_fits (const FbPoolWorker *worker, const fb_work_step *shape)
 {
-  int64_t cpu_milli = shape->fills ? 0 : shape->cpu_milli;
-  return worker->alien_n == 0
-         && worker->cpu_used + worker->cpu_held + cpu_milli <= worker->cpu_milli
-         && worker->mem_used + worker->mem_held + shape->mem_mb <= worker->mem_mb
-         && worker->gpu_used + worker->gpu_held + shape->gpu_count <= worker->gpu_count;
+  int64_t cpu_milli = shape->best_effort ? 0 : shape->cpu_milli;
+  return worker->unknown_runs_n == 0
+         && worker->cpu_used + worker->cpu_reserved + cpu_milli <= worker->cpu_milli
+         && worker->mem_used + worker->mem_reserved + shape->mem_mb <= worker->mem_mb
+         && worker->gpu_used + worker->gpu_reserved + shape->gpu_count <= worker->gpu_count;
 }
 
 void
-fb_pool_worker_hold (FbPoolWorker *worker, const fb_work_step *shape, int sign)
+fb_pool_worker_reserve (FbPoolWorker *worker, const fb_work_step *shape, int sign)
 {
-  worker->held_n += (guint) sign;
-  if (!shape->fills)
-    worker->cpu_held += sign * (int64_t) shape->cpu_milli;
-  worker->mem_held += sign * (int64_t) shape->mem_mb;
-  worker->gpu_held += sign * (int64_t) shape->gpu_count;
+  worker->reserved_n += (guint) sign;
+  if (!shape->best_effort)
+    worker->cpu_reserved += sign * (int64_t) shape->cpu_milli;
+  worker->mem_reserved += sign * (int64_t) shape->mem_mb;
+  worker->gpu_reserved += sign * (int64_t) shape->gpu_count;
 }
 
 /* Failure: a worker fails what it is given and looks free for that, so it is given more.
  * Guard: it gets one run a second until one succeeds.  A bound on what runs there would
  * not do: a task that lasts would keep the worker out for good. */
 void
-fb_pool_worker_spare (FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_worker_throttle (FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (worker->bad_streak >= BAD_STREAK)
-    worker->spared_until_ms = now_ms + SPARE_MS;
+  if (worker->failure_streak >= BAD_STREAK)
+    worker->throttled_until_ms = now_ms + SPARE_MS;
 }
 
 gboolean
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -22,9 +22,9 @@
   self->user = user;
   self->began_ms = now_ms;
   self->workers = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, fb_pool_worker_free);
-  self->roster = g_ptr_array_new ();
+  self->worker_slots = g_ptr_array_new ();
   self->latest = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  self->opened = g_ptr_array_new ();
+  self->gained_capacity = g_ptr_array_new ();
   self->waiting = g_ptr_array_new ();
   self->fresh = g_ptr_array_new ();
   self->timed = g_hash_table_new (NULL, NULL);
@@ -36,13 +36,13 @@
   self->suspects = g_hash_table_new (NULL, NULL);
   self->unstored = g_hash_table_new (NULL, NULL);
   self->causes = fb_pool_crash_causes_new ();
-  self->doubts = fb_pool_doubts_new ();
+  self->unresolved_losses = fb_pool_unresolved_losses_new ();
   self->closed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                         (GDestroyNotify) g_hash_table_unref);
   self->in_flush = g_ptr_array_new ();
-  self->unheard = g_ptr_array_new ();
+  self->unconfirmed_workers = g_ptr_array_new ();
   self->orders = fb_pool_orders_new ();
-  self->late_starts = fb_pool_late_starts_new ();
+  self->unanswered_starts = fb_pool_unanswered_starts_new ();
   return self;
 }
 
@@ -50,11 +50,11 @@
 fb_pool_free (FbPool *self)
 {
   g_hash_table_unref (self->orders);
-  fb_pool_late_starts_free (self->late_starts);
+  fb_pool_unanswered_starts_free (self->unanswered_starts);
   g_hash_table_unref (self->workers); /* its runs point into the jobs */
-  g_ptr_array_unref (self->roster);
+  g_ptr_array_unref (self->worker_slots);
   g_hash_table_unref (self->latest);
-  g_ptr_array_unref (self->opened);
+  g_ptr_array_unref (self->gained_capacity);
   g_ptr_array_unref (self->waiting);
   g_ptr_array_unref (self->fresh);
   g_hash_table_unref (self->closed);
@@ -66,9 +66,9 @@
   g_hash_table_unref (self->suspects);
   g_hash_table_unref (self->unstored);
   g_hash_table_unref (self->causes);
-  g_hash_table_unref (self->doubts);
+  g_hash_table_unref (self->unresolved_losses);
   g_ptr_array_unref (self->in_flush);
-  g_ptr_array_unref (self->unheard);
+  g_ptr_array_unref (self->unconfirmed_workers);
   g_hash_table_unref (self->jobs);
   g_free (self->service);
   g_free (self);
@@ -81,7 +81,7 @@
 {
   if (run->step == NULL || run->state != FB_RUN_RUNNING || run->step->shape->gang)
     return FALSE;
-  return run->step->shape->lasting || run->step->shape->checkpointing;
+  return run->step->shape->long_running || run->step->shape->checkpointing;
 }
 
 /* Tasks that last, or that keep what they did, are moved before the worker ends, once they may
@@ -99,7 +99,7 @@
   for (GList *l = runs; l != NULL && may_start; l = l->next)
     {
       FbPoolRun *run = l->data;
-      if (is_worth_moving (run) && !fb_pool_may_run_unheard (self, run->step))
+      if (is_worth_moving (run) && !fb_pool_may_run_unconfirmed (self, run->step))
         fb_pool_order_stop (self, worker, run, now_ms);
     }
 }
@@ -113,23 +113,23 @@
     {
       worker = fb_pool_worker_new (entry->id);
       worker->listed_ms = now_ms;
-      fb_pool_roster_add (self, worker);
-      fb_pool_closed_take (self, worker);
-      self->doubts_due = TRUE;
+      fb_pool_worker_slots_add (self, worker);
+      fb_pool_drain_apply (self, worker);
+      self->unresolved_losses_due = TRUE;
       self->workers_dirty = TRUE;
     }
   gboolean was_draining = worker->draining;
   gboolean has_moved = g_strcmp0 (worker->address, entry->address) != 0;
   if (has_moved)
-    fb_pool_life_forget (self, worker);
+    fb_pool_incarnation_forget (self, worker);
   fb_pool_worker_describe (worker, entry);
-  fb_pool_worker_opened (self, worker);
+  fb_pool_worker_gained_capacity (self, worker);
   if (is_new || was_draining != worker->draining)
     fb_event_log (FB_EVENT_POOL_WORKER_LISTED, "worker=%s address=%s cpu=%u gpu=%u draining=%d",
                   worker->id, worker->address, worker->cpu_milli, worker->gpu_count,
                   worker->draining);
   if (has_moved)
-    fb_pool_life_known (self, worker, now_ms);
+    fb_pool_incarnation_known (self, worker, now_ms);
   if (!worker->draining || was_draining)
     return;
   self->workers_dirty = TRUE;
@@ -143,9 +143,9 @@
   if (worker == NULL || !worker->listed)
     return;
   worker->listed = FALSE;
-  self->doubts_due = TRUE;
+  self->unresolved_losses_due = TRUE;
   fb_event_log (FB_EVENT_POOL_WORKER_UNLISTED, "worker=%s runs=%u heard_ms_ago=%u", id,
-                g_hash_table_size (worker->runs), (guint) (now_ms - worker->heard_ms));
+                g_hash_table_size (worker->runs), (guint) (now_ms - worker->last_answer_ms));
 }
 
 /* Failure: a worker's entry lapsed while the store was away, the owner changed, and the
@@ -156,19 +156,19 @@
 {
   for (u_int i = 0; i < record->workers.workers_len; i++)
     {
-      const fb_work_known *known = &record->workers.workers_val[i];
+      const fb_work_known_worker *known = &record->workers.workers_val[i];
       FbPoolWorker *worker = g_hash_table_lookup (self->workers, known->id);
       gboolean empty = known->closed && known->steps.steps_len == 0;
-      fb_pool_closed_restore (self, known);
+      fb_pool_drain_restore (self, known);
       if (worker == NULL && !empty)
         {
           worker = fb_pool_worker_new (known->id);
           worker->address = g_strdup (known->address);
-          fb_pool_roster_add (self, worker);
-          fb_pool_life_known (self, worker, self->began_ms);
+          fb_pool_worker_slots_add (self, worker);
+          fb_pool_incarnation_known (self, worker, self->began_ms);
         }
       if (worker != NULL)
-        fb_pool_closed_take (self, worker);
+        fb_pool_drain_apply (self, worker);
     }
 }
 
@@ -176,20 +176,20 @@
 fb_pool_workers_complete (FbPool *self)
 {
   self->workers_complete = TRUE;
-  self->doubts_due = TRUE;
+  self->unresolved_losses_due = TRUE;
 }
 
 static void
 forget_worker (FbPool *self, FbPoolWorker *worker)
 {
-  fb_pool_roster_remove (self, worker);
+  fb_pool_worker_slots_remove (self, worker);
   self->workers_dirty = TRUE;
 }
 
 static void
 tend_worker (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (!worker->gone && fb_pool_worker_lapsed (self, worker, now_ms))
+  if (!worker->runs_ended && fb_pool_worker_lapsed (self, worker, now_ms))
     fb_pool_worker_lost (self, worker, FB_LOSS_LEASE_ENDED, NULL, now_ms);
   GHashTableIter iter;
   gpointer value;
@@ -205,15 +205,15 @@
     }
   if (worker->draining)
     leave_draining (self, worker, now_ms);
-  fb_pool_stop_strays (self, worker, now_ms);
+  fb_pool_stop_orphans (self, worker, now_ms);
   fb_pool_crash_note_silence (self, worker, now_ms);
   fb_pool_crash_clear_lasted (self, worker);
   gboolean takes = fb_pool_worker_takes (worker, now_ms);
-  if (takes && !worker->took)
-    fb_pool_worker_opened (self, worker);
-  worker->took = takes;
-  if (now_ms >= worker->look_at_ms)
-    fb_pool_order_look (self, worker, now_ms);
+  if (takes && !worker->accepted_work)
+    fb_pool_worker_gained_capacity (self, worker);
+  worker->accepted_work = takes;
+  if (now_ms >= worker->next_poll_ms)
+    fb_pool_order_poll (self, worker, now_ms);
 }
 
 /* A worker that left is not looked at any more once nothing can run there: its life is
@@ -226,11 +226,11 @@
 static gboolean
 is_over (const FbPool *self, const FbPoolWorker *worker)
 {
-  if (worker->listed || worker->held_n > 0)
+  if (worker->listed || worker->reserved_n > 0)
     return FALSE;
-  if (worker->gone)
-    return !worker->look_open;
-  return self->settled && worker->answered && g_hash_table_size (worker->runs) == 0;
+  if (worker->runs_ended)
+    return !worker->poll_open;
+  return self->recovered && worker->answered && g_hash_table_size (worker->runs) == 0;
 }
 
 static void
@@ -238,8 +238,8 @@
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  self->hears_most = fb_pool_holds_majority (self, HEARS_MS, now_ms);
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  self->majority_answers = fb_pool_holds_majority (self, HEARS_MS, now_ms);
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       if (is_over (self, worker))
         forget_worker (self, worker);
@@ -255,12 +255,12 @@
   guint heard = 0;
   guint slot = 0;
   const FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       if (!worker->listed)
         continue;
       listed++;
-      heard += worker->answered && now_ms - worker->proof_ms <= within_ms;
+      heard += worker->answered && now_ms - worker->answered_poll_sent_ms <= within_ms;
     }
   return heard * 2 > listed;
 }
@@ -274,10 +274,10 @@
   if (g_hash_table_contains (self->jobs, id))
     return;
   FbPoolJob *job = fb_pool_job_new (id, record, now_ms, wall_ms);
-  job->restored = !self->settled;
-  job->untouched = fb_pool_is_untouched (self);
+  job->restored = !self->recovered;
+  job->never_started = fb_pool_has_no_earlier_starts (self);
   job->advised_when_stored = job->record.policy.advised;
-  fb_pool_hear_ends_first (self, job, now_ms);
+  fb_pool_await_unknown_ends (self, job, now_ms);
   g_hash_table_insert (self->jobs, job->id, job);
   g_hash_table_add (self->active, job);
   (void) fb_pool_job_release (self, job, wall_ms); /* nothing has ended yet */
@@ -286,7 +286,7 @@
   if (job->record.spec.steps.steps_len > 1)
     g_hash_table_add (self->chained, job);
   self->place_due = TRUE;
-  fb_pool_bind_runs (self, job);
+  fb_pool_adopt_runs (self, job);
   fb_event_log (
       FB_EVENT_JOB_TAKEN, "job=%s queue=%s steps=%u restored=%d age_ms=%u objective_ms=%u", id,
       job->record.policy.queue, job->record.spec.steps.steps_len, job->restored,
@@ -351,7 +351,7 @@
   fb_work_policy *mine = &job->record.policy;
   mine->priority = policy->priority;
   mine->max_attempts = policy->max_attempts;
-  mine->stretch_milli = policy->stretch_milli;
+  mine->stretch_factor_milli = policy->stretch_factor_milli;
   mine->target_ms = policy->target_ms;
   mine->advised = policy->advised;
   mine->advice_decision_us = policy->advice_decision_us;
@@ -390,24 +390,24 @@
 }
 
 void
-fb_pool_step (FbPool *self, gboolean may_start, uint64_t now_ms, uint64_t wall_ms)
+fb_pool_tick (FbPool *self, gboolean may_start, uint64_t now_ms, uint64_t wall_ms)
 {
   if (self->fenced)
     return;
   self->may_start = may_start;
-  gboolean tend = now_ms >= self->tended_ms + FB_POOL_TEND_EVERY_MS;
-  if (tend || !self->settled)
+  gboolean tend = now_ms >= self->last_maintenance_ms + FB_POOL_MAINTENANCE_INTERVAL_MS;
+  if (tend || !self->recovered)
     {
-      self->tended_ms = now_ms;
+      self->last_maintenance_ms = now_ms;
       tend_workers (self, now_ms);
-      fb_pool_doubts_tend (self, now_ms);
-      fb_pool_settle (self, now_ms);
+      fb_pool_unresolved_losses_check (self, now_ms);
+      fb_pool_check_recovery (self, now_ms);
     }
   fb_pool_crash_end_jobs (self, now_ms, wall_ms);
   if (!fb_pool_may_place (self) || !may_start)
     {
-      self->barred = may_start ? "majority" : "authority";
-      self->barred_ms = now_ms;
+      self->no_start_reason = may_start ? "majority" : "authority";
+      self->no_start_ms = now_ms;
       return;
     }
   if (tend)
--- a/standins/standin-platform-workers.c
+++ b/standins/standin-platform-workers.c
@@ -38,11 +38,11 @@
 typedef struct
 {
   guint index;
-  guint life;
+  guint incarnation;
   char *id;
-  gint64 born_ms;   /* since 1970 */
-  gint64 clock_ms;  /* sp_now_ms() when its clock showed 0 */
-  gboolean returns; /* the next life has the id of this one */
+  gint64 incarnation_started_ms; /* since 1970 */
+  gint64 clock_ms;               /* sp_now_ms() when its clock showed 0 */
+  gboolean returns;              /* the next life has the id of this one */
   gboolean up;
   gint64 back_ms;     /* when it starts again after a crash; 0: not by itself */
   char *old_id;       /* of the life that crashed, while it is listed */
@@ -55,7 +55,7 @@
   GPtrArray *runs;          /* of Run */
   GPtrArray *ends;          /* of End */
   GHashTable *over;         /* task -> its highest attempt that was stopped or has ended */
-  SpHeld look;              /* that waits for an end; its message is NULL for none */
+  SpHeld poll;              /* that waits for an end; its message is NULL for none */
 } Worker;
 
 static guint worker_n;
@@ -88,7 +88,7 @@
       "\",\"address\":\"127.0.0.1:%u\",\"state\":\"ready\",\"sequence\":"
       "%u,\"capacity\":{\"cpu\":%d,\"mem-mb\":65536,\"gpu\":0},\"labels\":[\"a\",\"r1\"],"
       "\"born\":%" G_GINT64_FORMAT "}",
-      listed[worker->index], sequence, WORKER_CPU, worker->born_ms);
+      listed[worker->index], sequence, WORKER_CPU, worker->incarnation_started_ms);
   sp_store_put ("keyed.servers/0", worker->id, worker->up ? entry : "");
   worker->listed_ms = worker->up ? sp_now_ms () : 0;
 }
@@ -287,7 +287,7 @@
   GString *out = g_string_new (NULL);
   g_string_printf (out,
                    "{\"clock-ms\":%" G_GINT64_FORMAT ",\"born\":%" G_GINT64_FORMAT ",\"running\":[",
-                   clock_of (worker), worker->born_ms);
+                   clock_of (worker), worker->incarnation_started_ms);
   for (guint i = 0; i < worker->runs->len; i++)
     {
       const Run *run = worker->runs->pdata[i];
@@ -309,11 +309,11 @@
 static void
 answer_held_look (Worker *worker)
 {
-  if (worker->look.message == NULL)
+  if (worker->poll.message == NULL)
     return;
   g_autofree char *text = look_text (worker);
-  sp_reply (worker->look.message, 200, text);
-  sp_release (&worker->look);
+  sp_reply (worker->poll.message, 200, text);
+  sp_release (&worker->poll);
 }
 
 /* A later look ends the wait of the one before. */
@@ -321,7 +321,7 @@
 hold_look (SoupServerMessage *message, Worker *worker, guint64 wait_ms)
 {
   answer_held_look (worker);
-  sp_hold (&worker->look, message, wait_ms);
+  sp_hold (&worker->poll, message, wait_ms);
 }
 
 static guint
@@ -341,11 +341,11 @@
 take_call (Worker *worker, SoupServerMessage *message, const char *path, JsonObject *body,
            char **answer)
 {
-  const char *life = soup_message_headers_get_one (
+  const char *incarnation = soup_message_headers_get_one (
       soup_server_message_get_request_headers (message), LIFE_HEADER);
   guint64 token = (guint64) json_object_get_int_member (body, "fencing-token");
   *answer = NULL;
-  if (life != NULL && !g_str_equal (life, worker->id))
+  if (incarnation != NULL && !g_str_equal (incarnation, worker->id))
     return 421;
   if (token < worker->token)
     {
@@ -436,8 +436,8 @@
 static void
 begin_life (Worker *worker)
 {
-  worker->life++;
-  worker->born_ms = g_get_real_time () / 1000;
+  worker->incarnation++;
+  worker->incarnation_started_ms = g_get_real_time () / 1000;
   worker->clock_ms = sp_now_ms () - FIRST_CLOCK_MS;
   worker->up = TRUE;
   worker->back_ms = 0;
@@ -448,7 +448,7 @@
   if (worker->returns)
     return;
   g_free (worker->id);
-  worker->id = g_strdup_printf ("i-%u-%u", worker->index, worker->life);
+  worker->id = g_strdup_printf ("i-%u-%u", worker->index, worker->incarnation);
   list_worker (worker, 0);
 }
 
@@ -478,10 +478,10 @@
   /* An end that nobody has acknowledged is lost with its worker: the task may be started again. */
   clear_ends (worker);
   g_hash_table_remove_all (worker->over);
-  if (worker->look.message == NULL)
+  if (worker->poll.message == NULL)
     return;
-  sp_reply (worker->look.message, 500, "{}");
-  sp_release (&worker->look);
+  sp_reply (worker->poll.message, 500, "{}");
+  sp_release (&worker->poll);
 }
 
 void
@@ -519,7 +519,7 @@
     {
       workers[i].index = i;
       workers[i].id = g_strdup_printf ("i-%u", i);
-      workers[i].born_ms = g_get_real_time () / 1000;
+      workers[i].incarnation_started_ms = g_get_real_time () / 1000;
       workers[i].up = TRUE;
       workers[i].runs = g_ptr_array_new_with_free_func (run_free);
       workers[i].ends = g_ptr_array_new_with_free_func (end_free);
@@ -557,7 +557,7 @@
       come_back (worker);
       end_runs (worker);
       unlist_silent (worker);
-      if (worker->ends->len > 0 || sp_now_ms () >= worker->look.until_ms)
+      if (worker->ends->len > 0 || sp_now_ms () >= worker->poll.until_ms)
         answer_held_look (worker);
     }
 }
--- a/standins/standin-workers.c
+++ b/standins/standin-workers.c
@@ -148,7 +148,7 @@
   standin_add_text (out, "tag", tag);
   standin_add_text (out, "state", states[run->state]);
   if (run->state == FB_SYNC_ENDED)
-    standin_add_text (out, "end", fb_news_name (run->news));
+    standin_add_text (out, "end", fb_run_status_name (run->run_status));
   standin_add_int (out, "cpu_milli", (gint64) run->usage.amount[FB_RES_CPU_MILLI]);
   standin_add_int (out, "mem_bytes", (gint64) run->usage.amount[FB_RES_MEM_BYTES]);
   standin_add_text (out, "answer", answer);
--- a/tests/busy-pool.c
+++ b/tests/busy-pool.c
@@ -8,11 +8,13 @@
   *step = (fb_work_step){
     .count = JOB_TASKS, .cpu_milli = TASK_CPU, .mem_mb = 100, .estimate_ms = 600000
   };
-  step->data_rack = step->required_label = step->image = "";
+  step->preferred_rack = step->required_label = step->image = "";
   *record = (fb_work_admit){ .accepted_ms = (uint64_t) g_get_real_time () / 1000 };
-  record->policy = (fb_work_policy){
-    .queue = QUEUE, .service = SERVICE, .max_attempts = 3, .stretch_milli = 2000, .target_ms = 1000
-  };
+  record->policy = (fb_work_policy){ .queue = QUEUE,
+                                     .service = SERVICE,
+                                     .max_attempts = 3,
+                                     .stretch_factor_milli = 2000,
+                                     .target_ms = 1000 };
   record->spec.payload = "600000";
   record->spec.steps.steps_len = 1;
   record->spec.steps.steps_val = step;
@@ -22,7 +24,7 @@
 on_start (gpointer user, const FbStartOrder *order)
 {
   BusyPool *play = user;
-  FbRunSeen run = { g_strdup (order->task), order->attempt, "" };
+  FbReportedRun run = { g_strdup (order->task), order->attempt, "" };
   g_array_append_val (play->workers[atoi (order->worker)].runs, run);
   g_array_append_val (play->starts, order->order);
   play->started_n++;
@@ -36,9 +38,9 @@
 }
 
 static void
-on_look (gpointer user, const FbLookOrder *order)
+on_look (gpointer user, const FbPollOrder *order)
 {
-  ((BusyPool *) user)->workers[atoi (order->worker)].look_open = TRUE;
+  ((BusyPool *) user)->workers[atoi (order->worker)].poll_open = TRUE;
 }
 
 static gboolean
@@ -67,9 +69,9 @@
 {
   BusyWorker *worker = &play->workers[i];
   g_autofree char *id = g_strdup_printf ("%u", i);
-  const FbLookAnswer answer = { .clock_ms = now_ms, .running = worker->runs, .finished = finished };
-  worker->look_open = FALSE;
-  fb_pool_look_answered (play->pool, id, &answer, now_ms, WALL_MS + now_ms);
+  const FbPollAnswer answer = { .clock_ms = now_ms, .running = worker->runs, .finished = finished };
+  worker->poll_open = FALSE;
+  fb_pool_poll_answered (play->pool, id, &answer, now_ms, WALL_MS + now_ms);
 }
 
 void
@@ -79,10 +81,10 @@
     fb_pool_start_answered (play->pool, g_array_index (play->starts, uint64_t, i), FB_ORDER_DONE,
                             now_ms, now_ms);
   g_array_set_size (play->starts, 0);
-  g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbEndSeen));
+  g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbReportedEnd));
   for (guint i = 0; i < WORKER_N; i++)
     {
-      if (play->workers[i].look_open)
+      if (play->workers[i].poll_open)
         answer_look (play, i, finished, now_ms);
     }
 }
@@ -91,10 +93,10 @@
 busy_pool_end_run (BusyPool *play, guint worker, uint64_t number, uint64_t now_ms)
 {
   GArray *runs = play->workers[worker].runs;
-  g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbEndSeen));
-  const FbRunSeen *run = &g_array_index (runs, FbRunSeen, 0);
+  g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbReportedEnd));
+  const FbReportedRun *run = &g_array_index (runs, FbReportedRun, 0);
   g_autofree char *task = g_strdup (run->task);
-  const FbEndSeen end = {
+  const FbReportedEnd end = {
     .number = number, .task = task, .attempt = run->attempt, .how = FB_END_DONE, .checkpoint = ""
   };
   g_array_append_val (finished, end);
@@ -105,7 +107,7 @@
 static void
 clear_run (gpointer run)
 {
-  g_free (((FbRunSeen *) run)->task);
+  g_free (((FbReportedRun *) run)->task);
 }
 
 void
@@ -156,12 +158,13 @@
 void
 busy_pool_begin (BusyPool *play, uint64_t now_ms)
 {
-  static const FbPoolLimits limits = { .hold_max_ms = 6000, .stop_ms = 200, .gang_wait_ms = 3000 };
+  static const FbPoolLimits limits
+      = { .max_lease_ms = 6000, .max_stop_ms = 200, .gang_wait_ms = 3000 };
   play->starts = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   play->pool = fb_pool_new (SERVICE, 1, &limits, &busy_pool_sink, play, now_ms);
   for (guint i = 0; i < WORKER_N; i++)
     {
-      play->workers[i].runs = g_array_new (FALSE, TRUE, sizeof (FbRunSeen));
+      play->workers[i].runs = g_array_new (FALSE, TRUE, sizeof (FbReportedRun));
       g_array_set_clear_func (play->workers[i].runs, clear_run);
     }
 }
--- a/tests/busy-pool.h
+++ b/tests/busy-pool.h
@@ -27,8 +27,8 @@
 
 typedef struct
 {
-  GArray *runs; /* of FbRunSeen */
-  gboolean look_open;
+  GArray *runs; /* of FbReportedRun */
+  gboolean poll_open;
 } BusyWorker;
 
 typedef struct
--- a/tests/oracle.c
+++ b/tests/oracle.c
@@ -134,7 +134,7 @@
 oracle_submit (Oracle *self, uint64_t now_ms, guint front, const fb_job *spec)
 {
   JobSeen *job = job_of (self, spec->id);
-  uint64_t due_ms = fb_deadline_after (now_ms, spec->left_ms);
+  uint64_t due_ms = fb_deadline_after (now_ms, spec->remaining_ms);
   if (job == NULL)
     {
       job = job_new (self, spec->id);
@@ -234,7 +234,7 @@
              TaskSeen *task)
 {
   gboolean over = !fb_res_fits (&self->used[worker], capacity);
-  gboolean doubled = task->live > 1 || ((job->flags & FB_FLAG_ONCE) && task->starts > 1);
+  gboolean doubled = task->live > 1 || ((job->flags & FB_FLAG_AT_MOST_ONCE) && task->starts > 1);
   self->counts.starts++;
   self->counts.over_capacity += over ? 1 : 0;
   self->counts.doubled += doubled ? 1 : 0;
@@ -242,7 +242,7 @@
     oracle_break (self, "worker %u was given more than it holds", worker);
   if (task->live > 1)
     oracle_break (self, "a task of job %" G_GUINT64_FORMAT " runs in two places", job->id);
-  if ((job->flags & FB_FLAG_ONCE) && task->starts > 1)
+  if ((job->flags & FB_FLAG_AT_MOST_ONCE) && task->starts > 1)
     oracle_break (self, "a once-only task of job %" G_GUINT64_FORMAT " was started twice", job->id);
   if (now_ms > job->due_ms)
     oracle_break (self, "job %" G_GUINT64_FORMAT " was started after its due time", job->id);
@@ -281,7 +281,8 @@
 }
 
 void
-oracle_end (Oracle *self, uint64_t now_ms, guint worker, const fb_spec *spec, FbNews news)
+oracle_end (Oracle *self, uint64_t now_ms, guint worker, const fb_spec *spec,
+            FbRunStatus run_status)
 {
   (void) now_ms;
   JobSeen *job = job_of (self, spec->run.job);
@@ -290,14 +291,14 @@
                 "oracle: end job=%016" G_GINT64_MODIFIER
                 "x task=%u attempt=%u worker=%u at=%" G_GUINT64_FORMAT " %s",
                 spec->run.job, spec->run.index, spec->run.attempt, worker, now_ms,
-                fb_news_name (news));
-  self->counts.completed += news == FB_NEWS_COMPLETED ? 1 : 0;
-  self->counts.failed += news == FB_NEWS_FAILED ? 1 : 0;
-  self->counts.stopped += news == FB_NEWS_STOPPED ? 1 : 0;
-  self->counts.lost += news == FB_NEWS_LOST ? 1 : 0;
+                fb_run_status_name (run_status));
+  self->counts.completed += run_status == FB_RUN_STATUS_COMPLETED ? 1 : 0;
+  self->counts.failed += run_status == FB_RUN_STATUS_FAILED ? 1 : 0;
+  self->counts.stopped += run_status == FB_RUN_STATUS_STOPPED ? 1 : 0;
+  self->counts.lost += run_status == FB_RUN_STATUS_LOST ? 1 : 0;
   task->live--;
   job->live--;
-  task->completed = task->completed || news == FB_NEWS_COMPLETED;
+  task->completed = task->completed || run_status == FB_RUN_STATUS_COMPLETED;
   fb_res_sub (&self->used[worker], &spec->demand);
 }
 
--- a/tests/oracle.h
+++ b/tests/oracle.h
@@ -20,7 +20,8 @@
 void oracle_answer (Oracle *self, uint64_t now_ms, guint front, const fb_answer *answer);
 void oracle_start (Oracle *self, uint64_t now_ms, guint worker, const fb_res *capacity,
                    const fb_spec *spec);
-void oracle_end (Oracle *self, uint64_t now_ms, guint worker, const fb_spec *spec, FbNews news);
+void oracle_end (Oracle *self, uint64_t now_ms, guint worker, const fb_spec *spec,
+                 FbRunStatus run_status);
 void oracle_leaving (Oracle *self, uint64_t now_ms, guint worker, gboolean leaving);
 void oracle_config (Oracle *self, uint32_t partner, uint64_t serial, GBytes *revision);
 /* No daemon holds the highest revision any more, only the log may. */
--- a/tests/quota.c
+++ b/tests/quota.c
@@ -49,7 +49,7 @@
 }
 
 static void
-look (Process *process, int64_t budget_us, int new_period)
+enforce_quota (Process *process, int64_t budget_us, int new_period)
 {
   int64_t now_us = process->gone ? -1 : read_us (process->clock);
   process->gone = now_us < 0;
@@ -89,7 +89,7 @@
       if (new_period)
         period_us = now_us;
       for (int i = 0; i < n; i++)
-        look (&processes[i], budget_us, new_period);
+        enforce_quota (&processes[i], budget_us, new_period);
       struct timespec pause = { 0, LOOK_US * 1000 };
       nanosleep (&pause, NULL);
     }
--- a/tests/test-calls.c
+++ b/tests/test-calls.c
@@ -192,7 +192,7 @@
 make_append (FbHttpCall *call, const char *address, const char *writer)
 {
   g_autoptr (GByteArray) records = g_byte_array_new ();
-  fb_wire_put_record (records, "key", NULL);
+  fb_wire_encode_record (records, "key", NULL);
   g_autoptr (GBytes) body = g_bytes_new (records->data, records->len);
   fb_wire_append (call, address, FB_TOPIC_JOBS, 0, body, writer, 1, 1);
 }
@@ -226,7 +226,7 @@
 order_came_to (const FbHttpReply *reply)
 {
   uint64_t clock_ms = 0;
-  return fb_order_result_name (fb_wire_order_result (reply, &clock_ms));
+  return fb_order_result_name (fb_wire_parse_order_result (reply, &clock_ms));
 }
 
 static const char *
@@ -236,8 +236,8 @@
                                        [FB_APPEND_NOT_STORED] = "not-stored",
                                        [FB_APPEND_IN_DOUBT] = "in-doubt",
                                        [FB_APPEND_FENCED] = "fenced",
-                                       [FB_APPEND_SEQUENCE] = "sequence" };
-  return names[fb_wire_append_result (reply)];
+                                       [FB_APPEND_OUT_OF_SEQUENCE] = "sequence" };
+  return names[fb_wire_parse_append (reply)];
 }
 
 static const struct
--- a/tests/test-entry.c
+++ b/tests/test-entry.c
@@ -1,6 +1,6 @@
 /* Parts of a daemon on the platform that need no network. */
-#include "src/entry/advice/advice-share.h"
-#include "src/entry/advice/turns.h"
+#include "src/entry/advice/advice-balancer.h"
+#include "src/entry/advice/fair-share.h"
 #include "src/entry/loop-watch.h"
 #include "src/entry/settings.h"
 #include "src/entry/store/join-watch.h"
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -149,7 +149,7 @@
                       .url = g_strdup_printf ("http://%s/", store->address),
                       .content_type = body != NULL ? "application/octet-stream" : NULL,
                       .body = body,
-                      .silence_ms = SILENCE_MS };
+                      .idle_timeout_ms = SILENCE_MS };
   Seen seen = { .began_ms = fb_clock_ms () };
   fb_http_client_exchange (client, &call, WHOLE_MS, on_done, &seen);
   fb_http_call_clear (&call);
@@ -248,7 +248,7 @@
   FbHttpCall call = { .method = "GET",
                       .idempotent = TRUE,
                       .url = g_strdup_printf ("http://%s/", store->address),
-                      .silence_ms = SILENCE_MS };
+                      .idle_timeout_ms = SILENCE_MS };
   Seen seen = { .began_ms = fb_clock_ms () };
   fb_http_client_exchange (client, &call, WHOLE_MS, on_done, &seen);
   fb_http_call_clear (&call);
@@ -270,14 +270,14 @@
   FbHttpCall call = { .method = "GET",
                       .idempotent = TRUE,
                       .url = g_strdup_printf ("http://%s/", store->address),
-                      .silence_ms = SILENCE_MS };
+                      .idle_timeout_ms = SILENCE_MS };
   Seen dropped = { .began_ms = fb_clock_ms () };
   Seen kept = { .began_ms = fb_clock_ms () };
   fb_http_client_exchange (client, &call, WHOLE_MS, on_done, &dropped);
   while (g_atomic_int_get (&store->calls_n) == 0 && fb_clock_ms () < kept.began_ms + PATIENCE_MS)
     g_main_context_iteration (NULL, TRUE);
   fb_http_client_exchange (client, &call, WHOLE_MS, on_done, &kept);
-  fb_http_client_drop (client, &dropped);
+  fb_http_client_cancel (client, &dropped);
   while (!kept.done && fb_clock_ms () < kept.began_ms + PATIENCE_MS)
     g_main_context_iteration (NULL, TRUE);
   fb_http_call_clear (&call);
@@ -293,7 +293,7 @@
 on_done_drop (gpointer user, const FbHttpReply *reply)
 {
   on_done (user, reply);
-  fb_http_client_drop (dropping, user);
+  fb_http_client_cancel (dropping, user);
 }
 
 /* A reader that goes when its listing is complete drops its calls while it is told of one: the
@@ -309,7 +309,7 @@
       FbHttpCall call = { .method = "GET",
                           .idempotent = TRUE,
                           .url = g_strdup_printf ("http://%s/", store->address),
-                          .silence_ms = SILENCE_MS };
+                          .idle_timeout_ms = SILENCE_MS };
       Seen seen = { .began_ms = fb_clock_ms () };
       fb_http_client_exchange (dropping, &call, WHOLE_MS, on_done_drop, &seen);
       fb_http_call_clear (&call);
@@ -348,8 +348,8 @@
   renew (keepalive, store, began_ms);
   g_usleep (BUSY_MS * 1000);
   CU_ASSERT_TRUE (g_atomic_int_get (&store->calls_n) >= 2);
-  CU_ASSERT_TRUE (fb_keepalive_kept_ms (keepalive, FB_MEMBERSHIP_OWNERS) > began_ms);
-  fb_keepalive_forget (keepalive, FB_MEMBERSHIP_OWNERS);
+  CU_ASSERT_TRUE (fb_keepalive_renewed_ms (keepalive, FB_MEMBERSHIP_OWNERS) > began_ms);
+  fb_keepalive_cancel (keepalive, FB_MEMBERSHIP_OWNERS);
   g_usleep (TTL_MS * 1000 / 4); /* a repeat may have been open */
   gint calls_n = g_atomic_int_get (&store->calls_n);
   g_usleep (TTL_MS * 1000);
@@ -366,7 +366,7 @@
   FbKeepalive *keepalive = fb_keepalive_new ();
   renew (keepalive, store, fb_clock_ms () - 2 * TTL_MS);
   g_usleep (4 * TTL_MS * 1000);
-  CU_ASSERT_EQUAL (fb_keepalive_kept_ms (keepalive, FB_MEMBERSHIP_OWNERS), 0);
+  CU_ASSERT_EQUAL (fb_keepalive_renewed_ms (keepalive, FB_MEMBERSHIP_OWNERS), 0);
   gint calls_n = g_atomic_int_get (&store->calls_n);
   CU_ASSERT_TRUE (calls_n >= 2);
   g_usleep (TTL_MS * 1000);
@@ -405,7 +405,7 @@
   ((Listing *) user)->listed = TRUE;
 }
 
-static const FbFollowerOps listing_ops = { on_begin, on_record, on_listed };
+static const FbTopicReaderOps listing_ops = { on_begin, on_record, on_listed };
 
 static GBytes *
 jobs_page (gboolean more)
@@ -434,13 +434,14 @@
   FbEntry entry = { .settings = &settings, .store_client = fb_http_client_new () };
   Listing listing = { 0 };
   uint64_t began_ms = fb_clock_ms ();
-  FbFollower *follower = fb_follower_new (&entry, FB_TOPIC_JOBS, 0, 0, &listing_ops, &listing);
+  FbTopicReader *follower
+      = fb_topic_reader_new (&entry, FB_TOPIC_JOBS, 0, 0, &listing_ops, &listing);
   while (!listing.listed && fb_clock_ms () < began_ms + PATIENCE_MS)
     g_main_context_iteration (NULL, TRUE);
   CU_ASSERT_TRUE (listing.listed);
   CU_ASSERT_EQUAL (listing.records_n, JOB_N);
   CU_ASSERT_EQUAL (g_atomic_int_get (&store->calls_n), 1);
-  fb_follower_free (follower);
+  fb_topic_reader_free (follower);
   fb_http_client_free (entry.store_client);
 }
 
@@ -459,13 +460,14 @@
   FbEntry entry = { .settings = &settings, .store_client = fb_http_client_new () };
   Listing listing = { 0 };
   uint64_t began_ms = fb_clock_ms ();
-  FbFollower *follower = fb_follower_new (&entry, FB_TOPIC_JOBS, 0, 0, &listing_ops, &listing);
+  FbTopicReader *follower
+      = fb_topic_reader_new (&entry, FB_TOPIC_JOBS, 0, 0, &listing_ops, &listing);
   while (!listing.listed && fb_clock_ms () < began_ms + PATIENCE_MS)
     g_main_context_iteration (NULL, TRUE);
   CU_ASSERT_EQUAL (listing.records_n, 2 * JOB_N);
   /* The first page took this long to come. */
-  CU_ASSERT_TRUE (fb_follower_fresh_ms (follower) < began_ms + LISTING_PIECES * PIECE_MS);
-  fb_follower_free (follower);
+  CU_ASSERT_TRUE (fb_topic_reader_fresh_ms (follower) < began_ms + LISTING_PIECES * PIECE_MS);
+  fb_topic_reader_free (follower);
   fb_http_client_free (entry.store_client);
 }
 
--- a/tests/test-pool.c
+++ b/tests/test-pool.c
@@ -117,7 +117,7 @@
 }
 
 static void
-on_look (gpointer user, const FbLookOrder *order)
+on_look (gpointer user, const FbPollOrder *order)
 {
   if (((Script *) user)->show_looks)
     printf ("  look at %s acknowledged=%" G_GUINT64_FORMAT " wait=%u%s\n", order->worker,
@@ -150,15 +150,16 @@
 
 /* Lives are called ID@N here. */
 static gboolean
-follows (const char *life, const char *other)
+is_newer_incarnation (const char *incarnation, const char *other)
 {
-  g_auto (GStrv) parts = g_strsplit (life, "@", 2);
+  g_auto (GStrv) parts = g_strsplit (incarnation, "@", 2);
   g_auto (GStrv) other_parts = g_strsplit (other, "@", 2);
   return parts[1] != NULL && other_parts[1] != NULL && g_str_equal (parts[0], other_parts[0])
          && atoi (parts[1]) > atoi (other_parts[1]);
 }
 
-static const FbPoolSink sink = { on_start, on_stop, on_look, on_advise, on_fenced, follows };
+static const FbPoolSink sink
+    = { on_start, on_stop, on_look, on_advise, on_fenced, is_newer_incarnation };
 
 /* ---- pools ------------------------------------------------------------------------ */
 
@@ -177,7 +178,7 @@
           .mem_mb = (uint32_t) number (script, "mem", 32000),
           .gpu_count = (uint32_t) number (script, "gpu", 0),
           .draining = flag (script, "draining"),
-          .returns = strchr (words[1], '@') != NULL };
+          .may_restart = strchr (words[1], '@') != NULL };
   fb_pool_worker_listed (script->pool, &entry, script->now_ms);
   script->words = saved;
 }
@@ -186,7 +187,7 @@
 open_pool (Script *script, uint64_t epoch)
 {
   static const FbPoolLimits limits
-      = { .hold_max_ms = 6000, .stop_ms = 200, .gang_wait_ms = 3000, .ends_listed_n = 10 };
+      = { .max_lease_ms = 6000, .max_stop_ms = 200, .gang_wait_ms = 3000, .max_reported_ends = 10 };
   g_clear_pointer (&script->pool, fb_pool_free);
   script->pool = fb_pool_new ("svc", epoch, &limits, &sink, script, script->now_ms);
   if (script->flush != NULL)
@@ -262,11 +263,11 @@
       char **words = g_strsplit (line, " ", -1);
       g_hash_table_replace (script->workers, g_strdup (words[1]), words);
       list_worker (script, words);
-      g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbRunSeen));
-      g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbEndSeen));
-      const FbLookAnswer answer
+      g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbReportedRun));
+      g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbReportedEnd));
+      const FbPollAnswer answer
           = { .clock_ms = script->now_ms, .running = running, .finished = finished };
-      fb_pool_look_answered (script->pool, words[1], &answer, script->now_ms, wall_ms (script));
+      fb_pool_poll_answered (script->pool, words[1], &answer, script->now_ms, wall_ms (script));
     }
 }
 
@@ -295,7 +296,7 @@
   step->mem_mb = 100;
   step->estimate_ms = 1000;
   step->after.after_val = calloc (FB_WORK_MAX_STEPS, sizeof (u_int));
-  step->data_rack = step->required_label = step->image = "";
+  step->preferred_rack = step->required_label = step->image = "";
   for (guint i = 1; parts[i] != NULL; i++)
     {
       const char *value = strchr (parts[i], '=');
@@ -315,7 +316,7 @@
       else if (g_str_equal (parts[i], "gang"))
         step->gang = TRUE;
       else if (g_str_equal (parts[i], "lasting"))
-        step->lasting = TRUE;
+        step->long_running = TRUE;
       else if (g_str_equal (parts[i], "saves"))
         step->checkpointing = TRUE;
       else if (g_str_equal (parts[i], "copies"))
@@ -334,7 +335,7 @@
   record->policy.service = "svc";
   record->policy.priority = (u_int) number (script, "priority", 0);
   record->policy.max_attempts = (u_int) number (script, "attempts", 3);
-  record->policy.stretch_milli = 2000;
+  record->policy.stretch_factor_milli = 2000;
   record->policy.target_ms = (u_int) number (script, "target", 1000);
   record->policy.advised = flag (script, "advised");
   record->policy.advice_decision_us = 20000;
@@ -404,9 +405,9 @@
   for (guint i = 0; items[i] != NULL; i++)
     {
       g_auto (GStrv) parts = g_strsplit (items[i], "/", 3);
-      FbRunSeen run = { .task = full (parts[0]),
-                        .attempt = (uint32_t) atoi (parts[1]),
-                        .checkpoint = g_strdup (parts[2] != NULL ? parts[2] : "") };
+      FbReportedRun run = { .task = full (parts[0]),
+                            .attempt = (uint32_t) atoi (parts[1]),
+                            .checkpoint = g_strdup (parts[2] != NULL ? parts[2] : "") };
       g_array_append_val (running, run);
     }
 }
@@ -426,11 +427,11 @@
         how++;
       if (hows[how] == NULL)
         fail (script, "unknown end");
-      FbEndSeen end = { .number = g_ascii_strtoull (parts[0], NULL, 10),
-                        .task = full (parts[1]),
-                        .attempt = (uint32_t) atoi (parts[2]),
-                        .how = (FbEndHow) how,
-                        .checkpoint = g_strdup (parts[4] != NULL ? parts[4] : "") };
+      FbReportedEnd end = { .number = g_ascii_strtoull (parts[0], NULL, 10),
+                            .task = full (parts[1]),
+                            .attempt = (uint32_t) atoi (parts[2]),
+                            .how = (FbEndReason) how,
+                            .checkpoint = g_strdup (parts[4] != NULL ? parts[4] : "") };
       g_array_append_val (finished, end);
     }
 }
@@ -438,17 +439,17 @@
 static void
 do_look (Script *script)
 {
-  g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbRunSeen));
-  g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbEndSeen));
+  g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbReportedRun));
+  g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbReportedEnd));
   const char *result = option (script, "result");
-  FbLookAnswer answer = { .result = result != NULL ? result_from (script, result) : FB_ORDER_DONE,
+  FbPollAnswer answer = { .result = result != NULL ? result_from (script, result) : FB_ORDER_DONE,
                           .clock_ms = number (script, "clock", script->now_ms),
                           .running = running,
                           .finished = finished,
-                          .life = (char *) option (script, "life") };
+                          .incarnation = (char *) option (script, "life") };
   read_running (option (script, "running"), running);
   read_ends (script, option (script, "ends"), finished);
-  fb_pool_look_answered (script->pool, script->words[1], &answer, script->now_ms, wall_ms (script));
+  fb_pool_poll_answered (script->pool, script->words[1], &answer, script->now_ms, wall_ms (script));
 }
 
 static uint64_t
@@ -485,7 +486,7 @@
   const char *list = option (script, "allowed");
   g_auto (GStrv) allowed = g_strsplit (list != NULL ? list : "", ",", -1);
   guint n = g_strv_length (allowed);
-  fb_told_advice told = { .validity_ms = (u_int) number (script, "valid", 2000) };
+  fb_advice_reply told = { .validity_ms = (u_int) number (script, "valid", 2000) };
   told.tickets.tickets_len = n;
   told.tickets.tickets_val = calloc (n + 1, sizeof (fb_ticket));
   for (guint i = 0; i < n; i++)
@@ -505,7 +506,7 @@
 {
   if (script->words[1] != NULL)
     script->now_ms += g_ascii_strtoull (script->words[1], NULL, 10);
-  fb_pool_step (script->pool, TRUE, script->now_ms, wall_ms (script));
+  fb_pool_tick (script->pool, TRUE, script->now_ms, wall_ms (script));
 }
 
 static gint
@@ -576,18 +577,18 @@
   const char *address = option (script, "address") != NULL ? option (script, "address") : worker;
   fb_recent_start start
       = { (char *) worker, (char *) address, task, (u_int) atoi (parts[1]), flag (script, "seen") };
-  const fb_told_starts told = { { 1, &start } };
-  fb_pool_recall_starts (script->pool, &told, script->now_ms);
+  const fb_recent_starts_reply told = { { 1, &start } };
+  fb_pool_import_starts (script->pool, &told, script->now_ms);
 }
 
 /* Other daemons take what they are to keep, or to forget. */
 static void
 do_keep (Script *script)
 {
-  g_autoptr (GPtrArray) unstored = fb_pool_unstored (script->pool, script->now_ms);
+  g_autoptr (GPtrArray) unstored = fb_pool_take_unstored_suspects (script->pool, script->now_ms);
   for (guint i = 0; unstored != NULL && i < unstored->len; i++)
     {
-      const FbPoolUnstored *row = unstored->pdata[i];
+      const FbPoolUnstoredSuspects *row = unstored->pdata[i];
       printf ("  %s %s\n", row->suspects != NULL ? "keep" : "forget", brief (row->job));
       if (row->suspects != NULL)
         g_hash_table_replace (script->kept, g_strdup (row->job), g_bytes_ref (row->suspects));
@@ -611,7 +612,7 @@
       fb_work_suspects suspects;
       if (!fb_codec_decode_suspects (data, len, &suspects))
         fail (script, "what is kept is malformed");
-      fb_pool_recall_unstored (script->pool, job, &suspects, script->now_ms);
+      fb_pool_import_suspects (script->pool, job, &suspects, script->now_ms);
       xdr_free ((xdrproc_t) xdr_fb_work_suspects, (char *) &suspects);
     }
 }
--- a/tests/test-recent-starts.c
+++ b/tests/test-recent-starts.c
@@ -11,8 +11,8 @@
 static guint
 told_n (const FbRecentStarts *self, uint64_t now_ms, fb_recent_start *first)
 {
-  fb_told_starts told;
-  fb_recent_starts_tell (self, now_ms, &told);
+  fb_recent_starts_reply told;
+  fb_recent_starts_list (self, now_ms, &told);
   guint n = told.starts.starts_len;
   if (n > 0 && first != NULL)
     *first = told.starts.starts_val[0];
@@ -21,16 +21,17 @@
 }
 
 static void
-look (FbRecentStarts *self, FbOrderResult result, const FbRunSeen *run, const FbEndSeen *end)
+note_poll (FbRecentStarts *self, FbOrderResult result, const FbReportedRun *run,
+           const FbReportedEnd *end)
 {
-  g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbRunSeen));
-  g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbEndSeen));
+  g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbReportedRun));
+  g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbReportedEnd));
   if (run != NULL)
     g_array_append_val (running, *run);
   if (end != NULL)
     g_array_append_val (finished, *end);
-  const FbLookAnswer answer = { .result = result, .running = running, .finished = finished };
-  fb_recent_starts_looked (self, "w1", &answer);
+  const FbPollAnswer answer = { .result = result, .running = running, .finished = finished };
+  fb_recent_starts_polled (self, "w1", &answer);
 }
 
 /* Guards against: a start at a worker that crashed is forgotten with its owner. */
@@ -42,7 +43,7 @@
   fb_recent_starts_sent (self, "w1", "10.0.0.1:7", TASK, 3, NOW_MS);
   fb_recent_starts_answered (self, "w1", TASK, 3, FB_ORDER_DONE);
   CU_ASSERT_EQUAL (told_n (self, NOW_MS, NULL), 0);
-  look (self, FB_ORDER_UNKNOWN, NULL, NULL);
+  note_poll (self, FB_ORDER_UNKNOWN, NULL, NULL);
   CU_ASSERT_EQUAL_FATAL (told_n (self, NOW_MS, &first), 1);
   CU_ASSERT_STRING_EQUAL (first.worker, "w1");
   CU_ASSERT_STRING_EQUAL (first.address, "10.0.0.1:7");
@@ -58,13 +59,13 @@
 {
   FbRecentStarts *self = fb_recent_starts_new ();
   fb_recent_start first = { .worker = "", .address = "", .task = "" };
-  const FbRunSeen run = { .task = (char *) TASK, .attempt = 1 };
+  const FbReportedRun run = { .task = (char *) TASK, .attempt = 1 };
   fb_recent_starts_sent (self, "w1", "a", TASK, 1, NOW_MS);
   fb_recent_starts_answered (self, "w1", TASK, 1, FB_ORDER_UNKNOWN);
   CU_ASSERT_EQUAL (told_n (self, NOW_MS, &first), 1);
   CU_ASSERT_FALSE (first.seen);
-  look (self, FB_ORDER_DONE, &run, NULL);
-  look (self, FB_ORDER_OTHER_LIFE, NULL, NULL);
+  note_poll (self, FB_ORDER_DONE, &run, NULL);
+  note_poll (self, FB_ORDER_OTHER_INCARNATION, NULL, NULL);
   CU_ASSERT_EQUAL (told_n (self, NOW_MS, &first), 1);
   CU_ASSERT_TRUE (first.seen);
   fb_recent_starts_free (self);
@@ -75,17 +76,17 @@
 test_what_is_over_is_not_told (void)
 {
   FbRecentStarts *self = fb_recent_starts_new ();
-  const FbEndSeen end = { .number = 1, .task = (char *) TASK, .attempt = 2 };
+  const FbReportedEnd end = { .number = 1, .task = (char *) TASK, .attempt = 2 };
   fb_recent_starts_sent (self, "w1", "a", TASK, 1, NOW_MS);
-  fb_recent_starts_answered (self, "w1", TASK, 1, FB_ORDER_NO_ROOM);
+  fb_recent_starts_answered (self, "w1", TASK, 1, FB_ORDER_NO_CAPACITY);
   fb_recent_starts_sent (self, "w1", "a", TASK, 2, NOW_MS);
-  look (self, FB_ORDER_DONE, NULL, &end);
+  note_poll (self, FB_ORDER_DONE, NULL, &end);
   fb_recent_starts_sent (self, "w1", "a", OTHER_TASK, 1, NOW_MS);
-  look (self, FB_ORDER_UNKNOWN, NULL, NULL);
+  note_poll (self, FB_ORDER_UNKNOWN, NULL, NULL);
   fb_recent_start first = { .worker = "", .address = "", .task = "" };
   CU_ASSERT_EQUAL_FATAL (told_n (self, NOW_MS, &first), 1);
   CU_ASSERT_STRING_EQUAL (first.task, OTHER_TASK);
-  fb_recent_starts_answered (self, "w1", OTHER_TASK, 1, FB_ORDER_OTHER_LIFE);
+  fb_recent_starts_answered (self, "w1", OTHER_TASK, 1, FB_ORDER_OTHER_INCARNATION);
   CU_ASSERT_EQUAL (told_n (self, NOW_MS, NULL), 0);
   fb_recent_starts_free (self);
 }
@@ -114,11 +115,11 @@
   FbRecentStarts *self = fb_recent_starts_new ();
   fb_recent_starts_sent (self, "w1", "a", TASK, 1, NOW_MS);
   fb_recent_starts_answered (self, "w1", TASK, 1, FB_ORDER_DONE);
-  look (self, FB_ORDER_DONE, NULL, NULL);
-  look (self, FB_ORDER_UNKNOWN, NULL, NULL);
+  note_poll (self, FB_ORDER_DONE, NULL, NULL);
+  note_poll (self, FB_ORDER_UNKNOWN, NULL, NULL);
   CU_ASSERT_EQUAL (told_n (self, NOW_MS, NULL), 1);
-  look (self, FB_ORDER_DONE, NULL, NULL);
-  look (self, FB_ORDER_UNKNOWN, NULL, NULL);
+  note_poll (self, FB_ORDER_DONE, NULL, NULL);
+  note_poll (self, FB_ORDER_UNKNOWN, NULL, NULL);
   CU_ASSERT_EQUAL (told_n (self, NOW_MS, NULL), 0);
   fb_recent_starts_free (self);
 }
@@ -133,9 +134,9 @@
   for (guint i = 1; i < 3 * FB_WORK_MAX_STARTS; i++)
     {
       fb_recent_starts_sent (self, "w2", "a", TASK, i, NOW_MS);
-      fb_recent_starts_answered (self, "w2", TASK, i, FB_ORDER_LATE);
+      fb_recent_starts_answered (self, "w2", TASK, i, FB_ORDER_PAST_DEADLINE);
     }
-  look (self, FB_ORDER_UNKNOWN, NULL, NULL);
+  note_poll (self, FB_ORDER_UNKNOWN, NULL, NULL);
   CU_ASSERT_EQUAL (told_n (self, NOW_MS, NULL), 1);
   fb_recent_starts_free (self);
 }
--- a/tests/test-carry.c
+++ b/tests/test-relay.c
@@ -123,11 +123,11 @@
 } Served;
 
 static void
-on_served (gpointer user, const fb_told *told)
+on_served (gpointer user, const fb_peer_reply *told)
 {
   Served *served = user;
-  served->carrier->lacked_n += told->type == FB_TOLD_NO_PAYLOAD;
-  g_autoptr (GBytes) body = fb_codec_encode_told (told);
+  served->carrier->lacked_n += told->type == FB_REPLY_PAYLOAD_MISSING;
+  g_autoptr (GBytes) body = fb_codec_encode_peer_reply (told);
   fb_link_call_answer (served->call, body);
   g_free (served);
 }
@@ -136,17 +136,17 @@
 serve_carrier (gpointer data, FbLinkCall *call, gconstpointer body, gsize len)
 {
   Carrier *self = data;
-  fb_ask ask;
-  CU_ASSERT_TRUE_FATAL (fb_codec_decode_ask (body, len, &ask));
-  if (*ask.fb_ask_u.order.payload != '\0')
+  fb_peer_request ask;
+  CU_ASSERT_TRUE_FATAL (fb_codec_decode_peer_request (body, len, &ask));
+  if (*ask.fb_peer_request_u.order.payload != '\0')
     self->whole_n++;
   else
     self->named_n++;
   Served *served = g_new0 (Served, 1);
   served->carrier = self;
   served->call = call;
-  fb_relay_serve (&self->entry, &ask.fb_ask_u.order, on_served, served);
-  xdr_free ((xdrproc_t) xdr_fb_ask, (char *) &ask);
+  fb_relay_serve (&self->entry, &ask.fb_peer_request_u.order, on_served, served);
+  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &ask);
 }
 
 typedef struct
@@ -156,7 +156,7 @@
 } Seen;
 
 static void
-on_carried (gpointer user, FbRelayResult result, const fb_told_order *told)
+on_carried (gpointer user, FbRelayResult result, const fb_relay_reply *told)
 {
   Seen *seen = user;
   (void) told;
@@ -174,15 +174,15 @@
 static void
 carry (FbEntry *entry, const char *address, const char *task, const char *payload, Seen *seen)
 {
-  const fb_ask_order order = { .kind = FB_CARRY_START,
-                               .worker = "i-1",
-                               .address = "127.0.0.1:1",
-                               .task = (char *) task,
-                               .payload = (char *) payload,
-                               .checkpoint = "",
-                               .ticket = "" };
+  const fb_relay_request order = { .kind = FB_ORDER_KIND_START,
+                                   .worker = "i-1",
+                                   .address = "127.0.0.1:1",
+                                   .task = (char *) task,
+                                   .payload = (char *) payload,
+                                   .checkpoint = "",
+                                   .ticket = "" };
   guint before_n = seen->done_n;
-  fb_relay_carry (entry, address, &order, on_carried, seen);
+  fb_relay_send (entry, address, &order, on_carried, seen);
   guint tend = g_timeout_add (10, on_tend, entry->links);
   while (seen->done_n == before_n)
     g_main_context_iteration (NULL, TRUE);
@@ -237,13 +237,13 @@
   FbLinkUse sent;
   FbLinkUse received;
   totals.sent_bytes[FB_TRAFFIC_GROUP] = 1000;
-  totals.sent_bytes[FB_TRAFFIC_CARRIED_ORDERS] = 200000;
+  totals.sent_bytes[FB_TRAFFIC_RELAYED_ORDERS] = 200000;
   CU_ASSERT_FALSE (fb_link_watch_turn (watch, &totals, 3000, &sent, &received));
   totals.sent_bytes[FB_TRAFFIC_GROUP] += 1000;
-  totals.sent_bytes[FB_TRAFFIC_CARRIED_ORDERS] += 300000;
+  totals.sent_bytes[FB_TRAFFIC_RELAYED_ORDERS] += 300000;
   CU_ASSERT_TRUE (fb_link_watch_turn (watch, &totals, 5000, &sent, &received));
   CU_ASSERT_EQUAL (sent.kbit_s, 1204);
-  CU_ASSERT_EQUAL (sent.most, FB_TRAFFIC_CARRIED_ORDERS);
+  CU_ASSERT_EQUAL (sent.most, FB_TRAFFIC_RELAYED_ORDERS);
   CU_ASSERT_EQUAL (sent.most_kbit_s, 1200);
   CU_ASSERT_EQUAL (received.kbit_s, 0);
   CU_ASSERT_FALSE (fb_link_watch_turn (watch, &totals, 7000, &sent, &received));
--- a/tests/test-rounds.c
+++ b/tests/test-rounds.c
@@ -18,7 +18,7 @@
 static uint64_t
 step_once (BusyPool *play, uint64_t now_ms)
 {
-  fb_pool_step (play->pool, TRUE, now_ms, WALL_MS + now_ms);
+  fb_pool_tick (play->pool, TRUE, now_ms, WALL_MS + now_ms);
   busy_pool_answer_all (play, now_ms);
   return now_ms + STEP_MS;
 }
@@ -50,7 +50,7 @@
   for (guint i = 0; i < WORKER_N; i++)
     {
       for (guint j = 0; j < play->workers[i].runs->len; j++)
-        if (g_str_has_prefix (g_array_index (play->workers[i].runs, FbRunSeen, j).task, job))
+        if (g_str_has_prefix (g_array_index (play->workers[i].runs, FbReportedRun, j).task, job))
           return TRUE;
     }
   return FALSE;
@@ -103,7 +103,7 @@
       fb_pool_cancel (play.pool, id, now_ms, WALL_MS + now_ms);
       for (guint k = 0; k < WORKER_N; k++)
         for (guint r = 0; r < play.workers[k].runs->len; r++)
-          if (g_array_index (play.workers[k].runs, FbRunSeen, r).task[0] == 'f')
+          if (g_array_index (play.workers[k].runs, FbReportedRun, r).task[0] == 'f')
             {
               g_array_remove_index (play.workers[k].runs, r);
               break;
@@ -156,7 +156,7 @@
       while (play.pool->place_from > 0)
         now_ms = step_once (&play, now_ms);
       const FbPoolWorker *mine = g_hash_table_lookup (play.pool->workers, "0");
-      missed += play.started_n == before && !mine->opened;
+      missed += play.started_n == before && !mine->gained_capacity;
       busy_pool_list_worker (&play, IDLE, "none", now_ms);
       for (uint64_t end_ms = now_ms + 1000; now_ms < end_ms;)
         now_ms = step_once (&play, now_ms);
@@ -191,7 +191,7 @@
       if (play.pool->place_from == 0)
         for (guint i = 0; i < WORKER_N; i++)
           busy_pool_list_worker (&play, i, "a", now_ms);
-      fb_pool_step (play.pool, TRUE, now_ms, WALL_MS + now_ms);
+      fb_pool_tick (play.pool, TRUE, now_ms, WALL_MS + now_ms);
       most = MAX (most, play.pool->visits_n);
       busy_pool_answer_all (&play, now_ms);
       now_ms += STEP_MS;
--- a/tests/test-script.c
+++ b/tests/test-script.c
@@ -69,7 +69,7 @@
                    .count = (uint32_t) option (args, "tasks", 1),
                    .deadline_ms = option (args, "deadline", 0),
                    .run_ms = option (args, "run", 500) };
-  job.flags = (has_word (args, "once") ? FB_FLAG_ONCE : 0)
+  job.flags = (has_word (args, "once") ? FB_FLAG_AT_MOST_ONCE : 0)
               | (has_word (args, "preemptible") ? FB_FLAG_PREEMPTIBLE : 0)
               | (has_word (args, "ephemeral") ? FB_FLAG_EPHEMERAL : 0);
   job.demand = (fb_res){ { option (args, "cpu", 1) * 1000, 1ull << 30, option (args, "accel", 0),
--- a/tests/test-signals.c
+++ b/tests/test-signals.c
@@ -84,9 +84,9 @@
   gint64 until_us = g_get_monotonic_time () + PATIENCE_MS * 1000;
   while (strstr (log->str, text) == NULL)
     {
-      gint64 left_ms = (until_us - g_get_monotonic_time ()) / 1000;
+      gint64 remaining_ms = (until_us - g_get_monotonic_time ()) / 1000;
       struct pollfd readable = { .fd = log_fd, .events = POLLIN };
-      if (left_ms <= 0 || (poll (&readable, 1, (int) left_ms) < 1 && errno != EINTR))
+      if (remaining_ms <= 0 || (poll (&readable, 1, (int) remaining_ms) < 1 && errno != EINTR))
         return FALSE;
       char bytes[4096];
       ssize_t n = read (log_fd, bytes, sizeof bytes);
--- a/tests/test-slow-store.c
+++ b/tests/test-slow-store.c
@@ -7,8 +7,8 @@
  * partition grew beyond what callers wait. Cause: a daemon took the store for slow only after an
  * append of its own was taken, and none was. Evidence: 504 for 214 tries and 249 beyond the
  * deadline, between 9.6 and 13.8 s of such a day. */
-#include "src/entry/front/gatherer.h"
-#include "src/entry/store/store-pace.h"
+#include "src/entry/front/append-proxy.h"
+#include "src/entry/store/store-health.h"
 
 #include <CUnit/Basic.h>
 #include <stdio.h>
@@ -42,7 +42,7 @@
 
 typedef struct
 {
-  uint64_t came_ms;
+  uint64_t transferred_ms;
   uint64_t until_ms; /* the way that is open is given up then */
   guint front;
   guint at; /* whose appender has it */
@@ -53,7 +53,7 @@
 
 typedef struct
 {
-  FbStorePace pace;
+  FbStoreHealth pace;
   uint64_t append_ends_ms; /* 0: none is open */
   uint64_t append_began_ms;
   gboolean append_refused;
@@ -84,9 +84,9 @@
 static void
 own_append_ended (Play *play, const Job *job, gboolean taken, uint64_t now_ms)
 {
-  FbStorePace *pace = &play->daemons[job->front].pace;
+  FbStoreHealth *pace = &play->daemons[job->front].pace;
   if (taken || play->learns)
-    fb_store_pace_appended (pace, taken, TRUE, (uint32_t) (now_ms - job->came_ms), now_ms);
+    fb_store_health_appended (pace, taken, TRUE, (uint32_t) (now_ms - job->transferred_ms), now_ms);
 }
 
 /* The next way for JOB: through a daemon for all, or from its own front. */
@@ -94,19 +94,19 @@
 take_way (Play *play, Job *job, uint64_t now_ms)
 {
   const FbDaemon *own = play->members->pdata[job->front];
-  const FbStorePace *pace = &play->daemons[job->front].pace;
-  const FbGathererRecord record = { .front = own->address,
-                                    .owner = "10.0.0.0:7",
-                                    .asked = job->asked,
-                                    .partition = PARTITION,
-                                    .since_ms = job->came_ms };
-  FbGathererWay way = { .step = FB_GATHERER_NONE };
-  if (play->learns || fb_gatherer_is_troubled (pace, now_ms))
-    way = fb_gatherer_way (&record, pace, play->members, now_ms);
+  const FbStoreHealth *pace = &play->daemons[job->front].pace;
+  const FbAppendProxyRecord record = { .front = own->address,
+                                       .owner = "10.0.0.0:7",
+                                       .asked = job->asked,
+                                       .partition = PARTITION,
+                                       .since_ms = job->transferred_ms };
+  FbAppendRoute way = { .step = FB_APPEND_ROUTE_LOCAL };
+  if (play->learns || fb_append_proxy_store_is_degraded (pace, now_ms))
+    way = fb_append_proxy_route (&record, pace, play->members, now_ms);
   job->at = job->front;
-  job->until_ms = job->came_ms + CALLER_MS;
-  job->state = way.step != FB_GATHERER_GIVE_UP ? JOB_WAITS : JOB_ENDED;
-  if (way.step != FB_GATHERER_ASK)
+  job->until_ms = job->transferred_ms + CALLER_MS;
+  job->state = way.step != FB_APPEND_ROUTE_GIVE_UP ? JOB_WAITS : JOB_ENDED;
+  if (way.step != FB_APPEND_ROUTE_PROXY)
     return;
   g_ptr_array_add (job->asked, g_strdup (way.address));
   job->at = (guint) atoi (way.address + strlen ("10.0.0."));
@@ -130,8 +130,8 @@
 static uint32_t
 patience_ms (const Play *play, const Daemon *daemon)
 {
-  static const FbStorePace quick = { 0 };
-  return fb_store_pace_patience_ms (play->learns ? &daemon->pace : &quick);
+  static const FbStoreHealth quick = { 0 };
+  return fb_store_health_timeout_ms (play->learns ? &daemon->pace : &quick);
 }
 
 static void
@@ -145,7 +145,7 @@
       if (job->state != JOB_SENT || job->at != i)
         continue;
       job->state = JOB_ENDED;
-      job->stored = !daemon->append_refused && now_ms <= job->came_ms + CALLER_MS;
+      job->stored = !daemon->append_refused && now_ms <= job->transferred_ms + CALLER_MS;
       if (job->at == job->front)
         own_append_ended (play, job, !daemon->append_refused, now_ms);
     }
@@ -159,7 +159,7 @@
   for (guint j = 0; j < JOB_N; j++)
     {
       Job *job = &play->jobs[j];
-      if (job->state != JOB_WAITS || job->at != i || job->came_ms > now_ms)
+      if (job->state != JOB_WAITS || job->at != i || job->transferred_ms > now_ms)
         continue;
       job->state = JOB_SENT;
       n++;
@@ -177,7 +177,7 @@
   for (guint j = 0; j < JOB_N; j++)
     {
       Job *job = &play->jobs[j];
-      if (job->state == JOB_ENDED || now_ms < job->until_ms || job->came_ms > now_ms)
+      if (job->state == JOB_ENDED || now_ms < job->until_ms || job->transferred_ms > now_ms)
         continue;
       gboolean own = job->at == job->front;
       if (!own)
@@ -195,14 +195,14 @@
 {
   for (guint j = 0; j < JOB_N; j++)
     {
-      if (play->jobs[j].came_ms == now_ms)
+      if (play->jobs[j].transferred_ms == now_ms)
         take_way (play, &play->jobs[j], now_ms);
     }
   for (guint i = 0; i < play->daemons_n; i++)
     {
       Daemon *daemon = &play->daemons[i];
       if (play->learns && now_ms % RENEW_EVERY_MS == i * RENEW_EVERY_MS / play->daemons_n)
-        fb_store_pace_renewed (&daemon->pace, (uint32_t) times (ANSWER_MS, now_ms));
+        fb_store_health_renewed (&daemon->pace, (uint32_t) times (ANSWER_MS, now_ms));
       if (daemon->append_ends_ms != 0 && now_ms >= daemon->append_ends_ms)
         end_append (play, i, now_ms);
       if (daemon->append_ends_ms == 0)
@@ -235,7 +235,7 @@
   static Play play;
   play = (Play){ .members = make_members (daemons_n), .daemons_n = daemons_n, .learns = learns };
   for (guint j = 0; j < JOB_N; j++)
-    play.jobs[j] = (Job){ .came_ms = j * 1000 / JOBS_PER_S,
+    play.jobs[j] = (Job){ .transferred_ms = j * 1000 / JOBS_PER_S,
                           .until_ms = G_MAXUINT64,
                           .front = j * 2654435761U % 4294967295U % daemons_n,
                           .asked = g_ptr_array_new_with_free_func (g_free) };
@@ -245,8 +245,8 @@
   guint stored_n = 0;
   for (guint j = 0; j < JOB_N; j++)
     {
-      asked_n += is_slow (play.jobs[j].came_ms);
-      stored_n += is_slow (play.jobs[j].came_ms) && play.jobs[j].stored;
+      asked_n += is_slow (play.jobs[j].transferred_ms);
+      stored_n += is_slow (play.jobs[j].transferred_ms) && play.jobs[j].stored;
       g_ptr_array_unref (play.jobs[j].asked);
     }
   g_ptr_array_unref (play.members);
@@ -278,7 +278,7 @@
 gatherer (const GPtrArray *members, const char *owner, const char *front, const GPtrArray *asked,
           uint64_t now_ms)
 {
-  const char *address = fb_gatherer_for (members, owner, front, asked, PARTITION, now_ms);
+  const char *address = fb_append_proxy_for (members, owner, front, asked, PARTITION, now_ms);
   CU_ASSERT_PTR_NOT_NULL_FATAL (address);
   return address != NULL ? address : "";
 }
@@ -290,7 +290,7 @@
   g_autoptr (GPtrArray) members = make_members (7);
   g_autoptr (GPtrArray) asked = g_ptr_array_new ();
   const char *first = gatherer (members, NULL, "10.0.0.1:7", asked, 1000);
-  CU_ASSERT_FALSE (fb_gatherer_always (members));
+  CU_ASSERT_FALSE (fb_append_proxy_always (members));
   CU_ASSERT_STRING_EQUAL (gatherer (members, "10.0.0.9:7", "10.0.0.1:7", asked, 1000),
                           "10.0.0.9:7");
   g_ptr_array_add (asked, "10.0.0.9:7");
@@ -298,7 +298,7 @@
   g_ptr_array_add (asked, (gpointer) first);
   CU_ASSERT_STRING_NOT_EQUAL (gatherer (members, NULL, "10.0.0.1:7", asked, 1000), first);
   g_autoptr (GPtrArray) nobody = g_ptr_array_new ();
-  CU_ASSERT_PTR_NULL (fb_gatherer_for (nobody, NULL, "10.0.0.1:7", asked, PARTITION, 1000));
+  CU_ASSERT_PTR_NULL (fb_append_proxy_for (nobody, NULL, "10.0.0.1:7", asked, PARTITION, 1000));
 }
 
 /* Many daemons: four at the most append for all.  One of them cannot reach the store, and those
@@ -309,12 +309,12 @@
   g_autoptr (GPtrArray) members = make_members (DAEMON_MAX);
   g_autoptr (GPtrArray) asked = g_ptr_array_new ();
   g_autoptr (GHashTable) chosen = g_hash_table_new (g_str_hash, g_str_equal);
-  CU_ASSERT_TRUE (fb_gatherer_always (members));
+  CU_ASSERT_TRUE (fb_append_proxy_always (members));
   for (guint i = 0; i < DAEMON_MAX; i++)
     {
       const FbDaemon *front = members->pdata[i];
-      g_hash_table_add (chosen, (gpointer) fb_gatherer_for (members, "10.0.0.9:7", front->address,
-                                                            asked, PARTITION, 1000));
+      g_hash_table_add (chosen, (gpointer) fb_append_proxy_for (
+                                    members, "10.0.0.9:7", front->address, asked, PARTITION, 1000));
     }
   CU_ASSERT_TRUE (g_hash_table_size (chosen) <= 4);
   const FbDaemon *front = members->pdata[0];
@@ -330,10 +330,10 @@
 
 /* Returns: whom the front of RECORD turns to; there has to be one. */
 static const char *
-gatherer_of (const GPtrArray *members, const FbGathererRecord *record, uint64_t now_ms)
+gatherer_of (const GPtrArray *members, const FbAppendProxyRecord *record, uint64_t now_ms)
 {
-  const char *address = fb_gatherer_for (members, record->owner, record->front, record->asked,
-                                         record->partition, now_ms);
+  const char *address = fb_append_proxy_for (members, record->owner, record->front, record->asked,
+                                             record->partition, now_ms);
   CU_ASSERT_PTR_NOT_NULL_FATAL (address);
   return address != NULL ? address : "";
 }
@@ -341,15 +341,16 @@
 /* ---- which way a record goes --------------------------------------------------------- */
 
 /* Returns: the way of a record that 10.0.0.1 took at 1000. */
-static FbGathererWay
-way_of (const GPtrArray *members, const FbStorePace *pace, const GPtrArray *asked, uint64_t now_ms)
+static FbAppendRoute
+way_of (const GPtrArray *members, const FbStoreHealth *pace, const GPtrArray *asked,
+        uint64_t now_ms)
 {
-  const FbGathererRecord record = { .front = "10.0.0.1:7",
-                                    .owner = "10.0.0.0:7",
-                                    .asked = asked,
-                                    .partition = PARTITION,
-                                    .since_ms = 1000 };
-  return fb_gatherer_way (&record, pace, members, now_ms);
+  const FbAppendProxyRecord record = { .front = "10.0.0.1:7",
+                                       .owner = "10.0.0.0:7",
+                                       .asked = asked,
+                                       .partition = PARTITION,
+                                       .since_ms = 1000 };
+  return fb_append_proxy_route (&record, pace, members, now_ms);
 }
 
 /* Few daemons and a quick store: each stores its callers' records.  Once a call has failed the
@@ -359,19 +360,19 @@
 {
   g_autoptr (GPtrArray) members = make_members (7);
   g_autoptr (GPtrArray) asked = g_ptr_array_new ();
-  FbStorePace pace = { 0 };
-  CU_ASSERT_EQUAL (way_of (members, &pace, asked, 1000).step, FB_GATHERER_NONE);
-  fb_store_pace_failed (&pace, 1000);
-  FbGathererWay way = way_of (members, &pace, asked, 1000);
-  CU_ASSERT_EQUAL (way.step, FB_GATHERER_ASK);
+  FbStoreHealth pace = { 0 };
+  CU_ASSERT_EQUAL (way_of (members, &pace, asked, 1000).step, FB_APPEND_ROUTE_LOCAL);
+  fb_store_health_failed (&pace, 1000);
+  FbAppendRoute way = way_of (members, &pace, asked, 1000);
+  CU_ASSERT_EQUAL (way.step, FB_APPEND_ROUTE_PROXY);
   CU_ASSERT_STRING_EQUAL (way.address, "10.0.0.0:7");
   CU_ASSERT_EQUAL (way.patience_ms, 400);
   g_ptr_array_add (asked, (gpointer) way.address);
   way = way_of (members, &pace, asked, 1400);
-  CU_ASSERT_EQUAL (way.step, FB_GATHERER_ASK);
+  CU_ASSERT_EQUAL (way.step, FB_APPEND_ROUTE_PROXY);
   CU_ASSERT_STRING_NOT_EQUAL (way.address, "10.0.0.0:7");
   g_ptr_array_add (asked, (gpointer) way.address);
-  CU_ASSERT_EQUAL (way_of (members, &pace, asked, 1800).step, FB_GATHERER_NONE);
+  CU_ASSERT_EQUAL (way_of (members, &pace, asked, 1800).step, FB_APPEND_ROUTE_LOCAL);
 }
 
 /* A slow store gets nearly all of the caller's time by one way, and no second append: what is not
@@ -381,16 +382,16 @@
 {
   g_autoptr (GPtrArray) members = make_members (7);
   g_autoptr (GPtrArray) asked = g_ptr_array_new ();
-  FbStorePace pace = { 0 };
-  fb_store_pace_renewed (&pace, 200);
-  CU_ASSERT_TRUE (fb_gatherer_is_troubled (&pace, 1000));
-  FbGathererWay way = way_of (members, &pace, asked, 1000);
-  CU_ASSERT_EQUAL (way.step, FB_GATHERER_ASK);
+  FbStoreHealth pace = { 0 };
+  fb_store_health_renewed (&pace, 200);
+  CU_ASSERT_TRUE (fb_append_proxy_store_is_degraded (&pace, 1000));
+  FbAppendRoute way = way_of (members, &pace, asked, 1000);
+  CU_ASSERT_EQUAL (way.step, FB_APPEND_ROUTE_PROXY);
   CU_ASSERT_EQUAL (way.patience_ms, 2300);
   CU_ASSERT_EQUAL (way_of (members, &pace, asked, 2000).patience_ms, 1600);
   g_ptr_array_add (asked, "10.0.0.0:7");
-  CU_ASSERT_EQUAL (way_of (members, &pace, asked, 2499).step, FB_GATHERER_ASK);
-  CU_ASSERT_EQUAL (way_of (members, &pace, asked, 2500).step, FB_GATHERER_GIVE_UP);
+  CU_ASSERT_EQUAL (way_of (members, &pace, asked, 2499).step, FB_APPEND_ROUTE_PROXY);
+  CU_ASSERT_EQUAL (way_of (members, &pace, asked, 2500).step, FB_APPEND_ROUTE_GIVE_UP);
 }
 
 /* Many daemons ask one of the four at all times; who is the one stores for itself. */
@@ -399,19 +400,19 @@
 {
   g_autoptr (GPtrArray) members = make_members (33);
   g_autoptr (GPtrArray) asked = g_ptr_array_new ();
-  FbStorePace pace = { 0 };
-  FbGathererWay way = way_of (members, &pace, asked, 1000);
-  CU_ASSERT_EQUAL (way.step, FB_GATHERER_ASK);
+  FbStoreHealth pace = { 0 };
+  FbAppendRoute way = way_of (members, &pace, asked, 1000);
+  CU_ASSERT_EQUAL (way.step, FB_APPEND_ROUTE_PROXY);
   CU_ASSERT_EQUAL (way.patience_ms, 400);
   guint self_n = 0;
   for (uint32_t partition = 0; partition < 1000; partition++)
     {
-      const FbGathererRecord record
+      const FbAppendProxyRecord record
           = { .front = "10.0.0.1:7", .asked = asked, .partition = partition, .since_ms = 1000 };
       const char *chosen = gatherer_of (members, &record, 1000);
-      way = fb_gatherer_way (&record, &pace, members, 1000);
+      way = fb_append_proxy_route (&record, &pace, members, 1000);
       gboolean is_self = g_str_equal (chosen, record.front);
-      CU_ASSERT_EQUAL (way.step, is_self ? FB_GATHERER_NONE : FB_GATHERER_ASK);
+      CU_ASSERT_EQUAL (way.step, is_self ? FB_APPEND_ROUTE_LOCAL : FB_APPEND_ROUTE_PROXY);
       self_n += is_self;
     }
   CU_ASSERT_TRUE (self_n > 0);
@@ -422,17 +423,17 @@
 static void
 test_a_failed_append_counts_for_a_second (void)
 {
-  FbStorePace pace = { 0 };
-  CU_ASSERT_FALSE (fb_store_pace_has_failed (&pace, 1000));
-  fb_store_pace_appended (&pace, FALSE, TRUE, 5, 1000);
-  fb_store_pace_appended (&pace, TRUE, FALSE, 15, 1020);
-  CU_ASSERT_TRUE (fb_store_pace_has_failed (&pace, 1990));
-  CU_ASSERT_FALSE (fb_store_pace_has_failed (&pace, 2000));
-  CU_ASSERT_FALSE (fb_store_pace_is_slow (&pace));
-  fb_store_pace_appended (&pace, TRUE, TRUE, 60, 2100);
-  CU_ASSERT_TRUE (fb_store_pace_is_slow (&pace));
-  fb_store_pace_appended (&pace, TRUE, FALSE, 20, 2200);
-  CU_ASSERT_FALSE (fb_store_pace_is_slow (&pace));
+  FbStoreHealth pace = { 0 };
+  CU_ASSERT_FALSE (fb_store_health_has_failed (&pace, 1000));
+  fb_store_health_appended (&pace, FALSE, TRUE, 5, 1000);
+  fb_store_health_appended (&pace, TRUE, FALSE, 15, 1020);
+  CU_ASSERT_TRUE (fb_store_health_has_failed (&pace, 1990));
+  CU_ASSERT_FALSE (fb_store_health_has_failed (&pace, 2000));
+  CU_ASSERT_FALSE (fb_store_health_is_slow (&pace));
+  fb_store_health_appended (&pace, TRUE, TRUE, 60, 2100);
+  CU_ASSERT_TRUE (fb_store_health_is_slow (&pace));
+  fb_store_health_appended (&pace, TRUE, FALSE, 20, 2200);
+  CU_ASSERT_FALSE (fb_store_health_is_slow (&pace));
 }
 
 int
--- a/tests/test-kept-suspects.c
+++ b/tests/test-suspect-backups.c
@@ -1,5 +1,5 @@
 /* What a daemon keeps for owners whose store takes nothing. */
-#include "src/entry/peers/kept-suspects.h"
+#include "src/entry/peers/suspect-backups.h"
 
 #include <CUnit/Basic.h>
 
@@ -9,24 +9,24 @@
 
 /* Takes a copy of JOB with N tasks. */
 static void
-take (FbKeptSuspects *self, const char *job, uint64_t epoch, u_int n, uint64_t now_ms)
+take (FbSuspectBackups *self, const char *job, uint64_t epoch, u_int n, uint64_t now_ms)
 {
   fb_work_suspect tasks[] = { { .step = 1 }, { .step = 2 } };
-  const fb_kept_job kept
+  const fb_suspects_backup kept
       = { .job = (char *) job, .epoch = epoch, .suspects = { .tasks = { n, tasks } } };
-  fb_kept_suspects_take (self, &kept, now_ms);
+  fb_suspect_backups_put (self, &kept, now_ms);
 }
 
 /* Returns: how many tasks of all jobs SELF tells of at NOW_MS. */
 static guint
-told_n (const FbKeptSuspects *self, uint64_t now_ms)
+told_n (const FbSuspectBackups *self, uint64_t now_ms)
 {
-  fb_told_kept told;
+  fb_suspect_backups_reply told;
   guint n = 0;
-  fb_kept_suspects_tell (self, now_ms, &told);
+  fb_suspect_backups_list (self, now_ms, &told);
   for (u_int i = 0; i < told.jobs.jobs_len; i++)
     n += told.jobs.jobs_val[i].suspects.tasks.tasks_len;
-  xdr_free ((xdrproc_t) xdr_fb_told_kept, (char *) &told);
+  xdr_free ((xdrproc_t) xdr_fb_suspect_backups_reply, (char *) &told);
   return n;
 }
 
@@ -34,50 +34,50 @@
 static void
 test_a_copy_is_told (void)
 {
-  FbKeptSuspects *self = fb_kept_suspects_new ();
+  FbSuspectBackups *self = fb_suspect_backups_new ();
   take (self, JOB, 3, 1, NOW_MS);
   CU_ASSERT_EQUAL (told_n (self, NOW_MS), 1);
   take (self, JOB, 3, 2, NOW_MS);
   CU_ASSERT_EQUAL (told_n (self, NOW_MS), 2);
-  fb_kept_suspects_free (self);
+  fb_suspect_backups_free (self);
 }
 
 /* Guards against: a crash that a task was cleared of is held against it again. */
 static void
 test_a_copy_that_is_stored_is_forgotten (void)
 {
-  FbKeptSuspects *self = fb_kept_suspects_new ();
+  FbSuspectBackups *self = fb_suspect_backups_new ();
   take (self, JOB, 3, 2, NOW_MS);
   take (self, JOB, 4, 0, NOW_MS);
   CU_ASSERT_EQUAL (told_n (self, NOW_MS), 0);
   take (self, JOB, 4, 2, NOW_MS);
   CU_ASSERT_EQUAL (told_n (self, NOW_MS + TOO_OLD_MS), 0);
-  fb_kept_suspects_free (self);
+  fb_suspect_backups_free (self);
 }
 
 /* Guards against: a replaced owner takes back what its successor has handed over. */
 static void
 test_an_owner_before_changes_nothing (void)
 {
-  FbKeptSuspects *self = fb_kept_suspects_new ();
+  FbSuspectBackups *self = fb_suspect_backups_new ();
   take (self, JOB, 4, 2, NOW_MS);
   take (self, JOB, 3, 0, NOW_MS);
   CU_ASSERT_EQUAL (told_n (self, NOW_MS), 2);
-  fb_kept_suspects_free (self);
+  fb_suspect_backups_free (self);
 }
 
 /* Guards against: jobs without end fill the memory of a daemon. */
 static void
 test_it_is_bounded (void)
 {
-  FbKeptSuspects *self = fb_kept_suspects_new ();
-  for (guint i = 0; i < 2 * FB_WORK_MAX_KEPT; i++)
+  FbSuspectBackups *self = fb_suspect_backups_new ();
+  for (guint i = 0; i < 2 * FB_WORK_MAX_SUSPECT_BACKUPS; i++)
     {
       g_autofree char *job = g_strdup_printf ("%016x", i);
       take (self, job, 3, 1, NOW_MS);
     }
-  CU_ASSERT_EQUAL (told_n (self, NOW_MS), FB_WORK_MAX_KEPT);
-  fb_kept_suspects_free (self);
+  CU_ASSERT_EQUAL (told_n (self, NOW_MS), FB_WORK_MAX_SUSPECT_BACKUPS);
+  fb_suspect_backups_free (self);
 }
 
 int
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -38,8 +38,8 @@
 
 gboolean __real_g_hash_table_iter_next (GHashTableIter *iter, gpointer *key, gpointer *value);
 gboolean __wrap_g_hash_table_iter_next (GHashTableIter *iter, gpointer *key, gpointer *value);
-FbPoolWorker *__real_fb_pool_roster_next (const FbPool *self, guint *slot);
-FbPoolWorker *__wrap_fb_pool_roster_next (const FbPool *self, guint *slot);
+FbPoolWorker *__real_fb_pool_worker_slots_next (const FbPool *self, guint *slot);
+FbPoolWorker *__wrap_fb_pool_worker_slots_next (const FbPool *self, guint *slot);
 
 gboolean
 __wrap_g_hash_table_iter_next (GHashTableIter *iter, gpointer *key, gpointer *value)
@@ -49,10 +49,10 @@
 }
 
 FbPoolWorker *
-__wrap_fb_pool_roster_next (const FbPool *self, guint *slot)
+__wrap_fb_pool_worker_slots_next (const FbPool *self, guint *slot)
 {
   visits++;
-  return __real_fb_pool_roster_next (self, slot);
+  return __real_fb_pool_worker_slots_next (self, slot);
 }
 
 /* A new owner with a backlog goes through what waits in turns that a join fits between, and
@@ -69,7 +69,7 @@
   for (uint64_t end_ms = now_ms + PLAY_MS; now_ms < end_ms; now_ms += STEP_MS)
     {
       visits = 0;
-      fb_pool_step (play.pool, TRUE, now_ms, WALL_MS + now_ms);
+      fb_pool_tick (play.pool, TRUE, now_ms, WALL_MS + now_ms);
       most = MAX (most, visits);
       busy_pool_answer_all (&play, now_ms);
     }
@@ -185,7 +185,7 @@
       g_autofree char *key = g_strdup_printf ("%c%016x", FB_KEY_JOB, i + 1);
       busy_fill_job (&record, &step);
       g_autoptr (GBytes) value = fb_codec_encode_admit (&record);
-      fb_wire_put_record (body, key, value);
+      fb_wire_encode_record (body, key, value);
     }
   return body;
 }
