--- a/tests/test-units.c
+++ b/tests/test-units.c
@@ -171,7 +171,7 @@
   FbNode *node = fb_node_new (&config, 1000);
   FbLogRecord records[] = { { FB_STREAM_CONFIG, 5, 0, config_record (99, foreign) },
                             { FB_STREAM_CONFIG, 6, 0, config_record (2, secret) } };
-  FbLogPage page = { .first_kept = 5, .at_end = TRUE, .records = records, .record_n = 2 };
+  FbLogPage page = { .first_retained = 5, .at_end = TRUE, .records = records, .record_n = 2 };
   fb_node_log_read (node, 1000, FB_STREAM_CONFIG, &page);
   CU_ASSERT_EQUAL (fb_node_config_serial (node, 0), 0);
   for (uint64_t now_ms = 1000; now_ms <= 20000; now_ms += 100)
@@ -191,7 +191,7 @@
   uint64_t offset;
 } StreamTest;
 
-static FbStreamVerdict
+static FbStreamResult
 put (StreamTest *test, uint64_t writer, uint64_t seq, uint64_t epoch, const fb_rec_body *body)
 {
   fb_record record = { .format = FB_REC_VERSION, .epoch = epoch, .writer = writer, .seq = seq };
@@ -200,14 +200,14 @@
   gsize len = 0;
   const void *data = g_bytes_get_data (bytes, &len);
   fb_record read;
-  FbStreamVerdict verdict = fb_stream_read (test->stream, test->offset++, data, len, &read);
+  FbStreamResult verdict = fb_stream_read (test->stream, test->offset++, data, len, &read);
   if (verdict == FB_STREAM_OK || verdict == FB_STREAM_CLAIMED)
     fb_codec_clear_record (&read);
   g_bytes_unref (bytes);
   return verdict;
 }
 
-static FbStreamVerdict
+static FbStreamResult
 put_claim (StreamTest *test, uint64_t writer, uint64_t seq, uint64_t previous)
 {
   fb_rec_body body = { .type = FB_REC_CLAIM };
@@ -215,7 +215,7 @@
   return put (test, writer, seq, previous, &body);
 }
 
-static FbStreamVerdict
+static FbStreamResult
 put_cancel (StreamTest *test, uint64_t writer, uint64_t seq, uint64_t epoch)
 {
   fb_rec_body body = { .type = FB_REC_CANCEL };
@@ -233,14 +233,14 @@
   uint64_t first = fb_stream_epoch (test.stream);
   CU_ASSERT_EQUAL (put_cancel (&test, 1, 2, first), FB_STREAM_OK);
   CU_ASSERT_EQUAL (put_claim (&test, 2, 1, first), FB_STREAM_CLAIMED);
-  CU_ASSERT_EQUAL (put_claim (&test, 3, 1, first), FB_STREAM_VOID);
-  CU_ASSERT_EQUAL (put_cancel (&test, 1, 3, first), FB_STREAM_VOID);
+  CU_ASSERT_EQUAL (put_claim (&test, 3, 1, first), FB_STREAM_SUPERSEDED);
+  CU_ASSERT_EQUAL (put_cancel (&test, 1, 3, first), FB_STREAM_SUPERSEDED);
   uint64_t second = fb_stream_epoch (test.stream);
   CU_ASSERT_EQUAL (put_cancel (&test, 2, 2, second), FB_STREAM_OK);
-  CU_ASSERT_EQUAL (put_cancel (&test, 2, 2, second), FB_STREAM_DOUBLE);
+  CU_ASSERT_EQUAL (put_cancel (&test, 2, 2, second), FB_STREAM_DUPLICATE);
   /* Hand-over without the log: the sub-epoch moves on, and not back. */
   CU_ASSERT_EQUAL (put_cancel (&test, 4, 1, second + 1), FB_STREAM_OK);
-  CU_ASSERT_EQUAL (put_cancel (&test, 2, 3, second), FB_STREAM_VOID);
+  CU_ASSERT_EQUAL (put_cancel (&test, 2, 3, second), FB_STREAM_SUPERSEDED);
   fb_stream_free (test.stream);
 }
 
@@ -250,17 +250,17 @@
 test_stream_anchors_after_a_gap (void)
 {
   StreamTest test = { fb_stream_new (3), 100 };
-  fb_stream_note_first (test.stream, 100);
+  fb_stream_note_first_retained (test.stream, 100);
   uint64_t epoch = fb_epoch_of_claim (50);
   fb_rec_body renew = { .type = FB_REC_RENEW };
   renew.fb_rec_body_u.renew.claim.owner = (char *) "d";
-  CU_ASSERT_EQUAL (put_cancel (&test, 1, 7, epoch), FB_STREAM_VOID);
+  CU_ASSERT_EQUAL (put_cancel (&test, 1, 7, epoch), FB_STREAM_SUPERSEDED);
   renew.fb_rec_body_u.renew.read_to = 99;
-  CU_ASSERT_EQUAL (put (&test, 1, 8, epoch, &renew), FB_STREAM_VOID);
+  CU_ASSERT_EQUAL (put (&test, 1, 8, epoch, &renew), FB_STREAM_SUPERSEDED);
   renew.fb_rec_body_u.renew.read_to = 101;
   CU_ASSERT_EQUAL (put (&test, 1, 9, epoch, &renew), FB_STREAM_CLAIMED);
   CU_ASSERT_EQUAL (fb_stream_epoch (test.stream), epoch);
-  CU_ASSERT_EQUAL (fb_stream_anchor (test.stream), 102);
+  CU_ASSERT_EQUAL (fb_stream_validated_from (test.stream), 102);
   CU_ASSERT_EQUAL (put_cancel (&test, 1, 10, epoch), FB_STREAM_OK);
   fb_stream_free (test.stream);
 }
@@ -272,10 +272,10 @@
 test_stream_second_copy_of_a_claim (void)
 {
   StreamTest test = { fb_stream_new (3), 100 };
-  fb_stream_note_first (test.stream, 100);
+  fb_stream_note_first_retained (test.stream, 100);
   fb_rec_body body = { .type = FB_REC_CLAIM };
   body.fb_rec_body_u.claim = (fb_rec_claim){ 3, 0, 0, 60, (char *) "d", 1 };
-  CU_ASSERT_EQUAL (put (&test, 1, 1, 0, &body), FB_STREAM_VOID);
+  CU_ASSERT_EQUAL (put (&test, 1, 1, 0, &body), FB_STREAM_SUPERSEDED);
   CU_ASSERT_EQUAL (fb_stream_epoch (test.stream), 0);
   CU_ASSERT_EQUAL (put_claim (&test, 2, 1, 0), FB_STREAM_CLAIMED);
   CU_ASSERT_EQUAL (fb_stream_epoch (test.stream), fb_epoch_of_claim (101));
@@ -305,7 +305,7 @@
     {
       fb_res free = { { cases[i].cpu_free_milli, 256ull << 30, cases[i].accel_free, 8 } };
       fb_res demand = { { cases[i].cpu_milli, 1 << 30, cases[i].accel, 1 } };
-      FbPlaceView view = { &host, &free, &demand, 0, 500 };
+      FbPlaceCandidate view = { &host, &free, &demand, 0, 500 };
       CU_ASSERT_EQUAL (fb_place_accel_guard.cost (&view) >= 0, cases[i].allowed);
     }
 }
@@ -324,18 +324,18 @@
     }
   fb_members_set_self (members, 0, 1);
   for (guint i = 1; i < 7; i++)
-    fb_members_heard (members, 1000, i, 1, FALSE);
+    fb_members_note_heartbeat (members, 1000, i, 1, FALSE);
   int before[200];
   for (guint s = 0; s < 200; s++)
-    before[s] = fb_members_rightful (members, s, 0, G_MAXUINT);
+    before[s] = fb_members_preferred_owner (members, s, 0, G_MAXUINT);
   for (guint i = 1; i < 6; i++)
-    fb_members_heard (members, 9000, i, 1, FALSE);
+    fb_members_note_heartbeat (members, 9000, i, 1, FALSE);
   fb_members_tick (members, 9000);
   CU_ASSERT_EQUAL (fb_members_state (members, 6), FB_MEMBER_SUSPECTED);
   guint moved = 0;
   for (guint s = 0; s < 200; s++)
     {
-      int now = fb_members_rightful (members, s, 0, G_MAXUINT);
+      int now = fb_members_preferred_owner (members, s, 0, G_MAXUINT);
       if (before[s] != 6)
         CU_ASSERT_EQUAL (now, before[s]);
       moved += now != before[s] ? 1 : 0;
@@ -374,14 +374,15 @@
 static void
 test_progress_with_and_without_suspects (void)
 {
-  fb_work_mark mark = { .attempt = 3, .done = TRUE, .checkpoint = "c" };
-  const fb_work_progress written = { .state = FB_WORK_RUNNING, .marks = { 1, &mark } };
-  u_quad_t apart[] = { 7 };
+  fb_work_task_progress mark = { .attempt = 3, .done = TRUE, .checkpoint = "c" };
+  const fb_work_progress written = { .state = FB_WORK_RUNNING, .task_progress = { 1, &mark } };
+  u_quad_t isolated[] = { 7 };
   u_quad_t shared[] = { 8, 9 };
-  fb_work_tried tried = { .worker = (char *) "w", .address = (char *) "10.0.0.9:80" };
-  fb_work_suspect suspect = { .index = 2, .tried = { 1, &tried } };
-  suspect.apart.apart_len = 1;
-  suspect.apart.apart_val = apart;
+  fb_work_unresolved_start unresolved
+      = { .worker = (char *) "w", .address = (char *) "10.0.0.9:80" };
+  fb_work_suspect suspect = { .index = 2, .unresolved = { 1, &unresolved } };
+  suspect.isolated.isolated_len = 1;
+  suspect.isolated.isolated_val = isolated;
   suspect.shared.shared_len = 2;
   suspect.shared.shared_val = shared;
   const fb_work_suspects none = { 0 };
@@ -400,13 +401,14 @@
       CU_ASSERT_EQUAL (read, len == old_len || len == whole_len);
       if (!read)
         continue;
-      CU_ASSERT_EQUAL (progress.marks.marks_val[0].attempt, 3);
+      CU_ASSERT_EQUAL (progress.task_progress.task_progress_val[0].attempt, 3);
       CU_ASSERT_EQUAL (suspects.tasks.tasks_len, len == whole_len);
       if (len == whole_len)
         {
-          CU_ASSERT_EQUAL (suspects.tasks.tasks_val[0].apart.apart_val[0], 7);
+          CU_ASSERT_EQUAL (suspects.tasks.tasks_val[0].isolated.isolated_val[0], 7);
           CU_ASSERT_EQUAL (suspects.tasks.tasks_val[0].shared.shared_len, 2);
-          CU_ASSERT_STRING_EQUAL (suspects.tasks.tasks_val[0].tried.tried_val[0].worker, "w");
+          CU_ASSERT_STRING_EQUAL (suspects.tasks.tasks_val[0].unresolved.unresolved_val[0].worker,
+                                  "w");
         }
       fb_codec_clear_progress (&progress, &suspects);
     }
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -12,7 +12,7 @@
 take_job (const char *text)
 {
   fb_work_spec spec;
-  if (!fb_wire_job_spec (text, strlen (text), &spec))
+  if (!fb_wire_parse_job_spec (text, strlen (text), &spec))
     return FALSE;
   gboolean ok = fb_spec_check (&spec);
   xdr_free ((xdrproc_t) xdr_fb_work_spec, (char *) &spec);
@@ -87,7 +87,7 @@
         "\"gang\":true,\"rack-local\":true,\"checkpointing\":true,\"speculative\":true,"
         "\"long-running\":true,\"fills\":true,\"image\":\"i\"}]}";
   fb_work_spec spec;
-  CU_ASSERT_TRUE_FATAL (fb_wire_job_spec (text, strlen (text), &spec));
+  CU_ASSERT_TRUE_FATAL (fb_wire_parse_job_spec (text, strlen (text), &spec));
   const fb_work_step *step = &spec.steps.steps_val[0];
   CU_ASSERT_EQUAL (spec.occurrences, 3);
   CU_ASSERT_EQUAL (spec.first_due_ms, 1000);
@@ -98,12 +98,12 @@
   CU_ASSERT_EQUAL (step->estimate_ms, 900);
   CU_ASSERT_EQUAL (step->max_per_worker, 3);
   CU_ASSERT_EQUAL (step->max_unavailable, 1);
-  CU_ASSERT_EQUAL (step->tail_target_ms, 20);
-  CU_ASSERT_STRING_EQUAL (step->data_rack, "r1");
+  CU_ASSERT_EQUAL (step->tail_latency_target_ms, 20);
+  CU_ASSERT_STRING_EQUAL (step->preferred_rack, "r1");
   CU_ASSERT_STRING_EQUAL (step->required_label, "k");
   CU_ASSERT_STRING_EQUAL (step->image, "i");
   CU_ASSERT (step->gang && step->rack_local && step->checkpointing && step->speculative);
-  CU_ASSERT (step->lasting && step->fills);
+  CU_ASSERT (step->long_running && step->best_effort);
   xdr_free ((xdrproc_t) xdr_fb_work_spec, (char *) &spec);
 }
 
@@ -113,7 +113,7 @@
 routes_from (const char *text)
 {
   g_autoptr (GBytes) bytes = g_bytes_new (text, strlen (text));
-  return fb_wire_routes (bytes);
+  return fb_wire_parse_routes (bytes);
 }
 
 static void
@@ -137,7 +137,7 @@
     return;
   CU_ASSERT_STRING_EQUAL (shorter->policy.queue, "a");
   CU_ASSERT_STRING_EQUAL (longer->policy.queue, "b");
-  CU_ASSERT_EQUAL (shorter->policy.stretch_milli, 2200);
+  CU_ASSERT_EQUAL (shorter->policy.stretch_factor_milli, 2200);
   CU_ASSERT_EQUAL (shorter->policy.advice_decision_us, 19500);
   CU_ASSERT_EQUAL (shorter->policy.advice_per_worker_us, 250);
   CU_ASSERT_FALSE (longer->policy.advised);
@@ -183,8 +183,8 @@
     { FB_HTTP_OK, TRUE, 502, "", FB_APPEND_IN_DOUBT },
     { FB_HTTP_OK, TRUE, 504, "", FB_APPEND_IN_DOUBT },
     { FB_HTTP_OK, TRUE, 409, "{\"reason\":\"fenced\"}", FB_APPEND_FENCED },
-    { FB_HTTP_OK, TRUE, 409, "{\"reason\":\"seq\"}", FB_APPEND_SEQUENCE },
-    { FB_HTTP_OK, TRUE, 409, "?", FB_APPEND_SEQUENCE },
+    { FB_HTTP_OK, TRUE, 409, "{\"reason\":\"seq\"}", FB_APPEND_OUT_OF_SEQUENCE },
+    { FB_HTTP_OK, TRUE, 409, "?", FB_APPEND_OUT_OF_SEQUENCE },
     { FB_HTTP_TIMEOUT, TRUE, 0, NULL, FB_APPEND_IN_DOUBT },
     { FB_HTTP_UNREACHABLE, TRUE, 0, NULL, FB_APPEND_IN_DOUBT },
     { FB_HTTP_TIMEOUT, FALSE, 0, NULL, FB_APPEND_NOT_STORED },
@@ -199,7 +199,7 @@
                             .copies = cases[i].sent,
                             .code = cases[i].code,
                             .body = body };
-      CU_ASSERT_EQUAL (fb_wire_append_result (&reply), cases[i].result);
+      CU_ASSERT_EQUAL (fb_wire_parse_append (&reply), cases[i].result);
     }
 }
 
@@ -210,8 +210,8 @@
   static const guint8 header[16] = { [7] = 42, [15] = 40 };
   g_byte_array_append (page, header, sizeof header);
   g_autoptr (GBytes) value = g_bytes_new ("value", 5);
-  fb_wire_put_record (page, "key", value);
-  fb_wire_put_record (page, "dropped", NULL);
+  fb_wire_encode_record (page, "key", value);
+  fb_wire_encode_record (page, "dropped", NULL);
   /* A record that the page cuts off is read again with the next one. */
   static const guint8 cut[] = { 0, 0, 0, 9, 3, 'a' };
   g_byte_array_append (page, cut, sizeof cut);
@@ -220,7 +220,7 @@
   g_autoptr (GPtrArray) records = g_ptr_array_new_with_free_func (fb_store_record_free);
   uint64_t next = 0;
   uint64_t end = 0;
-  CU_ASSERT_EQUAL (fb_wire_read_page (&reply, 40, records, &next, &end), FB_READ_OK);
+  CU_ASSERT_EQUAL (fb_wire_parse_read (&reply, 40, records, &next, &end), FB_READ_OK);
   CU_ASSERT_EQUAL_FATAL (records->len, 2);
   CU_ASSERT_EQUAL (next, 42);
   CU_ASSERT_EQUAL (end, 42);
@@ -232,9 +232,9 @@
   CU_ASSERT_STRING_EQUAL (second->key, "dropped");
   CU_ASSERT_PTR_NULL (second->value);
   reply.code = 410;
-  CU_ASSERT_EQUAL (fb_wire_read_page (&reply, 40, records, &next, &end), FB_READ_EXPIRED);
+  CU_ASSERT_EQUAL (fb_wire_parse_read (&reply, 40, records, &next, &end), FB_READ_EXPIRED);
   reply.code = 503;
-  CU_ASSERT_EQUAL (fb_wire_read_page (&reply, 40, records, &next, &end), FB_READ_FAILED);
+  CU_ASSERT_EQUAL (fb_wire_parse_read (&reply, 40, records, &next, &end), FB_READ_FAILED);
 }
 
 /* ---- workers --------------------------------------------------------------------- */
@@ -246,7 +246,7 @@
   FbHttpReply reply
       = { .status = status, .sent = sent, .copies = sent, .code = code, .body = body };
   uint64_t clock_ms = 0;
-  return fb_wire_order_result (&reply, &clock_ms);
+  return fb_wire_parse_order_result (&reply, &clock_ms);
 }
 
 static void
@@ -255,18 +255,20 @@
   CU_ASSERT_EQUAL (result_of (FB_HTTP_OK, TRUE, 200, "{}"), FB_ORDER_DONE);
   CU_ASSERT_EQUAL (result_of (FB_HTTP_OK, TRUE, 409, "{\"reason\":\"fence\"}"), FB_ORDER_FENCED);
   CU_ASSERT_EQUAL (result_of (FB_HTTP_OK, TRUE, 409, "{\"reason\":\"old\"}"), FB_ORDER_SUPERSEDED);
-  CU_ASSERT_EQUAL (result_of (FB_HTTP_OK, TRUE, 409, "{\"reason\":\"late\"}"), FB_ORDER_LATE);
-  CU_ASSERT_EQUAL (result_of (FB_HTTP_OK, TRUE, 409, "{\"reason\":\"room\"}"), FB_ORDER_NO_ROOM);
+  CU_ASSERT_EQUAL (result_of (FB_HTTP_OK, TRUE, 409, "{\"reason\":\"late\"}"),
+                   FB_ORDER_PAST_DEADLINE);
+  CU_ASSERT_EQUAL (result_of (FB_HTTP_OK, TRUE, 409, "{\"reason\":\"room\"}"),
+                   FB_ORDER_NO_CAPACITY);
   CU_ASSERT_EQUAL (result_of (FB_HTTP_OK, TRUE, 409, "{\"reason\":\"ticket\"}"),
                    FB_ORDER_BAD_TICKET);
-  CU_ASSERT_EQUAL (result_of (FB_HTTP_OK, TRUE, 421, ""), FB_ORDER_OTHER_LIFE);
+  CU_ASSERT_EQUAL (result_of (FB_HTTP_OK, TRUE, 421, ""), FB_ORDER_OTHER_INCARNATION);
   CU_ASSERT_EQUAL (result_of (FB_HTTP_OK, TRUE, 503, ""), FB_ORDER_NOT_DONE);
   CU_ASSERT_EQUAL (result_of (FB_HTTP_OK, TRUE, 500, ""), FB_ORDER_UNKNOWN);
   CU_ASSERT_EQUAL (result_of (FB_HTTP_TIMEOUT, TRUE, 0, ""), FB_ORDER_UNKNOWN);
   CU_ASSERT_EQUAL (result_of (FB_HTTP_UNREACHABLE, FALSE, 0, ""), FB_ORDER_NOT_DONE);
   const FbHttpReply refused = { .status = FB_HTTP_UNREACHABLE, .refused = TRUE };
   uint64_t clock_ms = 0;
-  CU_ASSERT_EQUAL (fb_wire_order_result (&refused, &clock_ms), FB_ORDER_NO_LISTENER);
+  CU_ASSERT_EQUAL (fb_wire_parse_order_result (&refused, &clock_ms), FB_ORDER_NO_LISTENER);
 }
 
 /* An answer that cannot be read must not look like an empty list: nothing would seem
@@ -297,12 +299,12 @@
     {
       g_autoptr (GBytes) body = g_bytes_new (cases[i].text, strlen (cases[i].text));
       FbHttpReply reply = reply_of (200, body);
-      FbLookAnswer answer;
-      fb_wire_look_answer (&reply, "i-1", &answer);
+      FbPollAnswer answer;
+      fb_wire_parse_poll (&reply, "i-1", &answer);
       CU_ASSERT_EQUAL (answer.result, cases[i].result);
       CU_ASSERT_EQUAL (answer.running->len, cases[i].running);
       CU_ASSERT_EQUAL (answer.finished->len, cases[i].finished);
-      fb_look_answer_clear (&answer);
+      fb_poll_answer_clear (&answer);
     }
 }
 
@@ -315,11 +317,11 @@
     const char *asked;
     const char *born;
     FbOrderResult result;
-    const char *life;
+    const char *incarnation;
   } cases[] = { { "i-1@7", ",\"born\":7", FB_ORDER_DONE, NULL },
-                { "i-1@7", ",\"born\":8", FB_ORDER_OTHER_LIFE, "i-1@8" },
+                { "i-1@7", ",\"born\":8", FB_ORDER_OTHER_INCARNATION, "i-1@8" },
                 { "i-1@7", "", FB_ORDER_DONE, NULL },
-                { "i-1", ",\"born\":8", FB_ORDER_OTHER_LIFE, "i-1@8" },
+                { "i-1", ",\"born\":8", FB_ORDER_OTHER_INCARNATION, "i-1@8" },
                 { "i-1@7", ",\"born\":\"8\"", FB_ORDER_UNKNOWN, NULL } };
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
@@ -327,11 +329,11 @@
           "{\"clock-ms\":5,\"running\":[[\"t\",2,\"\",41]],\"finished\":[]%s}", cases[i].born);
       g_autoptr (GBytes) body = g_bytes_new (text, strlen (text));
       FbHttpReply reply = reply_of (200, body);
-      FbLookAnswer answer;
-      fb_wire_look_answer (&reply, cases[i].asked, &answer);
+      FbPollAnswer answer;
+      fb_wire_parse_poll (&reply, cases[i].asked, &answer);
       CU_ASSERT_EQUAL (answer.result, cases[i].result);
-      CU_ASSERT_EQUAL (g_strcmp0 (answer.life, cases[i].life), 0);
-      fb_look_answer_clear (&answer);
+      CU_ASSERT_EQUAL (g_strcmp0 (answer.incarnation, cases[i].incarnation), 0);
+      fb_poll_answer_clear (&answer);
     }
 }
 
@@ -342,31 +344,32 @@
   static const struct
   {
     const char *id;
-    uint64_t born_ms;
-    const char *life;
+    uint64_t incarnation_started_ms;
+    const char *incarnation;
   } cases[] = {
     { "i-1", 0, "i-1" }, { "i-1", 77, "i-1@77" }, { "i@1", 0, "i@1@0" }, { "i@1", 77, "i@1@77" }
   };
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      g_autofree char *life = fb_wire_life (cases[i].id, cases[i].born_ms);
-      g_autofree char *id = fb_wire_life_id (life);
-      CU_ASSERT_STRING_EQUAL (life, cases[i].life);
+      g_autofree char *incarnation
+          = fb_wire_incarnation (cases[i].id, cases[i].incarnation_started_ms);
+      g_autofree char *id = fb_wire_incarnation_worker_id (incarnation);
+      CU_ASSERT_STRING_EQUAL (incarnation, cases[i].incarnation);
       CU_ASSERT_STRING_EQUAL (id, cases[i].id);
     }
-  CU_ASSERT_TRUE (fb_wire_life_follows ("i-1@78", "i-1@77"));
-  CU_ASSERT_FALSE (fb_wire_life_follows ("i-1@77", "i-1@78"));
-  CU_ASSERT_FALSE (fb_wire_life_follows ("i-2@78", "i-1@77"));
-  CU_ASSERT_FALSE (fb_wire_life_follows ("i-1", "i-1@77"));
+  CU_ASSERT_TRUE (fb_wire_incarnation_is_newer ("i-1@78", "i-1@77"));
+  CU_ASSERT_FALSE (fb_wire_incarnation_is_newer ("i-1@77", "i-1@78"));
+  CU_ASSERT_FALSE (fb_wire_incarnation_is_newer ("i-2@78", "i-1@77"));
+  CU_ASSERT_FALSE (fb_wire_incarnation_is_newer ("i-1", "i-1@77"));
 }
 
 /* Calls name the worker's id, whichever life of it they are for. */
 static void
 test_calls_to_a_life (void)
 {
-  const FbLookOrder order = { .worker = "i-1@1767225600123", .address = "10.0.0.9:80" };
+  const FbPollOrder order = { .worker = "i-1@1767225600123", .address = "10.0.0.9:80" };
   FbHttpCall call;
-  fb_wire_look (&call, &order);
+  fb_wire_poll (&call, &order);
   CU_ASSERT_STRING_EQUAL (call.header_values[0], "i-1");
   fb_http_call_clear (&call);
 }
@@ -378,7 +381,7 @@
       = "{\"service\":\"s\",\"address\":\"10.0.0.9:80\",\"state\":\"draining\","
         "\"capacity\":{\"cpu\":16000,\"mem-mb\":32768,\"gpu\":8},\"labels\":[\"a\",\"r1-3\"]}";
   g_autoptr (GBytes) value = g_bytes_new (text, strlen (text));
-  FbListedWorker *worker = fb_wire_listed_worker ("i-1", value);
+  FbListedWorker *worker = fb_wire_parse_worker ("i-1", value);
   CU_ASSERT_PTR_NOT_NULL (worker);
   if (worker == NULL)
     return;
@@ -391,7 +394,7 @@
   fb_listed_worker_free (worker);
   g_autofree char *born = g_strdup_printf ("{\"born\":1767225600123,%s", text + 1);
   g_autoptr (GBytes) of_life = g_bytes_new (born, strlen (born));
-  worker = fb_wire_listed_worker ("i-1", of_life);
+  worker = fb_wire_parse_worker ("i-1", of_life);
   CU_ASSERT_PTR_NOT_NULL (worker);
   if (worker == NULL)
     return;
@@ -399,7 +402,7 @@
   CU_ASSERT_STRING_EQUAL (worker->entry.id, "i-1@1767225600123");
   fb_listed_worker_free (worker);
   g_autoptr (GBytes) bad = g_bytes_new ("[]", 2);
-  CU_ASSERT_PTR_NULL (fb_wire_listed_worker ("i-1", bad));
+  CU_ASSERT_PTR_NULL (fb_wire_parse_worker ("i-1", bad));
 }
 
 /* Another writer puts entries among those of the workers.  A state that is not known was taken
@@ -447,7 +450,7 @@
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
       g_autoptr (GBytes) value = g_bytes_new (cases[i].entry, strlen (cases[i].entry));
-      FbListedWorker *worker = fb_wire_listed_worker ("i-1", value);
+      FbListedWorker *worker = fb_wire_parse_worker ("i-1", value);
       if ((worker != NULL) != cases[i].is_worker)
         printf ("    entry %s\n", cases[i].entry);
       CU_ASSERT_EQUAL (worker != NULL, cases[i].is_worker);
@@ -475,7 +478,7 @@
             = (char) g_rand_int_range (rand, 1, 256);
       len = g_rand_boolean (rand) ? sizeof whole - 1 : len;
       g_autoptr (GBytes) value = g_bytes_new (entry, len);
-      FbListedWorker *worker = fb_wire_listed_worker ("i-1", value);
+      FbListedWorker *worker = fb_wire_parse_worker ("i-1", value);
       if (worker == NULL)
         continue;
       CU_ASSERT_TRUE (worker->entry.cpu_milli > 0 && worker->entry.mem_mb > 0);
--- a/tests/test-worker-list.c
+++ b/tests/test-worker-list.c
@@ -7,20 +7,20 @@
 
 /* An entry of worker i-1; BORN_MS 0: it tells no birth. */
 static FbListedWorker *
-entry_of (uint64_t born_ms)
+entry_of (uint64_t incarnation_started_ms)
 {
   FbListedWorker *worker = g_new0 (FbListedWorker, 1);
   worker->id = g_strdup ("i-1");
-  worker->born_ms = born_ms;
-  worker->entry.id = fb_wire_life ("i-1", born_ms);
+  worker->incarnation_started_ms = incarnation_started_ms;
+  worker->entry.id = fb_wire_incarnation ("i-1", incarnation_started_ms);
   return worker;
 }
 
 /* Returns: FALSE when the entry is passed over. */
 static gboolean
-take (FbWorkerList *self, uint64_t born_ms)
+take (FbWorkerList *self, uint64_t incarnation_started_ms)
 {
-  FbListedWorker *worker = entry_of (born_ms);
+  FbListedWorker *worker = entry_of (incarnation_started_ms);
   if (fb_worker_list_passes_over (self, worker))
     {
       fb_listed_worker_free (worker);
@@ -32,10 +32,10 @@
 }
 
 static FbWorkerList *
-list_of (uint64_t born_ms)
+list_of (uint64_t incarnation_started_ms)
 {
   FbWorkerList *self = fb_worker_list_new ();
-  CU_ASSERT_TRUE (take (self, born_ms));
+  CU_ASSERT_TRUE (take (self, incarnation_started_ms));
   return self;
 }
 
--- a/tests/world-log.c
+++ b/tests/world-log.c
@@ -65,11 +65,11 @@
 }
 
 gboolean
-world_log_read (WorldLog *self, uint64_t now_ms, uint32_t id, uint64_t from, uint64_t *first_kept,
-                GArray *records)
+world_log_read (WorldLog *self, uint64_t now_ms, uint32_t id, uint64_t from,
+                uint64_t *first_retained, GArray *records)
 {
   Stream *stream = stream_of (self, id);
-  *first_kept = stream->first;
+  *first_retained = stream->first;
   uint64_t i = from > stream->first ? from - stream->first : 0;
   for (guint n = 0; i < stream->data->len && n < PAGE_RECORDS; i++, n++)
     {
--- a/tests/world-log.h
+++ b/tests/world-log.h
@@ -11,7 +11,7 @@
 /* Adds what is kept from FROM on to RECORDS (data borrowed), at most a page.
  * Returns: TRUE when that is the end. */
 gboolean world_log_read (WorldLog *self, uint64_t now_ms, uint32_t stream, uint64_t from,
-                         uint64_t *first_kept, GArray *records);
+                         uint64_t *first_retained, GArray *records);
 /* The log's own clock. */
 uint64_t world_log_clock_ms (uint64_t now_ms);
 void world_log_drop_old (WorldLog *self, uint64_t now_ms);
--- a/tests/world-worker.c
+++ b/tests/world-worker.c
@@ -7,7 +7,7 @@
 {
   fb_spec spec;
   gboolean ended;
-  FbNews news;
+  FbRunStatus run_status;
   uint64_t end_ms; /* when it will end, on the worker's clock */
   char answer[64];
 } Run;
@@ -92,13 +92,13 @@
 }
 
 static void
-end_run (Worker *self, uint64_t now_ms, Run *run, FbNews news)
+end_run (Worker *self, uint64_t now_ms, Run *run, FbRunStatus run_status)
 {
   run->ended = TRUE;
   self->version++;
   self->state++;
-  run->news = news;
-  oracle_end (self->oracle, now_ms, self->id, &run->spec, news);
+  run->run_status = run_status;
+  oracle_end (self->oracle, now_ms, self->id, &run->spec, run_status);
 }
 
 static void
@@ -110,7 +110,7 @@
     {
       Run *run = g_ptr_array_index (self->runs, i);
       if (!run->ended)
-        end_run (self, now_ms, run, FB_NEWS_LOST);
+        end_run (self, now_ms, run, FB_RUN_STATUS_LOST);
     }
 }
 
@@ -128,7 +128,7 @@
   self->state++;
   oracle_start (self->oracle, now_ms, self->id, &self->capacity, spec);
   if (self->fail)
-    end_run (self, now_ms, run, FB_NEWS_FAILED);
+    end_run (self, now_ms, run, FB_RUN_STATUS_FAILED);
   return TRUE;
 }
 
@@ -137,11 +137,11 @@
 {
   FbSyncRun out = { .spec = run->spec };
   out.state = run->ended ? FB_SYNC_ENDED : FB_SYNC_LIVE;
-  out.news = run->news;
+  out.run_status = run->run_status;
   out.usage = run->spec.demand;
   for (guint r = 0; r < FB_RES_N && self->usage_percent > 0; r++)
     out.usage.amount[r] = out.usage.amount[r] * self->usage_percent / 100;
-  if (run->ended && run->news == FB_NEWS_COMPLETED)
+  if (run->ended && run->run_status == FB_RUN_STATUS_COMPLETED)
     {
       char *text = g_strdup (run->answer);
       g_ptr_array_add (reply->texts, text);
@@ -223,7 +223,7 @@
     {
       Run *run = find_run (self, &g_array_index (request->stops, FbSyncStop, i).run);
       if (run != NULL && !run->ended)
-        end_run (self, now_ms, run, FB_NEWS_STOPPED);
+        end_run (self, now_ms, run, FB_RUN_STATUS_STOPPED);
     }
   WorkerReply *reply = reply_new (self, now_ms);
   handle_starts (self, now_ms, request, reply);
@@ -247,7 +247,7 @@
     {
       Run *run = g_ptr_array_index (self->runs, i);
       if (!run->ended && clock_of (self, now_ms) >= run->end_ms)
-        end_run (self, now_ms, run, self->fail ? FB_NEWS_FAILED : FB_NEWS_COMPLETED);
+        end_run (self, now_ms, run, self->fail ? FB_RUN_STATUS_FAILED : FB_RUN_STATUS_COMPLETED);
     }
 }
 
@@ -278,7 +278,7 @@
     {
       Run *run = g_ptr_array_index (self->runs, i);
       if (!run->ended)
-        end_run (self, now_ms, run, FB_NEWS_LOST);
+        end_run (self, now_ms, run, FB_RUN_STATUS_LOST);
     }
   g_ptr_array_set_size (self->runs, 0);
   self->incarnation += 1000000;
--- a/tests/world.c
+++ b/tests/world.c
@@ -21,7 +21,7 @@
   World *world;
   guint index;
   FbNode *node;
-  guint life; /* grows at each start; answers to an earlier life are dropped */
+  guint incarnation; /* grows at each start; answers to an earlier life are dropped */
   gboolean paused;
   uint64_t told_hosts_ms;
   gboolean draining;
@@ -45,7 +45,7 @@
   uint64_t at_ms;
   uint64_t order;
   guint node;
-  guint life;
+  guint incarnation;
   GBytes *msg;
   uint32_t rack;
   guint host;
@@ -118,7 +118,7 @@
   event->at_ms = self->now_ms + delay_ms;
   event->order = ++self->order;
   event->node = slot->index;
-  event->life = slot->life;
+  event->incarnation = slot->incarnation;
   return event;
 }
 
@@ -249,7 +249,7 @@
     {
       /* It lies in the worker's buffer until it wakes. */
       Event *later = event_new (self, EVENT_EXCHANGE, slot, STEP_MS);
-      later->life = event->life;
+      later->incarnation = event->incarnation;
       later->rack = event->rack;
       later->host = event->host;
       later->epoch = event->epoch;
@@ -266,7 +266,7 @@
       return;
     }
   Event *answer = event_new (self, EVENT_REPLY, slot, noisy_delay (self));
-  answer->life = event->life;
+  answer->incarnation = event->incarnation;
   answer->rack = event->rack;
   answer->host = event->host;
   answer->epoch = event->epoch;
@@ -282,7 +282,7 @@
   FbLogPage page = { .log_now_ms = world_log_clock_ms (self->now_ms) };
   if (event->ok)
     page.at_end = world_log_read (self->log, self->now_ms, event->stream, event->from,
-                                  &page.first_kept, records);
+                                  &page.first_retained, records);
   page.records = (const FbLogRecord *) (void *) records->data;
   page.record_n = records->len;
   fb_node_log_read (slot->node, self->now_ms, event->stream, event->ok ? &page : NULL);
@@ -334,7 +334,7 @@
       return;
     }
   Slot *slot = &self->slots[event->node];
-  if (slot->node == NULL || slot->life != event->life)
+  if (slot->node == NULL || slot->incarnation != event->incarnation)
     return;
   if (slot->paused)
     {
@@ -378,8 +378,8 @@
   for (guint rack = 0; rack < self->size.rack_n; rack++)
     {
       for (guint host = 0; host < self->size.host_n; host++)
-        fb_node_host (slot->node, self->now_ms, rack, host,
-                      self->host_states[rack * self->size.host_n + host]);
+        fb_node_set_host_state (slot->node, self->now_ms, rack, host,
+                                self->host_states[rack * self->size.host_n + host]);
     }
 }
 
@@ -515,7 +515,7 @@
   Slot *slot = &self->slots[node];
   g_clear_pointer (&slot->node, fb_node_free);
   oracle_front_died (self->oracle, node);
-  slot->life++;
+  slot->incarnation++;
   slot->paused = FALSE;
   slot->draining = FALSE;
   note_config_loss (self);
@@ -527,7 +527,7 @@
   Slot *slot = &self->slots[node];
   if (slot->node != NULL)
     return;
-  slot->life++;
+  slot->incarnation++;
   memset (slot->serial_seen, 0, sizeof slot->serial_seen);
   FbNodeConfig config = { .cell = self->cell,
                           .self_index = node,
@@ -637,7 +637,7 @@
 {
   if (!world_is_up (self, node))
     return;
-  uint64_t left_ms = job->deadline_ms > 0 ? job->deadline_ms : FB_NO_DEADLINE_MS;
+  uint64_t remaining_ms = job->deadline_ms > 0 ? job->deadline_ms : FB_NO_DEADLINE_MS;
   fb_job spec = { .id = job->id,
                   .partner = job->partner,
                   .team = (uint32_t) (job->id % 3),
@@ -645,7 +645,7 @@
                   .flags = job->flags,
                   .count = job->count,
                   .demand = job->demand,
-                  .left_ms = left_ms,
+                  .remaining_ms = remaining_ms,
                   .run_ms = job->run_ms,
                   .key = (job->flags & FB_FLAG_EPHEMERAL) ? "" : "key" };
   char payload[32];
@@ -690,7 +690,7 @@
 ask_again (gpointer user, uint64_t job, uint32_t partner)
 {
   World *self = user;
-  (void) fb_node_ask (self->slots[0].node, self->now_ms, partner, job);
+  (void) fb_node_query_job (self->slots[0].node, self->now_ms, partner, job);
 }
 
 void
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -38,10 +38,10 @@
 verdict "signals while a daemon starts" $B/tests/test-signals
 verdict "links between daemons" $B/tests/test-links
 verdict "list of daemons" $B/tests/test-daemons
-verdict "orders that daemons carry" $B/tests/test-carry
+verdict "orders that daemons carry" $B/tests/test-relay
 verdict "lives of workers that are listed" $B/tests/test-worker-list
 verdict "starts that daemons remember" $B/tests/test-recent-starts
-verdict "what daemons keep for owners" $B/tests/test-kept-suspects
+verdict "what daemons keep for owners" $B/tests/test-suspect-backups
 verdict "callers of a slow store" $B/tests/test-slow-store
 verdict "messages of the platform" $B/tests/test-wire
 pool() { diff <($B/tests/test-pool "$1" 2>&1) "${1%.script}.expected"; }
--- a/tools/pool-mutants.sh
+++ b/tools/pool-mutants.sh
@@ -10,43 +10,43 @@
 rm -rf "$OUT"; mkdir -p "$OUT"
 FLAGS="$(pkg-config --cflags --libs glib-2.0 gio-2.0 libtirpc libxxhash json-glib-1.0 libcurl) -Iinclude -I. -Iplatform -O1 -g -w -lm"
 OTHERS="src/base/status.c src/base/event.c src/base/counter.c src/base/histogram.c src/base/timer.c src/core/codec.c
-  rpc/work-xdr.c rpc/record-xdr.c rpc/peer-xdr.c src/entry/peers/recent-starts.c src/entry/peers/kept-suspects.c"
-ADAPTER="src/base/traffic.c src/net/json.c src/net/http-client.c platform/operator.c platform/life.c src/entry/routes.c"
+  rpc/work-xdr.c rpc/record-xdr.c rpc/peer-xdr.c src/entry/peers/recent-starts.c src/entry/peers/suspect-backups.c"
+ADAPTER="src/base/traffic.c src/net/json.c src/net/http-client.c platform/operator.c platform/incarnation.c src/entry/routes.c"
 
 defects() { grep -E "^${ONLY:-[^|]*}\|" <<< "$(all_defects)"; }
 all_defects() { cat <<'TABLE'
-room-not-counted|pool-worker.c|worker->cpu_used + worker->cpu_held + cpu_milli <= worker->cpu_milli|TRUE
+room-not-counted|pool-worker.c|worker->cpu_used + worker->cpu_reserved + cpu_milli <= worker->cpu_milli|TRUE
 stopping-is-free|pool-orders.c|  run->state = FB_RUN_STOPPING;|  run->state = FB_RUN_STOPPING; worker->cpu_used -= run->step != NULL ? run->step->shape->cpu_milli : 0;
 starts-before-settled|pool.c|  if (!fb_pool_may_place (self) \|\| !may_start)|  if (!may_start)
-silent-worker-ignored|pool-settle.c|      if ((!worker->answered \|\| worker->unread) \&\& !worker->gone|      if (FALSE
-closed-worker-holds-nothing|pool-closed.c|    g_hash_table_add (steps, step_of_task (name));|    g_hash_table_remove (steps, name);
-late-comer-too-soon|pool-settle.c|worker->listed_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS + FB_POOL_START_WINDOW_MS|worker->listed_ms > 0
-unread-end-ignored|pool-settle.c|      if (worker->unread \&\& worker->heard_ms <= job->taken_ms)|      if (FALSE)
-absent-behind-an-unread-end|pool-report.c|  if (!worker->unread)|  if (TRUE)
-unheard-holds-nothing|pool-settle.c|      if (may_hold (self->unheard->pdata[i], step))|      if (FALSE)
-not-asked-is-not-allowed|pool-settle.c|  return ruling == NULL \|\| ruling->allowed;|  return ruling != NULL ? ruling->allowed : FALSE;
-untouched-too-soon|pool-settle.c|             \&\& self->jobs_read_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);|             );
+silent-worker-ignored|pool-recovery.c|      if ((!worker->answered \|\| worker->has_unknown_end) \&\& !worker->runs_ended|      if (FALSE
+closed-worker-holds-nothing|pool-drain.c|    g_hash_table_add (steps, step_of_task (name));|    g_hash_table_remove (steps, name);
+late-comer-too-soon|pool-recovery.c|worker->listed_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS + FB_POOL_START_WINDOW_MS|worker->listed_ms > 0
+unread-end-ignored|pool-recovery.c|      if (worker->has_unknown_end \&\& worker->last_answer_ms <= job->taken_ms)|      if (FALSE)
+absent-behind-an-unread-end|pool-report.c|  if (!worker->has_unknown_end)|  if (TRUE)
+unheard-holds-nothing|pool-recovery.c|      if (may_hold (self->unconfirmed_workers->pdata[i], step))|      if (FALSE)
+not-asked-is-not-allowed|pool-recovery.c|  return advice == NULL \|\| advice->allowed;|  return advice != NULL ? advice->allowed : FALSE;
+untouched-too-soon|pool-recovery.c|             \&\& self->jobs_read_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);|             );
 lapse-too-early|pool-worker.c|worker->lease_ms + LAPSE_SLACK_MS;|worker->lease_ms - 1500;
 clock-taken-as-exact|pool-worker.c|passed_ms * (1000 - CLOCK_SLOW_PERMILLE) / 1000|passed_ms * 1100 / 1000
 unanswered-start-forgotten|pool-orders.c|  else if (result != FB_ORDER_UNKNOWN)|  else if (TRUE)
 acknowledged-before-durable|pool-report.c|      worker->seen_end = end->number;|      worker->seen_end = worker->acknowledged = end->number;
 failure-not-recorded|pool-job.c|          mark.failed.failed_len = task->failed->len;|          mark.failed.failed_len = 0;
 failures-by-highest-attempt|pool-job.c|      if (g_array_index (task->failed, uint32_t, i) == attempt)|      if (g_array_index (task->failed, uint32_t, i) >= attempt)
-done-not-recorded|pool-job.c|                            .done = task->done,|                            .done = FALSE,
+done-not-recorded|pool-job.c|              .done = task->done,|              .done = FALSE,
 steps-at-once|pool-job.c|      step->released = ready;|      step->released = TRUE;
 absence-proves-at-once|pool-report.c|  return run->seen_clock_ms > 0 \|\| clock_ms > run->deadline_ms;|  return TRUE;
-other-life-ignored|pool-report.c|  else if (answer->result == FB_ORDER_OTHER_LIFE)|  else if (0)
+other-life-ignored|pool-report.c|  else if (answer->result == FB_ORDER_OTHER_INCARNATION)|  else if (0)
 silent-worker-gets-leases|pool-orders.c|worker->answered \&\& !fb_pool_worker_silent (worker, now_ms)|worker->answered
 cancel-stops-nothing|pool-report.c|  if (job->state != FB_WORK_COMPLETED)|  if (0)
 known-workers-forgotten|pool.c|      if (worker == NULL \&\& !empty)|      if (FALSE)
 crash-not-counted|pool-crash.c|  if (task->done \|\| !note_crash (task, crash))|  if (TRUE)
-crash-not-recorded|pool-crash-record.c|      if (!task->done \&\& (task->crashes != NULL \|\| task->tried != NULL))|      if (FALSE)
-crash-of-a-successor-not-counted|pool-crash-record.c|  for (u_int i = 0; i < suspect->tried.tried_len; i++)|  for (u_int i = 0; FALSE; i++)
+crash-not-recorded|pool-crash-record.c|      if (!task->done \&\& (task->crashes != NULL \|\| task->unresolved != NULL))|      if (FALSE)
+crash-of-a-successor-not-counted|pool-crash-record.c|  for (u_int i = 0; i < suspect->unresolved.unresolved_len; i++)|  for (u_int i = 0; FALSE; i++)
 crash-counted-again-and-again|pool-crash.c|fb_pool_task_has_crash (task, crash.worker)\n      \|\| |
-silence-taken-for-a-crash|pool-crash.c|  if (loss == FB_LOSS_OTHER_LIFE)\n    {\n      fb_pool_tried_drop|  if (TRUE)\n    {\n      fb_pool_tried_drop
-new-life-not-noticed|pool-doubt.c|          \&\& is_successor (other, lost))|          \&\& FALSE)
-new-life-that-went-not-noticed|pool-doubt.c|lost != NULL \&\& other->listed_ms > 0|lost != NULL \&\& other->listed
-doubt-holds-nothing-back|pool-crash.c|fb_pool_task_crashes_n (task) + task->doubts_n >= limit \|\| |
+silence-taken-for-a-crash|pool-crash.c|  if (loss == FB_LOSS_OTHER_INCARNATION)\n    {\n      fb_pool_unresolved_start_drop|  if (TRUE)\n    {\n      fb_pool_unresolved_start_drop
+new-life-not-noticed|pool-unresolved-losses.c|          \&\& is_successor (other, lost))|          \&\& FALSE)
+new-life-that-went-not-noticed|pool-unresolved-losses.c|lost != NULL \&\& other->listed_ms > 0|lost != NULL \&\& other->listed
+doubt-holds-nothing-back|pool-crash.c|fb_pool_task_crashes_n (task) + task->unresolved_losses_n >= limit\n                   \|\| |
 wide-step-all-at-once|pool-place.c|  if (fb_pool_probe_is_on (step))\n    return FALSE;|
 suspect-gets-copies|pool-copy.c|  if (fb_pool_task_is_suspect (task))|  if (FALSE)
 cause-never-left|pool-crash.c|  for (guint i = 0; i < task->crashes->len; i++)\n    fb_pool_crash_cause_drop|  for (guint i = 0; FALSE; i++)\n    fb_pool_crash_cause_drop
@@ -60,31 +60,31 @@
 planned-leave-taken-for-a-crash|pool-crash.c|  while (!worker->draining \&\& g_hash|  while (g_hash
 shrunk-room-not-noticed|pool-worker.c|  worker->cpu_milli = entry->cpu_milli;|  worker->cpu_milli = MAX (worker->cpu_milli, entry->cpu_milli);
 grown-room-not-noticed|pool-worker.c|  worker->cpu_milli = entry->cpu_milli;|  worker->cpu_milli = worker->cpu_milli != 0 ? MIN (worker->cpu_milli, entry->cpu_milli) : entry->cpu_milli;
-size-proves-what-ran|pool-settle.c|  if (!fb_pool_has_labels_for (worker, step->shape))|  if (!fb_pool_could_run (worker, step->shape))
-refusal-of-a-repeat-is-proof|platform/worker.c|  if (fb_http_reply_leaves_doubt (reply) \&\& |  if (FALSE \&\& 
+size-proves-what-ran|pool-recovery.c|  if (!fb_pool_has_labels_for (worker, step->shape))|  if (!fb_pool_could_run (worker, step->shape))
+refusal-of-a-repeat-is-proof|platform/worker.c|  if (fb_http_reply_is_ambiguous (reply) \&\& |  if (FALSE \&\& 
 lease-of-the-owner-before-forgotten|pool-report.c|answer->clock_ms + first_lease_ms (self, worker)|0
 answer-counts-for-any-attempt|pool-orders.c|(*run)->attempt != ref->attempt|FALSE
-full-answer-taken-for-all|pool-report.c|  if (answer->finished->len >= self->limits.ends_listed_n)|  if (FALSE)
-any-end-of-a-job-that-is-over|pool-report.c|  if (run != NULL \&\& run->attempt <= end->attempt)\n    fb_pool_run_over (self, worker, run, end_names[end->how], now_ms);\n}|  if (run != NULL)\n    fb_pool_run_over (self, worker, run, end_names[end->how], now_ms);\n}
+full-answer-taken-for-all|pool-report.c|  if (answer->finished->len >= self->limits.max_reported_ends)|  if (FALSE)
+any-end-of-a-job-that-is-over|pool-report.c|  if (run != NULL \&\& run->attempt <= end->attempt)\n    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);\n}|  if (run != NULL)\n    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);\n}
 refused-start-stays-in-the-record|pool-orders.c|  fb_pool_crash_task_gone (self, worker, step, run->index);|
-settled-doubt-stays-in-the-record|pool-doubt.c|  fb_pool_job_changed (self, step->job);|
+settled-doubt-stays-in-the-record|pool-unresolved-losses.c|  fb_pool_job_changed (self, step->job);|
 end-shown-at-once|pool.c|  if (job->stored_state >= FB_WORK_COMPLETED)|  if (job->state >= FB_WORK_COMPLETED) { *state = job->state; return TRUE; } if (0)
-unanswered-is-firm|pool-crash.c|  return firm ? FB_CRASH_FIRM : FB_CRASH_LIKELY;|  return FB_CRASH_FIRM;
-evidence-not-recorded|pool-crash-record.c|firm ? FB_CRASH_FIRM : FB_CRASH_HEARSAY|FB_CRASH_HEARSAY
-other-birth-ignored|platform/worker.c|  if (born_ms == 0 \|\| g_str_equal (answered, life))|  if (TRUE)
-start-of-a-life-before-given-up|pool-return.c|  if (!fb_pool_return_may_come (self, run))\n    return FALSE;|  return FALSE;
-late-starts-not-shut-out|pool-report.c|    fb_pool_late_starts_shut_out (self, worker, now_ms);|    ;
-start-of-two-lives|pool-return.c|  if (task == NULL \|\| |  if (TRUE \|\| 
-silent-worker-acknowledged|pool-orders.c|  if (worker->look_failed)|  if (FALSE)
-recalled-starts-ignored|pool-recall.c|  if (task->done \|\| is_known (self, task, start))|  if (TRUE)
-recalled-start-at-a-worker-that-lives|pool-recall.c|  return (worker != NULL \&\& worker->answered)|  return FALSE
-moved-start-counts-twice|pool-crash.c|  if (run->lost_with.worker != 0)|  if (FALSE)
+unanswered-is-firm|pool-crash.c|  return firm ? FB_CRASH_CONFIRMED : FB_CRASH_PROBABLE;|  return FB_CRASH_CONFIRMED;
+evidence-not-recorded|pool-crash-record.c|firm ? FB_CRASH_CONFIRMED : FB_CRASH_REPORTED|FB_CRASH_REPORTED
+other-birth-ignored|platform/worker.c|  if (incarnation_started_ms == 0 \|\| g_str_equal (answered, incarnation))|  if (TRUE)
+start-of-a-life-before-given-up|pool-restart.c|  if (!fb_pool_restart_may_deliver (self, run))\n    return FALSE;|  return FALSE;
+late-starts-not-shut-out|pool-report.c|    fb_pool_unanswered_starts_reject (self, worker, now_ms);|    ;
+start-of-two-lives|pool-restart.c|  if (task == NULL \|\| |  if (TRUE \|\| 
+silent-worker-acknowledged|pool-orders.c|  if (worker->poll_failed)|  if (FALSE)
+recalled-starts-ignored|pool-import-starts.c|  if (task->done \|\| is_known (self, task, start))|  if (TRUE)
+recalled-start-at-a-worker-that-lives|pool-import-starts.c|  return (worker != NULL \&\& worker->answered)|  return FALSE
+moved-start-counts-twice|pool-crash.c|  if (run->deferred_crash.worker != 0)|  if (FALSE)
 awaited-start-is-no-cause|pool-crash.c|      if (was_there (other) \|\| may_have_begun (other))|      if (was_there (other))
-held-worker-forgotten|pool.c|  if (worker->listed \|\| worker->held_n > 0)|  if (worker->listed)
-unstored-never-handed|pool-unstored.c|      else if (is_late \&\& job->unstored_news)|      else if (FALSE)
+held-worker-forgotten|pool.c|  if (worker->listed \|\| worker->reserved_n > 0)|  if (worker->listed)
+unstored-never-handed|pool-unstored-suspects.c|      else if (is_late \&\& job->unstored_changed)|      else if (FALSE)
 acknowledged-beside-starts|pool-orders.c|(fb_pool_owes_acknowledgement (worker) \&\& !has_unlisted (worker))|fb_pool_owes_acknowledgement (worker)
 acknowledged-for-good|pool-report.c|  acknowledge_again (worker, answer);|  (void) acknowledge_again;
-second-copy-forgotten|pool-return.c|(run->listed_ms == 0 \|\| is_open)|(run->listed_ms == 0)
+second-copy-forgotten|pool-restart.c|(run->listed_ms == 0 \|\| is_open)|(run->listed_ms == 0)
 TABLE
 }
 
