--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -1,4 +1,4 @@
-/* The jobs of a pool, for its own files only. */
+/* The jobs of a pool; only for the pool's source files. */
 #pragma once
 
 #include "internal/pool.h"
@@ -8,54 +8,58 @@
 typedef struct _FbPoolStep FbPoolStep;
 typedef struct _FbPoolLasting FbPoolLasting;
 
-/* What is learned of a worker, shared with the tasks that ran there until their steps
- * have ended. */
+/* The estimated speed of a worker. It is shared with the tasks that ran there until their steps
+ * have ended, so it may outlive the worker. */
 typedef struct
 {
-  double slowness;   /* its run times against those of others on the same steps; 1: as they */
-  double step_ratio; /* sum over its runs of the step that is being taken in */
-  guint step_runs;   /* how many these are */
+  double slowness;   /* its run times relative to those of other workers for the same steps; 1:
+                        average */
+  double step_ratio; /* sum of the relative run times in the step that is being evaluated */
+  guint step_runs;   /* number of terms in STEP_RATIO */
   guint refs;
 } FbPoolSpeed;
 
 typedef struct
 {
-  uint32_t attempt; /* highest that was used */
-  /* Attempts that ended failed.  Each is counted once, in whatever order they come: a
-   * successor hears the same ends again, from several workers.  NULL for none. */
-  GArray *failed;   /* of uint32_t */
-  GArray *crashes;  /* of FbPoolCrash, one a worker; NULL for none */
-  GPtrArray *tried; /* of FbPoolTried; NULL for none */
-  gboolean
-      withheld; /* it does not start: one crash more could be too many, or two are not stored yet */
-  uint32_t doubts_n; /* losses of workers that may have been crashes under it */
-  /* It waits until then for a worker where nothing begins; 0: it does not. */
+  uint32_t attempt; /* number of the latest attempt; 0: none yet */
+  /* Attempts that ended failed; NULL: none. They are listed by number so that each is counted
+   * once in whatever order the ends arrive: a new owner receives the same ends again, from
+   * several workers. */
+  GArray *failed;    /* of uint32_t */
+  GArray *crashes;   /* of FbPoolCrash, one for each worker; NULL: none */
+  GPtrArray *tried;  /* of FbPoolTried; NULL: none */
+  gboolean withheld; /* it must not start: one more crash could exceed the limit, or two crashes are
+                        not stored yet */
+  uint32_t doubts_n; /* lost workers that may have crashed because of this task */
+  /* Until when the task waits for a worker on which nothing else starts; 0: it does not wait. */
   uint64_t calm_until_ms;
   gboolean done;
-  gboolean gave_way;   /* it was stopped once for work of higher priority */
-  uint32_t moved;      /* how often it was stopped for taking far too long */
-  char *checkpoint;    /* NULL for none */
-  FbPoolRun *run;      /* borrowed from its worker; NULL while it waits */
-  FbPoolRun *copy;     /* a second run, of a step that allows it; borrowed, NULL for none */
-  uint32_t took_ms;    /* its run that ended done */
-  FbPoolSpeed *ran_at; /* where that was; NULL: not known, or taken in already */
+  gboolean gave_way;   /* it was preempted once */
+  uint32_t moved;      /* how often it was stopped as stuck */
+  char *checkpoint;    /* NULL: none */
+  FbPoolRun *run;      /* borrowed from its worker; NULL: not on a worker */
+  FbPoolRun *copy;     /* a speculative second run, if the step allows it; borrowed; NULL: none */
+  uint32_t took_ms;    /* duration of the run that ended successfully */
+  FbPoolSpeed *ran_at; /* speed of the worker of that run; NULL: not known, or already evaluated */
 } FbPoolTask;
 
-/* What the advice service said of one worker for one step. */
+/* Answer of the advice service about one worker for one step. */
 typedef struct
 {
-  uint32_t life; /* of the worker in this slot; 0: it was not asked about */
+  uint32_t life; /* FbPoolWorker.life of the worker in this slot; 0: the service was not asked about
+                    it */
   gboolean allowed;
-  char *ticket; /* NULL while it is not allowed */
+  char *ticket; /* NULL: not allowed */
   uint64_t valid_until_ms;
 } FbPoolRuling;
 
-/* What decides first in which order waiting steps are placed; 0 for those not sorted in yet. */
+/* First sort key of the queue of steps; 0 for steps that are not sorted in yet. */
 typedef enum
 {
-  FB_URGENCY_INTERRUPTED = -1, /* it lasts, and what waits of it has run before, or may have */
+  FB_URGENCY_INTERRUPTED
+  = -1, /* long-running, with a pending task that has run before or may have */
   FB_URGENCY_IN_TIME = 0,
-  FB_URGENCY_HOPELESS = 1 /* too late to be worth anything */
+  FB_URGENCY_HOPELESS = 1 /* not long-running, and too late to be worth anything */
 } FbPoolUrgency;
 
 /* One step of one occurrence of a job. */
@@ -65,37 +69,38 @@
   uint32_t occurrence;
   uint32_t index;
   const fb_work_step *shape; /* borrowed from the job's record */
-  FbPoolTask *tasks;         /* SHAPE->count */
+  FbPoolTask *tasks;         /* SHAPE->count entries */
   uint32_t done_n;
-  uint32_t timed_n; /* runs that ended done here, and how long they took in all */
+  uint32_t timed_n; /* successful runs that this owner has started, and their total duration */
   uint64_t timed_ms;
-  uint32_t waiting_from; /* no task before this index waits */
+  uint32_t waiting_from; /* no task before this index is pending */
   uint32_t gang_attempt;
-  guint crashed_n;       /* workers that crashed under its tasks since one ran well */
-  uint64_t crashed_last; /* rank of the last of these */
-  uint64_t crashed_ms;   /* when that was known */
-  gboolean released;     /* all steps before it are done, its time has come */
-  gboolean gang_broken;  /* a member ended or was refused: the others are stopped */
-  FbPoolRuling *rulings; /* by the slots of workers */
+  guint crashed_n;       /* workers that crashed under its tasks since one of them ran well */
+  uint64_t crashed_last; /* rank of the worker that crashed last */
+  uint64_t crashed_ms;   /* when that crash became known */
+  gboolean released;     /* all preceding steps are done, and the occurrence is due */
+  gboolean gang_broken;  /* a member ended or was refused, so the others are being stopped */
+  FbPoolRuling *rulings; /* by worker slot */
   guint rulings_n;
-  gboolean ruled;           /* the advice has ruled on some worker */
-  uint64_t advice_until_ms; /* the open question is given up then; 0: none is open */
-  uint64_t told_ms;         /* when the last answer came */
-  GPtrArray *held_on;       /* ids of workers that keep room for it, one entry a task */
+  gboolean ruled;           /* the advice service has answered about some worker */
+  uint64_t advice_until_ms; /* when the open question is given up; 0: none is open */
+  uint64_t told_ms;         /* when the last answer of the advice service came; 0: none yet */
+  GPtrArray
+      *held_on; /* ids of workers with capacity reserved for this step, one entry for each task */
   uint64_t held_until_ms;
-  gboolean queued;        /* it is among the pool's waiting steps */
-  FbPoolUrgency urgency;  /* as of when it was sorted in */
-  uint64_t looked_round;  /* last round in which it found no place */
-  uint64_t full_look_ms;  /* when it is looked at again whatever has changed */
-  uint64_t room_asked_ms; /* when other work was last asked to give way to it */
-  FbPoolLasting *lasting; /* what is told of it if it is to last; NULL: nothing yet */
+  gboolean queued;        /* it is in FbPool.waiting or FbPool.fresh */
+  FbPoolUrgency urgency;  /* as of when it was sorted into the queue */
+  uint64_t looked_round;  /* last round that could not place it; 0: none */
+  uint64_t full_look_ms;  /* when it is tried again even if nothing has changed */
+  uint64_t room_asked_ms; /* when preemptible runs were last searched for; 0: never */
+  FbPoolLasting *lasting; /* state of a long-running step; NULL: none yet */
 };
 
 typedef struct
 {
   uint32_t number;
   gboolean finished;
-  FbPoolStep *steps; /* as many as the job has */
+  FbPoolStep *steps; /* one for each step of the job */
 } FbPoolOccurrence;
 
 struct _FbPoolJob
@@ -103,71 +108,75 @@
   char *id;
   fb_work_admit record;
   fb_work_state state;
-  fb_work_state stored_state; /* what callers are told: the state last made durable */
+  fb_work_state stored_state; /* the state last made durable, which callers are told */
   fb_work_state flushing_state;
-  gboolean started;             /* a task of it has been started */
-  gboolean restored;            /* an earlier owner may have used attempts that nobody knows of */
-  gboolean untouched;           /* no earlier owner can have started any of it */
-  gboolean advised_when_stored; /* its queue had advice then */
-  gboolean kept;                /* other daemons keep what is held against its tasks */
-  gboolean unstored_news;       /* that has changed since they were told */
-  uint32_t suspicion;           /* grows with each crash or doubt of one of its tasks */
-  uint32_t suspicion_flushing;  /* what of that the open flush holds */
-  uint32_t suspicion_stored;    /* what of that is durable */
-  gboolean end_unread;          /* when it was taken, workers listed ends of jobs not known */
-  uint64_t taken_ms;            /* into this pool */
+  gboolean started;   /* a task of the job has been started */
+  gboolean restored;  /* an earlier owner may have used attempts that no record mentions */
+  gboolean untouched; /* no earlier owner can have started any task of the job */
+  gboolean advised_when_stored; /* its queue used the advice service when the job was stored */
+  gboolean kept;                /* other daemons keep the suspected tasks of the job */
+  gboolean unstored_news; /* the suspected tasks have changed since the other daemons were told */
+  uint32_t
+      suspicion; /* counter that grows with each crash or suspected crash under one of its tasks */
+  uint32_t suspicion_flushing; /* value of SUSPICION in the open flush */
+  uint32_t suspicion_stored;   /* value of SUSPICION that is durable */
+  gboolean end_unread;         /* when the job was added, workers reported ends of unknown jobs */
+  uint64_t taken_ms;           /* when it was added to this pool */
   uint64_t admitted_ms;
-  uint64_t objective_ms; /* on the pool's clock: when its caller wants it */
-  uint64_t hopeless_ms;  /* after that it is worth nothing */
-  double tightness;      /* its chain of work as a share of its objective, 0 to 1 */
+  uint64_t objective_ms; /* when its caller wants it, on the pool's clock */
+  uint64_t hopeless_ms;  /* when it is no longer worth anything */
+  double tightness;      /* its critical path as a share of its objective, 0 to 1 */
   uint64_t ended_wall_ms;
   GPtrArray *occurrences; /* of FbPoolOccurrence */
   uint32_t next_occurrence;
 };
 
 /* pool-job.c */
-/* TO is the caller's to free, by XDR. */
+/* Copies FROM to TO, which the caller frees with xdr_free(). */
 void fb_pool_job_copy_record (const fb_work_admit *from, fb_work_admit *to);
-/* Takes over what RECORD holds, allocated as XDR does it, and leaves it empty. */
+/* Takes over the contents of RECORD, allocated as XDR does it, and leaves it empty. */
 FbPoolJob *fb_pool_job_new (const char *id, fb_work_admit *record, uint64_t now_ms,
                             uint64_t wall_ms);
 void fb_pool_job_free (gpointer job);
 gboolean fb_pool_job_ended (const FbPoolJob *job);
 void fb_pool_job_objective (FbPoolJob *job);
-/* Creates the occurrences whose time has come and releases steps.
- * Returns: TRUE when that completed the job. */
+/* Creates the occurrences that are due and releases steps. Returns: TRUE when the job is
+ * complete. */
 gboolean fb_pool_job_release (FbPool *self, FbPoolJob *job, uint64_t wall_ms);
 FbPoolOccurrence *fb_pool_job_occurrence (FbPoolJob *job, uint32_t number);
 FbPoolStep *fb_pool_job_step (FbPoolJob *job, uint32_t occurrence, uint32_t step);
 void fb_pool_job_progress (const FbPoolJob *job, fb_work_progress *progress);
 void fb_pool_job_restore (FbPoolJob *job, const fb_work_progress *progress);
-/* Returns: FALSE when that attempt was counted before. */
+/* Counts ATTEMPT as failed. Returns: FALSE when it was counted before. */
 gboolean fb_pool_task_count_failed (FbPoolTask *task, uint32_t attempt);
 guint fb_pool_task_failed_n (const FbPoolTask *task);
 void fb_pool_task_save (FbPoolStep *step, uint32_t index, const char *checkpoint);
 gboolean fb_pool_step_done (const FbPoolStep *step);
-/* TRUE when the task is neither done nor on a worker; of a step: when one of its is. */
+/* TRUE when the task may be placed: it is neither done, withheld, nor on a worker; for a step,
+ * when one of its tasks may be. */
 gboolean fb_pool_task_waits (const FbPoolTask *task);
 gboolean fb_pool_step_waits (const FbPoolStep *step);
-/* What kept task INDEX from waiting for a place may be over. */
+/* Task INDEX may have become pending: puts its step back into the queue. */
 void fb_pool_task_may_wait (FbPool *self, FbPoolStep *step, uint32_t index);
-/* Returns: PERCENT of the mean time of its ended runs, or FACTOR times the estimate while too
- * few have ended. */
+/* Returns: PERCENT of the mean time of the ended runs of STEP, or FACTOR times the estimate
+ * while too few runs have ended. */
 uint64_t fb_pool_step_times_ms (const FbPoolStep *step, uint32_t percent, uint32_t factor);
-/* Returns: (transfer full): ID.K.STEP */
+/* Returns: (transfer full): JOB.OCCURRENCE.STEP */
 char *fb_pool_step_name (const FbPoolStep *step);
 char *fb_pool_task_name (const FbPoolStep *step, uint32_t index);
-/* Returns: (nullable): the job of which the step or task NAME is, also one that is over. */
+/* Returns: (nullable): the job to which the step or task NAME belongs, even if the job has
+ * ended. */
 FbPoolJob *fb_pool_find_job (const FbPool *self, const char *name);
-/* Finds the step and index that NAME names; NULL if the pool has no such task. */
+/* Returns: (nullable): the step of the task NAME, whose index it stores in INDEX; NULL when the
+ * pool has no such task. */
 FbPoolStep *fb_pool_find_task (FbPool *self, const char *name, uint32_t *index);
-/* The same for ID.K.STEP. */
+/* Returns: (nullable): the step JOB.OCCURRENCE.STEP. */
 FbPoolStep *fb_pool_find_step (FbPool *self, const char *name);
 
 /* pool-speed.c */
 FbPoolSpeed *fb_pool_speed_new (void);
 void fb_pool_speed_unref (FbPoolSpeed *speed);
-/* TASK took TOOK_MS where SPEED is of. */
+/* TASK ran for TOOK_MS on the worker with SPEED. */
 void fb_pool_speed_note (FbPoolTask *task, FbPoolSpeed *speed, uint32_t took_ms);
-/* STEP has ended: its runs tell of their workers. */
+/* STEP has ended: updates the speeds of the workers of its runs. */
 void fb_pool_speed_learn (FbPoolStep *step);
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -1,28 +1,30 @@
-/* A pool: what it holds beside its jobs and workers, and what goes on between them; for its own
- * files only. */
+/* Internal state and functions of a pool, except for its jobs and workers, which have headers
+ * of their own; only for the pool's source files. */
 #pragma once
 
 #include "internal/pool-worker-private.h"
 
 /* ---- times and limits ---------------------------------------------------- */
 
-/* Lease given with each look.  Long enough for a take-over (a silent owner is
- * replaced after about 2 s), short enough that work on a worker that went dark
- * starts again within its caller's patience. */
+/* Lease granted with each poll. Long enough for a take-over (a silent owner is replaced after
+ * about 2 s), short enough that work on an unreachable worker is started again while its caller
+ * still waits. */
 #define FB_POOL_LEASE_MS 4000
-/* A start must be carried out within this time, so that an order that a worker takes up
- * seconds later does nothing.  Answers take some 10 ms; a task whose order got none can
- * start again after this and one look.  With 1,200 ms, and looks of 800 ms, the mean worth
- * of both sites' standard days was 0.02 lower. */
+/* A start must be carried out within this time; a worker that handles the command seconds later
+ * refuses it. Answers take some 10 ms, and a task whose command got no answer can be started
+ * again after this time and one poll. With 1,200 ms, and polls of 800 ms, the mean worth of
+ * both sites' standard days was 0.02 lower. */
 #define FB_POOL_START_WINDOW_MS 700
-/* A look waits this long for news at the worker; the lease is renewed as often. */
+/* A worker that has nothing to report delays its answer to a poll for this long, so the lease
+ * is also renewed at this interval. */
 #define FB_POOL_LOOK_WAIT_MS 500
-/* A replaced owner learns of it within this time: its looks are this far apart. */
+/* A replaced owner learns of its replacement within this time, because its polls of a worker
+ * are at most this far apart. */
 #define FB_POOL_STEP_DOWN_MS 2000
-/* A call to a worker that has just ended may wait so long for the next life to listen. */
+/* A call to a worker that has just ended may wait this long for the next incarnation to listen. */
 #define FB_POOL_HELD_CALL_MS 1200
-/* Workers and due times are looked after this often, not at each event: a round
- * over them costs some 100 us, and an owner sees hundreds of events a second. */
+/* Workers and due times are checked at this interval instead of at each event: a pass over them
+ * costs some 100 us, and an owner handles hundreds of events a second. */
 #define FB_POOL_TEND_EVERY_MS 20
 #define FB_POOL_EXPIRE_EVERY_MS 1000
 
@@ -36,78 +38,84 @@
   const FbPoolSink *sink;
   gpointer user;
   uint64_t began_ms;
-  uint64_t majority_ms; /* when a majority had answered; 0: not yet */
+  uint64_t majority_ms; /* when a majority of the workers had answered; 0: not yet */
   gboolean workers_complete;
-  gboolean settled;   /* nothing can run that this owner does not know of */
-  GPtrArray *unheard; /* of FbPoolWorker: what keeps it from that, as of this step; borrowed */
+  gboolean settled;   /* recovery is complete: this owner knows everything that can run */
+  GPtrArray *unheard; /* of FbPoolWorker that may hold unknown runs, which keeps SETTLED FALSE, as
+                         of this step; borrowed */
   gboolean fenced;
   gboolean flushing;
   uint64_t flush_began_ms;
   uint64_t last_order;
   GHashTable *workers; /* id -> FbPoolWorker */
-  GPtrArray *roster;   /* of FbPoolWorker by slot, NULL where none is; borrowed */
+  GPtrArray *roster;   /* of FbPoolWorker by slot; NULL: the slot is free; borrowed */
   uint32_t last_life;
-  GHashTable *latest;     /* address -> FbPoolWorker, the life there that began last; borrowed */
-  GHashTable *closed;     /* id -> GHashTable, for FbPoolWorker.closed_to: of the owner before */
-  GPtrArray *opened;      /* of FbPoolWorker that took more room since the last round; borrowed */
-  GPtrArray *waiting;     /* of FbPoolStep with tasks that wait, in their order; borrowed */
-  GPtrArray *fresh;       /* of FbPoolStep that are not sorted into these yet; borrowed */
-  uint32_t asked_in_vain; /* kinds of questions that no daemon could take in this round */
-  uint64_t round;         /* counts the rounds of placing */
-  guint place_from;       /* the waiting step with which the open round goes on; 0: none is open */
-  guint round_opened_n;   /* of OPENED, those that its first steps have seen */
-  uint32_t visits_n;      /* workers and runs that were looked at in this turn of it */
-  GHashTable *timed;      /* set of FbPoolJob of which something comes due; borrowed */
-  GHashTable *chained;    /* set of FbPoolJob with steps that wait for others; borrowed */
+  GHashTable *latest; /* address -> FbPoolWorker, the incarnation there that began last; borrowed */
+  GHashTable
+      *closed; /* id -> GHashTable, for FbPoolWorker.closed_to: as recorded by the previous owner */
+  GPtrArray *opened;  /* of FbPoolWorker whose capacity has grown since the last round; borrowed */
+  GPtrArray *waiting; /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
+  GPtrArray *fresh;   /* of FbPoolStep not merged into WAITING yet; borrowed */
+  uint32_t asked_in_vain; /* bits of kind_of_question(): questions that no daemon could forward in
+                             this round */
+  uint64_t round;         /* number of the current placement round */
+  guint place_from; /* position in WAITING where the open round continues; 0: no round is open */
+  guint round_opened_n;   /* how many entries of OPENED there were when the open round began */
+  uint32_t visits_n;      /* workers and runs visited in this turn of the round */
+  GHashTable *timed;      /* set of FbPoolJob with occurrences or steps to release; borrowed */
+  GHashTable *chained;    /* set of FbPoolJob with steps that depend on others; borrowed */
   GHashTable *jobs;       /* id -> FbPoolJob */
   GHashTable *active;     /* set of FbPoolJob that have not ended; borrowed */
-  GHashTable *ended;      /* set of FbPoolJob that are kept for late callers; borrowed */
-  GHashTable *dirty;      /* set of FbPoolJob with news to record; borrowed */
-  GPtrArray *in_flush;    /* of FbPoolJob: what the open flush holds; borrowed */
+  GHashTable *ended;      /* set of FbPoolJob whose results are kept for late callers; borrowed */
+  GHashTable *dirty;      /* set of FbPoolJob with changes that are not recorded yet; borrowed */
+  GPtrArray *in_flush;    /* of FbPoolJob: the jobs in the open flush; borrowed */
   GHashTable *orders;     /* order -> FbPoolOrderRef */
   GQueue *late_starts;    /* of FbPoolLateStart; the oldest at its head */
-  GHashTable *suspects;   /* set of FbPoolStep with tasks under which workers crashed; borrowed */
-  GHashTable
-      *unstored;      /* set of FbPoolJob with news that other daemons may have to keep; borrowed */
-  GHashTable *causes; /* rank of a crashed worker -> how many tasks may have crashed it */
-  GHashTable *doubts; /* id of a lost worker -> what was on it: see pool-doubt.c */
-  gboolean doubts_due;    /* the list of workers may settle some */
-  gboolean hears_most;    /* most workers answered of late */
-  gboolean limit_reached; /* a task has come to the limit of crashes */
-  uint64_t jobs_read_ms;  /* every job stored before is known */
+  GHashTable *suspects;   /* set of FbPoolStep with tasks suspected of crashing workers; borrowed */
+  GHashTable *unstored;   /* set of FbPoolJob whose suspects have changed and may have to be kept by
+                             other daemons; borrowed */
+  GHashTable *causes;     /* rank of a crashed worker -> how many tasks may have caused the crash */
+  GHashTable *doubts;     /* id of a lost worker -> the tasks that were on it: see pool-doubt.c */
+  gboolean doubts_due;    /* the list of workers has changed, which may settle entries of DOUBTS */
+  gboolean hears_most;    /* a majority of the workers answered recently */
+  gboolean limit_reached; /* a task has reached the limit of crashes */
+  uint64_t jobs_read_ms;  /* every job stored before this time is known */
   gboolean workers_dirty; /* the record of workers is out of date */
-  gboolean may_start;     /* its owner was sure of it, and not about to stop, at its last step */
-  gboolean place_due;     /* room, work or advice came since the last round */
-  uint64_t expired_ms;    /* when results were last looked through for old ones */
-  uint64_t tended_ms;     /* when workers and times were last looked after */
-  const char *barred;     /* why nothing at all could start, when that was last so; or NULL */
-  uint64_t barred_ms;     /* when that was */
+  gboolean may_start;  /* at the last step, the owner was certain of its ownership and not about to
+                          stop */
+  gboolean place_due;  /* capacity, jobs or advice arrived since the last round */
+  uint64_t expired_ms; /* when expired results were last searched for */
+  uint64_t tended_ms;  /* when workers and due times were last checked */
+  const char *barred; /* why the pool could not start anything at BARRED_MS: static text; NULL: that
+                         never happened */
+  uint64_t barred_ms; /* when the pool could last not start anything */
 };
 
-/* An attempt's number is above all that were used before it.  A job that was taken
- * over may have used some that no record tells of; going on from the epoch, which
- * grows with each owner, keeps them rising. */
+/* The number of an attempt is higher than those of all earlier attempts at the task. Earlier
+ * owners may have used attempts of a job that no record mentions; the numbers are therefore
+ * derived from the epoch, which grows with each owner. */
 #define FB_POOL_ATTEMPTS_PER_EPOCH 4
 
 /* pool-ruling.c */
 
-/* Returns: (nullable): borrowed; NULL when the advice has not ruled on WORKER. */
+/* Returns: (nullable): borrowed; NULL when the advice service was not asked about WORKER. */
 const FbPoolRuling *fb_pool_ruling (const FbPoolStep *step, const FbPoolWorker *worker);
-/* The advice was asked about WORKER. */
+/* The advice service was asked about WORKER, and has allowed it only if fb_pool_ruling_allow()
+ * follows. */
 void fb_pool_ruling_note (FbPoolStep *step, const FbPoolWorker *worker);
 void fb_pool_ruling_allow (FbPoolStep *step, const FbPoolWorker *worker, const char *ticket,
                            uint64_t valid_until_ms);
-/* The ticket for WORKER is good no more; it stays allowed. */
+/* The ticket for WORKER is no longer valid; the worker stays allowed. */
 void fb_pool_ruling_expire (FbPoolStep *step, const FbPoolWorker *worker);
 void fb_pool_rulings_clear (FbPoolStep *step);
 
 /* pool-queue.c */
 
-/* A task of STEP waits, or may. */
+/* A task of STEP is pending, or may be. */
 void fb_pool_queue_add (FbPool *self, FbPoolStep *step);
-/* Brings the waiting steps into their order; steps of which nothing waits are left out. */
+/* Sorts the queue and removes steps without pending tasks. */
 void fb_pool_queue_sort (FbPool *self, uint64_t now_ms);
-/* JOB is about to be freed. */
+/* Removes the steps of JOB, which is about to be freed. */
 void fb_pool_queue_forget (FbPool *self, const FbPoolJob *job);
 
 /* pool-orders.c */
@@ -115,29 +123,29 @@
                           uint32_t attempt, uint64_t now_ms);
 void fb_pool_order_stop (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
 void fb_pool_order_look (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
-/* TRUE while WORKER, which may start again under its id, has not taken an acknowledgement. */
+/* TRUE while WORKER, which may restart under its id, has not received an acknowledgement. */
 gboolean fb_pool_owes_acknowledgement (const FbPoolWorker *worker);
-/* FALSE when a look at WORKER right after its answer would bring no more than that. */
+/* FALSE when polling WORKER right after its answer would return nothing new. */
 gboolean fb_pool_may_look_on (const FbPoolWorker *worker);
-/* TRUE while ORDER was sent and not answered. */
+/* TRUE while ORDER has no answer. */
 gboolean fb_pool_order_is_open (const FbPool *self, uint64_t order);
-/* Answers to orders about RUN, which was on WORKER, are of the same run on NEXT. */
+/* Attributes answers to commands about RUN, which was on WORKER, to the same run on NEXT. */
 void fb_pool_orders_move (FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
                           const FbPoolWorker *next);
-/* Returns: when a look at a worker that has never answered is repeated, once that look failed. */
+/* Returns: when to repeat a failed poll of a worker that has never answered. */
 uint64_t fb_pool_first_look_again_ms (const FbPoolWorker *worker, uint64_t now_ms);
 uint32_t fb_pool_next_attempt (const FbPool *self, const FbPoolStep *step, uint32_t index);
-/* The run has certainly ended or never began: its room is free, its task waits again.  HOW: a
- * static text. */
+/* RUN has certainly ended or never began: its capacity is free and its task is pending again.
+ * HOW: how it ended, a static text for the log. */
 void fb_pool_run_over (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *how,
                        uint64_t now_ms);
 
 /* pool-report.c */
 
-/* Fills in what LIMITS leaves to the pool. */
+/* Replaces zero members of LIMITS by the defaults. */
 void fb_pool_report_set_limits (FbPoolLimits *limits);
 void fb_pool_gang_stop (FbPool *self, FbPoolStep *step, uint64_t now_ms);
-/* Marks JOB ended, stops what runs of it. */
+/* Marks JOB as ended and stops its runs. */
 void fb_pool_job_end (FbPool *self, FbPoolJob *job, fb_work_state state, uint64_t now_ms,
                       uint64_t wall_ms);
 void fb_pool_job_changed (FbPool *self, FbPoolJob *job);
@@ -145,194 +153,206 @@
 
 /* pool-loss.c */
 
-/* How it is known that all runs of a life of a worker have ended. */
+/* How the owner knows that all runs of an incarnation of a worker have ended. */
 typedef enum
 {
-  FB_LOSS_LEASE_ENDED, /* it may live on, with nothing running */
-  FB_LOSS_OTHER_LIFE,  /* another life answers at its address */
-  FB_LOSS_LEFT         /* it is not listed, and nothing listens there */
+  FB_LOSS_LEASE_ENDED, /* the worker may still be up, but without runs */
+  FB_LOSS_OTHER_LIFE,  /* another incarnation answers at its address */
+  FB_LOSS_LEFT         /* the worker is not listed, and nothing listens at its address */
 } FbPoolLoss;
 
-/* All that runs on this life of WORKER has certainly ended.  NEXT: the life that takes what was
- * meant for it; NULL: none is known. */
+/* All runs of this incarnation of WORKER have certainly ended. NEXT: the incarnation that
+ * receives calls meant for WORKER; NULL: none is known. */
 void fb_pool_worker_lost (FbPool *self, FbPoolWorker *worker, FbPoolLoss loss, FbPoolWorker *next,
                           uint64_t now_ms);
 
 /* pool-lives.c */
 
-/* WORKER has come to be known, at its address. */
+/* WORKER has become known at its address. */
 void fb_pool_life_known (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
-/* WORKER has answered a look that was meant for it. */
+/* WORKER has answered a poll that was meant for it. */
 void fb_pool_life_answered (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
-/* WORKER is certainly the life that runs at its address. */
+/* WORKER is certainly the incarnation that runs at its address. */
 void fb_pool_life_set_latest (FbPool *self, FbPoolWorker *worker);
-/* Returns: the life that runs in the place of WORKER, which may be WORKER. */
+/* Returns: the incarnation that runs in place of WORKER, which may be WORKER itself. */
 FbPoolWorker *fb_pool_life_running (const FbPool *self, FbPoolWorker *worker);
 void fb_pool_life_forget (FbPool *self, const FbPoolWorker *worker);
 
 /* pool-return.c */
 
-/* Tells of an ANSWER that is older than what WORKER said before. */
+/* Logs that ANSWER reports an older state than an earlier answer of WORKER. */
 void fb_pool_return_log_gone_back (const FbPoolWorker *worker, const FbLookAnswer *answer);
 
-/* Returns: (transfer full): what fb_pool_late_start_note() keeps. */
+/* Returns: (transfer full): an empty list for fb_pool_late_start_note(). */
 GQueue *fb_pool_late_starts_new (void);
 void fb_pool_late_starts_free (GQueue *starts);
-/* A start that was sent at SENT_MS to a life of the worker at ADDRESS got no answer: a later life
- * may yet carry it out. */
+/* A start that was sent at SENT_MS to an incarnation of the worker at ADDRESS got no answer: a
+ * later incarnation may still carry it out. */
 void fb_pool_late_start_note (FbPool *self, const char *life, const char *address, const char *task,
                               uint32_t attempt, uint64_t sent_ms, uint64_t now_ms);
-/* WORKER has answered for the first time: it is told to refuse starts that were sent to lives
- * before it and got no answer. */
+/* WORKER has answered for the first time: tells it to refuse starts that were sent to earlier
+ * incarnations and got no answer. */
 void fb_pool_late_starts_shut_out (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
-/* TRUE while WORKER is to shut an earlier start of task INDEX out. */
+/* TRUE while WORKER has to refuse an earlier start of task INDEX. */
 gboolean fb_pool_return_shuts_out (const FbPoolWorker *worker, const FbPoolStep *step,
                                    uint32_t index);
-/* LIFE answered instead of WORKER, under the same id. */
+/* The incarnation LIFE answered instead of WORKER, under the same id. */
 void fb_pool_worker_returned (FbPool *self, FbPoolWorker *worker, const char *life,
                               uint64_t now_ms);
-/* TRUE when a later life of its worker may carry RUN out. */
+/* TRUE when a later incarnation of its worker may carry out RUN. */
 gboolean fb_pool_return_may_come (const FbPool *self, const FbPoolRun *run);
-/* RUN did not come: it was on the life that it was sent to. */
+/* RUN never started on a later incarnation, so it was on the one that it was sent to: counts
+ * the crash of that one. */
 void fb_pool_return_count_crash (FbPool *self, const FbPoolRun *run, uint64_t now_ms);
-/* WORKER has ended and NEXT takes what was meant for it.
- * Returns: FALSE when RUN has ended with WORKER; else it is on NEXT, or may come there. */
+/* WORKER has ended and NEXT receives calls that were meant for it. Returns: FALSE when RUN has
+ * ended with WORKER; TRUE when it is on NEXT, or may still be started there. */
 gboolean fb_pool_return_take_over (FbPool *self, FbPoolWorker *worker, FbPoolRun *run,
                                    FbPoolWorker *next, uint64_t now_ms);
-/* WORKER lists RUN, which this owner did not order there. */
+/* WORKER reports RUN, which this owner did not start there. */
 void fb_pool_return_found (FbPool *self, const FbPoolWorker *worker, FbPoolRun *run,
                            uint64_t now_ms);
-/* WORKER lists RUN. */
+/* WORKER reports RUN. */
 void fb_pool_return_listed (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
-/* TRUE when RUN, which might have come to WORKER and is not in its list of CLOCK_MS, never will. */
+/* TRUE when RUN, which might have been started on WORKER and is missing in its list of
+ * CLOCK_MS, never will be. */
 gboolean fb_pool_return_is_over (const FbPool *self, const FbPoolWorker *worker,
                                  const FbPoolRun *run, uint64_t clock_ms);
-/* RUN is not listed and may yet come: WORKER is told to refuse it. */
+/* RUN is not reported and may still be started: tells WORKER to refuse it. */
 void fb_pool_return_shut_out (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
 
 /* pool-choose.c */
 
-/* FB_TICKET_ALLOWED: the advice allows the worker, its ticket may have run out. */
+/* Which tickets suffice. FB_TICKET_ALLOWED: the advice service allows the worker, but its
+ * ticket may have expired. */
 typedef enum
 {
   FB_TICKET_VALID,
   FB_TICKET_ALLOWED
 } FbPoolTicketRule;
 
-/* TRUE when its labels, which stay while it lives, allow it a task of SHAPE. */
+/* TRUE when the labels of WORKER, which do not change while it lives, allow a task of SHAPE. */
 gboolean fb_pool_has_labels_for (const FbPoolWorker *worker, const fb_work_step *shape);
-/* TRUE when it could run such a task if it were empty: its size may change. */
+/* TRUE when WORKER could run such a task if it were empty. Its size may change. */
 gboolean fb_pool_could_run (const FbPoolWorker *worker, const fb_work_step *shape);
-/* The parts of WORKER that are free, added up: more is emptier. */
+/* Returns: the sum of the free shares of CPU, memory and GPUs of WORKER; the higher, the
+ * emptier. */
 double fb_pool_free_shares (const FbPoolWorker *worker);
-/* All but the ticket: it takes work, and has room and the right to it. */
+/* TRUE when a task of STEP could start on WORKER now, apart from the ticket: WORKER accepts
+ * starts and has the capacity and the labels. */
 gboolean fb_pool_has_place (const FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms);
-/* TRUE when it takes work at all. */
+/* TRUE when WORKER accepts starts at all. */
 gboolean fb_pool_worker_takes (const FbPoolWorker *worker, uint64_t now_ms);
-/* FALSE when what changed since STEP was looked at in this round or the last cannot have given it a
- * place. */
+/* FALSE when no change since STEP was tried in this round or the last one can have made its
+ * placement possible. */
 gboolean fb_pool_worth_a_look (FbPool *self, const FbPoolStep *step, uint64_t now_ms);
-/* Returns: (nullable): borrowed. */
+/* Returns: (nullable): borrowed; NULL when STEP has no valid ticket for WORKER. */
 const FbPoolRuling *fb_pool_valid_ticket (const FbPoolStep *step, const FbPoolWorker *worker,
                                           uint64_t now_ms);
-/* For task INDEX.  RACK: only workers of it; NULL for any.  OTHER_THAN: not this one; may be NULL.
- */
+/* Returns: (nullable): the best worker for task INDEX. RACK: only workers of this rack; NULL:
+ * of any. OTHER_THAN: a worker to leave out; NULL: none. */
 FbPoolWorker *fb_pool_best_worker (FbPool *self, const FbPoolStep *step, uint32_t index,
                                    const char *rack, const FbPoolWorker *other_than,
                                    FbPoolTicketRule rule, uint64_t now_ms);
-/* Finds workers for up to MOST waiting tasks, each beside those before it.
- * Returns: how many found one. */
+/* Finds workers for up to MOST pending tasks, each in addition to those before it. Returns: for
+ * how many tasks a worker was found. */
 guint fb_pool_choose (FbPool *self, FbPoolStep *step, guint most, const char *rack,
                       FbPoolTicketRule rule, FbPoolWorker **chosen, uint64_t now_ms);
-/* Returns: FALSE unless every member found one; in one rack if that matters and can be. */
+/* Finds workers for all members of a gang, in one rack if the step asks for that and it is
+ * possible. Returns: FALSE unless every member got one. */
 gboolean fb_pool_choose_gang (FbPool *self, FbPoolStep *step, FbPoolTicketRule rule,
                               FbPoolWorker **chosen, uint64_t now_ms);
-/* Either of the above; for a gang all or none.  Returns: how many found one. */
+/* Calls fb_pool_choose() or, for a gang, fb_pool_choose_gang(). Returns: for how many tasks a
+ * worker was found; for a gang all or none. */
 guint fb_pool_choose_step (FbPool *self, FbPoolStep *step, guint most, FbPoolTicketRule rule,
                            FbPoolWorker **chosen, uint64_t now_ms);
 guint fb_pool_step_waiting_n (const FbPoolStep *step);
-/* Keeps room for N tasks of STEP on the workers chosen. */
+/* Reserves capacity for N tasks of STEP on the workers in CHOSEN. */
 void fb_pool_hold (FbPool *self, FbPoolStep *step, FbPoolWorker **chosen, guint n,
                    uint64_t until_ms);
-/* Returns: (transfer full): where it was held, for fb_pool_hold_again(). */
+/* Releases the capacity reserved for STEP. Returns: (transfer full): ids of the workers on
+ * which it was reserved, for fb_pool_hold_again(). */
 GPtrArray *fb_pool_release_hold (FbPool *self, FbPoolStep *step);
-/* At most MOST of them: some of the tasks may have been placed. */
+/* Reserves again what was released, for at most MOST tasks, because some may have been placed
+ * meanwhile. */
 void fb_pool_hold_again (FbPool *self, FbPoolStep *step, GPtrArray *held_on, guint most,
                          uint64_t until_ms);
 
 /* pool-preempt.c */
 
-/* Stops work that gives way, holds its room for STEP until UNTIL_MS and says in CHOSEN
- * where.  Returns: for how many tasks, at most MOST; all or none for a gang. */
+/* Stops preemptible runs, reserves their capacity for STEP until UNTIL_MS and stores the
+ * workers in CHOSEN. Returns: for how many tasks, at most MOST; all or none for a gang. */
 guint fb_pool_make_room (FbPool *self, FbPoolStep *step, guint most, FbPoolWorker **chosen,
                          uint64_t until_ms, uint64_t now_ms);
 
 /* pool-advice.c */
 
-/* Asks if there is something to ask.  Returns: FALSE when no daemon can take it now. */
+/* Asks the advice service about STEP if there is anything to ask. Returns: FALSE when no daemon
+ * can forward a question now. */
 gboolean fb_pool_ask_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms);
-/* The same, if nothing was asked about the step before. */
+/* The same, unless the service was asked about STEP before. */
 gboolean fb_pool_ask_first_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms);
-/* Asks for a new ticket for WORKER, which the advice allows. */
+/* Asks for a new ticket for WORKER, which the advice service allows. */
 void fb_pool_renew_ticket (FbPool *self, FbPoolStep *step, const FbPoolWorker *worker,
                            uint64_t now_ms);
-/* Asks for steps that come next. */
+/* Asks about steps of JOB that are about to be released. */
 void fb_pool_ask_ahead (FbPool *self, FbPoolJob *job, uint64_t now_ms);
 
-/* The run is of JOB after all: it keeps its room as what it is. */
+/* Attaches runs that workers reported before JOB was known; they keep their capacity. */
 void fb_pool_bind_runs (FbPool *self, const FbPoolJob *job);
-/* Stops runs that are certainly of no job. */
+/* Stops runs on WORKER that certainly belong to no job. */
 void fb_pool_stop_strays (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
 
 /* pool-copy.c */
 
-/* Starts copies of tasks that lag, where their steps allow it. */
+/* Starts copies of slow tasks where their steps allow it. */
 void fb_pool_place_copies (FbPool *self, uint64_t now_ms);
-/* RUN was ordered or found: it is the task's run, or its copy if there is one already. */
+/* RUN was started or reported: it becomes the run of TASK, or its copy if TASK already has a
+ * run. */
 void fb_pool_task_take_run (FbPoolTask *task, FbPoolRun *run);
-/* RUN is over; a copy takes its place. */
+/* RUN has ended; a copy takes its place. */
 void fb_pool_task_drop_run (FbPoolTask *task, const FbPoolRun *run);
 
 /* pool-settle.c */
 
-/* Finds out whether all that may run is known. */
+/* Checks whether recovery is complete, that is, whether everything that may run is known. */
 void fb_pool_settle (FbPool *self, uint64_t now_ms);
-/* TRUE when a majority of the workers has answered under this epoch: what surely runs
+/* TRUE when a majority of the workers has answered under this epoch: tasks that certainly run
  * nowhere may start. */
 gboolean fb_pool_may_place (const FbPool *self);
-/* TRUE when no earlier owner can have started a job that is not known yet. */
+/* TRUE when no earlier owner can have started a job that this owner does not know yet. */
 gboolean fb_pool_is_untouched (const FbPool *self);
-/* JOB comes now: it waits for ends that workers have listed and that were not understood. */
+/* JOB is being added: its tasks wait for ends that workers have reported and that belonged to
+ * no known job. */
 void fb_pool_hear_ends_first (FbPool *self, FbPoolJob *job, uint64_t now_ms);
-/* TRUE while a task of STEP may run, or have ended, on a worker that was not heard. */
+/* TRUE while a task of STEP may run, or may have ended, on a worker that has not answered yet. */
 gboolean fb_pool_may_run_unheard (const FbPool *self, const FbPoolStep *step);
 
 /* pool-place.c */
 void fb_pool_place (FbPool *self, uint64_t now_ms);
 
-/* pool-lasting.c: of steps that are to last; others are passed over. */
+/* pool-lasting.c: for long-running steps; calls for other steps have no effect. */
 
-/* The last run of task INDEX is over; a start that came to nothing was none.  HOW: a static
- * text. */
+/* The last run of task INDEX has ended; not called for a start that was never carried out. HOW:
+ * how it ended, a static text for the log. */
 void fb_pool_lasting_over (FbPoolStep *step, uint32_t index, const char *how, uint64_t now_ms);
-/* A round found no place for all of STEP.  WAITS_FOR: a static text. */
+/* A round could not place all tasks of STEP. WAITS_FOR: the reason, a static text for the log. */
 void fb_pool_lasting_waits (const FbPool *self, FbPoolStep *step, const char *waits_for,
                             uint64_t now_ms);
 void fb_pool_lasting_waits_no_more (FbPoolStep *step);
-/* BUT: set of tasks that do not count; NULL: none.
- * Returns: of the tasks of STEP that wait the one that is away for longest, one that never ran if
- * all did not; the count when none waits. */
+/* BUT: set of tasks to leave out; NULL: none. Returns: the index of the pending task of STEP
+ * that has been down for longest, or of one that never ran if there is no other; the number of
+ * tasks when none is pending. */
 uint32_t fb_pool_lasting_next (const FbPool *self, const FbPoolStep *step, GHashTable *but);
-/* RUN of STEP is ordered. */
+/* A start of RUN was sent. */
 void fb_pool_lasting_started (const FbPool *self, FbPoolStep *step, const FbPoolRun *run,
                               uint64_t now_ms);
 
 /* pool-stuck.c */
 
-/* Stops RUN, so that its task starts elsewhere, if it takes far too long. */
+/* Stops RUN if it takes far too long, so that its task is started elsewhere. */
 void fb_pool_run_check_stuck (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
 
 /* pool-orders.c */
 
-/* Returns: (transfer full): a table of orders in flight. */
+/* Returns: (transfer full): an empty table for FbPool.orders. */
 GHashTable *fb_pool_orders_new (void);
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -1,15 +1,15 @@
-/* A pool: the workers of one service and the graph jobs that run on them.
+/* A pool: the workers of one service and the jobs (graphs of steps) that run on them.
  *
- * One daemon owns a pool at a time and alone decides what starts there.  The pool
- * has no I/O, clock or thread: events come in as calls with the time, orders go
- * out through the sink.  Times are in ms on a clock that also counts while the
- * host is suspended; WALL times are in ms since 1970.
+ * One daemon at a time owns a pool and alone decides what starts there. The pool does no I/O
+ * and has no clock or thread: events come in as calls that pass the time, and commands go out
+ * through callbacks. Times are in ms on a clock that also counts while the host is suspended;
+ * WALL times are in ms since 1970.
  *
- * Safety rests on the workers.  Every order carries the epoch of its owner, and a
- * worker refuses lower epochs, so an owner that was replaced is told by the first
- * worker that it speaks to.  What runs is what the workers list; nothing is started
- * before each worker of the pool has answered under the present epoch, or its lease
- * has certainly ended. */
+ * The workers enforce that only one owner is obeyed. Every command carries the epoch of its
+ * owner, and a worker refuses epochs lower than the highest one it has seen, so a replaced
+ * owner learns of its replacement from the first worker that it calls. What runs is what the
+ * workers report; nothing is started before each worker of the pool has answered under the
+ * present epoch, or its lease has certainly expired. */
 #pragma once
 
 #include "rpc/work.h"
@@ -23,15 +23,15 @@
 
 typedef struct
 {
-  const char *id; /* one life of a worker */
+  const char *id; /* names one incarnation of a worker, that is, one run of its process */
   const char *address;
-  const char *rack;          /* may be NULL */
+  const char *rack;          /* NULL: not known */
   const char *const *labels; /* NULL-terminated */
   uint32_t cpu_milli;
   uint32_t mem_mb;
   uint32_t gpu_count;
   gboolean draining;
-  gboolean returns; /* a later life may take calls that are meant for this one */
+  gboolean returns; /* a later incarnation may receive calls that are meant for this one */
 } FbWorkerEntry;
 
 typedef struct
@@ -48,59 +48,60 @@
   FB_END_STOPPED,
   FB_END_LAPSED,
   FB_END_BROKEN, /* another member of its gang ended */
-  FB_END_ALONE   /* it waited too long for its gang */
+  FB_END_ALONE   /* the rest of its gang did not start in time */
 } FbEndHow;
 
 typedef struct
 {
-  uint64_t number; /* grows over one life of the worker */
+  uint64_t number; /* grows during one incarnation of the worker */
   char *task;
   uint32_t attempt;
   FbEndHow how;
   char *checkpoint;
 } FbEndSeen;
 
-/* How a worker answered an order. */
+/* How a worker answered a command. */
 typedef enum
 {
   FB_ORDER_DONE,
-  FB_ORDER_FENCED,     /* a higher epoch was seen */
-  FB_ORDER_SUPERSEDED, /* this attempt or a higher one was there */
+  FB_ORDER_FENCED,     /* the worker has seen a higher epoch */
+  FB_ORDER_SUPERSEDED, /* the worker already has this attempt or a higher one */
   FB_ORDER_LATE,
   FB_ORDER_NO_ROOM,
   FB_ORDER_BAD_TICKET,
-  FB_ORDER_NOT_DONE,    /* it certainly did nothing */
-  FB_ORDER_OTHER_LIFE,  /* another life of a worker is at this address */
-  FB_ORDER_NO_LISTENER, /* its host answers that nothing listens there; it did nothing */
-  FB_ORDER_UNKNOWN      /* it may be carried out, now or later */
+  FB_ORDER_NOT_DONE,    /* the command was certainly not carried out */
+  FB_ORDER_OTHER_LIFE,  /* another incarnation of a worker is at this address */
+  FB_ORDER_NO_LISTENER, /* the host reports that nothing listens at the address; the command was not
+                           carried out */
+  FB_ORDER_UNKNOWN /* no valid answer: the command may have been carried out, or may be later */
 } FbOrderResult;
 
-/* Returns: a word for the log; static. */
+/* Returns: the name of RESULT for the log; static. */
 const char *fb_order_result_name (FbOrderResult result);
 
 typedef struct
 {
   FbOrderResult result;
-  uint64_t clock_ms; /* the worker's, 0 if not told */
-  GArray *running;   /* of FbRunSeen; NULL unless DONE */
-  GArray *finished;  /* of FbEndSeen */
-  char *life;        /* of OTHER_LIFE: the one that answered, if it takes what is meant for the life
-                      * that was asked; else NULL */
+  uint64_t clock_ms; /* the worker's clock; 0: not reported */
+  GArray *running;   /* of FbRunSeen; NULL unless RESULT is FB_ORDER_DONE */
+  GArray *finished;  /* of FbEndSeen; NULL unless RESULT is FB_ORDER_DONE */
+  char *life; /* with FB_ORDER_OTHER_LIFE: id of the incarnation that answered, if it accepts calls
+                 that are meant for the one that was asked; NULL otherwise */
 } FbLookAnswer;
 
 /* ---- orders --------------------------------------------------------------- */
 
 typedef struct
 {
-  uint64_t order; /* names it in the answer */
+  uint64_t order; /* passed back with the answer */
   const char *worker;
   const char *address;
   uint64_t epoch;
   const char *task;
   uint32_t attempt;
   const char *payload;
-  const char *checkpoint; /* "" for none */
-  const char *ticket;     /* NULL for none */
+  const char *checkpoint; /* "": none */
+  const char *ticket;     /* NULL: none */
   uint64_t deadline_ms;   /* on the worker's clock */
 } FbStartOrder;
 
@@ -120,39 +121,40 @@
   const char *address;
   uint64_t epoch;
   uint64_t acknowledged;
-  uint64_t deadline_ms; /* on the worker's clock; 0: extends no lease */
-  uint32_t wait_ms;     /* for news, at the worker */
-  uint32_t answer_ms;   /* given up when it has not answered so long after that */
+  uint64_t
+      deadline_ms;  /* new end of the lease, on the worker's clock; 0: the lease is not extended */
+  uint32_t wait_ms; /* how long the worker may delay its answer while it has nothing to report */
+  uint32_t answer_ms; /* the poll has failed when no answer has come this long after WAIT_MS */
 } FbLookOrder;
 
-/* Everything passed is borrowed for the call. */
+/* Callbacks of the pool's owner. All arguments are borrowed for the duration of the call. */
 typedef struct
 {
   void (*start) (gpointer user, const FbStartOrder *order);
   void (*stop) (gpointer user, const FbStopOrder *order);
   void (*look) (gpointer user, const FbLookOrder *order);
-  /* EXPECTED_MS: what the advice service needs for it.
-   * Returns: FALSE when no daemon can take the question now. */
+  /* Asks the advice service which of the N WORKERS may run STEP. EXPECTED_MS: time that the
+   * service needs for the answer. Returns: FALSE when no daemon can forward the question now. */
   gboolean (*advise) (gpointer user, const char *step, const char *const *workers, guint n,
                       uint32_t expected_ms);
-  /* A worker knows of a higher epoch: the pool must not be used any more. */
+  /* WORKER has seen a higher epoch: the pool must not be used any more. */
   void (*fenced) (gpointer user, const char *worker);
-  /* Returns: TRUE when LIFE began after OTHER, under the same id.  NULL: no worker starts again
-   * under its id. */
+  /* Returns: TRUE when the incarnation LIFE began after OTHER, under the same id. NULL: no
+   * worker restarts under its id. */
   gboolean (*follows) (const char *life, const char *other);
 } FbPoolSink;
 
-/* Limits that come from the site. */
+/* Limits that are configured for the site. */
 typedef struct
 {
   uint32_t hold_max_ms; /* longest lease that a worker grants */
   uint32_t stop_ms;     /* longest time that a stop takes */
   uint32_t gang_wait_ms;
-  /* Workers that may crash under a task: if nothing else was on one of them that could have done
-   * it, and in any case; 0: what the pool takes by itself. */
+  /* How many workers may crash under a task before its job is given up: when nothing else that
+   * ran on one of them could have caused the crash, and in any case. 0: the pool's default. */
   uint32_t crashes_n;
   uint32_t shared_crashes_n;
-  /* Ends that a worker lists in one answer; 0: what the pool takes by itself. */
+  /* Ended runs that a worker lists in one answer; 0: the pool's default. */
   uint32_t ends_listed_n;
 } FbPoolLimits;
 
@@ -164,35 +166,38 @@
 
 /* ---- events ---------------------------------------------------------------- */
 
-/* A worker is listed, or its entry changed. */
+/* The platform lists a worker, or its entry has changed. */
 void fb_pool_worker_listed (FbPool *self, const FbWorkerEntry *entry, uint64_t now_ms);
-/* A worker is no longer listed: it left, or was silent for long. */
+/* The platform no longer lists the worker: it has left, or was silent for a long time. */
 void fb_pool_worker_unlisted (FbPool *self, const char *id, uint64_t now_ms);
-/* What was passed in is all that the platform listed at a moment after the pool was
- * made: an older list may lack a worker that the owner before has used. */
+/* The workers passed in so far are all that the platform listed at some moment after the pool
+ * was created. An older list may lack a worker that the previous owner has used. */
 void fb_pool_workers_complete (FbPool *self);
-/* Workers that the owner before knew; comes before fb_pool_workers_complete(). */
+/* Adds the workers that the previous owner recorded; must be called before
+ * fb_pool_workers_complete(). */
 void fb_pool_restore_workers (FbPool *self, const fb_work_workers *record);
 
-/* Takes a job into the pool; a job that it knows is left as it is. */
+/* Adds a job to the pool; no effect when the pool already has it. */
 void fb_pool_admit (FbPool *self, const char *job, const fb_work_admit *record, uint64_t now_ms,
                     uint64_t wall_ms);
-/* The same, without a copy: takes over what RECORD holds, allocated as XDR does it, and leaves it
- * empty; of a job that it knows, RECORD stays the caller's. */
+/* The same without a copy: takes over the contents of RECORD, allocated as XDR does it, and
+ * leaves it empty. When the pool already has the job, RECORD remains the caller's. */
 void fb_pool_admit_owned (FbPool *self, const char *job, fb_work_admit *record, uint64_t now_ms,
                           uint64_t wall_ms);
-/* What an earlier owner recorded; comes after the admission of the job, which a job that has
- * ended may lack. */
+/* Restores what an earlier owner recorded of a job. The job must have been added before, unless
+ * it has ended. */
 void fb_pool_restore (FbPool *self, const char *job, const fb_work_progress *record,
                       const fb_work_suspects *suspects, uint64_t now_ms);
-/* Every job that was stored before UNTIL_MS has been passed in: what names another one
- * names none.  Until then runs and ends of jobs that are not known are left alone. */
+/* Every job that was stored before UNTIL_MS has been added: a reported run or end of any other
+ * job belongs to a job that does not exist. Until this call runs and ends of unknown jobs are
+ * left alone. */
 void fb_pool_jobs_read (FbPool *self, uint64_t until_ms);
-/* Starts by earlier owners of which no record may tell; rows of other pools are passed over. */
+/* Adds starts by earlier owners that other daemons remember and that may be missing in the
+ * records; starts in other pools are skipped. */
 void fb_pool_recall_starts (FbPool *self, const fb_told_starts *told, uint64_t now_ms);
 void fb_pool_cancel (FbPool *self, const char *job, uint64_t now_ms, uint64_t wall_ms);
-/* Policies changed.  POLICIES: name of a queue -> fb_work_policy; a queue that is not there
- * keeps the one it has. */
+/* Replaces the policies of queues. POLICIES: name of a queue -> fb_work_policy; a queue that is
+ * not in the table keeps its policy. */
 void fb_pool_policies (FbPool *self, GHashTable *policies);
 
 void fb_pool_look_answered (FbPool *self, const char *worker, const FbLookAnswer *answer,
@@ -201,38 +206,41 @@
                              uint64_t now_ms);
 void fb_pool_stop_answered (FbPool *self, uint64_t order, FbOrderResult result, uint64_t clock_ms,
                             uint64_t now_ms);
-/* TOLD is NULL when the question failed. */
+/* The advice service answered a question about STEP that named the N workers in ASKED. TOLD:
+ * the answer; NULL: the question failed. */
 void fb_pool_advised (FbPool *self, const char *step, const char *const *asked, guint n,
                       const fb_told_advice *told, uint64_t now_ms);
 
-/* Lets time pass and, with MAY_START, starts what can start; to be called after
- * events and at least every 100 ms. */
+/* Advances the pool to NOW_MS and, with MAY_START, starts the tasks that can start. To be
+ * called after events and at least every 100 ms. */
 void fb_pool_step (FbPool *self, gboolean may_start, uint64_t now_ms, uint64_t wall_ms);
 
 /* ---- durability -------------------------------------------------------------- */
 
 typedef struct
 {
-  char *job;        /* NULL: the record of the pool's workers */
-  GBytes *progress; /* NULL: all records of the job can go */
-  gboolean ended;   /* once this is stored the job's admission is needed no more */
+  char *job;        /* NULL: this is the record of the pool's workers */
+  GBytes *progress; /* NULL: all records of the job can be deleted */
+  gboolean ended;   /* the job has ended: its admission record is not needed once this is stored */
 } FbPoolRecord;
 
-/* Begins a flush of everything that changed.  One flush is open at a time.
- * Returns: (transfer full): FbPoolRecord entries, or NULL when nothing changed. */
+/* Begins a flush of everything that has changed. Only one flush may be open at a time. Returns:
+ * (transfer full): FbPoolRecord entries, or NULL when nothing has changed. */
 GPtrArray *fb_pool_flush (FbPool *self, uint64_t now_ms, uint64_t wall_ms);
-/* The open flush is stored: ends in it may be acknowledged and shown. */
+/* The open flush has been stored: the ends in it may be acknowledged to the workers and shown
+ * to callers. */
 void fb_pool_flushed (FbPool *self, uint64_t now_ms);
 
-/* What is held against tasks of a job, and not stored yet. */
+/* The tasks of a job that are suspected of crashing workers, while that is not stored yet. */
 typedef struct
 {
   char *job;
-  GBytes *suspects; /* fb_work_suspects; NULL: it is stored, or nothing is held against them */
+  GBytes *suspects; /* encoded fb_work_suspects; NULL: stored meanwhile, or no task is suspected any
+                       more */
 } FbPoolUnstored;
 
-/* What other daemons are to keep for the next owner, while the store takes nothing, or to forget.
- * Returns: (transfer full): of FbPoolUnstored, or NULL when there is nothing new. */
+/* Returns: (transfer full): FbPoolUnstored entries that other daemons are to keep for the next
+ * owner while the store is unavailable, or to forget; NULL when there is nothing new. */
 GPtrArray *fb_pool_unstored (FbPool *self, uint64_t now_ms);
 /* Another daemon has kept SUSPECTS of JOB for an earlier owner. */
 void fb_pool_recall_unstored (FbPool *self, const char *job, const fb_work_suspects *suspects,
@@ -240,11 +248,11 @@
 
 /* ---- queries ------------------------------------------------------------------ */
 
-/* Returns: FALSE for a job that the pool does not know. */
+/* Returns: FALSE when the pool does not know the job. */
 gboolean fb_pool_job_state (const FbPool *self, const char *job, fb_work_state *state);
-/* Returns: accepted jobs of QUEUE without a time of their own and without a start. */
+/* Returns: how many jobs of QUEUE have no scheduled occurrences and no task that was started. */
 uint32_t fb_pool_pending (const FbPool *self, const char *queue);
-/* TRUE while a majority of the listed workers answered looks under this epoch that
- * were sent within the last WITHIN_MS.  While it holds, no other daemon can have passed its own
- * check of a majority, as workers refuse the lower of two epochs. */
+/* TRUE while a majority of the listed workers has answered polls that were sent under this
+ * epoch within the last WITHIN_MS. As long as this holds, no other daemon can have passed its
+ * own check for a majority, because workers refuse the lower of two epochs. */
 gboolean fb_pool_holds_majority (const FbPool *self, uint32_t within_ms, uint64_t now_ms);
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -1,12 +1,13 @@
-/* When to ask for advice, and about which workers.
+/* Decides when to ask the advice service about a step, and about which workers.
  *
- * A question takes up to 1.7 s, and the workers that a step may use never change; only
- * the tickets run out, after 2 s.  So the first question names all workers that could
- * ever run the step, up to what one question holds, those with room first.  Later ones
- * are asked when there is a place on an allowed worker, name just the workers to be used,
- * and hold their room until the answer comes: without that a gang's room was gone to
- * smaller work when its tickets arrived, and it asked 2.1 times on a heavy day.  When the
- * allowed workers have no place, those that were never named follow, in turns. */
+ * A question takes up to 1.7 s. Which workers a step may use never changes; only the tickets
+ * expire, after 2 s. So the first question names every worker that could ever run the step, up
+ * to the limit of one question and those with free capacity first. Later questions are asked
+ * when an allowed worker has free capacity; they name only the workers to be used, and their
+ * capacity is reserved until the answer arrives. Without the reservation smaller tasks took the
+ * capacity of a gang before its tickets arrived, and gangs asked 2.1 times on a heavy day.
+ * While no allowed worker has free capacity, workers that were never named are asked about from
+ * time to time. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
@@ -14,41 +15,42 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Advice for a step is asked for this long before the steps before it should end:
- * within the 2 s for which a ticket is good. */
+/* Advice is requested this long before the preceding steps are expected to end, which is within
+ * the 2 s for which a ticket is valid. */
 #define ASK_AHEAD_MS 900
-/* Workers named in one question for advice. */
+/* Most workers named in one question. */
 #define ADVICE_MAX 100
-/* Renewals name at most this many workers: a ticket costs time for each. */
+/* Renewals name at most this many workers: the service takes time for each ticket. */
 #define RENEW_MAX 6
-/* A question for advice without an answer is asked again, this long after its decision should have
- * been there: longer than it is waited for at the daemon that calls the service.  With a bound on
- * the whole, questions of 1.8 s that waited behind others of 1.7 s were asked twice, and the second
- * call held up the next ones. */
+/* A question without an answer is asked again this long after its decision was due: longer than
+ * the daemon that calls the service waits for it. With a bound on the whole, questions of 1.8 s
+ * that queued behind others of 1.7 s were asked twice, and the second call delayed the
+ * following ones. */
 #define ADVICE_PATIENCE_MS 4000
 #define ADVICE_TIMES 3
-/* After a stop's longest time: until its end is listed and the gang is ordered. */
+/* Added to the longest time of a stop: until its end is reported and the gang is started. */
 #define ROOM_SLACK_MS 600
 
-/* On top of what a decision takes: the way, and its wait behind another. */
+/* Added to the time of a decision: network latency and the wait behind another question. */
 #define HOLD_SLACK_MS 400
-/* Failure: a question for a task that was interrupted waits behind others for 2 s, its room is held
- * for less and taken just before the answer, again and again; it shows as a task that is to last
- * and is away for 16 s in a full pool.  Guard: its room is held for as long as a question may wait.
- * A worker stands idle for one task for that long at worst. */
+/* Failure: a question for an interrupted task queues behind others for 2 s, its reservation is
+ * shorter, and other tasks take the capacity just before the answer arrives, again and again; a
+ * long-running task was down for 16 s in a full pool. Guard: the capacity stays reserved for as
+ * long as a question may queue. At worst a worker is idle for one task for that time. */
 #define HOLD_INTERRUPTED_MS 3000
-/* Workers that a step was never asked about are asked about again after so many times what a
- * question takes. */
+/* Workers that were never named for a step are asked about only after this many times the
+ * duration of a question. */
 #define NEWCOMERS_EVERY 3
-/* What could give way is gone through this often for a step: it is every run of the pool. */
+/* Least time between two searches for preemptible runs for a step: each search visits every run
+ * of the pool. */
 #define ROOM_EVERY_MS 25
 
 typedef struct
 {
   const FbPoolWorker *worker;
-  gboolean unheard; /* the step waits for it unless the advice does not allow it */
-  double room;      /* it has a place now: more is better; 0: it has none */
-  uint64_t draw;    /* decides between equals, another way for each step */
+  gboolean unheard; /* the step waits for this worker unless the advice forbids it */
+  double room;      /* 0: it has no capacity for the task now; the higher, the better */
+  uint64_t draw;    /* breaks ties, differently for each step */
 } Candidate;
 
 static gint
@@ -70,8 +72,8 @@
          && fb_pool_could_run (worker, step->shape) && fb_pool_ruling (step, worker) == NULL;
 }
 
-/* Members of a gang need whole workers, so the emptiest come first; single tasks are spread over
- * all that have a place. */
+/* Returns: the rank of WORKER by free capacity. Members of a gang need whole workers, so the
+ * emptiest worker is best; single tasks are spread over all workers with capacity for them. */
 static double
 room_of (const FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms)
 {
@@ -80,20 +82,25 @@
   return step->shape->gang ? 1 + fb_pool_free_shares (worker) : 1;
 }
 
-/* A task that lasts and was interrupted is away from its users until it is placed, and a question
- * about a hundred workers takes 1.8 s on some queues, about sixteen 0.9 s.  The advice allows three
- * workers of ten there, so that one of sixteen is allowed in 997 cases of 1,000. */
+/* An interrupted long-running task is unavailable to its users until it is placed, and a
+ * question about a hundred workers takes 1.8 s on some queues, one about sixteen 0.9 s. The
+ * advice allows three workers of ten there, so that at least one of sixteen is allowed in 997
+ * cases of 1,000. */
 #define NAMED_FOR_ONE 16
-/* The advice allows three workers of ten at the least. */
+/* Workers named per task: the advice allows at least three workers of ten. */
 #define NAMED_FOR_EACH 4
-/* Of so many a step of one task is still allowed nine, to choose a fast one of. */
+/* With this many named, a step of one task still has nine allowed workers, from which a fast
+ * one can be chosen. */
 #define NAMED_AT_LEAST 30
 
-/* Failure: every first question names a hundred workers, whatever its step needs, and the service
- * takes 0.5 to 9 ms for each; with 350 workers and 33 daemons these were busy with questions for
- * four fifths of a day, and half of the urgent jobs waited half a second for their first start.
- * Guard: single tasks ask about four workers each (mean worth of six days of that size 0.592 to
- * 0.629).  Gangs need many workers that are free at the same moment, and name all they can. */
+/* Most workers that the first question about STEP names.
+ *
+ * Failure: every first question names a hundred workers, whatever its step needs, and the
+ * service takes 0.5 to 9 ms for each. With 350 workers and 33 daemons the daemons were busy
+ * with questions for four fifths of a day, and half of the urgent jobs waited half a second for
+ * their first start. Guard: single tasks ask about four workers each (the mean worth of six
+ * days of that size rose from 0.592 to 0.629). Gangs need many workers that are free at the
+ * same moment, and name as many as possible. */
 static guint
 named_first (const FbPoolStep *step)
 {
@@ -113,25 +120,28 @@
   return MIN (ADVICE_MAX, NAMED_FOR_ONE * waiting + unheard);
 }
 
-/* TRUE for what a later question of STEP may name too.  Single tasks need a place now.
+/* TRUE when a later question about STEP may name a worker with this rank by free capacity. For
+ * single tasks the worker must have capacity now.
  *
- * Failure: a gang needs fifteen whole workers, 29 are allowed, and each later question names the
- * four to twenty others that have room at that moment, one in three seconds; it shows as gangs that
- * wait 20 s while smaller ones of their queue go by.  Guard: a gang asks about others whether they
- * have room or not, as room can be made where it is allowed. */
+ * Failure: a gang needs fifteen whole workers, 29 are allowed, and each later question, one in
+ * three seconds, names the four to twenty other workers that have free capacity at that moment;
+ * gangs waited 20 s while smaller ones of their queue were started. Guard: a gang asks about
+ * other workers whether they have free capacity or not, because preemption can free it on
+ * allowed workers. */
 static gboolean
 is_worth_naming (const FbPoolStep *step, double room)
 {
   return !step->ruled || step->shape->gang || room > 0;
 }
 
-/* Workers that were never named for STEP: for the first question, and for gangs, all that could
- * ever run it, else only those with a place now.
+/* Returns: (transfer container): ids of workers that were never named for STEP. For the first
+ * question and for gangs these are all workers that could ever run it, otherwise only those
+ * with capacity now.
  *
  * Failure: a pool has more workers than one question names, and each question names the same
- * ones; it shows as a third of the workers with all the work and steps that wait beside idle
- * ones.  Guard: those with room come first, and a draw by step and worker decides between equals.
- */
+ * ones; a third of the workers got all the work, and steps waited while other workers were
+ * idle. Guard: workers with free capacity come first, and ties are broken by a hash of step and
+ * worker. */
 static GPtrArray *
 never_asked (FbPool *self, const FbPoolStep *step, uint64_t now_ms)
 {
@@ -154,7 +164,8 @@
   guint most = named_most (self, step);
   if (candidates->len > most)
     g_array_sort (candidates, compare_candidates);
-  /* Where there is no room it has to be made, and the more are allowed the sooner. */
+  /* Without free capacity preemption has to free it, which is quicker the more workers are
+   * allowed. */
   if (candidates->len > most && g_array_index (candidates, Candidate, most - 1).room == 0)
     most = ADVICE_MAX;
   GPtrArray *ids = g_ptr_array_new ();
@@ -176,7 +187,7 @@
   return step->urgency == FB_URGENCY_INTERRUPTED ? HOLD_INTERRUPTED_MS : HOLD_SLACK_MS;
 }
 
-/* For how many tasks of STEP other work is stopped at once. */
+/* For how many tasks of STEP other work is preempted at once. */
 static guint
 most_at_once (const FbPoolStep *step)
 {
@@ -185,9 +196,9 @@
 
 /* For how many tasks of STEP one question renews tickets.
  *
- * Failure: tasks that are to last lost their workers together, and a question renews six tickets:
- * each waits its turn and takes half a second; it shows as the last of 28 that run again after
- * 32 s, with most of the workers' room free.  Guard: one question is for all of them. */
+ * Failure: long-running tasks lose their workers together, and each question renews only six
+ * tickets, queues, and takes half a second; the last of 28 tasks ran again after 32 s although
+ * most of the workers' capacity was free. Guard: one question covers all of them. */
 static guint
 most_renewed (const FbPoolStep *step)
 {
@@ -207,7 +218,7 @@
                             now_ms + wait_ms + MAX (ROOM_SLACK_MS, hold_slack_ms (step)), now_ms);
 }
 
-/* Returns: (transfer container): the ids of the N workers CHOSEN, each once. */
+/* Returns: (transfer container): the ids of the N workers in CHOSEN, without duplicates. */
 static GPtrArray *
 ids_of (FbPoolWorker **chosen, guint n)
 {
@@ -220,10 +231,12 @@
   return ids;
 }
 
-/* Failure: fewer of the allowed workers have a place than tasks of a step that is to last wait, and
- * each question is about those few; the others wait until no place is left on any of them.  It
- * shows as questions about one to five workers, again and again.  Guard: the same question names
- * workers that were never asked about, for the tasks that are left. */
+/* Adds to IDS workers that were never named, for LEFT more tasks.
+ *
+ * Failure: fewer allowed workers have capacity than a long-running step has pending tasks, and
+ * each question is about those few workers only; the other tasks wait until none of these has
+ * capacity left, and questions about one to five workers follow each other. Guard: the same
+ * question also names workers that were never named, for the remaining tasks. */
 static void
 add_newcomers (FbPool *self, const FbPoolStep *step, GPtrArray *ids, guint left, uint64_t now_ms)
 {
@@ -233,8 +246,8 @@
     g_ptr_array_add (ids, fresh->pdata[i]);
 }
 
-/* Chooses allowed workers that have a place now, whatever the age of their tickets, and holds
- * their room.  Returns: their ids, none when there is no place. */
+/* Chooses allowed workers that have capacity now, whether their tickets are still valid or not,
+ * and reserves it. Returns: (transfer container): their ids; empty when there is no capacity. */
 static GPtrArray *
 to_renew (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
@@ -250,7 +263,7 @@
   return ids;
 }
 
-/* Until what is stopped has ended and its end is listed. */
+/* Returns: the time until preempted runs have ended and their ends are reported. */
 static uint64_t
 room_comes_ms (const FbPool *self)
 {
@@ -268,8 +281,9 @@
   return TRUE;
 }
 
-/* The same where room can be made.  Tickets that last until the room is there are not renewed, as
- * the step would wait for the answer; the room is held until then. */
+/* The same for allowed workers on which preemption frees capacity. Tickets that stay valid
+ * until then are not renewed, because the step would have to wait for the answer; the capacity
+ * stays reserved until then. */
 static GPtrArray *
 to_renew_after_stops (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
@@ -282,19 +296,19 @@
   return g_ptr_array_new ();
 }
 
-/* Failure: workers are replaced one after the other, and each new one is asked about for each
- * step that waits: a question of half a second for one worker, which three times of ten is
- * allowed, while the tickets of those that are allowed run out and the room that is there is
- * taken by others; it shows as gangs that wait 8 s with ten questions.  Guard: who is allowed
- * and has a place comes first, and new workers are asked about together, in turns. */
+/* Failure: workers are replaced one after the other, and each pending step asks about each new
+ * worker: half a second for one worker, which is allowed in three cases of ten, while the
+ * tickets of allowed workers expire and other tasks take the free capacity; gangs waited 8 s
+ * with ten questions. Guard: allowed workers with capacity come first, and new workers are
+ * asked about together, at intervals. */
 static gboolean
 is_time_for_newcomers (const FbPoolStep *step, uint64_t now_ms)
 {
   return now_ms >= step->told_ms + NEWCOMERS_EVERY * takes_ms (step, 1);
 }
 
-/* Returns: (transfer container): whom to ask about for STEP now, none when there is nothing to ask.
- * Room is held on those that are allowed. */
+/* Returns: (transfer container): ids of the workers to ask about for STEP now; empty when there
+ * is nothing to ask. Capacity is reserved on those that are allowed. */
 static GPtrArray *
 whom_to_ask (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
@@ -327,14 +341,14 @@
   return step->advice_until_ms != 0 && now_ms < step->advice_until_ms;
 }
 
-/* Questions that take about as long as one about STEP. */
+/* Returns: a bit that stands for all questions that take about as long as one about STEP. */
 static uint32_t
 kind_of_question (const FbPoolStep *step)
 {
   return 1U << MIN (g_bit_storage ((gulong) takes_ms (step, 1)), 31U);
 }
 
-/* Returns: FALSE when no daemon can take a question now. */
+/* Returns: FALSE when no daemon can forward a question to the advice service now. */
 static gboolean
 send_question (FbPool *self, FbPoolStep *step, const GPtrArray *ids, uint64_t now_ms)
 {
@@ -361,7 +375,7 @@
     }
   if (question_open (step, now_ms))
     return TRUE;
-  /* What to ask costs a pass over the workers, for each of hundreds of steps that wait. */
+  /* Choosing the workers takes a pass over all of them, for each of hundreds of pending steps. */
   if (self->asked_in_vain & kind_of_question (step))
     return FALSE;
   g_autoptr (GPtrArray) ids = whom_to_ask (self, step, now_ms);
@@ -380,7 +394,8 @@
     return;
   g_autoptr (GPtrArray) ids = g_ptr_array_new ();
   g_ptr_array_add (ids, worker->id);
-  (void) send_question (self, step, ids, now_ms); /* when none can take it: the next round asks */
+  (void) send_question (self, step, ids,
+                        now_ms); /* if no daemon can forward it, the next round asks again */
 }
 
 gboolean
@@ -421,9 +436,9 @@
                 told->tickets.tickets_len, told->validity_ms);
 }
 
-/* TRUE when the steps before STEP are about to end: nothing of them waits, and what
- * runs has been running for most of its estimate.  Asking then takes the decision
- * out of the caller's wait: 30 ms of a short job's 250 ms, half a second of others. */
+/* TRUE when the steps before STEP are about to end: none of their tasks is pending, and each
+ * run has used most of its estimate. Asking at that point removes the decision time from the
+ * caller's wait: 30 ms of a short job's 250 ms, and half a second for other jobs. */
 static gboolean
 is_next (const FbPoolOccurrence *occurrence, const FbPoolStep *step, uint64_t now_ms)
 {
--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -1,20 +1,21 @@
-/* Which worker a task may start on, and which is best.
+/* Chooses the worker for a task.
  *
- * may_start() is the one place that answers whether a task may start on a worker
- * now.  Of those where it may, the one that it leaves with the least room is taken
- * (best fit), so that wide rooms stay for large tasks. */
+ * may_start() is the only place that decides whether a task may start on a worker now. Of the
+ * workers that qualify, the one with the least capacity left afterwards is taken (best fit), so
+ * that large free areas remain for large tasks. */
 #include "internal/pool-crash.h"
 
-/* A ticket is not used when less than this is left of it: the order travels and
- * may wait in a slow daemon. */
+/* A ticket is not used when less than this is left of its validity, because the start command
+ * takes time on the network and may wait in a slow daemon. */
 #define TICKET_MARGIN_MS 250
-/* How much a slow worker counts against a free one, times the square of the job's
- * tightness: short jobs may take 1.5 times their work and 250 ms, and workers differ by
- * 0.8 to 1.25.  Gained 0.027 of a day's worth on one site (0.796 to 0.823, means of four
- * scores each, which spread by 0.017) and 0.003 on another (0.866 to 0.869). */
+/* Weight of a worker's slowness against its free capacity, multiplied by the square of the
+ * job's tightness. Short jobs may take 1.5 times their work and 250 ms, and workers differ in
+ * speed by 0.8 to 1.25. The weight gained 0.027 of a day's worth on one site (0.796 to 0.823,
+ * means of four scores each, which spread by 0.017) and 0.003 on another (0.866 to 0.869). */
 #define SLOWNESS_WEIGHT 6.0
 
-/* Lets a serving step's worker be free of tasks that fill. */
+/* Keeps backfill tasks off the workers of serving steps, which have a latency target, and the
+ * other way round. */
 static gboolean
 disturbs (const FbPoolWorker *worker, const fb_work_step *shape)
 {
@@ -87,7 +88,7 @@
   return shape->max_per_worker == 0 || runs_of_step (worker, step) < shape->max_per_worker;
 }
 
-/* What of may_start() does not depend on the worker's load. */
+/* The part of may_start() that does not depend on the load of the worker. */
 static gboolean
 has_ticket (const FbPoolWorker *worker, const FbPoolStep *step, FbPoolTicketRule rule,
             uint64_t now_ms)
@@ -110,7 +111,7 @@
 gboolean
 fb_pool_worth_a_look (FbPool *self, const FbPoolStep *step, uint64_t now_ms)
 {
-  /* What is held for the step itself looks taken below. */
+  /* The capacity that is reserved for the step itself counts as used in the check below. */
   if (step->looked_round + 1 < self->round || now_ms >= step->full_look_ms
       || step->held_on->len > 0)
     return TRUE;
@@ -137,7 +138,7 @@
   return left;
 }
 
-/* What speaks against WORKER, however much room it has. */
+/* Cost of WORKER that does not depend on its free capacity. */
 static double
 drawbacks (const FbPoolWorker *worker, const FbPoolStep *step)
 {
@@ -151,7 +152,8 @@
   return cost;
 }
 
-/* Lower is better.  Tasks that last are spread, so that one loss takes few of them. */
+/* Lower is better. Long-running tasks are spread, so that the loss of one worker takes few of
+ * them. */
 static double
 cost_of (const FbPoolWorker *worker, const FbPoolStep *step)
 {
@@ -197,7 +199,8 @@
 fb_pool_choose (FbPool *self, FbPoolStep *step, guint most, const char *rack, FbPoolTicketRule rule,
                 FbPoolWorker **chosen, uint64_t now_ms)
 {
-  /* A run stands for each choice where runs are counted, else only its room is kept. */
+  /* Where runs per worker are limited, each choice is represented by a temporary run, so that
+   * the next one counts it; otherwise it suffices to reserve the capacity. */
   gboolean counted = step->shape->max_per_worker > 0;
   g_autofree FbPoolRun **runs = g_new0 (FbPoolRun *, most);
   guint n = 0;
@@ -225,7 +228,7 @@
   return n;
 }
 
-/* Holds the last rack's choice in CHOSEN when it returns TRUE. */
+/* Tries the racks one after the other. CHOSEN holds the workers only when the result is TRUE. */
 static gboolean
 choose_one_rack (FbPool *self, FbPoolStep *step, FbPoolTicketRule rule, FbPoolWorker **chosen,
                  uint64_t now_ms)
--- a/src/work/pool-copy.c
+++ b/src/work/pool-copy.c
@@ -1,19 +1,20 @@
-/* Copies of tasks whose step allows two runs at once: the first that ends done counts.
+/* Speculative copies: second runs of tasks whose step allows two at once. The first run that
+ * ends successfully counts.
  *
- * The last task of a step decides when the step ends.  A copy is started when its run is on
- * a worker that has fallen silent, or takes clearly longer than the others of its step did.
- * It is started after the tasks that wait, and only into room that is free. */
+ * The last task of a step decides when the step ends. A copy is started when the first run is
+ * on a worker that has stopped answering, or takes clearly longer than the other runs of its
+ * step took. Copies are started after the pending tasks, and only into free capacity. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
-/* Tasks of one step differ by 0.15 to 0.3 of their mean and workers by 0.8 to 1.25: a run
- * beyond 2.2 times the mean, and what an order and a look take, is most likely on a worker
- * that is slow for a reason of its own (3 to 8 times). */
+/* Run times of the tasks of one step differ by 0.15 to 0.3 of their mean, and workers by 0.8 to
+ * 1.25. A run that exceeds 2.2 times the mean, plus the time of a command and a poll, is most
+ * likely on a worker that is slow for a reason of its own (3 to 8 times). */
 #define LAG_PERCENT 220
 #define LAG_MS 150
-/* Before others have ended there is only the estimate, which is off by up to half. */
+/* Until other runs have ended only the estimate is known, which is wrong by up to half. */
 #define LAG_ESTIMATE_FACTOR 3
 
 static gboolean
@@ -23,7 +24,7 @@
   if (step == NULL || !step->shape->speculative || step->shape->gang || step->shape->lasting)
     return FALSE;
   const FbPoolTask *task = &step->tasks[run->index];
-  /* A copy would take down a second worker before it is known that the first one crashed. */
+  /* A copy could crash a second worker before it is known that the first one has crashed. */
   if (fb_pool_task_is_suspect (task))
     return FALSE;
   if (task->done || task->run != run || task->copy != NULL || run->state == FB_RUN_STOPPING
@@ -66,7 +67,8 @@
       g_hash_table_iter_init (&runs, worker->runs);
       while (g_hash_table_iter_next (&runs, NULL, &run))
         {
-          /* The copy goes to another worker, so this table stays as it is. */
+          /* the copy goes to another worker, so it does not change the table that is iterated
+           * over */
           if (wants_copy (worker, run, now_ms))
             start_copy (self, worker, run, now_ms);
         }
--- a/src/work/pool-job.c
+++ b/src/work/pool-job.c
@@ -1,13 +1,13 @@
-/* Jobs of a pool: occurrences, steps and tasks, and what of them is recorded.
+/* Jobs of a pool: their occurrences, steps and tasks, and the progress recorded of them.
  *
- * A record holds only tasks that ended or saved something.  The rest is found
- * again at the workers, so a start costs no write. */
+ * A record holds only tasks that have ended or have a checkpoint. The others are found again by
+ * polling the workers, so a start needs no write to the store. */
 #include "internal/pool-crash.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Runs of a step that must have ended before the others are measured by them. */
+/* Runs of a step that must have ended before their mean time replaces the estimate. */
 #define SIBLINGS 2
 
 void
@@ -25,7 +25,7 @@
   xdr_destroy (&xdr);
 }
 
-/* The longest chain of estimates through the steps. */
+/* Returns: the length of the critical path through the steps, by their estimates. */
 static uint64_t
 chain_ms (const fb_work_spec *spec)
 {
@@ -283,7 +283,7 @@
     }
 }
 
-/* PROGRESS borrows from the job; its marks are the caller's to free. */
+/* PROGRESS borrows strings from the job; the caller frees its marks. */
 void
 fb_pool_job_progress (const FbPoolJob *job, fb_work_progress *progress)
 {
@@ -377,7 +377,8 @@
   return g_strdup_printf ("%s.%u.%u.%u", step->job->id, step->occurrence, step->index, index);
 }
 
-/* Reads "ID" and up to N numbers behind it; returns how many were there. */
+/* Splits NAME into "ID" and up to N numbers. Returns: how many numbers there were; 0 when NAME
+ * is malformed. */
 static guint
 split_name (const char *name, char *job, uint32_t *numbers, guint n)
 {
--- a/src/work/pool-lasting.c
+++ b/src/work/pool-lasting.c
@@ -1,27 +1,29 @@
-/* What is known of tasks that are to last and do not run: for how long, how their last run ended,
- * and what the next one waited for.  Who is away for longest is placed first. */
+/* Interruptions of long-running tasks: for how long each task has been down, how its last run
+ * ended and what its next start waited for. The task that has been down for longest is placed
+ * first. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
 #include "fb-histogram.h"
 
-/* A worker's loss and a take-over beside it explain a wait of this length. */
+/* Waits of this length are logged; the loss of a worker together with a take-over explains
+ * shorter ones. */
 #define LONG_WAIT_MS 5000
 
-/* Since when nothing of a task runs, unless it was started again. */
+/* The interruption of one task; out of date once the task has been started again. */
 typedef struct
 {
-  uint64_t over_ms; /* when its last run was known to be over; 0: no run of it was */
+  uint64_t over_ms; /* when its last run was known to have ended; 0: no run has ended */
   const char *how;
 } Away;
 
-/* Of a step that is to last, once a run of it was over or a round found no place for it. */
+/* State of a long-running step, allocated when one of its runs ends or a round cannot place it. */
 struct _FbPoolLasting
 {
-  const char *waits_for; /* NULL: for nothing */
-  uint64_t waits_ms;     /* since when for that */
-  uint64_t began_ms;     /* since when for anything */
-  uint64_t told_ms;      /* 0: nothing was told of this wait */
+  const char *waits_for; /* why the step is not placed: static text; NULL: it does not wait */
+  uint64_t waits_ms;     /* when the step began to wait for WAITS_FOR */
+  uint64_t began_ms;     /* when the step began to wait */
+  uint64_t told_ms;      /* when this wait was last logged; 0: not yet */
   Away tasks[];
 };
 
@@ -88,8 +90,8 @@
     forget_wait (step->lasting);
 }
 
-/* What task INDEX is known to be away for.  Of a job that an earlier owner had accepted, and of
- * which this one has found no run, only the time since the take-over is known. */
+/* Returns: the interruption of task INDEX. For a job that an earlier owner accepted, and of
+ * which this owner has found no run, only the time since the take-over is known. */
 static Away
 away_of (const FbPool *self, const FbPoolStep *step, uint32_t index)
 {
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -1,7 +1,7 @@
-/* The rounds in which waiting tasks are started.
+/* Placement rounds, which start pending tasks.
  *
- * Waiting steps are taken in their order (pool-queue.c).  A gang is placed as a whole or not at
- * all.  A round goes through all of them in one or more turns of the main loop. */
+ * A round visits the steps with pending tasks in their order (pool-queue.c), in one or more
+ * turns of the main loop. A gang is placed as a whole or not at all. */
 #include "internal/pool-crash.h"
 
 /* ---- single tasks ------------------------------------------------------------ */
@@ -19,8 +19,9 @@
                          now_ms);
 }
 
-/* Returns: the task of STEP that is placed next, from FROM on or by how long it is away; its count
- * when none is.  LATER: set of tasks that are left out; NULL: none. */
+/* Returns: the index of the task of STEP to place next: the first pending one from FROM on, or,
+ * for an interrupted long-running step, the one that has been down for longest; the number of
+ * tasks when there is none. LATER: set of tasks to leave out; NULL: none. */
 static uint32_t
 next_to_place (const FbPool *self, FbPoolStep *step, uint32_t from, GHashTable *later)
 {
@@ -35,7 +36,7 @@
   return i;
 }
 
-/* Room on WORKER is used: it is not to be held again. */
+/* The reservation on WORKER has been used: it must not be restored. */
 static void
 forget_held (GPtrArray *held_on, const FbPoolWorker *worker)
 {
@@ -44,8 +45,8 @@
     g_ptr_array_remove_index (held_on, place);
 }
 
-/* HELD_ON: on whose workers room was held; those that are used are taken out.
- * Returns: TRUE when no task waits for room any more. */
+/* HELD_ON: ids of the workers on which capacity was reserved; those that get a task are
+ * removed. Returns: TRUE when no task is left without capacity. */
 static gboolean
 place_tasks (FbPool *self, FbPoolStep *step, GPtrArray *held_on, uint64_t now_ms)
 {
@@ -112,7 +113,7 @@
   for (uint32_t i = 0; i < step->shape->count; i++)
     attempt = MAX (attempt, fb_pool_next_attempt (self, step, i));
   step->gang_attempt = attempt;
-  /* All members carry the same checkpoint. */
+  /* All members start from the same checkpoint. */
   g_autofree char *checkpoint = g_strdup (gang_checkpoint (step));
   for (uint32_t i = 0; i < step->shape->count; i++)
     {
@@ -124,23 +125,23 @@
 
 /* ---- the round ------------------------------------------------------------------ */
 
-/* A step that found no place is looked at again after this, whatever has changed: workers
- * that recover from a refusal and questions that got no answer open nothing by an event.  The
- * first hundred in the order are looked at each 100 ms, the one in place 1,000 each second: some
- * 3,300 looks a second in all with 1,000 that wait, in place of 10,000. */
+/* A step that could not be placed is tried again after this time, even if nothing has changed:
+ * no event reports that a worker has recovered from a refusal or that a question got no answer.
+ * The first hundred steps in the order are tried every 100 ms, the step at position 1,000 once
+ * a second. With 1,000 pending steps this makes some 3,300 tries a second instead of 10,000. */
 #define LOOK_AGAIN_MS 100
 #define LOOK_AGAIN_PER_PLACE_MS 1
 
-/* Failure: after a take-over hundreds of steps wait, each is looked at on hundreds of workers in
- * one turn of the main loop, and joins and leases wait behind it (0.3 to 0.8 s a turn on 0.12 of a
- * core with 950 steps and 250 workers); the store takes the owner for dead, and the next one does
- * the same.  It shows as owners that take a pool from each other every 2 s while nothing runs.
- * Guard: a turn ends after so many visits of workers and runs (17 to 35 ns each), and the next one
- * goes on where it ended; a round ends with the last step that waits. */
+/* Failure: after a take-over hundreds of steps are pending, each is checked against hundreds of
+ * workers in one turn of the main loop, and joins and leases are delayed (a turn took 0.3 to
+ * 0.8 s on 0.12 of a core with 950 steps and 250 workers). The store then takes the owner for
+ * dead, and the next owner fails in the same way: owners replace each other every 2 s while
+ * nothing runs. Guard: a turn ends after this many visits of workers and runs (17 to 35 ns
+ * each) and the next turn continues there; a round ends with the last pending step. */
 #define VISITS_PER_TURN 50000
 
-/* STEP found no place and asked for advice if there was something to ask.  "turn": for a daemon
- * that can take its question. */
+/* Returns: what a step that could not be placed waits for, as a static text for the log.
+ * "turn": for a daemon that can forward its question to the advice service. */
 static const char *
 what_it_waits_for (const FbPoolStep *step, gboolean could_ask)
 {
@@ -149,7 +150,8 @@
   return could_ask ? "room" : "turn";
 }
 
-/* Returns: FALSE when no daemon can take a question for advice now. */
+/* Tries to place STEP, and asks for advice if that fails. Returns: FALSE when no daemon can
+ * forward a question to the advice service now. */
 static gboolean
 look_at (FbPool *self, FbPoolStep *step, guint place, uint64_t now_ms)
 {
@@ -178,7 +180,7 @@
       return TRUE;
     }
   gboolean can_ask = fb_pool_ask_advice (self, step, now_ms);
-  /* Who could not ask tries again when a daemon can take a question. */
+  /* a step that could not ask is tried again as soon as a daemon can forward a question */
   if (can_ask)
     step->looked_round = self->round;
   step->full_look_ms = now_ms + MAX (LOOK_AGAIN_MS, place * LOOK_AGAIN_PER_PLACE_MS);
@@ -194,22 +196,23 @@
   g_ptr_array_remove_range (self->opened, 0, n);
 }
 
-/* Looks at the step in PLACE if that is of use.  Returns: FALSE when it could not ask for advice.
- */
+/* Tries the step at position PLACE if it may succeed. Returns: FALSE when it could not ask for
+ * advice. */
 static gboolean
 look_at_place (FbPool *self, guint place, uint64_t now_ms)
 {
   FbPoolStep *step = self->waiting->pdata[place];
   if (step->advice_until_ms != 0 && now_ms < step->held_until_ms)
-    return TRUE; /* its room is held until the advice comes */
+    return TRUE; /* its capacity stays reserved until the advice arrives */
   if (fb_pool_worth_a_look (self, step, now_ms))
     return look_at (self, step, place, now_ms);
   step->looked_round = self->round;
   return TRUE;
 }
 
-/* What the earlier turns of the round have passed is more urgent than what is left of it, and goes
- * first where room has come since; it leaves half of the turn to the rest. */
+/* Steps that earlier turns of the round have passed are more urgent than the remaining ones,
+ * and are tried first where capacity was freed meanwhile. Half of the turn is left for the
+ * remaining steps. */
 static gboolean
 look_back (FbPool *self, uint64_t now_ms)
 {
--- a/src/work/pool-preempt.c
+++ b/src/work/pool-preempt.c
@@ -1,31 +1,32 @@
-/* Making room for large tasks and gangs by stopping work of lower priority that loses
- * nothing.
+/* Preemption: frees capacity for large tasks and gangs by stopping work of lower priority that
+ * loses nothing.
  *
- * A task that saves its progress also saves it when it is stopped, and goes on elsewhere
- * after its restore time (0.1 to 0.25 s).  Small tasks that are started one by one into
- * each room that comes free would otherwise keep waiting what needs a whole worker, or
- * several at once. */
+ * A checkpointing task also saves a checkpoint when it is stopped, and continues elsewhere
+ * after its restore time (0.1 to 0.25 s). Without preemption, small tasks that are started one
+ * by one into all freed capacity would starve tasks that need a whole worker, and gangs. */
 #include "internal/pool-private.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
-/* Work gives way only if its job has so much more time than the one that waits: a stop,
- * a wait for other room and a restore take about a second. */
+/* A run is preempted only if its job has this much more slack than the pending one: a stop, the
+ * wait for other capacity and a restore take about a second. */
 #define GIVE_WAY_MS 2000
 
-/* What is left until the caller wants the job, less the step's run time; below 0 it is
- * late already. */
+/* Returns: the time left until the caller wants the job, less the estimated run time of the
+ * step; negative when the job is already late. */
 static int64_t
 slack_ms (const FbPoolStep *step, uint64_t now_ms)
 {
   return (int64_t) step->job->objective_ms - (int64_t) now_ms - (int64_t) step->shape->estimate_ms;
 }
 
-/* Failure: work that gives way each time is stopped again and again and never ends; it
- * shows as a queue of lower priority that starves on a heavy day (in time 0.97 to 0.45).
- * Guard: a task gives way once, and only while its job has clearly more time than the one
- * that waits. */
+/* TRUE when RUN may be preempted for the step TO.
+ *
+ * Failure: runs that may be preempted any number of times are stopped again and again and never
+ * end; a queue of lower priority starved on a heavy day (the share of its jobs that ended in
+ * time fell from 0.97 to 0.45). Guard: a task is preempted only once, and only while its job
+ * has clearly more slack than the pending one. */
 static gboolean
 gives_way (const FbPoolRun *run, const FbPoolStep *to, uint64_t now_ms)
 {
@@ -39,7 +40,8 @@
          && slack_ms (run->step, now_ms) > MAX (slack_ms (to, now_ms), 0) + GIVE_WAY_MS;
 }
 
-/* Takes what would give way out of the ledgers (SIGN -1), or puts it back (1). */
+/* Takes the preemptible runs off the capacity used on their workers (SIGN -1), or adds them
+ * again (1). */
 static void
 charge_all (FbPool *self, const FbPoolStep *to, int sign, uint64_t now_ms)
 {
@@ -59,7 +61,7 @@
     }
 }
 
-/* The run whose stop costs least: the one that was started last. */
+/* Returns: (nullable): the preemptible run that loses least when stopped: the one started last. */
 static FbPoolRun *
 next_to_stop (const FbPoolWorker *worker, const FbPoolStep *to, uint64_t now_ms)
 {
@@ -84,7 +86,7 @@
          || worker->gpu_used + worker->gpu_held > worker->gpu_count;
 }
 
-/* Stops runs until what is held for the gang will fit when they have ended. */
+/* Stops runs on WORKER until the capacity reserved for STEP will be free once they have ended. */
 static void
 stop_for (FbPool *self, FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms)
 {
@@ -103,7 +105,7 @@
       fb_pool_worker_charge (worker, run, -1);
       g_ptr_array_add (stopped, run);
     }
-  /* It holds its room until its end is listed. */
+  /* a stopped run uses its capacity until its end is reported */
   for (guint i = 0; i < stopped->len; i++)
     fb_pool_worker_charge (worker, stopped->pdata[i], 1);
 }
--- a/src/work/pool-queue.c
+++ b/src/work/pool-queue.c
@@ -1,10 +1,11 @@
-/* The steps of which something waits, in the order in which they are placed.
+/* Queue of the steps with pending tasks, in the order in which they are placed.
  *
- * Tasks that last and were interrupted come first, then what can still earn something; among
- * these priority decides, then the time at which their callers want them.  The order is kept from
- * round to round: new steps are sorted among themselves and merged in, so that a round costs one
- * pass over what waits.  Sorting all of it in each round took a quarter of an owner's processor
- * time once hundreds of steps waited, which made the backlog grow. */
+ * Interrupted long-running tasks come first, then steps that can still finish in time; among
+ * these the priority decides, then the time by which the caller wants the job. The order is
+ * kept between rounds: new steps are sorted among themselves and merged, so that a round takes
+ * one pass over the pending steps. Sorting all of them in each round took a quarter of an
+ * owner's processor time once hundreds of steps were pending, and the backlog grew because of
+ * it. */
 #include "internal/pool-private.h"
 
 #include <string.h>
@@ -31,7 +32,7 @@
   return compare (*(FbPoolStep *const *) a, *(FbPoolStep *const *) b);
 }
 
-/* TRUE when a task of STEP waits that has run before, or may have under an earlier owner. */
+/* TRUE when a pending task of STEP has run before, or may have run under an earlier owner. */
 static gboolean
 is_interrupted (const FbPoolStep *step)
 {
@@ -45,11 +46,10 @@
   return FALSE;
 }
 
-/* Failure: an owner has to ask the advice service anew about each step that it took over, and a
- * task that lasts, whose lease ended meanwhile, waits behind hundreds of urgent ones; it shows as a
- * task that is to last and does not run for 11 s beside idle workers.  Guard: what was interrupted
- * goes first.  Lasting tasks are few and short of nothing else, so it delays the others by some
- * questions only. */
+/* Failure: a new owner has to ask the advice service again about each step, and a long-running
+ * task whose lease expired meanwhile queues behind hundreds of urgent ones; it was down for 11
+ * s while workers were idle. Guard: interrupted tasks go first. Long-running tasks are few and
+ * have enough workers otherwise, so the other steps are delayed by only a few questions. */
 static FbPoolUrgency
 urgency_of (const FbPoolStep *step, uint64_t now_ms)
 {
@@ -70,7 +70,8 @@
   g_ptr_array_add (self->fresh, step);
 }
 
-/* Moves to FRESH what belongs elsewhere in the order now, and leaves out what waits no more. */
+/* Removes steps without pending tasks from the queue and moves to FRESH those whose urgency has
+ * changed. */
 static void
 keep_waiting (FbPool *self, uint64_t now_ms)
 {
@@ -88,7 +89,7 @@
   g_ptr_array_set_size (self->waiting, (gint) n);
 }
 
-/* Leaves in FRESH what waits, in order. */
+/* Sorts FRESH and removes steps without pending tasks from it. */
 static void
 sort_fresh (FbPool *self, uint64_t now_ms)
 {
--- a/src/work/pool-ruling.c
+++ b/src/work/pool-ruling.c
@@ -1,8 +1,8 @@
-/* What the advice service has said about the workers of a step.
+/* Answers of the advice service about the workers of a step.
  *
- * Which workers a step may use never changes during the life of a worker; only the tickets
- * run out.  Rulings stand in an array by the slots of workers: they are read for each
- * worker and waiting step of a round. */
+ * Which workers a step may use never changes during the life of a worker process; only the
+ * tickets expire. The answers are stored in an array indexed by worker slot, because a round
+ * reads them for each pair of worker and pending step. */
 #include "internal/pool-private.h"
 
 #include <string.h>
--- a/src/work/pool-speed.c
+++ b/src/work/pool-speed.c
@@ -1,18 +1,19 @@
-/* What is learned of the speed of workers.
+/* Estimates the speed of the workers.
  *
- * Workers differ by 0.8 to 1.25 and more, and nothing says so.  Tasks of one step are
- * alike, so when a step has ended each of its runs is compared with all of them.  Taken
- * one by one as they end, runs would be compared with shorter ones only: every worker
- * would seem slow in the end.  What the step's workers are known to be is taken out
- * first, or a step on fast workers would make each of them look average. */
+ * Workers differ by 0.8 to 1.25 and more, and they do not report their speed. The tasks of one
+ * step are alike, so once a step has ended each of its runs is compared with the mean of all.
+ * If runs were taken into account as they end, each would be compared with shorter ones only,
+ * and every worker would seem slow. The known speeds of the workers are factored out first;
+ * otherwise a step that ran on fast workers only would make each of them seem average. */
 #include "internal/pool-private.h"
 
 #include <math.h>
 
-/* How far one run moves the belief: tasks of a step differ by 0.15 to 0.3 of their mean,
- * so some ten runs are needed to tell a worker from another. */
+/* Weight of one run in the estimate: run times of the tasks of a step differ by 0.15 to 0.3 of
+ * their mean, so some ten runs are needed to tell one worker from another. */
 #define LEARN_SHARE 0.125
-/* A single run far from the others is a stuck or a lucky one. */
+/* The ratio of a single run is limited to this range: a run far from the others was stuck, or
+ * lucky. */
 #define RATIO_MIN 0.4
 #define RATIO_MAX 4.0
 
@@ -47,8 +48,8 @@
   task->took_ms = took_ms;
 }
 
-/* Run time on a worker of slowness 1, as the noted runs of STEP have it; 0 for fewer than
- * two. */
+/* Returns: the run time on a worker of slowness 1, estimated from the recorded runs of STEP; 0
+ * when there are fewer than two. */
 static double
 base_ms (const FbPoolStep *step)
 {
@@ -67,7 +68,8 @@
   return n > 1 ? took_ms / slowness : 0;
 }
 
-/* Takes in the runs of one step together: one by one, those taken last would count most. */
+/* Updates the slowness of a worker from all its runs of one step together: one by one, those
+ * taken last would have the highest weight. */
 static void
 take_in (FbPoolSpeed *speed)
 {
--- a/src/work/pool-stuck.c
+++ b/src/work/pool-stuck.c
@@ -1,21 +1,22 @@
-/* Runs that stand still.
+/* Detection of stuck runs.
  *
- * Failure: the tasks on a worker stand still while it answers as ever; it shows as jobs
- * that never end.  Guard: a run that takes far too long starts again elsewhere, and its
- * worker is given less.  What is too long follows from the other runs of the step once
- * some have ended, else from the estimate; it doubles with each move, and after the last
- * move a task is left alone: it may just be long. */
+ * Failure: the tasks on a worker make no progress while the worker still answers; their jobs
+ * never end. Guard: a run that takes far too long is started again elsewhere, and its worker
+ * gets less work. The limit follows from the other runs of the step once some have ended, and
+ * from the estimate before. It doubles with each restart, and after the last one the task is
+ * left alone, because it may just be long. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
 
-/* A run is stuck when it takes this many times what the others of its step took (they
- * differ by some 15%), and this on top for a slow worker's start; each time it is moved
- * the next one gets twice as long. */
+/* A run is stuck when it takes this percentage of the time that the other runs of its step took
+ * (they differ by some 15%), plus this time for the start on a slow worker. The limit doubles
+ * with each restart. */
 #define STUCK_PERCENT 250
 #define STUCK_MS 800
-/* Without such others its estimate is all there is, which is off by up to 1.9 times while
- * run times spread to 2.5 times their mean.  5 times moved sound runs on calm days. */
+/* Until other runs have ended only the estimate is known, which is wrong by a factor of up to
+ * 1.9, while run times spread to 2.5 times their mean. A factor of 5 restarted sound runs on
+ * calm days. */
 #define STUCK_FACTOR 10
 #define STUCK_MOVES 3
 
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -1,11 +1,13 @@
-/* A pool's life: workers that come and go, and jobs that are accepted and cancelled. */
+/* Creating and freeing a pool, adding, cancelling and updating its workers and jobs, and the
+ * periodic step that drives all other parts. */
 #include "internal/pool-crash.h"
 
 #include "fb-event.h"
 
-/* An unanswered stop is repeated. */
+/* A stop command without an answer is sent again after this time. */
 #define STOP_REPEAT_MS 600
-/* An owner that most workers answered within this time is not cut off itself. */
+/* An owner that heard from a majority of its workers within this time is taken to be connected,
+ * so a silent worker is not explained by a failure of the owner's own network. */
 #define HEARS_MS 1500
 
 FbPool *
@@ -51,7 +53,7 @@
 {
   g_hash_table_unref (self->orders);
   fb_pool_late_starts_free (self->late_starts);
-  g_hash_table_unref (self->workers); /* its runs point into the jobs */
+  g_hash_table_unref (self->workers); /* before the jobs: runs point to their steps */
   g_ptr_array_unref (self->roster);
   g_hash_table_unref (self->latest);
   g_ptr_array_unref (self->opened);
@@ -84,13 +86,14 @@
   return run->step->shape->lasting || run->step->shape->checkpointing;
 }
 
-/* Tasks that last, or that keep what they did, are moved before the worker ends, once they may
- * start elsewhere.
+/* Moves long-running and checkpointing tasks off a draining worker before it exits, as soon as
+ * they may start elsewhere.
  *
- * Failure: a worker begins to drain while the owner changes, and each new owner finds a task that
- * lasts there when it has seen the worker drain already; moved only as a worker begins to drain, it
- * ends with the worker, and starts again after the next owner has settled, 12 s later.  Guard: what
- * runs there is looked at as long as the worker drains. */
+ * Failure: the owner of the pool changes while a worker begins to drain, and each new owner
+ * sees the worker draining from the beginning. If tasks were moved only at the transition to
+ * draining, a long-running task would end with its worker and start again only after the next
+ * owner has recovered, 12 s later. Guard: the runs on a draining worker are checked in every
+ * maintenance pass. */
 static void
 leave_draining (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
@@ -148,9 +151,10 @@
                 g_hash_table_size (worker->runs), (guint) (now_ms - worker->heard_ms));
 }
 
-/* Failure: a worker's entry lapsed while the store was away, the owner changed, and the
- * successor does not know of the worker; it shows as a second run of what it runs.
- * Guard: the owner's own list of workers outlives it. */
+/* Failure: a worker's entry in the platform's list expires while the store is unavailable, the
+ * owner changes, and the new owner does not know of the worker; tasks that still run there are
+ * started a second time. Guard: the owner records its own list of workers, which the next owner
+ * reads here. */
 void
 fb_pool_restore_workers (FbPool *self, const fb_work_workers *record)
 {
@@ -216,13 +220,14 @@
     fb_pool_order_look (self, worker, now_ms);
 }
 
-/* A worker that left is not looked at any more once nothing can run there: its life is
- * over, or this owner knows all that runs in the pool and has nothing on it.  A
- * successor would wait for it for a whole lease.
+/* TRUE when WORKER has left and need not be polled any more: either all runs of this
+ * incarnation have certainly ended, or this owner has recovered, so that it knows everything
+ * that runs in the pool, and nothing runs there. A later owner would otherwise wait for the
+ * worker for a whole lease.
  *
- * Failure: room is held on a worker that is forgotten, listed again and known anew; the room is
- * then given back where it was never taken, and the worker gets more than it can hold.  Guard: a
- * worker on which room is held is not forgotten. */
+ * Failure: a worker on which capacity is reserved is forgotten and then listed again as a new
+ * one. The reservation is returned to a worker that never had it, which then gets more than it
+ * can hold. Guard: a worker with reserved capacity is not forgotten. */
 static gboolean
 is_over (const FbPool *self, const FbPoolWorker *worker)
 {
@@ -280,7 +285,7 @@
   fb_pool_hear_ends_first (self, job, now_ms);
   g_hash_table_insert (self->jobs, job->id, job);
   g_hash_table_add (self->active, job);
-  (void) fb_pool_job_release (self, job, wall_ms); /* nothing has ended yet */
+  (void) fb_pool_job_release (self, job, wall_ms); /* cannot complete: no task has ended yet */
   if (job->record.spec.occurrences > 0)
     g_hash_table_add (self->timed, job);
   if (job->record.spec.steps.steps_len > 1)
@@ -313,13 +318,13 @@
     return;
   if (job == NULL)
     {
-      /* Only its end is left of it, for callers who ask. */
+      /* Only the end of the job is still recorded; it is kept to answer callers. */
       fb_work_admit nothing = { 0 };
       job = fb_pool_job_new (id, &nothing, 0, 0);
       g_hash_table_insert (self->jobs, job->id, job);
     }
   fb_pool_job_restore (job, record);
-  g_hash_table_add (self->timed, job); /* what is done of it may release more */
+  g_hash_table_add (self->timed, job); /* tasks that are already done may release further steps */
   if (!fb_pool_job_ended (job))
     {
       fb_pool_crash_restore (self, job, suspects, now_ms);
@@ -428,8 +433,8 @@
   const FbPoolJob *job = g_hash_table_lookup (self->jobs, id);
   if (job == NULL)
     return FALSE;
-  /* An end is shown once it is durable: a successor must not run the job again
-   * after its caller was told that it is done. */
+  /* A job is reported as ended only once the end is durable: a later owner must not run the job
+   * again after its caller has been told that it is done. */
   if (job->stored_state >= FB_WORK_COMPLETED)
     *state = job->stored_state;
   else
--- a/src/work/spec.h
+++ b/src/work/spec.h
@@ -1,13 +1,13 @@
-/* Checks of a job's specification that its types cannot express. */
+/* Checks of a job's specification that the types of its fields cannot express. */
 #pragma once
 
 #include "rpc/work.h"
 
 #include <glib.h>
 
-/* All tasks of all steps of one occurrence. */
+/* Limit of the tasks of all steps of one occurrence together. */
 #define FB_SPEC_MAX_TASKS 10000
 #define FB_SPEC_MAX_OCCURRENCES 100000
 
-/* Returns: FALSE with a last message that names the step and what is wrong. */
+/* Returns: FALSE and sets a status message that names the step and the fault. */
 gboolean fb_spec_check (const fb_work_spec *spec);
--- a/tests/test-pool.c
+++ b/tests/test-pool.c
@@ -1,6 +1,7 @@
-/* Runs a scripted pool: one line an event, and prints the orders that come out.
+/* Runs a script against a pool, one line for each event, and prints the commands that the pool
+ * sends.
  *
- * Job ids are written short and padded with zeros; a task is JOB.K.STEP.INDEX. */
+ * Job ids are written without their leading zeros; a task is JOB.OCCURRENCE.STEP.INDEX. */
 #include "fb-event.h"
 #include "internal/codec.h"
 #include "internal/pool.h"
@@ -11,24 +12,24 @@
 
 #define BEGIN_MS 100000
 #define BEGIN_WALL_MS 1000000000
-/* Starts on larger pools are not printed one by one. */
+/* With more workers than this, starts are not printed. */
 #define SMALL_POOL 20
 
 typedef struct
 {
   FbPool *pool;
   uint64_t now_ms;
-  GHashTable *admitted;  /* job -> fb_work_admit, what the store holds */
-  GHashTable *progress;  /* job -> GBytes */
-  GHashTable *kept;      /* job -> GBytes, what other daemons keep */
-  GBytes *known_workers; /* the record of the pool's workers, or NULL */
-  GHashTable *workers;   /* id -> its line, listed again to a successor */
-  GHashTable *starts;    /* task -> order of its last start; also task/attempt */
-  GHashTable *stops;     /* task -> order of its last stop */
-  GHashTable *used;      /* set of ids: workers on which something was started */
-  GPtrArray *flush;      /* open */
+  GHashTable *admitted;  /* job -> fb_work_admit, as stored */
+  GHashTable *progress;  /* job -> GBytes, the progress record as stored */
+  GHashTable *kept;      /* job -> GBytes, the suspects that other daemons keep */
+  GBytes *known_workers; /* the stored record of the pool's workers; NULL: none */
+  GHashTable *workers;   /* id -> the words of its line, used to list it again to the next owner */
+  GHashTable *starts;    /* task, and task/attempt -> order number of the last start */
+  GHashTable *stops;     /* task -> order number of the last stop */
+  GHashTable *used;      /* set of ids of workers on which something was started */
+  GPtrArray *flush;      /* the open flush; NULL: none */
   gboolean show_looks;
-  uint64_t advice_left; /* questions that daemons can take */
+  uint64_t advice_left; /* how many more questions for advice are accepted */
   char **words;
   const char *line;
 } Script;
@@ -148,7 +149,7 @@
   printf ("  fenced by %s\n", worker);
 }
 
-/* Lives are called ID@N here. */
+/* Incarnations are called ID@N in scripts. */
 static gboolean
 follows (const char *life, const char *other)
 {
@@ -213,7 +214,7 @@
   xdr_free ((xdrproc_t) xdr_fb_work_workers, (char *) &record);
 }
 
-/* A successor: it knows what the store holds, and the list of workers. */
+/* A new owner, which gets what was stored and the list of workers. */
 static void
 do_epoch (Script *script)
 {
@@ -251,7 +252,7 @@
   list_worker (script, script->words);
 }
 
-/* crowd N [cpu=..]: lists N workers, which answer. */
+/* crowd N: lists N workers, each of which answers a poll. */
 static void
 do_crowd (Script *script)
 {
@@ -514,7 +515,7 @@
   return strcmp (*(char *const *) a, *(char *const *) b);
 }
 
-/* The pool records its jobs in any order; they are printed in one. */
+/* The pool records its jobs in any order, so the lines are sorted before they are printed. */
 static void
 do_flush (Script *script)
 {
@@ -566,7 +567,7 @@
   fb_pool_jobs_read (script->pool, script->now_ms);
 }
 
-/* recall TASK/ATTEMPT on=WORKER [address=ADDRESS] [seen]: another daemon remembers that start */
+/* recall TASK/ATTEMPT on=WORKER [address=ADDRESS] [seen]: another daemon remembers the start. */
 static void
 do_recall (Script *script)
 {
@@ -580,7 +581,7 @@
   fb_pool_recall_starts (script->pool, &told, script->now_ms);
 }
 
-/* Other daemons take what they are to keep, or to forget. */
+/* keep: other daemons receive the suspects that they have to keep, or to forget. */
 static void
 do_keep (Script *script)
 {
@@ -596,7 +597,7 @@
     }
 }
 
-/* They tell a successor. */
+/* kept: the other daemons pass what they keep to the new owner. */
 static void
 do_kept (Script *script)
 {
@@ -616,7 +617,7 @@
     }
 }
 
-/* Which event is printed; NULL: none. */
+/* Prefix of the names of the events to print; NULL: none. */
 static char *shown_event;
 
 static GLogWriterOutput
@@ -638,7 +639,7 @@
   return G_LOG_WRITER_HANDLED;
 }
 
-/* show [looks] [events=NAME]: events whose names begin so */
+/* show [looks] [events=NAME]: prints polls, and the events whose names begin with NAME. */
 static void
 do_show (Script *script)
 {
