--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -59,7 +59,8 @@
   uint32_t asked_in_vain; /* bits of kind_of_question(): questions that no daemon could forward in
                              this round */
   uint64_t round;         /* number of the current placement round */
-  guint place_from; /* position in WAITING where the open round continues; 0: no round is open */
+  guint
+      resume_position; /* position in WAITING where the open round continues; 0: no round is open */
   guint round_opened_n;   /* how many entries of OPENED there were when the open round began */
   uint32_t visits_n;      /* workers and runs visited in this turn of the round */
   GHashTable *timed;      /* set of FbPoolJob with occurrences or steps to release; borrowed */
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -217,7 +217,7 @@
 look_back (FbPool *self, uint64_t now_ms)
 {
   gboolean can_ask = TRUE;
-  for (guint place = 0; place < self->place_from && place < self->waiting->len && !self->fenced
+  for (guint place = 0; place < self->resume_position && place < self->waiting->len && !self->fenced
                         && self->visits_n <= VISITS_PER_TURN / 2;
        place++)
     can_ask &= look_at_place (self, place, now_ms);
@@ -240,22 +240,22 @@
   self->asked_in_vain = 0;
   self->visits_n = 0;
   fb_pool_queue_sort (self, now_ms);
-  if (self->place_from == 0)
+  if (self->resume_position == 0)
     {
       self->round++;
       self->round_opened_n = self->opened->len;
     }
   gboolean can_ask = look_back (self, now_ms);
-  for (;
-       self->place_from < self->waiting->len && !self->fenced && self->visits_n <= VISITS_PER_TURN;
-       self->place_from++)
-    can_ask &= look_at_place (self, self->place_from, now_ms);
-  if (self->place_from < self->waiting->len && !self->fenced)
+  for (; self->resume_position < self->waiting->len && !self->fenced
+         && self->visits_n <= VISITS_PER_TURN;
+       self->resume_position++)
+    can_ask &= look_at_place (self, self->resume_position, now_ms);
+  if (self->resume_position < self->waiting->len && !self->fenced)
     {
       self->place_due = TRUE;
       return;
     }
-  self->place_from = 0;
+  self->resume_position = 0;
   forget_opened (self, MIN (self->round_opened_n, self->opened->len));
   if (can_ask)
     ask_ahead (self, now_ms);
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -421,7 +421,7 @@
     return;
   self->place_due = FALSE;
   fb_pool_place (self, now_ms);
-  if (tend && self->place_from == 0)
+  if (tend && self->resume_position == 0)
     fb_pool_place_copies (self, now_ms);
 }
 
--- a/tests/test-rounds.c
+++ b/tests/test-rounds.c
@@ -39,7 +39,7 @@
 static uint64_t
 until_round_is_open (BusyPool *play, uint64_t now_ms)
 {
-  for (uint64_t end_ms = now_ms + 3000; play->pool->place_from < 20 && now_ms < end_ms;)
+  for (uint64_t end_ms = now_ms + 3000; play->pool->resume_position < 20 && now_ms < end_ms;)
     now_ms = step_once (play, now_ms);
   return now_ms;
 }
@@ -144,16 +144,16 @@
   guint missed = 0;
   for (guint i = 0; i < 3; i++)
     {
-      for (uint64_t end_ms = now_ms + 3000; play.pool->place_from < 60 && now_ms < end_ms;)
+      for (uint64_t end_ms = now_ms + 3000; play.pool->resume_position < 60 && now_ms < end_ms;)
         {
-          if (play.pool->place_from == 0)
+          if (play.pool->resume_position == 0)
             busy_pool_list_worker (&play, IDLE, "none", now_ms);
           now_ms = step_once (&play, now_ms);
         }
       guint before = play.started_n;
       busy_pool_end_run (&play, MINE, i + 1, now_ms);
       fb_pool_worker_unlisted (play.pool, "1", now_ms);
-      while (play.pool->place_from > 0)
+      while (play.pool->resume_position > 0)
         now_ms = step_once (&play, now_ms);
       const FbPoolWorker *mine = g_hash_table_lookup (play.pool->workers, "0");
       missed += play.started_n == before && !mine->opened;
@@ -188,7 +188,7 @@
   guint most = 0;
   for (uint64_t end_ms = now_ms + 12000; now_ms < end_ms;)
     {
-      if (play.pool->place_from == 0)
+      if (play.pool->resume_position == 0)
         for (guint i = 0; i < WORKER_N; i++)
           busy_pool_list_worker (&play, i, "a", now_ms);
       fb_pool_step (play.pool, TRUE, now_ms, WALL_MS + now_ms);
