--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -8,7 +8,7 @@
 typedef struct _FbPoolStep FbPoolStep;
 typedef struct _FbPoolLasting FbPoolLasting;
 
-/* The estimated speed of a worker. It is shared with the tasks that ran there until their steps
+/* The estimated speed of a worker.  It is shared with the tasks that ran there until their steps
  * have ended, so it may outlive the worker. */
 typedef struct
 {
@@ -22,9 +22,9 @@
 typedef struct
 {
   uint32_t attempt; /* number of the latest attempt; 0: none yet */
-  /* Attempts that ended failed; NULL: none. They are listed by number so that each is counted
-   * once in whatever order the ends arrive: a new owner receives the same ends again, from
-   * several workers. */
+  /* Attempts that ended failed; NULL: none.  They are listed by number so that each is counted once
+   * in whatever order the ends arrive: a new owner receives the same ends again, from several
+   * workers. */
   GArray *failed;    /* of uint32_t */
   GArray *crashes;   /* of FbPoolCrash, one for each worker; NULL: none */
   GPtrArray *tried;  /* of FbPoolTried; NULL: none */
@@ -88,7 +88,7 @@
   GPtrArray
       *held_on; /* ids of workers with capacity reserved for this step, one entry for each task */
   uint64_t held_until_ms;
-  gboolean queued;        /* it is in FbPool.waiting or FbPool.fresh */
+  gboolean queued;        /* it is in FbPool.waiting or FbPool.unmerged */
   FbPoolUrgency urgency;  /* as of when it was sorted into the queue */
   uint64_t looked_round;  /* last round that could not place it; 0: none */
   uint64_t full_look_ms;  /* when it is tried again even if nothing has changed */
@@ -140,26 +140,26 @@
 void fb_pool_job_free (gpointer job);
 gboolean fb_pool_job_ended (const FbPoolJob *job);
 void fb_pool_job_objective (FbPoolJob *job);
-/* Creates the occurrences that are due and releases steps. Returns: TRUE when the job is
+/* Creates the occurrences that are due and releases steps.  Returns: TRUE when the job is
  * complete. */
 gboolean fb_pool_job_release (FbPool *self, FbPoolJob *job, uint64_t wall_ms);
 FbPoolOccurrence *fb_pool_job_occurrence (FbPoolJob *job, uint32_t number);
 FbPoolStep *fb_pool_job_step (FbPoolJob *job, uint32_t occurrence, uint32_t step);
 void fb_pool_job_progress (const FbPoolJob *job, fb_work_progress *progress);
 void fb_pool_job_restore (FbPoolJob *job, const fb_work_progress *progress);
-/* Counts ATTEMPT as failed. Returns: FALSE when it was counted before. */
+/* Counts ATTEMPT as failed.  Returns: FALSE when it was counted before. */
 gboolean fb_pool_task_count_failed (FbPoolTask *task, uint32_t attempt);
 guint fb_pool_task_failed_n (const FbPoolTask *task);
 void fb_pool_task_save (FbPoolStep *step, uint32_t index, const char *checkpoint);
 gboolean fb_pool_step_done (const FbPoolStep *step);
-/* TRUE when the task may be placed: it is neither done, withheld, nor on a worker; for a step,
- * when one of its tasks may be. */
+/* TRUE when the task may be placed: it is neither done, withheld, nor on a worker; for a step, when
+ * one of its tasks may be. */
 gboolean fb_pool_task_waits (const FbPoolTask *task);
 gboolean fb_pool_step_waits (const FbPoolStep *step);
 /* Task INDEX may have become pending: puts its step back into the queue. */
 void fb_pool_task_may_wait (FbPool *self, FbPoolStep *step, uint32_t index);
-/* Returns: PERCENT of the mean time of the ended runs of STEP, or FACTOR times the estimate
- * while too few runs have ended. */
+/* Returns: PERCENT of the mean time of the ended runs of STEP, or FACTOR times the estimate while
+ * too few runs have ended. */
 uint64_t fb_pool_step_times_ms (const FbPoolStep *step, uint32_t percent, uint32_t factor);
 /* Returns: (transfer full): JOB.OCCURRENCE.STEP */
 char *fb_pool_step_name (const FbPoolStep *step);
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -1,25 +1,25 @@
-/* Internal state and functions of a pool, except for its jobs and workers, which have headers
- * of their own; only for the pool's source files. */
+/* Internal state and functions of a pool, except for its jobs and workers, which have headers of
+ * their own; only for the pool's source files. */
 #pragma once
 
 #include "internal/pool-worker-private.h"
 
 /* ---- times and limits ---------------------------------------------------- */
 
-/* Lease granted with each poll. Long enough for a take-over (a silent owner is replaced after
+/* Lease granted with each poll.  Long enough for a take-over (a silent owner is replaced after
  * about 2 s), short enough that work on an unreachable worker is started again while its caller
  * still waits. */
 #define FB_POOL_LEASE_MS 4000
-/* A start must be carried out within this time; a worker that handles the command seconds later
- * refuses it. Answers take some 10 ms, and a task whose command got no answer can be started
- * again after this time and one poll. With 1,200 ms, and polls of 800 ms, the mean worth of
- * both sites' standard days was 0.02 lower. */
+/* A start must be carried out within this time; a worker that handles the order seconds later
+ * refuses it.  Answers take some 10 ms, and a task whose order got no answer can be started again
+ * after this time and one poll.  With 1,200 ms, and polls of 800 ms, the mean worth of both sites'
+ * standard days was 0.02 lower. */
 #define FB_POOL_START_WINDOW_MS 700
-/* A worker that has nothing to report delays its answer to a poll for this long, so the lease
- * is also renewed at this interval. */
+/* A worker that has nothing to report delays its answer to a poll for this long, so the lease is
+ * also renewed at this interval. */
 #define FB_POOL_LOOK_WAIT_MS 500
-/* A replaced owner learns of its replacement within this time, because its polls of a worker
- * are at most this far apart. */
+/* A replaced owner learns of its replacement within this time, because its polls of a worker are at
+ * most this far apart. */
 #define FB_POOL_STEP_DOWN_MS 2000
 /* A call to a worker that has just ended may wait this long for the next incarnation to listen. */
 #define FB_POOL_HELD_CALL_MS 1200
@@ -53,9 +53,9 @@
   GHashTable *latest; /* address -> FbPoolWorker, the incarnation there that began last; borrowed */
   GHashTable
       *closed; /* id -> GHashTable, for FbPoolWorker.closed_to: as recorded by the previous owner */
-  GPtrArray *opened;  /* of FbPoolWorker whose capacity has grown since the last round; borrowed */
-  GPtrArray *waiting; /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
-  GPtrArray *fresh;   /* of FbPoolStep not merged into WAITING yet; borrowed */
+  GPtrArray *opened;   /* of FbPoolWorker whose capacity has grown since the last round; borrowed */
+  GPtrArray *waiting;  /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
+  GPtrArray *unmerged; /* of FbPoolStep not merged into WAITING yet; borrowed */
   uint32_t asked_in_vain; /* bits of kind_of_question(): questions that no daemon could forward in
                              this round */
   uint64_t round;         /* number of the current placement round */
@@ -92,9 +92,9 @@
   uint64_t barred_ms; /* when the pool could last not start anything */
 };
 
-/* The number of an attempt is higher than those of all earlier attempts at the task. Earlier
- * owners may have used attempts of a job that no record mentions; the numbers are therefore
- * derived from the epoch, which grows with each owner. */
+/* The number of an attempt is higher than those of all earlier attempts at the task.  Earlier
+ * owners may have used attempts of a job that no record mentions; the numbers are therefore derived
+ * from the epoch, which grows with each owner. */
 #define FB_POOL_ATTEMPTS_PER_EPOCH 4
 
 /* pool-ruling.c */
@@ -130,14 +130,14 @@
 gboolean fb_pool_may_look_on (const FbPoolWorker *worker);
 /* TRUE while ORDER has no answer. */
 gboolean fb_pool_order_is_open (const FbPool *self, uint64_t order);
-/* Attributes answers to commands about RUN, which was on WORKER, to the same run on NEXT. */
+/* Attributes answers to orders about RUN, which was on WORKER, to the same run on NEXT. */
 void fb_pool_orders_move (FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
                           const FbPoolWorker *next);
 /* Returns: when to repeat a failed poll of a worker that has never answered. */
 uint64_t fb_pool_first_look_again_ms (const FbPoolWorker *worker, uint64_t now_ms);
 uint32_t fb_pool_next_attempt (const FbPool *self, const FbPoolStep *step, uint32_t index);
-/* RUN has certainly ended or never began: its capacity is free and its task is pending again.
- * HOW: how it ended, a static text for the log. */
+/* RUN has certainly ended or never began: its capacity is free and its task is pending again.  HOW:
+ * how it ended, a static text for the log. */
 void fb_pool_run_over (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *how,
                        uint64_t now_ms);
 
@@ -162,8 +162,8 @@
   FB_LOSS_LEFT         /* the worker is not listed, and nothing listens at its address */
 } FbPoolLoss;
 
-/* All runs of this incarnation of WORKER have certainly ended. NEXT: the incarnation that
- * receives calls meant for WORKER; NULL: none is known. */
+/* All runs of this incarnation of WORKER have certainly ended.  NEXT: the incarnation that receives
+ * calls meant for WORKER; NULL: none is known. */
 void fb_pool_worker_lost (FbPool *self, FbPoolWorker *worker, FbPoolLoss loss, FbPoolWorker *next,
                           uint64_t now_ms);
 
@@ -202,10 +202,10 @@
                               uint64_t now_ms);
 /* TRUE when a later incarnation of its worker may carry out RUN. */
 gboolean fb_pool_return_may_come (const FbPool *self, const FbPoolRun *run);
-/* RUN never started on a later incarnation, so it was on the one that it was sent to: counts
- * the crash of that one. */
+/* RUN never started on a later incarnation, so it was on the one that it was sent to: counts the
+ * crash of that one. */
 void fb_pool_return_count_crash (FbPool *self, const FbPoolRun *run, uint64_t now_ms);
-/* WORKER has ended and NEXT receives calls that were meant for it. Returns: FALSE when RUN has
+/* WORKER has ended and NEXT receives calls that were meant for it.  Returns: FALSE when RUN has
  * ended with WORKER; TRUE when it is on NEXT, or may still be started there. */
 gboolean fb_pool_return_take_over (FbPool *self, FbPoolWorker *worker, FbPoolRun *run,
                                    FbPoolWorker *next, uint64_t now_ms);
@@ -214,8 +214,8 @@
                            uint64_t now_ms);
 /* WORKER reports RUN. */
 void fb_pool_return_listed (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
-/* TRUE when RUN, which might have been started on WORKER and is missing in its list of
- * CLOCK_MS, never will be. */
+/* TRUE when RUN, which might have been started on WORKER and is missing in its list of CLOCK_MS,
+ * never will be. */
 gboolean fb_pool_return_is_over (const FbPool *self, const FbPoolWorker *worker,
                                  const FbPoolRun *run, uint64_t clock_ms);
 /* RUN is not reported and may still be started: tells WORKER to refuse it. */
@@ -223,8 +223,8 @@
 
 /* pool-choose.c */
 
-/* Which tickets suffice. FB_TICKET_ALLOWED: the advice service allows the worker, but its
- * ticket may have expired. */
+/* Which tickets suffice.  FB_TICKET_ALLOWED: the advice service allows the worker, but its ticket
+ * may have expired. */
 typedef enum
 {
   FB_TICKET_VALID,
@@ -233,13 +233,13 @@
 
 /* TRUE when the labels of WORKER, which do not change while it lives, allow a task of SHAPE. */
 gboolean fb_pool_has_labels_for (const FbPoolWorker *worker, const fb_work_step *shape);
-/* TRUE when WORKER could run such a task if it were empty. Its size may change. */
+/* TRUE when WORKER could run such a task if it were empty.  Its size may change. */
 gboolean fb_pool_could_run (const FbPoolWorker *worker, const fb_work_step *shape);
 /* Returns: the sum of the free shares of CPU, memory and GPUs of WORKER; the higher, the
  * emptier. */
 double fb_pool_free_shares (const FbPoolWorker *worker);
-/* TRUE when a task of STEP could start on WORKER now, apart from the ticket: WORKER accepts
- * starts and has the capacity and the labels. */
+/* TRUE when a task of STEP could start on WORKER now, apart from the ticket: WORKER accepts starts
+ * and has the capacity and the labels. */
 gboolean fb_pool_has_place (const FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms);
 /* TRUE when WORKER accepts starts at all. */
 gboolean fb_pool_worker_takes (const FbPoolWorker *worker, uint64_t now_ms);
@@ -249,20 +249,20 @@
 /* Returns: (nullable): borrowed; NULL when STEP has no valid ticket for WORKER. */
 const FbPoolRuling *fb_pool_valid_ticket (const FbPoolStep *step, const FbPoolWorker *worker,
                                           uint64_t now_ms);
-/* Returns: (nullable): the best worker for task INDEX. RACK: only workers of this rack; NULL:
- * of any. OTHER_THAN: a worker to leave out; NULL: none. */
+/* Returns: (nullable): the best worker for task INDEX.  RACK: only workers of this rack; NULL: of
+ * any.  OTHER_THAN: a worker to leave out; NULL: none. */
 FbPoolWorker *fb_pool_best_worker (FbPool *self, const FbPoolStep *step, uint32_t index,
                                    const char *rack, const FbPoolWorker *other_than,
                                    FbPoolTicketRule rule, uint64_t now_ms);
-/* Finds workers for up to MOST pending tasks, each in addition to those before it. Returns: for
+/* Finds workers for up to MOST pending tasks, each in addition to those before it.  Returns: for
  * how many tasks a worker was found. */
 guint fb_pool_choose (FbPool *self, FbPoolStep *step, guint most, const char *rack,
                       FbPoolTicketRule rule, FbPoolWorker **chosen, uint64_t now_ms);
 /* Finds workers for all members of a gang, in one rack if the step asks for that and it is
- * possible. Returns: FALSE unless every member got one. */
+ * possible.  Returns: FALSE unless every member got one. */
 gboolean fb_pool_choose_gang (FbPool *self, FbPoolStep *step, FbPoolTicketRule rule,
                               FbPoolWorker **chosen, uint64_t now_ms);
-/* Calls fb_pool_choose() or, for a gang, fb_pool_choose_gang(). Returns: for how many tasks a
+/* Calls fb_pool_choose() or, for a gang, fb_pool_choose_gang().  Returns: for how many tasks a
  * worker was found; for a gang all or none. */
 guint fb_pool_choose_step (FbPool *self, FbPoolStep *step, guint most, FbPoolTicketRule rule,
                            FbPoolWorker **chosen, uint64_t now_ms);
@@ -270,8 +270,8 @@
 /* Reserves capacity for N tasks of STEP on the workers in CHOSEN. */
 void fb_pool_hold (FbPool *self, FbPoolStep *step, FbPoolWorker **chosen, guint n,
                    uint64_t until_ms);
-/* Releases the capacity reserved for STEP. Returns: (transfer full): ids of the workers on
- * which it was reserved, for fb_pool_hold_again(). */
+/* Releases the capacity reserved for STEP.  Returns: (transfer full): ids of the workers on which
+ * it was reserved, for fb_pool_hold_again(). */
 GPtrArray *fb_pool_release_hold (FbPool *self, FbPoolStep *step);
 /* Reserves again what was released, for at most MOST tasks, because some may have been placed
  * meanwhile. */
@@ -280,14 +280,14 @@
 
 /* pool-preempt.c */
 
-/* Stops preemptible runs, reserves their capacity for STEP until UNTIL_MS and stores the
- * workers in CHOSEN. Returns: for how many tasks, at most MOST; all or none for a gang. */
+/* Stops preemptible runs, reserves their capacity for STEP until UNTIL_MS and stores the workers in
+ * CHOSEN.  Returns: for how many tasks, at most MOST; all or none for a gang. */
 guint fb_pool_make_room (FbPool *self, FbPoolStep *step, guint most, FbPoolWorker **chosen,
                          uint64_t until_ms, uint64_t now_ms);
 
 /* pool-advice.c */
 
-/* Asks the advice service about STEP if there is anything to ask. Returns: FALSE when no daemon
+/* Asks the advice service about STEP if there is anything to ask.  Returns: FALSE when no daemon
  * can forward a question now. */
 gboolean fb_pool_ask_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms);
 /* The same, unless the service was asked about STEP before. */
@@ -322,8 +322,8 @@
 gboolean fb_pool_may_place (const FbPool *self);
 /* TRUE when no earlier owner can have started a job that this owner does not know yet. */
 gboolean fb_pool_is_untouched (const FbPool *self);
-/* JOB is being added: its tasks wait for ends that workers have reported and that belonged to
- * no known job. */
+/* JOB is being added: its tasks wait for ends that workers have reported and that belonged to no
+ * known job. */
 void fb_pool_hear_ends_first (FbPool *self, FbPoolJob *job, uint64_t now_ms);
 /* TRUE while a task of STEP may run, or may have ended, on a worker that has not answered yet. */
 gboolean fb_pool_may_run_unheard (const FbPool *self, const FbPoolStep *step);
@@ -333,17 +333,17 @@
 
 /* pool-lasting.c: for long-running steps; calls for other steps have no effect. */
 
-/* The last run of task INDEX has ended; not called for a start that was never carried out. HOW:
+/* The last run of task INDEX has ended; not called for a start that was never carried out.  HOW:
  * how it ended, a static text for the log. */
 void fb_pool_lasting_over (FbPoolStep *step, uint32_t index, const char *how, uint64_t now_ms);
-/* A round could not place all tasks of STEP. WAITS_FOR: the reason, a static text for the log. */
-void fb_pool_lasting_waits (const FbPool *self, FbPoolStep *step, const char *waits_for,
+/* A round could not place all tasks of STEP.  REASON: a static text for the log. */
+void fb_pool_lasting_waits (const FbPool *self, FbPoolStep *step, const char *reason,
                             uint64_t now_ms);
 void fb_pool_lasting_waits_no_more (FbPoolStep *step);
-/* BUT: set of tasks to leave out; NULL: none. Returns: the index of the pending task of STEP
+/* SKIPPED: set of tasks to leave out; NULL: none.  Returns: the index of the pending task of STEP
  * that has been down for longest, or of one that never ran if there is no other; the number of
  * tasks when none is pending. */
-uint32_t fb_pool_lasting_next (const FbPool *self, const FbPoolStep *step, GHashTable *but);
+uint32_t fb_pool_lasting_next (const FbPool *self, const FbPoolStep *step, GHashTable *skipped);
 /* A start of RUN was sent. */
 void fb_pool_lasting_started (const FbPool *self, FbPoolStep *step, const FbPoolRun *run,
                               uint64_t now_ms);
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -1,15 +1,15 @@
 /* A pool: the workers of one service and the jobs (graphs of steps) that run on them.
  *
- * One daemon at a time owns a pool and alone decides what starts there. The pool does no I/O
- * and has no clock or thread: events come in as calls that pass the time, and commands go out
- * through callbacks. Times are in ms on a clock that also counts while the host is suspended;
- * WALL times are in ms since 1970.
+ * One daemon at a time owns a pool and alone decides what starts there.  The pool does no I/O and
+ * has no clock or thread: events come in as calls that pass the time, and orders go out through
+ * callbacks.  Times are in ms on a clock that also counts while the host is suspended; WALL times
+ * are in ms since 1970.
  *
- * The workers enforce that only one owner is obeyed. Every command carries the epoch of its
- * owner, and a worker refuses epochs lower than the highest one it has seen, so a replaced
- * owner learns of its replacement from the first worker that it calls. What runs is what the
- * workers report; nothing is started before each worker of the pool has answered under the
- * present epoch, or its lease has certainly expired. */
+ * The workers enforce that only one owner is obeyed.  Every order carries the epoch of its owner,
+ * and a worker refuses epochs lower than the highest one it has seen, so a replaced owner learns of
+ * its replacement from the first worker that it calls.  What runs is what the workers report;
+ * nothing is started before each worker of the pool has answered under the present epoch, or its
+ * lease has certainly expired. */
 #pragma once
 
 #include "rpc/work.h"
@@ -60,7 +60,7 @@
   char *checkpoint;
 } FbEndSeen;
 
-/* How a worker answered a command. */
+/* How a worker answered an order. */
 typedef enum
 {
   FB_ORDER_DONE,
@@ -69,11 +69,11 @@
   FB_ORDER_LATE,
   FB_ORDER_NO_ROOM,
   FB_ORDER_BAD_TICKET,
-  FB_ORDER_NOT_DONE,    /* the command was certainly not carried out */
+  FB_ORDER_NOT_DONE,    /* the order was certainly not carried out */
   FB_ORDER_OTHER_LIFE,  /* another incarnation of a worker is at this address */
-  FB_ORDER_NO_LISTENER, /* the host reports that nothing listens at the address; the command was not
+  FB_ORDER_NO_LISTENER, /* the host reports that nothing listens at the address; the order was not
                            carried out */
-  FB_ORDER_UNKNOWN /* no valid answer: the command may have been carried out, or may be later */
+  FB_ORDER_UNKNOWN      /* no valid answer: the order may have been carried out, or may be later */
 } FbOrderResult;
 
 /* Returns: the name of RESULT for the log; static. */
@@ -127,20 +127,20 @@
   uint32_t answer_ms; /* the poll has failed when no answer has come this long after WAIT_MS */
 } FbLookOrder;
 
-/* Callbacks of the pool's owner. All arguments are borrowed for the duration of the call. */
+/* Callbacks of the pool's owner.  All arguments are borrowed for the duration of the call. */
 typedef struct
 {
   void (*start) (gpointer user, const FbStartOrder *order);
   void (*stop) (gpointer user, const FbStopOrder *order);
   void (*look) (gpointer user, const FbLookOrder *order);
-  /* Asks the advice service which of the N WORKERS may run STEP. EXPECTED_MS: time that the
-   * service needs for the answer. Returns: FALSE when no daemon can forward the question now. */
+  /* Asks the advice service which of the N WORKERS may run STEP.  EXPECTED_MS: time that the
+   * service needs for the answer.  Returns: FALSE when no daemon can forward the question now. */
   gboolean (*advise) (gpointer user, const char *step, const char *const *workers, guint n,
                       uint32_t expected_ms);
   /* WORKER has seen a higher epoch: the pool must not be used any more. */
   void (*fenced) (gpointer user, const char *worker);
-  /* Returns: TRUE when the incarnation LIFE began after OTHER, under the same id. NULL: no
-   * worker restarts under its id. */
+  /* Returns: TRUE when the incarnation LIFE began after OTHER, under the same id.  NULL: no worker
+   * restarts under its id. */
   gboolean (*follows) (const char *life, const char *other);
 } FbPoolSink;
 
@@ -150,8 +150,8 @@
   uint32_t hold_max_ms; /* longest lease that a worker grants */
   uint32_t stop_ms;     /* longest time that a stop takes */
   uint32_t gang_wait_ms;
-  /* How many workers may crash under a task before its job is given up: when nothing else that
-   * ran on one of them could have caused the crash, and in any case. 0: the pool's default. */
+  /* How many workers may crash under a task before its job is given up: when nothing else that ran
+   * on one of them could have caused the crash, and in any case. 0: the pool's default. */
   uint32_t crashes_n;
   uint32_t shared_crashes_n;
   /* Ended runs that a worker lists in one answer; 0: the pool's default. */
@@ -170,8 +170,8 @@
 void fb_pool_worker_listed (FbPool *self, const FbWorkerEntry *entry, uint64_t now_ms);
 /* The platform no longer lists the worker: it has left, or was silent for a long time. */
 void fb_pool_worker_unlisted (FbPool *self, const char *id, uint64_t now_ms);
-/* The workers passed in so far are all that the platform listed at some moment after the pool
- * was created. An older list may lack a worker that the previous owner has used. */
+/* The workers passed in so far are all that the platform listed at some moment after the pool was
+ * created.  An older list may lack a worker that the previous owner has used. */
 void fb_pool_workers_complete (FbPool *self);
 /* Adds the workers that the previous owner recorded; must be called before
  * fb_pool_workers_complete(). */
@@ -180,23 +180,23 @@
 /* Adds a job to the pool; no effect when the pool already has it. */
 void fb_pool_admit (FbPool *self, const char *job, const fb_work_admit *record, uint64_t now_ms,
                     uint64_t wall_ms);
-/* The same without a copy: takes over the contents of RECORD, allocated as XDR does it, and
- * leaves it empty. When the pool already has the job, RECORD remains the caller's. */
+/* The same without a copy: takes over the contents of RECORD, allocated as XDR does it, and leaves
+ * it empty.  When the pool already has the job, RECORD remains the caller's. */
 void fb_pool_admit_owned (FbPool *self, const char *job, fb_work_admit *record, uint64_t now_ms,
                           uint64_t wall_ms);
-/* Restores what an earlier owner recorded of a job. The job must have been added before, unless
- * it has ended. */
+/* Restores what an earlier owner recorded of a job.  The job must have been added before, unless it
+ * has ended. */
 void fb_pool_restore (FbPool *self, const char *job, const fb_work_progress *record,
                       const fb_work_suspects *suspects, uint64_t now_ms);
-/* Every job that was stored before UNTIL_MS has been added: a reported run or end of any other
- * job belongs to a job that does not exist. Until this call runs and ends of unknown jobs are
- * left alone. */
+/* Every job that was stored before UNTIL_MS has been added: a reported run or end of any other job
+ * belongs to a job that does not exist.  Until this call runs and ends of unknown jobs are left
+ * alone. */
 void fb_pool_jobs_read (FbPool *self, uint64_t until_ms);
-/* Adds starts by earlier owners that other daemons remember and that may be missing in the
- * records; starts in other pools are skipped. */
-void fb_pool_recall_starts (FbPool *self, const fb_told_starts *told, uint64_t now_ms);
+/* Adds starts by earlier owners that other daemons remember and that may be missing in the records;
+ * starts in other pools are skipped. */
+void fb_pool_recall_starts (FbPool *self, const fb_told_starts *reply, uint64_t now_ms);
 void fb_pool_cancel (FbPool *self, const char *job, uint64_t now_ms, uint64_t wall_ms);
-/* Replaces the policies of queues. POLICIES: name of a queue -> fb_work_policy; a queue that is
+/* Replaces the policies of queues.  POLICIES: name of a queue -> fb_work_policy; a queue that is
  * not in the table keeps its policy. */
 void fb_pool_policies (FbPool *self, GHashTable *policies);
 
@@ -206,13 +206,13 @@
                              uint64_t now_ms);
 void fb_pool_stop_answered (FbPool *self, uint64_t order, FbOrderResult result, uint64_t clock_ms,
                             uint64_t now_ms);
-/* The advice service answered a question about STEP that named the N workers in ASKED. TOLD:
- * the answer; NULL: the question failed. */
+/* The advice service answered a question about STEP that named the N workers in ASKED.  TOLD: the
+ * answer; NULL: the question failed. */
 void fb_pool_advised (FbPool *self, const char *step, const char *const *asked, guint n,
-                      const fb_told_advice *told, uint64_t now_ms);
+                      const fb_told_advice *reply, uint64_t now_ms);
 
-/* Advances the pool to NOW_MS and, with MAY_START, starts the tasks that can start. To be
- * called after events and at least every 100 ms. */
+/* Advances the pool to NOW_MS and, with MAY_START, starts the tasks that can start.  To be called
+ * after events and at least every 100 ms. */
 void fb_pool_step (FbPool *self, gboolean may_start, uint64_t now_ms, uint64_t wall_ms);
 
 /* ---- durability -------------------------------------------------------------- */
@@ -224,11 +224,11 @@
   gboolean ended;   /* the job has ended: its admission record is not needed once this is stored */
 } FbPoolRecord;
 
-/* Begins a flush of everything that has changed. Only one flush may be open at a time. Returns:
+/* Begins a flush of everything that has changed.  Only one flush may be open at a time.  Returns:
  * (transfer full): FbPoolRecord entries, or NULL when nothing has changed. */
 GPtrArray *fb_pool_flush (FbPool *self, uint64_t now_ms, uint64_t wall_ms);
-/* The open flush has been stored: the ends in it may be acknowledged to the workers and shown
- * to callers. */
+/* The open flush has been stored: the ends in it may be acknowledged to the workers and shown to
+ * callers. */
 void fb_pool_flushed (FbPool *self, uint64_t now_ms);
 
 /* The tasks of a job that are suspected of crashing workers, while that is not stored yet. */
@@ -252,7 +252,7 @@
 gboolean fb_pool_job_state (const FbPool *self, const char *job, fb_work_state *state);
 /* Returns: how many jobs of QUEUE have no scheduled occurrences and no task that was started. */
 uint32_t fb_pool_pending (const FbPool *self, const char *queue);
-/* TRUE while a majority of the listed workers has answered polls that were sent under this
- * epoch within the last WITHIN_MS. As long as this holds, no other daemon can have passed its
- * own check for a majority, because workers refuse the lower of two epochs. */
+/* TRUE while a majority of the listed workers has answered polls that were sent under this epoch
+ * within the last WITHIN_MS.  As long as this holds, no other daemon can have passed its own check
+ * for a majority, because workers refuse the lower of two epochs. */
 gboolean fb_pool_holds_majority (const FbPool *self, uint32_t within_ms, uint64_t now_ms);
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -1,13 +1,12 @@
 /* Decides when to ask the advice service about a step, and about which workers.
  *
- * A question takes up to 1.7 s. Which workers a step may use never changes; only the tickets
- * expire, after 2 s. So the first question names every worker that could ever run the step, up
- * to the limit of one question and those with free capacity first. Later questions are asked
- * when an allowed worker has free capacity; they name only the workers to be used, and their
- * capacity is reserved until the answer arrives. Without the reservation smaller tasks took the
- * capacity of a gang before its tickets arrived, and gangs asked 2.1 times on a heavy day.
- * While no allowed worker has free capacity, workers that were never named are asked about from
- * time to time. */
+ * A question takes up to 1.7 s.  Which workers a step may use never changes; only the tickets
+ * expire, after 2 s.  So the first question names every worker that could ever run the step, up to
+ * the limit of one question and those with free capacity first.  Later questions are asked when an
+ * allowed worker has free capacity; they name only the workers to be used, and their capacity is
+ * reserved until the answer arrives.  Without the reservation smaller tasks took the capacity of a
+ * gang before its tickets arrived, and gangs asked 2.1 times on a heavy day.  While no allowed
+ * worker has free capacity, workers that were never named are asked about from time to time. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
@@ -15,42 +14,42 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Advice is requested this long before the preceding steps are expected to end, which is within
- * the 2 s for which a ticket is valid. */
+/* Advice is requested this long before the preceding steps are expected to end, which is within the
+ * 2 s for which a ticket is valid. */
 #define ASK_AHEAD_MS 900
 /* Most workers named in one question. */
-#define ADVICE_MAX 100
+#define MAX_NAMED 100
 /* Renewals name at most this many workers: the service takes time for each ticket. */
-#define RENEW_MAX 6
-/* A question without an answer is asked again this long after its decision was due: longer than
- * the daemon that calls the service waits for it. With a bound on the whole, questions of 1.8 s
- * that queued behind others of 1.7 s were asked twice, and the second call delayed the
- * following ones. */
-#define ADVICE_PATIENCE_MS 4000
-#define ADVICE_TIMES 3
+#define MAX_RENEWED 6
+/* A question without an answer is asked again this long after its decision was due: longer than the
+ * daemon that calls the service waits for it.  With a bound on the whole, questions of 1.8 s that
+ * queued behind others of 1.7 s were asked twice, and the second call delayed the following
+ * ones. */
+#define ADVICE_TIMEOUT_MS 4000
+#define ADVICE_TIMEOUT_FACTOR 3
 /* Added to the longest time of a stop: until its end is reported and the gang is started. */
-#define ROOM_SLACK_MS 600
+#define STOP_SLACK_MS 600
 
 /* Added to the time of a decision: network latency and the wait behind another question. */
-#define HOLD_SLACK_MS 400
-/* Failure: a question for an interrupted task queues behind others for 2 s, its reservation is
+#define RESERVATION_SLACK_MS 400
+/* Failure: a question for a restarting task queues behind others for 2 s, its reservation is
  * shorter, and other tasks take the capacity just before the answer arrives, again and again; a
- * long-running task was down for 16 s in a full pool. Guard: the capacity stays reserved for as
- * long as a question may queue. At worst a worker is idle for one task for that time. */
-#define HOLD_INTERRUPTED_MS 3000
-/* Workers that were never named for a step are asked about only after this many times the
- * duration of a question. */
-#define NEWCOMERS_EVERY 3
-/* Least time between two searches for preemptible runs for a step: each search visits every run
- * of the pool. */
-#define ROOM_EVERY_MS 25
+ * long-running task was down for 16 s in a full pool.  Guard: the capacity stays reserved for as
+ * long as a question may queue.  At worst a worker is idle for one task for that time. */
+#define RESTARTING_RESERVATION_SLACK_MS 3000
+/* Workers that were never named for a step are asked about only after this many times the duration
+ * of a question. */
+#define UNNAMED_INTERVAL_FACTOR 3
+/* Least time between two searches for preemptible runs for a step: each search visits every run of
+ * the pool. */
+#define PREEMPTION_INTERVAL_MS 25
 
 typedef struct
 {
   const FbPoolWorker *worker;
-  gboolean unheard; /* the step waits for this worker unless the advice forbids it */
-  double room;      /* 0: it has no capacity for the task now; the higher, the better */
-  uint64_t draw;    /* breaks ties, differently for each step */
+  gboolean unheard;     /* the step waits for this worker unless the advice forbids it */
+  double free_rank;     /* 0: it has no capacity for the task now; the higher, the better */
+  uint64_t tie_breaker; /* breaks ties, differently for each step */
 } Candidate;
 
 static gint
@@ -60,9 +59,9 @@
   const Candidate *y = b;
   if (x->unheard != y->unheard)
     return x->unheard ? -1 : 1;
-  if (x->room != y->room)
-    return x->room > y->room ? -1 : 1;
-  return (x->draw > y->draw) - (x->draw < y->draw);
+  if (x->free_rank != y->free_rank)
+    return x->free_rank > y->free_rank ? -1 : 1;
+  return (x->tie_breaker > y->tie_breaker) - (x->tie_breaker < y->tie_breaker);
 }
 
 static gboolean
@@ -72,78 +71,76 @@
          && fb_pool_could_run (worker, step->shape) && fb_pool_ruling (step, worker) == NULL;
 }
 
-/* Returns: the rank of WORKER by free capacity. Members of a gang need whole workers, so the
+/* Returns: the rank of WORKER by free capacity.  Members of a gang need whole workers, so the
  * emptiest worker is best; single tasks are spread over all workers with capacity for them. */
 static double
-room_of (const FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms)
+free_rank_of (const FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms)
 {
   if (!fb_pool_has_place (worker, step, now_ms))
     return 0;
   return step->shape->gang ? 1 + fb_pool_free_shares (worker) : 1;
 }
 
-/* An interrupted long-running task is unavailable to its users until it is placed, and a
- * question about a hundred workers takes 1.8 s on some queues, one about sixteen 0.9 s. The
- * advice allows three workers of ten there, so that at least one of sixteen is allowed in 997
- * cases of 1,000. */
-#define NAMED_FOR_ONE 16
+/* A restarting long-running task is unavailable to its users until it is placed, and a question
+ * about a hundred workers takes 1.8 s on some queues, one about sixteen 0.9 s.  The advice allows
+ * three workers of ten there, so that at least one of sixteen is allowed in 997 cases of 1,000. */
+#define NAMED_PER_RESTARTING_TASK 16
 /* Workers named per task: the advice allows at least three workers of ten. */
-#define NAMED_FOR_EACH 4
-/* With this many named, a step of one task still has nine allowed workers, from which a fast
- * one can be chosen. */
-#define NAMED_AT_LEAST 30
+#define NAMED_PER_TASK 4
+/* With this many named, a step of one task still has nine allowed workers, from which a fast one
+ * can be chosen. */
+#define MIN_NAMED 30
 
 /* Most workers that the first question about STEP names.
  *
- * Failure: every first question names a hundred workers, whatever its step needs, and the
- * service takes 0.5 to 9 ms for each. With 350 workers and 33 daemons the daemons were busy
- * with questions for four fifths of a day, and half of the urgent jobs waited half a second for
- * their first start. Guard: single tasks ask about four workers each (the mean worth of six
- * days of that size rose from 0.592 to 0.629). Gangs need many workers that are free at the
- * same moment, and name as many as possible. */
+ * Failure: every first question names a hundred workers, whatever its step needs, and the service
+ * takes 0.5 to 9 ms for each.  With 350 workers and 33 daemons the daemons were busy with questions
+ * for four fifths of a day, and half of the urgent jobs waited half a second for their first start.
+ * Guard: single tasks ask about four workers each (the mean worth of six days of that size rose
+ * from 0.592 to 0.629).  Gangs need many workers that are free at the same moment, and name as many
+ * as possible. */
 static guint
-named_first (const FbPoolStep *step)
+max_named_first (const FbPoolStep *step)
 {
   if (step->shape->gang || step->shape->lasting)
-    return ADVICE_MAX;
-  guint most = MIN (step->shape->count, ADVICE_MAX) * NAMED_FOR_EACH;
-  return CLAMP (most, NAMED_AT_LEAST, ADVICE_MAX);
+    return MAX_NAMED;
+  guint most = MIN (step->shape->count, MAX_NAMED) * NAMED_PER_TASK;
+  return CLAMP (most, MIN_NAMED, MAX_NAMED);
 }
 
 static guint
-named_most (const FbPool *self, const FbPoolStep *step)
+max_named (const FbPool *self, const FbPoolStep *step)
 {
   if (step->urgency != FB_URGENCY_INTERRUPTED)
-    return named_first (step);
+    return max_named_first (step);
   guint unheard = self->settled ? 0 : self->unheard->len;
   guint waiting = MAX (fb_pool_step_waiting_n (step), 1);
-  return MIN (ADVICE_MAX, NAMED_FOR_ONE * waiting + unheard);
+  return MIN (MAX_NAMED, NAMED_PER_RESTARTING_TASK * waiting + unheard);
 }
 
-/* TRUE when a later question about STEP may name a worker with this rank by free capacity. For
+/* TRUE when a later question about STEP may name a worker with this rank by free capacity.  For
  * single tasks the worker must have capacity now.
  *
  * Failure: a gang needs fifteen whole workers, 29 are allowed, and each later question, one in
  * three seconds, names the four to twenty other workers that have free capacity at that moment;
- * gangs waited 20 s while smaller ones of their queue were started. Guard: a gang asks about
- * other workers whether they have free capacity or not, because preemption can free it on
- * allowed workers. */
+ * gangs waited 20 s while smaller ones of their queue were started.  Guard: a gang asks about other
+ * workers whether they have free capacity or not, because preemption can free it on allowed
+ * workers. */
 static gboolean
-is_worth_naming (const FbPoolStep *step, double room)
+is_worth_naming (const FbPoolStep *step, double free_rank)
 {
-  return !step->ruled || step->shape->gang || room > 0;
+  return !step->ruled || step->shape->gang || free_rank > 0;
 }
 
-/* Returns: (transfer container): ids of workers that were never named for STEP. For the first
- * question and for gangs these are all workers that could ever run it, otherwise only those
- * with capacity now.
+/* Returns: (transfer container): ids of workers that were never named for STEP.  For the first
+ * question and for gangs these are all workers that could ever run it, otherwise only those with
+ * capacity now.
  *
- * Failure: a pool has more workers than one question names, and each question names the same
- * ones; a third of the workers got all the work, and steps waited while other workers were
- * idle. Guard: workers with free capacity come first, and ties are broken by a hash of step and
- * worker. */
+ * Failure: a pool has more workers than one question names, and each question names the same ones;
+ * a third of the workers got all the work, and steps waited while other workers were idle.  Guard:
+ * workers with free capacity come first, and ties are broken by a hash of step and worker. */
 static GPtrArray *
-never_asked (FbPool *self, const FbPoolStep *step, uint64_t now_ms)
+unnamed_workers (FbPool *self, const FbPoolStep *step, uint64_t now_ms)
 {
   self->visits_n += self->roster->len;
   g_autoptr (GArray) candidates = g_array_new (FALSE, FALSE, sizeof (Candidate));
@@ -154,20 +151,21 @@
     {
       if (!can_be_named (worker, step))
         continue;
-      const Candidate candidate = { .worker = worker,
-                                    .unheard = !self->settled && !worker->answered,
-                                    .room = room_of (worker, step, now_ms),
-                                    .draw = XXH64 (&worker->rank, sizeof worker->rank, seed) };
-      if (is_worth_naming (step, candidate.room))
+      const Candidate candidate
+          = { .worker = worker,
+              .unheard = !self->settled && !worker->answered,
+              .free_rank = free_rank_of (worker, step, now_ms),
+              .tie_breaker = XXH64 (&worker->rank, sizeof worker->rank, seed) };
+      if (is_worth_naming (step, candidate.free_rank))
         g_array_append_val (candidates, candidate);
     }
-  guint most = named_most (self, step);
+  guint most = max_named (self, step);
   if (candidates->len > most)
     g_array_sort (candidates, compare_candidates);
   /* Without free capacity preemption has to free it, which is quicker the more workers are
    * allowed. */
-  if (candidates->len > most && g_array_index (candidates, Candidate, most - 1).room == 0)
-    most = ADVICE_MAX;
+  if (candidates->len > most && g_array_index (candidates, Candidate, most - 1).free_rank == 0)
+    most = MAX_NAMED;
   GPtrArray *ids = g_ptr_array_new ();
   for (guint i = 0; i < MIN (candidates->len, most); i++)
     g_ptr_array_add (ids, g_array_index (candidates, Candidate, i).worker->id);
@@ -175,47 +173,49 @@
 }
 
 static uint64_t
-takes_ms (const FbPoolStep *step, guint n)
+question_ms (const FbPoolStep *step, guint n)
 {
   const fb_work_policy *policy = &step->job->record.policy;
   return (policy->advice_decision_us + n * policy->advice_per_worker_us) / 1000;
 }
 
 static uint64_t
-hold_slack_ms (const FbPoolStep *step)
+reservation_slack_ms (const FbPoolStep *step)
 {
-  return step->urgency == FB_URGENCY_INTERRUPTED ? HOLD_INTERRUPTED_MS : HOLD_SLACK_MS;
+  return step->urgency == FB_URGENCY_INTERRUPTED ? RESTARTING_RESERVATION_SLACK_MS
+                                                 : RESERVATION_SLACK_MS;
 }
 
 /* For how many tasks of STEP other work is preempted at once. */
 static guint
-most_at_once (const FbPoolStep *step)
+max_preempted (const FbPoolStep *step)
 {
-  return step->shape->gang ? step->shape->count : MIN (fb_pool_step_waiting_n (step), RENEW_MAX);
+  return step->shape->gang ? step->shape->count : MIN (fb_pool_step_waiting_n (step), MAX_RENEWED);
 }
 
 /* For how many tasks of STEP one question renews tickets.
  *
  * Failure: long-running tasks lose their workers together, and each question renews only six
- * tickets, queues, and takes half a second; the last of 28 tasks ran again after 32 s although
- * most of the workers' capacity was free. Guard: one question covers all of them. */
+ * tickets, queues, and takes half a second; the last of 28 tasks ran again after 32 s although most
+ * of the workers' capacity was free.  Guard: one question covers all of them. */
 static guint
-most_renewed (const FbPoolStep *step)
+max_renewed (const FbPoolStep *step)
 {
-  return step->shape->lasting ? MIN (fb_pool_step_waiting_n (step), ADVICE_MAX)
-                              : most_at_once (step);
+  return step->shape->lasting ? MIN (fb_pool_step_waiting_n (step), MAX_NAMED)
+                              : max_preempted (step);
 }
 
 static guint
-make_room (FbPool *self, FbPoolStep *step, FbPoolWorker **chosen, uint64_t now_ms)
+preempt_for (FbPool *self, FbPoolStep *step, FbPoolWorker **chosen, uint64_t now_ms)
 {
-  if (now_ms < step->room_asked_ms + ROOM_EVERY_MS)
+  if (now_ms < step->room_asked_ms + PREEMPTION_INTERVAL_MS)
     return 0;
   step->room_asked_ms = now_ms;
-  guint most = most_at_once (step);
-  uint64_t wait_ms = MAX (self->limits.stop_ms, takes_ms (step, most));
+  guint most = max_preempted (step);
+  uint64_t wait_ms = MAX (self->limits.stop_ms, question_ms (step, most));
   return fb_pool_make_room (self, step, most, chosen,
-                            now_ms + wait_ms + MAX (ROOM_SLACK_MS, hold_slack_ms (step)), now_ms);
+                            now_ms + wait_ms + MAX (STOP_SLACK_MS, reservation_slack_ms (step)),
+                            now_ms);
 }
 
 /* Returns: (transfer container): the ids of the N workers in CHOSEN, without duplicates. */
@@ -233,45 +233,46 @@
 
 /* Adds to IDS workers that were never named, for LEFT more tasks.
  *
- * Failure: fewer allowed workers have capacity than a long-running step has pending tasks, and
- * each question is about those few workers only; the other tasks wait until none of these has
- * capacity left, and questions about one to five workers follow each other. Guard: the same
- * question also names workers that were never named, for the remaining tasks. */
+ * Failure: fewer allowed workers have capacity than a long-running step has pending tasks, and each
+ * question is about those few workers only; the other tasks wait until none of these has capacity
+ * left, and questions about one to five workers follow each other.  Guard: the same question also
+ * names workers that were never named, for the remaining tasks. */
 static void
-add_newcomers (FbPool *self, const FbPoolStep *step, GPtrArray *ids, guint left, uint64_t now_ms)
+add_unnamed (FbPool *self, const FbPoolStep *step, GPtrArray *ids, guint left, uint64_t now_ms)
 {
-  g_autoptr (GPtrArray) fresh = never_asked (self, step, now_ms);
-  guint most = MIN (ids->len + NAMED_FOR_EACH * left, ADVICE_MAX);
-  for (guint i = 0; i < fresh->len && ids->len < most; i++)
-    g_ptr_array_add (ids, fresh->pdata[i]);
+  g_autoptr (GPtrArray) unnamed = unnamed_workers (self, step, now_ms);
+  guint most = MIN (ids->len + NAMED_PER_TASK * left, MAX_NAMED);
+  for (guint i = 0; i < unnamed->len && ids->len < most; i++)
+    g_ptr_array_add (ids, unnamed->pdata[i]);
 }
 
-/* Chooses allowed workers that have capacity now, whether their tickets are still valid or not,
- * and reserves it. Returns: (transfer container): their ids; empty when there is no capacity. */
+/* Chooses allowed workers that have capacity now, whether their tickets are still valid or not, and
+ * reserves it.  Returns: (transfer container): their ids; empty when there is no capacity. */
 static GPtrArray *
-to_renew (FbPool *self, FbPoolStep *step, uint64_t now_ms)
+workers_to_renew (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
-  guint most = most_renewed (step);
+  guint most = max_renewed (step);
   g_autofree FbPoolWorker **chosen = g_new0 (FbPoolWorker *, most + 1);
   guint n = fb_pool_choose_step (self, step, most, FB_TICKET_ALLOWED, chosen, now_ms);
   GPtrArray *ids = ids_of (chosen, n);
   if (n == 0)
     return ids;
   if (step->shape->lasting && n < most)
-    add_newcomers (self, step, ids, most - n, now_ms);
-  fb_pool_hold (self, step, chosen, n, now_ms + takes_ms (step, ids->len) + hold_slack_ms (step));
+    add_unnamed (self, step, ids, most - n, now_ms);
+  fb_pool_hold (self, step, chosen, n,
+                now_ms + question_ms (step, ids->len) + reservation_slack_ms (step));
   return ids;
 }
 
 /* Returns: the time until preempted runs have ended and their ends are reported. */
 static uint64_t
-room_comes_ms (const FbPool *self)
+preemption_ms (const FbPool *self)
 {
-  return self->limits.stop_ms + ROOM_SLACK_MS;
+  return self->limits.stop_ms + STOP_SLACK_MS;
 }
 
 static gboolean
-tickets_last (FbPoolStep *step, FbPoolWorker **chosen, guint n, uint64_t until_ms)
+tickets_are_valid (FbPoolStep *step, FbPoolWorker **chosen, guint n, uint64_t until_ms)
 {
   for (guint i = 0; i < n; i++)
     {
@@ -281,71 +282,71 @@
   return TRUE;
 }
 
-/* The same for allowed workers on which preemption frees capacity. Tickets that stay valid
- * until then are not renewed, because the step would have to wait for the answer; the capacity
- * stays reserved until then. */
+/* The same for allowed workers on which preemption frees capacity.  Tickets that stay valid until
+ * then are not renewed, because the step would have to wait for the answer; the capacity stays
+ * reserved until then. */
 static GPtrArray *
-to_renew_after_stops (FbPool *self, FbPoolStep *step, uint64_t now_ms)
+workers_to_renew_after_preemption (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
-  g_autofree FbPoolWorker **chosen = g_new0 (FbPoolWorker *, most_at_once (step) + 1);
-  guint n = make_room (self, step, chosen, now_ms);
-  uint64_t there_ms = now_ms + room_comes_ms (self);
-  if (n == 0 || !tickets_last (step, chosen, n, there_ms))
+  g_autofree FbPoolWorker **chosen = g_new0 (FbPoolWorker *, max_preempted (step) + 1);
+  guint n = preempt_for (self, step, chosen, now_ms);
+  uint64_t freed_ms = now_ms + preemption_ms (self);
+  if (n == 0 || !tickets_are_valid (step, chosen, n, freed_ms))
     return ids_of (chosen, n);
-  step->held_until_ms = there_ms;
+  step->held_until_ms = freed_ms;
   return g_ptr_array_new ();
 }
 
 /* Failure: workers are replaced one after the other, and each pending step asks about each new
- * worker: half a second for one worker, which is allowed in three cases of ten, while the
- * tickets of allowed workers expire and other tasks take the free capacity; gangs waited 8 s
- * with ten questions. Guard: allowed workers with capacity come first, and new workers are
- * asked about together, at intervals. */
+ * worker: half a second for one worker, which is allowed in three cases of ten, while the tickets
+ * of allowed workers expire and other tasks take the free capacity; gangs waited 8 s with ten
+ * questions.  Guard: allowed workers with capacity come first, and new workers are asked about
+ * together, at intervals. */
 static gboolean
-is_time_for_newcomers (const FbPoolStep *step, uint64_t now_ms)
+may_ask_about_unnamed (const FbPoolStep *step, uint64_t now_ms)
 {
-  return now_ms >= step->told_ms + NEWCOMERS_EVERY * takes_ms (step, 1);
+  return now_ms >= step->told_ms + UNNAMED_INTERVAL_FACTOR * question_ms (step, 1);
 }
 
-/* Returns: (transfer container): ids of the workers to ask about for STEP now; empty when there
- * is nothing to ask. Capacity is reserved on those that are allowed. */
+/* Returns: (transfer container): ids of the workers to ask about for STEP now; empty when there is
+ * nothing to ask.  Capacity is reserved on those that are allowed. */
 static GPtrArray *
-whom_to_ask (FbPool *self, FbPoolStep *step, uint64_t now_ms)
+workers_to_ask (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
   if (!step->ruled)
-    return never_asked (self, step, now_ms);
+    return unnamed_workers (self, step, now_ms);
   if (!step->released)
     return g_ptr_array_new ();
-  GPtrArray *ids = to_renew (self, step, now_ms);
-  if (ids->len == 0 && is_time_for_newcomers (step, now_ms))
+  GPtrArray *ids = workers_to_renew (self, step, now_ms);
+  if (ids->len == 0 && may_ask_about_unnamed (step, now_ms))
     {
       g_ptr_array_unref (ids);
-      ids = never_asked (self, step, now_ms);
+      ids = unnamed_workers (self, step, now_ms);
     }
   if (ids->len > 0)
     return ids;
   g_ptr_array_unref (ids);
-  return to_renew_after_stops (self, step, now_ms);
+  return workers_to_renew_after_preemption (self, step, now_ms);
 }
 
 static void
-make_room_unadvised (FbPool *self, FbPoolStep *step, uint64_t now_ms)
+preempt_unadvised (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
   g_autofree FbPoolWorker **chosen = g_new0 (FbPoolWorker *, step->shape->count);
-  (void) make_room (self, step, chosen, now_ms);
+  (void) preempt_for (self, step, chosen, now_ms);
 }
 
 static gboolean
-question_open (const FbPoolStep *step, uint64_t now_ms)
+question_is_open (const FbPoolStep *step, uint64_t now_ms)
 {
   return step->advice_until_ms != 0 && now_ms < step->advice_until_ms;
 }
 
 /* Returns: a bit that stands for all questions that take about as long as one about STEP. */
 static uint32_t
-kind_of_question (const FbPoolStep *step)
+question_kind (const FbPoolStep *step)
 {
-  return 1U << MIN (g_bit_storage ((gulong) takes_ms (step, 1)), 31U);
+  return 1U << MIN (g_bit_storage ((gulong) question_ms (step, 1)), 31U);
 }
 
 /* Returns: FALSE when no daemon can forward a question to the advice service now. */
@@ -353,14 +354,14 @@
 send_question (FbPool *self, FbPoolStep *step, const GPtrArray *ids, uint64_t now_ms)
 {
   g_autofree char *name = fb_pool_step_name (step);
-  uint32_t expected_ms = (uint32_t) takes_ms (step, ids->len);
+  uint32_t expected_ms = (uint32_t) question_ms (step, ids->len);
   if (!self->sink->advise (self->user, name, (const char *const *) ids->pdata, ids->len,
                            expected_ms))
     {
-      self->asked_in_vain |= kind_of_question (step);
+      self->asked_in_vain |= question_kind (step);
       return FALSE;
     }
-  step->advice_until_ms = now_ms + ADVICE_TIMES * expected_ms + ADVICE_PATIENCE_MS;
+  step->advice_until_ms = now_ms + ADVICE_TIMEOUT_FACTOR * expected_ms + ADVICE_TIMEOUT_MS;
   return TRUE;
 }
 
@@ -370,15 +371,15 @@
   if (!step->job->record.policy.advised)
     {
       if (step->released && step->held_on->len == 0)
-        make_room_unadvised (self, step, now_ms);
+        preempt_unadvised (self, step, now_ms);
       return TRUE;
     }
-  if (question_open (step, now_ms))
+  if (question_is_open (step, now_ms))
     return TRUE;
   /* Choosing the workers takes a pass over all of them, for each of hundreds of pending steps. */
-  if (self->asked_in_vain & kind_of_question (step))
+  if (self->asked_in_vain & question_kind (step))
     return FALSE;
-  g_autoptr (GPtrArray) ids = whom_to_ask (self, step, now_ms);
+  g_autoptr (GPtrArray) ids = workers_to_ask (self, step, now_ms);
   if (ids->len == 0)
     return TRUE;
   if (send_question (self, step, ids, now_ms))
@@ -390,7 +391,7 @@
 void
 fb_pool_renew_ticket (FbPool *self, FbPoolStep *step, const FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (question_open (step, now_ms))
+  if (question_is_open (step, now_ms))
     return;
   g_autoptr (GPtrArray) ids = g_ptr_array_new ();
   g_ptr_array_add (ids, worker->id);
@@ -408,7 +409,7 @@
 
 void
 fb_pool_advised (FbPool *self, const char *name, const char *const *asked, guint n,
-                 const fb_told_advice *told, uint64_t now_ms)
+                 const fb_told_advice *reply, uint64_t now_ms)
 {
   FbPoolStep *step = fb_pool_find_step (self, name);
   if (step == NULL)
@@ -417,7 +418,7 @@
   step->advice_until_ms = 0;
   step->full_look_ms = 0;
   step->told_ms = now_ms;
-  if (told == NULL)
+  if (reply == NULL)
     return;
   for (guint i = 0; i < n; i++)
     {
@@ -425,22 +426,23 @@
       if (worker != NULL)
         fb_pool_ruling_note (step, worker);
     }
-  for (u_int i = 0; i < told->tickets.tickets_len; i++)
+  for (u_int i = 0; i < reply->tickets.tickets_len; i++)
     {
-      const fb_ticket *got = &told->tickets.tickets_val[i];
-      const FbPoolWorker *worker = g_hash_table_lookup (self->workers, got->worker);
+      const fb_ticket *ticket = &reply->tickets.tickets_val[i];
+      const FbPoolWorker *worker = g_hash_table_lookup (self->workers, ticket->worker);
       if (worker != NULL)
-        fb_pool_ruling_allow (step, worker, got->ticket, now_ms + told->validity_ms);
+        fb_pool_ruling_allow (step, worker, ticket->ticket, now_ms + reply->validity_ms);
     }
   fb_event_log (FB_EVENT_ADVISED, "step=%s asked=%u allowed=%u validity_ms=%u", name, n,
-                told->tickets.tickets_len, told->validity_ms);
+                reply->tickets.tickets_len, reply->validity_ms);
 }
 
-/* TRUE when the steps before STEP are about to end: none of their tasks is pending, and each
- * run has used most of its estimate. Asking at that point removes the decision time from the
- * caller's wait: 30 ms of a short job's 250 ms, and half a second for other jobs. */
+/* TRUE when the steps before STEP are about to end: none of their tasks is pending, and each run
+ * has used most of its estimate.  Asking at that point removes the decision time from the caller's
+ * wait: 30 ms of a short job's 250 ms, and half a second for other jobs. */
 static gboolean
-is_next (const FbPoolOccurrence *occurrence, const FbPoolStep *step, uint64_t now_ms)
+is_about_to_be_released (const FbPoolOccurrence *occurrence, const FbPoolStep *step,
+                         uint64_t now_ms)
 {
   if (step->released || step->shape->after.after_len == 0)
     return FALSE;
@@ -469,7 +471,7 @@
       for (guint j = 0; !occurrence->finished && j < job->record.spec.steps.steps_len; j++)
         {
           FbPoolStep *step = &occurrence->steps[j];
-          if (is_next (occurrence, step, now_ms))
+          if (is_about_to_be_released (occurrence, step, now_ms))
             fb_pool_ask_first_advice (self, step, now_ms);
         }
     }
--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -1,23 +1,23 @@
 /* Chooses the worker for a task.
  *
- * may_start() is the only place that decides whether a task may start on a worker now. Of the
+ * can_start_now() is the only place that decides whether a task may start on a worker now.  Of the
  * workers that qualify, the one with the least capacity left afterwards is taken (best fit), so
  * that large free areas remain for large tasks. */
 #include "internal/pool-crash.h"
 
-/* A ticket is not used when less than this is left of its validity, because the start command
- * takes time on the network and may wait in a slow daemon. */
+/* A ticket is not used when less than this is left of its validity, because the start order takes
+ * time on the network and may wait in a slow daemon. */
 #define TICKET_MARGIN_MS 250
-/* Weight of a worker's slowness against its free capacity, multiplied by the square of the
- * job's tightness. Short jobs may take 1.5 times their work and 250 ms, and workers differ in
- * speed by 0.8 to 1.25. The weight gained 0.027 of a day's worth on one site (0.796 to 0.823,
- * means of four scores each, which spread by 0.017) and 0.003 on another (0.866 to 0.869). */
+/* Weight of a worker's slowness against its free capacity, multiplied by the square of the job's
+ * tightness.  Short jobs may take 1.5 times their work and 250 ms, and workers differ in speed by
+ * 0.8 to 1.25.  The weight gained 0.027 of a day's worth on one site (0.796 to 0.823, means of four
+ * scores each, which spread by 0.017) and 0.003 on another (0.866 to 0.869). */
 #define SLOWNESS_WEIGHT 6.0
 
-/* Keeps backfill tasks off the workers of serving steps, which have a latency target, and the
+/* Keeps best-effort tasks off the workers of serving steps, which have a latency target, and the
  * other way round. */
 static gboolean
-disturbs (const FbPoolWorker *worker, const fb_work_step *shape)
+conflicts_with_serving (const FbPoolWorker *worker, const fb_work_step *shape)
 {
   if (!shape->fills && shape->tail_target_ms == 0)
     return FALSE;
@@ -83,12 +83,12 @@
 {
   const fb_work_step *shape = step->shape;
   if (!fb_pool_worker_takes (worker, now_ms) || !fb_pool_could_run (worker, shape)
-      || !fb_pool_worker_fits (worker, shape) || disturbs (worker, shape))
+      || !fb_pool_worker_fits (worker, shape) || conflicts_with_serving (worker, shape))
     return FALSE;
   return shape->max_per_worker == 0 || runs_of_step (worker, step) < shape->max_per_worker;
 }
 
-/* The part of may_start() that does not depend on the load of the worker. */
+/* The part of can_start_now() that does not depend on the load of the worker. */
 static gboolean
 has_ticket (const FbPoolWorker *worker, const FbPoolStep *step, FbPoolTicketRule rule,
             uint64_t now_ms)
@@ -102,8 +102,8 @@
 }
 
 static gboolean
-may_start (const FbPoolWorker *worker, const FbPoolStep *step, FbPoolTicketRule rule,
-           uint64_t now_ms)
+can_start_now (const FbPoolWorker *worker, const FbPoolStep *step, FbPoolTicketRule rule,
+               uint64_t now_ms)
 {
   return has_ticket (worker, step, rule, now_ms) && fb_pool_has_place (worker, step, now_ms);
 }
@@ -120,8 +120,8 @@
       self->visits_n++;
       const FbPoolWorker *worker = self->opened->pdata[i];
       const FbPoolRuling *ruling = fb_pool_ruling (step, worker);
-      gboolean barred = step->job->record.policy.advised && ruling != NULL && !ruling->allowed;
-      if (!barred && fb_pool_has_place (worker, step, now_ms))
+      gboolean forbidden = step->job->record.policy.advised && ruling != NULL && !ruling->allowed;
+      if (!forbidden && fb_pool_has_place (worker, step, now_ms))
         return TRUE;
     }
   return FALSE;
@@ -140,7 +140,7 @@
 
 /* Cost of WORKER that does not depend on its free capacity. */
 static double
-drawbacks (const FbPoolWorker *worker, const FbPoolStep *step)
+load_independent_cost (const FbPoolWorker *worker, const FbPoolStep *step)
 {
   const fb_work_step *shape = step->shape;
   double tightness = step->job->tightness;
@@ -152,13 +152,13 @@
   return cost;
 }
 
-/* Lower is better. Long-running tasks are spread, so that the loss of one worker takes few of
+/* Lower is better.  Long-running tasks are spread, so that the loss of one worker takes few of
  * them. */
 static double
 cost_of (const FbPoolWorker *worker, const FbPoolStep *step)
 {
   double fit = fb_pool_free_shares (worker);
-  return (step->shape->lasting ? -fit : fit) + drawbacks (worker, step);
+  return (step->shape->lasting ? -fit : fit) + load_independent_cost (worker, step);
 }
 
 FbPoolWorker *
@@ -175,7 +175,7 @@
   while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
     {
       if (worker == other_than || (rack != NULL && g_strcmp0 (rack, worker->rack) != 0)
-          || worker->isolated_n > 0 || !may_start (worker, step, rule, now_ms)
+          || worker->isolated_n > 0 || !can_start_now (worker, step, rule, now_ms)
           || !fb_pool_crash_is_open (worker, task, now_ms)
           || (suspect && !fb_pool_crash_may_share (worker, task))
           || fb_pool_return_shuts_out (worker, step, index))
@@ -199,8 +199,8 @@
 fb_pool_choose (FbPool *self, FbPoolStep *step, guint most, const char *rack, FbPoolTicketRule rule,
                 FbPoolWorker **chosen, uint64_t now_ms)
 {
-  /* Where runs per worker are limited, each choice is represented by a temporary run, so that
-   * the next one counts it; otherwise it suffices to reserve the capacity. */
+  /* Where runs per worker are limited, each choice is represented by a temporary run, so that the
+   * next one counts it; otherwise it suffices to reserve the capacity. */
   gboolean counted = step->shape->max_per_worker > 0;
   g_autofree FbPoolRun **runs = g_new0 (FbPoolRun *, most);
   guint n = 0;
@@ -228,7 +228,7 @@
   return n;
 }
 
-/* Tries the racks one after the other. CHOSEN holds the workers only when the result is TRUE. */
+/* Tries the racks one after the other.  CHOSEN holds the workers only when the result is TRUE. */
 static gboolean
 choose_one_rack (FbPool *self, FbPoolStep *step, FbPoolTicketRule rule, FbPoolWorker **chosen,
                  uint64_t now_ms)
@@ -266,7 +266,7 @@
   return fb_pool_choose_gang (self, step, rule, chosen, now_ms) ? step->shape->count : 0;
 }
 
-/* ---- room that is held ------------------------------------------------------------ */
+/* ---- reserved capacity -------------------------------------------------------------- */
 
 void
 fb_pool_hold (FbPool *self, FbPoolStep *step, FbPoolWorker **chosen, guint n, uint64_t until_ms)
--- a/src/work/pool-copy.c
+++ b/src/work/pool-copy.c
@@ -1,21 +1,21 @@
-/* Speculative copies: second runs of tasks whose step allows two at once. The first run that
- * ends successfully counts.
+/* Speculative copies: second runs of tasks whose step allows two at once.  The first run that ends
+ * successfully counts.
  *
- * The last task of a step decides when the step ends. A copy is started when the first run is
- * on a worker that has stopped answering, or takes clearly longer than the other runs of its
- * step took. Copies are started after the pending tasks, and only into free capacity. */
+ * The last task of a step decides when the step ends.  A copy is started when the first run is on a
+ * worker that has stopped answering, or takes clearly longer than the other runs of its step took.
+ * Copies are started after the pending tasks, and only into free capacity. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
 /* Run times of the tasks of one step differ by 0.15 to 0.3 of their mean, and workers by 0.8 to
- * 1.25. A run that exceeds 2.2 times the mean, plus the time of a command and a poll, is most
+ * 1.25.  A run that exceeds 2.2 times the mean, plus the time of an order and a poll, is most
  * likely on a worker that is slow for a reason of its own (3 to 8 times). */
-#define LAG_PERCENT 220
-#define LAG_MS 150
+#define STRAGGLER_PERCENT 220
+#define STRAGGLER_MS 150
 /* Until other runs have ended only the estimate is known, which is wrong by up to half. */
-#define LAG_ESTIMATE_FACTOR 3
+#define STRAGGLER_ESTIMATE_FACTOR 3
 
 static gboolean
 wants_copy (const FbPoolWorker *worker, const FbPoolRun *run, uint64_t now_ms)
@@ -30,8 +30,9 @@
   if (task->done || task->run != run || task->copy != NULL || run->state == FB_RUN_STOPPING
       || fb_pool_job_ended (step->job))
     return FALSE;
-  uint64_t patience_ms = fb_pool_step_times_ms (step, LAG_PERCENT, LAG_ESTIMATE_FACTOR) + LAG_MS;
-  return fb_pool_worker_silent (worker, now_ms) || now_ms > run->started_ms + patience_ms;
+  uint64_t expected_ms
+      = fb_pool_step_times_ms (step, STRAGGLER_PERCENT, STRAGGLER_ESTIMATE_FACTOR) + STRAGGLER_MS;
+  return fb_pool_worker_silent (worker, now_ms) || now_ms > run->started_ms + expected_ms;
 }
 
 static void
--- a/src/work/pool-job.c
+++ b/src/work/pool-job.c
@@ -1,6 +1,6 @@
 /* Jobs of a pool: their occurrences, steps and tasks, and the progress recorded of them.
  *
- * A record holds only tasks that have ended or have a checkpoint. The others are found again by
+ * A record holds only tasks that have ended or have a checkpoint.  The others are found again by
  * polling the workers, so a start needs no write to the store. */
 #include "internal/pool-crash.h"
 
@@ -8,7 +8,7 @@
 #include <string.h>
 
 /* Runs of a step that must have ended before their mean time replaces the estimate. */
-#define SIBLINGS 2
+#define MIN_ENDED_RUNS 2
 
 void
 fb_pool_job_copy_record (const fb_work_admit *from, fb_work_admit *to)
@@ -27,7 +27,7 @@
 
 /* Returns: the length of the critical path through the steps, by their estimates. */
 static uint64_t
-chain_ms (const fb_work_spec *spec)
+critical_path_ms (const fb_work_spec *spec)
 {
   uint64_t until_ms[FB_WORK_MAX_STEPS] = { 0 };
   uint64_t longest_ms = 0;
@@ -47,7 +47,7 @@
 fb_pool_job_objective (FbPoolJob *job)
 {
   const fb_work_policy *policy = &job->record.policy;
-  uint64_t work_ms = chain_ms (&job->record.spec);
+  uint64_t work_ms = critical_path_ms (&job->record.spec);
   uint64_t objective_ms = work_ms * policy->stretch_milli / 1000 + policy->target_ms;
   job->tightness = objective_ms > 0 ? MIN ((double) work_ms / (double) objective_ms, 1) : 0;
   job->objective_ms = job->admitted_ms + objective_ms;
@@ -158,7 +158,7 @@
 uint64_t
 fb_pool_step_times_ms (const FbPoolStep *step, uint32_t percent, uint32_t factor)
 {
-  if (step->timed_n >= SIBLINGS)
+  if (step->timed_n >= MIN_ENDED_RUNS)
     return step->timed_ms / step->timed_n * percent / 100;
   return (uint64_t) step->shape->estimate_ms * factor;
 }
@@ -255,18 +255,18 @@
 /* ---- records ------------------------------------------------------------- */
 
 static gboolean
-needs_mark (const FbPoolTask *task)
+has_progress (const FbPoolTask *task)
 {
   return task->done || task->failed != NULL || task->checkpoint != NULL;
 }
 
 static void
-add_marks (GArray *marks, const FbPoolStep *step)
+add_task_progress (GArray *marks, const FbPoolStep *step)
 {
   for (uint32_t i = 0; i < step->shape->count && marks->len < FB_WORK_MAX_MARKS; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
-      if (!needs_mark (task))
+      if (!has_progress (task))
         continue;
       fb_work_mark mark = { .occurrence = step->occurrence,
                             .step = step->index,
@@ -288,12 +288,12 @@
 fb_pool_job_progress (const FbPoolJob *job, fb_work_progress *progress)
 {
   GArray *marks = g_array_new (FALSE, TRUE, sizeof (fb_work_mark));
-  gboolean lasting_over = fb_pool_job_ended (job);
-  for (guint i = 0; !lasting_over && i < job->occurrences->len; i++)
+  gboolean ended = fb_pool_job_ended (job);
+  for (guint i = 0; !ended && i < job->occurrences->len; i++)
     {
       const FbPoolOccurrence *occurrence = job->occurrences->pdata[i];
       for (guint j = 0; j < job->record.spec.steps.steps_len; j++)
-        add_marks (marks, &occurrence->steps[j]);
+        add_task_progress (marks, &occurrence->steps[j]);
     }
   progress->state = job->state;
   progress->ended_ms = job->ended_wall_ms;
@@ -302,7 +302,7 @@
 }
 
 static void
-restore_mark (FbPoolJob *job, const fb_work_mark *mark)
+restore_task_progress (FbPoolJob *job, const fb_work_mark *mark)
 {
   FbPoolStep *step = fb_pool_job_step (job, mark->occurrence, mark->step);
   if (step == NULL || mark->index >= step->shape->count)
@@ -329,7 +329,7 @@
   job->started = progress->state != FB_WORK_QUEUED;
   job->ended_wall_ms = progress->ended_ms;
   for (u_int i = 0; i < progress->marks.marks_len; i++)
-    restore_mark (job, &progress->marks.marks_val[i]);
+    restore_task_progress (job, &progress->marks.marks_val[i]);
 }
 
 gboolean
@@ -377,8 +377,8 @@
   return g_strdup_printf ("%s.%u.%u.%u", step->job->id, step->occurrence, step->index, index);
 }
 
-/* Splits NAME into "ID" and up to N numbers. Returns: how many numbers there were; 0 when NAME
- * is malformed. */
+/* Splits NAME into "ID" and up to N numbers.  Returns: how many numbers there were; 0 when NAME is
+ * malformed. */
 static guint
 split_name (const char *name, char *job, uint32_t *numbers, guint n)
 {
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -1,7 +1,7 @@
 /* Placement rounds, which start pending tasks.
  *
- * A round visits the steps with pending tasks in their order (pool-queue.c), in one or more
- * turns of the main loop. A gang is placed as a whole or not at all. */
+ * A round visits the steps with pending tasks in their order (pool-queue.c), in one or more turns
+ * of the main loop.  A gang is placed as a whole or not at all. */
 #include "internal/pool-crash.h"
 
 /* ---- single tasks ------------------------------------------------------------ */
@@ -19,17 +19,17 @@
                          now_ms);
 }
 
-/* Returns: the index of the task of STEP to place next: the first pending one from FROM on, or,
- * for an interrupted long-running step, the one that has been down for longest; the number of
- * tasks when there is none. LATER: set of tasks to leave out; NULL: none. */
+/* Returns: the index of the task of STEP to place next: the first pending one from FROM on, or, for
+ * a restarting long-running step, the one that has been down for longest; the number of tasks when
+ * there is none.  DEFERRED: set of tasks to leave out; NULL: none. */
 static uint32_t
-next_to_place (const FbPool *self, FbPoolStep *step, uint32_t from, GHashTable *later)
+next_to_place (const FbPool *self, FbPoolStep *step, uint32_t from, GHashTable *deferred)
 {
   while (step->waiting_from < step->shape->count
          && !fb_pool_task_waits (&step->tasks[step->waiting_from]))
     step->waiting_from++;
   if (step->urgency == FB_URGENCY_INTERRUPTED)
-    return fb_pool_lasting_next (self, step, later);
+    return fb_pool_lasting_next (self, step, deferred);
   uint32_t i = MAX (from, step->waiting_from);
   while (i < step->shape->count && !fb_pool_task_waits (&step->tasks[i]))
     i++;
@@ -38,15 +38,15 @@
 
 /* The reservation on WORKER has been used: it must not be restored. */
 static void
-forget_held (GPtrArray *held_on, const FbPoolWorker *worker)
+drop_used_reservation (GPtrArray *held_on, const FbPoolWorker *worker)
 {
-  guint place = 0;
-  if (g_ptr_array_find_with_equal_func (held_on, worker->id, g_str_equal, &place))
-    g_ptr_array_remove_index (held_on, place);
+  guint position = 0;
+  if (g_ptr_array_find_with_equal_func (held_on, worker->id, g_str_equal, &position))
+    g_ptr_array_remove_index (held_on, position);
 }
 
-/* HELD_ON: ids of the workers on which capacity was reserved; those that get a task are
- * removed. Returns: TRUE when no task is left without capacity. */
+/* HELD_ON: ids of the workers on which capacity was reserved; those that get a task are removed.
+ * Returns: TRUE when no task is left without capacity. */
 static gboolean
 place_tasks (FbPool *self, FbPoolStep *step, GPtrArray *held_on, uint64_t now_ms)
 {
@@ -54,9 +54,9 @@
     place_probe (self, step, now_ms);
   if (fb_pool_probe_is_on (step))
     return FALSE;
-  g_autoptr (GHashTable) later = NULL;
-  for (uint32_t i = next_to_place (self, step, 0, later); i < step->shape->count;
-       i = next_to_place (self, step, i + 1, later))
+  g_autoptr (GHashTable) deferred = NULL;
+  for (uint32_t i = next_to_place (self, step, 0, deferred); i < step->shape->count;
+       i = next_to_place (self, step, i + 1, deferred))
     {
       FbPoolTask *task = &step->tasks[i];
       FbPoolWorker *worker
@@ -65,12 +65,12 @@
         return FALSE;
       if (fb_pool_crash_waits_for_calm (worker, task, now_ms))
         {
-          later = later != NULL ? later : g_hash_table_new (NULL, NULL);
-          g_hash_table_add (later, task);
+          deferred = deferred != NULL ? deferred : g_hash_table_new (NULL, NULL);
+          g_hash_table_add (deferred, task);
           continue;
         }
       fb_pool_order_start (self, worker, step, i, fb_pool_next_attempt (self, step, i), now_ms);
-      forget_held (held_on, worker);
+      drop_used_reservation (held_on, worker);
     }
   return TRUE;
 }
@@ -125,42 +125,42 @@
 
 /* ---- the round ------------------------------------------------------------------ */
 
-/* A step that could not be placed is tried again after this time, even if nothing has changed:
- * no event reports that a worker has recovered from a refusal or that a question got no answer.
- * The first hundred steps in the order are tried every 100 ms, the step at position 1,000 once
- * a second. With 1,000 pending steps this makes some 3,300 tries a second instead of 10,000. */
-#define LOOK_AGAIN_MS 100
-#define LOOK_AGAIN_PER_PLACE_MS 1
+/* A step that could not be placed is tried again after this time, even if nothing has changed: no
+ * event reports that a worker has recovered from a refusal or that a question got no answer.  The
+ * first hundred steps in the order are tried every 100 ms, the step at position 1,000 once a
+ * second.  With 1,000 pending steps this makes some 3,300 tries a second instead of 10,000. */
+#define RETRY_MS 100
+#define RETRY_PER_POSITION_MS 1
 
 /* Failure: after a take-over hundreds of steps are pending, each is checked against hundreds of
- * workers in one turn of the main loop, and joins and leases are delayed (a turn took 0.3 to
- * 0.8 s on 0.12 of a core with 950 steps and 250 workers). The store then takes the owner for
- * dead, and the next owner fails in the same way: owners replace each other every 2 s while
- * nothing runs. Guard: a turn ends after this many visits of workers and runs (17 to 35 ns
- * each) and the next turn continues there; a round ends with the last pending step. */
+ * workers in one turn of the main loop, and joins and leases are delayed (a turn took 0.3 to 0.8 s
+ * on 0.12 of a core with 950 steps and 250 workers).  The store then takes the owner for dead, and
+ * the next owner fails in the same way: owners replace each other every 2 s while nothing runs.
+ * Guard: a turn ends after this many visits of workers and runs (17 to 35 ns each) and the next
+ * turn continues there; a round ends with the last pending step. */
 #define VISITS_PER_TURN 50000
 
-/* Returns: what a step that could not be placed waits for, as a static text for the log.
- * "turn": for a daemon that can forward its question to the advice service. */
+/* Returns: what a step that could not be placed waits for, as a static text for the log. "turn":
+ * for a daemon that can forward its question to the advice service. */
 static const char *
-what_it_waits_for (const FbPoolStep *step, gboolean could_ask)
+wait_reason (const FbPoolStep *step, gboolean asked)
 {
   if (step->advice_until_ms != 0)
     return "advice";
-  return could_ask ? "room" : "turn";
+  return asked ? "room" : "turn";
 }
 
-/* Tries to place STEP, and asks for advice if that fails. Returns: FALSE when no daemon can
+/* Tries to place STEP, and asks for advice if that fails.  Returns: FALSE when no daemon can
  * forward a question to the advice service now. */
 static gboolean
-look_at (FbPool *self, FbPoolStep *step, guint place, uint64_t now_ms)
+try_step (FbPool *self, FbPoolStep *step, guint position, uint64_t now_ms)
 {
   gboolean advised = step->job->record.policy.advised;
   gboolean unheard = fb_pool_may_run_unheard (self, step);
   if (unheard || (advised && !step->ruled))
     {
       gboolean can_ask = fb_pool_ask_first_advice (self, step, now_ms);
-      fb_pool_lasting_waits (self, step, unheard ? "take-over" : what_it_waits_for (step, can_ask),
+      fb_pool_lasting_waits (self, step, unheard ? "take-over" : wait_reason (step, can_ask),
                              now_ms);
       return can_ask;
     }
@@ -175,7 +175,7 @@
     }
   if (now_ms < held_until_ms)
     {
-      fb_pool_lasting_waits (self, step, what_it_waits_for (step, TRUE), now_ms);
+      fb_pool_lasting_waits (self, step, wait_reason (step, TRUE), now_ms);
       fb_pool_hold_again (self, step, held_on, fb_pool_step_waiting_n (step), held_until_ms);
       return TRUE;
     }
@@ -183,44 +183,44 @@
   /* a step that could not ask is tried again as soon as a daemon can forward a question */
   if (can_ask)
     step->looked_round = self->round;
-  step->full_look_ms = now_ms + MAX (LOOK_AGAIN_MS, place * LOOK_AGAIN_PER_PLACE_MS);
-  fb_pool_lasting_waits (self, step, what_it_waits_for (step, can_ask), now_ms);
+  step->full_look_ms = now_ms + MAX (RETRY_MS, position * RETRY_PER_POSITION_MS);
+  fb_pool_lasting_waits (self, step, wait_reason (step, can_ask), now_ms);
   return can_ask;
 }
 
 static void
-forget_opened (FbPool *self, guint n)
+clear_gained_capacity (FbPool *self, guint n)
 {
   for (guint i = 0; i < n; i++)
     ((FbPoolWorker *) self->opened->pdata[i])->opened = FALSE;
   g_ptr_array_remove_range (self->opened, 0, n);
 }
 
-/* Tries the step at position PLACE if it may succeed. Returns: FALSE when it could not ask for
+/* Tries the step at POSITION if it may succeed.  Returns: FALSE when it could not ask for
  * advice. */
 static gboolean
-look_at_place (FbPool *self, guint place, uint64_t now_ms)
+try_position (FbPool *self, guint position, uint64_t now_ms)
 {
-  FbPoolStep *step = self->waiting->pdata[place];
+  FbPoolStep *step = self->waiting->pdata[position];
   if (step->advice_until_ms != 0 && now_ms < step->held_until_ms)
     return TRUE; /* its capacity stays reserved until the advice arrives */
   if (fb_pool_worth_a_look (self, step, now_ms))
-    return look_at (self, step, place, now_ms);
+    return try_step (self, step, position, now_ms);
   step->looked_round = self->round;
   return TRUE;
 }
 
-/* Steps that earlier turns of the round have passed are more urgent than the remaining ones,
- * and are tried first where capacity was freed meanwhile. Half of the turn is left for the
- * remaining steps. */
+/* Steps that earlier turns of the round have passed are more urgent than the remaining ones, and
+ * are tried first where capacity was freed meanwhile.  Half of the turn is left for the remaining
+ * steps. */
 static gboolean
-look_back (FbPool *self, uint64_t now_ms)
+retry_passed_steps (FbPool *self, uint64_t now_ms)
 {
   gboolean can_ask = TRUE;
-  for (guint place = 0; place < self->resume_position && place < self->waiting->len && !self->fenced
-                        && self->visits_n <= VISITS_PER_TURN / 2;
-       place++)
-    can_ask &= look_at_place (self, place, now_ms);
+  for (guint position = 0; position < self->resume_position && position < self->waiting->len
+                           && !self->fenced && self->visits_n <= VISITS_PER_TURN / 2;
+       position++)
+    can_ask &= try_position (self, position, now_ms);
   return can_ask;
 }
 
@@ -245,18 +245,18 @@
       self->round++;
       self->round_opened_n = self->opened->len;
     }
-  gboolean can_ask = look_back (self, now_ms);
+  gboolean can_ask = retry_passed_steps (self, now_ms);
   for (; self->resume_position < self->waiting->len && !self->fenced
          && self->visits_n <= VISITS_PER_TURN;
        self->resume_position++)
-    can_ask &= look_at_place (self, self->resume_position, now_ms);
+    can_ask &= try_position (self, self->resume_position, now_ms);
   if (self->resume_position < self->waiting->len && !self->fenced)
     {
       self->place_due = TRUE;
       return;
     }
   self->resume_position = 0;
-  forget_opened (self, MIN (self->round_opened_n, self->opened->len));
+  clear_gained_capacity (self, MIN (self->round_opened_n, self->opened->len));
   if (can_ask)
     ask_ahead (self, now_ms);
 }
--- a/src/work/pool-preempt.c
+++ b/src/work/pool-preempt.c
@@ -1,9 +1,9 @@
 /* Preemption: frees capacity for large tasks and gangs by stopping work of lower priority that
  * loses nothing.
  *
- * A checkpointing task also saves a checkpoint when it is stopped, and continues elsewhere
- * after its restore time (0.1 to 0.25 s). Without preemption, small tasks that are started one
- * by one into all freed capacity would starve tasks that need a whole worker, and gangs. */
+ * A checkpointing task also saves a checkpoint when it is stopped, and continues elsewhere after
+ * its restore time (0.1 to 0.25 s).  Without preemption, small tasks that are started one by one
+ * into all freed capacity would starve tasks that need a whole worker, and gangs. */
 #include "internal/pool-private.h"
 
 #include "fb-counter.h"
@@ -11,10 +11,10 @@
 
 /* A run is preempted only if its job has this much more slack than the pending one: a stop, the
  * wait for other capacity and a restore take about a second. */
-#define GIVE_WAY_MS 2000
+#define MIN_EXTRA_SLACK_MS 2000
 
-/* Returns: the time left until the caller wants the job, less the estimated run time of the
- * step; negative when the job is already late. */
+/* Returns: the time left until the caller wants the job, less the estimated run time of the step;
+ * negative when the job is already late. */
 static int64_t
 slack_ms (const FbPoolStep *step, uint64_t now_ms)
 {
@@ -24,11 +24,11 @@
 /* TRUE when RUN may be preempted for the step TO.
  *
  * Failure: runs that may be preempted any number of times are stopped again and again and never
- * end; a queue of lower priority starved on a heavy day (the share of its jobs that ended in
- * time fell from 0.97 to 0.45). Guard: a task is preempted only once, and only while its job
- * has clearly more slack than the pending one. */
+ * end; a queue of lower priority starved on a heavy day (the share of its jobs that ended in time
+ * fell from 0.97 to 0.45).  Guard: a task is preempted only once, and only while its job has
+ * clearly more slack than the pending one. */
 static gboolean
-gives_way (const FbPoolRun *run, const FbPoolStep *to, uint64_t now_ms)
+is_preemptible (const FbPoolRun *run, const FbPoolStep *to, uint64_t now_ms)
 {
   if (run->step == NULL || run->state != FB_RUN_RUNNING || run->given_up)
     return FALSE;
@@ -37,13 +37,13 @@
       || run->step->tasks[run->index].gave_way)
     return FALSE;
   return run->step->job->record.policy.priority > to->job->record.policy.priority
-         && slack_ms (run->step, now_ms) > MAX (slack_ms (to, now_ms), 0) + GIVE_WAY_MS;
+         && slack_ms (run->step, now_ms) > MAX (slack_ms (to, now_ms), 0) + MIN_EXTRA_SLACK_MS;
 }
 
-/* Takes the preemptible runs off the capacity used on their workers (SIGN -1), or adds them
- * again (1). */
+/* Takes the preemptible runs off the capacity used on their workers (SIGN -1), or adds them again
+ * (1). */
 static void
-charge_all (FbPool *self, const FbPoolStep *to, int sign, uint64_t now_ms)
+charge_preemptible (FbPool *self, const FbPoolStep *to, int sign, uint64_t now_ms)
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
@@ -55,7 +55,7 @@
       g_hash_table_iter_init (&runs, worker->runs);
       while (g_hash_table_iter_next (&runs, NULL, &run))
         {
-          if (gives_way (run, to, now_ms))
+          if (is_preemptible (run, to, now_ms))
             fb_pool_worker_charge (worker, run, sign);
         }
     }
@@ -63,7 +63,7 @@
 
 /* Returns: (nullable): the preemptible run that loses least when stopped: the one started last. */
 static FbPoolRun *
-next_to_stop (const FbPoolWorker *worker, const FbPoolStep *to, uint64_t now_ms)
+next_victim (const FbPoolWorker *worker, const FbPoolStep *to, uint64_t now_ms)
 {
   FbPoolRun *best = NULL;
   GHashTableIter iter;
@@ -72,14 +72,14 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbPoolRun *run = value;
-      if (gives_way (run, to, now_ms) && (best == NULL || run->started_ms > best->started_ms))
+      if (is_preemptible (run, to, now_ms) && (best == NULL || run->started_ms > best->started_ms))
         best = run;
     }
   return best;
 }
 
 static gboolean
-is_over_full (const FbPoolWorker *worker)
+is_overcommitted (const FbPoolWorker *worker)
 {
   return worker->cpu_used + worker->cpu_held > worker->cpu_milli
          || worker->mem_used + worker->mem_held > worker->mem_mb
@@ -88,12 +88,12 @@
 
 /* Stops runs on WORKER until the capacity reserved for STEP will be free once they have ended. */
 static void
-stop_for (FbPool *self, FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms)
+preempt_runs (FbPool *self, FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms)
 {
   g_autoptr (GPtrArray) stopped = g_ptr_array_new ();
-  while (is_over_full (worker))
+  while (is_overcommitted (worker))
     {
-      FbPoolRun *run = next_to_stop (worker, step, now_ms);
+      FbPoolRun *run = next_victim (worker, step, now_ms);
       if (run == NULL)
         break;
       fb_event_log (FB_EVENT_TASK_PREEMPTED, "task=%s attempt=%u worker=%s for=%s priority=%u",
@@ -114,13 +114,13 @@
 fb_pool_make_room (FbPool *self, FbPoolStep *step, guint most, FbPoolWorker **chosen,
                    uint64_t until_ms, uint64_t now_ms)
 {
-  charge_all (self, step, -1, now_ms);
+  charge_preemptible (self, step, -1, now_ms);
   guint n = fb_pool_choose_step (self, step, most, FB_TICKET_ALLOWED, chosen, now_ms);
-  charge_all (self, step, 1, now_ms);
+  charge_preemptible (self, step, 1, now_ms);
   if (n == 0)
     return 0;
   fb_pool_hold (self, step, chosen, n, until_ms);
   for (guint i = 0; i < n; i++)
-    stop_for (self, chosen[i], step, now_ms);
+    preempt_runs (self, chosen[i], step, now_ms);
   return n;
 }
--- a/src/work/pool-queue.c
+++ b/src/work/pool-queue.c
@@ -1,17 +1,16 @@
 /* Queue of the steps with pending tasks, in the order in which they are placed.
  *
- * Interrupted long-running tasks come first, then steps that can still finish in time; among
- * these the priority decides, then the time by which the caller wants the job. The order is
- * kept between rounds: new steps are sorted among themselves and merged, so that a round takes
- * one pass over the pending steps. Sorting all of them in each round took a quarter of an
- * owner's processor time once hundreds of steps were pending, and the backlog grew because of
- * it. */
+ * Restarting long-running tasks come first, then steps that can still finish in time; among these
+ * the priority decides, then the time by which the caller wants the job.  The order is kept between
+ * rounds: new steps are sorted among themselves and merged, so that a round takes one pass over the
+ * pending steps.  Sorting all of them in each round took a quarter of an owner's processor time
+ * once hundreds of steps were pending, and the backlog grew because of it. */
 #include "internal/pool-private.h"
 
 #include <string.h>
 
 static gint
-compare (const FbPoolStep *x, const FbPoolStep *y)
+compare_steps (const FbPoolStep *x, const FbPoolStep *y)
 {
   if (x->urgency != y->urgency)
     return x->urgency < y->urgency ? -1 : 1;
@@ -27,14 +26,14 @@
 }
 
 static gint
-compare_places (gconstpointer a, gconstpointer b)
+compare_step_pointers (gconstpointer a, gconstpointer b)
 {
-  return compare (*(FbPoolStep *const *) a, *(FbPoolStep *const *) b);
+  return compare_steps (*(FbPoolStep *const *) a, *(FbPoolStep *const *) b);
 }
 
 /* TRUE when a pending task of STEP has run before, or may have run under an earlier owner. */
 static gboolean
-is_interrupted (const FbPoolStep *step)
+is_restarting (const FbPoolStep *step)
 {
   gboolean may_have_run = step->job->restored && !step->job->untouched;
   for (uint32_t i = 0; i < step->shape->count; i++)
@@ -46,16 +45,16 @@
   return FALSE;
 }
 
-/* Failure: a new owner has to ask the advice service again about each step, and a long-running
- * task whose lease expired meanwhile queues behind hundreds of urgent ones; it was down for 11
- * s while workers were idle. Guard: interrupted tasks go first. Long-running tasks are few and
- * have enough workers otherwise, so the other steps are delayed by only a few questions. */
+/* Failure: a new owner has to ask the advice service again about each step, and a long-running task
+ * whose lease expired meanwhile queues behind hundreds of urgent ones; it was down for 11 s while
+ * workers were idle.  Guard: restarting tasks go first.  Long-running tasks are few and have enough
+ * workers otherwise, so the other steps are delayed by only a few questions. */
 static FbPoolUrgency
 urgency_of (const FbPoolStep *step, uint64_t now_ms)
 {
   const FbPoolJob *job = step->job;
   if (step->shape->lasting)
-    return is_interrupted (step) ? FB_URGENCY_INTERRUPTED : FB_URGENCY_IN_TIME;
+    return is_restarting (step) ? FB_URGENCY_INTERRUPTED : FB_URGENCY_IN_TIME;
   if (job->record.spec.occurrences == 0 && now_ms > job->hopeless_ms)
     return FB_URGENCY_HOPELESS;
   return FB_URGENCY_IN_TIME;
@@ -67,13 +66,13 @@
   if (step->queued)
     return;
   step->queued = TRUE;
-  g_ptr_array_add (self->fresh, step);
+  g_ptr_array_add (self->unmerged, step);
 }
 
-/* Removes steps without pending tasks from the queue and moves to FRESH those whose urgency has
- * changed. */
+/* Removes steps without pending tasks from the queue and moves to FbPool.unmerged those whose
+ * urgency has changed. */
 static void
-keep_waiting (FbPool *self, uint64_t now_ms)
+remove_changed (FbPool *self, uint64_t now_ms)
 {
   guint n = 0;
   for (guint i = 0; i < self->waiting->len; i++)
@@ -82,60 +81,60 @@
       if (!fb_pool_step_waits (step))
         step->queued = FALSE;
       else if (step->urgency != urgency_of (step, now_ms))
-        g_ptr_array_add (self->fresh, step);
+        g_ptr_array_add (self->unmerged, step);
       else
         self->waiting->pdata[n++] = step;
     }
   g_ptr_array_set_size (self->waiting, (gint) n);
 }
 
-/* Sorts FRESH and removes steps without pending tasks from it. */
+/* Sorts FbPool.unmerged and removes steps without pending tasks from it. */
 static void
-sort_fresh (FbPool *self, uint64_t now_ms)
+sort_unmerged (FbPool *self, uint64_t now_ms)
 {
   guint n = 0;
-  for (guint i = 0; i < self->fresh->len; i++)
+  for (guint i = 0; i < self->unmerged->len; i++)
     {
-      FbPoolStep *step = self->fresh->pdata[i];
+      FbPoolStep *step = self->unmerged->pdata[i];
       step->urgency = urgency_of (step, now_ms);
       step->queued = fb_pool_step_waits (step);
       if (step->queued)
-        self->fresh->pdata[n++] = step;
+        self->unmerged->pdata[n++] = step;
     }
-  g_ptr_array_set_size (self->fresh, (gint) n);
-  g_ptr_array_sort (self->fresh, compare_places);
+  g_ptr_array_set_size (self->unmerged, (gint) n);
+  g_ptr_array_sort (self->unmerged, compare_step_pointers);
 }
 
 static void
-merge_fresh (FbPool *self)
+merge_unmerged (FbPool *self)
 {
   guint kept = self->waiting->len;
-  guint added = self->fresh->len;
+  guint added = self->unmerged->len;
   g_ptr_array_set_size (self->waiting, (gint) (kept + added));
   gpointer *all = self->waiting->pdata;
-  gpointer *fresh = self->fresh->pdata;
+  gpointer *unmerged = self->unmerged->pdata;
   while (added > 0)
     {
-      gboolean from_kept = kept > 0 && compare (all[kept - 1], fresh[added - 1]) > 0;
-      all[kept + added - 1] = from_kept ? all[kept - 1] : fresh[added - 1];
+      gboolean from_kept = kept > 0 && compare_steps (all[kept - 1], unmerged[added - 1]) > 0;
+      all[kept + added - 1] = from_kept ? all[kept - 1] : unmerged[added - 1];
       if (from_kept)
         kept--;
       else
         added--;
     }
-  g_ptr_array_set_size (self->fresh, 0);
+  g_ptr_array_set_size (self->unmerged, 0);
 }
 
 void
 fb_pool_queue_sort (FbPool *self, uint64_t now_ms)
 {
-  keep_waiting (self, now_ms);
-  sort_fresh (self, now_ms);
-  merge_fresh (self);
+  remove_changed (self, now_ms);
+  sort_unmerged (self, now_ms);
+  merge_unmerged (self);
 }
 
 static void
-drop_of (GPtrArray *steps, const FbPoolJob *job)
+remove_steps_of (GPtrArray *steps, const FbPoolJob *job)
 {
   guint n = 0;
   for (guint i = 0; i < steps->len; i++)
@@ -149,6 +148,6 @@
 void
 fb_pool_queue_forget (FbPool *self, const FbPoolJob *job)
 {
-  drop_of (self->waiting, job);
-  drop_of (self->fresh, job);
+  remove_steps_of (self->waiting, job);
+  remove_steps_of (self->unmerged, job);
 }
--- a/src/work/pool-roster.c
+++ b/src/work/pool-roster.c
@@ -1,7 +1,7 @@
 /* The workers of a pool in a dense array, and the list of workers whose capacity has grown.
  *
  * A round checks the free capacity of each worker for each pending step, so it iterates over an
- * array instead of a hash table. A slot is used again after its worker is forgotten;
+ * array instead of a hash table.  A slot is used again after its worker is forgotten;
  * FbPoolWorker.life, which never repeats, tells the two workers apart. */
 #include "internal/pool-private.h"
 
@@ -20,7 +20,7 @@
   g_hash_table_insert (self->workers, worker->id, worker);
 }
 
-/* Removes WORKER from OPENED. The entries that the open round began with stay the first ones. */
+/* Removes WORKER from OPENED.  The entries that the open round began with stay the first ones. */
 static void
 remove_opened (FbPool *self, FbPoolWorker *worker)
 {
--- a/src/work/pool-ruling.c
+++ b/src/work/pool-ruling.c
@@ -1,14 +1,14 @@
 /* Answers of the advice service about the workers of a step.
  *
- * Which workers a step may use never changes during the life of a worker process; only the
- * tickets expire. The answers are stored in an array indexed by worker slot, because a round
- * reads them for each pair of worker and pending step. */
+ * Which workers a step may use never changes during the life of a worker process; only the tickets
+ * expire.  The answers are stored in an array indexed by worker slot, because a round reads them
+ * for each pair of worker and pending step. */
 #include "internal/pool-private.h"
 
 #include <string.h>
 
 static FbPoolRuling *
-slot_of (FbPoolStep *step, const FbPoolWorker *worker)
+advice_slot (FbPoolStep *step, const FbPoolWorker *worker)
 {
   if (worker->slot >= step->rulings_n)
     {
@@ -38,7 +38,7 @@
 void
 fb_pool_ruling_note (FbPoolStep *step, const FbPoolWorker *worker)
 {
-  (void) slot_of (step, worker);
+  (void) advice_slot (step, worker);
   step->ruled = TRUE;
 }
 
@@ -46,7 +46,7 @@
 fb_pool_ruling_allow (FbPoolStep *step, const FbPoolWorker *worker, const char *ticket,
                       uint64_t valid_until_ms)
 {
-  FbPoolRuling *ruling = slot_of (step, worker);
+  FbPoolRuling *ruling = advice_slot (step, worker);
   step->ruled = TRUE;
   ruling->allowed = TRUE;
   g_free (ruling->ticket);
--- a/src/work/pool-speed.c
+++ b/src/work/pool-speed.c
@@ -1,17 +1,17 @@
 /* Estimates the speed of the workers.
  *
- * Workers differ by 0.8 to 1.25 and more, and they do not report their speed. The tasks of one
- * step are alike, so once a step has ended each of its runs is compared with the mean of all.
- * If runs were taken into account as they end, each would be compared with shorter ones only,
- * and every worker would seem slow. The known speeds of the workers are factored out first;
- * otherwise a step that ran on fast workers only would make each of them seem average. */
+ * Workers differ by 0.8 to 1.25 and more, and they do not report their speed.  The tasks of one
+ * step are alike, so once a step has ended each of its runs is compared with the mean of all.  If
+ * runs were taken into account as they end, each would be compared with shorter ones only, and
+ * every worker would seem slow.  The known speeds of the workers are factored out first; otherwise
+ * a step that ran on fast workers only would make each of them seem average. */
 #include "internal/pool-private.h"
 
 #include <math.h>
 
 /* Weight of one run in the estimate: run times of the tasks of a step differ by 0.15 to 0.3 of
  * their mean, so some ten runs are needed to tell one worker from another. */
-#define LEARN_SHARE 0.125
+#define LEARNING_RATE 0.125
 /* The ratio of a single run is limited to this range: a run far from the others was stuck, or
  * lucky. */
 #define RATIO_MIN 0.4
@@ -48,10 +48,10 @@
   task->took_ms = took_ms;
 }
 
-/* Returns: the run time on a worker of slowness 1, estimated from the recorded runs of STEP; 0
- * when there are fewer than two. */
+/* Returns: the run time on a worker of slowness 1, estimated from the recorded runs of STEP; 0 when
+ * there are fewer than two. */
 static double
-base_ms (const FbPoolStep *step)
+baseline_ms (const FbPoolStep *step)
 {
   double took_ms = 0;
   double slowness = 0;
@@ -68,15 +68,15 @@
   return n > 1 ? took_ms / slowness : 0;
 }
 
-/* Updates the slowness of a worker from all its runs of one step together: one by one, those
- * taken last would have the highest weight. */
+/* Updates the slowness of a worker from all its runs of one step together: one by one, those taken
+ * last would have the highest weight. */
 static void
-take_in (FbPoolSpeed *speed)
+update_slowness (FbPoolSpeed *speed)
 {
   if (speed->step_runs == 0)
     return;
   double ratio = speed->step_ratio / speed->step_runs;
-  double share = 1 - pow (1 - LEARN_SHARE, speed->step_runs);
+  double share = 1 - pow (1 - LEARNING_RATE, speed->step_runs);
   speed->slowness += share * (ratio - speed->slowness);
   speed->step_ratio = 0;
   speed->step_runs = 0;
@@ -85,20 +85,20 @@
 void
 fb_pool_speed_learn (FbPoolStep *step)
 {
-  double base = base_ms (step);
-  for (uint32_t i = 0; base > 0 && i < step->shape->count; i++)
+  double baseline = baseline_ms (step);
+  for (uint32_t i = 0; baseline > 0 && i < step->shape->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
       if (task->ran_at == NULL)
         continue;
-      task->ran_at->step_ratio += CLAMP (task->took_ms / base, RATIO_MIN, RATIO_MAX);
+      task->ran_at->step_ratio += CLAMP (task->took_ms / baseline, RATIO_MIN, RATIO_MAX);
       task->ran_at->step_runs++;
     }
   for (uint32_t i = 0; i < step->shape->count; i++)
     {
       FbPoolTask *task = &step->tasks[i];
       if (task->ran_at != NULL)
-        take_in (task->ran_at);
+        update_slowness (task->ran_at);
       g_clear_pointer (&task->ran_at, fb_pool_speed_unref);
     }
 }
--- a/src/work/pool-stuck.c
+++ b/src/work/pool-stuck.c
@@ -1,29 +1,29 @@
 /* Detection of stuck runs.
  *
- * Failure: the tasks on a worker make no progress while the worker still answers; their jobs
- * never end. Guard: a run that takes far too long is started again elsewhere, and its worker
- * gets less work. The limit follows from the other runs of the step once some have ended, and
- * from the estimate before. It doubles with each restart, and after the last one the task is
- * left alone, because it may just be long. */
+ * Failure: the tasks on a worker make no progress while the worker still answers; their jobs never
+ * end.  Guard: a run that takes far too long is started again elsewhere, and its worker gets less
+ * work.  The limit follows from the other runs of the step once some have ended, and from the
+ * estimate before.  It doubles with each restart, and after the last one the task is left alone,
+ * because it may just be long. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
 
 /* A run is stuck when it takes this percentage of the time that the other runs of its step took
- * (they differ by some 15%), plus this time for the start on a slow worker. The limit doubles
- * with each restart. */
+ * (they differ by some 15%), plus this time for the start on a slow worker.  The limit doubles with
+ * each restart. */
 #define STUCK_PERCENT 250
 #define STUCK_MS 800
-/* Until other runs have ended only the estimate is known, which is wrong by a factor of up to
- * 1.9, while run times spread to 2.5 times their mean. A factor of 5 restarted sound runs on
- * calm days. */
-#define STUCK_FACTOR 10
-#define STUCK_MOVES 3
+/* Until other runs have ended only the estimate is known, which is wrong by a factor of up to 1.9,
+ * while run times spread to 2.5 times their mean.  A factor of 5 restarted sound runs on calm
+ * days. */
+#define STUCK_ESTIMATE_FACTOR 10
+#define MAX_STUCK_RESTARTS 3
 
 static uint64_t
-longest_run_ms (const FbPoolStep *step)
+stuck_limit_ms (const FbPoolStep *step)
 {
-  return fb_pool_step_times_ms (step, STUCK_PERCENT, STUCK_FACTOR) + STUCK_MS;
+  return fb_pool_step_times_ms (step, STUCK_PERCENT, STUCK_ESTIMATE_FACTOR) + STUCK_MS;
 }
 
 static gboolean
@@ -34,11 +34,11 @@
       || step->shape->estimate_ms == 0)
     return FALSE;
   uint32_t moved = step->tasks[run->index].moved;
-  return moved < STUCK_MOVES && now_ms > run->started_ms + (longest_run_ms (step) << moved);
+  return moved < MAX_STUCK_RESTARTS && now_ms > run->started_ms + (stuck_limit_ms (step) << moved);
 }
 
 static void
-move_stuck (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
+restart_stuck (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
 {
   fb_event_log (FB_EVENT_TASK_STUCK, "task=%s attempt=%u worker=%s ran_ms=%u estimate_ms=%u",
                 run->name, run->attempt, worker->id, (guint) (now_ms - run->started_ms),
@@ -56,5 +56,5 @@
 fb_pool_run_check_stuck (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
 {
   if (is_stuck (run, now_ms))
-    move_stuck (self, worker, run, now_ms);
+    restart_stuck (self, worker, run, now_ms);
 }
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -4,11 +4,11 @@
 
 #include "fb-event.h"
 
-/* A stop command without an answer is sent again after this time. */
+/* A stop order without an answer is sent again after this time. */
 #define STOP_REPEAT_MS 600
-/* An owner that heard from a majority of its workers within this time is taken to be connected,
- * so a silent worker is not explained by a failure of the owner's own network. */
-#define HEARS_MS 1500
+/* An owner that heard from a majority of its workers within this time is taken to be connected, so
+ * a silent worker is not explained by a failure of the owner's own network. */
+#define MAJORITY_ANSWER_MS 1500
 
 FbPool *
 fb_pool_new (const char *service, uint64_t epoch, const FbPoolLimits *limits,
@@ -28,7 +28,7 @@
   self->latest = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   self->opened = g_ptr_array_new ();
   self->waiting = g_ptr_array_new ();
-  self->fresh = g_ptr_array_new ();
+  self->unmerged = g_ptr_array_new ();
   self->timed = g_hash_table_new (NULL, NULL);
   self->chained = g_hash_table_new (NULL, NULL);
   self->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, fb_pool_job_free);
@@ -58,7 +58,7 @@
   g_hash_table_unref (self->latest);
   g_ptr_array_unref (self->opened);
   g_ptr_array_unref (self->waiting);
-  g_ptr_array_unref (self->fresh);
+  g_ptr_array_unref (self->unmerged);
   g_hash_table_unref (self->closed);
   g_hash_table_unref (self->timed);
   g_hash_table_unref (self->chained);
@@ -79,30 +79,30 @@
 /* ---- workers -------------------------------------------------------------------- */
 
 static gboolean
-is_worth_moving (const FbPoolRun *run)
+should_move (const FbPoolRun *run)
 {
   if (run->step == NULL || run->state != FB_RUN_RUNNING || run->step->shape->gang)
     return FALSE;
   return run->step->shape->lasting || run->step->shape->checkpointing;
 }
 
-/* Moves long-running and checkpointing tasks off a draining worker before it exits, as soon as
- * they may start elsewhere.
+/* Moves long-running and checkpointing tasks off a draining worker before it exits, as soon as they
+ * may start elsewhere.
  *
- * Failure: the owner of the pool changes while a worker begins to drain, and each new owner
- * sees the worker draining from the beginning. If tasks were moved only at the transition to
- * draining, a long-running task would end with its worker and start again only after the next
- * owner has recovered, 12 s later. Guard: the runs on a draining worker are checked in every
- * maintenance pass. */
+ * Failure: the owner of the pool changes while a worker begins to drain, and each new owner sees
+ * the worker draining from the beginning.  If tasks were moved only at the transition to draining,
+ * a long-running task would end with its worker and start again only after the next owner has
+ * recovered, 12 s later.  Guard: the runs on a draining worker are checked in every maintenance
+ * pass. */
 static void
-leave_draining (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
+move_runs_off_draining (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
   g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
   gboolean may_start = self->may_start && fb_pool_may_place (self);
   for (GList *l = runs; l != NULL && may_start; l = l->next)
     {
       FbPoolRun *run = l->data;
-      if (is_worth_moving (run) && !fb_pool_may_run_unheard (self, run->step))
+      if (should_move (run) && !fb_pool_may_run_unheard (self, run->step))
         fb_pool_order_stop (self, worker, run, now_ms);
     }
 }
@@ -122,8 +122,8 @@
       self->workers_dirty = TRUE;
     }
   gboolean was_draining = worker->draining;
-  gboolean has_moved = g_strcmp0 (worker->address, entry->address) != 0;
-  if (has_moved)
+  gboolean address_changed = g_strcmp0 (worker->address, entry->address) != 0;
+  if (address_changed)
     fb_pool_life_forget (self, worker);
   fb_pool_worker_describe (worker, entry);
   fb_pool_worker_opened (self, worker);
@@ -131,12 +131,12 @@
     fb_event_log (FB_EVENT_POOL_WORKER_LISTED, "worker=%s address=%s cpu=%u gpu=%u draining=%d",
                   worker->id, worker->address, worker->cpu_milli, worker->gpu_count,
                   worker->draining);
-  if (has_moved)
+  if (address_changed)
     fb_pool_life_known (self, worker, now_ms);
   if (!worker->draining || was_draining)
     return;
   self->workers_dirty = TRUE;
-  leave_draining (self, worker, now_ms);
+  move_runs_off_draining (self, worker, now_ms);
 }
 
 void
@@ -153,7 +153,7 @@
 
 /* Failure: a worker's entry in the platform's list expires while the store is unavailable, the
  * owner changes, and the new owner does not know of the worker; tasks that still run there are
- * started a second time. Guard: the owner records its own list of workers, which the next owner
+ * started a second time.  Guard: the owner records its own list of workers, which the next owner
  * reads here. */
 void
 fb_pool_restore_workers (FbPool *self, const fb_work_workers *record)
@@ -191,7 +191,7 @@
 }
 
 static void
-tend_worker (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
+maintain_worker (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
   if (!worker->gone && fb_pool_worker_lapsed (self, worker, now_ms))
     fb_pool_worker_lost (self, worker, FB_LOSS_LEASE_ENDED, NULL, now_ms);
@@ -208,28 +208,28 @@
         fb_pool_run_check_stuck (self, worker, run, now_ms);
     }
   if (worker->draining)
-    leave_draining (self, worker, now_ms);
+    move_runs_off_draining (self, worker, now_ms);
   fb_pool_stop_strays (self, worker, now_ms);
   fb_pool_crash_note_silence (self, worker, now_ms);
   fb_pool_crash_clear_lasted (self, worker);
-  gboolean takes = fb_pool_worker_takes (worker, now_ms);
-  if (takes && !worker->took)
+  gboolean accepts_work = fb_pool_worker_takes (worker, now_ms);
+  if (accepts_work && !worker->took)
     fb_pool_worker_opened (self, worker);
-  worker->took = takes;
+  worker->took = accepts_work;
   if (now_ms >= worker->look_at_ms)
     fb_pool_order_look (self, worker, now_ms);
 }
 
-/* TRUE when WORKER has left and need not be polled any more: either all runs of this
- * incarnation have certainly ended, or this owner has recovered, so that it knows everything
- * that runs in the pool, and nothing runs there. A later owner would otherwise wait for the
- * worker for a whole lease.
+/* TRUE when WORKER has left and need not be polled any more: either all runs of this incarnation
+ * have certainly ended, or this owner has recovered, so that it knows everything that runs in the
+ * pool, and nothing runs there.  A later owner would otherwise wait for the worker for a whole
+ * lease.
  *
- * Failure: a worker on which capacity is reserved is forgotten and then listed again as a new
- * one. The reservation is returned to a worker that never had it, which then gets more than it
- * can hold. Guard: a worker with reserved capacity is not forgotten. */
+ * Failure: a worker on which capacity is reserved is forgotten and then listed again as a new one.
+ * The reservation is returned to a worker that never had it, which then gets more than it can hold.
+ * Guard: a worker with reserved capacity is not forgotten. */
 static gboolean
-is_over (const FbPool *self, const FbPoolWorker *worker)
+can_be_forgotten (const FbPool *self, const FbPoolWorker *worker)
 {
   if (worker->listed || worker->held_n > 0)
     return FALSE;
@@ -239,17 +239,17 @@
 }
 
 static void
-tend_workers (FbPool *self, uint64_t now_ms)
+maintain_workers (FbPool *self, uint64_t now_ms)
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  self->hears_most = fb_pool_holds_majority (self, HEARS_MS, now_ms);
+  self->hears_most = fb_pool_holds_majority (self, MAJORITY_ANSWER_MS, now_ms);
   while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
     {
-      if (is_over (self, worker))
+      if (can_be_forgotten (self, worker))
         forget_worker (self, worker);
       else
-        tend_worker (self, worker, now_ms);
+        maintain_worker (self, worker, now_ms);
     }
 }
 
@@ -257,7 +257,7 @@
 fb_pool_holds_majority (const FbPool *self, uint32_t within_ms, uint64_t now_ms)
 {
   guint listed = 0;
-  guint heard = 0;
+  guint answered_n = 0;
   guint slot = 0;
   const FbPoolWorker *worker = NULL;
   while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
@@ -265,9 +265,9 @@
       if (!worker->listed)
         continue;
       listed++;
-      heard += worker->answered && now_ms - worker->proof_ms <= within_ms;
+      answered_n += worker->answered && now_ms - worker->proof_ms <= within_ms;
     }
-  return heard * 2 > listed;
+  return answered_n * 2 > listed;
 }
 
 /* ---- jobs ---------------------------------------------------------------------------- */
@@ -319,8 +319,8 @@
   if (job == NULL)
     {
       /* Only the end of the job is still recorded; it is kept to answer callers. */
-      fb_work_admit nothing = { 0 };
-      job = fb_pool_job_new (id, &nothing, 0, 0);
+      fb_work_admit no_record = { 0 };
+      job = fb_pool_job_new (id, &no_record, 0, 0);
       g_hash_table_insert (self->jobs, job->id, job);
     }
   fb_pool_job_restore (job, record);
@@ -353,15 +353,15 @@
 static void
 replace_policy (FbPoolJob *job, const fb_work_policy *policy)
 {
-  fb_work_policy *mine = &job->record.policy;
-  mine->priority = policy->priority;
-  mine->max_attempts = policy->max_attempts;
-  mine->stretch_milli = policy->stretch_milli;
-  mine->target_ms = policy->target_ms;
-  mine->advised = policy->advised;
-  mine->advice_decision_us = policy->advice_decision_us;
-  mine->advice_per_worker_us = policy->advice_per_worker_us;
-  mine->advice_validity_ms = policy->advice_validity_ms;
+  fb_work_policy *current = &job->record.policy;
+  current->priority = policy->priority;
+  current->max_attempts = policy->max_attempts;
+  current->stretch_milli = policy->stretch_milli;
+  current->target_ms = policy->target_ms;
+  current->advised = policy->advised;
+  current->advice_decision_us = policy->advice_decision_us;
+  current->advice_per_worker_us = policy->advice_per_worker_us;
+  current->advice_validity_ms = policy->advice_validity_ms;
   fb_pool_job_objective (job);
 }
 
@@ -400,11 +400,11 @@
   if (self->fenced)
     return;
   self->may_start = may_start;
-  gboolean tend = now_ms >= self->tended_ms + FB_POOL_TEND_EVERY_MS;
-  if (tend || !self->settled)
+  gboolean maintenance_due = now_ms >= self->tended_ms + FB_POOL_TEND_EVERY_MS;
+  if (maintenance_due || !self->settled)
     {
       self->tended_ms = now_ms;
-      tend_workers (self, now_ms);
+      maintain_workers (self, now_ms);
       fb_pool_doubts_tend (self, now_ms);
       fb_pool_settle (self, now_ms);
     }
@@ -415,13 +415,13 @@
       self->barred_ms = now_ms;
       return;
     }
-  if (tend)
+  if (maintenance_due)
     release_due (self, now_ms, wall_ms);
-  if (!tend && !self->place_due)
+  if (!maintenance_due && !self->place_due)
     return;
   self->place_due = FALSE;
   fb_pool_place (self, now_ms);
-  if (tend && self->resume_position == 0)
+  if (maintenance_due && self->resume_position == 0)
     fb_pool_place_copies (self, now_ms);
 }
 
--- a/tests/busy-pool.h
+++ b/tests/busy-pool.h
@@ -1,12 +1,12 @@
-/* A pool of 250 workers that answer at once and a backlog of 1,000 jobs of 20 tasks, for tests
- * of the work done in one turn of the owner's main loop. */
+/* A pool of 250 workers that answer at once and a backlog of 1,000 jobs of 20 tasks, for tests of
+ * the work done in one turn of the owner's main loop. */
 #pragma once
 
 #include "internal/pool.h"
 
-/* A daemon has as little as 12 ms of processor time in each tenth of a second. Turns of 5 ms
- * let the four turns of a join finish within two tenths of a second, of the ten before its
- * membership expires. */
+/* A daemon has as little as 12 ms of processor time in each tenth of a second.  Turns of 5 ms let
+ * the four turns of a join finish within two tenths of a second, of the ten before its membership
+ * expires. */
 #define JOB_US 20 /* time to add a job, on one core */
 #define TURN_JOBS (5000 / JOB_US)
 /* Time to visit a table entry, a worker or a run: 11 to 31 ns on one core. */
--- a/tests/test-pool.c
+++ b/tests/test-pool.c
@@ -1,5 +1,4 @@
-/* Runs a script against a pool, one line for each event, and prints the commands that the pool
- * sends.
+/* Runs a script against a pool, one line for each event, and prints the orders that the pool sends.
  *
  * Job ids are written without their leading zeros; a task is JOB.OCCURRENCE.STEP.INDEX. */
 #include "fb-event.h"
@@ -13,29 +12,29 @@
 #define BEGIN_MS 100000
 #define BEGIN_WALL_MS 1000000000
 /* With more workers than this, starts are not printed. */
-#define SMALL_POOL 20
+#define MAX_PRINTED_WORKERS 20
 
 typedef struct
 {
   FbPool *pool;
   uint64_t now_ms;
-  GHashTable *admitted;  /* job -> fb_work_admit, as stored */
-  GHashTable *progress;  /* job -> GBytes, the progress record as stored */
-  GHashTable *kept;      /* job -> GBytes, the suspects that other daemons keep */
-  GBytes *known_workers; /* the stored record of the pool's workers; NULL: none */
-  GHashTable *workers;   /* id -> the words of its line, used to list it again to the next owner */
-  GHashTable *starts;    /* task, and task/attempt -> order number of the last start */
-  GHashTable *stops;     /* task -> order number of the last stop */
-  GHashTable *used;      /* set of ids of workers on which something was started */
-  GPtrArray *flush;      /* the open flush; NULL: none */
-  gboolean show_looks;
-  uint64_t advice_left; /* how many more questions for advice are accepted */
-  char **words;
+  GHashTable *admitted;   /* job -> fb_work_admit, as stored */
+  GHashTable *progress;   /* job -> GBytes, the progress record as stored */
+  GHashTable *kept;       /* job -> GBytes, the suspects that other daemons keep */
+  GBytes *stored_workers; /* the stored record of the pool's workers; NULL: none */
+  GHashTable *workers;    /* id -> the words of its line, used to list it again to the next owner */
+  GHashTable *starts;     /* task, and task/attempt -> order number of the last start */
+  GHashTable *stops;      /* task -> order number of the last stop */
+  GHashTable *used_workers; /* set of ids of workers on which something was started */
+  GPtrArray *flush;         /* the open flush; NULL: none */
+  gboolean show_polls;
+  uint64_t questions_left; /* how many more questions for advice are accepted */
+  char **args;
   const char *line;
 } Script;
 
 static const char *
-brief (const char *name)
+strip_zeros (const char *name)
 {
   while (*name == '0')
     name++;
@@ -43,7 +42,7 @@
 }
 
 static char *
-full (const char *name)
+pad_job_id (const char *name)
 {
   const char *dot = strchr (name, '.');
   gsize len = dot != NULL ? (gsize) (dot - name) : strlen (name);
@@ -66,10 +65,10 @@
 option (const Script *script, const char *name)
 {
   gsize len = strlen (name);
-  for (guint i = 1; script->words[i] != NULL; i++)
+  for (guint i = 1; script->args[i] != NULL; i++)
     {
-      if (strncmp (script->words[i], name, len) == 0 && script->words[i][len] == '=')
-        return script->words[i] + len + 1;
+      if (strncmp (script->args[i], name, len) == 0 && script->args[i][len] == '=')
+        return script->args[i] + len + 1;
     }
   return NULL;
 }
@@ -84,15 +83,15 @@
 static gboolean
 flag (const Script *script, const char *name)
 {
-  return g_strv_contains ((const char *const *) script->words + 1, name);
+  return g_strv_contains ((const char *const *) script->args + 1, name);
 }
 
 /* ---- orders that come out ------------------------------------------------------ */
 
 static void
-remember (GHashTable *table, const char *task, uint64_t order)
+record_order (GHashTable *table, const char *task, uint64_t order)
 {
-  g_hash_table_replace (table, g_strdup (brief (task)), g_memdup2 (&order, sizeof order));
+  g_hash_table_replace (table, g_strdup (strip_zeros (task)), g_memdup2 (&order, sizeof order));
 }
 
 static void
@@ -100,12 +99,12 @@
 {
   Script *script = user;
   g_autofree char *name = g_strdup_printf ("%s/%u", order->task, order->attempt);
-  remember (script->starts, order->task, order->order);
-  remember (script->starts, name, order->order);
-  g_hash_table_add (script->used, g_strdup (order->worker));
-  if (g_hash_table_size (script->workers) > SMALL_POOL)
+  record_order (script->starts, order->task, order->order);
+  record_order (script->starts, name, order->order);
+  g_hash_table_add (script->used_workers, g_strdup (order->worker));
+  if (g_hash_table_size (script->workers) > MAX_PRINTED_WORKERS)
     return;
-  printf ("  start %s attempt=%u on %s%s%s%s%s\n", brief (order->task), order->attempt,
+  printf ("  start %s attempt=%u on %s%s%s%s%s\n", strip_zeros (order->task), order->attempt,
           order->worker, *order->checkpoint != '\0' ? " checkpoint=" : "", order->checkpoint,
           order->ticket != NULL ? " ticket=" : "", order->ticket != NULL ? order->ticket : "");
 }
@@ -113,14 +112,14 @@
 static void
 on_stop (gpointer user, const FbStopOrder *order)
 {
-  remember (((Script *) user)->stops, order->task, order->order);
-  printf ("  stop %s attempt=%u on %s\n", brief (order->task), order->attempt, order->worker);
+  record_order (((Script *) user)->stops, order->task, order->order);
+  printf ("  stop %s attempt=%u on %s\n", strip_zeros (order->task), order->attempt, order->worker);
 }
 
 static void
 on_look (gpointer user, const FbLookOrder *order)
 {
-  if (((Script *) user)->show_looks)
+  if (((Script *) user)->show_polls)
     printf ("  look at %s acknowledged=%" G_GUINT64_FORMAT " wait=%u%s\n", order->worker,
             order->acknowledged, order->wait_ms, order->deadline_ms > 0 ? " lease" : "");
 }
@@ -129,14 +128,14 @@
 on_advise (gpointer user, const char *step, const char *const *workers, guint n,
            uint32_t expected_ms)
 {
-  if (((Script *) user)->advice_left == 0)
+  if (((Script *) user)->questions_left == 0)
     return FALSE;
-  ((Script *) user)->advice_left--;
-  printf ("  ask advice for %s on %u workers, takes %u ms", brief (step), n, expected_ms);
+  ((Script *) user)->questions_left--;
+  printf ("  ask advice for %s on %u workers, takes %u ms", strip_zeros (step), n, expected_ms);
   guint used_n = 0;
   for (guint i = 0; i < n; i++)
-    used_n += g_hash_table_contains (((Script *) user)->used, workers[i]);
-  if (used_n > 0 && n > SMALL_POOL)
+    used_n += g_hash_table_contains (((Script *) user)->used_workers, workers[i]);
+  if (used_n > 0 && n > MAX_PRINTED_WORKERS)
     printf (", %u of them in use", used_n);
   printf ("\n");
   return TRUE;
@@ -164,23 +163,23 @@
 /* ---- pools ------------------------------------------------------------------------ */
 
 static void
-list_worker (Script *script, char **words)
+list_worker (Script *script, char **args)
 {
-  char **saved = script->words;
-  script->words = words;
+  char **saved = script->args;
+  script->args = args;
   const char *labels[] = { "kind-a", option (script, "rack"), NULL };
   const FbWorkerEntry entry
-      = { .id = words[1],
-          .address = option (script, "address") != NULL ? option (script, "address") : words[1],
+      = { .id = args[1],
+          .address = option (script, "address") != NULL ? option (script, "address") : args[1],
           .rack = labels[1],
           .labels = labels,
           .cpu_milli = (uint32_t) number (script, "cpu", 16000),
           .mem_mb = (uint32_t) number (script, "mem", 32000),
           .gpu_count = (uint32_t) number (script, "gpu", 0),
           .draining = flag (script, "draining"),
-          .returns = strchr (words[1], '@') != NULL };
+          .returns = strchr (args[1], '@') != NULL };
   fb_pool_worker_listed (script->pool, &entry, script->now_ms);
-  script->words = saved;
+  script->args = saved;
 }
 
 static void
@@ -205,9 +204,9 @@
 {
   gsize len = 0;
   fb_work_workers record;
-  if (script->known_workers == NULL)
+  if (script->stored_workers == NULL)
     return;
-  gconstpointer data = g_bytes_get_data (script->known_workers, &len);
+  gconstpointer data = g_bytes_get_data (script->stored_workers, &len);
   if (!fb_codec_decode_workers (data, len, &record))
     fail (script, "the record of workers is malformed");
   fb_pool_restore_workers (script->pool, &record);
@@ -218,7 +217,7 @@
 static void
 do_epoch (Script *script)
 {
-  open_pool (script, g_ascii_strtoull (script->words[1], NULL, 10));
+  open_pool (script, g_ascii_strtoull (script->args[1], NULL, 10));
   GHashTableIter iter;
   gpointer key;
   gpointer value;
@@ -248,34 +247,34 @@
 static void
 do_worker (Script *script)
 {
-  g_hash_table_replace (script->workers, g_strdup (script->words[1]), g_strdupv (script->words));
-  list_worker (script, script->words);
+  g_hash_table_replace (script->workers, g_strdup (script->args[1]), g_strdupv (script->args));
+  list_worker (script, script->args);
 }
 
 /* crowd N: lists N workers, each of which answers a poll. */
 static void
 do_crowd (Script *script)
 {
-  guint n = (guint) atoi (script->words[1]);
+  guint n = (guint) atoi (script->args[1]);
   for (guint i = 1; i <= n; i++)
     {
       g_autofree char *line = g_strdup_printf ("worker c%u", i);
-      char **words = g_strsplit (line, " ", -1);
-      g_hash_table_replace (script->workers, g_strdup (words[1]), words);
-      list_worker (script, words);
+      char **args = g_strsplit (line, " ", -1);
+      g_hash_table_replace (script->workers, g_strdup (args[1]), args);
+      list_worker (script, args);
       g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbRunSeen));
       g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbEndSeen));
       const FbLookAnswer answer
           = { .clock_ms = script->now_ms, .running = running, .finished = finished };
-      fb_pool_look_answered (script->pool, words[1], &answer, script->now_ms, wall_ms (script));
+      fb_pool_look_answered (script->pool, args[1], &answer, script->now_ms, wall_ms (script));
     }
 }
 
 static void
 do_unlist (Script *script)
 {
-  g_hash_table_remove (script->workers, script->words[1]);
-  fb_pool_worker_unlisted (script->pool, script->words[1], script->now_ms);
+  g_hash_table_remove (script->workers, script->args[1]);
+  fb_pool_worker_unlisted (script->pool, script->args[1], script->now_ms);
 }
 
 static void
@@ -288,7 +287,7 @@
 
 /* A step: COUNT[,cpu=..][,mem=..][,gpu=..][,after=N][,gang][,lasting][,saves][,copies]... */
 static void
-read_step (const Script *script, const char *text, fb_work_step *step)
+parse_step (const Script *script, const char *text, fb_work_step *step)
 {
   g_auto (GStrv) parts = g_strsplit (text, ",", -1);
   step->count = (u_int) atoi (parts[0]);
@@ -346,13 +345,13 @@
   record->spec.interval_ms = number (script, "every", 0);
   record->accepted_ms = wall_ms (script);
   record->spec.steps.steps_val = calloc (FB_WORK_MAX_STEPS, sizeof (fb_work_step));
-  for (guint i = 2; script->words[i] != NULL; i++)
+  for (guint i = 2; script->args[i] != NULL; i++)
     {
-      if (g_str_has_prefix (script->words[i], "step:"))
-        read_step (script, script->words[i] + strlen ("step:"),
-                   &record->spec.steps.steps_val[record->spec.steps.steps_len++]);
+      if (g_str_has_prefix (script->args[i], "step:"))
+        parse_step (script, script->args[i] + strlen ("step:"),
+                    &record->spec.steps.steps_val[record->spec.steps.steps_len++]);
     }
-  char *id = full (script->words[1]);
+  char *id = pad_job_id (script->args[1]);
   g_hash_table_replace (script->admitted, id, record);
   fb_pool_admit (script->pool, id, record, script->now_ms, wall_ms (script));
 }
@@ -360,7 +359,7 @@
 static void
 do_cancel (Script *script)
 {
-  g_autofree char *id = full (script->words[1]);
+  g_autofree char *id = pad_job_id (script->args[1]);
   fb_pool_cancel (script->pool, id, script->now_ms, wall_ms (script));
 }
 
@@ -368,16 +367,16 @@
 do_state (Script *script)
 {
   static const char *const names[] = { "queued", "running", "completed", "failed", "cancelled" };
-  g_autofree char *id = full (script->words[1]);
+  g_autofree char *id = pad_job_id (script->args[1]);
   fb_work_state state = FB_WORK_QUEUED;
   gboolean known = fb_pool_job_state (script->pool, id, &state);
-  printf ("  %s is %s\n", script->words[1], known ? names[state] : "not known");
+  printf ("  %s is %s\n", script->args[1], known ? names[state] : "not known");
 }
 
 static void
 do_pending (Script *script)
 {
-  printf ("  %u pending\n", fb_pool_pending (script->pool, script->words[1]));
+  printf ("  %u pending\n", fb_pool_pending (script->pool, script->args[1]));
 }
 
 /* ---- what workers say ------------------------------------------------------------------ */
@@ -399,13 +398,13 @@
 
 /* running=TASK/ATTEMPT[/CHECKPOINT],... */
 static void
-read_running (const char *text, GArray *running)
+parse_running (const char *text, GArray *running)
 {
   g_auto (GStrv) items = g_strsplit (text != NULL ? text : "", ",", -1);
   for (guint i = 0; items[i] != NULL; i++)
     {
       g_auto (GStrv) parts = g_strsplit (items[i], "/", 3);
-      FbRunSeen run = { .task = full (parts[0]),
+      FbRunSeen run = { .task = pad_job_id (parts[0]),
                         .attempt = (uint32_t) atoi (parts[1]),
                         .checkpoint = g_strdup (parts[2] != NULL ? parts[2] : "") };
       g_array_append_val (running, run);
@@ -414,21 +413,21 @@
 
 /* ends=NUMBER/TASK/ATTEMPT/HOW[/CHECKPOINT],... */
 static void
-read_ends (const Script *script, const char *text, GArray *finished)
+parse_ends (const Script *script, const char *text, GArray *finished)
 {
-  static const char *const hows[]
+  static const char *const reasons[]
       = { "done", "failed", "stopped", "lapsed", "broken", "alone", NULL };
   g_auto (GStrv) items = g_strsplit (text != NULL ? text : "", ",", -1);
   for (guint i = 0; items[i] != NULL; i++)
     {
       g_auto (GStrv) parts = g_strsplit (items[i], "/", 5);
       guint how = 0;
-      while (hows[how] != NULL && !g_str_equal (hows[how], parts[3]))
+      while (reasons[how] != NULL && !g_str_equal (reasons[how], parts[3]))
         how++;
-      if (hows[how] == NULL)
+      if (reasons[how] == NULL)
         fail (script, "unknown end");
       FbEndSeen end = { .number = g_ascii_strtoull (parts[0], NULL, 10),
-                        .task = full (parts[1]),
+                        .task = pad_job_id (parts[1]),
                         .attempt = (uint32_t) atoi (parts[2]),
                         .how = (FbEndHow) how,
                         .checkpoint = g_strdup (parts[4] != NULL ? parts[4] : "") };
@@ -447,15 +446,15 @@
                           .running = running,
                           .finished = finished,
                           .life = (char *) option (script, "life") };
-  read_running (option (script, "running"), running);
-  read_ends (script, option (script, "ends"), finished);
-  fb_pool_look_answered (script->pool, script->words[1], &answer, script->now_ms, wall_ms (script));
+  parse_running (option (script, "running"), running);
+  parse_ends (script, option (script, "ends"), finished);
+  fb_pool_look_answered (script->pool, script->args[1], &answer, script->now_ms, wall_ms (script));
 }
 
 static uint64_t
 order_of (const Script *script, GHashTable *table)
 {
-  const uint64_t *order = g_hash_table_lookup (table, script->words[1]);
+  const uint64_t *order = g_hash_table_lookup (table, script->args[1]);
   if (order == NULL)
     fail (script, "no such order");
   return *order;
@@ -465,7 +464,7 @@
 do_started (Script *script)
 {
   fb_pool_start_answered (script->pool, order_of (script, script->starts),
-                          result_from (script, script->words[2]),
+                          result_from (script, script->args[2]),
                           number (script, "clock", script->now_ms), script->now_ms);
 }
 
@@ -473,7 +472,7 @@
 do_stopped (Script *script)
 {
   fb_pool_stop_answered (script->pool, order_of (script, script->stops),
-                         result_from (script, script->words[2]),
+                         result_from (script, script->args[2]),
                          number (script, "clock", script->now_ms), script->now_ms);
 }
 
@@ -481,7 +480,7 @@
 static void
 do_advised (Script *script)
 {
-  g_autofree char *step = full (script->words[1]);
+  g_autofree char *step = pad_job_id (script->args[1]);
   g_auto (GStrv) asked = g_strsplit (option (script, "asked"), ",", -1);
   const char *list = option (script, "allowed");
   g_auto (GStrv) allowed = g_strsplit (list != NULL ? list : "", ",", -1);
@@ -504,8 +503,8 @@
 static void
 do_step (Script *script)
 {
-  if (script->words[1] != NULL)
-    script->now_ms += g_ascii_strtoull (script->words[1], NULL, 10);
+  if (script->args[1] != NULL)
+    script->now_ms += g_ascii_strtoull (script->args[1], NULL, 10);
   fb_pool_step (script->pool, TRUE, script->now_ms, wall_ms (script));
 }
 
@@ -524,9 +523,9 @@
   for (guint i = 0; script->flush != NULL && i < script->flush->len; i++)
     {
       const FbPoolRecord *record = script->flush->pdata[i];
-      g_ptr_array_add (lines,
-                       g_strdup_printf ("  %s %s", record->progress != NULL ? "record" : "drop",
-                                        record->job != NULL ? brief (record->job) : "workers"));
+      g_ptr_array_add (
+          lines, g_strdup_printf ("  %s %s", record->progress != NULL ? "record" : "drop",
+                                  record->job != NULL ? strip_zeros (record->job) : "workers"));
     }
   g_ptr_array_sort (lines, compare_lines);
   for (guint i = 0; i < lines->len; i++)
@@ -541,8 +540,8 @@
       const FbPoolRecord *record = script->flush->pdata[i];
       if (record->job == NULL)
         {
-          g_clear_pointer (&script->known_workers, g_bytes_unref);
-          script->known_workers = g_bytes_ref (record->progress);
+          g_clear_pointer (&script->stored_workers, g_bytes_unref);
+          script->stored_workers = g_bytes_ref (record->progress);
         }
       else if (record->progress != NULL)
         {
@@ -571,8 +570,8 @@
 static void
 do_recall (Script *script)
 {
-  g_auto (GStrv) parts = g_strsplit (script->words[1], "/", 2);
-  g_autofree char *task = full (parts[0]);
+  g_auto (GStrv) parts = g_strsplit (script->args[1], "/", 2);
+  g_autofree char *task = pad_job_id (parts[0]);
   const char *worker = option (script, "on");
   const char *address = option (script, "address") != NULL ? option (script, "address") : worker;
   fb_recent_start start
@@ -589,7 +588,7 @@
   for (guint i = 0; unstored != NULL && i < unstored->len; i++)
     {
       const FbPoolUnstored *row = unstored->pdata[i];
-      printf ("  %s %s\n", row->suspects != NULL ? "keep" : "forget", brief (row->job));
+      printf ("  %s %s\n", row->suspects != NULL ? "keep" : "forget", strip_zeros (row->job));
       if (row->suspects != NULL)
         g_hash_table_replace (script->kept, g_strdup (row->job), g_bytes_ref (row->suspects));
       else
@@ -618,7 +617,7 @@
 }
 
 /* Prefix of the names of the events to print; NULL: none. */
-static char *shown_event;
+static char *shown_event_prefix;
 
 static GLogWriterOutput
 print_event (GLogLevelFlags level, const GLogField *fields, gsize n, gpointer unused)
@@ -632,9 +631,9 @@
       else if (g_str_equal (fields[i].key, "MESSAGE"))
         message = fields[i].value;
     }
-  if (name == NULL || message == NULL || shown_event == NULL)
+  if (name == NULL || message == NULL || shown_event_prefix == NULL)
     return g_log_writer_default (level, fields, n, unused);
-  if (g_str_has_prefix (name, shown_event))
+  if (g_str_has_prefix (name, shown_event_prefix))
     printf ("  %s\n", strchr (message, ' ') + 1);
   return G_LOG_WRITER_HANDLED;
 }
@@ -643,42 +642,42 @@
 static void
 do_show (Script *script)
 {
-  script->show_looks = flag (script, "looks");
-  g_free (shown_event);
-  shown_event = g_strdup (option (script, "events"));
-  fb_event_set_quiet (shown_event == NULL);
+  script->show_polls = flag (script, "looks");
+  g_free (shown_event_prefix);
+  shown_event_prefix = g_strdup (option (script, "events"));
+  fb_event_set_quiet (shown_event_prefix == NULL);
 }
 
 static void
 do_advice (Script *script)
 {
-  script->advice_left = flag (script, "busy") ? 0 : number (script, "slots", G_MAXUINT64);
+  script->questions_left = flag (script, "busy") ? 0 : number (script, "slots", G_MAXUINT64);
 }
 
 static const struct
 {
   const char *word;
   void (*run) (Script *script);
-} verbs[] = { { "epoch", do_epoch },       { "worker", do_worker },   { "unlist", do_unlist },
-              { "complete", do_complete }, { "job", do_job },         { "cancel", do_cancel },
-              { "state", do_state },       { "pending", do_pending }, { "look", do_look },
-              { "started", do_started },   { "stopped", do_stopped }, { "advised", do_advised },
-              { "step", do_step },         { "flush", do_flush },     { "flushed", do_flushed },
-              { "show", do_show },         { "advice", do_advice },   { "read", do_read },
-              { "crowd", do_crowd },       { "recall", do_recall },   { "keep", do_keep },
-              { "kept", do_kept } };
+} commands[] = { { "epoch", do_epoch },       { "worker", do_worker },   { "unlist", do_unlist },
+                 { "complete", do_complete }, { "job", do_job },         { "cancel", do_cancel },
+                 { "state", do_state },       { "pending", do_pending }, { "look", do_look },
+                 { "started", do_started },   { "stopped", do_stopped }, { "advised", do_advised },
+                 { "step", do_step },         { "flush", do_flush },     { "flushed", do_flushed },
+                 { "show", do_show },         { "advice", do_advice },   { "read", do_read },
+                 { "crowd", do_crowd },       { "recall", do_recall },   { "keep", do_keep },
+                 { "kept", do_kept } };
 
 static void
 run_line (Script *script, const char *line)
 {
-  g_auto (GStrv) words = g_strsplit_set (line, " ", -1);
+  g_auto (GStrv) args = g_strsplit_set (line, " ", -1);
   script->line = line;
-  script->words = words;
-  for (guint i = 0; i < G_N_ELEMENTS (verbs); i++)
+  script->args = args;
+  for (guint i = 0; i < G_N_ELEMENTS (commands); i++)
     {
-      if (!g_str_equal (words[0], verbs[i].word))
+      if (!g_str_equal (args[0], commands[i].word))
         continue;
-      verbs[i].run (script);
+      commands[i].run (script);
       return;
     }
   fail (script, "unknown verb");
@@ -695,13 +694,13 @@
     }
   fb_event_set_quiet (TRUE);
   g_log_set_writer_func (print_event, NULL, NULL);
-  Script script = { .now_ms = BEGIN_MS, .advice_left = G_MAXUINT64 };
+  Script script = { .now_ms = BEGIN_MS, .questions_left = G_MAXUINT64 };
   script.kept
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify) g_bytes_unref);
   script.admitted = g_hash_table_new (g_str_hash, g_str_equal);
   script.progress = g_hash_table_new (g_str_hash, g_str_equal);
   script.workers = g_hash_table_new (g_str_hash, g_str_equal);
-  script.used = g_hash_table_new (g_str_hash, g_str_equal);
+  script.used_workers = g_hash_table_new (g_str_hash, g_str_equal);
   script.starts = g_hash_table_new (g_str_hash, g_str_equal);
   script.stops = g_hash_table_new (g_str_hash, g_str_equal);
   open_pool (&script, 1);
