--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -34,13 +34,14 @@
   /* Until when the task waits for a worker on which nothing else starts; 0: it does not wait. */
   uint64_t calm_until_ms;
   gboolean done;
-  gboolean gave_way;   /* it was preempted once */
-  uint32_t moved;      /* how often it was stopped as stuck */
-  char *checkpoint;    /* NULL: none */
-  FbPoolRun *run;      /* borrowed from its worker; NULL: not on a worker */
-  FbPoolRun *copy;     /* a speculative second run, if the step allows it; borrowed; NULL: none */
-  uint32_t took_ms;    /* duration of the run that ended successfully */
-  FbPoolSpeed *ran_at; /* speed of the worker of that run; NULL: not known, or already evaluated */
+  gboolean gave_way;       /* it was preempted once */
+  uint32_t stuck_restarts; /* how often it was stopped as stuck */
+  char *checkpoint;        /* NULL: none */
+  FbPoolRun *run;          /* borrowed from its worker; NULL: not on a worker */
+  FbPoolRun *copy;  /* a speculative second run, if the step allows it; borrowed; NULL: none */
+  uint32_t took_ms; /* duration of the run that ended successfully */
+  FbPoolSpeed
+      *worker_speed; /* speed of the worker of that run; NULL: not known, or already evaluated */
 } FbPoolTask;
 
 /* Answer of the advice service about one worker for one step. */
@@ -84,16 +85,16 @@
   guint rulings_n;
   gboolean ruled;           /* the advice service has answered about some worker */
   uint64_t advice_until_ms; /* when the open question is given up; 0: none is open */
-  uint64_t told_ms;         /* when the last answer of the advice service came; 0: none yet */
+  uint64_t last_advice_ms;  /* when the last answer of the advice service came; 0: none yet */
   GPtrArray
       *held_on; /* ids of workers with capacity reserved for this step, one entry for each task */
   uint64_t held_until_ms;
-  gboolean queued;        /* it is in FbPool.waiting or FbPool.unmerged */
-  FbPoolUrgency urgency;  /* as of when it was sorted into the queue */
-  uint64_t looked_round;  /* last round that could not place it; 0: none */
-  uint64_t full_look_ms;  /* when it is tried again even if nothing has changed */
-  uint64_t room_asked_ms; /* when preemptible runs were last searched for; 0: never */
-  FbPoolLasting *lasting; /* state of a long-running step; NULL: none yet */
+  gboolean queued;              /* it is in FbPool.waiting or FbPool.unmerged */
+  FbPoolUrgency urgency;        /* as of when it was sorted into the queue */
+  uint64_t last_failed_round;   /* last round that could not place it; 0: none */
+  uint64_t retry_at_ms;         /* when it is tried again even if nothing has changed */
+  uint64_t preemption_tried_ms; /* when preemptible runs were last searched for; 0: never */
+  FbPoolLasting *lasting;       /* state of a long-running step; NULL: none yet */
 };
 
 typedef struct
@@ -160,7 +161,7 @@
 void fb_pool_task_may_wait (FbPool *self, FbPoolStep *step, uint32_t index);
 /* Returns: PERCENT of the mean time of the ended runs of STEP, or FACTOR times the estimate while
  * too few runs have ended. */
-uint64_t fb_pool_step_times_ms (const FbPoolStep *step, uint32_t percent, uint32_t factor);
+uint64_t fb_pool_step_scaled_run_ms (const FbPoolStep *step, uint32_t percent, uint32_t factor);
 /* Returns: (transfer full): JOB.OCCURRENCE.STEP */
 char *fb_pool_step_name (const FbPoolStep *step);
 char *fb_pool_task_name (const FbPoolStep *step, uint32_t index);
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -56,9 +56,9 @@
   GPtrArray *opened;   /* of FbPoolWorker whose capacity has grown since the last round; borrowed */
   GPtrArray *waiting;  /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
   GPtrArray *unmerged; /* of FbPoolStep not merged into WAITING yet; borrowed */
-  uint32_t asked_in_vain; /* bits of kind_of_question(): questions that no daemon could forward in
-                             this round */
-  uint64_t round;         /* number of the current placement round */
+  uint32_t refused_question_kinds; /* bits of kind_of_question(): questions that no daemon could
+                             forward in this round */
+  uint64_t round;                  /* number of the current placement round */
   guint
       resume_position; /* position in WAITING where the open round continues; 0: no round is open */
   guint round_opened_n;   /* how many entries of OPENED there were when the open round began */
@@ -234,15 +234,16 @@
 /* TRUE when the labels of WORKER, which do not change while it lives, allow a task of SHAPE. */
 gboolean fb_pool_has_labels_for (const FbPoolWorker *worker, const fb_work_step *shape);
 /* TRUE when WORKER could run such a task if it were empty.  Its size may change. */
-gboolean fb_pool_could_run (const FbPoolWorker *worker, const fb_work_step *shape);
+gboolean fb_pool_worker_could_run (const FbPoolWorker *worker, const fb_work_step *shape);
 /* Returns: the sum of the free shares of CPU, memory and GPUs of WORKER; the higher, the
  * emptier. */
-double fb_pool_free_shares (const FbPoolWorker *worker);
+double fb_pool_worker_free_share (const FbPoolWorker *worker);
 /* TRUE when a task of STEP could start on WORKER now, apart from the ticket: WORKER accepts starts
  * and has the capacity and the labels. */
-gboolean fb_pool_has_place (const FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms);
+gboolean fb_pool_worker_can_start (const FbPoolWorker *worker, const FbPoolStep *step,
+                                   uint64_t now_ms);
 /* TRUE when WORKER accepts starts at all. */
-gboolean fb_pool_worker_takes (const FbPoolWorker *worker, uint64_t now_ms);
+gboolean fb_pool_worker_accepts_starts (const FbPoolWorker *worker, uint64_t now_ms);
 /* FALSE when no change since STEP was tried in this round or the last one can have made its
  * placement possible. */
 gboolean fb_pool_worth_a_look (FbPool *self, const FbPoolStep *step, uint64_t now_ms);
@@ -256,14 +257,14 @@
                                    FbPoolTicketRule rule, uint64_t now_ms);
 /* Finds workers for up to MOST pending tasks, each in addition to those before it.  Returns: for
  * how many tasks a worker was found. */
-guint fb_pool_choose (FbPool *self, FbPoolStep *step, guint most, const char *rack,
-                      FbPoolTicketRule rule, FbPoolWorker **chosen, uint64_t now_ms);
+guint fb_pool_choose_workers (FbPool *self, FbPoolStep *step, guint most, const char *rack,
+                              FbPoolTicketRule rule, FbPoolWorker **chosen, uint64_t now_ms);
 /* Finds workers for all members of a gang, in one rack if the step asks for that and it is
  * possible.  Returns: FALSE unless every member got one. */
 gboolean fb_pool_choose_gang (FbPool *self, FbPoolStep *step, FbPoolTicketRule rule,
                               FbPoolWorker **chosen, uint64_t now_ms);
-/* Calls fb_pool_choose() or, for a gang, fb_pool_choose_gang().  Returns: for how many tasks a
- * worker was found; for a gang all or none. */
+/* Calls fb_pool_choose_workers() or, for a gang, fb_pool_choose_gang().  Returns: for how many
+ * tasks a worker was found; for a gang all or none. */
 guint fb_pool_choose_step (FbPool *self, FbPoolStep *step, guint most, FbPoolTicketRule rule,
                            FbPoolWorker **chosen, uint64_t now_ms);
 guint fb_pool_step_waiting_n (const FbPoolStep *step);
@@ -282,8 +283,8 @@
 
 /* Stops preemptible runs, reserves their capacity for STEP until UNTIL_MS and stores the workers in
  * CHOSEN.  Returns: for how many tasks, at most MOST; all or none for a gang. */
-guint fb_pool_make_room (FbPool *self, FbPoolStep *step, guint most, FbPoolWorker **chosen,
-                         uint64_t until_ms, uint64_t now_ms);
+guint fb_pool_preempt (FbPool *self, FbPoolStep *step, guint most, FbPoolWorker **chosen,
+                       uint64_t until_ms, uint64_t now_ms);
 
 /* pool-advice.c */
 
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -206,7 +206,7 @@
                              uint64_t now_ms);
 void fb_pool_stop_answered (FbPool *self, uint64_t order, FbOrderResult result, uint64_t clock_ms,
                             uint64_t now_ms);
-/* The advice service answered a question about STEP that named the N workers in ASKED.  TOLD: the
+/* The advice service answered a question about STEP that named the N workers in ASKED.  REPLY: the
  * answer; NULL: the question failed. */
 void fb_pool_advised (FbPool *self, const char *step, const char *const *asked, guint n,
                       const fb_told_advice *reply, uint64_t now_ms);
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -68,7 +68,7 @@
 can_be_named (const FbPoolWorker *worker, const FbPoolStep *step)
 {
   return worker->listed && !worker->draining && !worker->gone
-         && fb_pool_could_run (worker, step->shape) && fb_pool_ruling (step, worker) == NULL;
+         && fb_pool_worker_could_run (worker, step->shape) && fb_pool_ruling (step, worker) == NULL;
 }
 
 /* Returns: the rank of WORKER by free capacity.  Members of a gang need whole workers, so the
@@ -76,9 +76,9 @@
 static double
 free_rank_of (const FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms)
 {
-  if (!fb_pool_has_place (worker, step, now_ms))
+  if (!fb_pool_worker_can_start (worker, step, now_ms))
     return 0;
-  return step->shape->gang ? 1 + fb_pool_free_shares (worker) : 1;
+  return step->shape->gang ? 1 + fb_pool_worker_free_share (worker) : 1;
 }
 
 /* A restarting long-running task is unavailable to its users until it is placed, and a question
@@ -208,14 +208,14 @@
 static guint
 preempt_for (FbPool *self, FbPoolStep *step, FbPoolWorker **chosen, uint64_t now_ms)
 {
-  if (now_ms < step->room_asked_ms + PREEMPTION_INTERVAL_MS)
+  if (now_ms < step->preemption_tried_ms + PREEMPTION_INTERVAL_MS)
     return 0;
-  step->room_asked_ms = now_ms;
+  step->preemption_tried_ms = now_ms;
   guint most = max_preempted (step);
   uint64_t wait_ms = MAX (self->limits.stop_ms, question_ms (step, most));
-  return fb_pool_make_room (self, step, most, chosen,
-                            now_ms + wait_ms + MAX (STOP_SLACK_MS, reservation_slack_ms (step)),
-                            now_ms);
+  return fb_pool_preempt (self, step, most, chosen,
+                          now_ms + wait_ms + MAX (STOP_SLACK_MS, reservation_slack_ms (step)),
+                          now_ms);
 }
 
 /* Returns: (transfer container): the ids of the N workers in CHOSEN, without duplicates. */
@@ -305,7 +305,7 @@
 static gboolean
 may_ask_about_unnamed (const FbPoolStep *step, uint64_t now_ms)
 {
-  return now_ms >= step->told_ms + UNNAMED_INTERVAL_FACTOR * question_ms (step, 1);
+  return now_ms >= step->last_advice_ms + UNNAMED_INTERVAL_FACTOR * question_ms (step, 1);
 }
 
 /* Returns: (transfer container): ids of the workers to ask about for STEP now; empty when there is
@@ -358,7 +358,7 @@
   if (!self->sink->advise (self->user, name, (const char *const *) ids->pdata, ids->len,
                            expected_ms))
     {
-      self->asked_in_vain |= question_kind (step);
+      self->refused_question_kinds |= question_kind (step);
       return FALSE;
     }
   step->advice_until_ms = now_ms + ADVICE_TIMEOUT_FACTOR * expected_ms + ADVICE_TIMEOUT_MS;
@@ -377,7 +377,7 @@
   if (question_is_open (step, now_ms))
     return TRUE;
   /* Choosing the workers takes a pass over all of them, for each of hundreds of pending steps. */
-  if (self->asked_in_vain & question_kind (step))
+  if (self->refused_question_kinds & question_kind (step))
     return FALSE;
   g_autoptr (GPtrArray) ids = workers_to_ask (self, step, now_ms);
   if (ids->len == 0)
@@ -416,8 +416,8 @@
     return;
   self->place_due = TRUE;
   step->advice_until_ms = 0;
-  step->full_look_ms = 0;
-  step->told_ms = now_ms;
+  step->retry_at_ms = 0;
+  step->last_advice_ms = now_ms;
   if (reply == NULL)
     return;
   for (guint i = 0; i < n; i++)
--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -55,14 +55,14 @@
 }
 
 gboolean
-fb_pool_could_run (const FbPoolWorker *worker, const fb_work_step *shape)
+fb_pool_worker_could_run (const FbPoolWorker *worker, const fb_work_step *shape)
 {
   return shape->cpu_milli <= worker->cpu_milli && shape->mem_mb <= worker->mem_mb
          && shape->gpu_count <= worker->gpu_count && fb_pool_has_labels_for (worker, shape);
 }
 
 gboolean
-fb_pool_worker_takes (const FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_worker_accepts_starts (const FbPoolWorker *worker, uint64_t now_ms)
 {
   return worker->listed && !worker->draining && !worker->gone && !worker->outlived
          && !fb_pool_owes_acknowledgement (worker) && !fb_pool_worker_silent (worker, now_ms)
@@ -79,10 +79,10 @@
 }
 
 gboolean
-fb_pool_has_place (const FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms)
+fb_pool_worker_can_start (const FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms)
 {
   const fb_work_step *shape = step->shape;
-  if (!fb_pool_worker_takes (worker, now_ms) || !fb_pool_could_run (worker, shape)
+  if (!fb_pool_worker_accepts_starts (worker, now_ms) || !fb_pool_worker_could_run (worker, shape)
       || !fb_pool_worker_fits (worker, shape) || conflicts_with_serving (worker, shape))
     return FALSE;
   return shape->max_per_worker == 0 || runs_of_step (worker, step) < shape->max_per_worker;
@@ -105,14 +105,14 @@
 can_start_now (const FbPoolWorker *worker, const FbPoolStep *step, FbPoolTicketRule rule,
                uint64_t now_ms)
 {
-  return has_ticket (worker, step, rule, now_ms) && fb_pool_has_place (worker, step, now_ms);
+  return has_ticket (worker, step, rule, now_ms) && fb_pool_worker_can_start (worker, step, now_ms);
 }
 
 gboolean
 fb_pool_worth_a_look (FbPool *self, const FbPoolStep *step, uint64_t now_ms)
 {
   /* The capacity that is reserved for the step itself counts as used in the check below. */
-  if (step->looked_round + 1 < self->round || now_ms >= step->full_look_ms
+  if (step->last_failed_round + 1 < self->round || now_ms >= step->retry_at_ms
       || step->held_on->len > 0)
     return TRUE;
   for (guint i = 0; i < self->opened->len; i++)
@@ -121,14 +121,14 @@
       const FbPoolWorker *worker = self->opened->pdata[i];
       const FbPoolRuling *ruling = fb_pool_ruling (step, worker);
       gboolean forbidden = step->job->record.policy.advised && ruling != NULL && !ruling->allowed;
-      if (!forbidden && fb_pool_has_place (worker, step, now_ms))
+      if (!forbidden && fb_pool_worker_can_start (worker, step, now_ms))
         return TRUE;
     }
   return FALSE;
 }
 
 double
-fb_pool_free_shares (const FbPoolWorker *worker)
+fb_pool_worker_free_share (const FbPoolWorker *worker)
 {
   double cpu_left = worker->cpu_milli - worker->cpu_used;
   double mem_left = worker->mem_mb - worker->mem_used;
@@ -157,7 +157,7 @@
 static double
 cost_of (const FbPoolWorker *worker, const FbPoolStep *step)
 {
-  double fit = fb_pool_free_shares (worker);
+  double fit = fb_pool_worker_free_share (worker);
   return (step->shape->lasting ? -fit : fit) + load_independent_cost (worker, step);
 }
 
@@ -196,8 +196,8 @@
 /* ---- several at once ----------------------------------------------------------- */
 
 guint
-fb_pool_choose (FbPool *self, FbPoolStep *step, guint most, const char *rack, FbPoolTicketRule rule,
-                FbPoolWorker **chosen, uint64_t now_ms)
+fb_pool_choose_workers (FbPool *self, FbPoolStep *step, guint most, const char *rack,
+                        FbPoolTicketRule rule, FbPoolWorker **chosen, uint64_t now_ms)
 {
   /* Where runs per worker are limited, each choice is represented by a temporary run, so that the
    * next one counts it; otherwise it suffices to reserve the capacity. */
@@ -241,7 +241,7 @@
       const char *rack = worker->rack;
       guint count = step->shape->count;
       if (rack != NULL && g_hash_table_add (tried, (gpointer) rack)
-          && fb_pool_choose (self, step, count, rack, rule, chosen, now_ms) == count)
+          && fb_pool_choose_workers (self, step, count, rack, rule, chosen, now_ms) == count)
         return TRUE;
     }
   return FALSE;
@@ -254,7 +254,7 @@
   guint count = step->shape->count;
   if (step->shape->rack_local && choose_one_rack (self, step, rule, chosen, now_ms))
     return TRUE;
-  return fb_pool_choose (self, step, count, NULL, rule, chosen, now_ms) == count;
+  return fb_pool_choose_workers (self, step, count, NULL, rule, chosen, now_ms) == count;
 }
 
 guint
@@ -262,7 +262,7 @@
                      FbPoolWorker **chosen, uint64_t now_ms)
 {
   if (!step->shape->gang)
-    return fb_pool_choose (self, step, most, NULL, rule, chosen, now_ms);
+    return fb_pool_choose_workers (self, step, most, NULL, rule, chosen, now_ms);
   return fb_pool_choose_gang (self, step, rule, chosen, now_ms) ? step->shape->count : 0;
 }
 
--- a/src/work/pool-copy.c
+++ b/src/work/pool-copy.c
@@ -31,7 +31,8 @@
       || fb_pool_job_ended (step->job))
     return FALSE;
   uint64_t expected_ms
-      = fb_pool_step_times_ms (step, STRAGGLER_PERCENT, STRAGGLER_ESTIMATE_FACTOR) + STRAGGLER_MS;
+      = fb_pool_step_scaled_run_ms (step, STRAGGLER_PERCENT, STRAGGLER_ESTIMATE_FACTOR)
+        + STRAGGLER_MS;
   return fb_pool_worker_silent (worker, now_ms) || now_ms > run->started_ms + expected_ms;
 }
 
--- a/src/work/pool-job.c
+++ b/src/work/pool-job.c
@@ -75,7 +75,7 @@
   for (uint32_t i = 0; i < step->shape->count; i++)
     {
       g_free (step->tasks[i].checkpoint);
-      fb_pool_speed_unref (step->tasks[i].ran_at);
+      fb_pool_speed_unref (step->tasks[i].worker_speed);
       g_clear_pointer (&step->tasks[i].failed, g_array_unref);
       g_clear_pointer (&step->tasks[i].crashes, g_array_unref);
       g_clear_pointer (&step->tasks[i].tried, g_ptr_array_unref);
@@ -156,7 +156,7 @@
 }
 
 uint64_t
-fb_pool_step_times_ms (const FbPoolStep *step, uint32_t percent, uint32_t factor)
+fb_pool_step_scaled_run_ms (const FbPoolStep *step, uint32_t percent, uint32_t factor)
 {
   if (step->timed_n >= MIN_ENDED_RUNS)
     return step->timed_ms / step->timed_n * percent / 100;
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -182,8 +182,8 @@
   gboolean can_ask = fb_pool_ask_advice (self, step, now_ms);
   /* a step that could not ask is tried again as soon as a daemon can forward a question */
   if (can_ask)
-    step->looked_round = self->round;
-  step->full_look_ms = now_ms + MAX (RETRY_MS, position * RETRY_PER_POSITION_MS);
+    step->last_failed_round = self->round;
+  step->retry_at_ms = now_ms + MAX (RETRY_MS, position * RETRY_PER_POSITION_MS);
   fb_pool_lasting_waits (self, step, wait_reason (step, can_ask), now_ms);
   return can_ask;
 }
@@ -206,7 +206,7 @@
     return TRUE; /* its capacity stays reserved until the advice arrives */
   if (fb_pool_worth_a_look (self, step, now_ms))
     return try_step (self, step, position, now_ms);
-  step->looked_round = self->round;
+  step->last_failed_round = self->round;
   return TRUE;
 }
 
@@ -237,7 +237,7 @@
 void
 fb_pool_place (FbPool *self, uint64_t now_ms)
 {
-  self->asked_in_vain = 0;
+  self->refused_question_kinds = 0;
   self->visits_n = 0;
   fb_pool_queue_sort (self, now_ms);
   if (self->resume_position == 0)
--- a/src/work/pool-preempt.c
+++ b/src/work/pool-preempt.c
@@ -111,8 +111,8 @@
 }
 
 guint
-fb_pool_make_room (FbPool *self, FbPoolStep *step, guint most, FbPoolWorker **chosen,
-                   uint64_t until_ms, uint64_t now_ms)
+fb_pool_preempt (FbPool *self, FbPoolStep *step, guint most, FbPoolWorker **chosen,
+                 uint64_t until_ms, uint64_t now_ms)
 {
   charge_preemptible (self, step, -1, now_ms);
   guint n = fb_pool_choose_step (self, step, most, FB_TICKET_ALLOWED, chosen, now_ms);
--- a/src/work/pool-speed.c
+++ b/src/work/pool-speed.c
@@ -43,8 +43,8 @@
 void
 fb_pool_speed_note (FbPoolTask *task, FbPoolSpeed *speed, uint32_t took_ms)
 {
-  fb_pool_speed_unref (task->ran_at);
-  task->ran_at = speed_ref (speed);
+  fb_pool_speed_unref (task->worker_speed);
+  task->worker_speed = speed_ref (speed);
   task->took_ms = took_ms;
 }
 
@@ -59,10 +59,10 @@
   for (uint32_t i = 0; i < step->shape->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
-      if (task->ran_at == NULL)
+      if (task->worker_speed == NULL)
         continue;
       took_ms += task->took_ms;
-      slowness += task->ran_at->slowness;
+      slowness += task->worker_speed->slowness;
       n++;
     }
   return n > 1 ? took_ms / slowness : 0;
@@ -89,16 +89,16 @@
   for (uint32_t i = 0; baseline > 0 && i < step->shape->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
-      if (task->ran_at == NULL)
+      if (task->worker_speed == NULL)
         continue;
-      task->ran_at->step_ratio += CLAMP (task->took_ms / baseline, RATIO_MIN, RATIO_MAX);
-      task->ran_at->step_runs++;
+      task->worker_speed->step_ratio += CLAMP (task->took_ms / baseline, RATIO_MIN, RATIO_MAX);
+      task->worker_speed->step_runs++;
     }
   for (uint32_t i = 0; i < step->shape->count; i++)
     {
       FbPoolTask *task = &step->tasks[i];
-      if (task->ran_at != NULL)
-        update_slowness (task->ran_at);
-      g_clear_pointer (&task->ran_at, fb_pool_speed_unref);
+      if (task->worker_speed != NULL)
+        update_slowness (task->worker_speed);
+      g_clear_pointer (&task->worker_speed, fb_pool_speed_unref);
     }
 }
--- a/src/work/pool-stuck.c
+++ b/src/work/pool-stuck.c
@@ -23,7 +23,7 @@
 static uint64_t
 stuck_limit_ms (const FbPoolStep *step)
 {
-  return fb_pool_step_times_ms (step, STUCK_PERCENT, STUCK_ESTIMATE_FACTOR) + STUCK_MS;
+  return fb_pool_step_scaled_run_ms (step, STUCK_PERCENT, STUCK_ESTIMATE_FACTOR) + STUCK_MS;
 }
 
 static gboolean
@@ -33,8 +33,9 @@
   if (step == NULL || run->state != FB_RUN_RUNNING || step->shape->lasting
       || step->shape->estimate_ms == 0)
     return FALSE;
-  uint32_t moved = step->tasks[run->index].moved;
-  return moved < MAX_STUCK_RESTARTS && now_ms > run->started_ms + (stuck_limit_ms (step) << moved);
+  uint32_t stuck_restarts = step->tasks[run->index].stuck_restarts;
+  return stuck_restarts < MAX_STUCK_RESTARTS
+         && now_ms > run->started_ms + (stuck_limit_ms (step) << stuck_restarts);
 }
 
 static void
@@ -43,7 +44,7 @@
   fb_event_log (FB_EVENT_TASK_STUCK, "task=%s attempt=%u worker=%s ran_ms=%u estimate_ms=%u",
                 run->name, run->attempt, worker->id, (guint) (now_ms - run->started_ms),
                 run->step->shape->estimate_ms);
-  run->step->tasks[run->index].moved++;
+  run->step->tasks[run->index].stuck_restarts++;
   worker->bad_streak++;
   fb_pool_worker_spare (worker, now_ms);
   if (run->step->shape->gang)
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -212,7 +212,7 @@
   fb_pool_stop_strays (self, worker, now_ms);
   fb_pool_crash_note_silence (self, worker, now_ms);
   fb_pool_crash_clear_lasted (self, worker);
-  gboolean accepts_work = fb_pool_worker_takes (worker, now_ms);
+  gboolean accepts_work = fb_pool_worker_accepts_starts (worker, now_ms);
   if (accepts_work && !worker->took)
     fb_pool_worker_opened (self, worker);
   worker->took = accepts_work;
--- a/tests/busy-pool.c
+++ b/tests/busy-pool.c
@@ -21,11 +21,11 @@
 static void
 on_start (gpointer user, const FbStartOrder *order)
 {
-  BusyPool *play = user;
+  BusyPool *busy = user;
   FbRunSeen run = { g_strdup (order->task), order->attempt, "" };
-  g_array_append_val (play->workers[atoi (order->worker)].runs, run);
-  g_array_append_val (play->starts, order->order);
-  play->started_n++;
+  g_array_append_val (busy->workers[atoi (order->worker)].runs, run);
+  g_array_append_val (busy->starts, order->order);
+  busy->started_n++;
 }
 
 static void
@@ -63,34 +63,34 @@
 static const FbPoolSink busy_pool_sink = { on_start, on_stop, on_look, on_advise, on_fenced, NULL };
 
 static void
-answer_look (BusyPool *play, guint i, GArray *finished, uint64_t now_ms)
+answer_look (BusyPool *busy, guint i, GArray *finished, uint64_t now_ms)
 {
-  BusyWorker *worker = &play->workers[i];
+  BusyWorker *worker = &busy->workers[i];
   g_autofree char *id = g_strdup_printf ("%u", i);
   const FbLookAnswer answer = { .clock_ms = now_ms, .running = worker->runs, .finished = finished };
   worker->look_open = FALSE;
-  fb_pool_look_answered (play->pool, id, &answer, now_ms, WALL_MS + now_ms);
+  fb_pool_look_answered (busy->pool, id, &answer, now_ms, WALL_MS + now_ms);
 }
 
 void
-busy_pool_answer_all (BusyPool *play, uint64_t now_ms)
+busy_pool_answer_all (BusyPool *busy, uint64_t now_ms)
 {
-  for (guint i = 0; i < play->starts->len; i++)
-    fb_pool_start_answered (play->pool, g_array_index (play->starts, uint64_t, i), FB_ORDER_DONE,
+  for (guint i = 0; i < busy->starts->len; i++)
+    fb_pool_start_answered (busy->pool, g_array_index (busy->starts, uint64_t, i), FB_ORDER_DONE,
                             now_ms, now_ms);
-  g_array_set_size (play->starts, 0);
+  g_array_set_size (busy->starts, 0);
   g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbEndSeen));
   for (guint i = 0; i < WORKER_N; i++)
     {
-      if (play->workers[i].look_open)
-        answer_look (play, i, finished, now_ms);
+      if (busy->workers[i].look_open)
+        answer_look (busy, i, finished, now_ms);
     }
 }
 
 void
-busy_pool_end_run (BusyPool *play, guint worker, uint64_t number, uint64_t now_ms)
+busy_pool_end_run (BusyPool *busy, guint worker, uint64_t number, uint64_t now_ms)
 {
-  GArray *runs = play->workers[worker].runs;
+  GArray *runs = busy->workers[worker].runs;
   g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbEndSeen));
   const FbRunSeen *run = &g_array_index (runs, FbRunSeen, 0);
   g_autofree char *task = g_strdup (run->task);
@@ -99,7 +99,7 @@
   };
   g_array_append_val (finished, end);
   g_array_remove_index (runs, 0);
-  answer_look (play, worker, finished, now_ms);
+  answer_look (busy, worker, finished, now_ms);
 }
 
 static void
@@ -109,7 +109,7 @@
 }
 
 void
-busy_pool_list_worker (BusyPool *play, guint i, const char *label, uint64_t now_ms)
+busy_pool_list_worker (BusyPool *busy, guint i, const char *label, uint64_t now_ms)
 {
   const char *const labels[] = { label, "r1", NULL };
   g_autofree char *id = g_strdup_printf ("%u", i);
@@ -119,19 +119,19 @@
                                 .labels = labels,
                                 .cpu_milli = WORKER_CPU,
                                 .mem_mb = 65536 };
-  fb_pool_worker_listed (play->pool, &entry, now_ms);
+  fb_pool_worker_listed (busy->pool, &entry, now_ms);
 }
 
 void
-busy_pool_list_workers (BusyPool *play, uint64_t now_ms)
+busy_pool_list_workers (BusyPool *busy, uint64_t now_ms)
 {
   for (guint i = 0; i < WORKER_N; i++)
-    busy_pool_list_worker (play, i, "a", now_ms);
-  fb_pool_workers_complete (play->pool);
+    busy_pool_list_worker (busy, i, "a", now_ms);
+  fb_pool_workers_complete (busy->pool);
 }
 
 void
-busy_pool_admit (BusyPool *play, const char *id, uint32_t priority, const char *label, guint tasks,
+busy_pool_admit (BusyPool *busy, const char *id, uint32_t priority, const char *label, guint tasks,
                  uint64_t now_ms)
 {
   fb_work_admit record;
@@ -140,37 +140,37 @@
   record.policy.priority = priority;
   step.count = tasks;
   step.required_label = (char *) label;
-  fb_pool_admit (play->pool, id, &record, now_ms, WALL_MS + now_ms);
+  fb_pool_admit (busy->pool, id, &record, now_ms, WALL_MS + now_ms);
 }
 
 void
-busy_pool_admit_backlog (BusyPool *play, uint32_t priority, const char *label, uint64_t now_ms)
+busy_pool_admit_backlog (BusyPool *busy, uint32_t priority, const char *label, uint64_t now_ms)
 {
   for (guint i = 0; i < JOB_N; i++)
     {
       g_autofree char *id = g_strdup_printf ("%016x", i + 1);
-      busy_pool_admit (play, id, priority, label, JOB_TASKS, now_ms);
+      busy_pool_admit (busy, id, priority, label, JOB_TASKS, now_ms);
     }
 }
 
 void
-busy_pool_begin (BusyPool *play, uint64_t now_ms)
+busy_pool_begin (BusyPool *busy, uint64_t now_ms)
 {
   static const FbPoolLimits limits = { .hold_max_ms = 6000, .stop_ms = 200, .gang_wait_ms = 3000 };
-  play->starts = g_array_new (FALSE, FALSE, sizeof (uint64_t));
-  play->pool = fb_pool_new (SERVICE, 1, &limits, &busy_pool_sink, play, now_ms);
+  busy->starts = g_array_new (FALSE, FALSE, sizeof (uint64_t));
+  busy->pool = fb_pool_new (SERVICE, 1, &limits, &busy_pool_sink, busy, now_ms);
   for (guint i = 0; i < WORKER_N; i++)
     {
-      play->workers[i].runs = g_array_new (FALSE, TRUE, sizeof (FbRunSeen));
-      g_array_set_clear_func (play->workers[i].runs, clear_run);
+      busy->workers[i].runs = g_array_new (FALSE, TRUE, sizeof (FbRunSeen));
+      g_array_set_clear_func (busy->workers[i].runs, clear_run);
     }
 }
 
 void
-busy_pool_clear (BusyPool *play)
+busy_pool_clear (BusyPool *busy)
 {
   for (guint i = 0; i < WORKER_N; i++)
-    g_array_unref (play->workers[i].runs);
-  g_array_unref (play->starts);
-  fb_pool_free (play->pool);
+    g_array_unref (busy->workers[i].runs);
+  g_array_unref (busy->starts);
+  fb_pool_free (busy->pool);
 }
--- a/tests/busy-pool.h
+++ b/tests/busy-pool.h
@@ -42,21 +42,21 @@
 
 /* Fills in a job of one step; RECORD borrows STEP. */
 void busy_fill_job (fb_work_admit *record, fb_work_step *step);
-/* Creates an empty pool in PLAY, which must be all zero; freed by busy_pool_clear(). */
-void busy_pool_begin (BusyPool *play, uint64_t now_ms);
+/* Creates an empty pool in BUSY, which must be all zero; freed by busy_pool_clear(). */
+void busy_pool_begin (BusyPool *busy, uint64_t now_ms);
 /* Lists worker I with LABEL, or lists it again. */
-void busy_pool_list_worker (BusyPool *play, guint i, const char *label, uint64_t now_ms);
+void busy_pool_list_worker (BusyPool *busy, guint i, const char *label, uint64_t now_ms);
 /* Lists all workers, with label "a". */
-void busy_pool_list_workers (BusyPool *play, uint64_t now_ms);
+void busy_pool_list_workers (BusyPool *busy, uint64_t now_ms);
 /* LABEL: label of the workers on which the tasks may run; empty: any worker. */
-void busy_pool_admit (BusyPool *play, const char *id, uint32_t priority, const char *label,
+void busy_pool_admit (BusyPool *busy, const char *id, uint32_t priority, const char *label,
                       guint tasks, uint64_t now_ms);
 /* Adds JOB_N jobs of JOB_TASKS tasks. */
-void busy_pool_admit_backlog (BusyPool *play, uint32_t priority, const char *label,
+void busy_pool_admit_backlog (BusyPool *busy, uint32_t priority, const char *label,
                               uint64_t now_ms);
 /* Answers all open starts and polls. */
-void busy_pool_answer_all (BusyPool *play, uint64_t now_ms);
+void busy_pool_answer_all (BusyPool *busy, uint64_t now_ms);
 /* Ends the oldest run of WORKER successfully, as end NUMBER, which frees its capacity. */
-void busy_pool_end_run (BusyPool *play, guint worker, uint64_t number, uint64_t now_ms);
-/* Frees the contents of PLAY. */
-void busy_pool_clear (BusyPool *play);
+void busy_pool_end_run (BusyPool *busy, guint worker, uint64_t number, uint64_t now_ms);
+/* Frees the contents of BUSY. */
+void busy_pool_clear (BusyPool *busy);
--- a/tools/pool-mutants.sh
+++ b/tools/pool-mutants.sh
@@ -60,7 +60,7 @@
 planned-leave-taken-for-a-crash|pool-crash.c|  while (!worker->draining \&\& g_hash|  while (g_hash
 shrunk-room-not-noticed|pool-worker.c|  worker->cpu_milli = entry->cpu_milli;|  worker->cpu_milli = MAX (worker->cpu_milli, entry->cpu_milli);
 grown-room-not-noticed|pool-worker.c|  worker->cpu_milli = entry->cpu_milli;|  worker->cpu_milli = worker->cpu_milli != 0 ? MIN (worker->cpu_milli, entry->cpu_milli) : entry->cpu_milli;
-size-proves-what-ran|pool-settle.c|  if (!fb_pool_has_labels_for (worker, step->shape))|  if (!fb_pool_could_run (worker, step->shape))
+size-proves-what-ran|pool-settle.c|  if (!fb_pool_has_labels_for (worker, step->shape))|  if (!fb_pool_worker_could_run (worker, step->shape))
 refusal-of-a-repeat-is-proof|platform/worker.c|  if (fb_http_reply_leaves_doubt (reply) \&\& |  if (FALSE \&\& 
 lease-of-the-owner-before-forgotten|pool-report.c|answer->clock_ms + first_lease_ms (self, worker)|0
 answer-counts-for-any-attempt|pool-orders.c|(*run)->attempt != ref->attempt|FALSE
