--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -12,8 +12,7 @@
  * have ended, so it may outlive the worker. */
 typedef struct
 {
-  double slowness;   /* its run times relative to those of other workers for the same steps; 1:
-                        average */
+  double slowness;   /* run times relative to other workers' for the same steps; 1: average */
   double step_ratio; /* sum of the relative run times in the step that is being evaluated */
   guint step_runs;   /* number of terms in STEP_RATIO */
   guint refs;
@@ -40,15 +39,13 @@
   FbPoolRun *run;          /* borrowed from its worker; NULL: not on a worker */
   FbPoolRun *copy;  /* a speculative second run, if the step allows it; borrowed; NULL: none */
   uint32_t took_ms; /* duration of the run that ended successfully */
-  FbPoolSpeed
-      *worker_speed; /* speed of the worker of that run; NULL: not known, or already evaluated */
+  FbPoolSpeed *worker_speed; /* of that run; NULL: not known, or already evaluated */
 } FbPoolTask;
 
 /* Answer of the advice service about one worker for one step. */
 typedef struct
 {
-  uint32_t life; /* FbPoolWorker.life of the worker in this slot; 0: the service was not asked about
-                    it */
+  uint32_t life; /* FbPoolWorker.life of the worker asked about; 0: none */
   gboolean allowed;
   char *ticket; /* NULL: not allowed */
   uint64_t valid_until_ms;
@@ -57,8 +54,7 @@
 /* First sort key of the queue of steps; 0 for steps that are not sorted in yet. */
 typedef enum
 {
-  FB_URGENCY_INTERRUPTED
-  = -1, /* long-running, with a pending task that has run before or may have */
+  FB_URGENCY_INTERRUPTED = -1, /* long-running; a pending task has run, or may have */
   FB_URGENCY_IN_TIME = 0,
   FB_URGENCY_HOPELESS = 1 /* not long-running, and too late to be worth anything */
 } FbPoolUrgency;
@@ -72,10 +68,10 @@
   const fb_work_step *shape; /* borrowed from the job's record */
   FbPoolTask *tasks;         /* SHAPE->count entries */
   uint32_t done_n;
-  uint32_t timed_n; /* successful runs that this owner has started, and their total duration */
-  uint64_t timed_ms;
+  uint32_t timed_n;      /* successful runs that this owner started from the beginning */
+  uint64_t timed_ms;     /* their total duration */
   uint32_t waiting_from; /* no task before this index is pending */
-  uint32_t gang_attempt;
+  uint32_t gang_attempt; /* number of the latest attempt of the gang; 0: none yet */
   guint crashed_n;       /* workers that crashed under its tasks since one of them ran well */
   uint64_t crashed_last; /* rank of the worker that crashed last */
   uint64_t crashed_ms;   /* when that crash became known */
@@ -83,12 +79,11 @@
   gboolean gang_broken;  /* a member ended or was refused, so the others are being stopped */
   FbPoolRuling *rulings; /* by worker slot */
   guint rulings_n;
-  gboolean ruled;           /* the advice service has answered about some worker */
-  uint64_t advice_until_ms; /* when the open question is given up; 0: none is open */
-  uint64_t last_advice_ms;  /* when the last answer of the advice service came; 0: none yet */
-  GPtrArray
-      *held_on; /* ids of workers with capacity reserved for this step, one entry for each task */
-  uint64_t held_until_ms;
+  gboolean ruled;               /* the advice service has answered about some worker */
+  uint64_t advice_until_ms;     /* when the open question is given up; 0: none is open */
+  uint64_t last_advice_ms;      /* when the last question was answered or failed; 0: never */
+  GPtrArray *held_on;           /* ids of workers with reserved capacity, one entry for each task */
+  uint64_t held_until_ms;       /* when the reservation ends; 0: none */
   gboolean queued;              /* it is in FbPool.waiting or FbPool.unmerged */
   FbPoolUrgency urgency;        /* as of when it was sorted into the queue */
   uint64_t last_failed_round;   /* last round that could not place it; 0: none */
@@ -109,27 +104,26 @@
   char *id;
   fb_work_admit record;
   fb_work_state state;
-  fb_work_state stored_state; /* the state last made durable, which callers are told */
-  fb_work_state flushing_state;
-  gboolean started;   /* a task of the job has been started */
+  fb_work_state stored_state;   /* the state last made durable, which callers are told */
+  fb_work_state flushing_state; /* the state in the open flush */
+  gboolean started;             /* a task of the job has been started */
   gboolean restored;  /* an earlier owner may have used attempts that no record mentions */
   gboolean untouched; /* no earlier owner can have started any task of the job */
   gboolean advised_when_stored; /* its queue used the advice service when the job was stored */
   gboolean kept;                /* other daemons keep the suspected tasks of the job */
-  gboolean unstored_news; /* the suspected tasks have changed since the other daemons were told */
-  uint32_t
-      suspicion; /* counter that grows with each crash or suspected crash under one of its tasks */
-  uint32_t suspicion_flushing; /* value of SUSPICION in the open flush */
-  uint32_t suspicion_stored;   /* value of SUSPICION that is durable */
-  gboolean end_unread;         /* when the job was added, workers reported ends of unknown jobs */
-  uint64_t taken_ms;           /* when it was added to this pool */
-  uint64_t admitted_ms;
-  uint64_t objective_ms; /* when its caller wants it, on the pool's clock */
-  uint64_t hopeless_ms;  /* when it is no longer worth anything */
-  double tightness;      /* its critical path as a share of its objective, 0 to 1 */
-  uint64_t ended_wall_ms;
-  GPtrArray *occurrences; /* of FbPoolOccurrence */
-  uint32_t next_occurrence;
+  gboolean unstored_news;       /* the suspected tasks have changed since then */
+  uint32_t suspicion;           /* grows with each crash or suspected crash under its tasks */
+  uint32_t suspicion_flushing;  /* value of SUSPICION in the open flush */
+  uint32_t suspicion_stored;    /* value of SUSPICION that is durable */
+  gboolean end_unread;          /* when the job was added, workers reported ends of unknown jobs */
+  uint64_t taken_ms;            /* when it was added to this pool */
+  uint64_t admitted_ms;         /* when it was accepted, on the pool's clock */
+  uint64_t objective_ms;        /* when its caller wants it, on the pool's clock */
+  uint64_t hopeless_ms;         /* when it is no longer worth anything */
+  double tightness;             /* its critical path as a share of its objective, 0 to 1 */
+  uint64_t ended_wall_ms;       /* when it ended; 0: it has not */
+  GPtrArray *occurrences;       /* of FbPoolOccurrence */
+  uint32_t next_occurrence;     /* number of the first occurrence that is not released yet */
 };
 
 /* pool-job.c */
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -26,6 +26,7 @@
 /* Workers and due times are checked at this interval instead of at each event: a pass over them
  * costs some 100 us, and an owner handles hundreds of events a second. */
 #define FB_POOL_TEND_EVERY_MS 20
+/* Results of ended jobs that have been kept long enough are searched for at this interval. */
 #define FB_POOL_EXPIRE_EVERY_MS 1000
 
 /* ---- the pool ------------------------------------------------------------- */
@@ -37,44 +38,41 @@
   FbPoolLimits limits;
   const FbPoolSink *sink;
   gpointer user;
-  uint64_t began_ms;
-  uint64_t majority_ms; /* when a majority of the workers had answered; 0: not yet */
-  gboolean workers_complete;
-  gboolean settled;   /* recovery is complete: this owner knows everything that can run */
-  GPtrArray *unheard; /* of FbPoolWorker that may hold unknown runs, which keeps SETTLED FALSE, as
-                         of this step; borrowed */
-  gboolean fenced;
-  gboolean flushing;
+  uint64_t began_ms;         /* when the pool was created */
+  uint64_t majority_ms;      /* when a majority of the workers had answered; 0: not yet */
+  gboolean workers_complete; /* fb_pool_workers_complete() was called */
+  gboolean settled;          /* recovery is complete: this owner knows everything that can run */
+  GPtrArray *unheard; /* of FbPoolWorker that may hold unknown runs, as of this step; borrowed */
+  gboolean fenced;    /* a worker has seen a higher epoch: the pool must not be used any more */
+  gboolean flushing;  /* a flush is open */
   uint64_t flush_began_ms;
-  uint64_t last_order;
+  uint64_t last_order; /* number of the last order; 0: none was sent yet */
   GHashTable *workers; /* id -> FbPoolWorker */
   GPtrArray *roster;   /* of FbPoolWorker by slot; NULL: the slot is free; borrowed */
   uint32_t last_life;
   GHashTable *latest; /* address -> FbPoolWorker, the incarnation there that began last; borrowed */
-  GHashTable
-      *closed; /* id -> GHashTable, for FbPoolWorker.closed_to: as recorded by the previous owner */
-  GPtrArray *opened;   /* of FbPoolWorker whose capacity has grown since the last round; borrowed */
-  GPtrArray *waiting;  /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
-  GPtrArray *unmerged; /* of FbPoolStep not merged into WAITING yet; borrowed */
-  uint32_t refused_question_kinds; /* bits of kind_of_question(): questions that no daemon could
-                             forward in this round */
+  GHashTable *closed; /* id -> steps that the previous owner recorded, for FbPoolWorker.closed_to */
+  GPtrArray *opened;  /* of FbPoolWorker whose capacity has grown since the last round; borrowed */
+  GPtrArray *waiting; /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
+  GPtrArray *unmerged;             /* of FbPoolStep not merged into WAITING yet; borrowed */
+  uint32_t refused_question_kinds; /* bits of question_kind() that no daemon could forward in this
+                                      round */
   uint64_t round;                  /* number of the current placement round */
-  guint
-      resume_position; /* position in WAITING where the open round continues; 0: no round is open */
-  guint round_opened_n;   /* how many entries of OPENED there were when the open round began */
-  uint32_t visits_n;      /* workers and runs visited in this turn of the round */
-  GHashTable *timed;      /* set of FbPoolJob with occurrences or steps to release; borrowed */
-  GHashTable *chained;    /* set of FbPoolJob with steps that depend on others; borrowed */
-  GHashTable *jobs;       /* id -> FbPoolJob */
-  GHashTable *active;     /* set of FbPoolJob that have not ended; borrowed */
-  GHashTable *ended;      /* set of FbPoolJob whose results are kept for late callers; borrowed */
-  GHashTable *dirty;      /* set of FbPoolJob with changes that are not recorded yet; borrowed */
-  GPtrArray *in_flush;    /* of FbPoolJob: the jobs in the open flush; borrowed */
-  GHashTable *orders;     /* order -> FbPoolOrderRef */
-  GQueue *late_starts;    /* of FbPoolLateStart; the oldest at its head */
-  GHashTable *suspects;   /* set of FbPoolStep with tasks suspected of crashing workers; borrowed */
-  GHashTable *unstored;   /* set of FbPoolJob whose suspects have changed and may have to be kept by
-                             other daemons; borrowed */
+  guint resume_position;           /* in WAITING, where the open round continues; 0: none is open */
+  guint round_opened_n; /* how many entries of OPENED there were when the open round began */
+  uint32_t visits_n;    /* workers and runs visited in this turn of the round */
+  GHashTable *timed;    /* set of FbPoolJob with occurrences or steps to release; borrowed */
+  GHashTable *chained;  /* set of FbPoolJob with steps that depend on others; borrowed */
+  GHashTable *jobs;     /* id -> FbPoolJob */
+  GHashTable *active;   /* set of FbPoolJob that have not ended; borrowed */
+  GHashTable *ended;    /* set of FbPoolJob whose results are kept for late callers; borrowed */
+  GHashTable *dirty;    /* set of FbPoolJob with changes that are not recorded yet; borrowed */
+  GPtrArray *in_flush;  /* of FbPoolJob: the jobs in the open flush; borrowed */
+  GHashTable *orders;   /* order -> FbPoolOrderRef */
+  GQueue *late_starts;  /* of FbPoolLateStart; the oldest at its head */
+  GHashTable *suspects; /* set of FbPoolStep with tasks suspected of crashing workers; borrowed */
+  GHashTable
+      *unstored; /* set of FbPoolJob with suspects that other daemons may have to keep; borrowed */
   GHashTable *causes;     /* rank of a crashed worker -> how many tasks may have caused the crash */
   GHashTable *doubts;     /* id of a lost worker -> the tasks that were on it: see pool-doubt.c */
   gboolean doubts_due;    /* the list of workers has changed, which may settle entries of DOUBTS */
@@ -82,14 +80,13 @@
   gboolean limit_reached; /* a task has reached the limit of crashes */
   uint64_t jobs_read_ms;  /* every job stored before this time is known */
   gboolean workers_dirty; /* the record of workers is out of date */
-  gboolean may_start;  /* at the last step, the owner was certain of its ownership and not about to
-                          stop */
+  gboolean
+      may_start; /* the owner was certain of its ownership at its last step, and not stopping */
   gboolean place_due;  /* capacity, jobs or advice arrived since the last round */
   uint64_t expired_ms; /* when expired results were last searched for */
   uint64_t tended_ms;  /* when workers and due times were last checked */
-  const char *barred; /* why the pool could not start anything at BARRED_MS: static text; NULL: that
-                         never happened */
-  uint64_t barred_ms; /* when the pool could last not start anything */
+  const char *barred;  /* why nothing could start at BARRED_MS, a static text; NULL: never so */
+  uint64_t barred_ms;  /* when the pool could last not start anything */
 };
 
 /* The number of an attempt is higher than those of all earlier attempts at the task.  Earlier
