--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -6,7 +6,7 @@
 typedef struct _FbPoolJob FbPoolJob;
 typedef struct _FbPoolRun FbPoolRun;
 typedef struct _FbPoolStep FbPoolStep;
-typedef struct _FbPoolLasting FbPoolLasting;
+typedef struct _FbPoolLongRunning FbPoolLongRunning;
 
 /* The estimated speed of a worker.  It is shared with the tasks that ran there until their steps
  * have ended, so it may outlive the worker. */
@@ -24,16 +24,16 @@
   /* Attempts that ended failed; NULL: none.  They are listed by number so that each is counted once
    * in whatever order the ends arrive: a new owner receives the same ends again, from several
    * workers. */
-  GArray *failed;    /* of uint32_t */
-  GArray *crashes;   /* of FbPoolCrash, one for each worker; NULL: none */
-  GPtrArray *tried;  /* of FbPoolTried; NULL: none */
+  GArray *failed;        /* of uint32_t */
+  GArray *crashes;       /* of FbPoolCrash, one for each worker; NULL: none */
+  GPtrArray *unresolved; /* of FbPoolUnresolvedStart; NULL: none */
   gboolean withheld; /* it must not start: one more crash could exceed the limit, or two crashes are
                         not stored yet */
-  uint32_t doubts_n; /* lost workers that may have crashed because of this task */
+  uint32_t unresolved_losses_n; /* lost workers that may have crashed because of this task */
   /* Until when the task waits for a worker on which nothing else starts; 0: it does not wait. */
-  uint64_t calm_until_ms;
+  uint64_t stable_wait_until_ms;
   gboolean done;
-  gboolean gave_way;       /* it was preempted once */
+  gboolean was_preempted;  /* it was preempted once */
   uint32_t stuck_restarts; /* how often it was stopped as stuck */
   char *checkpoint;        /* NULL: none */
   FbPoolRun *run;          /* borrowed from its worker; NULL: not on a worker */
@@ -45,18 +45,18 @@
 /* Answer of the advice service about one worker for one step. */
 typedef struct
 {
-  uint32_t life; /* FbPoolWorker.life of the worker asked about; 0: none */
+  uint32_t incarnation; /* FbPoolWorker.incarnation of the worker asked about; 0: none */
   gboolean allowed;
   char *ticket; /* NULL: not allowed */
   uint64_t valid_until_ms;
-} FbPoolRuling;
+} FbPoolWorkerAdvice;
 
 /* First sort key of the queue of steps; 0 for steps that are not sorted in yet. */
 typedef enum
 {
-  FB_URGENCY_INTERRUPTED = -1, /* long-running; a pending task has run, or may have */
+  FB_URGENCY_RESTARTING = -1, /* long-running; a pending task has run, or may have */
   FB_URGENCY_IN_TIME = 0,
-  FB_URGENCY_HOPELESS = 1 /* not long-running, and too late to be worth anything */
+  FB_URGENCY_WORTHLESS = 1 /* not long-running, and too late to be worth anything */
 } FbPoolUrgency;
 
 /* One step of one occurrence of a job. */
@@ -73,23 +73,23 @@
   uint32_t waiting_from; /* no task before this index is pending */
   uint32_t gang_attempt; /* number of the latest attempt of the gang; 0: none yet */
   guint crashed_n;       /* workers that crashed under its tasks since one of them ran well */
-  uint64_t crashed_last; /* rank of the worker that crashed last */
+  uint64_t crashed_last; /* id hash of the worker that crashed last */
   uint64_t crashed_ms;   /* when that crash became known */
   gboolean released;     /* all preceding steps are done, and the occurrence is due */
   gboolean gang_broken;  /* a member ended or was refused, so the others are being stopped */
-  FbPoolRuling *rulings; /* by worker slot */
-  guint rulings_n;
-  gboolean ruled;               /* the advice service has answered about some worker */
+  FbPoolWorkerAdvice *worker_advice; /* by worker slot */
+  guint worker_advice_n;
+  gboolean has_advice;          /* the advice service has answered about some worker */
   uint64_t advice_until_ms;     /* when the open question is given up; 0: none is open */
   uint64_t last_advice_ms;      /* when the last question was answered or failed; 0: never */
-  GPtrArray *held_on;           /* ids of workers with reserved capacity, one entry for each task */
-  uint64_t held_until_ms;       /* when the reservation ends; 0: none */
+  GPtrArray *reserved_on;       /* ids of workers with reserved capacity, one entry for each task */
+  uint64_t reserved_until_ms;   /* when the reservation ends; 0: none */
   gboolean queued;              /* it is in FbPool.waiting or FbPool.unmerged */
   FbPoolUrgency urgency;        /* as of when it was sorted into the queue */
   uint64_t last_failed_round;   /* last round that could not place it; 0: none */
   uint64_t retry_at_ms;         /* when it is tried again even if nothing has changed */
   uint64_t preemption_tried_ms; /* when preemptible runs were last searched for; 0: never */
-  FbPoolLasting *lasting;       /* state of a long-running step; NULL: none yet */
+  FbPoolLongRunning *long_running; /* state of a long-running step; NULL: none yet */
 };
 
 typedef struct
@@ -107,19 +107,19 @@
   fb_work_state stored_state;   /* the state last made durable, which callers are told */
   fb_work_state flushing_state; /* the state in the open flush */
   gboolean started;             /* a task of the job has been started */
-  gboolean restored;  /* an earlier owner may have used attempts that no record mentions */
-  gboolean untouched; /* no earlier owner can have started any task of the job */
+  gboolean restored;      /* an earlier owner may have used attempts that no record mentions */
+  gboolean never_started; /* no earlier owner can have started any task of the job */
   gboolean advised_when_stored; /* its queue used the advice service when the job was stored */
   gboolean kept;                /* other daemons keep the suspected tasks of the job */
-  gboolean unstored_news;       /* the suspected tasks have changed since then */
-  uint32_t suspicion;           /* grows with each crash or suspected crash under its tasks */
-  uint32_t suspicion_flushing;  /* value of SUSPICION in the open flush */
-  uint32_t suspicion_stored;    /* value of SUSPICION that is durable */
-  gboolean end_unread;          /* when the job was added, workers reported ends of unknown jobs */
+  gboolean unstored_changed;    /* the suspected tasks have changed since then */
+  uint32_t suspects_version;    /* grows with each crash or suspected crash under its tasks */
+  uint32_t suspects_version_flushing; /* value of SUSPECTS_VERSION in the open flush */
+  uint32_t suspects_version_stored;   /* value of SUSPECTS_VERSION that is durable */
+  gboolean awaits_unknown_ends; /* when the job was added, workers reported ends of unknown jobs */
   uint64_t taken_ms;            /* when it was added to this pool */
   uint64_t admitted_ms;         /* when it was accepted, on the pool's clock */
   uint64_t objective_ms;        /* when its caller wants it, on the pool's clock */
-  uint64_t hopeless_ms;         /* when it is no longer worth anything */
+  uint64_t worthless_ms;        /* when it is no longer worth anything */
   double tightness;             /* its critical path as a share of its objective, 0 to 1 */
   uint64_t ended_wall_ms;       /* when it ended; 0: it has not */
   GPtrArray *occurrences;       /* of FbPoolOccurrence */
@@ -145,14 +145,14 @@
 /* Counts ATTEMPT as failed.  Returns: FALSE when it was counted before. */
 gboolean fb_pool_task_count_failed (FbPoolTask *task, uint32_t attempt);
 guint fb_pool_task_failed_n (const FbPoolTask *task);
-void fb_pool_task_save (FbPoolStep *step, uint32_t index, const char *checkpoint);
+void fb_pool_task_set_checkpoint (FbPoolStep *step, uint32_t index, const char *checkpoint);
 gboolean fb_pool_step_done (const FbPoolStep *step);
 /* TRUE when the task may be placed: it is neither done, withheld, nor on a worker; for a step, when
  * one of its tasks may be. */
 gboolean fb_pool_task_waits (const FbPoolTask *task);
 gboolean fb_pool_step_waits (const FbPoolStep *step);
 /* Task INDEX may have become pending: puts its step back into the queue. */
-void fb_pool_task_may_wait (FbPool *self, FbPoolStep *step, uint32_t index);
+void fb_pool_task_requeue (FbPool *self, FbPoolStep *step, uint32_t index);
 /* Returns: PERCENT of the mean time of the ended runs of STEP, or FACTOR times the estimate while
  * too few runs have ended. */
 uint64_t fb_pool_step_scaled_run_ms (const FbPoolStep *step, uint32_t percent, uint32_t factor);
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -17,17 +17,17 @@
 #define FB_POOL_START_WINDOW_MS 700
 /* A worker that has nothing to report delays its answer to a poll for this long, so the lease is
  * also renewed at this interval. */
-#define FB_POOL_LOOK_WAIT_MS 500
+#define FB_POOL_POLL_WAIT_MS 500
 /* A replaced owner learns of its replacement within this time, because its polls of a worker are at
  * most this far apart. */
 #define FB_POOL_STEP_DOWN_MS 2000
 /* A call to a worker that has just ended may wait this long for the next incarnation to listen. */
-#define FB_POOL_HELD_CALL_MS 1200
+#define FB_POOL_DELAYED_CALL_MS 1200
 /* Workers and due times are checked at this interval instead of at each event: a pass over them
  * costs some 100 us, and an owner handles hundreds of events a second. */
-#define FB_POOL_TEND_EVERY_MS 20
+#define FB_POOL_MAINTENANCE_INTERVAL_MS 20
 /* Results of ended jobs that have been kept long enough are searched for at this interval. */
-#define FB_POOL_EXPIRE_EVERY_MS 1000
+#define FB_POOL_EXPIRE_INTERVAL_MS 1000
 
 /* ---- the pool ------------------------------------------------------------- */
 
@@ -41,52 +41,59 @@
   uint64_t began_ms;         /* when the pool was created */
   uint64_t majority_ms;      /* when a majority of the workers had answered; 0: not yet */
   gboolean workers_complete; /* fb_pool_workers_complete() was called */
-  gboolean settled;          /* recovery is complete: this owner knows everything that can run */
-  GPtrArray *unheard; /* of FbPoolWorker that may hold unknown runs, as of this step; borrowed */
-  gboolean fenced;    /* a worker has seen a higher epoch: the pool must not be used any more */
-  gboolean flushing;  /* a flush is open */
+  gboolean recovered;        /* recovery is complete: this owner knows everything that can run */
+  GPtrArray *unconfirmed_workers; /* of FbPoolWorker that may hold unknown runs, as of this step;
+                                     borrowed */
+  gboolean fenced;   /* a worker has seen a higher epoch: the pool must not be used any more */
+  gboolean flushing; /* a flush is open */
   uint64_t flush_began_ms;
-  uint64_t last_order; /* number of the last order; 0: none was sent yet */
-  GHashTable *workers; /* id -> FbPoolWorker */
-  GPtrArray *roster;   /* of FbPoolWorker by slot; NULL: the slot is free; borrowed */
-  uint32_t last_life;
+  uint64_t last_order;     /* number of the last order; 0: none was sent yet */
+  GHashTable *workers;     /* id -> FbPoolWorker */
+  GPtrArray *worker_slots; /* of FbPoolWorker by slot; NULL: the slot is free; borrowed */
+  uint32_t last_incarnation;
   GHashTable *latest; /* address -> FbPoolWorker, the incarnation there that began last; borrowed */
-  GHashTable *closed; /* id -> steps that the previous owner recorded, for FbPoolWorker.closed_to */
-  GPtrArray *opened;  /* of FbPoolWorker whose capacity has grown since the last round; borrowed */
-  GPtrArray *waiting; /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
-  GPtrArray *unmerged;             /* of FbPoolStep not merged into WAITING yet; borrowed */
+  GHashTable
+      *closed; /* id -> steps that the previous owner recorded, for FbPoolWorker.drain_steps */
+  GPtrArray *
+      gained_capacity; /* of FbPoolWorker whose capacity has grown since the last round; borrowed */
+  GPtrArray *waiting;  /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
+  GPtrArray *unmerged; /* of FbPoolStep not merged into WAITING yet; borrowed */
   uint32_t refused_question_kinds; /* bits of question_kind() that no daemon could forward in this
                                       round */
   uint64_t round;                  /* number of the current placement round */
   guint resume_position;           /* in WAITING, where the open round continues; 0: none is open */
-  guint round_opened_n; /* how many entries of OPENED there were when the open round began */
-  uint32_t visits_n;    /* workers and runs visited in this turn of the round */
-  GHashTable *timed;    /* set of FbPoolJob with occurrences or steps to release; borrowed */
-  GHashTable *chained;  /* set of FbPoolJob with steps that depend on others; borrowed */
-  GHashTable *jobs;     /* id -> FbPoolJob */
-  GHashTable *active;   /* set of FbPoolJob that have not ended; borrowed */
-  GHashTable *ended;    /* set of FbPoolJob whose results are kept for late callers; borrowed */
-  GHashTable *dirty;    /* set of FbPoolJob with changes that are not recorded yet; borrowed */
-  GPtrArray *in_flush;  /* of FbPoolJob: the jobs in the open flush; borrowed */
-  GHashTable *orders;   /* order -> FbPoolOrderRef */
-  GQueue *late_starts;  /* of FbPoolLateStart; the oldest at its head */
+  guint
+      round_gained_n; /* how many entries of GAINED_CAPACITY there were when the open round began */
+  uint32_t visits_n;  /* workers and runs visited in this turn of the round */
+  GHashTable *timed;  /* set of FbPoolJob with occurrences or steps to release; borrowed */
+  GHashTable *chained; /* set of FbPoolJob with steps that depend on others; borrowed */
+  GHashTable *jobs;    /* id -> FbPoolJob */
+  GHashTable *active;  /* set of FbPoolJob that have not ended; borrowed */
+  GHashTable *ended;   /* set of FbPoolJob whose results are kept for late callers; borrowed */
+  GHashTable *dirty;   /* set of FbPoolJob with changes that are not recorded yet; borrowed */
+  GPtrArray *in_flush; /* of FbPoolJob: the jobs in the open flush; borrowed */
+  GHashTable *orders;  /* order -> FbPoolOrderRef */
+  GQueue *unanswered_starts; /* of FbPoolUnansweredStart; the oldest at its head */
   GHashTable *suspects; /* set of FbPoolStep with tasks suspected of crashing workers; borrowed */
   GHashTable
       *unstored; /* set of FbPoolJob with suspects that other daemons may have to keep; borrowed */
-  GHashTable *causes;     /* rank of a crashed worker -> how many tasks may have caused the crash */
-  GHashTable *doubts;     /* id of a lost worker -> the tasks that were on it: see pool-doubt.c */
-  gboolean doubts_due;    /* the list of workers has changed, which may settle entries of DOUBTS */
-  gboolean hears_most;    /* a majority of the workers answered recently */
-  gboolean limit_reached; /* a task has reached the limit of crashes */
-  uint64_t jobs_read_ms;  /* every job stored before this time is known */
-  gboolean workers_dirty; /* the record of workers is out of date */
+  GHashTable *causes; /* id hash of a crashed worker -> how many tasks may have caused the crash */
+  GHashTable *unresolved_losses;  /* id of a lost worker -> the tasks that were on it: see
+                                     pool-unresolved-losses.c */
+  gboolean unresolved_losses_due; /* the list of workers has changed and may settle
+                                     UNRESOLVED_LOSSES */
+  gboolean majority_answers;      /* a majority of the workers answered recently */
+  gboolean limit_reached;         /* a task has reached the limit of crashes */
+  uint64_t jobs_read_ms;          /* every job stored before this time is known */
+  gboolean workers_dirty;         /* the record of workers is out of date */
   gboolean
       may_start; /* the owner was certain of its ownership at its last step, and not stopping */
-  gboolean place_due;  /* capacity, jobs or advice arrived since the last round */
-  uint64_t expired_ms; /* when expired results were last searched for */
-  uint64_t tended_ms;  /* when workers and due times were last checked */
-  const char *barred;  /* why nothing could start at BARRED_MS, a static text; NULL: never so */
-  uint64_t barred_ms;  /* when the pool could last not start anything */
+  gboolean place_due;           /* capacity, jobs or advice arrived since the last round */
+  uint64_t expired_ms;          /* when expired results were last searched for */
+  uint64_t last_maintenance_ms; /* when workers and due times were last checked */
+  const char
+      *no_start_reason; /* why nothing could start at NO_START_MS, a static text; NULL: never so */
+  uint64_t no_start_ms; /* when the pool could last not start anything */
 };
 
 /* The number of an attempt is higher than those of all earlier attempts at the task.  Earlier
@@ -94,18 +101,19 @@
  * from the epoch, which grows with each owner. */
 #define FB_POOL_ATTEMPTS_PER_EPOCH 4
 
-/* pool-ruling.c */
+/* pool-worker-advice.c */
 
 /* Returns: (nullable): borrowed; NULL when the advice service was not asked about WORKER. */
-const FbPoolRuling *fb_pool_ruling (const FbPoolStep *step, const FbPoolWorker *worker);
-/* The advice service was asked about WORKER, and has allowed it only if fb_pool_ruling_allow()
- * follows. */
-void fb_pool_ruling_note (FbPoolStep *step, const FbPoolWorker *worker);
-void fb_pool_ruling_allow (FbPoolStep *step, const FbPoolWorker *worker, const char *ticket,
-                           uint64_t valid_until_ms);
+const FbPoolWorkerAdvice *fb_pool_worker_advice (const FbPoolStep *step,
+                                                 const FbPoolWorker *worker);
+/* The advice service was asked about WORKER, and has allowed it only if
+ * fb_pool_worker_advice_allow() follows. */
+void fb_pool_worker_advice_asked (FbPoolStep *step, const FbPoolWorker *worker);
+void fb_pool_worker_advice_allow (FbPoolStep *step, const FbPoolWorker *worker, const char *ticket,
+                                  uint64_t valid_until_ms);
 /* The ticket for WORKER is no longer valid; the worker stays allowed. */
-void fb_pool_ruling_expire (FbPoolStep *step, const FbPoolWorker *worker);
-void fb_pool_rulings_clear (FbPoolStep *step);
+void fb_pool_worker_advice_expire_ticket (FbPoolStep *step, const FbPoolWorker *worker);
+void fb_pool_worker_advice_clear (FbPoolStep *step);
 
 /* pool-queue.c */
 
@@ -120,29 +128,29 @@
 void fb_pool_order_start (FbPool *self, FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
                           uint32_t attempt, uint64_t now_ms);
 void fb_pool_order_stop (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
-void fb_pool_order_look (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
+void fb_pool_order_poll (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
 /* TRUE while WORKER, which may restart under its id, has not received an acknowledgement. */
 gboolean fb_pool_owes_acknowledgement (const FbPoolWorker *worker);
 /* FALSE when polling WORKER right after its answer would return nothing new. */
-gboolean fb_pool_may_look_on (const FbPoolWorker *worker);
+gboolean fb_pool_may_poll_again (const FbPoolWorker *worker);
 /* TRUE while ORDER has no answer. */
 gboolean fb_pool_order_is_open (const FbPool *self, uint64_t order);
 /* Attributes answers to orders about RUN, which was on WORKER, to the same run on NEXT. */
 void fb_pool_orders_move (FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
                           const FbPoolWorker *next);
 /* Returns: when to repeat a failed poll of a worker that has never answered. */
-uint64_t fb_pool_first_look_again_ms (const FbPoolWorker *worker, uint64_t now_ms);
+uint64_t fb_pool_first_poll_retry_ms (const FbPoolWorker *worker, uint64_t now_ms);
 uint32_t fb_pool_next_attempt (const FbPool *self, const FbPoolStep *step, uint32_t index);
 /* RUN has certainly ended or never began: its capacity is free and its task is pending again.  HOW:
  * how it ended, a static text for the log. */
-void fb_pool_run_over (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *how,
-                       uint64_t now_ms);
+void fb_pool_run_ended (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *how,
+                        uint64_t now_ms);
 
 /* pool-report.c */
 
 /* Replaces zero members of LIMITS by the defaults. */
 void fb_pool_report_set_limits (FbPoolLimits *limits);
-void fb_pool_gang_stop (FbPool *self, FbPoolStep *step, uint64_t now_ms);
+void fb_pool_stop_gang (FbPool *self, FbPoolStep *step, uint64_t now_ms);
 /* Marks JOB as ended and stops its runs. */
 void fb_pool_job_end (FbPool *self, FbPoolJob *job, fb_work_state state, uint64_t now_ms,
                       uint64_t wall_ms);
@@ -154,9 +162,9 @@
 /* How the owner knows that all runs of an incarnation of a worker have ended. */
 typedef enum
 {
-  FB_LOSS_LEASE_ENDED, /* the worker may still be up, but without runs */
-  FB_LOSS_OTHER_LIFE,  /* another incarnation answers at its address */
-  FB_LOSS_LEFT         /* the worker is not listed, and nothing listens at its address */
+  FB_LOSS_LEASE_ENDED,       /* the worker may still be up, but without runs */
+  FB_LOSS_OTHER_INCARNATION, /* another incarnation answers at its address */
+  FB_LOSS_LEFT               /* the worker is not listed, and nothing listens at its address */
 } FbPoolLoss;
 
 /* All runs of this incarnation of WORKER have certainly ended.  NEXT: the incarnation that receives
@@ -164,59 +172,60 @@
 void fb_pool_worker_lost (FbPool *self, FbPoolWorker *worker, FbPoolLoss loss, FbPoolWorker *next,
                           uint64_t now_ms);
 
-/* pool-lives.c */
+/* pool-incarnations.c */
 
 /* WORKER has become known at its address. */
-void fb_pool_life_known (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
+void fb_pool_incarnation_known (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
 /* WORKER has answered a poll that was meant for it. */
-void fb_pool_life_answered (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
+void fb_pool_incarnation_answered (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
 /* WORKER is certainly the incarnation that runs at its address. */
-void fb_pool_life_set_latest (FbPool *self, FbPoolWorker *worker);
+void fb_pool_incarnation_set_latest (FbPool *self, FbPoolWorker *worker);
 /* Returns: the incarnation that runs in place of WORKER, which may be WORKER itself. */
-FbPoolWorker *fb_pool_life_running (const FbPool *self, FbPoolWorker *worker);
-void fb_pool_life_forget (FbPool *self, const FbPoolWorker *worker);
+FbPoolWorker *fb_pool_incarnation_running (const FbPool *self, FbPoolWorker *worker);
+void fb_pool_incarnation_forget (FbPool *self, const FbPoolWorker *worker);
 
-/* pool-return.c */
+/* pool-restart.c */
 
 /* Logs that ANSWER reports an older state than an earlier answer of WORKER. */
-void fb_pool_return_log_gone_back (const FbPoolWorker *worker, const FbLookAnswer *answer);
+void fb_pool_restart_log_stale (const FbPoolWorker *worker, const FbPollAnswer *answer);
 
-/* Returns: (transfer full): an empty list for fb_pool_late_start_note(). */
-GQueue *fb_pool_late_starts_new (void);
-void fb_pool_late_starts_free (GQueue *starts);
+/* Returns: (transfer full): an empty list for fb_pool_unanswered_start_add(). */
+GQueue *fb_pool_unanswered_starts_new (void);
+void fb_pool_unanswered_starts_free (GQueue *starts);
 /* A start that was sent at SENT_MS to an incarnation of the worker at ADDRESS got no answer: a
  * later incarnation may still carry it out. */
-void fb_pool_late_start_note (FbPool *self, const char *life, const char *address, const char *task,
-                              uint32_t attempt, uint64_t sent_ms, uint64_t now_ms);
+void fb_pool_unanswered_start_add (FbPool *self, const char *incarnation, const char *address,
+                                   const char *task, uint32_t attempt, uint64_t sent_ms,
+                                   uint64_t now_ms);
 /* WORKER has answered for the first time: tells it to refuse starts that were sent to earlier
  * incarnations and got no answer. */
-void fb_pool_late_starts_shut_out (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
+void fb_pool_unanswered_starts_reject (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
 /* TRUE while WORKER has to refuse an earlier start of task INDEX. */
-gboolean fb_pool_return_shuts_out (const FbPoolWorker *worker, const FbPoolStep *step,
-                                   uint32_t index);
-/* The incarnation LIFE answered instead of WORKER, under the same id. */
-void fb_pool_worker_returned (FbPool *self, FbPoolWorker *worker, const char *life,
-                              uint64_t now_ms);
+gboolean fb_pool_restart_rejects (const FbPoolWorker *worker, const FbPoolStep *step,
+                                  uint32_t index);
+/* INCARNATION answered instead of WORKER, under the same id. */
+void fb_pool_worker_restarted (FbPool *self, FbPoolWorker *worker, const char *incarnation,
+                               uint64_t now_ms);
 /* TRUE when a later incarnation of its worker may carry out RUN. */
-gboolean fb_pool_return_may_come (const FbPool *self, const FbPoolRun *run);
+gboolean fb_pool_restart_may_deliver (const FbPool *self, const FbPoolRun *run);
 /* RUN never started on a later incarnation, so it was on the one that it was sent to: counts the
  * crash of that one. */
-void fb_pool_return_count_crash (FbPool *self, const FbPoolRun *run, uint64_t now_ms);
+void fb_pool_restart_count_crash (FbPool *self, const FbPoolRun *run, uint64_t now_ms);
 /* WORKER has ended and NEXT receives calls that were meant for it.  Returns: FALSE when RUN has
  * ended with WORKER; TRUE when it is on NEXT, or may still be started there. */
-gboolean fb_pool_return_take_over (FbPool *self, FbPoolWorker *worker, FbPoolRun *run,
+gboolean fb_pool_restart_transfer (FbPool *self, FbPoolWorker *worker, FbPoolRun *run,
                                    FbPoolWorker *next, uint64_t now_ms);
 /* WORKER reports RUN, which this owner did not start there. */
-void fb_pool_return_found (FbPool *self, const FbPoolWorker *worker, FbPoolRun *run,
-                           uint64_t now_ms);
+void fb_pool_restart_found (FbPool *self, const FbPoolWorker *worker, FbPoolRun *run,
+                            uint64_t now_ms);
 /* WORKER reports RUN. */
-void fb_pool_return_listed (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
+void fb_pool_restart_listed (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
 /* TRUE when RUN, which might have been started on WORKER and is missing in its list of CLOCK_MS,
  * never will be. */
-gboolean fb_pool_return_is_over (const FbPool *self, const FbPoolWorker *worker,
-                                 const FbPoolRun *run, uint64_t clock_ms);
+gboolean fb_pool_restart_is_over (const FbPool *self, const FbPoolWorker *worker,
+                                  const FbPoolRun *run, uint64_t clock_ms);
 /* RUN is not reported and may still be started: tells WORKER to refuse it. */
-void fb_pool_return_shut_out (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
+void fb_pool_restart_reject (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
 
 /* pool-choose.c */
 
@@ -243,10 +252,10 @@
 gboolean fb_pool_worker_accepts_starts (const FbPoolWorker *worker, uint64_t now_ms);
 /* FALSE when no change since STEP was tried in this round or the last one can have made its
  * placement possible. */
-gboolean fb_pool_worth_a_look (FbPool *self, const FbPoolStep *step, uint64_t now_ms);
+gboolean fb_pool_step_may_fit (FbPool *self, const FbPoolStep *step, uint64_t now_ms);
 /* Returns: (nullable): borrowed; NULL when STEP has no valid ticket for WORKER. */
-const FbPoolRuling *fb_pool_valid_ticket (const FbPoolStep *step, const FbPoolWorker *worker,
-                                          uint64_t now_ms);
+const FbPoolWorkerAdvice *fb_pool_valid_ticket (const FbPoolStep *step, const FbPoolWorker *worker,
+                                                uint64_t now_ms);
 /* Returns: (nullable): the best worker for task INDEX.  RACK: only workers of this rack; NULL: of
  * any.  OTHER_THAN: a worker to leave out; NULL: none. */
 FbPoolWorker *fb_pool_best_worker (FbPool *self, const FbPoolStep *step, uint32_t index,
@@ -266,15 +275,15 @@
                            FbPoolWorker **chosen, uint64_t now_ms);
 guint fb_pool_step_waiting_n (const FbPoolStep *step);
 /* Reserves capacity for N tasks of STEP on the workers in CHOSEN. */
-void fb_pool_hold (FbPool *self, FbPoolStep *step, FbPoolWorker **chosen, guint n,
-                   uint64_t until_ms);
+void fb_pool_reserve (FbPool *self, FbPoolStep *step, FbPoolWorker **chosen, guint n,
+                      uint64_t until_ms);
 /* Releases the capacity reserved for STEP.  Returns: (transfer full): ids of the workers on which
- * it was reserved, for fb_pool_hold_again(). */
-GPtrArray *fb_pool_release_hold (FbPool *self, FbPoolStep *step);
+ * it was reserved, for fb_pool_reserve_again(). */
+GPtrArray *fb_pool_release_reservation (FbPool *self, FbPoolStep *step);
 /* Reserves again what was released, for at most MOST tasks, because some may have been placed
  * meanwhile. */
-void fb_pool_hold_again (FbPool *self, FbPoolStep *step, GPtrArray *held_on, guint most,
-                         uint64_t until_ms);
+void fb_pool_reserve_again (FbPool *self, FbPoolStep *step, GPtrArray *reserved_on, guint most,
+                            uint64_t until_ms);
 
 /* pool-preempt.c */
 
@@ -297,9 +306,9 @@
 void fb_pool_ask_ahead (FbPool *self, FbPoolJob *job, uint64_t now_ms);
 
 /* Attaches runs that workers reported before JOB was known; they keep their capacity. */
-void fb_pool_bind_runs (FbPool *self, const FbPoolJob *job);
+void fb_pool_adopt_runs (FbPool *self, const FbPoolJob *job);
 /* Stops runs on WORKER that certainly belong to no job. */
-void fb_pool_stop_strays (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
+void fb_pool_stop_orphans (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
 
 /* pool-copy.c */
 
@@ -307,44 +316,46 @@
 void fb_pool_place_copies (FbPool *self, uint64_t now_ms);
 /* RUN was started or reported: it becomes the run of TASK, or its copy if TASK already has a
  * run. */
-void fb_pool_task_take_run (FbPoolTask *task, FbPoolRun *run);
+void fb_pool_task_attach_run (FbPoolTask *task, FbPoolRun *run);
 /* RUN has ended; a copy takes its place. */
-void fb_pool_task_drop_run (FbPoolTask *task, const FbPoolRun *run);
+void fb_pool_task_detach_run (FbPoolTask *task, const FbPoolRun *run);
 
-/* pool-settle.c */
+/* pool-recovery.c */
 
 /* Checks whether recovery is complete, that is, whether everything that may run is known. */
-void fb_pool_settle (FbPool *self, uint64_t now_ms);
+void fb_pool_check_recovery (FbPool *self, uint64_t now_ms);
 /* TRUE when a majority of the workers has answered under this epoch: tasks that certainly run
  * nowhere may start. */
 gboolean fb_pool_may_place (const FbPool *self);
 /* TRUE when no earlier owner can have started a job that this owner does not know yet. */
-gboolean fb_pool_is_untouched (const FbPool *self);
+gboolean fb_pool_has_no_earlier_starts (const FbPool *self);
 /* JOB is being added: its tasks wait for ends that workers have reported and that belonged to no
  * known job. */
-void fb_pool_hear_ends_first (FbPool *self, FbPoolJob *job, uint64_t now_ms);
+void fb_pool_await_unknown_ends (FbPool *self, FbPoolJob *job, uint64_t now_ms);
 /* TRUE while a task of STEP may run, or may have ended, on a worker that has not answered yet. */
-gboolean fb_pool_may_run_unheard (const FbPool *self, const FbPoolStep *step);
+gboolean fb_pool_may_run_unconfirmed (const FbPool *self, const FbPoolStep *step);
 
 /* pool-place.c */
 void fb_pool_place (FbPool *self, uint64_t now_ms);
 
-/* pool-lasting.c: for long-running steps; calls for other steps have no effect. */
+/* pool-long-running.c: for long-running steps; calls for other steps have no effect. */
 
 /* The last run of task INDEX has ended; not called for a start that was never carried out.  HOW:
  * how it ended, a static text for the log. */
-void fb_pool_lasting_over (FbPoolStep *step, uint32_t index, const char *how, uint64_t now_ms);
+void fb_pool_long_running_ended (FbPoolStep *step, uint32_t index, const char *how,
+                                 uint64_t now_ms);
 /* A round could not place all tasks of STEP.  REASON: a static text for the log. */
-void fb_pool_lasting_waits (const FbPool *self, FbPoolStep *step, const char *reason,
-                            uint64_t now_ms);
-void fb_pool_lasting_waits_no_more (FbPoolStep *step);
+void fb_pool_long_running_waits (const FbPool *self, FbPoolStep *step, const char *reason,
+                                 uint64_t now_ms);
+void fb_pool_long_running_wait_over (FbPoolStep *step);
 /* SKIPPED: set of tasks to leave out; NULL: none.  Returns: the index of the pending task of STEP
  * that has been down for longest, or of one that never ran if there is no other; the number of
  * tasks when none is pending. */
-uint32_t fb_pool_lasting_next (const FbPool *self, const FbPoolStep *step, GHashTable *skipped);
+uint32_t fb_pool_long_running_next (const FbPool *self, const FbPoolStep *step,
+                                    GHashTable *skipped);
 /* A start of RUN was sent. */
-void fb_pool_lasting_started (const FbPool *self, FbPoolStep *step, const FbPoolRun *run,
-                              uint64_t now_ms);
+void fb_pool_long_running_started (const FbPool *self, FbPoolStep *step, const FbPoolRun *run,
+                                   uint64_t now_ms);
 
 /* pool-stuck.c */
 
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -31,7 +31,7 @@
   uint32_t mem_mb;
   uint32_t gpu_count;
   gboolean draining;
-  gboolean returns; /* a later incarnation may receive calls that are meant for this one */
+  gboolean may_restart; /* a later incarnation may receive calls that are meant for this one */
 } FbWorkerEntry;
 
 typedef struct
@@ -39,26 +39,26 @@
   char *task;
   uint32_t attempt;
   char *checkpoint;
-} FbRunSeen;
+} FbReportedRun;
 
 typedef enum
 {
   FB_END_DONE,
   FB_END_FAILED,
   FB_END_STOPPED,
-  FB_END_LAPSED,
-  FB_END_BROKEN, /* another member of its gang ended */
-  FB_END_ALONE   /* the rest of its gang did not start in time */
-} FbEndHow;
+  FB_END_LEASE_EXPIRED,
+  FB_END_GANG_BROKEN, /* another member of its gang ended */
+  FB_END_GANG_TIMEOUT /* the rest of its gang did not start in time */
+} FbEndReason;
 
 typedef struct
 {
   uint64_t number; /* grows during one incarnation of the worker */
   char *task;
   uint32_t attempt;
-  FbEndHow how;
+  FbEndReason how;
   char *checkpoint;
-} FbEndSeen;
+} FbReportedEnd;
 
 /* How a worker answered an order. */
 typedef enum
@@ -66,11 +66,11 @@
   FB_ORDER_DONE,
   FB_ORDER_FENCED,     /* the worker has seen a higher epoch */
   FB_ORDER_SUPERSEDED, /* the worker already has this attempt or a higher one */
-  FB_ORDER_LATE,
-  FB_ORDER_NO_ROOM,
+  FB_ORDER_PAST_DEADLINE,
+  FB_ORDER_NO_CAPACITY,
   FB_ORDER_BAD_TICKET,
-  FB_ORDER_NOT_DONE,    /* the order was certainly not carried out */
-  FB_ORDER_OTHER_LIFE,  /* another incarnation of a worker is at this address */
+  FB_ORDER_NOT_DONE,          /* the order was certainly not carried out */
+  FB_ORDER_OTHER_INCARNATION, /* another incarnation of a worker is at this address */
   FB_ORDER_NO_LISTENER, /* the host reports that nothing listens at the address; the order was not
                            carried out */
   FB_ORDER_UNKNOWN      /* no valid answer: the order may have been carried out, or may be later */
@@ -83,11 +83,11 @@
 {
   FbOrderResult result;
   uint64_t clock_ms; /* the worker's clock; 0: not reported */
-  GArray *running;   /* of FbRunSeen; NULL unless RESULT is FB_ORDER_DONE */
-  GArray *finished;  /* of FbEndSeen; NULL unless RESULT is FB_ORDER_DONE */
-  char *life; /* with FB_ORDER_OTHER_LIFE: id of the incarnation that answered, if it accepts calls
-                 that are meant for the one that was asked; NULL otherwise */
-} FbLookAnswer;
+  GArray *running;   /* of FbReportedRun; NULL unless RESULT is FB_ORDER_DONE */
+  GArray *finished;  /* of FbReportedEnd; NULL unless RESULT is FB_ORDER_DONE */
+  char *incarnation; /* with FB_ORDER_OTHER_INCARNATION: id of the incarnation that answered, if it
+                 accepts calls that are meant for the one that was asked; NULL otherwise */
+} FbPollAnswer;
 
 /* ---- orders --------------------------------------------------------------- */
 
@@ -125,37 +125,37 @@
       deadline_ms;  /* new end of the lease, on the worker's clock; 0: the lease is not extended */
   uint32_t wait_ms; /* how long the worker may delay its answer while it has nothing to report */
   uint32_t answer_ms; /* the poll has failed when no answer has come this long after WAIT_MS */
-} FbLookOrder;
+} FbPollOrder;
 
 /* Callbacks of the pool's owner.  All arguments are borrowed for the duration of the call. */
 typedef struct
 {
   void (*start) (gpointer user, const FbStartOrder *order);
   void (*stop) (gpointer user, const FbStopOrder *order);
-  void (*look) (gpointer user, const FbLookOrder *order);
+  void (*poll) (gpointer user, const FbPollOrder *order);
   /* Asks the advice service which of the N WORKERS may run STEP.  EXPECTED_MS: time that the
    * service needs for the answer.  Returns: FALSE when no daemon can forward the question now. */
   gboolean (*advise) (gpointer user, const char *step, const char *const *workers, guint n,
                       uint32_t expected_ms);
   /* WORKER has seen a higher epoch: the pool must not be used any more. */
   void (*fenced) (gpointer user, const char *worker);
-  /* Returns: TRUE when the incarnation LIFE began after OTHER, under the same id.  NULL: no worker
+  /* Returns: TRUE when INCARNATION began after OTHER, under the same id.  NULL: no worker
    * restarts under its id. */
-  gboolean (*follows) (const char *life, const char *other);
+  gboolean (*is_newer_incarnation) (const char *incarnation, const char *other);
 } FbPoolSink;
 
 /* Limits that are configured for the site. */
 typedef struct
 {
-  uint32_t hold_max_ms; /* longest lease that a worker grants */
-  uint32_t stop_ms;     /* longest time that a stop takes */
+  uint32_t max_lease_ms; /* longest lease that a worker grants */
+  uint32_t max_stop_ms;  /* longest time that a stop takes */
   uint32_t gang_wait_ms;
   /* How many workers may crash under a task before its job is given up: when nothing else that ran
    * on one of them could have caused the crash, and in any case. 0: the pool's default. */
-  uint32_t crashes_n;
-  uint32_t shared_crashes_n;
+  uint32_t max_isolated_crashes;
+  uint32_t max_shared_crashes;
   /* Ended runs that a worker lists in one answer; 0: the pool's default. */
-  uint32_t ends_listed_n;
+  uint32_t max_reported_ends;
 } FbPoolLimits;
 
 /* ---- life ------------------------------------------------------------------ */
@@ -194,13 +194,13 @@
 void fb_pool_jobs_read (FbPool *self, uint64_t until_ms);
 /* Adds starts by earlier owners that other daemons remember and that may be missing in the records;
  * starts in other pools are skipped. */
-void fb_pool_recall_starts (FbPool *self, const fb_told_starts *reply, uint64_t now_ms);
+void fb_pool_import_starts (FbPool *self, const fb_recent_starts_reply *reply, uint64_t now_ms);
 void fb_pool_cancel (FbPool *self, const char *job, uint64_t now_ms, uint64_t wall_ms);
 /* Replaces the policies of queues.  POLICIES: name of a queue -> fb_work_policy; a queue that is
  * not in the table keeps its policy. */
 void fb_pool_policies (FbPool *self, GHashTable *policies);
 
-void fb_pool_look_answered (FbPool *self, const char *worker, const FbLookAnswer *answer,
+void fb_pool_poll_answered (FbPool *self, const char *worker, const FbPollAnswer *answer,
                             uint64_t now_ms, uint64_t wall_ms);
 void fb_pool_start_answered (FbPool *self, uint64_t order, FbOrderResult result, uint64_t clock_ms,
                              uint64_t now_ms);
@@ -209,11 +209,11 @@
 /* The advice service answered a question about STEP that named the N workers in ASKED.  REPLY: the
  * answer; NULL: the question failed. */
 void fb_pool_advised (FbPool *self, const char *step, const char *const *asked, guint n,
-                      const fb_told_advice *reply, uint64_t now_ms);
+                      const fb_advice_reply *reply, uint64_t now_ms);
 
 /* Advances the pool to NOW_MS and, with MAY_START, starts the tasks that can start.  To be called
  * after events and at least every 100 ms. */
-void fb_pool_step (FbPool *self, gboolean may_start, uint64_t now_ms, uint64_t wall_ms);
+void fb_pool_tick (FbPool *self, gboolean may_start, uint64_t now_ms, uint64_t wall_ms);
 
 /* ---- durability -------------------------------------------------------------- */
 
@@ -237,13 +237,13 @@
   char *job;
   GBytes *suspects; /* encoded fb_work_suspects; NULL: stored meanwhile, or no task is suspected any
                        more */
-} FbPoolUnstored;
+} FbPoolUnstoredSuspects;
 
-/* Returns: (transfer full): FbPoolUnstored entries that other daemons are to keep for the next
- * owner while the store is unavailable, or to forget; NULL when there is nothing new. */
-GPtrArray *fb_pool_unstored (FbPool *self, uint64_t now_ms);
+/* Returns: (transfer full): FbPoolUnstoredSuspects entries that other daemons are to keep for the
+ * next owner while the store is unavailable, or to forget; NULL when there is nothing new. */
+GPtrArray *fb_pool_take_unstored_suspects (FbPool *self, uint64_t now_ms);
 /* Another daemon has kept SUSPECTS of JOB for an earlier owner. */
-void fb_pool_recall_unstored (FbPool *self, const char *job, const fb_work_suspects *suspects,
+void fb_pool_import_suspects (FbPool *self, const char *job, const fb_work_suspects *suspects,
                               uint64_t now_ms);
 
 /* ---- queries ------------------------------------------------------------------ */
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -48,9 +48,9 @@
 typedef struct
 {
   const FbPoolWorker *worker;
-  gboolean unheard;     /* the step waits for this worker unless the advice forbids it */
-  double free_rank;     /* 0: it has no capacity for the task now; the higher, the better */
-  uint64_t tie_breaker; /* breaks ties, differently for each step */
+  gboolean unconfirmed_workers; /* the step waits for this worker unless the advice forbids it */
+  double free_rank;             /* 0: it has no capacity for the task now; the higher, the better */
+  uint64_t tie_breaker;         /* breaks ties, differently for each step */
 } Candidate;
 
 static gint
@@ -58,8 +58,8 @@
 {
   const Candidate *x = a;
   const Candidate *y = b;
-  if (x->unheard != y->unheard)
-    return x->unheard ? -1 : 1;
+  if (x->unconfirmed_workers != y->unconfirmed_workers)
+    return x->unconfirmed_workers ? -1 : 1;
   if (x->free_rank != y->free_rank)
     return x->free_rank > y->free_rank ? -1 : 1;
   return (x->tie_breaker > y->tie_breaker) - (x->tie_breaker < y->tie_breaker);
@@ -68,8 +68,9 @@
 static gboolean
 can_be_named (const FbPoolWorker *worker, const FbPoolStep *step)
 {
-  return worker->listed && !worker->draining && !worker->gone
-         && fb_pool_worker_could_run (worker, step->shape) && fb_pool_ruling (step, worker) == NULL;
+  return worker->listed && !worker->draining && !worker->runs_ended
+         && fb_pool_worker_could_run (worker, step->shape)
+         && fb_pool_worker_advice (step, worker) == NULL;
 }
 
 /* Returns: the rank of WORKER by free capacity.  Members of a gang need whole workers, so the
@@ -103,7 +104,7 @@
 static guint
 max_named_first (const FbPoolStep *step)
 {
-  if (step->shape->gang || step->shape->lasting)
+  if (step->shape->gang || step->shape->long_running)
     return MAX_NAMED;
   guint most = MIN (step->shape->count, MAX_NAMED) * NAMED_PER_TASK;
   return CLAMP (most, MIN_NAMED, MAX_NAMED);
@@ -112,11 +113,11 @@
 static guint
 max_named (const FbPool *self, const FbPoolStep *step)
 {
-  if (step->urgency != FB_URGENCY_INTERRUPTED)
+  if (step->urgency != FB_URGENCY_RESTARTING)
     return max_named_first (step);
-  guint unheard = self->settled ? 0 : self->unheard->len;
+  guint unconfirmed_workers = self->recovered ? 0 : self->unconfirmed_workers->len;
   guint waiting = MAX (fb_pool_step_waiting_n (step), 1);
-  return MIN (MAX_NAMED, NAMED_PER_RESTARTING_TASK * waiting + unheard);
+  return MIN (MAX_NAMED, NAMED_PER_RESTARTING_TASK * waiting + unconfirmed_workers);
 }
 
 /* TRUE when a later question about STEP may name a worker with this rank by free capacity.  For
@@ -130,7 +131,7 @@
 static gboolean
 is_worth_naming (const FbPoolStep *step, double free_rank)
 {
-  return !step->ruled || step->shape->gang || free_rank > 0;
+  return !step->has_advice || step->shape->gang || free_rank > 0;
 }
 
 /* Returns: (transfer container): ids of workers that were never named for STEP.  For the first
@@ -143,20 +144,20 @@
 static GPtrArray *
 unnamed_workers (FbPool *self, const FbPoolStep *step, uint64_t now_ms)
 {
-  self->visits_n += self->roster->len;
+  self->visits_n += self->worker_slots->len;
   g_autoptr (GArray) candidates = g_array_new (FALSE, FALSE, sizeof (Candidate));
   uint64_t seed = XXH64 (step->job->id, strlen (step->job->id), step->index);
   guint slot = 0;
   const FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       if (!can_be_named (worker, step))
         continue;
       const Candidate candidate
           = { .worker = worker,
-              .unheard = !self->settled && !worker->answered,
+              .unconfirmed_workers = !self->recovered && !worker->answered,
               .free_rank = free_rank_of (worker, step, now_ms),
-              .tie_breaker = XXH64 (&worker->rank, sizeof worker->rank, seed) };
+              .tie_breaker = XXH64 (&worker->id_hash, sizeof worker->id_hash, seed) };
       if (is_worth_naming (step, candidate.free_rank))
         g_array_append_val (candidates, candidate);
     }
@@ -183,8 +184,8 @@
 static uint64_t
 reservation_slack_ms (const FbPoolStep *step)
 {
-  return step->urgency == FB_URGENCY_INTERRUPTED ? RESTARTING_RESERVATION_SLACK_MS
-                                                 : RESERVATION_SLACK_MS;
+  return step->urgency == FB_URGENCY_RESTARTING ? RESTARTING_RESERVATION_SLACK_MS
+                                                : RESERVATION_SLACK_MS;
 }
 
 /* For how many tasks of STEP other work is preempted at once. */
@@ -202,8 +203,8 @@
 static guint
 max_renewed (const FbPoolStep *step)
 {
-  return step->shape->lasting ? MIN (fb_pool_step_waiting_n (step), MAX_NAMED)
-                              : max_preempted (step);
+  return step->shape->long_running ? MIN (fb_pool_step_waiting_n (step), MAX_NAMED)
+                                   : max_preempted (step);
 }
 
 static guint
@@ -213,7 +214,7 @@
     return 0;
   step->preemption_tried_ms = now_ms;
   guint most = max_preempted (step);
-  uint64_t wait_ms = MAX (self->limits.stop_ms, question_ms (step, most));
+  uint64_t wait_ms = MAX (self->limits.max_stop_ms, question_ms (step, most));
   return fb_pool_preempt (self, step, most, chosen,
                           now_ms + wait_ms + MAX (STOP_SLACK_MS, reservation_slack_ms (step)),
                           now_ms);
@@ -258,10 +259,10 @@
   GPtrArray *ids = ids_of (chosen, n);
   if (n == 0)
     return ids;
-  if (step->shape->lasting && n < most)
+  if (step->shape->long_running && n < most)
     add_unnamed (self, step, ids, most - n, now_ms);
-  fb_pool_hold (self, step, chosen, n,
-                now_ms + question_ms (step, ids->len) + reservation_slack_ms (step));
+  fb_pool_reserve (self, step, chosen, n,
+                   now_ms + question_ms (step, ids->len) + reservation_slack_ms (step));
   return ids;
 }
 
@@ -269,7 +270,7 @@
 static uint64_t
 preemption_ms (const FbPool *self)
 {
-  return self->limits.stop_ms + STOP_SLACK_MS;
+  return self->limits.max_stop_ms + STOP_SLACK_MS;
 }
 
 static gboolean
@@ -294,7 +295,7 @@
   uint64_t freed_ms = now_ms + preemption_ms (self);
   if (n == 0 || !tickets_are_valid (step, chosen, n, freed_ms))
     return ids_of (chosen, n);
-  step->held_until_ms = freed_ms;
+  step->reserved_until_ms = freed_ms;
   return g_ptr_array_new ();
 }
 
@@ -314,7 +315,7 @@
 static GPtrArray *
 workers_to_ask (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
-  if (!step->ruled)
+  if (!step->has_advice)
     return unnamed_workers (self, step, now_ms);
   if (!step->released)
     return g_ptr_array_new ();
@@ -371,7 +372,7 @@
 {
   if (!step->job->record.policy.advised)
     {
-      if (step->released && step->held_on->len == 0)
+      if (step->released && step->reserved_on->len == 0)
         preempt_unadvised (self, step, now_ms);
       return TRUE;
     }
@@ -385,7 +386,7 @@
     return TRUE;
   if (send_question (self, step, ids, now_ms))
     return TRUE;
-  g_ptr_array_unref (fb_pool_release_hold (self, step));
+  g_ptr_array_unref (fb_pool_release_reservation (self, step));
   return FALSE;
 }
 
@@ -403,14 +404,14 @@
 gboolean
 fb_pool_ask_first_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
-  if (!step->job->record.policy.advised || step->ruled)
+  if (!step->job->record.policy.advised || step->has_advice)
     return TRUE;
   return fb_pool_ask_advice (self, step, now_ms);
 }
 
 void
 fb_pool_advised (FbPool *self, const char *name, const char *const *asked, guint n,
-                 const fb_told_advice *reply, uint64_t now_ms)
+                 const fb_advice_reply *reply, uint64_t now_ms)
 {
   FbPoolStep *step = fb_pool_find_step (self, name);
   if (step == NULL)
@@ -425,14 +426,14 @@
     {
       const FbPoolWorker *worker = g_hash_table_lookup (self->workers, asked[i]);
       if (worker != NULL)
-        fb_pool_ruling_note (step, worker);
+        fb_pool_worker_advice_asked (step, worker);
     }
   for (u_int i = 0; i < reply->tickets.tickets_len; i++)
     {
       const fb_ticket *ticket = &reply->tickets.tickets_val[i];
       const FbPoolWorker *worker = g_hash_table_lookup (self->workers, ticket->worker);
       if (worker != NULL)
-        fb_pool_ruling_allow (step, worker, ticket->ticket, now_ms + reply->validity_ms);
+        fb_pool_worker_advice_allow (step, worker, ticket->ticket, now_ms + reply->validity_ms);
     }
   fb_event_log (FB_EVENT_ADVISED, "step=%s asked=%u allowed=%u validity_ms=%u", name, n,
                 reply->tickets.tickets_len, reply->validity_ms);
--- a/src/work/pool-lasting.c
+++ b/src/work/pool-long-running.c
@@ -17,7 +17,7 @@
 } Interruption;
 
 /* State of a long-running step, allocated when one of its runs ends or a round cannot place it. */
-struct _FbPoolLasting
+struct _FbPoolLongRunning
 {
   const char *reason;        /* why the step is not placed: static text; NULL: it does not wait */
   uint64_t reason_since_ms;  /* since when REASON applies */
@@ -26,68 +26,71 @@
   Interruption tasks[];
 };
 
-static FbPoolLasting *
+static FbPoolLongRunning *
 ensure_state (FbPoolStep *step)
 {
-  if (step->lasting == NULL)
-    step->lasting = g_malloc0 (sizeof (FbPoolLasting) + step->shape->count * sizeof (Interruption));
-  return step->lasting;
+  if (step->long_running == NULL)
+    step->long_running
+        = g_malloc0 (sizeof (FbPoolLongRunning) + step->shape->count * sizeof (Interruption));
+  return step->long_running;
 }
 
 static void
-clear_wait (FbPoolLasting *lasting)
+clear_wait (FbPoolLongRunning *long_running)
 {
-  lasting->reason = NULL;
-  lasting->logged_ms = 0;
+  long_running->reason = NULL;
+  long_running->logged_ms = 0;
 }
 
 void
-fb_pool_lasting_over (FbPoolStep *step, uint32_t index, const char *how, uint64_t now_ms)
+fb_pool_long_running_ended (FbPoolStep *step, uint32_t index, const char *how, uint64_t now_ms)
 {
-  if (!step->shape->lasting)
+  if (!step->shape->long_running)
     return;
-  FbPoolLasting *lasting = ensure_state (step);
-  lasting->tasks[index] = (Interruption){ .ended_ms = now_ms, .how = how };
+  FbPoolLongRunning *long_running = ensure_state (step);
+  long_running->tasks[index] = (Interruption){ .ended_ms = now_ms, .how = how };
   if (fb_pool_step_waiting_n (step) <= 1)
-    clear_wait (lasting);
+    clear_wait (long_running);
 }
 
 static void
 log_long_wait (const FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
-  FbPoolLasting *lasting = step->lasting;
-  uint64_t from_ms = lasting->logged_ms != 0 ? lasting->logged_ms : lasting->waiting_since_ms;
+  FbPoolLongRunning *long_running = step->long_running;
+  uint64_t from_ms
+      = long_running->logged_ms != 0 ? long_running->logged_ms : long_running->waiting_since_ms;
   if (now_ms < from_ms + LOGGED_WAIT_MS)
     return;
-  lasting->logged_ms = now_ms;
+  long_running->logged_ms = now_ms;
   g_autofree char *name = fb_pool_step_name (step);
   fb_event_log (
       FB_EVENT_LASTING_WAITS,
       "step=%s tasks=%u of=%u waited_ms=%u waits_for=%s for_ms=%u epoch=%" G_GUINT64_FORMAT, name,
       fb_pool_step_waiting_n (step), step->shape->count,
-      (guint) (now_ms - lasting->waiting_since_ms), lasting->reason,
-      (guint) (now_ms - lasting->reason_since_ms), self->epoch);
+      (guint) (now_ms - long_running->waiting_since_ms), long_running->reason,
+      (guint) (now_ms - long_running->reason_since_ms), self->epoch);
 }
 
 void
-fb_pool_lasting_waits (const FbPool *self, FbPoolStep *step, const char *reason, uint64_t now_ms)
+fb_pool_long_running_waits (const FbPool *self, FbPoolStep *step, const char *reason,
+                            uint64_t now_ms)
 {
-  if (!step->shape->lasting)
+  if (!step->shape->long_running)
     return;
-  FbPoolLasting *lasting = ensure_state (step);
-  if (lasting->reason == NULL)
-    lasting->waiting_since_ms = now_ms;
-  if (lasting->reason != reason)
-    lasting->reason_since_ms = now_ms;
-  lasting->reason = reason;
+  FbPoolLongRunning *long_running = ensure_state (step);
+  if (long_running->reason == NULL)
+    long_running->waiting_since_ms = now_ms;
+  if (long_running->reason != reason)
+    long_running->reason_since_ms = now_ms;
+  long_running->reason = reason;
   log_long_wait (self, step, now_ms);
 }
 
 void
-fb_pool_lasting_waits_no_more (FbPoolStep *step)
+fb_pool_long_running_wait_over (FbPoolStep *step)
 {
-  if (step->lasting != NULL)
-    clear_wait (step->lasting);
+  if (step->long_running != NULL)
+    clear_wait (step->long_running);
 }
 
 /* Returns: the interruption of task INDEX.  For a job that an earlier owner accepted, and of which
@@ -95,16 +98,16 @@
 static Interruption
 interruption_of (const FbPool *self, const FbPoolStep *step, uint32_t index)
 {
-  if (step->lasting != NULL && step->lasting->tasks[index].ended_ms != 0)
-    return step->lasting->tasks[index];
+  if (step->long_running != NULL && step->long_running->tasks[index].ended_ms != 0)
+    return step->long_running->tasks[index];
   const FbPoolJob *job = step->job;
-  if (job->restored && !job->untouched && job->admitted_ms < self->began_ms)
+  if (job->restored && !job->never_started && job->admitted_ms < self->began_ms)
     return (Interruption){ .ended_ms = self->began_ms, .how = "not known" };
   return (Interruption){ 0 };
 }
 
 uint32_t
-fb_pool_lasting_next (const FbPool *self, const FbPoolStep *step, GHashTable *skipped)
+fb_pool_long_running_next (const FbPool *self, const FbPoolStep *step, GHashTable *skipped)
 {
   uint32_t next = step->shape->count;
   uint64_t next_ended_ms = 0;
@@ -128,25 +131,25 @@
 last_wait_reason (const FbPool *self, const FbPoolStep *step, uint64_t ended_ms, uint64_t now_ms,
                   uint64_t *for_ms)
 {
-  const FbPoolLasting *lasting = step->lasting;
-  if (lasting != NULL && lasting->reason != NULL)
+  const FbPoolLongRunning *long_running = step->long_running;
+  if (long_running != NULL && long_running->reason != NULL)
     {
-      *for_ms = now_ms - MAX (lasting->reason_since_ms, ended_ms);
-      return lasting->reason;
+      *for_ms = now_ms - MAX (long_running->reason_since_ms, ended_ms);
+      return long_running->reason;
     }
-  if (self->barred_ms >= ended_ms && self->barred != NULL)
+  if (self->no_start_ms >= ended_ms && self->no_start_reason != NULL)
     {
-      *for_ms = self->barred_ms - ended_ms;
-      return self->barred;
+      *for_ms = self->no_start_ms - ended_ms;
+      return self->no_start_reason;
     }
   return "nothing";
 }
 
 void
-fb_pool_lasting_started (const FbPool *self, FbPoolStep *step, const FbPoolRun *run,
-                         uint64_t now_ms)
+fb_pool_long_running_started (const FbPool *self, FbPoolStep *step, const FbPoolRun *run,
+                              uint64_t now_ms)
 {
-  if (!step->shape->lasting)
+  if (!step->shape->long_running)
     return;
   const Interruption interruption = interruption_of (self, step, run->index);
   if (interruption.ended_ms == 0)
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -14,7 +14,7 @@
     return;
   FbPoolWorker *worker
       = fb_pool_best_worker (self, step, index, NULL, NULL, FB_TICKET_VALID, now_ms);
-  if (worker != NULL && !fb_pool_crash_waits_for_calm (worker, &step->tasks[index], now_ms))
+  if (worker != NULL && !fb_pool_crash_waits_for_stable (worker, &step->tasks[index], now_ms))
     fb_pool_order_start (self, worker, step, index, fb_pool_next_attempt (self, step, index),
                          now_ms);
 }
@@ -28,8 +28,8 @@
   while (step->waiting_from < step->shape->count
          && !fb_pool_task_waits (&step->tasks[step->waiting_from]))
     step->waiting_from++;
-  if (step->urgency == FB_URGENCY_INTERRUPTED)
-    return fb_pool_lasting_next (self, step, deferred);
+  if (step->urgency == FB_URGENCY_RESTARTING)
+    return fb_pool_long_running_next (self, step, deferred);
   uint32_t i = MAX (from, step->waiting_from);
   while (i < step->shape->count && !fb_pool_task_waits (&step->tasks[i]))
     i++;
@@ -38,17 +38,17 @@
 
 /* The reservation on WORKER has been used: it must not be restored. */
 static void
-drop_used_reservation (GPtrArray *held_on, const FbPoolWorker *worker)
+drop_used_reservation (GPtrArray *reserved_on, const FbPoolWorker *worker)
 {
   guint position = 0;
-  if (g_ptr_array_find_with_equal_func (held_on, worker->id, g_str_equal, &position))
-    g_ptr_array_remove_index (held_on, position);
+  if (g_ptr_array_find_with_equal_func (reserved_on, worker->id, g_str_equal, &position))
+    g_ptr_array_remove_index (reserved_on, position);
 }
 
-/* HELD_ON: ids of the workers on which capacity was reserved; those that get a task are removed.
- * Returns: TRUE when no task is left without capacity. */
+/* RESERVED_ON: ids of the workers on which capacity was reserved; those that get a task are
+ * removed. Returns: TRUE when no task is left without capacity. */
 static gboolean
-place_tasks (FbPool *self, FbPoolStep *step, GPtrArray *held_on, uint64_t now_ms)
+place_tasks (FbPool *self, FbPoolStep *step, GPtrArray *reserved_on, uint64_t now_ms)
 {
   if (fb_pool_probe_is_on (step))
     place_probe (self, step, now_ms);
@@ -63,14 +63,14 @@
           = fb_pool_best_worker (self, step, i, NULL, NULL, FB_TICKET_VALID, now_ms);
       if (worker == NULL)
         return FALSE;
-      if (fb_pool_crash_waits_for_calm (worker, task, now_ms))
+      if (fb_pool_crash_waits_for_stable (worker, task, now_ms))
         {
           deferred = deferred != NULL ? deferred : g_hash_table_new (NULL, NULL);
           g_hash_table_add (deferred, task);
           continue;
         }
       fb_pool_order_start (self, worker, step, i, fb_pool_next_attempt (self, step, i), now_ms);
-      drop_used_reservation (held_on, worker);
+      drop_used_reservation (reserved_on, worker);
     }
   return TRUE;
 }
@@ -117,7 +117,7 @@
   g_autofree char *checkpoint = g_strdup (gang_checkpoint (step));
   for (uint32_t i = 0; i < step->shape->count; i++)
     {
-      fb_pool_task_save (step, i, checkpoint);
+      fb_pool_task_set_checkpoint (step, i, checkpoint);
       fb_pool_order_start (self, chosen[i], step, i, attempt, now_ms);
     }
   return TRUE;
@@ -156,27 +156,28 @@
 try_step (FbPool *self, FbPoolStep *step, guint position, uint64_t now_ms)
 {
   gboolean advised = step->job->record.policy.advised;
-  gboolean unheard = fb_pool_may_run_unheard (self, step);
-  if (unheard || (advised && !step->ruled))
+  gboolean unconfirmed_workers = fb_pool_may_run_unconfirmed (self, step);
+  if (unconfirmed_workers || (advised && !step->has_advice))
     {
       gboolean can_ask = fb_pool_ask_first_advice (self, step, now_ms);
-      fb_pool_lasting_waits (self, step, unheard ? "take-over" : wait_reason (step, can_ask),
-                             now_ms);
+      fb_pool_long_running_waits (
+          self, step, unconfirmed_workers ? "take-over" : wait_reason (step, can_ask), now_ms);
       return can_ask;
     }
-  uint64_t held_until_ms = step->held_until_ms;
-  g_autoptr (GPtrArray) held_on = fb_pool_release_hold (self, step);
+  uint64_t reserved_until_ms = step->reserved_until_ms;
+  g_autoptr (GPtrArray) reserved_on = fb_pool_release_reservation (self, step);
   gboolean placed = step->shape->gang ? place_gang (self, step, now_ms)
-                                      : place_tasks (self, step, held_on, now_ms);
+                                      : place_tasks (self, step, reserved_on, now_ms);
   if (placed)
     {
-      fb_pool_lasting_waits_no_more (step);
+      fb_pool_long_running_wait_over (step);
       return TRUE;
     }
-  if (now_ms < held_until_ms)
+  if (now_ms < reserved_until_ms)
     {
-      fb_pool_lasting_waits (self, step, wait_reason (step, TRUE), now_ms);
-      fb_pool_hold_again (self, step, held_on, fb_pool_step_waiting_n (step), held_until_ms);
+      fb_pool_long_running_waits (self, step, wait_reason (step, TRUE), now_ms);
+      fb_pool_reserve_again (self, step, reserved_on, fb_pool_step_waiting_n (step),
+                             reserved_until_ms);
       return TRUE;
     }
   gboolean can_ask = fb_pool_ask_advice (self, step, now_ms);
@@ -184,7 +185,7 @@
   if (can_ask)
     step->last_failed_round = self->round;
   step->retry_at_ms = now_ms + MAX (RETRY_MS, position * RETRY_PER_POSITION_MS);
-  fb_pool_lasting_waits (self, step, wait_reason (step, can_ask), now_ms);
+  fb_pool_long_running_waits (self, step, wait_reason (step, can_ask), now_ms);
   return can_ask;
 }
 
@@ -192,8 +193,8 @@
 clear_gained_capacity (FbPool *self, guint n)
 {
   for (guint i = 0; i < n; i++)
-    ((FbPoolWorker *) self->opened->pdata[i])->opened = FALSE;
-  g_ptr_array_remove_range (self->opened, 0, n);
+    ((FbPoolWorker *) self->gained_capacity->pdata[i])->gained_capacity = FALSE;
+  g_ptr_array_remove_range (self->gained_capacity, 0, n);
 }
 
 /* Tries the step at POSITION if it may succeed.  Returns: FALSE when it could not ask for
@@ -202,9 +203,9 @@
 try_position (FbPool *self, guint position, uint64_t now_ms)
 {
   FbPoolStep *step = self->waiting->pdata[position];
-  if (step->advice_until_ms != 0 && now_ms < step->held_until_ms)
+  if (step->advice_until_ms != 0 && now_ms < step->reserved_until_ms)
     return TRUE; /* its capacity stays reserved until the advice arrives */
-  if (fb_pool_worth_a_look (self, step, now_ms))
+  if (fb_pool_step_may_fit (self, step, now_ms))
     return try_step (self, step, position, now_ms);
   step->last_failed_round = self->round;
   return TRUE;
@@ -243,7 +244,7 @@
   if (self->resume_position == 0)
     {
       self->round++;
-      self->round_opened_n = self->opened->len;
+      self->round_gained_n = self->gained_capacity->len;
     }
   gboolean can_ask = retry_passed_steps (self, now_ms);
   for (; self->resume_position < self->waiting->len && !self->fenced
@@ -256,7 +257,7 @@
       return;
     }
   self->resume_position = 0;
-  clear_gained_capacity (self, MIN (self->round_opened_n, self->opened->len));
+  clear_gained_capacity (self, MIN (self->round_gained_n, self->gained_capacity->len));
   if (can_ask)
     ask_ahead (self, now_ms);
 }
--- a/src/work/pool-preempt.c
+++ b/src/work/pool-preempt.c
@@ -30,11 +30,11 @@
 static gboolean
 is_preemptible (const FbPoolRun *run, const FbPoolStep *to, uint64_t now_ms)
 {
-  if (run->step == NULL || run->state != FB_RUN_RUNNING || run->given_up)
+  if (run->step == NULL || run->state != FB_RUN_RUNNING || run->abandoned)
     return FALSE;
   const fb_work_step *shape = run->step->shape;
-  if (!shape->checkpointing || shape->gang || shape->lasting
-      || run->step->tasks[run->index].gave_way)
+  if (!shape->checkpointing || shape->gang || shape->long_running
+      || run->step->tasks[run->index].was_preempted)
     return FALSE;
   return run->step->job->record.policy.priority > to->job->record.policy.priority
          && slack_ms (run->step, now_ms) > MAX (slack_ms (to, now_ms), 0) + MIN_EXTRA_SLACK_MS;
@@ -47,7 +47,7 @@
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       GHashTableIter runs;
       gpointer run;
@@ -81,9 +81,9 @@
 static gboolean
 is_overcommitted (const FbPoolWorker *worker)
 {
-  return worker->cpu_used + worker->cpu_held > worker->cpu_milli
-         || worker->mem_used + worker->mem_held > worker->mem_mb
-         || worker->gpu_used + worker->gpu_held > worker->gpu_count;
+  return worker->cpu_used + worker->cpu_reserved > worker->cpu_milli
+         || worker->mem_used + worker->mem_reserved > worker->mem_mb
+         || worker->gpu_used + worker->gpu_reserved > worker->gpu_count;
 }
 
 /* Stops runs on WORKER until the capacity reserved for STEP will be free once they have ended. */
@@ -99,7 +99,7 @@
       fb_event_log (FB_EVENT_TASK_PREEMPTED, "task=%s attempt=%u worker=%s for=%s priority=%u",
                     run->name, run->attempt, worker->id, step->job->id,
                     step->job->record.policy.priority);
-      run->step->tasks[run->index].gave_way = TRUE;
+      run->step->tasks[run->index].was_preempted = TRUE;
       fb_counter_add (FB_COUNTER_PREEMPTIONS, 1);
       fb_pool_order_stop (self, worker, run, now_ms);
       fb_pool_worker_charge (worker, run, -1);
@@ -119,7 +119,7 @@
   charge_preemptible (self, step, 1, now_ms);
   if (n == 0)
     return 0;
-  fb_pool_hold (self, step, chosen, n, until_ms);
+  fb_pool_reserve (self, step, chosen, n, until_ms);
   for (guint i = 0; i < n; i++)
     preempt_runs (self, chosen[i], step, now_ms);
   return n;
