--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -42,7 +42,7 @@
   uint64_t majority_ms;      /* when a majority of the workers had answered; 0: not yet */
   gboolean workers_complete; /* fb_pool_workers_complete() was called */
   gboolean recovered;        /* recovery is complete: this owner knows everything that can run */
-  GPtrArray *unconfirmed_workers; /* of FbPoolWorker that may hold unknown runs, as of this step;
+  GPtrArray *unconfirmed_workers; /* of FbPoolWorker that may have unknown runs, as of this step;
                                      borrowed */
   gboolean fenced;   /* a worker has seen a higher epoch: the pool must not be used any more */
   gboolean flushing; /* a flush is open */
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -19,7 +19,7 @@
 
 typedef struct _FbPool FbPool;
 
-/* ---- what workers say --------------------------------------------------- */
+/* ---- reports of workers --------------------------------------------------- */
 
 typedef struct
 {
@@ -158,7 +158,7 @@
   uint32_t max_reported_ends;
 } FbPoolLimits;
 
-/* ---- life ------------------------------------------------------------------ */
+/* ---- creation -------------------------------------------------------------- */
 
 FbPool *fb_pool_new (const char *service, uint64_t epoch, const FbPoolLimits *limits,
                      const FbPoolSink *sink, gpointer user, uint64_t now_ms);
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -48,9 +48,9 @@
 typedef struct
 {
   const FbPoolWorker *worker;
-  gboolean unconfirmed_workers; /* the step waits for this worker unless the advice forbids it */
-  double free_rank;             /* 0: it has no capacity for the task now; the higher, the better */
-  uint64_t tie_breaker;         /* breaks ties, differently for each step */
+  gboolean unconfirmed; /* the step waits for this worker unless the advice forbids it */
+  double free_rank;     /* 0: it has no capacity for the task now; the higher, the better */
+  uint64_t tie_breaker; /* breaks ties, differently for each step */
 } Candidate;
 
 static gint
@@ -58,8 +58,8 @@
 {
   const Candidate *x = a;
   const Candidate *y = b;
-  if (x->unconfirmed_workers != y->unconfirmed_workers)
-    return x->unconfirmed_workers ? -1 : 1;
+  if (x->unconfirmed != y->unconfirmed)
+    return x->unconfirmed ? -1 : 1;
   if (x->free_rank != y->free_rank)
     return x->free_rank > y->free_rank ? -1 : 1;
   return (x->tie_breaker > y->tie_breaker) - (x->tie_breaker < y->tie_breaker);
@@ -115,9 +115,9 @@
 {
   if (step->urgency != FB_URGENCY_RESTARTING)
     return max_named_first (step);
-  guint unconfirmed_workers = self->recovered ? 0 : self->unconfirmed_workers->len;
+  guint unconfirmed = self->recovered ? 0 : self->unconfirmed_workers->len;
   guint waiting = MAX (fb_pool_step_waiting_n (step), 1);
-  return MIN (MAX_NAMED, NAMED_PER_RESTARTING_TASK * waiting + unconfirmed_workers);
+  return MIN (MAX_NAMED, NAMED_PER_RESTARTING_TASK * waiting + unconfirmed);
 }
 
 /* TRUE when a later question about STEP may name a worker with this rank by free capacity.  For
@@ -155,7 +155,7 @@
         continue;
       const Candidate candidate
           = { .worker = worker,
-              .unconfirmed_workers = !self->recovered && !worker->answered,
+              .unconfirmed = !self->recovered && !worker->answered,
               .free_rank = free_rank_of (worker, step, now_ms),
               .tie_breaker = XXH64 (&worker->id_hash, sizeof worker->id_hash, seed) };
       if (is_worth_naming (step, candidate.free_rank))
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -156,12 +156,12 @@
 try_step (FbPool *self, FbPoolStep *step, guint position, uint64_t now_ms)
 {
   gboolean advised = step->job->record.policy.advised;
-  gboolean unconfirmed_workers = fb_pool_may_run_unconfirmed (self, step);
-  if (unconfirmed_workers || (advised && !step->has_advice))
+  gboolean unconfirmed = fb_pool_may_run_unconfirmed (self, step);
+  if (unconfirmed || (advised && !step->has_advice))
     {
       gboolean can_ask = fb_pool_ask_first_advice (self, step, now_ms);
-      fb_pool_long_running_waits (
-          self, step, unconfirmed_workers ? "take-over" : wait_reason (step, can_ask), now_ms);
+      fb_pool_long_running_waits (self, step,
+                                  unconfirmed ? "take-over" : wait_reason (step, can_ask), now_ms);
       return can_ask;
     }
   uint64_t reserved_until_ms = step->reserved_until_ms;
--- a/tests/test-pool.c
+++ b/tests/test-pool.c
@@ -18,13 +18,13 @@
 {
   FbPool *pool;
   uint64_t now_ms;
-  GHashTable *admitted;   /* job -> fb_work_admit, as stored */
-  GHashTable *progress;   /* job -> GBytes, the progress record as stored */
-  GHashTable *kept;       /* job -> GBytes, the suspects that other daemons keep */
-  GBytes *stored_workers; /* the stored record of the pool's workers; NULL: none */
-  GHashTable *workers;    /* id -> the words of its line, used to list it again to the next owner */
-  GHashTable *starts;     /* task, and task/attempt -> order number of the last start */
-  GHashTable *stops;      /* task -> order number of the last stop */
+  GHashTable *admitted;        /* job -> fb_work_admit, as stored */
+  GHashTable *progress;        /* job -> GBytes, the progress record as stored */
+  GHashTable *suspect_backups; /* job -> GBytes, the suspects that other daemons keep */
+  GBytes *stored_workers;      /* the stored record of the pool's workers; NULL: none */
+  GHashTable *workers; /* id -> the words of its line, used to list it again to the next owner */
+  GHashTable *starts;  /* task, and task/attempt -> order number of the last start */
+  GHashTable *stops;   /* task -> order number of the last stop */
   GHashTable *used_workers; /* set of ids of workers on which something was started */
   GPtrArray *flush;         /* the open flush; NULL: none */
   gboolean show_polls;
@@ -59,7 +59,7 @@
   exit (2);
 }
 
-/* ---- words of a line -------------------------------------------------------- */
+/* ---- arguments of a line -------------------------------------------------------- */
 
 static const char *
 option (const Script *script, const char *name)
@@ -86,7 +86,7 @@
   return g_strv_contains ((const char *const *) script->args + 1, name);
 }
 
-/* ---- orders that come out ------------------------------------------------------ */
+/* ---- orders of the pool ------------------------------------------------------ */
 
 static void
 record_order (GHashTable *table, const char *task, uint64_t order)
@@ -380,7 +380,7 @@
   printf ("  %u pending\n", fb_pool_pending (script->pool, script->args[1]));
 }
 
-/* ---- what workers say ------------------------------------------------------------------ */
+/* ---- reports of workers ------------------------------------------------------------------ */
 
 static FbOrderResult
 result_from (const Script *script, const char *name)
@@ -486,17 +486,17 @@
   const char *list = option (script, "allowed");
   g_auto (GStrv) allowed = g_strsplit (list != NULL ? list : "", ",", -1);
   guint n = g_strv_length (allowed);
-  fb_advice_reply told = { .validity_ms = (u_int) number (script, "valid", 2000) };
-  told.tickets.tickets_len = n;
-  told.tickets.tickets_val = calloc (n + 1, sizeof (fb_ticket));
+  fb_advice_reply reply = { .validity_ms = (u_int) number (script, "valid", 2000) };
+  reply.tickets.tickets_len = n;
+  reply.tickets.tickets_val = calloc (n + 1, sizeof (fb_ticket));
   for (guint i = 0; i < n; i++)
     {
-      told.tickets.tickets_val[i].worker = allowed[i];
-      told.tickets.tickets_val[i].ticket = "t";
+      reply.tickets.tickets_val[i].worker = allowed[i];
+      reply.tickets.tickets_val[i].ticket = "t";
     }
-  fb_pool_advised (script->pool, step, (const char *const *) asked, g_strv_length (asked), &told,
+  fb_pool_advised (script->pool, step, (const char *const *) asked, g_strv_length (asked), &reply,
                    script->now_ms);
-  free (told.tickets.tickets_val);
+  free (reply.tickets.tickets_val);
 }
 
 /* ---- time and records ---------------------------------------------------------------------- */
@@ -577,8 +577,8 @@
   const char *address = option (script, "address") != NULL ? option (script, "address") : worker;
   fb_recent_start start
       = { (char *) worker, (char *) address, task, (u_int) atoi (parts[1]), flag (script, "seen") };
-  const fb_recent_starts_reply told = { { 1, &start } };
-  fb_pool_import_starts (script->pool, &told, script->now_ms);
+  const fb_recent_starts_reply reply = { { 1, &start } };
+  fb_pool_import_starts (script->pool, &reply, script->now_ms);
 }
 
 /* keep: other daemons receive the suspects that they have to keep, or to forget. */
@@ -591,9 +591,10 @@
       const FbPoolUnstoredSuspects *row = unstored->pdata[i];
       printf ("  %s %s\n", row->suspects != NULL ? "keep" : "forget", strip_zeros (row->job));
       if (row->suspects != NULL)
-        g_hash_table_replace (script->kept, g_strdup (row->job), g_bytes_ref (row->suspects));
+        g_hash_table_replace (script->suspect_backups, g_strdup (row->job),
+                              g_bytes_ref (row->suspects));
       else
-        g_hash_table_remove (script->kept, row->job);
+        g_hash_table_remove (script->suspect_backups, row->job);
     }
 }
 
@@ -604,7 +605,7 @@
   GHashTableIter iter;
   gpointer job;
   gpointer value;
-  g_hash_table_iter_init (&iter, script->kept);
+  g_hash_table_iter_init (&iter, script->suspect_backups);
   while (g_hash_table_iter_next (&iter, &job, &value))
     {
       gsize len = 0;
@@ -696,7 +697,7 @@
   fb_event_set_quiet (TRUE);
   g_log_set_writer_func (print_event, NULL, NULL);
   Script script = { .now_ms = BEGIN_MS, .questions_left = G_MAXUINT64 };
-  script.kept
+  script.suspect_backups
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify) g_bytes_unref);
   script.admitted = g_hash_table_new (g_str_hash, g_str_equal);
   script.progress = g_hash_table_new (g_str_hash, g_str_equal);
