--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -68,15 +68,15 @@
   const fb_work_step *shape; /* borrowed from the job's record */
   FbPoolTask *tasks;         /* SHAPE->count entries */
   uint32_t done_n;
-  uint32_t timed_n;      /* successful runs that this owner started from the beginning */
-  uint64_t timed_ms;     /* their total duration */
-  uint32_t waiting_from; /* no task before this index is pending */
-  uint32_t gang_attempt; /* number of the latest attempt of the gang; 0: none yet */
-  guint crashed_n;       /* workers that crashed under its tasks since one of them ran well */
-  uint64_t crashed_last; /* id hash of the worker that crashed last */
-  uint64_t crashed_ms;   /* when that crash became known */
-  gboolean released;     /* all preceding steps are done, and the occurrence is due */
-  gboolean gang_broken;  /* a member ended or was refused, so the others are being stopped */
+  uint32_t timed_runs_n;   /* successful runs that this owner started from the beginning */
+  uint64_t timed_total_ms; /* their total duration */
+  uint32_t waiting_from;   /* no task before this index is pending */
+  uint32_t gang_attempt;   /* number of the latest attempt of the gang; 0: none yet */
+  guint crashed_n;         /* workers that crashed under its tasks since one of them ran well */
+  uint64_t crashed_last;   /* id hash of the worker that crashed last */
+  uint64_t crashed_ms;     /* when that crash became known */
+  gboolean released;       /* all preceding steps are done, and the occurrence is due */
+  gboolean gang_broken;    /* a member ended or was refused, so the others are being stopped */
   FbPoolWorkerAdvice *worker_advice; /* by worker slot */
   guint worker_advice_n;
   gboolean has_advice;          /* the advice service has answered about some worker */
@@ -110,13 +110,13 @@
   gboolean restored;      /* an earlier owner may have used attempts that no record mentions */
   gboolean never_started; /* no earlier owner can have started any task of the job */
   gboolean advised_when_stored; /* its queue used the advice service when the job was stored */
-  gboolean kept;                /* other daemons keep the suspected tasks of the job */
+  gboolean has_backup;          /* other daemons keep the suspected tasks of the job */
   gboolean unstored_changed;    /* the suspected tasks have changed since then */
   uint32_t suspects_version;    /* grows with each crash or suspected crash under its tasks */
   uint32_t suspects_version_flushing; /* value of SUSPECTS_VERSION in the open flush */
   uint32_t suspects_version_stored;   /* value of SUSPECTS_VERSION that is durable */
   gboolean awaits_unknown_ends; /* when the job was added, workers reported ends of unknown jobs */
-  uint64_t taken_ms;            /* when it was added to this pool */
+  uint64_t added_ms;            /* when it was added to this pool */
   uint64_t admitted_ms;         /* when it was accepted, on the pool's clock */
   uint64_t objective_ms;        /* when its caller wants it, on the pool's clock */
   uint64_t worthless_ms;        /* when it is no longer worth anything */
@@ -172,6 +172,6 @@
 FbPoolSpeed *fb_pool_speed_new (void);
 void fb_pool_speed_unref (FbPoolSpeed *speed);
 /* TASK ran for TOOK_MS on the worker with SPEED. */
-void fb_pool_speed_note (FbPoolTask *task, FbPoolSpeed *speed, uint32_t took_ms);
+void fb_pool_speed_record_run (FbPoolTask *task, FbPoolSpeed *speed, uint32_t took_ms);
 /* STEP has ended: updates the speeds of the workers of its runs. */
 void fb_pool_speed_learn (FbPoolStep *step);
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -53,7 +53,7 @@
   uint32_t last_incarnation;
   GHashTable *latest; /* address -> FbPoolWorker, the incarnation there that began last; borrowed */
   GHashTable
-      *closed; /* id -> steps that the previous owner recorded, for FbPoolWorker.drain_steps */
+      *drain_steps; /* id -> steps that the previous owner recorded, for FbPoolWorker.drain_steps */
   GPtrArray *
       gained_capacity; /* of FbPoolWorker whose capacity has grown since the last round; borrowed */
   GPtrArray *waiting;  /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
@@ -65,10 +65,11 @@
   guint
       round_gained_n; /* how many entries of GAINED_CAPACITY there were when the open round began */
   uint32_t visits_n;  /* workers and runs visited in this turn of the round */
-  GHashTable *timed;  /* set of FbPoolJob with occurrences or steps to release; borrowed */
-  GHashTable *chained; /* set of FbPoolJob with steps that depend on others; borrowed */
-  GHashTable *jobs;    /* id -> FbPoolJob */
-  GHashTable *active;  /* set of FbPoolJob that have not ended; borrowed */
+  GHashTable *jobs_to_release; /* set of FbPoolJob with occurrences or steps to release; borrowed */
+  GHashTable
+      *jobs_with_dependencies; /* set of FbPoolJob with steps that depend on others; borrowed */
+  GHashTable *jobs;            /* id -> FbPoolJob */
+  GHashTable *active;          /* set of FbPoolJob that have not ended; borrowed */
   GHashTable *ended;   /* set of FbPoolJob whose results are kept for late callers; borrowed */
   GHashTable *dirty;   /* set of FbPoolJob with changes that are not recorded yet; borrowed */
   GPtrArray *in_flush; /* of FbPoolJob: the jobs in the open flush; borrowed */
@@ -88,7 +89,7 @@
   gboolean workers_dirty;         /* the record of workers is out of date */
   gboolean
       may_start; /* the owner was certain of its ownership at its last step, and not stopping */
-  gboolean place_due;           /* capacity, jobs or advice arrived since the last round */
+  gboolean round_due;           /* capacity, jobs or advice arrived since the last round */
   uint64_t expired_ms;          /* when expired results were last searched for */
   uint64_t last_maintenance_ms; /* when workers and due times were last checked */
   const char
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -416,7 +416,7 @@
   FbPoolStep *step = fb_pool_find_step (self, name);
   if (step == NULL)
     return;
-  self->place_due = TRUE;
+  self->round_due = TRUE;
   step->advice_until_ms = 0;
   step->retry_at_ms = 0;
   step->last_advice_ms = now_ms;
--- a/src/work/pool-drain.c
+++ b/src/work/pool-drain.c
@@ -75,13 +75,13 @@
   GHashTable *steps = set_new ();
   for (u_int i = 0; i < known->steps.steps_len; i++)
     g_hash_table_add (steps, g_strdup (known->steps.steps_val[i].name));
-  g_hash_table_replace (self->closed, g_strdup (known->id), steps);
+  g_hash_table_replace (self->drain_steps, g_strdup (known->id), steps);
 }
 
 void
 fb_pool_drain_apply (FbPool *self, FbPoolWorker *worker)
 {
-  GHashTable *steps = g_hash_table_lookup (self->closed, worker->id);
+  GHashTable *steps = g_hash_table_lookup (self->drain_steps, worker->id);
   if (steps == NULL || worker->drain_steps != NULL)
     return;
   worker->drain_steps = g_hash_table_ref (steps);
--- a/src/work/pool-job.c
+++ b/src/work/pool-job.c
@@ -130,7 +130,7 @@
 {
   step->waiting_from = MIN (step->waiting_from, index);
   fb_pool_queue_add (self, step);
-  self->place_due = TRUE;
+  self->round_due = TRUE;
 }
 
 gboolean
@@ -158,8 +158,8 @@
 uint64_t
 fb_pool_step_scaled_run_ms (const FbPoolStep *step, uint32_t percent, uint32_t factor)
 {
-  if (step->timed_n >= MIN_ENDED_RUNS)
-    return step->timed_ms / step->timed_n * percent / 100;
+  if (step->timed_runs_n >= MIN_ENDED_RUNS)
+    return step->timed_total_ms / step->timed_runs_n * percent / 100;
   return (uint64_t) step->shape->estimate_ms * factor;
 }
 
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -230,7 +230,7 @@
 {
   GHashTableIter iter;
   gpointer job;
-  g_hash_table_iter_init (&iter, self->chained);
+  g_hash_table_iter_init (&iter, self->jobs_with_dependencies);
   while (g_hash_table_iter_next (&iter, &job, NULL))
     fb_pool_ask_ahead (self, job, now_ms);
 }
@@ -253,7 +253,7 @@
     can_ask &= try_position (self, self->resume_position, now_ms);
   if (self->resume_position < self->waiting->len && !self->fenced)
     {
-      self->place_due = TRUE;
+      self->round_due = TRUE;
       return;
     }
   self->resume_position = 0;
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -82,7 +82,7 @@
   if (self->unconfirmed_workers->len > 0)
     return;
   self->recovered = TRUE;
-  self->place_due = TRUE;
+  self->round_due = TRUE;
   break_partial_gangs (self, now_ms);
   fb_event_log (FB_EVENT_POOL_SETTLED,
                 "service=%s epoch=%" G_GUINT64_FORMAT " workers=%u jobs=%u active=%u took_ms=%u",
@@ -133,7 +133,7 @@
   const FbPoolWorker *worker = NULL;
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      if (worker->has_unknown_end && worker->last_answer_ms <= job->taken_ms)
+      if (worker->has_unknown_end && worker->last_answer_ms <= job->added_ms)
         return TRUE;
     }
   job->awaits_unknown_ends = FALSE;
@@ -145,7 +145,7 @@
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  job->taken_ms = now_ms;
+  job->added_ms = now_ms;
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       if (!worker->has_unknown_end)
--- a/src/work/pool-speed.c
+++ b/src/work/pool-speed.c
@@ -41,7 +41,7 @@
 }
 
 void
-fb_pool_speed_note (FbPoolTask *task, FbPoolSpeed *speed, uint32_t took_ms)
+fb_pool_speed_record_run (FbPoolTask *task, FbPoolSpeed *speed, uint32_t took_ms)
 {
   fb_pool_speed_unref (task->worker_speed);
   task->worker_speed = speed_ref (speed);
--- a/src/work/pool-unstored-suspects.c
+++ b/src/work/pool-unstored-suspects.c
@@ -55,9 +55,9 @@
 add (GPtrArray *all, FbPoolJob *job, GBytes *suspects)
 {
   job->unstored_changed = FALSE;
-  if (suspects == NULL && !job->kept)
+  if (suspects == NULL && !job->has_backup)
     return;
-  job->kept = suspects != NULL;
+  job->has_backup = suspects != NULL;
   FbPoolUnstoredSuspects *unstored = g_new0 (FbPoolUnstoredSuspects, 1);
   unstored->job = g_strdup (job->id);
   unstored->suspects = suspects;
@@ -102,5 +102,5 @@
   fb_pool_crash_restore (self, job, suspects, now_ms);
   fb_pool_job_changed (self, job);
   fb_pool_unstored_suspects_add (self, job);
-  job->kept = TRUE;
+  job->has_backup = TRUE;
 }
--- a/src/work/pool-worker-slots.c
+++ b/src/work/pool-worker-slots.c
@@ -57,7 +57,7 @@
 void
 fb_pool_worker_gained_capacity (FbPool *self, FbPoolWorker *worker)
 {
-  self->place_due = TRUE;
+  self->round_due = TRUE;
   if (worker->gained_capacity)
     return;
   worker->gained_capacity = TRUE;
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -29,8 +29,8 @@
   self->gained_capacity = g_ptr_array_new ();
   self->waiting = g_ptr_array_new ();
   self->unmerged = g_ptr_array_new ();
-  self->timed = g_hash_table_new (NULL, NULL);
-  self->chained = g_hash_table_new (NULL, NULL);
+  self->jobs_to_release = g_hash_table_new (NULL, NULL);
+  self->jobs_with_dependencies = g_hash_table_new (NULL, NULL);
   self->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, fb_pool_job_free);
   self->active = g_hash_table_new (NULL, NULL);
   self->ended = g_hash_table_new (NULL, NULL);
@@ -39,8 +39,8 @@
   self->unstored = g_hash_table_new (NULL, NULL);
   self->causes = fb_pool_crash_causes_new ();
   self->unresolved_losses = fb_pool_unresolved_losses_new ();
-  self->closed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
-                                        (GDestroyNotify) g_hash_table_unref);
+  self->drain_steps = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
+                                             (GDestroyNotify) g_hash_table_unref);
   self->in_flush = g_ptr_array_new ();
   self->unconfirmed_workers = g_ptr_array_new ();
   self->orders = fb_pool_orders_new ();
@@ -59,9 +59,9 @@
   g_ptr_array_unref (self->gained_capacity);
   g_ptr_array_unref (self->waiting);
   g_ptr_array_unref (self->unmerged);
-  g_hash_table_unref (self->closed);
-  g_hash_table_unref (self->timed);
-  g_hash_table_unref (self->chained);
+  g_hash_table_unref (self->drain_steps);
+  g_hash_table_unref (self->jobs_to_release);
+  g_hash_table_unref (self->jobs_with_dependencies);
   g_hash_table_unref (self->active);
   g_hash_table_unref (self->ended);
   g_hash_table_unref (self->dirty);
@@ -287,10 +287,10 @@
   g_hash_table_add (self->active, job);
   (void) fb_pool_job_release (self, job, wall_ms); /* cannot complete: no task has ended yet */
   if (job->record.spec.occurrences > 0)
-    g_hash_table_add (self->timed, job);
+    g_hash_table_add (self->jobs_to_release, job);
   if (job->record.spec.steps.steps_len > 1)
-    g_hash_table_add (self->chained, job);
-  self->place_due = TRUE;
+    g_hash_table_add (self->jobs_with_dependencies, job);
+  self->round_due = TRUE;
   fb_pool_adopt_runs (self, job);
   fb_event_log (
       FB_EVENT_JOB_TAKEN, "job=%s queue=%s steps=%u restored=%d age_ms=%u objective_ms=%u", id,
@@ -324,14 +324,15 @@
       g_hash_table_insert (self->jobs, job->id, job);
     }
   fb_pool_job_restore (job, record);
-  g_hash_table_add (self->timed, job); /* tasks that are already done may release further steps */
+  g_hash_table_add (self->jobs_to_release,
+                    job); /* tasks that are already done may release further steps */
   if (!fb_pool_job_ended (job))
     {
       fb_pool_crash_restore (self, job, suspects, now_ms);
       return;
     }
-  g_hash_table_remove (self->timed, job);
-  g_hash_table_remove (self->chained, job);
+  g_hash_table_remove (self->jobs_to_release, job);
+  g_hash_table_remove (self->jobs_with_dependencies, job);
   g_hash_table_remove (self->active, job);
   g_hash_table_add (self->ended, job);
 }
@@ -383,14 +384,14 @@
 static void
 release_due (FbPool *self, uint64_t now_ms, uint64_t wall_ms)
 {
-  g_autoptr (GList) jobs = g_hash_table_get_keys (self->timed);
+  g_autoptr (GList) jobs = g_hash_table_get_keys (self->jobs_to_release);
   for (GList *l = jobs; l != NULL; l = l->next)
     {
       FbPoolJob *job = l->data;
       if (fb_pool_job_release (self, job, wall_ms))
         fb_pool_job_end (self, job, FB_WORK_COMPLETED, now_ms, wall_ms);
       if (job->next_occurrence >= job->record.spec.occurrences)
-        g_hash_table_remove (self->timed, job);
+        g_hash_table_remove (self->jobs_to_release, job);
     }
 }
 
@@ -417,9 +418,9 @@
     }
   if (maintenance_due)
     release_due (self, now_ms, wall_ms);
-  if (!maintenance_due && !self->place_due)
+  if (!maintenance_due && !self->round_due)
     return;
-  self->place_due = FALSE;
+  self->round_due = FALSE;
   fb_pool_place (self, now_ms);
   if (maintenance_due && self->resume_position == 0)
     fb_pool_place_copies (self, now_ms);
--- a/tools/pool-mutants.sh
+++ b/tools/pool-mutants.sh
@@ -21,7 +21,7 @@
 silent-worker-ignored|pool-recovery.c|      if ((!worker->answered \|\| worker->has_unknown_end) \&\& !worker->runs_ended|      if (FALSE
 closed-worker-holds-nothing|pool-drain.c|    g_hash_table_add (steps, step_of_task (name));|    g_hash_table_remove (steps, name);
 late-comer-too-soon|pool-recovery.c|worker->listed_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS + FB_POOL_START_WINDOW_MS|worker->listed_ms > 0
-unread-end-ignored|pool-recovery.c|      if (worker->has_unknown_end \&\& worker->last_answer_ms <= job->taken_ms)|      if (FALSE)
+unread-end-ignored|pool-recovery.c|      if (worker->has_unknown_end \&\& worker->last_answer_ms <= job->added_ms)|      if (FALSE)
 absent-behind-an-unread-end|pool-report.c|  if (!worker->has_unknown_end)|  if (TRUE)
 unheard-holds-nothing|pool-recovery.c|      if (may_hold (self->unconfirmed_workers->pdata[i], step))|      if (FALSE)
 not-asked-is-not-allowed|pool-recovery.c|  return advice == NULL \|\| advice->allowed;|  return advice != NULL ? advice->allowed : FALSE;
