--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -42,7 +42,7 @@
   uint64_t majority_ms;      /* when a majority of the workers had answered; 0: not yet */
   gboolean workers_complete; /* fb_pool_workers_complete() was called */
   gboolean recovered;        /* recovery is complete: this owner knows everything that can run */
-  GPtrArray *unconfirmed_workers; /* of FbPoolWorker that may have unknown runs, as of this step;
+  GPtrArray *unconfirmed_workers; /* of FbPoolWorker that may have unknown runs, as of this tick;
                                      borrowed */
   gboolean fenced;   /* a worker has seen a higher epoch: the pool must not be used any more */
   gboolean flushing; /* a flush is open */
@@ -53,11 +53,11 @@
   uint32_t last_incarnation;
   GHashTable *latest; /* address -> FbPoolWorker, the incarnation there that began last; borrowed */
   GHashTable
-      *drain_steps; /* id -> steps that the previous owner recorded, for FbPoolWorker.drain_steps */
-  GPtrArray *
-      gained_capacity; /* of FbPoolWorker whose capacity has grown since the last round; borrowed */
-  GPtrArray *waiting;  /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
-  GPtrArray *unmerged; /* of FbPoolStep not merged into WAITING yet; borrowed */
+      *drain_steps; /* id -> steps recorded by the previous owner, for FbPoolWorker.drain_steps */
+  GPtrArray
+      *gained_capacity; /* of FbPoolWorker with more capacity than in the last round; borrowed */
+  GPtrArray *waiting;   /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
+  GPtrArray *unmerged;  /* of FbPoolStep not merged into WAITING yet; borrowed */
   uint32_t refused_question_kinds; /* bits of question_kind() that no daemon could forward in this
                                       round */
   uint64_t round;                  /* number of the current placement round */
@@ -76,8 +76,7 @@
   GHashTable *orders;  /* order -> FbPoolOrderRef */
   GQueue *unanswered_starts; /* of FbPoolUnansweredStart; the oldest at its head */
   GHashTable *suspects; /* set of FbPoolStep with tasks suspected of crashing workers; borrowed */
-  GHashTable
-      *unstored; /* set of FbPoolJob with suspects that other daemons may have to keep; borrowed */
+  GHashTable *unstored; /* set of FbPoolJob with suspects to be kept by other daemons; borrowed */
   GHashTable *causes; /* id hash of a crashed worker -> how many tasks may have caused the crash */
   GHashTable *unresolved_losses;  /* id of a lost worker -> the tasks that were on it: see
                                      pool-unresolved-losses.c */
@@ -88,13 +87,13 @@
   uint64_t jobs_read_ms;          /* every job stored before this time is known */
   gboolean workers_dirty;         /* the record of workers is out of date */
   gboolean
-      may_start; /* the owner was certain of its ownership at its last step, and not stopping */
+      may_start; /* at the last tick the owner was certain of its ownership, and not stopping */
   gboolean round_due;           /* capacity, jobs or advice arrived since the last round */
   uint64_t expired_ms;          /* when expired results were last searched for */
   uint64_t last_maintenance_ms; /* when workers and due times were last checked */
   const char
       *no_start_reason; /* why nothing could start at NO_START_MS, a static text; NULL: never so */
-  uint64_t no_start_ms; /* when the pool could last not start anything */
+  uint64_t no_start_ms; /* the last time when nothing could start; 0: never */
 };
 
 /* The number of an attempt is higher than those of all earlier attempts at the task.  Earlier
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -64,11 +64,11 @@
 typedef enum
 {
   FB_ORDER_DONE,
-  FB_ORDER_FENCED,     /* the worker has seen a higher epoch */
-  FB_ORDER_SUPERSEDED, /* the worker already has this attempt or a higher one */
-  FB_ORDER_PAST_DEADLINE,
+  FB_ORDER_FENCED,        /* the worker has seen a higher epoch */
+  FB_ORDER_SUPERSEDED,    /* the worker already has this attempt or a higher one */
+  FB_ORDER_PAST_DEADLINE, /* the order arrived after its deadline */
   FB_ORDER_NO_CAPACITY,
-  FB_ORDER_BAD_TICKET,
+  FB_ORDER_BAD_TICKET,        /* the worker refused the ticket */
   FB_ORDER_NOT_DONE,          /* the order was certainly not carried out */
   FB_ORDER_OTHER_INCARNATION, /* another incarnation of a worker is at this address */
   FB_ORDER_NO_LISTENER, /* the host reports that nothing listens at the address; the order was not
@@ -120,7 +120,7 @@
   const char *worker;
   const char *address;
   uint64_t epoch;
-  uint64_t acknowledged;
+  uint64_t acknowledged; /* the worker need not list ends up to this number any more; 0: none */
   uint64_t
       deadline_ms;  /* new end of the lease, on the worker's clock; 0: the lease is not extended */
   uint32_t wait_ms; /* how long the worker may delay its answer while it has nothing to report */
@@ -139,8 +139,8 @@
                       uint32_t expected_ms);
   /* WORKER has seen a higher epoch: the pool must not be used any more. */
   void (*fenced) (gpointer user, const char *worker);
-  /* Returns: TRUE when INCARNATION began after OTHER, under the same id.  NULL: no worker
-   * restarts under its id. */
+  /* Returns: TRUE when INCARNATION began after OTHER, under the same id.  NULL: no worker restarts
+   * under its id. */
   gboolean (*is_newer_incarnation) (const char *incarnation, const char *other);
 } FbPoolSink;
 
@@ -149,7 +149,7 @@
 {
   uint32_t max_lease_ms; /* longest lease that a worker grants */
   uint32_t max_stop_ms;  /* longest time that a stop takes */
-  uint32_t gang_wait_ms;
+  uint32_t gang_wait_ms; /* how long a started run waits for the rest of its gang */
   /* How many workers may crash under a task before its job is given up: when nothing else that ran
    * on one of them could have caused the crash, and in any case. 0: the pool's default. */
   uint32_t max_isolated_crashes;
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -19,8 +19,8 @@
 #define ASK_AHEAD_MS 900
 /* Most workers named in one question. */
 #define MAX_NAMED 100
-/* Renewals name at most this many workers, because the service takes time for each ticket, and
- * work is preempted for at most this many single tasks at once. */
+/* Renewals name at most this many workers, because the service takes time for each ticket, and work
+ * is preempted for at most this many single tasks at once. */
 #define MAX_RENEWED 6
 /* A question without an answer is asked again this long after its decision was due: longer than the
  * daemon that calls the service waits for it.  With a bound on the whole, questions of 1.8 s that
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -46,7 +46,7 @@
 }
 
 /* RESERVED_ON: ids of the workers on which capacity was reserved; those that get a task are
- * removed. Returns: TRUE when no task is left without capacity. */
+ * removed.  Returns: TRUE when no task is left without capacity. */
 static gboolean
 place_tasks (FbPool *self, FbPoolStep *step, GPtrArray *reserved_on, uint64_t now_ms)
 {
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -1,5 +1,5 @@
 /* Creating and freeing a pool, adding, cancelling and updating its workers and jobs, and the
- * periodic step that drives all other parts. */
+ * periodic tick that drives all other parts. */
 #include "internal/pool-crash.h"
 
 #include "fb-event.h"
