--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -86,7 +86,7 @@
   uint64_t reserved_until_ms;   /* when the reservation ends; 0: none */
   gboolean queued;              /* it is in FbPool.waiting or FbPool.unmerged */
   FbPoolUrgency urgency;        /* as of when it was sorted into the queue */
-  uint64_t last_failed_round;   /* last round that could not place it; 0: none */
+  uint64_t last_failed_round;   /* last round that left it pending; 0: none */
   uint64_t retry_at_ms;         /* when it is tried again even if nothing has changed */
   uint64_t preemption_tried_ms; /* when preemptible runs were last searched for; 0: never */
   FbPoolLongRunning *long_running; /* state of a long-running step; NULL: none yet */
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -397,8 +397,8 @@
     return;
   g_autoptr (GPtrArray) ids = g_ptr_array_new ();
   g_ptr_array_add (ids, worker->id);
-  (void) send_question (self, step, ids,
-                        now_ms); /* if no daemon can forward it, the next round asks again */
+  /* If no daemon can forward the question, the next round asks again. */
+  (void) send_question (self, step, ids, now_ms);
 }
 
 gboolean
