--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -1,22 +1,23 @@
-/* Which worker a task may start on, and which is best.
+/* Chooses the worker for a task.
  *
- * may_start() is the one place that answers whether a task may start on a worker
- * now.  Of those where it may, the one that it leaves with the least room is taken
- * (best fit), so that wide rooms stay for large tasks. */
+ * can_start_now() is the only place that decides whether a task may start on a worker now.  Of the
+ * workers that qualify, the one with the least capacity left afterwards is taken (best fit), so
+ * that large free areas remain for large tasks. */
 #include "internal/pool-crash.h"
 
-/* A ticket is not used when less than this is left of it: the order travels and
- * may wait in a slow daemon. */
+/* A ticket is not used when less than this is left of its validity, because the start order takes
+ * time on the network and may wait in a slow daemon. */
 #define TICKET_MARGIN_MS 250
-/* How much a slow worker counts against a free one, times the square of the job's
- * tightness: short jobs may take 1.5 times their work and 250 ms, and workers differ by
- * 0.8 to 1.25.  Gained 0.027 of a day's worth on one site (0.796 to 0.823, means of four
+/* Weight of a worker's slowness against its free capacity, multiplied by the square of the job's
+ * tightness.  Short jobs may take 1.5 times their work and 250 ms, and workers differ in speed by
+ * 0.8 to 1.25.  The weight gained 0.027 of a day's worth on one site (0.796 to 0.823, means of four
  * scores each, which spread by 0.017) and 0.003 on another (0.866 to 0.869). */
 #define SLOWNESS_WEIGHT 6.0
 
-/* Lets a serving step's worker be free of tasks that fill. */
+/* Keeps best-effort tasks off the workers of serving steps, which have a latency target, and the
+ * other way round. */
 static gboolean
-disturbs (const FbPoolWorker *worker, const fb_work_step *shape)
+conflicts_with_serving (const FbPoolWorker *worker, const fb_work_step *shape)
 {
   if (!shape->best_effort && shape->tail_latency_target_ms == 0)
     return FALSE;
@@ -54,14 +55,14 @@
 }
 
 gboolean
-fb_pool_could_run (const FbPoolWorker *worker, const fb_work_step *shape)
+fb_pool_worker_could_run (const FbPoolWorker *worker, const fb_work_step *shape)
 {
   return shape->cpu_milli <= worker->cpu_milli && shape->mem_mb <= worker->mem_mb
          && shape->gpu_count <= worker->gpu_count && fb_pool_has_labels_for (worker, shape);
 }
 
 gboolean
-fb_pool_worker_takes (const FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_worker_accepts_starts (const FbPoolWorker *worker, uint64_t now_ms)
 {
   return worker->listed && !worker->draining && !worker->runs_ended && !worker->superseded
          && !fb_pool_owes_acknowledgement (worker) && !fb_pool_worker_silent (worker, now_ms)
@@ -78,16 +79,16 @@
 }
 
 gboolean
-fb_pool_has_place (const FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms)
+fb_pool_worker_can_start (const FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms)
 {
   const fb_work_step *shape = step->shape;
-  if (!fb_pool_worker_takes (worker, now_ms) || !fb_pool_could_run (worker, shape)
-      || !fb_pool_worker_fits (worker, shape) || disturbs (worker, shape))
+  if (!fb_pool_worker_accepts_starts (worker, now_ms) || !fb_pool_worker_could_run (worker, shape)
+      || !fb_pool_worker_fits (worker, shape) || conflicts_with_serving (worker, shape))
     return FALSE;
   return shape->max_per_worker == 0 || runs_of_step (worker, step) < shape->max_per_worker;
 }
 
-/* What of may_start() does not depend on the worker's load. */
+/* The part of can_start_now() that does not depend on the load of the worker. */
 static gboolean
 has_ticket (const FbPoolWorker *worker, const FbPoolStep *step, FbPoolTicketRule rule,
             uint64_t now_ms)
@@ -101,17 +102,17 @@
 }
 
 static gboolean
-may_start (const FbPoolWorker *worker, const FbPoolStep *step, FbPoolTicketRule rule,
-           uint64_t now_ms)
+can_start_now (const FbPoolWorker *worker, const FbPoolStep *step, FbPoolTicketRule rule,
+               uint64_t now_ms)
 {
-  return has_ticket (worker, step, rule, now_ms) && fb_pool_has_place (worker, step, now_ms);
+  return has_ticket (worker, step, rule, now_ms) && fb_pool_worker_can_start (worker, step, now_ms);
 }
 
 gboolean
 fb_pool_step_may_fit (FbPool *self, const FbPoolStep *step, uint64_t now_ms)
 {
-  /* What is held for the step itself looks taken below. */
-  if (step->looked_round + 1 < self->round || now_ms >= step->full_look_ms
+  /* The capacity that is reserved for the step itself counts as used in the check below. */
+  if (step->last_failed_round + 1 < self->round || now_ms >= step->retry_at_ms
       || step->reserved_on->len > 0)
     return TRUE;
   for (guint i = 0; i < self->gained_capacity->len; i++)
@@ -119,16 +120,15 @@
       self->visits_n++;
       const FbPoolWorker *worker = self->gained_capacity->pdata[i];
       const FbPoolWorkerAdvice *advice = fb_pool_worker_advice (step, worker);
-      gboolean no_start_reason
-          = step->job->record.policy.advised && advice != NULL && !advice->allowed;
-      if (!no_start_reason && fb_pool_has_place (worker, step, now_ms))
+      gboolean forbidden = step->job->record.policy.advised && advice != NULL && !advice->allowed;
+      if (!forbidden && fb_pool_worker_can_start (worker, step, now_ms))
         return TRUE;
     }
   return FALSE;
 }
 
 double
-fb_pool_free_shares (const FbPoolWorker *worker)
+fb_pool_worker_free_share (const FbPoolWorker *worker)
 {
   double cpu_left = worker->cpu_milli - worker->cpu_used;
   double mem_left = worker->mem_mb - worker->mem_used;
@@ -138,9 +138,9 @@
   return left;
 }
 
-/* What speaks against WORKER, however much room it has. */
+/* Cost of WORKER that does not depend on its free capacity. */
 static double
-drawbacks (const FbPoolWorker *worker, const FbPoolStep *step)
+load_independent_cost (const FbPoolWorker *worker, const FbPoolStep *step)
 {
   const fb_work_step *shape = step->shape;
   double tightness = step->job->tightness;
@@ -152,12 +152,13 @@
   return cost;
 }
 
-/* Lower is better.  Tasks that last are spread, so that one loss takes few of them. */
+/* Lower is better.  Long-running tasks are spread, so that the loss of one worker takes few of
+ * them. */
 static double
 cost_of (const FbPoolWorker *worker, const FbPoolStep *step)
 {
-  double fit = fb_pool_free_shares (worker);
-  return (step->shape->long_running ? -fit : fit) + drawbacks (worker, step);
+  double fit = fb_pool_worker_free_share (worker);
+  return (step->shape->long_running ? -fit : fit) + load_independent_cost (worker, step);
 }
 
 FbPoolWorker *
@@ -174,7 +175,7 @@
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       if (worker == other_than || (rack != NULL && g_strcmp0 (rack, worker->rack) != 0)
-          || worker->isolated_n > 0 || !may_start (worker, step, rule, now_ms)
+          || worker->isolated_n > 0 || !can_start_now (worker, step, rule, now_ms)
           || !fb_pool_crash_is_open (worker, task, now_ms)
           || (suspect && !fb_pool_crash_may_share (worker, task))
           || fb_pool_restart_rejects (worker, step, index))
@@ -196,10 +197,11 @@
 /* ---- several at once ----------------------------------------------------------- */
 
 guint
-fb_pool_choose (FbPool *self, FbPoolStep *step, guint most, const char *rack, FbPoolTicketRule rule,
-                FbPoolWorker **chosen, uint64_t now_ms)
+fb_pool_choose_workers (FbPool *self, FbPoolStep *step, guint most, const char *rack,
+                        FbPoolTicketRule rule, FbPoolWorker **chosen, uint64_t now_ms)
 {
-  /* A run stands for each choice where runs are counted, else only its room is kept. */
+  /* Where runs per worker are limited, each choice is represented by a temporary run, so that the
+   * next one counts it; otherwise it suffices to reserve the capacity. */
   gboolean counted = step->shape->max_per_worker > 0;
   g_autofree FbPoolRun **runs = g_new0 (FbPoolRun *, most);
   guint n = 0;
@@ -227,7 +229,7 @@
   return n;
 }
 
-/* Holds the last rack's choice in CHOSEN when it returns TRUE. */
+/* Tries the racks one after the other.  CHOSEN holds the workers only when the result is TRUE. */
 static gboolean
 choose_one_rack (FbPool *self, FbPoolStep *step, FbPoolTicketRule rule, FbPoolWorker **chosen,
                  uint64_t now_ms)
@@ -240,7 +242,7 @@
       const char *rack = worker->rack;
       guint count = step->shape->count;
       if (rack != NULL && g_hash_table_add (unresolved, (gpointer) rack)
-          && fb_pool_choose (self, step, count, rack, rule, chosen, now_ms) == count)
+          && fb_pool_choose_workers (self, step, count, rack, rule, chosen, now_ms) == count)
         return TRUE;
     }
   return FALSE;
@@ -253,7 +255,7 @@
   guint count = step->shape->count;
   if (step->shape->rack_local && choose_one_rack (self, step, rule, chosen, now_ms))
     return TRUE;
-  return fb_pool_choose (self, step, count, NULL, rule, chosen, now_ms) == count;
+  return fb_pool_choose_workers (self, step, count, NULL, rule, chosen, now_ms) == count;
 }
 
 guint
@@ -261,11 +263,11 @@
                      FbPoolWorker **chosen, uint64_t now_ms)
 {
   if (!step->shape->gang)
-    return fb_pool_choose (self, step, most, NULL, rule, chosen, now_ms);
+    return fb_pool_choose_workers (self, step, most, NULL, rule, chosen, now_ms);
   return fb_pool_choose_gang (self, step, rule, chosen, now_ms) ? step->shape->count : 0;
 }
 
-/* ---- room that is held ------------------------------------------------------------ */
+/* ---- reserved capacity -------------------------------------------------------------- */
 
 void
 fb_pool_reserve (FbPool *self, FbPoolStep *step, FbPoolWorker **chosen, guint n, uint64_t until_ms)
--- a/src/work/pool-job.c
+++ b/src/work/pool-job.c
@@ -1,14 +1,14 @@
-/* Jobs of a pool: occurrences, steps and tasks, and what of them is recorded.
+/* Jobs of a pool: their occurrences, steps and tasks, and the progress recorded of them.
  *
- * A record holds only tasks that ended or saved something.  The rest is found
- * again at the workers, so a start costs no write. */
+ * A record holds only tasks that have ended or have a checkpoint.  The others are found again by
+ * polling the workers, so a start needs no write to the store. */
 #include "internal/pool-crash.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Runs of a step that must have ended before the others are measured by them. */
-#define SIBLINGS 2
+/* Runs of a step that must have ended before their mean time replaces the estimate. */
+#define MIN_ENDED_RUNS 2
 
 void
 fb_pool_job_copy_record (const fb_work_admit *from, fb_work_admit *to)
@@ -25,9 +25,9 @@
   xdr_destroy (&xdr);
 }
 
-/* The longest chain of estimates through the steps. */
+/* Returns: the length of the critical path through the steps, by their estimates. */
 static uint64_t
-chain_ms (const fb_work_spec *spec)
+critical_path_ms (const fb_work_spec *spec)
 {
   uint64_t until_ms[FB_WORK_MAX_STEPS] = { 0 };
   uint64_t longest_ms = 0;
@@ -47,7 +47,7 @@
 fb_pool_job_objective (FbPoolJob *job)
 {
   const fb_work_policy *policy = &job->record.policy;
-  uint64_t work_ms = chain_ms (&job->record.spec);
+  uint64_t work_ms = critical_path_ms (&job->record.spec);
   uint64_t objective_ms = work_ms * policy->stretch_factor_milli / 1000 + policy->target_ms;
   job->tightness = objective_ms > 0 ? MIN ((double) work_ms / (double) objective_ms, 1) : 0;
   job->objective_ms = job->admitted_ms + objective_ms;
@@ -75,7 +75,7 @@
   for (uint32_t i = 0; i < step->shape->count; i++)
     {
       g_free (step->tasks[i].checkpoint);
-      fb_pool_speed_unref (step->tasks[i].ran_at);
+      fb_pool_speed_unref (step->tasks[i].worker_speed);
       g_clear_pointer (&step->tasks[i].failed, g_array_unref);
       g_clear_pointer (&step->tasks[i].crashes, g_array_unref);
       g_clear_pointer (&step->tasks[i].unresolved, g_ptr_array_unref);
@@ -130,7 +130,7 @@
 {
   step->waiting_from = MIN (step->waiting_from, index);
   fb_pool_queue_add (self, step);
-  self->place_due = TRUE;
+  self->round_due = TRUE;
 }
 
 gboolean
@@ -156,10 +156,10 @@
 }
 
 uint64_t
-fb_pool_step_times_ms (const FbPoolStep *step, uint32_t percent, uint32_t factor)
+fb_pool_step_scaled_run_ms (const FbPoolStep *step, uint32_t percent, uint32_t factor)
 {
-  if (step->timed_n >= SIBLINGS)
-    return step->timed_ms / step->timed_n * percent / 100;
+  if (step->timed_runs_n >= MIN_ENDED_RUNS)
+    return step->timed_total_ms / step->timed_runs_n * percent / 100;
   return (uint64_t) step->shape->estimate_ms * factor;
 }
 
@@ -255,18 +255,18 @@
 /* ---- records ------------------------------------------------------------- */
 
 static gboolean
-needs_mark (const FbPoolTask *task)
+has_progress (const FbPoolTask *task)
 {
   return task->done || task->failed != NULL || task->checkpoint != NULL;
 }
 
 static void
-add_marks (GArray *task_progress, const FbPoolStep *step)
+add_task_progress (GArray *task_progress, const FbPoolStep *step)
 {
   for (uint32_t i = 0; i < step->shape->count && task_progress->len < FB_WORK_MAX_TASK_ROWS; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
-      if (!needs_mark (task))
+      if (!has_progress (task))
         continue;
       fb_work_task_progress mark
           = { .occurrence = step->occurrence,
@@ -284,17 +284,17 @@
     }
 }
 
-/* PROGRESS borrows from the job; its marks are the caller's to free. */
+/* PROGRESS borrows strings from the job; the caller frees its marks. */
 void
 fb_pool_job_progress (const FbPoolJob *job, fb_work_progress *progress)
 {
   GArray *task_progress = g_array_new (FALSE, TRUE, sizeof (fb_work_task_progress));
-  gboolean lasting_over = fb_pool_job_ended (job);
-  for (guint i = 0; !lasting_over && i < job->occurrences->len; i++)
+  gboolean ended = fb_pool_job_ended (job);
+  for (guint i = 0; !ended && i < job->occurrences->len; i++)
     {
       const FbPoolOccurrence *occurrence = job->occurrences->pdata[i];
       for (guint j = 0; j < job->record.spec.steps.steps_len; j++)
-        add_marks (task_progress, &occurrence->steps[j]);
+        add_task_progress (task_progress, &occurrence->steps[j]);
     }
   progress->state = job->state;
   progress->ended_ms = job->ended_wall_ms;
@@ -304,7 +304,7 @@
 }
 
 static void
-restore_mark (FbPoolJob *job, const fb_work_task_progress *mark)
+restore_task_progress (FbPoolJob *job, const fb_work_task_progress *mark)
 {
   FbPoolStep *step = fb_pool_job_step (job, mark->occurrence, mark->step);
   if (step == NULL || mark->index >= step->shape->count)
@@ -331,7 +331,7 @@
   job->started = progress->state != FB_WORK_QUEUED;
   job->ended_wall_ms = progress->ended_ms;
   for (u_int i = 0; i < progress->task_progress.task_progress_len; i++)
-    restore_mark (job, &progress->task_progress.task_progress_val[i]);
+    restore_task_progress (job, &progress->task_progress.task_progress_val[i]);
 }
 
 gboolean
@@ -379,7 +379,8 @@
   return g_strdup_printf ("%s.%u.%u.%u", step->job->id, step->occurrence, step->index, index);
 }
 
-/* Reads "ID" and up to N numbers behind it; returns how many were there. */
+/* Splits NAME into "ID" and up to N numbers.  Returns: how many numbers there were; 0 when NAME is
+ * malformed. */
 static guint
 split_name (const char *name, char *job, uint32_t *numbers, guint n)
 {
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -1,7 +1,7 @@
-/* The rounds in which waiting tasks are started.
+/* Placement rounds, which start pending tasks.
  *
- * Waiting steps are taken in their order (pool-queue.c).  A gang is placed as a whole or not at
- * all.  A round goes through all of them in one or more turns of the main loop. */
+ * A round visits the steps with pending tasks in their order (pool-queue.c), in one or more turns
+ * of the main loop.  A gang is placed as a whole or not at all. */
 #include "internal/pool-crash.h"
 
 /* ---- single tasks ------------------------------------------------------------ */
@@ -19,33 +19,34 @@
                          now_ms);
 }
 
-/* Returns: the task of STEP that is placed next, from FROM on or by how long it is away; its count
- * when none is.  LATER: set of tasks that are left out; NULL: none. */
+/* Returns: the index of the task of STEP to place next: the first pending one from FROM on, or, for
+ * a restarting long-running step, the one that has been down for longest; the number of tasks when
+ * there is none.  DEFERRED: set of tasks to leave out; NULL: none. */
 static uint32_t
-next_to_place (const FbPool *self, FbPoolStep *step, uint32_t from, GHashTable *later)
+next_to_place (const FbPool *self, FbPoolStep *step, uint32_t from, GHashTable *deferred)
 {
   while (step->waiting_from < step->shape->count
          && !fb_pool_task_waits (&step->tasks[step->waiting_from]))
     step->waiting_from++;
   if (step->urgency == FB_URGENCY_RESTARTING)
-    return fb_pool_long_running_next (self, step, later);
+    return fb_pool_long_running_next (self, step, deferred);
   uint32_t i = MAX (from, step->waiting_from);
   while (i < step->shape->count && !fb_pool_task_waits (&step->tasks[i]))
     i++;
   return i;
 }
 
-/* Room on WORKER is used: it is not to be held again. */
+/* The reservation on WORKER has been used: it must not be restored. */
 static void
-forget_held (GPtrArray *reserved_on, const FbPoolWorker *worker)
+drop_used_reservation (GPtrArray *reserved_on, const FbPoolWorker *worker)
 {
-  guint place = 0;
-  if (g_ptr_array_find_with_equal_func (reserved_on, worker->id, g_str_equal, &place))
-    g_ptr_array_remove_index (reserved_on, place);
+  guint position = 0;
+  if (g_ptr_array_find_with_equal_func (reserved_on, worker->id, g_str_equal, &position))
+    g_ptr_array_remove_index (reserved_on, position);
 }
 
-/* HELD_ON: on whose workers room was held; those that are used are taken out.
- * Returns: TRUE when no task waits for room any more. */
+/* RESERVED_ON: ids of the workers on which capacity was reserved; those that get a task are
+ * removed.  Returns: TRUE when no task is left without capacity. */
 static gboolean
 place_tasks (FbPool *self, FbPoolStep *step, GPtrArray *reserved_on, uint64_t now_ms)
 {
@@ -53,9 +54,9 @@
     place_probe (self, step, now_ms);
   if (fb_pool_probe_is_on (step))
     return FALSE;
-  g_autoptr (GHashTable) later = NULL;
-  for (uint32_t i = next_to_place (self, step, 0, later); i < step->shape->count;
-       i = next_to_place (self, step, i + 1, later))
+  g_autoptr (GHashTable) deferred = NULL;
+  for (uint32_t i = next_to_place (self, step, 0, deferred); i < step->shape->count;
+       i = next_to_place (self, step, i + 1, deferred))
     {
       FbPoolTask *task = &step->tasks[i];
       FbPoolWorker *worker
@@ -64,12 +65,12 @@
         return FALSE;
       if (fb_pool_crash_waits_for_stable (worker, task, now_ms))
         {
-          later = later != NULL ? later : g_hash_table_new (NULL, NULL);
-          g_hash_table_add (later, task);
+          deferred = deferred != NULL ? deferred : g_hash_table_new (NULL, NULL);
+          g_hash_table_add (deferred, task);
           continue;
         }
       fb_pool_order_start (self, worker, step, i, fb_pool_next_attempt (self, step, i), now_ms);
-      forget_held (reserved_on, worker);
+      drop_used_reservation (reserved_on, worker);
     }
   return TRUE;
 }
@@ -112,7 +113,7 @@
   for (uint32_t i = 0; i < step->shape->count; i++)
     attempt = MAX (attempt, fb_pool_next_attempt (self, step, i));
   step->gang_attempt = attempt;
-  /* All members carry the same checkpoint. */
+  /* All members start from the same checkpoint. */
   g_autofree char *checkpoint = g_strdup (gang_checkpoint (step));
   for (uint32_t i = 0; i < step->shape->count; i++)
     {
@@ -124,43 +125,43 @@
 
 /* ---- the round ------------------------------------------------------------------ */
 
-/* A step that found no place is looked at again after this, whatever has changed: workers
- * that recover from a refusal and questions that got no answer open nothing by an event.  The
- * first hundred in the order are looked at each 100 ms, the one in place 1,000 each second: some
- * 3,300 looks a second in all with 1,000 that wait, in place of 10,000. */
-#define LOOK_AGAIN_MS 100
-#define LOOK_AGAIN_PER_PLACE_MS 1
+/* A step that could not be placed is tried again after this time, even if nothing has changed: no
+ * event reports that a worker has recovered from a refusal or that a question got no answer.  The
+ * first hundred steps in the order are tried every 100 ms, the step at position 1,000 once a
+ * second.  With 1,000 pending steps this makes some 3,300 tries a second instead of 10,000. */
+#define RETRY_MS 100
+#define RETRY_PER_POSITION_MS 1
 
-/* Failure: after a take-over hundreds of steps wait, each is looked at on hundreds of workers in
- * one turn of the main loop, and joins and leases wait behind it (0.3 to 0.8 s a turn on 0.12 of a
- * core with 950 steps and 250 workers); the store takes the owner for dead, and the next one does
- * the same.  It shows as owners that take a pool from each other every 2 s while nothing runs.
- * Guard: a turn ends after so many visits of workers and runs (17 to 35 ns each), and the next one
- * goes on where it ended; a round ends with the last step that waits. */
+/* Failure: after a take-over hundreds of steps are pending, each is checked against hundreds of
+ * workers in one turn of the main loop, and joins and leases are delayed (a turn took 0.3 to 0.8 s
+ * on 0.12 of a core with 950 steps and 250 workers).  The store then takes the owner for dead, and
+ * the next owner fails in the same way: owners replace each other every 2 s while nothing runs.
+ * Guard: a turn ends after this many visits of workers and runs (17 to 35 ns each) and the next
+ * turn continues there; a round ends with the last pending step. */
 #define VISITS_PER_TURN 50000
 
-/* STEP found no place and asked for advice if there was something to ask.  "turn": for a daemon
- * that can take its question. */
+/* Returns: what a step that could not be placed waits for, as a static text for the log. "turn":
+ * for a daemon that can forward its question to the advice service. */
 static const char *
-what_it_waits_for (const FbPoolStep *step, gboolean could_ask)
+wait_reason (const FbPoolStep *step, gboolean asked)
 {
   if (step->advice_until_ms != 0)
     return "advice";
-  return could_ask ? "room" : "turn";
+  return asked ? "room" : "turn";
 }
 
-/* Returns: FALSE when no daemon can take a question for advice now. */
+/* Tries to place STEP, and asks for advice if that fails.  Returns: FALSE when no daemon can
+ * forward a question to the advice service now. */
 static gboolean
-look_at (FbPool *self, FbPoolStep *step, guint place, uint64_t now_ms)
+try_step (FbPool *self, FbPoolStep *step, guint position, uint64_t now_ms)
 {
   gboolean advised = step->job->record.policy.advised;
-  gboolean unconfirmed_workers = fb_pool_may_run_unconfirmed (self, step);
-  if (unconfirmed_workers || (advised && !step->has_advice))
+  gboolean unconfirmed = fb_pool_may_run_unconfirmed (self, step);
+  if (unconfirmed || (advised && !step->has_advice))
     {
       gboolean can_ask = fb_pool_ask_first_advice (self, step, now_ms);
-      fb_pool_long_running_waits (
-          self, step, unconfirmed_workers ? "take-over" : what_it_waits_for (step, can_ask),
-          now_ms);
+      fb_pool_long_running_waits (self, step,
+                                  unconfirmed ? "take-over" : wait_reason (step, can_ask), now_ms);
       return can_ask;
     }
   uint64_t reserved_until_ms = step->reserved_until_ms;
@@ -174,52 +175,53 @@
     }
   if (now_ms < reserved_until_ms)
     {
-      fb_pool_long_running_waits (self, step, what_it_waits_for (step, TRUE), now_ms);
+      fb_pool_long_running_waits (self, step, wait_reason (step, TRUE), now_ms);
       fb_pool_reserve_again (self, step, reserved_on, fb_pool_step_waiting_n (step),
                              reserved_until_ms);
       return TRUE;
     }
   gboolean can_ask = fb_pool_ask_advice (self, step, now_ms);
-  /* Who could not ask tries again when a daemon can take a question. */
+  /* a step that could not ask is tried again as soon as a daemon can forward a question */
   if (can_ask)
-    step->looked_round = self->round;
-  step->full_look_ms = now_ms + MAX (LOOK_AGAIN_MS, place * LOOK_AGAIN_PER_PLACE_MS);
-  fb_pool_long_running_waits (self, step, what_it_waits_for (step, can_ask), now_ms);
+    step->last_failed_round = self->round;
+  step->retry_at_ms = now_ms + MAX (RETRY_MS, position * RETRY_PER_POSITION_MS);
+  fb_pool_long_running_waits (self, step, wait_reason (step, can_ask), now_ms);
   return can_ask;
 }
 
 static void
-forget_opened (FbPool *self, guint n)
+clear_gained_capacity (FbPool *self, guint n)
 {
   for (guint i = 0; i < n; i++)
     ((FbPoolWorker *) self->gained_capacity->pdata[i])->gained_capacity = FALSE;
   g_ptr_array_remove_range (self->gained_capacity, 0, n);
 }
 
-/* Looks at the step in PLACE if that is of use.  Returns: FALSE when it could not ask for advice.
- */
+/* Tries the step at POSITION if it may succeed.  Returns: FALSE when it could not ask for
+ * advice. */
 static gboolean
-look_at_place (FbPool *self, guint place, uint64_t now_ms)
+try_position (FbPool *self, guint position, uint64_t now_ms)
 {
-  FbPoolStep *step = self->waiting->pdata[place];
+  FbPoolStep *step = self->waiting->pdata[position];
   if (step->advice_until_ms != 0 && now_ms < step->reserved_until_ms)
-    return TRUE; /* its room is held until the advice comes */
+    return TRUE; /* its capacity stays reserved until the advice arrives */
   if (fb_pool_step_may_fit (self, step, now_ms))
-    return look_at (self, step, place, now_ms);
-  step->looked_round = self->round;
+    return try_step (self, step, position, now_ms);
+  step->last_failed_round = self->round;
   return TRUE;
 }
 
-/* What the earlier turns of the round have passed is more urgent than what is left of it, and goes
- * first where room has come since; it leaves half of the turn to the rest. */
+/* Steps that earlier turns of the round have passed are more urgent than the remaining ones, and
+ * are tried first where capacity was freed meanwhile.  Half of the turn is left for the remaining
+ * steps. */
 static gboolean
-look_back (FbPool *self, uint64_t now_ms)
+retry_passed_steps (FbPool *self, uint64_t now_ms)
 {
   gboolean can_ask = TRUE;
-  for (guint place = 0; place < self->place_from && place < self->waiting->len && !self->fenced
-                        && self->visits_n <= VISITS_PER_TURN / 2;
-       place++)
-    can_ask &= look_at_place (self, place, now_ms);
+  for (guint position = 0; position < self->resume_position && position < self->waiting->len
+                           && !self->fenced && self->visits_n <= VISITS_PER_TURN / 2;
+       position++)
+    can_ask &= try_position (self, position, now_ms);
   return can_ask;
 }
 
@@ -228,7 +230,7 @@
 {
   GHashTableIter iter;
   gpointer job;
-  g_hash_table_iter_init (&iter, self->chained);
+  g_hash_table_iter_init (&iter, self->jobs_with_dependencies);
   while (g_hash_table_iter_next (&iter, &job, NULL))
     fb_pool_ask_ahead (self, job, now_ms);
 }
@@ -236,26 +238,26 @@
 void
 fb_pool_place (FbPool *self, uint64_t now_ms)
 {
-  self->asked_in_vain = 0;
+  self->refused_question_kinds = 0;
   self->visits_n = 0;
   fb_pool_queue_sort (self, now_ms);
-  if (self->place_from == 0)
+  if (self->resume_position == 0)
     {
       self->round++;
       self->round_gained_n = self->gained_capacity->len;
     }
-  gboolean can_ask = look_back (self, now_ms);
-  for (;
-       self->place_from < self->waiting->len && !self->fenced && self->visits_n <= VISITS_PER_TURN;
-       self->place_from++)
-    can_ask &= look_at_place (self, self->place_from, now_ms);
-  if (self->place_from < self->waiting->len && !self->fenced)
+  gboolean can_ask = retry_passed_steps (self, now_ms);
+  for (; self->resume_position < self->waiting->len && !self->fenced
+         && self->visits_n <= VISITS_PER_TURN;
+       self->resume_position++)
+    can_ask &= try_position (self, self->resume_position, now_ms);
+  if (self->resume_position < self->waiting->len && !self->fenced)
     {
-      self->place_due = TRUE;
+      self->round_due = TRUE;
       return;
     }
-  self->place_from = 0;
-  forget_opened (self, MIN (self->round_gained_n, self->gained_capacity->len));
+  self->resume_position = 0;
+  clear_gained_capacity (self, MIN (self->round_gained_n, self->gained_capacity->len));
   if (can_ask)
     ask_ahead (self, now_ms);
 }
--- a/src/work/pool-worker-advice.c
+++ b/src/work/pool-worker-advice.c
@@ -1,14 +1,14 @@
-/* What the advice service has said about the workers of a step.
+/* Answers of the advice service about the workers of a step.
  *
- * Which workers a step may use never changes during the life of a worker; only the tickets
- * run out.  Rulings stand in an array by the slots of workers: they are read for each
- * worker and waiting step of a round. */
+ * Which workers a step may use never changes during the life of a worker process; only the tickets
+ * expire.  The answers are stored in an array indexed by worker slot, because a round reads them
+ * for each pair of worker and pending step. */
 #include "internal/pool-private.h"
 
 #include <string.h>
 
 static FbPoolWorkerAdvice *
-slot_of (FbPoolStep *step, const FbPoolWorker *worker)
+advice_slot (FbPoolStep *step, const FbPoolWorker *worker)
 {
   if (worker->slot >= step->worker_advice_n)
     {
@@ -39,7 +39,7 @@
 void
 fb_pool_worker_advice_asked (FbPoolStep *step, const FbPoolWorker *worker)
 {
-  (void) slot_of (step, worker);
+  (void) advice_slot (step, worker);
   step->has_advice = TRUE;
 }
 
@@ -47,7 +47,7 @@
 fb_pool_worker_advice_allow (FbPoolStep *step, const FbPoolWorker *worker, const char *ticket,
                              uint64_t valid_until_ms)
 {
-  FbPoolWorkerAdvice *advice = slot_of (step, worker);
+  FbPoolWorkerAdvice *advice = advice_slot (step, worker);
   step->has_advice = TRUE;
   advice->allowed = TRUE;
   g_free (advice->ticket);
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -1,12 +1,14 @@
-/* A pool's life: workers that come and go, and jobs that are accepted and cancelled. */
+/* Creating and freeing a pool, adding, cancelling and updating its workers and jobs, and the
+ * periodic tick that drives all other parts. */
 #include "internal/pool-crash.h"
 
 #include "fb-event.h"
 
-/* An unanswered stop is repeated. */
+/* A stop order without an answer is sent again after this time. */
 #define STOP_REPEAT_MS 600
-/* An owner that most workers answered within this time is not cut off itself. */
-#define HEARS_MS 1500
+/* An owner that heard from a majority of its workers within this time is taken to be connected, so
+ * a silent worker is not explained by a failure of the owner's own network. */
+#define MAJORITY_ANSWER_MS 1500
 
 FbPool *
 fb_pool_new (const char *service, uint64_t epoch, const FbPoolLimits *limits,
@@ -26,9 +28,9 @@
   self->latest = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   self->gained_capacity = g_ptr_array_new ();
   self->waiting = g_ptr_array_new ();
-  self->fresh = g_ptr_array_new ();
-  self->timed = g_hash_table_new (NULL, NULL);
-  self->chained = g_hash_table_new (NULL, NULL);
+  self->unmerged = g_ptr_array_new ();
+  self->jobs_to_release = g_hash_table_new (NULL, NULL);
+  self->jobs_with_dependencies = g_hash_table_new (NULL, NULL);
   self->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, fb_pool_job_free);
   self->active = g_hash_table_new (NULL, NULL);
   self->ended = g_hash_table_new (NULL, NULL);
@@ -37,8 +39,8 @@
   self->unstored = g_hash_table_new (NULL, NULL);
   self->causes = fb_pool_crash_causes_new ();
   self->unresolved_losses = fb_pool_unresolved_losses_new ();
-  self->closed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
-                                        (GDestroyNotify) g_hash_table_unref);
+  self->drain_steps = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
+                                             (GDestroyNotify) g_hash_table_unref);
   self->in_flush = g_ptr_array_new ();
   self->unconfirmed_workers = g_ptr_array_new ();
   self->orders = fb_pool_orders_new ();
@@ -51,15 +53,15 @@
 {
   g_hash_table_unref (self->orders);
   fb_pool_unanswered_starts_free (self->unanswered_starts);
-  g_hash_table_unref (self->workers); /* its runs point into the jobs */
+  g_hash_table_unref (self->workers); /* before the jobs: runs point to their steps */
   g_ptr_array_unref (self->worker_slots);
   g_hash_table_unref (self->latest);
   g_ptr_array_unref (self->gained_capacity);
   g_ptr_array_unref (self->waiting);
-  g_ptr_array_unref (self->fresh);
-  g_hash_table_unref (self->closed);
-  g_hash_table_unref (self->timed);
-  g_hash_table_unref (self->chained);
+  g_ptr_array_unref (self->unmerged);
+  g_hash_table_unref (self->drain_steps);
+  g_hash_table_unref (self->jobs_to_release);
+  g_hash_table_unref (self->jobs_with_dependencies);
   g_hash_table_unref (self->active);
   g_hash_table_unref (self->ended);
   g_hash_table_unref (self->dirty);
@@ -77,29 +79,30 @@
 /* ---- workers -------------------------------------------------------------------- */
 
 static gboolean
-is_worth_moving (const FbPoolRun *run)
+should_move (const FbPoolRun *run)
 {
   if (run->step == NULL || run->state != FB_RUN_RUNNING || run->step->shape->gang)
     return FALSE;
   return run->step->shape->long_running || run->step->shape->checkpointing;
 }
 
-/* Tasks that last, or that keep what they did, are moved before the worker ends, once they may
- * start elsewhere.
+/* Moves long-running and checkpointing tasks off a draining worker before it exits, as soon as they
+ * may start elsewhere.
  *
- * Failure: a worker begins to drain while the owner changes, and each new owner finds a task that
- * lasts there when it has seen the worker drain already; moved only as a worker begins to drain, it
- * ends with the worker, and starts again after the next owner has settled, 12 s later.  Guard: what
- * runs there is looked at as long as the worker drains. */
+ * Failure: the owner of the pool changes while a worker begins to drain, and each new owner sees
+ * the worker draining from the beginning.  If tasks were moved only at the transition to draining,
+ * a long-running task would end with its worker and start again only after the next owner has
+ * recovered, 12 s later.  Guard: the runs on a draining worker are checked in every maintenance
+ * pass. */
 static void
-leave_draining (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
+move_runs_off_draining (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
   g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
   gboolean may_start = self->may_start && fb_pool_may_place (self);
   for (GList *l = runs; l != NULL && may_start; l = l->next)
     {
       FbPoolRun *run = l->data;
-      if (is_worth_moving (run) && !fb_pool_may_run_unconfirmed (self, run->step))
+      if (should_move (run) && !fb_pool_may_run_unconfirmed (self, run->step))
         fb_pool_order_stop (self, worker, run, now_ms);
     }
 }
@@ -119,8 +122,8 @@
       self->workers_dirty = TRUE;
     }
   gboolean was_draining = worker->draining;
-  gboolean has_moved = g_strcmp0 (worker->address, entry->address) != 0;
-  if (has_moved)
+  gboolean address_changed = g_strcmp0 (worker->address, entry->address) != 0;
+  if (address_changed)
     fb_pool_incarnation_forget (self, worker);
   fb_pool_worker_describe (worker, entry);
   fb_pool_worker_gained_capacity (self, worker);
@@ -128,12 +131,12 @@
     fb_event_log (FB_EVENT_POOL_WORKER_LISTED, "worker=%s address=%s cpu=%u gpu=%u draining=%d",
                   worker->id, worker->address, worker->cpu_milli, worker->gpu_count,
                   worker->draining);
-  if (has_moved)
+  if (address_changed)
     fb_pool_incarnation_known (self, worker, now_ms);
   if (!worker->draining || was_draining)
     return;
   self->workers_dirty = TRUE;
-  leave_draining (self, worker, now_ms);
+  move_runs_off_draining (self, worker, now_ms);
 }
 
 void
@@ -148,9 +151,10 @@
                 g_hash_table_size (worker->runs), (guint) (now_ms - worker->last_answer_ms));
 }
 
-/* Failure: a worker's entry lapsed while the store was away, the owner changed, and the
- * successor does not know of the worker; it shows as a second run of what it runs.
- * Guard: the owner's own list of workers outlives it. */
+/* Failure: a worker's entry in the platform's list expires while the store is unavailable, the
+ * owner changes, and the new owner does not know of the worker; tasks that still run there are
+ * started a second time.  Guard: the owner records its own list of workers, which the next owner
+ * reads here. */
 void
 fb_pool_restore_workers (FbPool *self, const fb_work_workers *record)
 {
@@ -187,7 +191,7 @@
 }
 
 static void
-tend_worker (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
+maintain_worker (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
   if (!worker->runs_ended && fb_pool_worker_lapsed (self, worker, now_ms))
     fb_pool_worker_lost (self, worker, FB_LOSS_LEASE_ENDED, NULL, now_ms);
@@ -204,27 +208,28 @@
         fb_pool_run_check_stuck (self, worker, run, now_ms);
     }
   if (worker->draining)
-    leave_draining (self, worker, now_ms);
+    move_runs_off_draining (self, worker, now_ms);
   fb_pool_stop_orphans (self, worker, now_ms);
   fb_pool_crash_note_silence (self, worker, now_ms);
   fb_pool_crash_clear_lasted (self, worker);
-  gboolean takes = fb_pool_worker_takes (worker, now_ms);
-  if (takes && !worker->accepted_work)
+  gboolean accepts_work = fb_pool_worker_accepts_starts (worker, now_ms);
+  if (accepts_work && !worker->accepted_work)
     fb_pool_worker_gained_capacity (self, worker);
-  worker->accepted_work = takes;
+  worker->accepted_work = accepts_work;
   if (now_ms >= worker->next_poll_ms)
     fb_pool_order_poll (self, worker, now_ms);
 }
 
-/* A worker that left is not looked at any more once nothing can run there: its life is
- * over, or this owner knows all that runs in the pool and has nothing on it.  A
- * successor would wait for it for a whole lease.
+/* TRUE when WORKER has left and need not be polled any more: either all runs of this incarnation
+ * have certainly ended, or this owner has recovered, so that it knows everything that runs in the
+ * pool, and nothing runs there.  A later owner would otherwise wait for the worker for a whole
+ * lease.
  *
- * Failure: room is held on a worker that is forgotten, listed again and known anew; the room is
- * then given back where it was never taken, and the worker gets more than it can hold.  Guard: a
- * worker on which room is held is not forgotten. */
+ * Failure: a worker on which capacity is reserved is forgotten and then listed again as a new one.
+ * The reservation is returned to a worker that never had it, which then gets more than it can hold.
+ * Guard: a worker with reserved capacity is not forgotten. */
 static gboolean
-is_over (const FbPool *self, const FbPoolWorker *worker)
+can_be_forgotten (const FbPool *self, const FbPoolWorker *worker)
 {
   if (worker->listed || worker->reserved_n > 0)
     return FALSE;
@@ -234,17 +239,17 @@
 }
 
 static void
-tend_workers (FbPool *self, uint64_t now_ms)
+maintain_workers (FbPool *self, uint64_t now_ms)
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  self->majority_answers = fb_pool_holds_majority (self, HEARS_MS, now_ms);
+  self->majority_answers = fb_pool_holds_majority (self, MAJORITY_ANSWER_MS, now_ms);
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      if (is_over (self, worker))
+      if (can_be_forgotten (self, worker))
         forget_worker (self, worker);
       else
-        tend_worker (self, worker, now_ms);
+        maintain_worker (self, worker, now_ms);
     }
 }
 
@@ -252,7 +257,7 @@
 fb_pool_holds_majority (const FbPool *self, uint32_t within_ms, uint64_t now_ms)
 {
   guint listed = 0;
-  guint heard = 0;
+  guint answered_n = 0;
   guint slot = 0;
   const FbPoolWorker *worker = NULL;
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
@@ -260,9 +265,9 @@
       if (!worker->listed)
         continue;
       listed++;
-      heard += worker->answered && now_ms - worker->answered_poll_sent_ms <= within_ms;
+      answered_n += worker->answered && now_ms - worker->answered_poll_sent_ms <= within_ms;
     }
-  return heard * 2 > listed;
+  return answered_n * 2 > listed;
 }
 
 /* ---- jobs ---------------------------------------------------------------------------- */
@@ -280,12 +285,12 @@
   fb_pool_await_unknown_ends (self, job, now_ms);
   g_hash_table_insert (self->jobs, job->id, job);
   g_hash_table_add (self->active, job);
-  (void) fb_pool_job_release (self, job, wall_ms); /* nothing has ended yet */
+  (void) fb_pool_job_release (self, job, wall_ms); /* cannot complete: no task has ended yet */
   if (job->record.spec.occurrences > 0)
-    g_hash_table_add (self->timed, job);
+    g_hash_table_add (self->jobs_to_release, job);
   if (job->record.spec.steps.steps_len > 1)
-    g_hash_table_add (self->chained, job);
-  self->place_due = TRUE;
+    g_hash_table_add (self->jobs_with_dependencies, job);
+  self->round_due = TRUE;
   fb_pool_adopt_runs (self, job);
   fb_event_log (
       FB_EVENT_JOB_TAKEN, "job=%s queue=%s steps=%u restored=%d age_ms=%u objective_ms=%u", id,
@@ -313,20 +318,21 @@
     return;
   if (job == NULL)
     {
-      /* Only its end is left of it, for callers who ask. */
-      fb_work_admit nothing = { 0 };
-      job = fb_pool_job_new (id, &nothing, 0, 0);
+      /* Only the end of the job is still recorded; it is kept to answer callers. */
+      fb_work_admit no_record = { 0 };
+      job = fb_pool_job_new (id, &no_record, 0, 0);
       g_hash_table_insert (self->jobs, job->id, job);
     }
   fb_pool_job_restore (job, record);
-  g_hash_table_add (self->timed, job); /* what is done of it may release more */
+  g_hash_table_add (self->jobs_to_release,
+                    job); /* tasks that are already done may release further steps */
   if (!fb_pool_job_ended (job))
     {
       fb_pool_crash_restore (self, job, suspects, now_ms);
       return;
     }
-  g_hash_table_remove (self->timed, job);
-  g_hash_table_remove (self->chained, job);
+  g_hash_table_remove (self->jobs_to_release, job);
+  g_hash_table_remove (self->jobs_with_dependencies, job);
   g_hash_table_remove (self->active, job);
   g_hash_table_add (self->ended, job);
 }
@@ -348,15 +354,15 @@
 static void
 replace_policy (FbPoolJob *job, const fb_work_policy *policy)
 {
-  fb_work_policy *mine = &job->record.policy;
-  mine->priority = policy->priority;
-  mine->max_attempts = policy->max_attempts;
-  mine->stretch_factor_milli = policy->stretch_factor_milli;
-  mine->target_ms = policy->target_ms;
-  mine->advised = policy->advised;
-  mine->advice_decision_us = policy->advice_decision_us;
-  mine->advice_per_worker_us = policy->advice_per_worker_us;
-  mine->advice_validity_ms = policy->advice_validity_ms;
+  fb_work_policy *current = &job->record.policy;
+  current->priority = policy->priority;
+  current->max_attempts = policy->max_attempts;
+  current->stretch_factor_milli = policy->stretch_factor_milli;
+  current->target_ms = policy->target_ms;
+  current->advised = policy->advised;
+  current->advice_decision_us = policy->advice_decision_us;
+  current->advice_per_worker_us = policy->advice_per_worker_us;
+  current->advice_validity_ms = policy->advice_validity_ms;
   fb_pool_job_objective (job);
 }
 
@@ -378,14 +384,14 @@
 static void
 release_due (FbPool *self, uint64_t now_ms, uint64_t wall_ms)
 {
-  g_autoptr (GList) jobs = g_hash_table_get_keys (self->timed);
+  g_autoptr (GList) jobs = g_hash_table_get_keys (self->jobs_to_release);
   for (GList *l = jobs; l != NULL; l = l->next)
     {
       FbPoolJob *job = l->data;
       if (fb_pool_job_release (self, job, wall_ms))
         fb_pool_job_end (self, job, FB_WORK_COMPLETED, now_ms, wall_ms);
       if (job->next_occurrence >= job->record.spec.occurrences)
-        g_hash_table_remove (self->timed, job);
+        g_hash_table_remove (self->jobs_to_release, job);
     }
 }
 
@@ -395,11 +401,11 @@
   if (self->fenced)
     return;
   self->may_start = may_start;
-  gboolean tend = now_ms >= self->last_maintenance_ms + FB_POOL_MAINTENANCE_INTERVAL_MS;
-  if (tend || !self->recovered)
+  gboolean maintenance_due = now_ms >= self->last_maintenance_ms + FB_POOL_MAINTENANCE_INTERVAL_MS;
+  if (maintenance_due || !self->recovered)
     {
       self->last_maintenance_ms = now_ms;
-      tend_workers (self, now_ms);
+      maintain_workers (self, now_ms);
       fb_pool_unresolved_losses_check (self, now_ms);
       fb_pool_check_recovery (self, now_ms);
     }
@@ -410,13 +416,13 @@
       self->no_start_ms = now_ms;
       return;
     }
-  if (tend)
+  if (maintenance_due)
     release_due (self, now_ms, wall_ms);
-  if (!tend && !self->place_due)
+  if (!maintenance_due && !self->round_due)
     return;
-  self->place_due = FALSE;
+  self->round_due = FALSE;
   fb_pool_place (self, now_ms);
-  if (tend && self->place_from == 0)
+  if (maintenance_due && self->resume_position == 0)
     fb_pool_place_copies (self, now_ms);
 }
 
@@ -428,8 +434,8 @@
   const FbPoolJob *job = g_hash_table_lookup (self->jobs, id);
   if (job == NULL)
     return FALSE;
-  /* An end is shown once it is durable: a successor must not run the job again
-   * after its caller was told that it is done. */
+  /* A job is reported as ended only once the end is durable: a later owner must not run the job
+   * again after its caller has been told that it is done. */
   if (job->stored_state >= FB_WORK_COMPLETED)
     *state = job->stored_state;
   else
--- a/tools/pool-mutants.sh
+++ b/tools/pool-mutants.sh
@@ -21,7 +21,7 @@
 silent-worker-ignored|pool-recovery.c|      if ((!worker->answered \|\| worker->has_unknown_end) \&\& !worker->runs_ended|      if (FALSE
 closed-worker-holds-nothing|pool-drain.c|    g_hash_table_add (steps, step_of_task (name));|    g_hash_table_remove (steps, name);
 late-comer-too-soon|pool-recovery.c|worker->listed_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS + FB_POOL_START_WINDOW_MS|worker->listed_ms > 0
-unread-end-ignored|pool-recovery.c|      if (worker->has_unknown_end \&\& worker->last_answer_ms <= job->taken_ms)|      if (FALSE)
+unread-end-ignored|pool-recovery.c|      if (worker->has_unknown_end \&\& worker->last_answer_ms <= job->added_ms)|      if (FALSE)
 absent-behind-an-unread-end|pool-report.c|  if (!worker->has_unknown_end)|  if (TRUE)
 unheard-holds-nothing|pool-recovery.c|      if (may_hold (self->unconfirmed_workers->pdata[i], step))|      if (FALSE)
 not-asked-is-not-allowed|pool-recovery.c|  return advice == NULL \|\| advice->allowed;|  return advice != NULL ? advice->allowed : FALSE;
@@ -60,7 +60,7 @@
 planned-leave-taken-for-a-crash|pool-crash.c|  while (!worker->draining \&\& g_hash|  while (g_hash
 shrunk-room-not-noticed|pool-worker.c|  worker->cpu_milli = entry->cpu_milli;|  worker->cpu_milli = MAX (worker->cpu_milli, entry->cpu_milli);
 grown-room-not-noticed|pool-worker.c|  worker->cpu_milli = entry->cpu_milli;|  worker->cpu_milli = worker->cpu_milli != 0 ? MIN (worker->cpu_milli, entry->cpu_milli) : entry->cpu_milli;
-size-proves-what-ran|pool-recovery.c|  if (!fb_pool_has_labels_for (worker, step->shape))|  if (!fb_pool_could_run (worker, step->shape))
+size-proves-what-ran|pool-recovery.c|  if (!fb_pool_has_labels_for (worker, step->shape))|  if (!fb_pool_worker_could_run (worker, step->shape))
 refusal-of-a-repeat-is-proof|platform/worker.c|  if (fb_http_reply_is_ambiguous (reply) \&\& |  if (FALSE \&\& 
 lease-of-the-owner-before-forgotten|pool-report.c|answer->clock_ms + first_lease_ms (self, worker)|0
 answer-counts-for-any-attempt|pool-orders.c|(*run)->attempt != ref->attempt|FALSE
