--- a/include/internal/pool-crash.h
+++ b/include/internal/pool-crash.h
@@ -1,128 +1,129 @@
-/* Tasks under which workers crash: what is counted, what is in doubt, who is given up. */
+/* Tasks suspected of crashing their workers: counting crashes, tracking losses with unknown cause,
+ * failing the job at a limit. */
 #pragma once
 
 #include "internal/pool-private.h"
 
-/* Where a task was ordered, while it is suspected and not known what became of it there. */
+/* A worker on which a suspected task was started, as long as the outcome there is unknown. */
 typedef struct
 {
-  char *worker; /* its id */
+  char *worker; /* id of the worker */
   char *address;
-  gboolean seen; /* it was seen at work there */
+  gboolean seen; /* the task was seen running there */
 } FbPoolTried;
 
-/* ---- pool-crash.c: counts, limit, placing -----------------------------------------------------
- */
+/* pool-crash.c: crash counts, the limit, placement */
 
-/* How many workers crashed under TASK. */
+/* Returns: how many workers crashed while running TASK. */
 guint fb_pool_task_crashes_n (const FbPoolTask *task);
-/* TRUE when the crash of the worker of that rank is counted for TASK. */
+/* TRUE when the crash of the worker with rank WORKER is counted for TASK. */
 gboolean fb_pool_task_has_crash (const FbPoolTask *task, uint64_t worker);
-/* Fills in what LIMITS leaves to the pool. */
+/* Sets defaults for the crash limits that are 0. */
 void fb_pool_crash_set_limits (FbPoolLimits *limits);
-/* What speaks against task INDEX has changed: finds whether it is withheld. */
+/* Recomputes whether task INDEX is withheld; called when its crashes or unresolved losses
+ * change. */
 void fb_pool_task_weigh (const FbPool *self, FbPoolStep *step, uint32_t index);
-/* A flush that held JOB is stored. */
+/* A flush that contained JOB has been stored: releases tasks that were withheld until then. */
 void fb_pool_crash_stored (FbPool *self, FbPoolJob *job);
-/* TRUE when a worker has crashed under TASK, or may have. */
+/* TRUE when a worker has crashed, or may have crashed, while running TASK. */
 gboolean fb_pool_task_is_suspect (const FbPoolTask *task);
-/* Counts CRASH for task INDEX, once for each worker. */
+/* Counts CRASH for task INDEX, at most once per worker. */
 void fb_pool_crash_count (FbPool *self, FbPoolStep *step, uint32_t index, FbPoolCrash crash,
                           uint64_t now_ms);
-/* Task INDEX has shown that it crashes no worker.  WHY: a static text. */
+/* Task INDEX has proven harmless: removes its crashes. WHY: a static string. */
 void fb_pool_crash_clear (FbPool *self, FbPoolStep *step, uint32_t index, const char *why);
-/* No run of task INDEX is on WORKER, which goes on: the job's record says so, if it named it. */
+/* No run of task INDEX is on WORKER, which is still up: removes the unresolved start from the job's
+ * record. */
 void fb_pool_crash_task_gone (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
                               uint32_t index);
-/* A run of task INDEX ended on WORKER, which goes on. */
+/* A run of task INDEX ended on WORKER, which is still up. */
 void fb_pool_crash_task_ended (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
                                uint32_t index, FbEndHow how);
-/* A start was ordered: the job's record says where, if the task is suspected. */
+/* Task INDEX was started on WORKER: records the start if the task is suspected. */
 void fb_pool_crash_task_ordered (FbPool *self, FbPoolWorker *worker, FbPoolStep *step,
                                  uint32_t index);
-/* RUN was seen at work on WORKER: the job's record says so, if it names the start. */
+/* RUN was seen running on WORKER: updates the job's record if it contains the start. */
 void fb_pool_crash_task_seen (FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run);
-/* Records what is on WORKER if that fell silent. */
+/* Records the runs on WORKER when it becomes silent. */
 void fb_pool_crash_note_silence (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
-/* Comes before the runs of WORKER are dropped.  NEXT: as for fb_pool_worker_lost(). */
+/* Called before the runs of a lost WORKER are dropped. NEXT: as for fb_pool_worker_lost(). */
 void fb_pool_crash_worker_lost (FbPool *self, FbPoolWorker *worker, FbPoolLoss loss,
                                 const FbPoolWorker *next, uint64_t now_ms);
-/* Ends jobs of which a task has come to the limit. */
+/* Fails jobs that have a task at the crash limit. */
 void fb_pool_crash_end_jobs (FbPool *self, uint64_t now_ms, uint64_t wall_ms);
-/* JOB has ended. */
+/* Drops JOB, which has ended, from the suspects. */
 void fb_pool_crash_forget (FbPool *self, FbPoolJob *job);
-/* FALSE when TASK, which is suspected, must not run beside others that are on WORKER. */
+/* FALSE when TASK is suspected and must not share WORKER with the suspected tasks there. */
 gboolean fb_pool_crash_may_share (const FbPoolWorker *worker, const FbPoolTask *task);
-/* FALSE while WORKER is kept for another task than TASK. */
+/* FALSE while WORKER is reserved for another task than TASK. */
 gboolean fb_pool_crash_is_open (const FbPoolWorker *worker, const FbPoolTask *task,
                                 uint64_t now_ms);
-/* What lasts and has run on WORKER for long is not suspected any more, so that others may start
- * there. */
+/* Clears long-running tasks that have run on WORKER long enough, so that others may start there. */
 void fb_pool_crash_clear_lasted (FbPool *self, FbPoolWorker *worker);
-/* TRUE when TASK must not start on WORKER, its best, before that is calm; WORKER is kept for it. */
+/* TRUE when TASK must wait until no run on WORKER, its best worker, is just beginning; reserves
+ * WORKER for TASK. */
 gboolean fb_pool_crash_waits_for_calm (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms);
-/* What speaks against WORKER for TASK, which is suspected. */
+/* Returns: the placement cost of WORKER for the suspected TASK; lower is better. */
 double fb_pool_crash_cost (const FbPoolWorker *worker, const FbPoolTask *task, uint64_t now_ms);
-/* RUN, which has a step, comes to WORKER (SIGN 1) or goes (-1). */
+/* Updates WORKER's counts of suspected runs when RUN is added (SIGN 1) or removed (-1). RUN has a
+ * step. */
 void fb_pool_crash_charge (FbPoolWorker *worker, FbPoolRun *run, int sign);
 
-/* ---- pool-crash-causes.c: what may have crashed a worker, which its rank names ------- */
+/* pool-crash-causes.c: possible causes per crash, keyed by the worker's rank */
 
 GHashTable *fb_pool_crash_causes_new (void);
-/* One task more may have crashed WORKER, or one less. */
+/* Adds or removes one task that may have crashed WORKER. */
 void fb_pool_crash_cause_add (FbPool *self, uint64_t worker);
 void fb_pool_crash_cause_drop (FbPool *self, uint64_t worker);
-/* TRUE when only one is left. */
+/* TRUE when exactly one possible cause is left. */
 gboolean fb_pool_crash_has_one_cause (const FbPool *self, uint64_t worker);
 
-/* ---- pool-doubt.c: losses that may have been crashes ----------------------------------------- */
+/* pool-doubt.c: losses that may or may not have been crashes */
 
 GHashTable *fb_pool_doubts_new (void);
-/* Task INDEX was on the worker called ID at ADDRESS.  CRASH: what counts if that crashed. */
+/* Task INDEX was on the lost worker ID at ADDRESS. CRASH: what to count if the worker crashed. */
 void fb_pool_doubt_add (FbPool *self, const char *id, const char *address, FbPoolStep *step,
                         uint32_t index, FbPoolCrash crash, uint64_t now_ms);
-/* It is known of the worker called ID whether it crashed. */
+/* Resolves the loss of worker ID: counts it for its tasks if CRASHED, else discards it. */
 void fb_pool_doubt_end (FbPool *self, const char *id, gboolean crashed, uint64_t now_ms);
-/* Settles doubts by the list of workers, and gives up those that nothing has settled. */
+/* Resolves losses by the list of workers, and discards those that are still unresolved after a
+ * time-out. */
 void fb_pool_doubts_tend (FbPool *self, uint64_t now_ms);
 
-/* ---- pool-probe.c: steps that start one task at a time ----------------------------------------
- */
+/* pool-probe.c: steps that start one task at a time */
 
-/* The worker of that rank has certainly crashed under a task of STEP. */
+/* The worker with rank WORKER has certainly crashed while running a task of STEP. */
 void fb_pool_probe_note_crash (FbPoolStep *step, uint64_t worker, uint64_t now_ms);
-/* A task of STEP has shown that not all of them crash their workers. */
+/* A task of STEP has run without crashing its worker: ends the probe. */
 void fb_pool_probe_passed (FbPoolStep *step);
-/* TRUE while the tasks of STEP start one at a time. */
+/* TRUE while tasks of STEP are started one at a time. */
 gboolean fb_pool_probe_is_on (const FbPoolStep *step);
-/* Returns: the task that may be started now, the one under which most workers crashed; the count of
- * tasks: none.  May end the probe. */
+/* Returns: the task that may start now, which is the one with the most crashes; the task count if
+ * none may. May end the probe. */
 uint32_t fb_pool_probe_next (FbPoolStep *step);
 
-/* ---- pool-crash-record.c -----------------------------------------------------------------------
- */
+/* pool-crash-record.c: suspected tasks in a job's record */
 
 void fb_pool_tried_note (FbPoolTask *task, const char *worker, const char *address, gboolean seen);
-/* TRUE when it is not known yet what became of TASK on WORKER. */
+/* TRUE when the outcome of TASK on WORKER is recorded as unknown. */
 gboolean fb_pool_tried_has (const FbPoolTask *task, const char *worker);
-/* TRUE when what became of TASK on WORKER is known, or in doubt already. */
+/* TRUE when the outcome of TASK on WORKER is known, or already tracked as unresolved. */
 gboolean fb_pool_tried_is_settled (const FbPool *self, const FbPoolTask *task, const char *worker);
-/* TASK was seen at work on WORKER.  Returns: FALSE when that is no news, or not asked for. */
+/* TASK was seen running on WORKER. Returns: TRUE if this changed an entry. */
 gboolean fb_pool_tried_see (FbPoolTask *task, const char *worker);
-/* It is known what became of TASK on WORKER. */
+/* The outcome of TASK on WORKER is known: removes the entry. */
 void fb_pool_tried_drop (FbPoolTask *task, const char *worker);
-/* The same of the worker of that rank. */
+/* The same for the worker with that rank. */
 void fb_pool_tried_drop_rank (FbPoolTask *task, uint64_t rank);
-/* RECORD borrows from the job; it is the caller's to clear. */
+/* Fills in RECORD, whose strings are borrowed from JOB; clear with fb_pool_crash_record_clear(). */
 void fb_pool_crash_record (const FbPoolJob *job, fb_work_suspects *record);
 void fb_pool_crash_record_clear (fb_work_suspects *record);
 void fb_pool_crash_restore (FbPool *self, FbPoolJob *job, const fb_work_suspects *record,
                             uint64_t now_ms);
 
-/* ---- pool-unstored.c ---------------------------------------------------------------------------
- */
+/* pool-unstored.c: suspicions that are not stored yet */
 
-/* What is held against tasks of JOB has changed. */
+/* Crashes or unresolved losses of JOB's tasks have changed. */
 void fb_pool_unstored_note (FbPool *self, FbPoolJob *job);
-/* JOB is about to be freed. */
+/* Drops JOB, which is about to be freed. */
 void fb_pool_unstored_forget (FbPool *self, const FbPoolJob *job);
--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -1,68 +1,72 @@
-/* The workers of a pool and the runs on them, for its own files only. */
+/* Workers of a pool and the runs on them. Private to the pool's own files. */
 #pragma once
 
 #include "internal/pool-job-private.h"
 
 typedef enum
 {
-  FB_RUN_STARTING, /* ordered; it is not known whether it is there */
+  FB_RUN_STARTING, /* start sent, not confirmed by the worker yet */
   FB_RUN_RUNNING,
   FB_RUN_STOPPING
 } FbRunState;
 
-/* How it is known that a task was on a worker that crashed. */
+/* Evidence that a task was running on a worker when it crashed. */
 typedef enum
 {
-  FB_CRASH_HEARSAY, /* a record or another daemon says that it was ordered there */
-  FB_CRASH_LIKELY,  /* this owner started it there and got no answer, or one before saw it */
-  FB_CRASH_FIRM     /* it was seen there, or all but certainly began there */
+  FB_CRASH_HEARSAY, /* a stored record or another daemon reports that it was started there */
+  FB_CRASH_LIKELY,  /* this owner started it there without an answer, or an earlier owner saw it
+                       there */
+  FB_CRASH_FIRM     /* it was seen there, or almost certainly began there */
 } FbCrashEvidence;
 
-/* A worker that crashed, for the tasks that were on it. */
+/* A worker crash, as counted for a task that was on the worker. */
 typedef struct
 {
-  uint64_t worker; /* its rank */
-  gboolean apart;  /* nothing else was on it that could have crashed it */
+  uint64_t worker; /* FbPoolWorker.rank of the worker; 0: none */
+  gboolean apart;  /* no other run on the worker could have caused the crash */
   FbCrashEvidence evidence;
 } FbPoolCrash;
 
-/* An attempt on a worker, from its order until it has certainly ended there. */
+/* One attempt of a task on a worker. Exists from the start request until the attempt has certainly
+ * ended there. */
 struct _FbPoolRun
 {
   char *name;
-  FbPoolStep *step;   /* NULL: of no job that is known */
-  uint64_t seen_ms;   /* when it was first listed */
-  uint64_t listed_ms; /* when it was last listed; 0: never */
+  FbPoolStep *step;   /* NULL: its job is not known */
+  uint64_t seen_ms;   /* when the worker first listed it; 0: this owner started it */
+  uint64_t listed_ms; /* when the worker last listed it; 0: never */
   uint32_t index;
   uint32_t attempt;
   FbRunState state;
-  gboolean given_up;         /* its task no longer counts on it */
-  gboolean unanswered;       /* its order got no answer: it may have begun */
-  guint suspicion_n;         /* crashes and doubts of its task when it was charged to its worker */
-  gboolean whole;            /* started here, from the beginning: its time tells of the worker */
-  uint64_t order;            /* the last one sent for it */
-  uint64_t deadline_ms;      /* of the start, on the worker's clock */
-  uint64_t seen_clock_ms;    /* worker's clock when it was last known to be there */
-  uint64_t stopped_clock_ms; /* worker's clock when a stop was taken; 0: not yet */
+  gboolean given_up;   /* its task no longer depends on this run */
+  gboolean unanswered; /* the start got no answer: it may have begun */
+  guint suspicion_n;   /* crashes and unresolved losses of its task when the run was charged to the
+                          worker */
+  gboolean whole; /* begun here without a checkpoint: its duration measures the worker's speed */
+  uint64_t order; /* id of the last request sent for it */
+  uint64_t deadline_ms;      /* deadline of the start, on the worker's clock */
+  uint64_t seen_clock_ms;    /* worker's clock when the run was last known to be there; 0: never */
+  uint64_t stopped_clock_ms; /* worker's clock when it accepted a stop; 0: not yet */
   uint64_t stop_sent_ms;
   uint64_t started_ms;
-  /* When it was found that its worker had started again before it was listed there: it may yet come
-   * to this one, the next life.  0: that is not so. */
+  /* When the start was transferred to this incarnation because the one that it was sent to ended
+   * before it listed the run. The start may still arrive here. 0: not transferred, or listed
+   * since. */
   uint64_t came_ms;
-  gboolean shut_out;     /* it is here only until its worker has taken a stop of it */
-  FbPoolCrash lost_with; /* counts if it never comes: the life that it was sent to crashed; rank 0:
-                          * none did */
+  gboolean shut_out;     /* placeholder for a late start that the worker is told to refuse */
+  FbPoolCrash lost_with; /* counted if the transferred start never arrives, as the earlier
+                            incarnation crashed; worker 0: nothing to count */
 };
 
 typedef struct
 {
   char *id;
-  guint slot;      /* its place in the roster */
-  uint32_t life;   /* unique in the pool, never 0 */
-  uint64_t rank;   /* decides between equal workers, in whatever order they were listed; names it
-                    * in records of crashes */
-  gboolean opened; /* it takes more than in the last round */
-  gboolean took;   /* it took work when it was last tended */
+  guint slot;      /* index in FbPool.roster */
+  uint32_t life;   /* number of this incarnation, unique in the pool, rising, never 0 */
+  uint64_t rank;   /* hash of the id: breaks ties between equal workers independently of the listing
+                      order, and identifies the worker in crash records */
+  gboolean opened; /* it can take more than in the last placement round */
+  gboolean took;   /* it accepted work at the last maintenance pass */
   char *address;
   char *rack;
   char **labels;
@@ -70,54 +74,59 @@
   uint32_t mem_mb;
   uint32_t gpu_count;
   gboolean listed;
-  uint64_t listed_ms; /* when it was first listed; 0: it was known before */
+  uint64_t listed_ms; /* when it was first listed; 0: known from a record only */
   gboolean draining;
-  gboolean answered;      /* under the present epoch */
-  gboolean silence_noted; /* it fell silent, and records say what was on it */
-  gboolean gone;          /* this life has certainly ended, or all its leases have */
-  gboolean replaced;      /* this life has certainly ended */
-  gboolean returns;       /* a later life may take calls that are meant for this one */
-  gboolean outlived;      /* another life at its address began later, as far as is known */
-  /* When it was found that calls which were meant for another life may come here; 0: none may. */
+  gboolean answered;      /* has answered a poll under the present epoch */
+  gboolean silence_noted; /* it is silent, and its runs have been recorded */
+  gboolean gone;          /* this incarnation or all its leases have certainly ended */
+  gboolean replaced;      /* this incarnation has certainly ended */
+  gboolean returns;  /* restarts under the same id, so a later incarnation may receive calls meant
+                        for this one */
+  gboolean outlived; /* a later incarnation at its address is known */
+  /* When it was found that calls meant for another incarnation may arrive here; 0: none may. */
   uint64_t follows_ms;
-  /* Names of the steps that may still run there, as the owner before had recorded them when
-   * nothing was started there any more; NULL: it may run anything. */
+  /* Names of the steps that may still run here, as recorded by the previous owner when it stopped
+   * starting work here; NULL: any step may run. */
   GHashTable *closed_to;
-  gboolean look_open;
-  uint32_t first_answer_ms; /* patience of the last look before it first answered */
-  uint64_t look_at_ms;      /* when the next look is due */
-  uint64_t look_sent_ms;
-  gboolean look_failed; /* the last one was not answered */
-  uint64_t proof_ms;    /* when the last look that was answered had been sent */
-  uint64_t heard_ms;    /* last answer */
-  uint64_t clock_ms;    /* worker's clock, no later than HEARD_MS */
-  uint64_t
-      lease_ms; /* highest deadline that was ever sent, on its clock; by the owner before, too */
-  uint64_t seen_end;   /* highest number of an end that was taken in */
-  gboolean unread;     /* it lists an end of a job that is not known yet, or may have more ends */
-  uint64_t unread_end; /* which one that was last; 0: none */
-  uint64_t unread_ms;  /* when that was first listed */
-  uint64_t flushing_end;
-  uint64_t acknowledged;
-  uint64_t acknowledging;     /* by the open look, where a later life may take it; 0: nothing */
-  uint64_t told_acknowledged; /* the worker has taken that, where a later life might have */
-  uint64_t paused_until_ms;
-  uint32_t bad_streak;
+  gboolean look_open;       /* a poll is unanswered */
+  uint32_t first_answer_ms; /* time-out of the last initial poll; 0: none sent */
+  uint64_t look_at_ms;      /* when the next poll is due */
+  uint64_t look_sent_ms;    /* when the last poll was sent */
+  gboolean look_failed;     /* the last poll was not answered */
+  uint64_t proof_ms;        /* when the last answered poll had been sent */
+  uint64_t heard_ms;        /* when the last answer arrived; 0: never */
+  uint64_t clock_ms;        /* worker's clock, as read no later than heard_ms */
+  uint64_t lease_ms; /* highest deadline ever sent, on the worker's clock, including those of the
+                        previous owner */
+  uint64_t seen_end; /* highest number of an end that has been processed */
+  gboolean unread;   /* lists an end of a job that is not known yet, or may have more ends than one
+                        answer holds */
+  uint64_t unread_end;    /* number of the last such end; 0: none */
+  uint64_t unread_ms;     /* when that end was first listed */
+  uint64_t flushing_end;  /* seen_end when the open flush began */
+  uint64_t acknowledged;  /* highest number of an end whose effects are stored */
+  uint64_t acknowledging; /* number acknowledged by the open poll if a later incarnation may receive
+                             it; 0: none */
+  uint64_t told_acknowledged; /* highest number that the worker is known to have received, if later
+                                 incarnations may receive calls */
+  uint64_t paused_until_ms;   /* no starts before, as it refused one or left it unanswered */
+  uint32_t bad_streak;        /* failed runs of different jobs in a row */
   FbPoolSpeed *speed;
-  uint64_t spared_until_ms;
-  char *last_bad_job;
-  GHashTable *runs; /* name -> FbPoolRun */
-  guint shut_out_n; /* those that are to be shut out */
-  guint suspects_n; /* runs of tasks under which workers have crashed */
-  guint isolated_n; /* those that run apart for it */
-  /* Nothing else than this starts here; it is compared only, never followed. */
+  uint64_t spared_until_ms; /* no starts before, as its runs fail */
+  char *last_bad_job;       /* id of the job of the last failed run; NULL: none */
+  GHashTable *runs;         /* name -> FbPoolRun */
+  guint shut_out_n;         /* runs that are placeholders for late starts (FbPoolRun.shut_out) */
+  guint suspects_n;         /* runs of tasks under which workers have crashed or may have crashed */
+  guint isolated_n;         /* runs of tasks that are isolated from other suspected tasks */
+  /* Only this task may start here until kept_until_ms; NULL: any. Compared only, never
+   * dereferenced. */
   const FbPoolTask *kept_for;
   uint64_t kept_until_ms;
-  uint32_t alien_n; /* runs of jobs that are not known: their size is not known */
+  uint32_t alien_n; /* runs of unknown jobs, whose resource use is unknown */
   int64_t cpu_used;
   int64_t mem_used;
   int64_t gpu_used;
-  guint held_n; /* tasks for which room is held, of steps that wait for advice */
+  guint held_n; /* tasks for which resources are reserved while their steps wait for advice */
   int64_t cpu_held;
   int64_t mem_held;
   int64_t gpu_held;
@@ -125,46 +134,47 @@
 
 /* pool-worker.c */
 FbPoolWorker *fb_pool_worker_new (const char *id);
-/* Returns: what decides between equal workers: the same for ID at all owners. */
+/* Returns: a hash of ID that breaks ties between equal workers; the same at all owners. */
 uint64_t fb_pool_worker_rank (const char *id);
 void fb_pool_worker_free (gpointer worker);
 void fb_pool_worker_describe (FbPoolWorker *worker, const FbWorkerEntry *entry);
-/* The worker's clock now, estimated so that it is never ahead of the truth. */
+/* Returns: a lower bound of the worker's clock now. */
 uint64_t fb_pool_worker_clock_low (const FbPoolWorker *worker, uint64_t now_ms);
 gboolean fb_pool_worker_silent (const FbPoolWorker *worker, uint64_t now_ms);
-/* TRUE when every lease that it can hold has certainly ended. */
+/* TRUE when every lease that the worker can hold has certainly ended. */
 gboolean fb_pool_worker_lapsed (const FbPool *self, const FbPoolWorker *worker, uint64_t now_ms);
 FbPoolRun *fb_pool_worker_add_run (FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
                                    const char *name, uint32_t attempt);
 void fb_pool_worker_drop_run (FbPoolWorker *worker, FbPoolRun *run);
 gboolean fb_pool_worker_fits (const FbPoolWorker *worker, const fb_work_step *shape);
-/* Pauses a worker that fails what it is given, after a failure and after a start. */
+/* Throttles a worker whose runs keep failing; called after a failure and after a start. */
 void fb_pool_worker_spare (FbPoolWorker *worker, uint64_t now_ms);
-/* Adds (SIGN 1) or takes off (-1) what RUN uses. */
+/* Adds (SIGN 1) or subtracts (-1) the resources that RUN uses. */
 void fb_pool_worker_charge (FbPoolWorker *worker, FbPoolRun *run, int sign);
-/* Keeps (SIGN 1) or gives back (-1) room for a task of SHAPE. */
+/* Reserves (SIGN 1) or releases (-1) resources for a task of SHAPE. */
 void fb_pool_worker_hold (FbPoolWorker *worker, const fb_work_step *shape, int sign);
 gboolean fb_pool_worker_has_label (const FbPoolWorker *worker, const char *label);
 
 /* pool-roster.c */
 void fb_pool_roster_add (FbPool *self, FbPoolWorker *worker);
-/* Forgets WORKER and frees it. */
+/* Removes WORKER and frees it. */
 void fb_pool_roster_remove (FbPool *self, FbPoolWorker *worker);
-/* Returns: the next worker from *SLOT on, which moves behind it; NULL: there is none. */
+/* Returns: the next worker at or after index *SLOT, which is moved past it; NULL at the end. */
 FbPoolWorker *fb_pool_roster_next (const FbPool *self, guint *slot);
-/* WORKER may take what it did not take before. */
+/* Marks WORKER as able to take work that it could not take before. */
 void fb_pool_worker_opened (FbPool *self, FbPoolWorker *worker);
 
 /* pool-closed.c */
 
-/* Which steps may still run on WORKER, which drains, goes into KNOWN. */
+/* Writes the steps that may still run on the draining WORKER into KNOWN. */
 void fb_pool_closed_record (const FbPoolWorker *worker, fb_work_known *known);
 void fb_pool_closed_record_clear (fb_work_known *known);
-/* The owner before knew WORKER as KNOWN tells. */
+/* Stores what the previous owner recorded of a worker until that worker is listed. */
 void fb_pool_closed_restore (FbPool *self, const fb_work_known *known);
-/* WORKER was listed: it gets what the owner before knew of it. */
+/* WORKER was listed: applies what the previous owner recorded of it. */
 void fb_pool_closed_take (FbPool *self, FbPoolWorker *worker);
-/* FALSE when no run of STEP can be on WORKER, which drains. */
+/* FALSE when WORKER is draining and no run of STEP can be on it. */
 gboolean fb_pool_closed_may_hold (const FbPoolWorker *worker, const FbPoolStep *step);
-/* TRUE when nothing runs on WORKER, whether it answers or not. */
+/* TRUE when the previous owner's record proves that nothing runs on WORKER, even if it does not
+ * answer. */
 gboolean fb_pool_closed_is_empty (const FbPoolWorker *worker);
