--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -1,21 +1,21 @@
-/* Orders to workers, and what their answers prove.
+/* Requests to workers (start, stop and poll) and the handling of their answers.
  *
- * An order without an answer may still be carried out.  A start then keeps its
- * room until a look made after the start's deadline does not list it: from then
- * on the worker would refuse it as late. */
+ * A request without an answer may still be carried out. An unanswered start keeps its resources
+ * reserved until a poll made after the start's deadline does not list the run: from then on the
+ * worker would refuse the start as late. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 #include "fb-histogram.h"
 
-/* Answers to looks take some 10 ms; this is for a slow daemon or network. */
+/* Time-out of a poll: answers take some 10 ms, the rest allows for a slow daemon or network. */
 #define LOOK_ANSWER_MS 600
-/* A take-over waits for each worker's first answer.  The first looks are given up sooner,
- * so that one lost answer does not hold it up for 0.7 s (the 95th percentile of take-overs);
- * each repeat waits twice as long. */
+/* Time-out of the first poll of a worker. A take-over waits for each worker's first answer; with
+ * the longer time-out one lost answer delayed it by 0.7 s (the 95th percentile of take-overs). Each
+ * retry doubles the time-out. */
 #define FIRST_ANSWER_MS 150
-/* Pause after a start that a worker refused or left unanswered. */
+/* Pause after a worker refused a start or left it unanswered. */
 #define REFUSAL_PAUSE_MS 300
 
 const char *
@@ -75,9 +75,10 @@
   return *key;
 }
 
-/* Finds what ORDER was about and forgets the order.
- * Returns: the worker; *RUN is NULL when the run is over already, also if another attempt of its
- * task is on the worker. */
+/* Removes ORDER from the open requests.
+ *
+ * Returns: its worker, NULL if unknown. *RUN is NULL when the run is over already, even if another
+ * attempt of its task is on the worker. */
 static FbPoolWorker *
 take_order (FbPool *self, uint64_t order, FbPoolRun **run)
 {
@@ -182,7 +183,7 @@
   self->sink->stop (self->user, &order);
 }
 
-/* How long the answer to a look may take. */
+/* Returns: the time-out of the next poll. */
 static uint32_t
 answer_patience_ms (FbPoolWorker *worker)
 {
@@ -199,8 +200,8 @@
 {
   if (worker->first_answer_ms <= FIRST_ANSWER_MS)
     return now_ms;
-  /* An answer that was lost has used up its patience.  A connection that is reset has not, and
-   * would be tried again in each round. */
+  /* A lost answer has taken its whole time-out, but a reset connection fails at once and would be
+   * retried in every pass. */
   return MAX (now_ms, worker->look_sent_ms + worker->first_answer_ms / 2);
 }
 
@@ -210,12 +211,13 @@
   return worker->returns && worker->acknowledged > worker->told_acknowledged;
 }
 
-/* TRUE when WORKER has not listed a run since that was ordered: a later life may have it, as
- * answers to starts do not say which one they are of. */
+/* TRUE when a run on WORKER has not been listed since it was started. A later incarnation may have
+ * it, because an answer to a start does not tell which incarnation sent it. */
 static gboolean
 has_unlisted (const FbPoolWorker *worker)
 {
-  /* Behind ends that are not read yet none is settled, and a full list of ends waits for this. */
+  /* While an end of an unknown job is listed, no run is resolved, and a full list of ends can only
+   * move on by an acknowledgement. */
   if (worker->unread)
     return FALSE;
   GHashTableIter iter;
@@ -229,11 +231,11 @@
   return FALSE;
 }
 
-/* Failure: a worker starts again under its id with a start and a look on their way.  The new life
- * carries the start out, and forgets the end of it as the look acknowledges that number, which it
- * had of the life before; it shows as a task that runs again after it was done.  Guard: of such a
- * worker an end is acknowledged once, by a look that waits for nothing, when all that was started
- * there is listed; nothing starts there until then. */
+/* A worker may restart under its id while a start and a poll are in flight. The new incarnation
+ * carries out the start, and then forgets the end of that run, because the poll acknowledges the
+ * same number of the earlier incarnation; the finished task runs again. To prevent this, an end of
+ * such a worker is acknowledged only once, by a poll that does not wait, when every run started
+ * there has been listed; nothing starts there until then. */
 static gboolean
 may_acknowledge (const FbPoolWorker *worker)
 {
@@ -261,13 +263,13 @@
                         .acknowledged = acknowledges ? worker->acknowledged : 0,
                         .answer_ms = answer_patience_ms (worker) };
   worker->acknowledging = worker->returns ? order.acknowledged : 0;
-  /* Failure: a worker falls silent, and each look that it may yet carry out extends its
-   * lease; it shows as tasks that never start again.  Guard: a silent worker is
-   * looked at without a lease, so that the last one ends. */
+  /* If each poll extended the lease of a silent worker, which may still receive it, the lease would
+   * never end and its tasks would never start again. So a silent worker is polled without a lease,
+   * and the last lease runs out. */
   if (worker->answered && !fb_pool_worker_silent (worker, now_ms))
     order.deadline_ms = fb_pool_worker_clock_low (worker, now_ms) + lease_ms;
-  /* Ends that may not be acknowledged yet would answer the look at once, again
-   * and again. */
+  /* A worker with unacknowledged ends answers at once, so waiting for news would only repeat the
+   * same answer in a tight loop. */
   if (worker->answered && worker->acknowledged == worker->seen_end && !worker->unread
       && !fb_pool_owes_acknowledgement (worker))
     order.wait_ms = FB_POOL_LOOK_WAIT_MS;
@@ -294,7 +296,7 @@
   fb_pool_task_may_wait (self, step, index);
 }
 
-/* The order was refused: the run is not there and never will be. */
+/* The worker refused the start: the run is not there and never will be. */
 static void
 start_refused (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, FbOrderResult result,
                uint64_t now_ms)
@@ -302,7 +304,7 @@
   FbPoolStep *step = run->step;
   fb_event_log (FB_EVENT_TASK_REFUSED, "task=%s attempt=%u worker=%s reason=%s", run->name,
                 run->attempt, worker->id, fb_order_result_name (result));
-  /* The worker stays one of the allowed, so that it is asked for again. */
+  /* The worker stays allowed, so that a new ticket is requested for it. */
   if (result == FB_ORDER_BAD_TICKET)
     fb_pool_ruling_expire (step, worker);
   if (result != FB_ORDER_SUPERSEDED && result != FB_ORDER_BAD_TICKET)
@@ -314,8 +316,9 @@
     fb_pool_gang_stop (self, step, now_ms);
 }
 
-/* Takes in an answer that tells of WORKER (nullable) and not of the run.
- * Returns: FALSE when it is of the run. */
+/* Handles an answer that concerns WORKER (nullable) as a whole.
+ *
+ * Returns: FALSE when the answer concerns the run only. */
 static gboolean
 took_for_worker (FbPool *self, FbPoolWorker *worker, FbOrderResult result, uint64_t now_ms)
 {
@@ -339,7 +342,7 @@
   if (run == NULL || (run->order != order && run->state != FB_RUN_STOPPING))
     return;
   if (result == FB_ORDER_DONE && run->came_ms != 0)
-    run->unanswered = TRUE; /* either life may have said so */
+    run->unanswered = TRUE; /* either incarnation may have sent this answer */
   else if (result == FB_ORDER_DONE)
     {
       run->seen_clock_ms = MAX (run->seen_clock_ms, clock_ms);
@@ -361,7 +364,7 @@
       if (worker->returns)
         fb_pool_late_start_note (self, worker->id, worker->address, run->name, run->attempt,
                                  run->started_ms, now_ms);
-      /* The others would wait for this member until they give up alone. */
+      /* The other members would wait for this one until their own time-out. */
       if (run->step->shape->gang)
         fb_pool_gang_stop (self, run->step, now_ms);
     }
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -1,22 +1,21 @@
-/* What workers report: what runs, what ended, and what must be true then.
+/* Handles what workers report: the runs they list and the ends of runs.
  *
- * An end is taken in once by its number, and counted once by its attempt: a
- * successor finds ends again that its predecessor had recorded but could not
- * acknowledge any more. */
+ * Each end is processed once by its number and counted once by its attempt: a new owner sees ends
+ * again that the previous owner had recorded but could no longer acknowledge. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 #include "fb-histogram.h"
 
-/* The same while an end waits for its job to be read from the store. */
+/* Pause between polls while an end waits for its job to be read from the store. */
 #define UNREAD_PAUSE_MS 100
-/* Looks that find unacknowledged ends return at once; this is their pause.  It shows when
- * records take long: other ends at the worker are heard that much later, and a job has
- * 250 ms to spare; 35 workers cost 300 looks a second meanwhile. */
+/* Pause between polls. Polls return at once while ends are unacknowledged. When writes to the store
+ * are slow, other ends at the worker are seen later by this pause, and a job has 250 ms to spare;
+ * 35 workers cost 300 polls a second meanwhile. */
 #define LOOK_PAUSE_MS 120
 
-/* Ends that a worker lists in one answer; those behind them are listed once these are
+/* Most ends that a worker lists in one answer; later ends are listed once these are
  * acknowledged. */
 #define ENDS_LISTED 500
 
@@ -45,7 +44,7 @@
   self->place_due = TRUE;
 }
 
-/* ---- stopping ----------------------------------------------------------------- */
+/* ---- stopping runs ----------------------------------------------------------------- */
 
 static void
 stop_run (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
@@ -93,9 +92,9 @@
     }
 }
 
-/* Failure: a member of a gang is refused or lost; the others hold their room,
- * wait for it and end alone.  Guard: they are stopped at once, and the gang starts
- * again under a new attempt when none of them is left. */
+/* When one member of a gang is refused or lost, the others would hold their resources, wait for it
+ * and time out. So they are stopped at once, and the gang restarts under a new attempt when none of
+ * them is left. */
 void
 fb_pool_gang_stop (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
@@ -138,14 +137,15 @@
   release_holds (self, job);
   fb_event_log (FB_EVENT_JOB_OVER, "job=%s queue=%s state=%d age_ms=%" G_GUINT64_FORMAT, job->id,
                 job->record.policy.queue, job->state, now_ms - job->admitted_ms);
-  /* What still runs of a completed job are members of a gang that end by themselves. */
+  /* The remaining runs of a completed job are gang members, which end by themselves. */
   if (job->state != FB_WORK_COMPLETED)
     stop_all (self, is_of_job, job, now_ms);
 }
 
-/* ---- ends ---------------------------------------------------------------------- */
+/* ---- ends of runs ------------------------------------------------------------------ */
 
-/* What runs on of a task that may have copies has lost; members of a gang end together. */
+/* The task is done: other runs of a task with speculative copies are stopped. Members of a gang end
+ * together. */
 static void
 task_done (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms)
 {
@@ -164,7 +164,7 @@
 count_failure (FbPool *self, FbPoolStep *step, uint32_t index, const FbEndSeen *end,
                uint64_t now_ms, uint64_t wall_ms)
 {
-  /* A gang fails as one: its first task keeps the count. */
+  /* A gang fails as a whole; the failures are counted at its first task. */
   FbPoolTask *task = &step->tasks[step->shape->gang ? 0 : index];
   if (step->shape->lasting || task->done || !fb_pool_task_count_failed (task, end->attempt))
     return;
@@ -197,7 +197,7 @@
   uint32_t took_ms = (uint32_t) (now_ms - run->started_ms);
   step->timed_n++;
   step->timed_ms += took_ms;
-  /* Members of a gang end together, whatever their workers are. */
+  /* Members of a gang end together, so their times say nothing about single workers. */
   if (run->whole && !step->shape->gang)
     fb_pool_speed_note (&step->tasks[run->index], worker->speed, took_ms);
 }
@@ -268,9 +268,9 @@
     fb_pool_run_over (self, worker, run, end_names[end->how], now_ms);
 }
 
-/* ---- what runs ------------------------------------------------------------------ */
+/* ---- listed runs ------------------------------------------------------------------- */
 
-/* Gives a run that is of STEP to its task, or stops it. */
+/* Assigns RUN, whose step is known, to its task, or stops it if it is not needed. */
 static void
 settle_run (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
 {
@@ -295,7 +295,7 @@
     step->job->state = FB_WORK_RUNNING;
 }
 
-/* A run that this owner did not order: a predecessor did. */
+/* Adds a run that this owner did not start; an earlier owner did. */
 static FbPoolRun *
 adopt (FbPool *self, FbPoolWorker *worker, const FbRunSeen *seen, uint64_t now_ms)
 {
@@ -314,10 +314,10 @@
   return run;
 }
 
-/* Failure: the owner before was told of a job directly and started it; this one finds
- * the run before it has read the job.  Taken for a stray it would be stopped, and the
- * job, once read, started a second time meanwhile.  Guard: a run of no known job keeps
- * its worker to itself until the job is read, or certainly does not exist. */
+/* The previous owner may have received a job directly and started it, and this owner lists the run
+ * before it has read the job. Stopping the run as an orphan would lose its work, and the job would
+ * start a second time once read. So a run of an unknown job keeps its worker to itself until the
+ * job is read, or certainly does not exist. */
 void
 fb_pool_bind_runs (FbPool *self, const FbPoolJob *job)
 {
@@ -325,7 +325,7 @@
   FbPoolWorker *worker = NULL;
   while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
     {
-      /* Only a run without a step can be of a job that was not known. */
+      /* Only a run without a step can belong to a job that was unknown so far. */
       if (worker->alien_n == 0)
         continue;
       g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
@@ -369,7 +369,7 @@
               uint64_t now_ms)
 {
   FbPoolRun *run = g_hash_table_lookup (worker->runs, seen->task);
-  /* What is listed has been started since. */
+  /* The listed run is a later attempt. */
   if (run != NULL && run->came_ms != 0 && run->attempt < seen->attempt)
     {
       fb_pool_run_over (self, worker, run, "superseded", now_ms);
@@ -389,7 +389,7 @@
     fb_pool_task_save (run->step, run->index, seen->checkpoint);
 }
 
-/* TRUE when a look at CLOCK_MS that does not list RUN proves that it is over. */
+/* TRUE when an answer of CLOCK_MS that does not list RUN proves that RUN is over. */
 static gboolean
 absence_proves (const FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
                 uint64_t clock_ms)
@@ -429,8 +429,8 @@
     }
 }
 
-/* TRUE while END is of a job that may yet be read from the store.  Once acknowledged it
- * would be gone, and the job, when it is read, would run again. */
+/* TRUE while END belongs to a job that may not have been read from the store yet. If END were
+ * acknowledged, the worker would forget it, and the job would run again once read. */
 static gboolean
 is_unread (const FbPool *self, FbPoolWorker *worker, const FbEndSeen *end, uint64_t now_ms)
 {
@@ -442,8 +442,8 @@
   return self->jobs_read_ms <= worker->unread_ms;
 }
 
-/* The record names what may still run on a worker that drains: once that is nothing, it is
- * written again. */
+/* The stored record names the steps that may still run on a draining worker; it is rewritten when
+ * the last run there is over. */
 static void
 note_if_emptied (FbPool *self, const FbPoolWorker *worker, guint runs_before)
 {
@@ -451,8 +451,9 @@
     self->workers_dirty = TRUE;
 }
 
-/* The longest lease that WORKER may have at its first answer: by the owner before, or by a look at
- * its life before, whose deadline its clock may be far behind. */
+/* Returns: the longest lease that WORKER may hold at its first answer. It comes from the previous
+ * owner, or from a poll of an earlier incarnation, whose deadline may be far ahead of this
+ * incarnation's clock. */
 static uint64_t
 first_lease_ms (const FbPool *self, const FbPoolWorker *worker)
 {
@@ -461,8 +462,9 @@
              : FB_POOL_LEASE_MS;
 }
 
-/* What WORKER lists it has not forgotten: an answer to another look was taken for that to the one
- * that acknowledged. */
+/* A worker forgets acknowledged ends. If one is still listed, the acknowledgement was not
+ * received: the answer to another poll was taken for the one to the acknowledging poll.
+ * Acknowledge it again. */
 static void
 acknowledge_again (FbPoolWorker *worker, const FbLookAnswer *answer)
 {
@@ -486,7 +488,8 @@
                   self->epoch, answer->running->len, answer->finished->len);
   if (!worker->answered)
     {
-      /* The owner before may have given it a lease a moment ago, which covers what starts there. */
+      /* The previous owner may have given it a lease just now, which covers any run started
+       * there. */
       worker->lease_ms = MAX (worker->lease_ms, answer->clock_ms + first_lease_ms (self, worker));
       fb_pool_worker_opened (self, worker);
       self->workers_dirty = self->workers_dirty || worker->draining;
@@ -519,8 +522,8 @@
     }
   if (answer->finished->len >= self->limits.ends_listed_n)
     worker->unread = TRUE;
-  /* What is not listed any more may be among the ends behind the unread one, or behind those that
-   * one answer holds. */
+  /* A run that is no longer listed may be among the ends after the unknown one, or after those that
+   * fit into one answer. */
   if (!worker->unread)
     drop_absent (self, worker, answer->clock_ms, now_ms);
   note_if_emptied (self, worker, runs_before);
@@ -530,11 +533,11 @@
     fb_pool_order_look (self, worker, now_ms);
 }
 
-/* Failure: a worker leaves while its pool changes hands; the successor knows it from the
- * record of the owner before and waits for its lease, 6 s with the whole pool idle (seen
- * when a worker left 1 s before).  Guard: a worker that a list read under this epoch lacks,
- * and whose host answers that nothing listens there, has left with all that ran on it.
- * Either alone is no proof: lists lose workers that live, and a cut may refuse connections. */
+/* If a worker leaves during a take-over, the new owner knows it from the previous owner's record
+ * and would wait for its lease, 6 s with the whole pool idle (seen when a worker left 1 s before).
+ * A worker that is missing from a list read under this epoch, and whose host answers that nothing
+ * listens at the port, has left with all its runs. Neither sign alone is proof: lists can lose live
+ * workers, and a network partition may refuse connections. */
 static gboolean
 has_left (const FbPool *self, const FbPoolWorker *worker)
 {
--- a/src/work/pool-settle.c
+++ b/src/work/pool-settle.c
@@ -1,15 +1,16 @@
-/* The beginning of an owner: what may still run that it has not heard of.
+/* Take-over by a new owner: which runs may exist that it does not know of.
  *
- * Failure: a new owner starts a task that still runs on a worker that it has not heard; it
- * shows as two runs of one task.  Guard: a task starts only when no worker that has not
- * answered under the new epoch can hold a run of it.  That is so for every task once all
- * have answered or their leases have surely ended.
+ * A new owner must not start a task that still runs on a worker that has not answered yet, as the
+ * task would run twice. So a task starts only when no worker without an answer under the new epoch
+ * can hold a run of it. This is the case for every task once all workers have answered or their
+ * leases have certainly ended.
  *
- * A worker that is dark at that moment takes up to 6.2 s to lapse, and waiting for it with
- * everything kept whole pools idle.  Until then work goes on that surely is not there:
- * steps that did not run there when it began to drain, steps for which the worker lacks a label,
- * steps that the advice service does not allow it (what it allows never changes, and workers refuse
- * starts without its ticket), and jobs that were stored after the owner before had stopped. */
+ * A worker that is unreachable at that moment takes up to 6.2 s until its lease ends, and holding
+ * back everything for it kept whole pools idle. Until then these tasks may start, as they certainly
+ * do not run there: steps that did not run there when the worker began to drain, steps for which
+ * the worker lacks a label, steps that the advice service does not allow on it (its permissions
+ * never change, and workers refuse starts without its ticket), and jobs that were stored after the
+ * previous owner had stopped. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
@@ -46,9 +47,9 @@
     }
 }
 
-/* Failure: workers are replaced one after the other during a take-over; each new one is not heard
- * for its first moments, so that there always is one, and the pool is never settled.  Guard: the
- * owner before had stopped, and its last orders had run out, before the worker was listed. */
+/* When workers are replaced one after the other during a take-over, each new one is unconfirmed for
+ * its first moments, so that the take-over would never complete. A worker listed after the previous
+ * owner had stopped and its last requests had expired cannot hold any of its runs. */
 static gboolean
 came_too_late (const FbPool *self, const FbPoolWorker *worker)
 {
@@ -100,7 +101,7 @@
 gboolean
 fb_pool_is_untouched (const FbPool *self)
 {
-  /* A job that comes now was stored after JOBS_READ_MS, or it would be known. */
+  /* A job received now was stored after jobs_read_ms, or it would be known. */
   return self->settled
          || (self->majority_ms != 0
              && self->jobs_read_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);
@@ -111,10 +112,10 @@
 {
   if (!fb_pool_closed_may_hold (worker, step))
     return FALSE;
-  /* Of a worker that is not listed no label is known. */
+  /* The labels of a worker that is not listed are unknown. */
   if (!worker->listed)
     return TRUE;
-  /* Its size proves nothing: it may have shrunk since a run that it had room for began. */
+  /* Its capacity proves nothing: it may have shrunk since a run began that fitted then. */
   if (!fb_pool_has_labels_for (worker, step->shape))
     return FALSE;
   if (!step->job->record.policy.advised || !step->job->advised_when_stored)
@@ -123,9 +124,9 @@
   return ruling == NULL || ruling->allowed;
 }
 
-/* Failure: reads of the store are behind, and a job is read after the new owner has heard its
- * end from a worker; it shows as a second run of a task that is done.  Guard: a job that comes
- * while an end is unread waits until the workers that listed one are heard again. */
+/* If reads of the store lag, the new owner may see the end of a task at a worker before it reads
+ * the task's job, and would then run the finished task again. So a job that is read while a worker
+ * lists an end of an unknown job waits until these workers have answered again. */
 static gboolean
 end_may_be_unread (const FbPool *self, FbPoolJob *job)
 {
