--- a/src/work/pool-lives.c
+++ b/src/work/pool-lives.c
@@ -1,10 +1,10 @@
-/* Lives of one worker that are known at the same time.
+/* Several incarnations of one worker that are known at the same time.
  *
- * Failure: an owner knows two lives under one id, as entries and answers come late and out of
- * order, and orders work for both; all of it reaches the one that runs.  It shows as a worker that
- * holds more than its room, and as tasks that wait for a life that has ended.  Guard: of the lives
- * at an address the one that began last takes all that was meant for those before, as soon as it is
- * known, and nothing is started on any other. */
+ * List entries and answers arrive late and out of order, so an owner may know two incarnations
+ * under one id and send work to both, while all of it reaches the one that runs. That worker would
+ * then hold more than its capacity, and tasks would wait for an incarnation that has ended. So as
+ * soon as the latest incarnation at an address is known, it takes over everything meant for earlier
+ * ones, and nothing is started on any other. */
 #include "internal/pool-private.h"
 
 static gboolean
@@ -34,7 +34,8 @@
   FbPoolWorker *latest = latest_at (self, worker->address);
   if (latest == worker)
     return;
-  /* The entry may be a late one; a host whose time went back is told apart by its answer. */
+  /* The entry may be outdated. If the host's clock was set back, an answer of the worker corrects
+   * this. */
   if (latest != NULL && follows (self, latest, worker))
     {
       worker->outlived = TRUE;
--- a/src/work/pool-loss.c
+++ b/src/work/pool-loss.c
@@ -1,4 +1,4 @@
-/* Workers that were lost, and the runs that ended with them. */
+/* Lost workers, and the runs that ended with them. */
 #include "internal/pool-crash.h"
 
 #include "fb-event.h"
--- a/src/work/pool-return.c
+++ b/src/work/pool-return.c
@@ -1,24 +1,26 @@
-/* Workers that start again under the id that they had.
+/* Workers that restart under the same id.
  *
- * Failure: a call that was on its way to a life of a worker, which ended meanwhile, is taken by the
- * next one: the id is the same, its clock may be behind the deadline of a start, and it has seen no
- * epoch.  With what ran there given up, it shows as a second run of a task.  Guard: what was listed
- * by the life that ended has ended with it.  A start that it never listed goes over to the next
- * life and counts as under way there, until that life lists it, its clock has passed the deadline,
- * or it has taken a stop of that attempt, after which it refuses the start. */
+ * A call on its way to an incarnation that has ended meanwhile is received by the next one: the id
+ * is the same, its clock may be behind the deadline of a start, and it has seen no epoch. If the
+ * runs of the ended incarnation were simply dropped, such a start would run the task twice. So runs
+ * that the ended incarnation had listed are over, but a start that it never listed is transferred
+ * to the next incarnation and counts as starting there. It stays until that incarnation lists it,
+ * the incarnation's clock has passed the deadline, or it has accepted a stop of that attempt, after
+ * which it refuses the start. */
 #include "internal/pool-crash.h"
 
 #include "fb-event.h"
 
-/* Orders without an answer are carried out some seconds late, if at all. */
+/* An unanswered request is carried out within this time, if at all. */
 #define LATE_MOST_MS 15000
-/* The latest of them are kept: each first answer of a worker goes through all. */
+/* Most unanswered starts kept, the newest; bounds the work at a worker's first answer, which scans
+ * all of them. */
 #define LATE_STARTS_MOST 4096
 
-/* A start that got no answer. */
+/* A start that got no answer and may still be carried out. */
 typedef struct
 {
-  char *life; /* that it was sent to */
+  char *life; /* id of the incarnation that it was sent to */
   char *address;
   char *task;
   uint32_t attempt;
@@ -65,7 +67,8 @@
   g_queue_push_tail (self->late_starts, start);
 }
 
-/* Charges START to WORKER, where it may come, until WORKER has taken a stop of it. */
+/* Reserves resources on WORKER for START, which may arrive there, until WORKER has accepted a stop
+ * of it. */
 static void
 shut_out (FbPool *self, FbPoolWorker *worker, const FbPoolLateStart *start, uint64_t now_ms)
 {
@@ -95,8 +98,9 @@
     }
 }
 
-/* Failure: a task starts on the worker that is to shut an earlier start of it out, and takes that
- * one's place there; it shows as room that is never free again.  Guard: it waits for the answer. */
+/* If a task started on a worker that must still refuse an earlier start of it, the new run would
+ * replace the placeholder in the table of runs, and the placeholder's resources would never be
+ * released. So the task does not start there until the stop is answered. */
 gboolean
 fb_pool_return_shuts_out (const FbPoolWorker *worker, const FbPoolStep *step, uint32_t index)
 {
@@ -106,7 +110,7 @@
   return g_hash_table_contains (worker->runs, name);
 }
 
-/* Returns: the worker called LIFE, at the address of BEFORE, which ran there until then. */
+/* Returns: the worker with id LIFE, which replaced BEFORE at its address. */
 static FbPoolWorker *
 next_life (FbPool *self, const FbPoolWorker *before, const char *life, uint64_t now_ms)
 {
@@ -122,8 +126,7 @@
   return next;
 }
 
-/* A copy of a call that is not answered yet may still be on its way, though another was carried
- * out. */
+/* A copy of an open call may still be in flight, even if another copy was carried out. */
 gboolean
 fb_pool_return_may_come (const FbPool *self, const FbPoolRun *run)
 {
@@ -153,12 +156,13 @@
     }
   FbPoolWorker *named = next_life (self, worker, life, now_ms);
   FbPoolWorker *next = fb_pool_life_running (self, named);
-  if (worker->gone) /* it was found to have ended as the other life became known */
+  if (worker->gone) /* fb_pool_life_known() found that it had ended */
     return;
-  if (next == worker) /* by its birth it began later; the answer knows better */
+  if (next == worker) /* its start time says that it began later, but the answer is proof of the
+                         opposite */
     next = named;
   fb_pool_life_set_latest (self, next);
-  /* What may have come to it is settled by its answers, or by the end of its leases. */
+  /* Starts that may have reached it are resolved by its answers or by the end of its leases. */
   next->gone = FALSE;
   next->replaced = FALSE;
   fb_event_log (FB_EVENT_POOL_WORKER_RETURNED,
@@ -166,7 +170,8 @@
                 g_hash_table_size (worker->runs), starts_that_may_come (self, worker),
                 worker->heard_ms != 0 ? (guint) (now_ms - worker->heard_ms) : 0);
   fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_LIFE, next, now_ms);
-  /* Looks at the life before may have extended its lease by deadlines far ahead of its clock. */
+  /* Polls meant for the earlier incarnation may have extended its lease by deadlines far ahead of
+   * its clock. */
   next->follows_ms = now_ms;
   if (next->answered)
     next->lease_ms = MAX (next->lease_ms, next->clock_ms + now_ms - next->heard_ms
@@ -174,7 +179,7 @@
   next->look_at_ms = now_ms;
 }
 
-/* Returns: RUN as it may come to NEXT. */
+/* Returns: a copy of RUN on NEXT, where its start may arrive. */
 static FbPoolRun *
 run_on_next (FbPoolWorker *next, const FbPoolRun *run, uint64_t now_ms)
 {
@@ -197,7 +202,7 @@
 {
   if (!fb_pool_return_may_come (self, run))
     return FALSE;
-  /* It may be there already, to be refused. */
+  /* NEXT may already have a placeholder that makes it refuse this start. */
   FbPoolRun *moved = g_hash_table_lookup (next->runs, run->name);
   if (moved != NULL && (moved->attempt != run->attempt || moved->came_ms == 0))
     return FALSE;
@@ -214,7 +219,7 @@
   fb_pool_worker_drop_run (worker, run);
   if (was_current && task->run == NULL)
     task->run = moved;
-  else if (!moved->shut_out) /* that one is no run of its task any more */
+  else if (!moved->shut_out) /* a placeholder does not count as a run of its task */
     fb_pool_task_take_run (task, moved);
   return TRUE;
 }
@@ -225,7 +230,8 @@
   return other != NULL && other != run && other->attempt == run->attempt;
 }
 
-/* The start went to one life only: what an earlier one was thought to have of it is not there. */
+/* A start is carried out by one incarnation only: drops the same attempt on other incarnations at
+ * the address. */
 void
 fb_pool_return_found (FbPool *self, const FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
 {
@@ -274,7 +280,7 @@
 fb_pool_return_is_over (const FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
                         uint64_t clock_ms)
 {
-  /* A list that was asked for before may be older than the start. */
+  /* A list that was requested before the transfer may be older than the start. */
   if (worker->look_sent_ms < run->came_ms)
     return FALSE;
   if (run->state == FB_RUN_STOPPING && run->stopped_clock_ms > 0)
@@ -289,7 +295,8 @@
     fb_pool_order_stop (self, worker, run, now_ms);
 }
 
-/* A worker's clock only goes on, and it forgets ends that were acknowledged. */
+/* Logs an answer that contradicts earlier ones: a worker's clock never goes back, and acknowledged
+ * ends are never listed again. */
 void
 fb_pool_return_log_gone_back (const FbPoolWorker *worker, const FbLookAnswer *answer)
 {
--- a/src/work/pool-worker.c
+++ b/src/work/pool-worker.c
@@ -1,26 +1,25 @@
-/* Workers of a pool: what they hold, their clocks and their leases.
+/* Workers of a pool: their resources, clocks and leases.
  *
- * A run holds its room from the order that starts it until its end is listed or
- * it is certain that it never began: a worker that does not guard its capacity
- * starts whatever it is told to. */
+ * A run reserves its resources from the start request until its end is listed or it certainly never
+ * began: a worker that does not check its own capacity starts whatever it is told to. */
 #include "internal/pool-crash.h"
 
 #include <string.h>
 #include <xxhash.h>
 
-/* A worker that was silent for this long gets nothing new: a look takes up to
- * FB_POOL_LOOK_WAIT_MS, the rest is for the network and a slow daemon. */
+/* A worker that has not answered for this long gets no new work: a poll takes up to
+ * FB_POOL_LOOK_WAIT_MS, the rest allows for the network and a slow daemon. */
 #define SILENT_MS 1300
-/* A worker's clock may be this much slow. */
+/* Most by which a worker's clock may run slow, in 1/1000. */
 #define CLOCK_SLOW_PERMILLE 20
-/* Added to a lease that must certainly have ended. */
+/* Safety margin added to a lease that must certainly have ended. */
 #define LAPSE_SLACK_MS 100
-/* Failed runs of different jobs in a row after which a worker gets one run in each
- * SPARE_MS until one succeeds. */
+/* After this many failed runs of different jobs in a row a worker gets one run per SPARE_MS until
+ * one succeeds. */
 #define BAD_STREAK 3
 #define SPARE_MS 1000
 
-/* Any: it only has to be the same at all owners. */
+/* Arbitrary, but the same at all owners. */
 #define RANK_SEED 1
 
 uint64_t
@@ -82,7 +81,7 @@
   worker->cpu_milli = entry->cpu_milli;
   worker->mem_mb = entry->mem_mb;
   worker->gpu_count = entry->gpu_count;
-  /* A worker that has begun to leave never takes it back. */
+  /* A worker that drains never becomes available again. */
   worker->draining = worker->draining || entry->draining;
   worker->listed = TRUE;
   worker->returns = entry->returns;
@@ -101,17 +100,17 @@
   return !worker->answered || now_ms > worker->heard_ms + SILENT_MS;
 }
 
-/* For so long LEASE_MS of a worker's clock may take. */
+/* Returns: the longest real time that LEASE_MS can take on a worker's clock. */
 static uint64_t
 longest_ms (uint64_t lease_ms)
 {
   return lease_ms * 1000 / (1000 - CLOCK_SLOW_PERMILLE) + LAPSE_SLACK_MS;
 }
 
-/* A worker that never answered may hold a lease of the owner before.  That owner
- * was told of its replacement by one of the majority that answered here, and
- * sends nothing later than FB_POOL_STEP_DOWN_MS after.  Calls for a life before it may have come to
- * it, too. */
+/* TRUE when every lease of a worker that never answered has ended. It may hold a lease of the
+ * previous owner, which learned of its replacement from one of the majority that answered here and
+ * sends nothing later than FB_POOL_STEP_DOWN_MS after that. Calls meant for an earlier incarnation
+ * may have reached it as well. */
 static gboolean
 unheard_lapsed (const FbPool *self, const FbPoolWorker *worker, uint64_t now_ms)
 {
@@ -194,9 +193,9 @@
   worker->gpu_held += sign * (int64_t) shape->gpu_count;
 }
 
-/* Failure: a worker fails what it is given and looks free for that, so it is given more.
- * Guard: it gets one run a second until one succeeds.  A bound on what runs there would
- * not do: a task that lasts would keep the worker out for good. */
+/* A worker that fails its runs quickly always looks free and would attract more work. So it gets
+ * one run a second until one succeeds. A limit on the number of its runs would not do, since one
+ * long-running task would keep the worker out of use for good. */
 void
 fb_pool_worker_spare (FbPoolWorker *worker, uint64_t now_ms)
 {
