--- a/src/work/pool-closed.c
+++ b/src/work/pool-closed.c
@@ -1,12 +1,12 @@
-/* What may still run on workers that drain, for the next owner.
+/* Record of the steps that may still run on draining workers, for the next owner.
  *
- * Failure: a worker drains and leaves, and the pool changes hands at about that time.  Its host
- * is silent, and the successor, which knows the worker from the record or from a list that is
- * behind, waits 6 s for its lease; meanwhile nothing is started that the worker had room
- * for.  With workers that are replaced one after the other every change of owner hit one:
- * callers of some seconds got nothing in time.  Guard: nothing new is started on a worker that
- * drains, so what its owner knows to run there when it begins to drain is all that can ever
- * run there.  The record says so, and a successor holds back just that. */
+ * A worker may drain and leave at about the time its pool changes owners. Its host does not answer,
+ * and the new owner, which knows the worker from the record or an outdated list, would wait 6 s for
+ * its lease and meanwhile start nothing that the worker had room for. With workers replaced one
+ * after the other every change of owner was affected, and callers with a few seconds of patience
+ * got nothing in time. Nothing new is started on a draining worker, so what its owner knows to run
+ * there when it begins to drain is all that can ever run there. This is recorded, and the next
+ * owner holds back only these steps. */
 #include "internal/pool-private.h"
 
 #include <string.h>
@@ -17,7 +17,7 @@
   return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
 
-/* Returns: (transfer full): the name of the step of which TASK is. */
+/* Returns: (transfer full): the name of the step that TASK belongs to. */
 static char *
 step_of_task (const char *task)
 {
@@ -25,8 +25,7 @@
   return dot != NULL ? g_strndup (task, (gsize) (dot - task)) : g_strdup (task);
 }
 
-/* Returns: (transfer full) (nullable): names of the steps that may run on WORKER; NULL: it is not
- * known which. */
+/* Returns: (transfer full) (nullable): names of the steps that may run on WORKER; NULL: unknown. */
 static GHashTable *
 steps_on (const FbPoolWorker *worker)
 {
@@ -85,7 +84,7 @@
   if (steps == NULL || worker->closed_to != NULL)
     return;
   worker->closed_to = g_hash_table_ref (steps);
-  worker->draining = TRUE; /* a list that is behind may not know yet */
+  worker->draining = TRUE; /* an outdated list may not show it yet */
 }
 
 gboolean
--- a/src/work/pool-crash-causes.c
+++ b/src/work/pool-crash-causes.c
@@ -1,7 +1,7 @@
-/* How many tasks may have caused each crash.
+/* Number of tasks that may have caused each crash.
  *
- * What ran well elsewhere since a crash did not cause it.  Once that is so of all that was there
- * but one task, the crash speaks against that one as if it had been there alone. */
+ * A task that has run well elsewhere since a crash did not cause it. Once only one possible cause
+ * is left, the crash counts as if that task had been alone on the worker. */
 #include "internal/pool-crash.h"
 
 GHashTable *
--- a/src/work/pool-crash-record.c
+++ b/src/work/pool-crash-record.c
@@ -1,4 +1,4 @@
-/* What a job's record says of its tasks under which workers crashed, or may have. */
+/* The part of a job's record about suspected tasks: their crashes and unresolved starts. */
 #include "internal/pool-crash.h"
 
 static void
@@ -81,7 +81,8 @@
     g_array_append_val (rows, row);
 }
 
-/* Returns: (transfer full): of fb_work_tried, which borrow from TASK. */
+/* Returns: (transfer full): array of fb_work_tried, whose strings are borrowed from TASK. The
+ * record has no flag for FbPoolTried.seen: an entry that was seen is listed twice. */
 static GArray *
 tried_of (const FbPoolTask *task)
 {
@@ -98,7 +99,7 @@
   return rows;
 }
 
-/* Returns: (transfer full): the workers of TASK's crashes that were APART, or not. */
+/* Returns: (transfer full): ranks of the workers of TASK's crashes with this value of APART. */
 static GArray *
 workers_of (const FbPoolTask *task, gboolean apart)
 {
@@ -113,7 +114,8 @@
   return workers;
 }
 
-/* Adds the workers of TASK's crashes that are firm a second time, as far as there is room. */
+/* Marks firm crashes: the record has no field for the evidence, so their workers are listed twice,
+ * as far as there is room. */
 static void
 repeat_firm (const FbPoolTask *task, gboolean apart, GArray *workers)
 {
@@ -195,7 +197,8 @@
   return FALSE;
 }
 
-/* What else was on a worker is not recorded where its job has ended: it stays suspected. */
+/* Restored crashes get one cause more: the other tasks on the worker are not recorded if their jobs
+ * have ended, so they stay possible causes. */
 static void
 restore_crashes (FbPool *self, FbPoolStep *step, uint32_t index, gboolean apart,
                  const u_quad_t *workers, u_int n, uint64_t now_ms)
@@ -260,10 +263,10 @@
   restore_tried (self, step, suspect, now_ms);
 }
 
-/* Failure: the owner is replaced between a crash and the moment when it knows of it, and the
- * successor never saw the run; it shows as a task that is started more often than the limit allows
- * when owners change.  Guard: where a suspected task was started is recorded, and what becomes of
- * that worker counts for it under the next owner too. */
+/* If the owner is replaced between a crash and the moment when it learns of it, and the next owner
+ * never saw the run, the task could be started more often than the limit allows. So each start of a
+ * suspected task is recorded, and what happens to its worker counts for the task under the next
+ * owner too. */
 void
 fb_pool_crash_restore (FbPool *self, FbPoolJob *job, const fb_work_suspects *record,
                        uint64_t now_ms)
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -1,45 +1,46 @@
-/* Tasks under which workers crash.
+/* Tasks that crash their workers.
  *
- * Failure: a task takes its worker down each time it is started, with all that runs there.  A run
- * that ends with its worker is no failed end, so no limit counts it, and the task is started on one
- * worker after the other; it shows as workers that fall silent in series.  Guard: the workers that
- * crashed under a task are counted and recorded with its job, and after CRASHES_MOST of them the
- * job is given up.
+ * A task may crash its worker at each start, together with everything that runs there. A run lost
+ * with its worker is not a failed run, so the limit on failures never applies, and the task would
+ * be started on one worker after the other, which fall silent in series. So the workers that
+ * crashed under a task are counted and recorded with its job, and the job fails after CRASHES_MOST
+ * of them.
  *
- * What else ran on a crashed worker is counted as well, and must not be given up for it.  So only
- * what proves a crash counts: another life answers, or is listed, at the address.  Silence leaves
- * the runs in doubt (pool-doubt.c); a doubt holds back starts that would go past the limit.  A task
- * under which ISOLATED_CRASHES workers have crashed runs apart from all others that are suspected,
- * nothing is started beside it, and a crash then tells more. */
+ * Other tasks on a crashed worker are counted as well, but must not be failed for it. So only proof
+ * of a crash counts: another incarnation answers, or is listed, at the address. Silence alone
+ * leaves the loss unresolved (pool-doubt.c); an unresolved loss holds back starts that could exceed
+ * the limit. A task with ISOLATED_CRASHES crashes is kept apart from all other suspected tasks and
+ * nothing is started beside it, so that a further crash has fewer possible causes. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
-/* Limits of a pool that is given none.  What is sent to a worker in the moments after its crash
- * counts too, as it is in no list and gets no answer, just like a task that crashed the worker at
- * once; so one more is needed where others were there each time. */
+/* Default limits. A start sent just after a worker crashed counts as well: it is in no list and
+ * gets no answer, exactly like a task that crashes its worker at once. So one more crash is needed
+ * where other tasks were present each time. */
 #define CRASHES_MOST 3
 #define CRASHES_MOST_SHARED 4
-/* Crashes after which a task no longer shares a worker with others that are suspected, and nothing
- * is started beside it. */
+/* Crashes after which a task no longer shares a worker with other suspected tasks, and nothing is
+ * started beside it. */
 #define ISOLATED_CRASHES 2
-/* A task that lasts has shown that it does not crash its worker once it ran there for so long;
- * without this the losses of weeks would add up. */
+/* A long-running task is cleared after it has run on its worker for this long; otherwise the losses
+ * of weeks would add up. */
 #define LASTING_PROVEN_MS 20000
-/* A task that crashes its worker does it as it begins.  A run that was listed for so long is taken
- * for no cause of a crash while another one begins. */
+/* Tasks that crash their worker do so as they begin. A run that has been listed for this long is
+ * not considered a cause of a crash while another run is beginning. */
 #define BEGINNING_MS 1500
-/* For so long a task waits for a worker where nothing begins: what runs there has gone by then, or
- * is listed for BEGINNING_MS. */
+/* Longest time that a task waits for a worker on which no run is beginning. After it the runs there
+ * are over or have been listed for BEGINNING_MS. */
 #define CALM_WAIT_MS 3500
-/* A job is given up at the sooner limit if so many of its crashes are firm. */
+/* The lower limit applies only with at least this many firm crashes. */
 #define FIRM_CRASHES 2
-/* Of so many crashes with others there each time, one more that was not so proves too little. */
+/* With this many crashes on shared workers, a single one on an unshared worker is too little proof
+ * for the lower limit. */
 #define SHARED_ENOUGH 2
-/* Above all other costs. */
+/* Exceeds the sum of all other costs. */
 #define QUIET_COST 1000
-/* What the answer to a look takes on its way, with room to spare. */
+/* Network time of an answer to a poll, with some margin. */
 #define ANSWER_MS 100
 
 guint
@@ -48,8 +49,8 @@
   return task->crashes != NULL ? task->crashes->len : 0;
 }
 
-/* Returns: how many of TASK's firm crashes nothing else can have caused: it was apart, or, with
- * ELIMINATED, all others that were there have shown since that they crash no worker. */
+/* Returns: how many of TASK's firm crashes have no other possible cause: the run was apart, or,
+ * with ELIMINATED, all other tasks present have since proven harmless. */
 static guint
 alone_n (const FbPool *self, const FbPoolTask *task, gboolean eliminated)
 {
@@ -63,7 +64,7 @@
   return n;
 }
 
-/* Returns: how many of TASK's crashes rest on EVIDENCE. */
+/* Returns: how many of TASK's crashes have EVIDENCE. */
 static guint
 evidence_n (const FbPoolTask *task, FbCrashEvidence evidence)
 {
@@ -83,9 +84,9 @@
   limits->shared_crashes_n = MAX (limits->shared_crashes_n, limits->crashes_n);
 }
 
-/* Failure: starts that got no answer, or runs whose ends were not heard, count for workers that
- * crashed later, and a job is given up that crashed none.  Guard: the sooner limit needs
- * FIRM_CRASHES and no hearsay. */
+/* Unanswered starts, and runs whose ends were not received, are counted for workers that crashed
+ * later, and a harmless job could be failed for them. So the lower limit requires FIRM_CRASHES and
+ * no hearsay. */
 static gboolean
 is_well_known (const FbPoolTask *task)
 {
@@ -93,7 +94,7 @@
          && evidence_n (task, FB_CRASH_HEARSAY) == 0;
 }
 
-/* Returns: after how many crashes TASK is given up.  Where none is firm, one more is needed. */
+/* Returns: the number of crashes at which TASK's job fails; one more if none of them is firm. */
 static guint
 limit_of (const FbPool *self, const FbPoolTask *task, gboolean eliminated)
 {
@@ -110,9 +111,9 @@
   return task->crashes != NULL || task->doubts_n > 0;
 }
 
-/* Failure: an owner whose store is gone starts a task on one worker after the other, and is
- * replaced; the next one counts from the beginning.  Guard: what has crashed several workers, or
- * may have, is started once it is stored how many these were, so that an owner takes few crashes
+/* An owner whose store is unreachable would start a task on one worker after the other; when it is
+ * replaced, the next owner would count from zero. So a task with several crashes or unresolved
+ * losses starts only once their number is stored, which limits the crashes that a lost owner takes
  * with it. */
 static gboolean
 is_unstored (const FbPoolStep *step, const FbPoolTask *task)
@@ -125,7 +126,7 @@
 fb_pool_task_weigh (const FbPool *self, FbPoolStep *step, uint32_t index)
 {
   FbPoolTask *task = &step->tasks[index];
-  /* What is in doubt may have been apart. */
+  /* In an unresolved loss the task may have been the only possible cause. */
   guint limit = task->doubts_n > 0 ? self->limits.crashes_n : limit_of (self, task, FALSE);
   task->withheld
       = fb_pool_task_crashes_n (task) + task->doubts_n >= limit || is_unstored (step, task);
@@ -204,9 +205,9 @@
     fb_pool_crash_clear (self, step, index, "ended");
 }
 
-/* ---- counting -------------------------------------------------------------------- */
+/* ---- counting crashes -------------------------------------------------------------- */
 
-/* Returns: FALSE when that worker was counted before. */
+/* Returns: FALSE when that worker's crash is counted already. */
 static gboolean
 note_crash (FbPoolTask *task, FbPoolCrash crash)
 {
@@ -245,15 +246,16 @@
       limit_of (self, task, FALSE), crash.apart, evidence_names[crash.evidence], task->doubts_n);
 }
 
-/* For how long RUN was seen at work by what was last heard of WORKER. */
+/* Returns: how long RUN had been running at WORKER's last answer. */
 static uint64_t
 ran_ms (const FbPoolWorker *worker, const FbPoolRun *run)
 {
   return worker->heard_ms > run->started_ms ? worker->heard_ms - run->started_ms : 0;
 }
 
-/* A start that no answer and no list ever told of did not begin, or its order is still on its way:
- * what is sent to a worker that has just crashed comes to nothing. */
+/* TRUE when RUN may have been on its worker. A start that neither an answer nor a list has
+ * confirmed did not begin, or its request is still in flight: requests to a worker that has just
+ * crashed have no effect. */
 static gboolean
 was_there (const FbPoolRun *run)
 {
@@ -273,7 +275,7 @@
          && ran_ms (worker, run) >= LASTING_PROVEN_MS;
 }
 
-/* TRUE when RUN, which runs apart, was beginning on WORKER and OTHER was not. */
+/* TRUE when RUN, which is isolated, was beginning on WORKER and OTHER was not. */
 static gboolean
 is_outlived (const FbPoolWorker *worker, const FbPoolRun *run, const FbPoolRun *other)
 {
@@ -281,8 +283,9 @@
          && !is_beginning (other);
 }
 
-/* A start that got no answer may have come to a worker that had just crashed by itself.  That is
- * hardly so if the task runs apart and the worker had spoken a moment before. */
+/* Returns: how certain it is that RUN was on WORKER when it crashed. An unanswered start may have
+ * been sent to a worker that had just crashed by itself. That is unlikely if the task is isolated
+ * and the worker had answered a moment before. */
 static FbCrashEvidence
 evidence_of (const FbPoolWorker *worker, const FbPoolRun *run)
 {
@@ -292,14 +295,14 @@
   return firm ? FB_CRASH_FIRM : FB_CRASH_LIKELY;
 }
 
-/* TRUE when RUN may have begun on WORKER as that crashed: its answer is awaited. */
+/* TRUE when RUN may have begun as its worker crashed: its start is not answered yet. */
 static gboolean
 may_have_begun (const FbPoolRun *run)
 {
   return run->step != NULL && run->state == FB_RUN_STARTING && !was_there (run);
 }
 
-/* TRUE when RUN is the only one on WORKER that could have crashed it. */
+/* TRUE when RUN is the only run on WORKER that could have crashed it. */
 static gboolean
 is_apart (const FbPoolWorker *worker, const FbPoolRun *run)
 {
@@ -328,7 +331,8 @@
         run->lost_with = crash;
       return;
     }
-  /* One start crashes one life; if it did not come to this one, it was on the one before. */
+  /* A start can crash only one incarnation. If it does not arrive at this one, it crashed the one
+   * before. */
   if (run->lost_with.worker != 0)
     return;
   if (loss == FB_LOSS_OTHER_LIFE)
@@ -338,7 +342,7 @@
       return;
     }
   fb_pool_doubt_add (self, worker->id, worker->address, step, run->index, crash, now_ms);
-  /* It is recorded too, so that a successor can still learn what became of the worker. */
+  /* It is recorded as well, so that the next owner can find out whether the worker crashed. */
   fb_pool_tried_note (&step->tasks[run->index], worker->id, worker->address,
                       run->seen_clock_ms > 0);
   fb_pool_job_changed (self, step->job);
@@ -364,10 +368,10 @@
     fb_pool_tried_drop (task, worker->id);
 }
 
-/* Failure: the owner is replaced within the 4 s in which a crash shows only as silence, and the
- * next one knows nothing of what ran there; it shows as a task that goes on crashing workers while
- * owners change.  Guard: what is on a worker that falls silent is recorded at once.  An owner that
- * hears nobody is cut off itself, and records nothing. */
+/* If the owner is replaced within the 4 s in which a crash shows only as silence, the next owner
+ * does not know what ran there, and a task goes on crashing workers while owners change. So the
+ * runs on a worker that becomes silent are recorded at once. An owner that does not hear from most
+ * workers is itself disconnected and records nothing. */
 void
 fb_pool_crash_note_silence (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
@@ -383,7 +387,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const FbPoolRun *run = value;
-      /* Of a start that may have come from the life before, that one is recorded. */
+      /* A start transferred from an earlier incarnation is recorded for that one. */
       if (run->step != NULL && was_there (run) && run->came_ms == 0)
         note_silence (self, worker, run, silent);
     }
@@ -409,7 +413,7 @@
     }
 }
 
-/* A worker that drains ends as planned: nobody is suspected for it. */
+/* A draining worker ends as planned, so no task is suspected for it. */
 void
 fb_pool_crash_worker_lost (FbPool *self, FbPoolWorker *worker, FbPoolLoss loss,
                            const FbPoolWorker *next, uint64_t now_ms)
@@ -420,7 +424,8 @@
   while (!worker->draining && g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbPoolRun *run = value;
-      /* It is not counted for that, but what else was there is no longer the only cause. */
+      /* The task is not suspected itself, but the others on the worker are no longer the only
+       * possible cause. */
       if (may_have_begun (run))
         fb_pool_crash_cause_add (self, worker->rank);
       if (run->step == NULL || !was_there (run))
@@ -436,7 +441,7 @@
   fb_pool_doubt_end (self, worker->id, !worker->draining, now_ms);
 }
 
-/* ---- the limit ------------------------------------------------------------------------- */
+/* ---- the crash limit ------------------------------------------------------------------ */
 
 static void
 give_up (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms, uint64_t wall_ms)
@@ -488,9 +493,9 @@
     }
 }
 
-/* ---- placing ---------------------------------------------------------------------------- */
+/* ---- placement -------------------------------------------------------------------------- */
 
-/* Crashes that TASK may have caused, those in doubt with them. */
+/* Returns: the crashes that TASK may have caused, including unresolved losses. */
 static guint
 suspicion_of (const FbPoolTask *task)
 {
@@ -523,10 +528,10 @@
   return TRUE;
 }
 
-/* Failure: what has lost two workers to others starts beside another task that crashes its worker,
- * and is given up for it; or it did crash them, starts where others begin, and its crash proves no
- * more than those before.  Guard: it starts where nothing has begun of late, and nothing starts on
- * that worker meanwhile. */
+/* A harmless task that was on two crashed workers could start beside another task that crashes its
+ * worker, and its job would fail for it. A task that did cause the crashes could start where others
+ * begin, and its next crash would prove no more than those before. So such a task starts on a
+ * worker where no run has begun recently, and nothing else starts on that worker meanwhile. */
 gboolean
 fb_pool_crash_waits_for_calm (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms)
 {
@@ -545,9 +550,9 @@
 fb_pool_crash_cost (const FbPoolWorker *worker, const FbPoolTask *task, uint64_t now_ms)
 {
   gboolean isolated = suspicion_of (task) >= ISOLATED_CRASHES;
-  /* It may have crashed already, and that would count for TASK. */
+  /* A silent worker may have crashed already, and that crash would count for TASK. */
   gboolean quiet = now_ms > worker->heard_ms + FB_POOL_LOOK_WAIT_MS + ANSWER_MS;
-  /* What runs beside it would be lost with the worker. */
+  /* The other runs there would be lost with the worker. */
   return worker->suspects_n + (isolated ? g_hash_table_size (worker->runs) : 0)
          + (quiet ? QUIET_COST : 0);
 }
--- a/src/work/pool-doubt.c
+++ b/src/work/pool-doubt.c
@@ -1,9 +1,9 @@
-/* Workers that were lost and may have crashed, and what was on them.
+/* Lost workers that may have crashed, and the tasks that were on them.
  *
- * A worker that fell silent may run on behind a cut, be frozen, or be gone for good with its rack;
- * that all its leases have ended says nothing of why.  Its tasks start again elsewhere, and until
- * something proves more they are in doubt: the worker answers again, or another life is found at
- * its address.  What proves nothing for DOUBT_MS is counted for nobody. */
+ * A silent worker may still be running on the other side of a network partition, be frozen, or be
+ * lost for good with its rack; the end of its leases does not tell which. Its tasks start again
+ * elsewhere, and the loss stays unresolved until the worker answers again or another incarnation is
+ * found at its address. A loss that stays unresolved for DOUBT_MS is not counted for any task. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
@@ -14,14 +14,14 @@
 
 typedef struct
 {
-  char *name; /* of the task */
+  char *name; /* name of the task */
   FbPoolCrash crash;
 } LostTask;
 
 typedef struct
 {
-  GArray *lost;  /* of LostTask */
-  char *address; /* of the worker */
+  GArray *lost;  /* of LostTask: the tasks that were on the worker */
+  char *address; /* address of the worker */
   uint64_t since_ms;
 } Doubt;
 
@@ -111,8 +111,8 @@
   g_hash_table_remove (self->doubts, id);
 }
 
-/* LOST may be NULL: it is not known any more.  A life that was listed and is gone by now proves as
- * much as one that is listed. */
+/* TRUE when OTHER replaced LOST. LOST is NULL if it is no longer known. An incarnation that was
+ * listed and is gone by now proves as much as one that is still listed. */
 static gboolean
 is_successor (const FbPoolWorker *other, const FbPoolWorker *lost)
 {
@@ -121,8 +121,8 @@
   return other->listed && (lost == NULL || !lost->listed);
 }
 
-/* TRUE when another life than that of the worker called ID is listed at its address, by a list that
- * is newer than this pool, and was listed later. */
+/* TRUE when an incarnation that was listed later than worker ID is listed at its address, according
+ * to a list that was read under this owner. */
 static gboolean
 is_replaced (const FbPool *self, const char *id, const Doubt *doubt)
 {
--- a/src/work/pool-probe.c
+++ b/src/work/pool-probe.c
@@ -1,21 +1,21 @@
-/* Steps under whose tasks several workers crashed start one task at a time.
+/* Probing: a step whose tasks have crashed several workers starts one task at a time.
  *
- * Failure: a step has hundreds of tasks that crash their workers; each time it starts again it
- * takes down as many workers as it reaches, three times over; it shows as a service without workers
- * for tens of seconds.  Guard: once PROBE_WORKERS have crashed under a step, the next of its tasks
- * waits until the one before has run for PROBE_MS, or has crashed its worker as well and brings the
- * job nearer to its end.  A step that only lost its workers to a rack without power is let go again
- * by the first task that runs so long: most of a second after seconds without the workers.
+ * A step may have hundreds of tasks that crash their workers. Each time it starts it would take
+ * down as many workers as it reaches, three times over, and leave the service without workers for
+ * tens of seconds. So once PROBE_WORKERS workers have crashed, its next task waits until the one
+ * before has run for PROBE_MS, or has crashed its worker as well and brought the job nearer to the
+ * crash limit. A step that only lost its workers to a power failure of a rack is released by the
+ * first task that runs this long, which adds most of a second to the seconds without the workers.
  *
- * Tasks that are to last are never held back: they may not be gone for long, and are few. */
+ * Long-running tasks are never held back: they must not be down for long, and are few. */
 #include "internal/pool-crash.h"
 
 #include "fb-event.h"
 
-/* A rack without power or a release takes this many too, but rarely with all of one step on them.
- */
+/* A power failure of a rack or a software release loses this many workers as well, but rarely all
+ * with tasks of one step. */
 #define PROBE_WORKERS 3
-/* Tasks that crash their worker do it as they begin, or a little later. */
+/* Tasks that crash their worker do so as they begin or soon after. */
 #define PROBE_MS 1000
 
 void
@@ -43,8 +43,8 @@
   return step->crashed_n >= PROBE_WORKERS;
 }
 
-/* Returns: the run of STEP that was started since its last crash and is not known to have run for
- * PROBE_MS; *PASSED: one is known to have, since whenever. */
+/* Returns: a run of STEP that was started after the step's last crash and is not known to have run
+ * for PROBE_MS, NULL if none. *PASSED: TRUE if some run of STEP is known to have run that long. */
 static const FbPoolRun *
 open_probe (const FbPoolStep *step, gboolean *passed)
 {
--- a/src/work/pool-record.c
+++ b/src/work/pool-record.c
@@ -1,11 +1,11 @@
-/* What a pool makes durable: the progress of jobs that changed, and its workers.
+/* Durable state of a pool: the progress of jobs that changed, and the list of workers.
  *
- * One flush is open at a time and holds all that changed meanwhile.  Ends in it may be
- * acknowledged, and the states of jobs shown, when it is stored. */
+ * One flush is open at a time and contains everything that changed since the previous one. Ends of
+ * runs in it may be acknowledged, and job states shown to callers, once it is stored. */
 #include "internal/codec.h"
 #include "internal/pool-crash.h"
 
-/* Results are kept this long after a job has ended, for callers who ask late. */
+/* Results are kept this long after a job has ended, for callers that ask late. */
 #define KEEP_ENDED_MS 300000
 
 static void
@@ -147,7 +147,7 @@
   self->flush_began_ms = now_ms;
   if (records->len > 0)
     return records;
-  /* Ends that changed nothing need no write to be acknowledged. */
+  /* Ends that changed nothing can be acknowledged without a write. */
   g_ptr_array_unref (records);
   fb_pool_flushed (self, now_ms);
   return NULL;
@@ -171,7 +171,7 @@
       if (worker->acknowledged == worker->flushing_end)
         continue;
       worker->acknowledged = worker->flushing_end;
-      /* The worker keeps what is not acknowledged, and answers no look until then. */
+      /* The worker keeps unacknowledged ends, and does not wait for news while it has any. */
       fb_pool_order_look (self, worker, now_ms);
     }
 }
--- a/src/work/pool-unstored.c
+++ b/src/work/pool-unstored.c
@@ -1,15 +1,14 @@
-/* What is held against tasks while the store takes nothing.
+/* Suspicions against tasks that are not stored yet, because the store accepts no writes.
  *
- * Failure: an owner counts crashes, its store takes nothing, and it is killed; the next one counts
- * from the beginning.  It shows as a task that goes on crashing workers.  Guard: other daemons keep
- * such counts until they are stored, and tell the next owner.  In a pool that is well nothing is
- * sent. */
+ * If an owner counts crashes while its store accepts no writes, and is killed, the next owner would
+ * count from zero, and a task would go on crashing workers. So other daemons keep such counts until
+ * they are stored, and pass them to the next owner. Nothing is sent while the store works. */
 #include "internal/codec.h"
 #include "internal/pool-crash.h"
 
 #include "fb-event.h"
 
-/* Stores take 10 to 50 ms as a rule. */
+/* A write usually takes 10 to 50 ms. */
 #define STORED_SOON_MS 200
 
 static void
@@ -40,7 +39,7 @@
   return !g_hash_table_contains (self->dirty, job) && !g_ptr_array_find (self->in_flush, job, NULL);
 }
 
-/* Returns: (transfer full) (nullable): NULL when nothing is held against its tasks. */
+/* Returns: (transfer full) (nullable): NULL when no task of JOB is suspected. */
 static GBytes *
 encode_suspects (const FbPoolJob *job)
 {
