--- a/tests/test-kept-suspects.c
+++ b/tests/test-kept-suspects.c
@@ -1,4 +1,4 @@
-/* What a daemon keeps for owners whose store takes nothing. */
+/* Suspected tasks that a daemon keeps for owners whose store accepts no writes. */
 #include "src/entry/peers/kept-suspects.h"
 
 #include <CUnit/Basic.h>
@@ -7,7 +7,7 @@
 #define JOB "00000000000000c1"
 #define TOO_OLD_MS 60000
 
-/* Takes a copy of JOB with N tasks. */
+/* Passes in a copy of JOB with N suspected tasks. */
 static void
 take (FbKeptSuspects *self, const char *job, uint64_t epoch, u_int n, uint64_t now_ms)
 {
@@ -17,7 +17,7 @@
   fb_kept_suspects_take (self, &kept, now_ms);
 }
 
-/* Returns: how many tasks of all jobs SELF tells of at NOW_MS. */
+/* Returns: the number of suspected tasks that SELF reports at NOW_MS, over all jobs. */
 static guint
 told_n (const FbKeptSuspects *self, uint64_t now_ms)
 {
@@ -30,7 +30,7 @@
   return n;
 }
 
-/* Guards against: what an owner could not store is lost with it. */
+/* Guards against: suspicions that an owner could not store are lost with the owner. */
 static void
 test_a_copy_is_told (void)
 {
@@ -42,7 +42,7 @@
   fb_kept_suspects_free (self);
 }
 
-/* Guards against: a crash that a task was cleared of is held against it again. */
+/* Guards against: a crash is counted for a task again after the task was cleared of it. */
 static void
 test_a_copy_that_is_stored_is_forgotten (void)
 {
@@ -55,7 +55,7 @@
   fb_kept_suspects_free (self);
 }
 
-/* Guards against: a replaced owner takes back what its successor has handed over. */
+/* Guards against: a replaced owner overwrites the copy of its successor. */
 static void
 test_an_owner_before_changes_nothing (void)
 {
@@ -66,7 +66,7 @@
   fb_kept_suspects_free (self);
 }
 
-/* Guards against: jobs without end fill the memory of a daemon. */
+/* Guards against: the copies of many jobs exhaust the memory of a daemon. */
 static void
 test_it_is_bounded (void)
 {
--- a/tests/test-recent-starts.c
+++ b/tests/test-recent-starts.c
@@ -1,4 +1,4 @@
-/* The starts that a daemon remembers for the next owner of a pool. */
+/* Recent starts that a daemon remembers for the next owner of a pool. */
 #include "src/entry/peers/recent-starts.h"
 
 #include <CUnit/Basic.h>
@@ -7,7 +7,7 @@
 #define TASK "00000000000000c1.0.0.0"
 #define OTHER_TASK "00000000000000c1.0.0.1"
 
-/* Returns: how many starts SELF tells of at NOW_MS; FIRST: the first of them. */
+/* Returns: the number of starts that SELF reports at NOW_MS. FIRST: set to the first of them. */
 static guint
 told_n (const FbRecentStarts *self, uint64_t now_ms, fb_recent_start *first)
 {
@@ -33,7 +33,7 @@
   fb_recent_starts_looked (self, "w1", &answer);
 }
 
-/* Guards against: a start at a worker that crashed is forgotten with its owner. */
+/* Guards against: a start on a crashed worker is forgotten when its owner is lost. */
 static void
 test_a_start_at_a_worker_that_fell_silent (void)
 {
@@ -52,7 +52,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: a start without an answer is taken for one that the worker has seen. */
+/* Guards against: an unanswered start is reported as seen by the worker. */
 static void
 test_a_start_without_an_answer (void)
 {
@@ -70,7 +70,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: a job is given up for runs that had ended, or never began, before the crash. */
+/* Guards against: a job is failed for runs that had ended, or never began, before the crash. */
 static void
 test_what_is_over_is_not_told (void)
 {
@@ -90,7 +90,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: a start that was seen is forgotten before the next owner comes. */
+/* Guards against: a start that was seen expires before the next owner asks. */
 static void
 test_what_was_seen_is_told_later (void)
 {
@@ -107,7 +107,8 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: a run whose end another daemon heard is taken for one that still runs. */
+/* Guards against: a run whose end was reported to another daemon is taken for one that still
+ * runs. */
 static void
 test_what_is_not_listed_any_more_is_over (void)
 {
@@ -123,7 +124,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: starts that have ended take the place of those that have not. */
+/* Guards against: starts that are over displace those that are not. */
 static void
 test_what_is_over_takes_no_place (void)
 {
@@ -140,7 +141,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: the memory of a daemon fills with starts. */
+/* Guards against: remembered starts exhaust the memory of a daemon. */
 static void
 test_the_oldest_goes (void)
 {
--- a/tests/test-rounds.c
+++ b/tests/test-rounds.c
@@ -1,10 +1,9 @@
-/* A round of placing that takes several turns: whose is the room that opens meanwhile?
+/* Placement rounds that take several ticks: which step gets capacity that is freed during a round?
  *
- * What users see: urgent work waits beside room that goes to less urgent work, or room stays empty
- * for as many ms as steps wait.
- * Order: a pool is full and hundreds of steps wait, so that a round takes dozens of turns; a task
- * ends, or a worker leaves, while a round is open.
- * Cause: the next turn goes on behind the steps that come first. */
+ * Failure: an urgent task waits while freed capacity goes to less urgent work, or capacity stays
+ * unused for as many ms as there are waiting steps. It comes about when the pool is full and
+ * hundreds of steps wait, so that a round takes dozens of ticks: a task ends, or a worker leaves,
+ * during the round, and the next tick continues behind the most urgent steps. */
 #include "busy-pool.h"
 
 #include "fb-event.h"
@@ -23,7 +22,7 @@
   return now_ms + STEP_MS;
 }
 
-/* Returns: the time; all places are taken and nearly all jobs wait. */
+/* Returns: the time at which all slots are in use and nearly all jobs wait. */
 static uint64_t
 fill_pool (BusyPool *play, uint64_t now_ms)
 {
@@ -56,8 +55,8 @@
   return FALSE;
 }
 
-/* An urgent job waits since before the round; places come free one at a time, 100 ms apart, while a
- * round is open: the first of them is the urgent job's. */
+/* An urgent job has been waiting since before the round. Slots are freed one at a time, 100 ms
+ * apart, while a round is open: the first one must go to the urgent job. */
 static void
 test_room_of_an_open_round_goes_to_the_urgent (void)
 {
@@ -81,7 +80,8 @@
   busy_pool_clear (&play);
 }
 
-/* The same without a look at the round: each 300 ms an urgent job comes, 150 ms later a place. */
+/* The same at any point of a round: an urgent job arrives every 300 ms, and a slot is freed 150 ms
+ * later. */
 static void
 test_room_goes_to_the_urgent (void)
 {
@@ -99,7 +99,7 @@
       for (uint64_t end_ms = now_ms + 150; now_ms < end_ms && play.started_n == before;)
         now_ms = step_once (&play, now_ms);
       others += !runs (&play, "f");
-      /* The urgent job, wherever it is, is ended for the next one. */
+      /* End the urgent job, wherever it runs, before the next one. */
       fb_pool_cancel (play.pool, id, now_ms, WALL_MS + now_ms);
       for (guint k = 0; k < WORKER_N; k++)
         for (guint r = 0; r < play.workers[k].runs->len; r++)
@@ -116,13 +116,13 @@
   busy_pool_clear (&play);
 }
 
-/* ---- an opened worker ---------------------------------------------------------------- */
+/* ---- a worker with freed capacity ----------------------------------------------------- */
 
-#define MINE 0 /* the worker on which urgent jobs alone may run */
-#define IDLE 1 /* one on which nothing may run */
+#define MINE 0 /* the worker on which only urgent jobs may run */
+#define IDLE 1 /* a worker on which nothing may run */
 
-/* A place comes free in an open round, and an idle worker that the round began with leaves: the
- * place is still known to the next round. */
+/* A slot is freed during a round, and an idle worker that was there at its start leaves: the freed
+ * slot must still be known to the next round. */
 static void
 test_opened_worker_is_not_missed (void)
 {
@@ -167,14 +167,15 @@
   busy_pool_clear (&play);
 }
 
-/* ---- what a turn costs ------------------------------------------------------------------ */
+/* ---- cost of a tick -------------------------------------------------------------------- */
 
 #define BIG_N 3000
-/* Visits of workers and runs that a turn may make: some 5 ms of one core, of which the smallest
+/* Most workers and runs that one tick may visit: some 5 ms of one core, of which the smallest
  * daemons have an eighth. */
 #define OPENED_TURN_VISITS 100000
 
-/* All workers open at once, none has room for what waits. */
+/* All workers are marked as having freed capacity at once, but none has room for the waiting
+ * steps. */
 static void
 test_a_turn_with_all_workers_opened (void)
 {
