--- a/include/internal/pool-crash.h
+++ b/include/internal/pool-crash.h
@@ -87,7 +87,7 @@
 /* Resolves the loss of worker ID: counts it for its tasks if CRASHED, else discards it. */
 void fb_pool_doubt_end (FbPool *self, const char *id, gboolean crashed, uint64_t now_ms);
 /* Resolves losses by the list of workers, and discards those that are still unresolved after a
- * time-out. */
+ * timeout. */
 void fb_pool_doubts_tend (FbPool *self, uint64_t now_ms);
 
 /* pool-probe.c: steps that start one task at a time */
--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -53,7 +53,7 @@
    * before it listed the run. The start may still arrive here. 0: not transferred, or listed
    * since. */
   uint64_t came_ms;
-  gboolean shut_out;     /* placeholder for a late start that the worker is told to refuse */
+  gboolean shut_out;     /* tombstone of a late start: the worker is told to refuse it */
   FbPoolCrash lost_with; /* counted if the transferred start never arrives, as the earlier
                             incarnation crashed; worker 0: nothing to count */
 };
@@ -76,10 +76,10 @@
   gboolean listed;
   uint64_t listed_ms; /* when it was first listed; 0: known from a record only */
   gboolean draining;
-  gboolean answered;      /* has answered a poll under the present epoch */
-  gboolean silence_noted; /* it is silent, and its runs have been recorded */
-  gboolean gone;          /* this incarnation or all its leases have certainly ended */
-  gboolean replaced;      /* this incarnation has certainly ended */
+  gboolean answered;         /* has answered a poll under the present epoch */
+  gboolean silence_recorded; /* it is silent, and its runs have been recorded */
+  gboolean gone;             /* this incarnation or all its leases have certainly ended */
+  gboolean replaced;         /* this incarnation has certainly ended */
   gboolean returns;  /* restarts under the same id, so a later incarnation may receive calls meant
                         for this one */
   gboolean outlived; /* a later incarnation at its address is known */
@@ -89,7 +89,7 @@
    * starting work here; NULL: any step may run. */
   GHashTable *closed_to;
   gboolean look_open;       /* a poll is unanswered */
-  uint32_t first_answer_ms; /* time-out of the last initial poll; 0: none sent */
+  uint32_t first_answer_ms; /* timeout of the last initial poll; 0: none sent */
   uint64_t look_at_ms;      /* when the next poll is due */
   uint64_t look_sent_ms;    /* when the last poll was sent */
   gboolean look_failed;     /* the last poll was not answered */
@@ -101,22 +101,22 @@
   uint64_t seen_end; /* highest number of an end that has been processed */
   gboolean unread;   /* lists an end of a job that is not known yet, or may have more ends than one
                         answer holds */
-  uint64_t unread_end;    /* number of the last such end; 0: none */
-  uint64_t unread_ms;     /* when that end was first listed */
-  uint64_t flushing_end;  /* seen_end when the open flush began */
-  uint64_t acknowledged;  /* highest number of an end whose effects are stored */
-  uint64_t acknowledging; /* number acknowledged by the open poll if a later incarnation may receive
-                             it; 0: none */
-  uint64_t told_acknowledged; /* highest number that the worker is known to have received, if later
-                                 incarnations may receive calls */
-  uint64_t paused_until_ms;   /* no starts before, as it refused one or left it unanswered */
-  uint32_t bad_streak;        /* failed runs of different jobs in a row */
+  uint64_t unread_end;        /* number of the last such end; 0: none */
+  uint64_t unread_ms;         /* when that end was first listed */
+  uint64_t flushing_end;      /* seen_end when the open flush began */
+  uint64_t acknowledged;      /* highest number of an end whose effects are stored */
+  uint64_t poll_acknowledges; /* number acknowledged by the open poll if a later incarnation may
+                             receive it; 0: none */
+  uint64_t confirmed_acknowledged; /* highest number that the worker is known to have received, if
+                                 later incarnations may receive calls */
+  uint64_t paused_until_ms;        /* no starts before, as it refused one or left it unanswered */
+  uint32_t bad_streak;             /* failed runs of different jobs in a row */
   FbPoolSpeed *speed;
   uint64_t spared_until_ms; /* no starts before, as its runs fail */
   char *last_bad_job;       /* id of the job of the last failed run; NULL: none */
   GHashTable *runs;         /* name -> FbPoolRun */
-  guint shut_out_n;         /* runs that are placeholders for late starts (FbPoolRun.shut_out) */
-  guint suspects_n;         /* runs of tasks under which workers have crashed or may have crashed */
+  guint shut_out_n;         /* runs that are tombstones of late starts */
+  guint suspect_runs_n;     /* runs of tasks under which workers have crashed or may have crashed */
   guint isolated_n;         /* runs of tasks that are isolated from other suspected tasks */
   /* Only this task may start here until kept_until_ms; NULL: any. Compared only, never
    * dereferenced. */
--- a/src/work/pool-crash-causes.c
+++ b/src/work/pool-crash-causes.c
@@ -11,7 +11,7 @@
 }
 
 static guint
-causes_of (const FbPool *self, uint64_t worker)
+cause_count (const FbPool *self, uint64_t worker)
 {
   return GPOINTER_TO_UINT (g_hash_table_lookup (self->causes, &worker));
 }
@@ -21,13 +21,13 @@
 {
   uint64_t *key = g_new (uint64_t, 1);
   *key = worker;
-  g_hash_table_insert (self->causes, key, GUINT_TO_POINTER (causes_of (self, worker) + 1));
+  g_hash_table_insert (self->causes, key, GUINT_TO_POINTER (cause_count (self, worker) + 1));
 }
 
 void
 fb_pool_crash_cause_drop (FbPool *self, uint64_t worker)
 {
-  guint n = causes_of (self, worker);
+  guint n = cause_count (self, worker);
   if (n <= 1)
     {
       g_hash_table_remove (self->causes, &worker);
@@ -41,5 +41,5 @@
 gboolean
 fb_pool_crash_has_one_cause (const FbPool *self, uint64_t worker)
 {
-  return causes_of (self, worker) == 1;
+  return cause_count (self, worker) == 1;
 }
--- a/src/work/pool-crash-record.c
+++ b/src/work/pool-crash-record.c
@@ -2,7 +2,7 @@
 #include "internal/pool-crash.h"
 
 static void
-tried_free (gpointer data)
+unresolved_start_free (gpointer data)
 {
   FbPoolTried *tried = data;
   g_free (tried->worker);
@@ -12,7 +12,7 @@
 
 /* Returns: (nullable): borrowed. */
 static FbPoolTried *
-find_tried (const FbPoolTask *task, const char *worker)
+find_unresolved_start (const FbPoolTask *task, const char *worker)
 {
   for (guint i = 0; task->tried != NULL && i < task->tried->len; i++)
     {
@@ -26,13 +26,13 @@
 gboolean
 fb_pool_tried_has (const FbPoolTask *task, const char *worker)
 {
-  return find_tried (task, worker) != NULL;
+  return find_unresolved_start (task, worker) != NULL;
 }
 
 gboolean
 fb_pool_tried_see (FbPoolTask *task, const char *worker)
 {
-  FbPoolTried *tried = find_tried (task, worker);
+  FbPoolTried *tried = find_unresolved_start (task, worker);
   if (tried == NULL || tried->seen)
     return FALSE;
   tried->seen = TRUE;
@@ -63,7 +63,7 @@
 {
   fb_pool_tried_drop (task, worker);
   if (task->tried == NULL)
-    task->tried = g_ptr_array_new_with_free_func (tried_free);
+    task->tried = g_ptr_array_new_with_free_func (unresolved_start_free);
   if (task->tried->len == FB_WORK_MAX_CRASHES)
     g_ptr_array_remove_index (task->tried, 0);
   FbPoolTried *tried = g_new0 (FbPoolTried, 1);
@@ -74,7 +74,7 @@
 }
 
 static void
-add_tried (GArray *rows, const FbPoolTried *tried)
+add_unresolved_start (GArray *rows, const FbPoolTried *tried)
 {
   const fb_work_tried row = { .worker = tried->worker, .address = tried->address };
   if (rows->len < FB_WORK_MAX_CRASHES)
@@ -84,17 +84,17 @@
 /* Returns: (transfer full): array of fb_work_tried, whose strings are borrowed from TASK. The
  * record has no flag for FbPoolTried.seen: an entry that was seen is listed twice. */
 static GArray *
-tried_of (const FbPoolTask *task)
+unresolved_starts_of (const FbPoolTask *task)
 {
   GArray *rows = g_array_new (FALSE, FALSE, sizeof (fb_work_tried));
   guint n = task->tried != NULL ? task->tried->len : 0;
   for (guint i = 0; i < n; i++)
-    add_tried (rows, task->tried->pdata[i]);
+    add_unresolved_start (rows, task->tried->pdata[i]);
   for (guint i = 0; i < n; i++)
     {
       const FbPoolTried *tried = task->tried->pdata[i];
       if (tried->seen)
-        add_tried (rows, tried);
+        add_unresolved_start (rows, tried);
     }
   return rows;
 }
@@ -114,10 +114,10 @@
   return workers;
 }
 
-/* Marks firm crashes: the record has no field for the evidence, so their workers are listed twice,
- * as far as there is room. */
+/* Marks confirmed crashes: the record has no field for the evidence, so their workers are listed
+ * twice, up to the maximum length. */
 static void
-repeat_firm (const FbPoolTask *task, gboolean apart, GArray *workers)
+append_confirmed_again (const FbPoolTask *task, gboolean apart, GArray *workers)
 {
   for (guint i = 0; task->crashes != NULL && i < task->crashes->len; i++)
     {
@@ -133,11 +133,11 @@
 add_suspect (GArray *suspects, const FbPoolStep *step, uint32_t index)
 {
   const FbPoolTask *task = &step->tasks[index];
-  GArray *tried = tried_of (task);
+  GArray *tried = unresolved_starts_of (task);
   GArray *apart = workers_of (task, TRUE);
   GArray *shared = workers_of (task, FALSE);
-  repeat_firm (task, TRUE, apart);
-  repeat_firm (task, FALSE, shared);
+  append_confirmed_again (task, TRUE, apart);
+  append_confirmed_again (task, FALSE, shared);
   fb_work_suspect suspect = { .occurrence = step->occurrence, .step = step->index, .index = index };
   suspect.tried.tried_len = tried->len;
   suspect.tried.tried_val = (fb_work_tried *) (gpointer) g_array_free (tried, FALSE);
@@ -208,15 +208,15 @@
       if (is_listed (workers, 0, i, workers[i])
           || fb_pool_task_has_crash (&step->tasks[index], workers[i]))
         continue;
-      gboolean firm = is_listed (workers, i + 1, n, workers[i]);
-      const FbPoolCrash crash = { workers[i], apart, firm ? FB_CRASH_FIRM : FB_CRASH_HEARSAY };
+      gboolean confirmed = is_listed (workers, i + 1, n, workers[i]);
+      const FbPoolCrash crash = { workers[i], apart, confirmed ? FB_CRASH_FIRM : FB_CRASH_HEARSAY };
       fb_pool_crash_cause_add (self, crash.worker);
       fb_pool_crash_count (self, step, index, crash, now_ms);
     }
 }
 
 static gboolean
-is_tried (const fb_work_suspect *suspect, u_int from, u_int until, const char *worker)
+is_in_unresolved (const fb_work_suspect *suspect, u_int from, u_int until, const char *worker)
 {
   for (u_int i = from; i < until; i++)
     {
@@ -235,15 +235,16 @@
 }
 
 static void
-restore_tried (FbPool *self, FbPoolStep *step, const fb_work_suspect *suspect, uint64_t now_ms)
+restore_unresolved_starts (FbPool *self, FbPoolStep *step, const fb_work_suspect *suspect,
+                           uint64_t now_ms)
 {
   for (u_int i = 0; i < suspect->tried.tried_len; i++)
     {
       const fb_work_tried *tried = &suspect->tried.tried_val[i];
-      if (is_tried (suspect, 0, i, tried->worker)
+      if (is_in_unresolved (suspect, 0, i, tried->worker)
           || fb_pool_tried_is_settled (self, &step->tasks[suspect->index], tried->worker))
         continue;
-      gboolean seen = is_tried (suspect, i + 1, suspect->tried.tried_len, tried->worker);
+      gboolean seen = is_in_unresolved (suspect, i + 1, suspect->tried.tried_len, tried->worker);
       const FbPoolCrash crash = { fb_pool_worker_rank (tried->worker), FALSE,
                                   seen ? FB_CRASH_LIKELY : FB_CRASH_HEARSAY };
       fb_pool_tried_note (&step->tasks[suspect->index], tried->worker, tried->address, seen);
@@ -260,7 +261,7 @@
                    suspect->apart.apart_len, now_ms);
   restore_crashes (self, step, suspect->index, FALSE, suspect->shared.shared_val,
                    suspect->shared.shared_len, now_ms);
-  restore_tried (self, step, suspect, now_ms);
+  restore_unresolved_starts (self, step, suspect, now_ms);
 }
 
 /* If the owner is replaced between a crash and the moment when it learns of it, and the next owner
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -3,14 +3,14 @@
  * A task may crash its worker at each start, together with everything that runs there. A run lost
  * with its worker is not a failed run, so the limit on failures never applies, and the task would
  * be started on one worker after the other, which fall silent in series. So the workers that
- * crashed under a task are counted and recorded with its job, and the job fails after CRASHES_MOST
- * of them.
+ * crashed under a task are counted and recorded with its job, and the job fails after
+ * MAX_ISOLATED_CRASHES of them.
  *
  * Other tasks on a crashed worker are counted as well, but must not be failed for it. So only proof
  * of a crash counts: another incarnation answers, or is listed, at the address. Silence alone
  * leaves the loss unresolved (pool-doubt.c); an unresolved loss holds back starts that could exceed
- * the limit. A task with ISOLATED_CRASHES crashes is kept apart from all other suspected tasks and
- * nothing is started beside it, so that a further crash has fewer possible causes. */
+ * the limit. A task with ISOLATE_AFTER_CRASHES crashes is kept apart from all other suspected tasks
+ * and nothing is started beside it, so that a further crash has fewer possible causes. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
@@ -19,29 +19,29 @@
 /* Default limits. A start sent just after a worker crashed counts as well: it is in no list and
  * gets no answer, exactly like a task that crashes its worker at once. So one more crash is needed
  * where other tasks were present each time. */
-#define CRASHES_MOST 3
-#define CRASHES_MOST_SHARED 4
+#define MAX_ISOLATED_CRASHES 3
+#define MAX_SHARED_CRASHES 4
 /* Crashes after which a task no longer shares a worker with other suspected tasks, and nothing is
  * started beside it. */
-#define ISOLATED_CRASHES 2
+#define ISOLATE_AFTER_CRASHES 2
 /* A long-running task is cleared after it has run on its worker for this long; otherwise the losses
  * of weeks would add up. */
-#define LASTING_PROVEN_MS 20000
+#define LONG_RUNNING_PROVEN_MS 20000
 /* Tasks that crash their worker do so as they begin. A run that has been listed for this long is
  * not considered a cause of a crash while another run is beginning. */
-#define BEGINNING_MS 1500
+#define STARTUP_MS 1500
 /* Longest time that a task waits for a worker on which no run is beginning. After it the runs there
- * are over or have been listed for BEGINNING_MS. */
-#define CALM_WAIT_MS 3500
-/* The lower limit applies only with at least this many firm crashes. */
-#define FIRM_CRASHES 2
+ * are over or have been listed for STARTUP_MS. */
+#define STABLE_WAIT_MS 3500
+/* The lower limit applies only with at least this many confirmed crashes. */
+#define CONFIRMED_CRASHES 2
 /* With this many crashes on shared workers, a single one on an unshared worker is too little proof
  * for the lower limit. */
-#define SHARED_ENOUGH 2
+#define SHARED_CRASHES_CONCLUSIVE 2
 /* Exceeds the sum of all other costs. */
-#define QUIET_COST 1000
+#define SILENT_WORKER_COST 1000
 /* Network time of an answer to a poll, with some margin. */
-#define ANSWER_MS 100
+#define POLL_NETWORK_MS 100
 
 guint
 fb_pool_task_crashes_n (const FbPoolTask *task)
@@ -49,10 +49,10 @@
   return task->crashes != NULL ? task->crashes->len : 0;
 }
 
-/* Returns: how many of TASK's firm crashes have no other possible cause: the run was apart, or,
- * with ELIMINATED, all other tasks present have since proven harmless. */
+/* Returns: how many of TASK's confirmed crashes have no other possible cause: the run was isolated,
+ * or, with ELIMINATED, all other tasks present have since proven harmless. */
 static guint
-alone_n (const FbPool *self, const FbPoolTask *task, gboolean eliminated)
+sole_cause_n (const FbPool *self, const FbPoolTask *task, gboolean eliminated)
 {
   guint n = 0;
   for (guint i = 0; task->crashes != NULL && i < task->crashes->len; i++)
@@ -66,7 +66,7 @@
 
 /* Returns: how many of TASK's crashes have EVIDENCE. */
 static guint
-evidence_n (const FbPoolTask *task, FbCrashEvidence evidence)
+crashes_with_evidence_n (const FbPoolTask *task, FbCrashEvidence evidence)
 {
   guint n = 0;
   for (guint i = 0; task->crashes != NULL && i < task->crashes->len; i++)
@@ -78,31 +78,32 @@
 fb_pool_crash_set_limits (FbPoolLimits *limits)
 {
   if (limits->crashes_n == 0)
-    limits->crashes_n = CRASHES_MOST;
+    limits->crashes_n = MAX_ISOLATED_CRASHES;
   if (limits->shared_crashes_n == 0)
-    limits->shared_crashes_n = CRASHES_MOST_SHARED;
+    limits->shared_crashes_n = MAX_SHARED_CRASHES;
   limits->shared_crashes_n = MAX (limits->shared_crashes_n, limits->crashes_n);
 }
 
 /* Unanswered starts, and runs whose ends were not received, are counted for workers that crashed
- * later, and a harmless job could be failed for them. So the lower limit requires FIRM_CRASHES and
- * no hearsay. */
+ * later, and a harmless job could be failed for them. So the lower limit requires CONFIRMED_CRASHES
+ * and no crash that is only reported. */
 static gboolean
-is_well_known (const FbPoolTask *task)
+has_confirmed_crashes (const FbPoolTask *task)
 {
-  return evidence_n (task, FB_CRASH_FIRM) >= FIRM_CRASHES
-         && evidence_n (task, FB_CRASH_HEARSAY) == 0;
+  return crashes_with_evidence_n (task, FB_CRASH_FIRM) >= CONFIRMED_CRASHES
+         && crashes_with_evidence_n (task, FB_CRASH_HEARSAY) == 0;
 }
 
-/* Returns: the number of crashes at which TASK's job fails; one more if none of them is firm. */
+/* Returns: the number of crashes at which TASK's job fails; one more if none of them is confirmed.
+ */
 static guint
-limit_of (const FbPool *self, const FbPoolTask *task, gboolean eliminated)
+crash_limit (const FbPool *self, const FbPoolTask *task, gboolean eliminated)
 {
-  guint alone = alone_n (self, task, eliminated);
+  guint alone = sole_cause_n (self, task, eliminated);
   guint shared = fb_pool_task_crashes_n (task) - alone;
-  if (alone > 0 && is_well_known (task) && shared < SHARED_ENOUGH)
+  if (alone > 0 && has_confirmed_crashes (task) && shared < SHARED_CRASHES_CONCLUSIVE)
     return self->limits.crashes_n;
-  return self->limits.shared_crashes_n + (evidence_n (task, FB_CRASH_FIRM) == 0);
+  return self->limits.shared_crashes_n + (crashes_with_evidence_n (task, FB_CRASH_FIRM) == 0);
 }
 
 gboolean
@@ -116,9 +117,9 @@
  * losses starts only once their number is stored, which limits the crashes that a lost owner takes
  * with it. */
 static gboolean
-is_unstored (const FbPoolStep *step, const FbPoolTask *task)
+awaits_storing (const FbPoolStep *step, const FbPoolTask *task)
 {
-  return fb_pool_task_crashes_n (task) + task->doubts_n >= ISOLATED_CRASHES
+  return fb_pool_task_crashes_n (task) + task->doubts_n >= ISOLATE_AFTER_CRASHES
          && step->job->suspicion_stored != step->job->suspicion;
 }
 
@@ -127,9 +128,9 @@
 {
   FbPoolTask *task = &step->tasks[index];
   /* In an unresolved loss the task may have been the only possible cause. */
-  guint limit = task->doubts_n > 0 ? self->limits.crashes_n : limit_of (self, task, FALSE);
+  guint limit = task->doubts_n > 0 ? self->limits.crashes_n : crash_limit (self, task, FALSE);
   task->withheld
-      = fb_pool_task_crashes_n (task) + task->doubts_n >= limit || is_unstored (step, task);
+      = fb_pool_task_crashes_n (task) + task->doubts_n >= limit || awaits_storing (step, task);
 }
 
 void
@@ -209,7 +210,7 @@
 
 /* Returns: FALSE when that worker's crash is counted already. */
 static gboolean
-note_crash (FbPoolTask *task, FbPoolCrash crash)
+add_crash (FbPoolTask *task, FbPoolCrash crash)
 {
   if (fb_pool_task_has_crash (task, crash.worker)
       || fb_pool_task_crashes_n (task) == FB_WORK_MAX_CRASHES)
@@ -228,7 +229,7 @@
                      uint64_t now_ms)
 {
   FbPoolTask *task = &step->tasks[index];
-  if (task->done || !note_crash (task, crash))
+  if (task->done || !add_crash (task, crash))
     return;
   fb_pool_crash_cause_add (self, crash.worker);
   if (fb_pool_job_ended (step->job))
@@ -243,7 +244,7 @@
   fb_event_log (
       FB_EVENT_TASK_SUSPECTED, "task=%s.%u.%u.%u crashes=%u of=%u apart=%d evidence=%s doubts=%u",
       step->job->id, step->occurrence, step->index, index, fb_pool_task_crashes_n (task),
-      limit_of (self, task, FALSE), crash.apart, evidence_names[crash.evidence], task->doubts_n);
+      crash_limit (self, task, FALSE), crash.apart, evidence_names[crash.evidence], task->doubts_n);
 }
 
 /* Returns: how long RUN had been running at WORKER's last answer. */
@@ -257,30 +258,30 @@
  * confirmed did not begin, or its request is still in flight: requests to a worker that has just
  * crashed have no effect. */
 static gboolean
-was_there (const FbPoolRun *run)
+run_may_have_begun (const FbPoolRun *run)
 {
   return run->seen_clock_ms > 0 || run->unanswered;
 }
 
 static gboolean
-is_beginning (const FbPoolRun *run)
+is_starting_up (const FbPoolRun *run)
 {
-  return run->listed_ms < run->started_ms + BEGINNING_MS;
+  return run->listed_ms < run->started_ms + STARTUP_MS;
 }
 
 static gboolean
-is_proven (const FbPoolWorker *worker, const FbPoolRun *run)
+is_proven_harmless (const FbPoolWorker *worker, const FbPoolRun *run)
 {
   return run->step != NULL && run->step->shape->lasting
-         && ran_ms (worker, run) >= LASTING_PROVEN_MS;
+         && ran_ms (worker, run) >= LONG_RUNNING_PROVEN_MS;
 }
 
 /* TRUE when RUN, which is isolated, was beginning on WORKER and OTHER was not. */
 static gboolean
-is_outlived (const FbPoolWorker *worker, const FbPoolRun *run, const FbPoolRun *other)
+is_unlikely_cause (const FbPoolWorker *worker, const FbPoolRun *run, const FbPoolRun *other)
 {
-  return run->suspicion_n >= ISOLATED_CRASHES && ran_ms (worker, run) < BEGINNING_MS
-         && !is_beginning (other);
+  return run->suspicion_n >= ISOLATE_AFTER_CRASHES && ran_ms (worker, run) < STARTUP_MS
+         && !is_starting_up (other);
 }
 
 /* Returns: how certain it is that RUN was on WORKER when it crashed. An unanswered start may have
@@ -289,31 +290,33 @@
 static FbCrashEvidence
 evidence_of (const FbPoolWorker *worker, const FbPoolRun *run)
 {
-  gboolean sent_soon
-      = run->started_ms >= worker->heard_ms && run->started_ms <= worker->heard_ms + ANSWER_MS;
-  gboolean firm = run->seen_clock_ms > 0 || (run->suspicion_n >= ISOLATED_CRASHES && sent_soon);
-  return firm ? FB_CRASH_FIRM : FB_CRASH_LIKELY;
+  gboolean sent_after_answer = run->started_ms >= worker->heard_ms
+                               && run->started_ms <= worker->heard_ms + POLL_NETWORK_MS;
+  gboolean confirmed
+      = run->seen_clock_ms > 0 || (run->suspicion_n >= ISOLATE_AFTER_CRASHES && sent_after_answer);
+  return confirmed ? FB_CRASH_FIRM : FB_CRASH_LIKELY;
 }
 
 /* TRUE when RUN may have begun as its worker crashed: its start is not answered yet. */
 static gboolean
-may_have_begun (const FbPoolRun *run)
+is_start_unconfirmed (const FbPoolRun *run)
 {
-  return run->step != NULL && run->state == FB_RUN_STARTING && !was_there (run);
+  return run->step != NULL && run->state == FB_RUN_STARTING && !run_may_have_begun (run);
 }
 
 /* TRUE when RUN is the only run on WORKER that could have crashed it. */
 static gboolean
-is_apart (const FbPoolWorker *worker, const FbPoolRun *run)
+is_isolated (const FbPoolWorker *worker, const FbPoolRun *run)
 {
   GHashTableIter iter;
   gpointer other;
   g_hash_table_iter_init (&iter, worker->runs);
   while (g_hash_table_iter_next (&iter, NULL, &other))
     {
-      if (other == run || is_proven (worker, other) || is_outlived (worker, run, other))
+      if (other == run || is_proven_harmless (worker, other)
+          || is_unlikely_cause (worker, run, other))
         continue;
-      if (was_there (other) || may_have_begun (other))
+      if (run_may_have_begun (other) || is_start_unconfirmed (other))
         return FALSE;
     }
   return TRUE;
@@ -324,7 +327,7 @@
              const FbPoolWorker *next, uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
-  const FbPoolCrash crash = { worker->rank, is_apart (worker, run), evidence_of (worker, run) };
+  const FbPoolCrash crash = { worker->rank, is_isolated (worker, run), evidence_of (worker, run) };
   if (next != NULL && run->listed_ms == 0 && fb_pool_return_may_come (self, run))
     {
       if (run->lost_with.worker == 0)
@@ -376,11 +379,11 @@
 fb_pool_crash_note_silence (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
   gboolean silent = worker->answered && fb_pool_worker_silent (worker, now_ms);
-  if (silent == worker->silence_noted || worker->draining)
+  if (silent == worker->silence_recorded || worker->draining)
     return;
   if (silent && !self->hears_most)
     return;
-  worker->silence_noted = silent;
+  worker->silence_recorded = silent;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, worker->runs);
@@ -388,7 +391,7 @@
     {
       const FbPoolRun *run = value;
       /* A start transferred from an earlier incarnation is recorded for that one. */
-      if (run->step != NULL && was_there (run) && run->came_ms == 0)
+      if (run->step != NULL && run_may_have_begun (run) && run->came_ms == 0)
         note_silence (self, worker, run, silent);
     }
 }
@@ -396,7 +399,7 @@
 void
 fb_pool_crash_clear_lasted (FbPool *self, FbPoolWorker *worker)
 {
-  if (worker->suspects_n == 0)
+  if (worker->suspect_runs_n == 0)
     return;
   GHashTableIter iter;
   gpointer value;
@@ -404,7 +407,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbPoolRun *run = value;
-      if (!is_proven (worker, run) || run->step->tasks[run->index].crashes == NULL)
+      if (!is_proven_harmless (worker, run) || run->step->tasks[run->index].crashes == NULL)
         continue;
       fb_pool_worker_charge (worker, run, -1);
       fb_pool_crash_clear (self, run->step, run->index, "lasted");
@@ -426,11 +429,11 @@
       FbPoolRun *run = value;
       /* The task is not suspected itself, but the others on the worker are no longer the only
        * possible cause. */
-      if (may_have_begun (run))
+      if (is_start_unconfirmed (run))
         fb_pool_crash_cause_add (self, worker->rank);
-      if (run->step == NULL || !was_there (run))
+      if (run->step == NULL || !run_may_have_begun (run))
         continue;
-      if (is_proven (worker, run))
+      if (is_proven_harmless (worker, run))
         fb_pool_crash_clear (self, run->step, run->index, "lasted");
       else
         suspect_run (self, worker, run, loss, next, now_ms);
@@ -444,13 +447,13 @@
 /* ---- the crash limit ------------------------------------------------------------------ */
 
 static void
-give_up (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms, uint64_t wall_ms)
+fail_job (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms, uint64_t wall_ms)
 {
   const FbPoolTask *task = &step->tasks[index];
   fb_counter_add (FB_COUNTER_TASKS_GIVEN_UP, 1);
   fb_event_log (FB_EVENT_TASK_GIVEN_UP, "task=%s.%u.%u.%u queue=%s crashes=%u apart=%d",
                 step->job->id, step->occurrence, step->index, index, step->job->record.policy.queue,
-                fb_pool_task_crashes_n (task), alone_n (self, task, FALSE) > 0);
+                fb_pool_task_crashes_n (task), sole_cause_n (self, task, FALSE) > 0);
   fb_pool_job_end (self, step->job, FB_WORK_FAILED, now_ms, wall_ms);
 }
 
@@ -460,9 +463,9 @@
   for (uint32_t i = 0; i < step->shape->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
-      if (fb_pool_task_crashes_n (task) < limit_of (self, task, TRUE))
+      if (fb_pool_task_crashes_n (task) < crash_limit (self, task, TRUE))
         continue;
-      give_up (self, step, i, now_ms, wall_ms);
+      fail_job (self, step, i, now_ms, wall_ms);
       return;
     }
 }
@@ -497,7 +500,7 @@
 
 /* Returns: the crashes that TASK may have caused, including unresolved losses. */
 static guint
-suspicion_of (const FbPoolTask *task)
+suspect_score_of (const FbPoolTask *task)
 {
   return fb_pool_task_crashes_n (task) + task->doubts_n;
 }
@@ -505,7 +508,7 @@
 gboolean
 fb_pool_crash_may_share (const FbPoolWorker *worker, const FbPoolTask *task)
 {
-  return suspicion_of (task) < ISOLATED_CRASHES || worker->suspects_n == 0;
+  return suspect_score_of (task) < ISOLATE_AFTER_CRASHES || worker->suspect_runs_n == 0;
 }
 
 gboolean
@@ -515,14 +518,14 @@
 }
 
 static gboolean
-is_calm (const FbPoolWorker *worker)
+is_stable (const FbPoolWorker *worker)
 {
   GHashTableIter iter;
   gpointer run;
   g_hash_table_iter_init (&iter, worker->runs);
   while (g_hash_table_iter_next (&iter, NULL, &run))
     {
-      if (is_beginning (run))
+      if (is_starting_up (run))
         return FALSE;
     }
   return TRUE;
@@ -535,10 +538,10 @@
 gboolean
 fb_pool_crash_waits_for_calm (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms)
 {
-  if (suspicion_of (task) < ISOLATED_CRASHES || is_calm (worker))
+  if (suspect_score_of (task) < ISOLATE_AFTER_CRASHES || is_stable (worker))
     return FALSE;
   if (task->calm_until_ms == 0)
-    task->calm_until_ms = now_ms + CALM_WAIT_MS;
+    task->calm_until_ms = now_ms + STABLE_WAIT_MS;
   if (now_ms >= task->calm_until_ms)
     return FALSE;
   worker->kept_for = task;
@@ -549,21 +552,21 @@
 double
 fb_pool_crash_cost (const FbPoolWorker *worker, const FbPoolTask *task, uint64_t now_ms)
 {
-  gboolean isolated = suspicion_of (task) >= ISOLATED_CRASHES;
+  gboolean isolated = suspect_score_of (task) >= ISOLATE_AFTER_CRASHES;
   /* A silent worker may have crashed already, and that crash would count for TASK. */
-  gboolean quiet = now_ms > worker->heard_ms + FB_POOL_LOOK_WAIT_MS + ANSWER_MS;
+  gboolean quiet = now_ms > worker->heard_ms + FB_POOL_LOOK_WAIT_MS + POLL_NETWORK_MS;
   /* The other runs there would be lost with the worker. */
-  return worker->suspects_n + (isolated ? g_hash_table_size (worker->runs) : 0)
-         + (quiet ? QUIET_COST : 0);
+  return worker->suspect_runs_n + (isolated ? g_hash_table_size (worker->runs) : 0)
+         + (quiet ? SILENT_WORKER_COST : 0);
 }
 
 void
 fb_pool_crash_charge (FbPoolWorker *worker, FbPoolRun *run, int sign)
 {
   if (sign > 0)
-    run->suspicion_n = suspicion_of (&run->step->tasks[run->index]);
-  worker->suspects_n += run->suspicion_n > 0 ? (guint) sign : 0;
-  worker->isolated_n += run->suspicion_n >= ISOLATED_CRASHES ? (guint) sign : 0;
+    run->suspicion_n = suspect_score_of (&run->step->tasks[run->index]);
+  worker->suspect_runs_n += run->suspicion_n > 0 ? (guint) sign : 0;
+  worker->isolated_n += run->suspicion_n >= ISOLATE_AFTER_CRASHES ? (guint) sign : 0;
 }
 
 void
--- a/src/work/pool-doubt.c
+++ b/src/work/pool-doubt.c
@@ -3,14 +3,15 @@
  * A silent worker may still be running on the other side of a network partition, be frozen, or be
  * lost for good with its rack; the end of its leases does not tell which. Its tasks start again
  * elsewhere, and the loss stays unresolved until the worker answers again or another incarnation is
- * found at its address. A loss that stays unresolved for DOUBT_MS is not counted for any task. */
+ * found at its address. A loss that stays unresolved for UNRESOLVED_LOSS_MAX_MS is not counted for
+ * any task. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
 /* Hosts are back some seconds after a crash, and a lease ends 4 s after the last answer. */
-#define DOUBT_MS 10000
+#define UNRESOLVED_LOSS_MAX_MS 10000
 
 typedef struct
 {
@@ -23,7 +24,7 @@
   GArray *lost;  /* of LostTask: the tasks that were on the worker */
   char *address; /* address of the worker */
   uint64_t since_ms;
-} Doubt;
+} UnresolvedLoss;
 
 static void
 lost_task_clear (gpointer data)
@@ -32,9 +33,9 @@
 }
 
 static void
-doubt_free (gpointer data)
+unresolved_loss_free (gpointer data)
 {
-  Doubt *doubt = data;
+  UnresolvedLoss *doubt = data;
   g_array_unref (doubt->lost);
   g_free (doubt->address);
   g_free (doubt);
@@ -43,16 +44,16 @@
 GHashTable *
 fb_pool_doubts_new (void)
 {
-  return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, doubt_free);
+  return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, unresolved_loss_free);
 }
 
-static Doubt *
-doubt_about (FbPool *self, const char *id, const char *address, uint64_t now_ms)
+static UnresolvedLoss *
+loss_of_worker (FbPool *self, const char *id, const char *address, uint64_t now_ms)
 {
-  Doubt *doubt = g_hash_table_lookup (self->doubts, id);
+  UnresolvedLoss *doubt = g_hash_table_lookup (self->doubts, id);
   if (doubt != NULL)
     return doubt;
-  doubt = g_new0 (Doubt, 1);
+  doubt = g_new0 (UnresolvedLoss, 1);
   doubt->lost = g_array_new (FALSE, FALSE, sizeof (LostTask));
   g_array_set_clear_func (doubt->lost, lost_task_clear);
   doubt->address = g_strdup (address);
@@ -66,7 +67,7 @@
                    uint32_t index, FbPoolCrash crash, uint64_t now_ms)
 {
   const LostTask lost = { fb_pool_task_name (step, index), crash };
-  g_array_append_val (doubt_about (self, id, address, now_ms)->lost, lost);
+  g_array_append_val (loss_of_worker (self, id, address, now_ms)->lost, lost);
   step->tasks[index].doubts_n++;
   step->job->suspicion++;
   fb_pool_unstored_note (self, step->job);
@@ -75,7 +76,7 @@
 }
 
 static void
-settle_task (FbPool *self, const char *id, const LostTask *lost, gboolean crashed, uint64_t now_ms)
+resolve_task (FbPool *self, const char *id, const LostTask *lost, gboolean crashed, uint64_t now_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, lost->name, &index);
@@ -94,20 +95,21 @@
 }
 
 static void
-settle (FbPool *self, const char *id, const Doubt *doubt, gboolean crashed, uint64_t now_ms)
+resolve (FbPool *self, const char *id, const UnresolvedLoss *doubt, gboolean crashed,
+         uint64_t now_ms)
 {
   fb_counter_add (FB_COUNTER_WORKER_CRASHES, crashed);
   for (guint i = 0; i < doubt->lost->len; i++)
-    settle_task (self, id, &g_array_index (doubt->lost, LostTask, i), crashed, now_ms);
+    resolve_task (self, id, &g_array_index (doubt->lost, LostTask, i), crashed, now_ms);
 }
 
 void
 fb_pool_doubt_end (FbPool *self, const char *id, gboolean crashed, uint64_t now_ms)
 {
-  const Doubt *doubt = g_hash_table_lookup (self->doubts, id);
+  const UnresolvedLoss *doubt = g_hash_table_lookup (self->doubts, id);
   if (doubt == NULL)
     return;
-  settle (self, id, doubt, crashed, now_ms);
+  resolve (self, id, doubt, crashed, now_ms);
   g_hash_table_remove (self->doubts, id);
 }
 
@@ -124,7 +126,7 @@
 /* TRUE when an incarnation that was listed later than worker ID is listed at its address, according
  * to a list that was read under this owner. */
 static gboolean
-is_replaced (const FbPool *self, const char *id, const Doubt *doubt)
+is_replaced (const FbPool *self, const char *id, const UnresolvedLoss *doubt)
 {
   const FbPoolWorker *lost = g_hash_table_lookup (self->workers, id);
   if (!self->workers_complete)
@@ -141,7 +143,7 @@
 }
 
 static gboolean
-drains (const FbPool *self, const char *id)
+is_draining (const FbPool *self, const char *id)
 {
   const FbPoolWorker *worker = g_hash_table_lookup (self->workers, id);
   return worker != NULL && worker->draining;
@@ -158,11 +160,11 @@
   g_hash_table_iter_init (&iter, self->doubts);
   while (g_hash_table_iter_next (&iter, &id, &value))
     {
-      const Doubt *doubt = value;
+      const UnresolvedLoss *doubt = value;
       gboolean replaced = due && is_replaced (self, id, doubt);
-      if (!replaced && now_ms < doubt->since_ms + DOUBT_MS)
+      if (!replaced && now_ms < doubt->since_ms + UNRESOLVED_LOSS_MAX_MS)
         continue;
-      settle (self, id, doubt, replaced && !drains (self, id), now_ms);
+      resolve (self, id, doubt, replaced && !is_draining (self, id), now_ms);
       g_hash_table_iter_remove (&iter);
     }
 }
--- a/src/work/pool-loss.c
+++ b/src/work/pool-loss.c
@@ -21,7 +21,7 @@
                 worker->heard_ms != 0 ? (guint) (now_ms - worker->heard_ms) : 0);
   fb_pool_crash_worker_lost (self, worker, loss, next, now_ms);
   g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
-  guint beside_n = g_list_length (runs);
+  guint runs_n = g_list_length (runs);
   for (GList *l = runs; l != NULL; l = l->next)
     {
       FbPoolRun *run = l->data;
@@ -36,7 +36,7 @@
       fb_event_log (FB_EVENT_TASK_LOST,
                     "task=%s attempt=%u worker=%s why=%s seen=%d ran_ms=%u beside=%u", run->name,
                     run->attempt, worker->id, why, run->seen_clock_ms > 0,
-                    (guint) (now_ms - run->started_ms), beside_n - 1);
+                    (guint) (now_ms - run->started_ms), runs_n - 1);
       fb_pool_run_over (self, worker, run, why, now_ms);
       if (step != NULL && step->shape->gang)
         fb_pool_gang_stop (self, step, now_ms);
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -9,12 +9,12 @@
 #include "fb-event.h"
 #include "fb-histogram.h"
 
-/* Time-out of a poll: answers take some 10 ms, the rest allows for a slow daemon or network. */
-#define LOOK_ANSWER_MS 600
-/* Time-out of the first poll of a worker. A take-over waits for each worker's first answer; with
- * the longer time-out one lost answer delayed it by 0.7 s (the 95th percentile of take-overs). Each
- * retry doubles the time-out. */
-#define FIRST_ANSWER_MS 150
+/* Timeout of a poll: answers take some 10 ms, the rest allows for a slow daemon or network. */
+#define POLL_TIMEOUT_MS 600
+/* Timeout of the first poll of a worker. A take-over waits for each worker's first answer; with
+ * the longer timeout one lost answer delayed it by 0.7 s (the 95th percentile of take-overs). Each
+ * retry doubles the timeout. */
+#define FIRST_POLL_TIMEOUT_MS 150
 /* Pause after a worker refused a start or left it unanswered. */
 #define REFUSAL_PAUSE_MS 300
 
@@ -63,7 +63,7 @@
 }
 
 static uint64_t
-remember_order (FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run)
+add_order (FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run)
 {
   FbPoolOrderRef *ref = g_new0 (FbPoolOrderRef, 1);
   ref->worker = g_strdup (worker->id);
@@ -80,7 +80,7 @@
  * Returns: its worker, NULL if unknown. *RUN is NULL when the run is over already, even if another
  * attempt of its task is on the worker. */
 static FbPoolWorker *
-take_order (FbPool *self, uint64_t order, FbPoolRun **run)
+remove_order (FbPool *self, uint64_t order, FbPoolRun **run)
 {
   FbPoolOrderRef *ref = g_hash_table_lookup (self->orders, &order);
   *run = NULL;
@@ -134,7 +134,7 @@
   run->deadline_ms = fb_pool_worker_clock_low (worker, now_ms) + FB_POOL_START_WINDOW_MS;
   run->started_ms = now_ms;
   run->whole = task->checkpoint == NULL;
-  run->order = remember_order (self, worker, run);
+  run->order = add_order (self, worker, run);
   worker->lease_ms = MAX (worker->lease_ms, run->deadline_ms);
   fb_pool_worker_spare (worker, now_ms);
   fb_pool_task_take_run (task, run);
@@ -171,7 +171,7 @@
 {
   run->state = FB_RUN_STOPPING;
   run->stop_sent_ms = now_ms;
-  run->order = remember_order (self, worker, run);
+  run->order = add_order (self, worker, run);
   fb_event_log (FB_EVENT_TASK_STOPPING, "task=%s attempt=%u worker=%s epoch=%" G_GUINT64_FORMAT,
                 run->name, run->attempt, worker->id, self->epoch);
   const FbStopOrder order = { .order = run->order,
@@ -183,24 +183,24 @@
   self->sink->stop (self->user, &order);
 }
 
-/* Returns: the time-out of the next poll. */
+/* Returns: the timeout of the next poll. */
 static uint32_t
-answer_patience_ms (FbPoolWorker *worker)
+poll_timeout_ms (FbPoolWorker *worker)
 {
   if (worker->answered)
-    return LOOK_ANSWER_MS;
+    return POLL_TIMEOUT_MS;
   worker->first_answer_ms
-      = worker->first_answer_ms == 0 ? FIRST_ANSWER_MS : 2 * worker->first_answer_ms;
-  worker->first_answer_ms = MIN (worker->first_answer_ms, LOOK_ANSWER_MS);
+      = worker->first_answer_ms == 0 ? FIRST_POLL_TIMEOUT_MS : 2 * worker->first_answer_ms;
+  worker->first_answer_ms = MIN (worker->first_answer_ms, POLL_TIMEOUT_MS);
   return worker->first_answer_ms;
 }
 
 uint64_t
 fb_pool_first_look_again_ms (const FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (worker->first_answer_ms <= FIRST_ANSWER_MS)
+  if (worker->first_answer_ms <= FIRST_POLL_TIMEOUT_MS)
     return now_ms;
-  /* A lost answer has taken its whole time-out, but a reset connection fails at once and would be
+  /* A lost answer has taken its whole timeout, but a reset connection fails at once and would be
    * retried in every pass. */
   return MAX (now_ms, worker->look_sent_ms + worker->first_answer_ms / 2);
 }
@@ -208,13 +208,13 @@
 gboolean
 fb_pool_owes_acknowledgement (const FbPoolWorker *worker)
 {
-  return worker->returns && worker->acknowledged > worker->told_acknowledged;
+  return worker->returns && worker->acknowledged > worker->confirmed_acknowledged;
 }
 
 /* TRUE when a run on WORKER has not been listed since it was started. A later incarnation may have
  * it, because an answer to a start does not tell which incarnation sent it. */
 static gboolean
-has_unlisted (const FbPoolWorker *worker)
+has_unlisted_run (const FbPoolWorker *worker)
 {
   /* While an end of an unknown job is listed, no run is resolved, and a full list of ends can only
    * move on by an acknowledgement. */
@@ -241,13 +241,13 @@
 {
   if (worker->look_failed)
     return FALSE;
-  return !worker->returns || (fb_pool_owes_acknowledgement (worker) && !has_unlisted (worker));
+  return !worker->returns || (fb_pool_owes_acknowledgement (worker) && !has_unlisted_run (worker));
 }
 
 gboolean
 fb_pool_may_look_on (const FbPoolWorker *worker)
 {
-  return !fb_pool_owes_acknowledgement (worker) || !has_unlisted (worker);
+  return !fb_pool_owes_acknowledgement (worker) || !has_unlisted_run (worker);
 }
 
 void
@@ -261,8 +261,8 @@
                         .address = worker->address,
                         .epoch = self->epoch,
                         .acknowledged = acknowledges ? worker->acknowledged : 0,
-                        .answer_ms = answer_patience_ms (worker) };
-  worker->acknowledging = worker->returns ? order.acknowledged : 0;
+                        .answer_ms = poll_timeout_ms (worker) };
+  worker->poll_acknowledges = worker->returns ? order.acknowledged : 0;
   /* If each poll extended the lease of a silent worker, which may still receive it, the lease would
    * never end and its tasks would never start again. So a silent worker is polled without a lease,
    * and the last lease runs out. */
@@ -320,7 +320,7 @@
  *
  * Returns: FALSE when the answer concerns the run only. */
 static gboolean
-took_for_worker (FbPool *self, FbPoolWorker *worker, FbOrderResult result, uint64_t now_ms)
+handle_worker_answer (FbPool *self, FbPoolWorker *worker, FbOrderResult result, uint64_t now_ms)
 {
   if (result == FB_ORDER_FENCED)
     fb_pool_fenced (self, worker);
@@ -336,8 +336,8 @@
                         uint64_t now_ms)
 {
   FbPoolRun *run = NULL;
-  FbPoolWorker *worker = take_order (self, order, &run);
-  if (took_for_worker (self, worker, result, now_ms))
+  FbPoolWorker *worker = remove_order (self, order, &run);
+  if (handle_worker_answer (self, worker, result, now_ms))
     return;
   if (run == NULL || (run->order != order && run->state != FB_RUN_STOPPING))
     return;
@@ -364,7 +364,7 @@
       if (worker->returns)
         fb_pool_late_start_note (self, worker->id, worker->address, run->name, run->attempt,
                                  run->started_ms, now_ms);
-      /* The other members would wait for this one until their own time-out. */
+      /* The other members would wait for this one until their own timeout. */
       if (run->step->shape->gang)
         fb_pool_gang_stop (self, run->step, now_ms);
     }
@@ -375,8 +375,8 @@
                        uint64_t now_ms)
 {
   FbPoolRun *run = NULL;
-  FbPoolWorker *worker = take_order (self, order, &run);
-  if (took_for_worker (self, worker, result, now_ms))
+  FbPoolWorker *worker = remove_order (self, order, &run);
+  if (handle_worker_answer (self, worker, result, now_ms))
     return;
   if (run != NULL && run->order == order && result == FB_ORDER_DONE)
     run->stopped_clock_ms = clock_ms;
--- a/src/work/pool-recall.c
+++ b/src/work/pool-recall.c
@@ -9,7 +9,7 @@
 #include "fb-event.h"
 
 static void
-recall (FbPool *self, const fb_recent_start *start, uint64_t now_ms)
+import_start (FbPool *self, const fb_recent_start *start, uint64_t now_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, start->task, &index);
@@ -34,5 +34,5 @@
 fb_pool_recall_starts (FbPool *self, const fb_told_starts *told, uint64_t now_ms)
 {
   for (u_int i = 0; i < told->starts.starts_len; i++)
-    recall (self, &told->starts.starts_val[i], now_ms);
+    import_start (self, &told->starts.starts_val[i], now_ms);
 }
--- a/src/work/pool-record.c
+++ b/src/work/pool-record.c
@@ -6,7 +6,7 @@
 #include "internal/pool-crash.h"
 
 /* Results are kept this long after a job has ended, for callers that ask late. */
-#define KEEP_ENDED_MS 300000
+#define ENDED_JOB_RETENTION_MS 300000
 
 static void
 record_free (gpointer data)
@@ -71,7 +71,7 @@
 }
 
 static void
-take_dirty (FbPool *self, GPtrArray *records)
+flush_jobs (FbPool *self, GPtrArray *records)
 {
   GHashTableIter iter;
   gpointer value;
@@ -88,7 +88,7 @@
 }
 
 static void
-take_workers (FbPool *self, GPtrArray *records)
+flush_workers (FbPool *self, GPtrArray *records)
 {
   if (!self->workers_dirty || !self->settled)
     return;
@@ -110,7 +110,7 @@
 }
 
 static void
-take_expired (FbPool *self, GPtrArray *records, uint64_t wall_ms)
+flush_expired (FbPool *self, GPtrArray *records, uint64_t wall_ms)
 {
   GHashTableIter iter;
   gpointer value;
@@ -118,7 +118,7 @@
   while (g_hash_table_iter_next (&iter, &value, NULL))
     {
       FbPoolJob *job = value;
-      if (job->stored_state != job->state || wall_ms <= job->ended_wall_ms + KEEP_ENDED_MS
+      if (job->stored_state != job->state || wall_ms <= job->ended_wall_ms + ENDED_JOB_RETENTION_MS
           || has_run (self, job))
         continue;
       add_record (records, job->id, NULL);
@@ -135,12 +135,12 @@
   if (self->flushing || self->fenced)
     return NULL;
   GPtrArray *records = g_ptr_array_new_with_free_func (record_free);
-  take_dirty (self, records);
-  take_workers (self, records);
+  flush_jobs (self, records);
+  flush_workers (self, records);
   if (now_ms >= self->expired_ms + FB_POOL_EXPIRE_EVERY_MS)
     {
       self->expired_ms = now_ms;
-      take_expired (self, records, wall_ms);
+      flush_expired (self, records, wall_ms);
     }
   mark_flushing_ends (self);
   self->flushing = TRUE;
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -9,15 +9,15 @@
 #include "fb-histogram.h"
 
 /* Pause between polls while an end waits for its job to be read from the store. */
-#define UNREAD_PAUSE_MS 100
+#define UNKNOWN_END_POLL_INTERVAL_MS 100
 /* Pause between polls. Polls return at once while ends are unacknowledged. When writes to the store
  * are slow, other ends at the worker are seen later by this pause, and a job has 250 ms to spare;
  * 35 workers cost 300 polls a second meanwhile. */
-#define LOOK_PAUSE_MS 120
+#define POLL_INTERVAL_MS 120
 
 /* Most ends that a worker lists in one answer; later ends are listed once these are
  * acknowledged. */
-#define ENDS_LISTED 500
+#define ENDS_LISTED_MAX 500
 
 static const char *const end_names[] = { "done", "failed", "stopped", "lapsed", "broken", "alone" };
 
@@ -25,7 +25,7 @@
 fb_pool_report_set_limits (FbPoolLimits *limits)
 {
   if (limits->ends_listed_n == 0)
-    limits->ends_listed_n = ENDS_LISTED;
+    limits->ends_listed_n = ENDS_LISTED_MAX;
 }
 
 void
@@ -75,7 +75,7 @@
 }
 
 static void
-stop_all (FbPool *self, RunFilter filter, gconstpointer of, uint64_t now_ms)
+stop_runs (FbPool *self, RunFilter filter, gconstpointer of, uint64_t now_ms)
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
@@ -104,11 +104,11 @@
   fb_counter_add (FB_COUNTER_GANGS_BROKEN, 1);
   fb_event_log (FB_EVENT_GANG_BROKEN, "job=%s step=%u attempt=%u", step->job->id, step->index,
                 step->gang_attempt);
-  stop_all (self, is_of_step, step, now_ms);
+  stop_runs (self, is_of_step, step, now_ms);
 }
 
 static void
-release_holds (FbPool *self, FbPoolJob *job)
+release_reservations (FbPool *self, FbPoolJob *job)
 {
   for (guint i = 0; i < job->occurrences->len; i++)
     {
@@ -134,12 +134,12 @@
   g_hash_table_remove (self->chained, job);
   g_hash_table_add (self->ended, job);
   fb_pool_crash_forget (self, job);
-  release_holds (self, job);
+  release_reservations (self, job);
   fb_event_log (FB_EVENT_JOB_OVER, "job=%s queue=%s state=%d age_ms=%" G_GUINT64_FORMAT, job->id,
                 job->record.policy.queue, job->state, now_ms - job->admitted_ms);
   /* The remaining runs of a completed job are gang members, which end by themselves. */
   if (job->state != FB_WORK_COMPLETED)
-    stop_all (self, is_of_job, job, now_ms);
+    stop_runs (self, is_of_job, job, now_ms);
 }
 
 /* ---- ends of runs ------------------------------------------------------------------ */
@@ -147,7 +147,7 @@
 /* The task is done: other runs of a task with speculative copies are stopped. Members of a gang end
  * together. */
 static void
-task_done (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms)
+mark_task_done (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms)
 {
   FbPoolTask *task = &step->tasks[index];
   if (task->done || step->shape->lasting)
@@ -157,7 +157,7 @@
   if (task->run != NULL && task->run->state != FB_RUN_STOPPING)
     task->run->given_up = TRUE;
   if (step->shape->speculative)
-    stop_all (self, is_of_task, task, now_ms);
+    stop_runs (self, is_of_task, task, now_ms);
 }
 
 static void
@@ -174,7 +174,7 @@
 }
 
 static void
-judge_worker (FbPoolWorker *worker, const FbPoolStep *step, FbEndHow how, uint64_t now_ms)
+update_failure_streak (FbPoolWorker *worker, const FbPoolStep *step, FbEndHow how, uint64_t now_ms)
 {
   if (how == FB_END_DONE)
     {
@@ -191,7 +191,7 @@
 }
 
 static void
-take_time (FbPoolWorker *worker, const FbPoolRun *run, uint64_t now_ms)
+record_run_time (FbPoolWorker *worker, const FbPoolRun *run, uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
   uint32_t took_ms = (uint32_t) (now_ms - run->started_ms);
@@ -203,8 +203,8 @@
 }
 
 static void
-end_of_task (FbPool *self, FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
-             const FbEndSeen *end, uint64_t now_ms, uint64_t wall_ms)
+process_task_end (FbPool *self, FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
+                  const FbEndSeen *end, uint64_t now_ms, uint64_t wall_ms)
 {
   FbPoolTask *task = &step->tasks[index];
   FbPoolRun *run = g_hash_table_lookup (worker->runs, end->task);
@@ -212,10 +212,10 @@
   task->attempt = MAX (task->attempt, end->attempt);
   step->gang_attempt = MAX (step->gang_attempt, end->attempt);
   step->job->started = TRUE;
-  judge_worker (worker, step, end->how, now_ms);
+  update_failure_streak (worker, step, end->how, now_ms);
   fb_pool_crash_task_ended (self, worker, step, index, end->how);
   if (run != NULL && run->step == step && run->attempt == end->attempt && end->how == FB_END_DONE)
-    take_time (worker, run, now_ms);
+    record_run_time (worker, run, now_ms);
   if (run != NULL && run->attempt <= end->attempt)
     fb_pool_run_over (self, worker, run, end_names[end->how], now_ms);
   if (task->run == NULL)
@@ -225,10 +225,10 @@
   if (end->how == FB_END_DONE && step->shape->gang)
     {
       for (uint32_t i = 0; i < step->shape->count; i++)
-        task_done (self, step, i, now_ms);
+        mark_task_done (self, step, i, now_ms);
     }
   else if (end->how == FB_END_DONE)
-    task_done (self, step, index, now_ms);
+    mark_task_done (self, step, index, now_ms);
   else if (end->how == FB_END_FAILED)
     count_failure (self, step, index, end, now_ms, wall_ms);
   if (step->shape->gang && end->how != FB_END_DONE && end->attempt == step->gang_attempt
@@ -245,8 +245,8 @@
 }
 
 static void
-take_end (FbPool *self, FbPoolWorker *worker, const FbEndSeen *end, uint64_t now_ms,
-          uint64_t wall_ms)
+process_end (FbPool *self, FbPoolWorker *worker, const FbEndSeen *end, uint64_t now_ms,
+             uint64_t wall_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, end->task, &index);
@@ -260,7 +260,7 @@
   fb_counter_add (counters[end->how], 1);
   if (step != NULL)
     {
-      end_of_task (self, worker, step, index, end, now_ms, wall_ms);
+      process_task_end (self, worker, step, index, end, now_ms, wall_ms);
       return;
     }
   FbPoolRun *run = g_hash_table_lookup (worker->runs, end->task);
@@ -272,7 +272,7 @@
 
 /* Assigns RUN, whose step is known, to its task, or stops it if it is not needed. */
 static void
-settle_run (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
+assign_run (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
   FbPoolTask *task = &step->tasks[run->index];
@@ -297,7 +297,7 @@
 
 /* Adds a run that this owner did not start; an earlier owner did. */
 static FbPoolRun *
-adopt (FbPool *self, FbPoolWorker *worker, const FbRunSeen *seen, uint64_t now_ms)
+adopt_run (FbPool *self, FbPoolWorker *worker, const FbRunSeen *seen, uint64_t now_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, seen->task, &index);
@@ -307,7 +307,7 @@
   run->seen_ms = now_ms;
   fb_pool_return_found (self, worker, run, now_ms);
   if (step != NULL)
-    settle_run (self, worker, run, now_ms);
+    assign_run (self, worker, run, now_ms);
   else
     fb_event_log (FB_EVENT_RUN_ADOPTED, "task=%s attempt=%u worker=%s job not known", seen->task,
                   seen->attempt, worker->id);
@@ -342,7 +342,7 @@
           run->step = step;
           run->index = index;
           fb_pool_worker_charge (worker, run, 1);
-          settle_run (self, worker, run, run->started_ms);
+          assign_run (self, worker, run, run->started_ms);
         }
     }
 }
@@ -365,8 +365,8 @@
 }
 
 static void
-take_running (FbPool *self, FbPoolWorker *worker, const FbRunSeen *seen, uint64_t clock_ms,
-              uint64_t now_ms)
+process_listed_run (FbPool *self, FbPoolWorker *worker, const FbRunSeen *seen, uint64_t clock_ms,
+                    uint64_t now_ms)
 {
   FbPoolRun *run = g_hash_table_lookup (worker->runs, seen->task);
   /* The listed run is a later attempt. */
@@ -376,7 +376,7 @@
       run = NULL;
     }
   if (run == NULL)
-    run = adopt (self, worker, seen, now_ms);
+    run = adopt_run (self, worker, seen, now_ms);
   if (run->attempt != seen->attempt)
     return;
   run->seen_clock_ms = MAX (run->seen_clock_ms, clock_ms);
@@ -391,7 +391,7 @@
 
 /* TRUE when an answer of CLOCK_MS that does not list RUN proves that RUN is over. */
 static gboolean
-absence_proves (const FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
+is_proven_over (const FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
                 uint64_t clock_ms)
 {
   if (run->came_ms != 0)
@@ -404,13 +404,13 @@
 }
 
 static void
-drop_absent (FbPool *self, FbPoolWorker *worker, uint64_t clock_ms, uint64_t now_ms)
+drop_unlisted_runs (FbPool *self, FbPoolWorker *worker, uint64_t clock_ms, uint64_t now_ms)
 {
   g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
   for (GList *l = runs; l != NULL; l = l->next)
     {
       FbPoolRun *run = l->data;
-      if (!absence_proves (self, worker, run, clock_ms))
+      if (!is_proven_over (self, worker, run, clock_ms))
         {
           if (run->came_ms != 0)
             fb_pool_return_shut_out (self, worker, run, now_ms);
@@ -432,7 +432,7 @@
 /* TRUE while END belongs to a job that may not have been read from the store yet. If END were
  * acknowledged, the worker would forget it, and the job would run again once read. */
 static gboolean
-is_unread (const FbPool *self, FbPoolWorker *worker, const FbEndSeen *end, uint64_t now_ms)
+is_of_unknown_job (const FbPool *self, FbPoolWorker *worker, const FbEndSeen *end, uint64_t now_ms)
 {
   if (fb_pool_find_job (self, end->task) != NULL)
     return FALSE;
@@ -445,7 +445,7 @@
 /* The stored record names the steps that may still run on a draining worker; it is rewritten when
  * the last run there is over. */
 static void
-note_if_emptied (FbPool *self, const FbPoolWorker *worker, guint runs_before)
+mark_dirty_if_emptied (FbPool *self, const FbPoolWorker *worker, guint runs_before)
 {
   if (worker->draining && runs_before > 0 && g_hash_table_size (worker->runs) == 0)
     self->workers_dirty = TRUE;
@@ -471,14 +471,14 @@
   for (guint i = 0; i < answer->finished->len; i++)
     {
       uint64_t number = g_array_index (answer->finished, FbEndSeen, i).number;
-      if (number > 0 && number <= worker->told_acknowledged)
-        worker->told_acknowledged = number - 1;
+      if (number > 0 && number <= worker->confirmed_acknowledged)
+        worker->confirmed_acknowledged = number - 1;
     }
 }
 
 static void
-take_answer (FbPool *self, FbPoolWorker *worker, const FbLookAnswer *answer, uint64_t now_ms,
-             uint64_t wall_ms)
+process_answer (FbPool *self, FbPoolWorker *worker, const FbLookAnswer *answer, uint64_t now_ms,
+                uint64_t wall_ms)
 {
   guint runs_before = g_hash_table_size (worker->runs);
   gboolean is_first = !worker->answered;
@@ -504,8 +504,8 @@
   worker->heard_ms = now_ms;
   worker->clock_ms = answer->clock_ms;
   for (guint i = 0; i < answer->running->len; i++)
-    take_running (self, worker, &g_array_index (answer->running, FbRunSeen, i), answer->clock_ms,
-                  now_ms);
+    process_listed_run (self, worker, &g_array_index (answer->running, FbRunSeen, i),
+                        answer->clock_ms, now_ms);
   if (is_first)
     fb_pool_late_starts_shut_out (self, worker, now_ms);
   worker->unread = FALSE;
@@ -514,21 +514,21 @@
       const FbEndSeen *end = &g_array_index (answer->finished, FbEndSeen, i);
       if (end->number <= worker->seen_end)
         continue;
-      worker->unread = is_unread (self, worker, end, now_ms);
+      worker->unread = is_of_unknown_job (self, worker, end, now_ms);
       if (worker->unread)
         break;
       worker->seen_end = end->number;
-      take_end (self, worker, end, now_ms, wall_ms);
+      process_end (self, worker, end, now_ms, wall_ms);
     }
   if (answer->finished->len >= self->limits.ends_listed_n)
     worker->unread = TRUE;
   /* A run that is no longer listed may be among the ends after the unknown one, or after those that
    * fit into one answer. */
   if (!worker->unread)
-    drop_absent (self, worker, answer->clock_ms, now_ms);
-  note_if_emptied (self, worker, runs_before);
+    drop_unlisted_runs (self, worker, answer->clock_ms, now_ms);
+  mark_dirty_if_emptied (self, worker, runs_before);
   if (worker->unread)
-    worker->look_at_ms = now_ms + UNREAD_PAUSE_MS;
+    worker->look_at_ms = now_ms + UNKNOWN_END_POLL_INTERVAL_MS;
   else if (worker->acknowledged == worker->seen_end && fb_pool_may_look_on (worker))
     fb_pool_order_look (self, worker, now_ms);
 }
@@ -553,16 +553,17 @@
     return;
   worker->look_open = FALSE;
   if (answer->result == FB_ORDER_DONE)
-    worker->told_acknowledged = MAX (worker->told_acknowledged, worker->acknowledging);
-  if (worker->acknowledging != 0)
+    worker->confirmed_acknowledged
+        = MAX (worker->confirmed_acknowledged, worker->poll_acknowledges);
+  if (worker->poll_acknowledges != 0)
     fb_pool_worker_opened (self, worker);
-  worker->acknowledging = 0;
+  worker->poll_acknowledges = 0;
   worker->look_failed = answer->result != FB_ORDER_DONE;
   worker->look_at_ms = !worker->answered && answer->result == FB_ORDER_UNKNOWN
                            ? fb_pool_first_look_again_ms (worker, now_ms)
-                           : now_ms + LOOK_PAUSE_MS;
+                           : now_ms + POLL_INTERVAL_MS;
   if (answer->result == FB_ORDER_DONE && !worker->replaced)
-    take_answer (self, worker, answer, now_ms, wall_ms);
+    process_answer (self, worker, answer, now_ms, wall_ms);
   else if (answer->result == FB_ORDER_FENCED)
     fb_pool_fenced (self, worker);
   else if (answer->result == FB_ORDER_OTHER_LIFE && answer->life != NULL)
--- a/src/work/pool-return.c
+++ b/src/work/pool-return.c
@@ -12,10 +12,10 @@
 #include "fb-event.h"
 
 /* An unanswered request is carried out within this time, if at all. */
-#define LATE_MOST_MS 15000
+#define LATE_REQUEST_MAX_MS 15000
 /* Most unanswered starts kept, the newest; bounds the work at a worker's first answer, which scans
  * all of them. */
-#define LATE_STARTS_MOST 4096
+#define UNANSWERED_STARTS_MAX 4096
 
 /* A start that got no answer and may still be carried out. */
 typedef struct
@@ -54,9 +54,9 @@
                          uint32_t attempt, uint64_t sent_ms, uint64_t now_ms)
 {
   const FbPoolLateStart *oldest = NULL;
-  while (
-      (oldest = g_queue_peek_head (self->late_starts)) != NULL
-      && (now_ms > oldest->sent_ms + LATE_MOST_MS || self->late_starts->length >= LATE_STARTS_MOST))
+  while ((oldest = g_queue_peek_head (self->late_starts)) != NULL
+         && (now_ms > oldest->sent_ms + LATE_REQUEST_MAX_MS
+             || self->late_starts->length >= UNANSWERED_STARTS_MAX))
     late_start_free (g_queue_pop_head (self->late_starts));
   FbPoolLateStart *start = g_new0 (FbPoolLateStart, 1);
   start->life = g_strdup (life);
@@ -70,7 +70,7 @@
 /* Reserves resources on WORKER for START, which may arrive there, until WORKER has accepted a stop
  * of it. */
 static void
-shut_out (FbPool *self, FbPoolWorker *worker, const FbPoolLateStart *start, uint64_t now_ms)
+add_tombstone (FbPool *self, FbPoolWorker *worker, const FbPoolLateStart *start, uint64_t now_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, start->task, &index);
@@ -92,14 +92,15 @@
   for (const GList *l = worker->returns ? self->late_starts->head : NULL; l != NULL; l = l->next)
     {
       const FbPoolLateStart *start = l->data;
-      if (now_ms <= start->sent_ms + LATE_MOST_MS && g_str_equal (start->address, worker->address)
+      if (now_ms <= start->sent_ms + LATE_REQUEST_MAX_MS
+          && g_str_equal (start->address, worker->address)
           && !g_str_equal (start->life, worker->id))
-        shut_out (self, worker, start, now_ms);
+        add_tombstone (self, worker, start, now_ms);
     }
 }
 
 /* If a task started on a worker that must still refuse an earlier start of it, the new run would
- * replace the placeholder in the table of runs, and the placeholder's resources would never be
+ * replace the tombstone in the table of runs, and the tombstone's resources would never be
  * released. So the task does not start there until the stop is answered. */
 gboolean
 fb_pool_return_shuts_out (const FbPoolWorker *worker, const FbPoolStep *step, uint32_t index)
@@ -112,7 +113,7 @@
 
 /* Returns: the worker with id LIFE, which replaced BEFORE at its address. */
 static FbPoolWorker *
-next_life (FbPool *self, const FbPoolWorker *before, const char *life, uint64_t now_ms)
+next_incarnation (FbPool *self, const FbPoolWorker *before, const char *life, uint64_t now_ms)
 {
   FbPoolWorker *next = g_hash_table_lookup (self->workers, life);
   if (next != NULL)
@@ -135,7 +136,7 @@
 }
 
 static guint
-starts_that_may_come (const FbPool *self, const FbPoolWorker *worker)
+open_starts_n (const FbPool *self, const FbPoolWorker *worker)
 {
   guint n = 0;
   GHashTableIter iter;
@@ -154,7 +155,7 @@
       fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_LIFE, NULL, now_ms);
       return;
     }
-  FbPoolWorker *named = next_life (self, worker, life, now_ms);
+  FbPoolWorker *named = next_incarnation (self, worker, life, now_ms);
   FbPoolWorker *next = fb_pool_life_running (self, named);
   if (worker->gone) /* fb_pool_life_known() found that it had ended */
     return;
@@ -167,7 +168,7 @@
   next->replaced = FALSE;
   fb_event_log (FB_EVENT_POOL_WORKER_RETURNED,
                 "worker=%s life=%s runs=%u may_come=%u heard_ms_ago=%u", worker->id, next->id,
-                g_hash_table_size (worker->runs), starts_that_may_come (self, worker),
+                g_hash_table_size (worker->runs), open_starts_n (self, worker),
                 worker->heard_ms != 0 ? (guint) (now_ms - worker->heard_ms) : 0);
   fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_LIFE, next, now_ms);
   /* Polls meant for the earlier incarnation may have extended its lease by deadlines far ahead of
@@ -181,7 +182,7 @@
 
 /* Returns: a copy of RUN on NEXT, where its start may arrive. */
 static FbPoolRun *
-run_on_next (FbPoolWorker *next, const FbPoolRun *run, uint64_t now_ms)
+copy_run_to (FbPoolWorker *next, const FbPoolRun *run, uint64_t now_ms)
 {
   FbPoolRun *moved = fb_pool_worker_add_run (next, run->step, run->index, run->name, run->attempt);
   moved->started_ms = run->started_ms;
@@ -202,12 +203,12 @@
 {
   if (!fb_pool_return_may_come (self, run))
     return FALSE;
-  /* NEXT may already have a placeholder that makes it refuse this start. */
+  /* NEXT may already have a tombstone that makes it refuse this start. */
   FbPoolRun *moved = g_hash_table_lookup (next->runs, run->name);
   if (moved != NULL && (moved->attempt != run->attempt || moved->came_ms == 0))
     return FALSE;
   if (moved == NULL)
-    moved = run_on_next (next, run, now_ms);
+    moved = copy_run_to (next, run, now_ms);
   moved->lost_with = run->lost_with;
   fb_pool_orders_move (self, worker, run, next);
   fb_event_log (FB_EVENT_START_MAY_COME,
@@ -219,7 +220,7 @@
   fb_pool_worker_drop_run (worker, run);
   if (was_current && task->run == NULL)
     task->run = moved;
-  else if (!moved->shut_out) /* a placeholder does not count as a run of its task */
+  else if (!moved->shut_out) /* a tombstone does not count as a run of its task */
     fb_pool_task_take_run (task, moved);
   return TRUE;
 }
@@ -301,7 +302,7 @@
 fb_pool_return_log_gone_back (const FbPoolWorker *worker, const FbLookAnswer *answer)
 {
   guint again_n = 0;
-  uint64_t taken = worker->returns ? worker->told_acknowledged : worker->acknowledged;
+  uint64_t taken = worker->returns ? worker->confirmed_acknowledged : worker->acknowledged;
   for (guint i = 0; i < answer->finished->len; i++)
     again_n += g_array_index (answer->finished, FbEndSeen, i).number <= taken;
   if (answer->clock_ms >= worker->clock_ms && again_n == 0)
--- a/src/work/pool-settle.c
+++ b/src/work/pool-settle.c
@@ -51,13 +51,13 @@
  * its first moments, so that the take-over would never complete. A worker listed after the previous
  * owner had stopped and its last requests had expired cannot hold any of its runs. */
 static gboolean
-came_too_late (const FbPool *self, const FbPoolWorker *worker)
+is_listed_after_takeover (const FbPool *self, const FbPoolWorker *worker)
 {
   return worker->listed_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS + FB_POOL_START_WINDOW_MS;
 }
 
 static void
-find_unheard (FbPool *self)
+find_unconfirmed (FbPool *self)
 {
   g_ptr_array_set_size (self->unheard, 0);
   guint slot = 0;
@@ -65,7 +65,7 @@
   while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
     {
       if ((!worker->answered || worker->unread) && !worker->gone
-          && !fb_pool_closed_is_empty (worker) && !came_too_late (self, worker))
+          && !fb_pool_closed_is_empty (worker) && !is_listed_after_takeover (self, worker))
         g_ptr_array_add (self->unheard, worker);
     }
 }
@@ -79,7 +79,7 @@
     self->majority_ms = now_ms;
   if (self->majority_ms == 0)
     return;
-  find_unheard (self);
+  find_unconfirmed (self);
   if (self->unheard->len > 0)
     return;
   self->settled = TRUE;
@@ -128,7 +128,7 @@
  * the task's job, and would then run the finished task again. So a job that is read while a worker
  * lists an end of an unknown job waits until these workers have answered again. */
 static gboolean
-end_may_be_unread (const FbPool *self, FbPoolJob *job)
+may_have_unknown_end (const FbPool *self, FbPoolJob *job)
 {
   guint slot = 0;
   const FbPoolWorker *worker = NULL;
@@ -159,7 +159,7 @@
 gboolean
 fb_pool_may_run_unheard (const FbPool *self, const FbPoolStep *step)
 {
-  if (step->job->end_unread && end_may_be_unread (self, step->job))
+  if (step->job->end_unread && may_have_unknown_end (self, step->job))
     return TRUE;
   if (self->settled || step->job->untouched)
     return FALSE;
--- a/src/work/pool-unstored.c
+++ b/src/work/pool-unstored.c
@@ -9,7 +9,7 @@
 #include "fb-event.h"
 
 /* A write usually takes 10 to 50 ms. */
-#define STORED_SOON_MS 200
+#define SLOW_WRITE_MS 200
 
 static void
 unstored_free (gpointer data)
@@ -68,7 +68,7 @@
 {
   if (g_hash_table_size (self->unstored) == 0)
     return NULL;
-  gboolean is_late = self->flushing && now_ms > self->flush_began_ms + STORED_SOON_MS;
+  gboolean is_late = self->flushing && now_ms > self->flush_began_ms + SLOW_WRITE_MS;
   GPtrArray *all = g_ptr_array_new_with_free_func (unstored_free);
   GHashTableIter iter;
   gpointer value;
--- a/src/work/pool-worker.c
+++ b/src/work/pool-worker.c
@@ -14,10 +14,10 @@
 #define CLOCK_SLOW_PERMILLE 20
 /* Safety margin added to a lease that must certainly have ended. */
 #define LAPSE_SLACK_MS 100
-/* After this many failed runs of different jobs in a row a worker gets one run per SPARE_MS until
- * one succeeds. */
-#define BAD_STREAK 3
-#define SPARE_MS 1000
+/* After this many failed runs of different jobs in a row a worker gets one run per
+ * THROTTLE_INTERVAL_MS until one succeeds. */
+#define THROTTLE_AFTER_FAILURES 3
+#define THROTTLE_INTERVAL_MS 1000
 
 /* Arbitrary, but the same at all owners. */
 #define RANK_SEED 1
@@ -102,7 +102,7 @@
 
 /* Returns: the longest real time that LEASE_MS can take on a worker's clock. */
 static uint64_t
-longest_ms (uint64_t lease_ms)
+max_duration_ms (uint64_t lease_ms)
 {
   return lease_ms * 1000 / (1000 - CLOCK_SLOW_PERMILLE) + LAPSE_SLACK_MS;
 }
@@ -112,15 +112,15 @@
  * sends nothing later than FB_POOL_STEP_DOWN_MS after that. Calls meant for an earlier incarnation
  * may have reached it as well. */
 static gboolean
-unheard_lapsed (const FbPool *self, const FbPoolWorker *worker, uint64_t now_ms)
+unanswered_lapsed (const FbPool *self, const FbPoolWorker *worker, uint64_t now_ms)
 {
   if (self->majority_ms == 0)
     return FALSE;
   if (worker->follows_ms != 0
-      && now_ms
-             <= worker->follows_ms + longest_ms (self->limits.hold_max_ms + FB_POOL_HELD_CALL_MS))
+      && now_ms <= worker->follows_ms
+                       + max_duration_ms (self->limits.hold_max_ms + FB_POOL_HELD_CALL_MS))
     return FALSE;
-  return now_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS + longest_ms (FB_POOL_LEASE_MS);
+  return now_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS + max_duration_ms (FB_POOL_LEASE_MS);
 }
 
 gboolean
@@ -129,7 +129,7 @@
   if (worker->gone)
     return TRUE;
   if (!worker->answered)
-    return unheard_lapsed (self, worker, now_ms);
+    return unanswered_lapsed (self, worker, now_ms);
   return fb_pool_worker_silent (worker, now_ms)
          && fb_pool_worker_clock_low (worker, now_ms) > worker->lease_ms + LAPSE_SLACK_MS;
 }
@@ -199,8 +199,8 @@
 void
 fb_pool_worker_spare (FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (worker->bad_streak >= BAD_STREAK)
-    worker->spared_until_ms = now_ms + SPARE_MS;
+  if (worker->bad_streak >= THROTTLE_AFTER_FAILURES)
+    worker->spared_until_ms = now_ms + THROTTLE_INTERVAL_MS;
 }
 
 gboolean
--- a/tests/test-recent-starts.c
+++ b/tests/test-recent-starts.c
@@ -9,7 +9,7 @@
 
 /* Returns: the number of starts that SELF reports at NOW_MS. FIRST: set to the first of them. */
 static guint
-told_n (const FbRecentStarts *self, uint64_t now_ms, fb_recent_start *first)
+reported_n (const FbRecentStarts *self, uint64_t now_ms, fb_recent_start *first)
 {
   fb_told_starts told;
   fb_recent_starts_tell (self, now_ms, &told);
@@ -21,7 +21,7 @@
 }
 
 static void
-look (FbRecentStarts *self, FbOrderResult result, const FbRunSeen *run, const FbEndSeen *end)
+answer_poll (FbRecentStarts *self, FbOrderResult result, const FbRunSeen *run, const FbEndSeen *end)
 {
   g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbRunSeen));
   g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbEndSeen));
@@ -35,15 +35,15 @@
 
 /* Guards against: a start on a crashed worker is forgotten when its owner is lost. */
 static void
-test_a_start_at_a_worker_that_fell_silent (void)
+test_start_on_silent_worker (void)
 {
   FbRecentStarts *self = fb_recent_starts_new ();
   fb_recent_start first = { .worker = "", .address = "", .task = "" };
   fb_recent_starts_sent (self, "w1", "10.0.0.1:7", TASK, 3, NOW_MS);
   fb_recent_starts_answered (self, "w1", TASK, 3, FB_ORDER_DONE);
-  CU_ASSERT_EQUAL (told_n (self, NOW_MS, NULL), 0);
-  look (self, FB_ORDER_UNKNOWN, NULL, NULL);
-  CU_ASSERT_EQUAL_FATAL (told_n (self, NOW_MS, &first), 1);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS, NULL), 0);
+  answer_poll (self, FB_ORDER_UNKNOWN, NULL, NULL);
+  CU_ASSERT_EQUAL_FATAL (reported_n (self, NOW_MS, &first), 1);
   CU_ASSERT_STRING_EQUAL (first.worker, "w1");
   CU_ASSERT_STRING_EQUAL (first.address, "10.0.0.1:7");
   CU_ASSERT_STRING_EQUAL (first.task, TASK);
@@ -54,45 +54,45 @@
 
 /* Guards against: an unanswered start is reported as seen by the worker. */
 static void
-test_a_start_without_an_answer (void)
+test_unanswered_start (void)
 {
   FbRecentStarts *self = fb_recent_starts_new ();
   fb_recent_start first = { .worker = "", .address = "", .task = "" };
   const FbRunSeen run = { .task = (char *) TASK, .attempt = 1 };
   fb_recent_starts_sent (self, "w1", "a", TASK, 1, NOW_MS);
   fb_recent_starts_answered (self, "w1", TASK, 1, FB_ORDER_UNKNOWN);
-  CU_ASSERT_EQUAL (told_n (self, NOW_MS, &first), 1);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS, &first), 1);
   CU_ASSERT_FALSE (first.seen);
-  look (self, FB_ORDER_DONE, &run, NULL);
-  look (self, FB_ORDER_OTHER_LIFE, NULL, NULL);
-  CU_ASSERT_EQUAL (told_n (self, NOW_MS, &first), 1);
+  answer_poll (self, FB_ORDER_DONE, &run, NULL);
+  answer_poll (self, FB_ORDER_OTHER_LIFE, NULL, NULL);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS, &first), 1);
   CU_ASSERT_TRUE (first.seen);
   fb_recent_starts_free (self);
 }
 
 /* Guards against: a job is failed for runs that had ended, or never began, before the crash. */
 static void
-test_what_is_over_is_not_told (void)
+test_ended_start_is_not_reported (void)
 {
   FbRecentStarts *self = fb_recent_starts_new ();
   const FbEndSeen end = { .number = 1, .task = (char *) TASK, .attempt = 2 };
   fb_recent_starts_sent (self, "w1", "a", TASK, 1, NOW_MS);
   fb_recent_starts_answered (self, "w1", TASK, 1, FB_ORDER_NO_ROOM);
   fb_recent_starts_sent (self, "w1", "a", TASK, 2, NOW_MS);
-  look (self, FB_ORDER_DONE, NULL, &end);
+  answer_poll (self, FB_ORDER_DONE, NULL, &end);
   fb_recent_starts_sent (self, "w1", "a", OTHER_TASK, 1, NOW_MS);
-  look (self, FB_ORDER_UNKNOWN, NULL, NULL);
+  answer_poll (self, FB_ORDER_UNKNOWN, NULL, NULL);
   fb_recent_start first = { .worker = "", .address = "", .task = "" };
-  CU_ASSERT_EQUAL_FATAL (told_n (self, NOW_MS, &first), 1);
+  CU_ASSERT_EQUAL_FATAL (reported_n (self, NOW_MS, &first), 1);
   CU_ASSERT_STRING_EQUAL (first.task, OTHER_TASK);
   fb_recent_starts_answered (self, "w1", OTHER_TASK, 1, FB_ORDER_OTHER_LIFE);
-  CU_ASSERT_EQUAL (told_n (self, NOW_MS, NULL), 0);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS, NULL), 0);
   fb_recent_starts_free (self);
 }
 
 /* Guards against: a start that was seen expires before the next owner asks. */
 static void
-test_what_was_seen_is_told_later (void)
+test_seen_start_is_reported_longer (void)
 {
   FbRecentStarts *self = fb_recent_starts_new ();
   fb_recent_start first = { .worker = "", .address = "", .task = "" };
@@ -100,33 +100,33 @@
   fb_recent_starts_answered (self, "w1", TASK, 1, FB_ORDER_DONE);
   fb_recent_starts_sent (self, "w1", "a", OTHER_TASK, 1, NOW_MS);
   fb_recent_starts_answered (self, "w1", OTHER_TASK, 1, FB_ORDER_UNKNOWN);
-  CU_ASSERT_EQUAL (told_n (self, NOW_MS + 5000, NULL), 2);
-  CU_ASSERT_EQUAL (told_n (self, NOW_MS + 20000, &first), 1);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS + 5000, NULL), 2);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS + 20000, &first), 1);
   CU_ASSERT_STRING_EQUAL (first.task, TASK);
-  CU_ASSERT_EQUAL (told_n (self, NOW_MS + 60000, NULL), 0);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS + 60000, NULL), 0);
   fb_recent_starts_free (self);
 }
 
 /* Guards against: a run whose end was reported to another daemon is taken for one that still
  * runs. */
 static void
-test_what_is_not_listed_any_more_is_over (void)
+test_unlisted_run_is_over (void)
 {
   FbRecentStarts *self = fb_recent_starts_new ();
   fb_recent_starts_sent (self, "w1", "a", TASK, 1, NOW_MS);
   fb_recent_starts_answered (self, "w1", TASK, 1, FB_ORDER_DONE);
-  look (self, FB_ORDER_DONE, NULL, NULL);
-  look (self, FB_ORDER_UNKNOWN, NULL, NULL);
-  CU_ASSERT_EQUAL (told_n (self, NOW_MS, NULL), 1);
-  look (self, FB_ORDER_DONE, NULL, NULL);
-  look (self, FB_ORDER_UNKNOWN, NULL, NULL);
-  CU_ASSERT_EQUAL (told_n (self, NOW_MS, NULL), 0);
+  answer_poll (self, FB_ORDER_DONE, NULL, NULL);
+  answer_poll (self, FB_ORDER_UNKNOWN, NULL, NULL);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS, NULL), 1);
+  answer_poll (self, FB_ORDER_DONE, NULL, NULL);
+  answer_poll (self, FB_ORDER_UNKNOWN, NULL, NULL);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS, NULL), 0);
   fb_recent_starts_free (self);
 }
 
 /* Guards against: starts that are over displace those that are not. */
 static void
-test_what_is_over_takes_no_place (void)
+test_ended_starts_displace_no_others (void)
 {
   FbRecentStarts *self = fb_recent_starts_new ();
   fb_recent_starts_sent (self, "w1", "a", OTHER_TASK, 1, NOW_MS);
@@ -136,14 +136,14 @@
       fb_recent_starts_sent (self, "w2", "a", TASK, i, NOW_MS);
       fb_recent_starts_answered (self, "w2", TASK, i, FB_ORDER_LATE);
     }
-  look (self, FB_ORDER_UNKNOWN, NULL, NULL);
-  CU_ASSERT_EQUAL (told_n (self, NOW_MS, NULL), 1);
+  answer_poll (self, FB_ORDER_UNKNOWN, NULL, NULL);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS, NULL), 1);
   fb_recent_starts_free (self);
 }
 
 /* Guards against: remembered starts exhaust the memory of a daemon. */
 static void
-test_the_oldest_goes (void)
+test_oldest_start_is_evicted (void)
 {
   FbRecentStarts *self = fb_recent_starts_new ();
   for (guint i = 0; i < 3 * FB_WORK_MAX_STARTS; i++)
@@ -153,9 +153,9 @@
       fb_recent_starts_answered (self, worker, TASK, i, FB_ORDER_UNKNOWN);
     }
   fb_recent_start first = { .worker = "", .address = "", .task = "" };
-  CU_ASSERT_EQUAL (told_n (self, NOW_MS, &first), FB_WORK_MAX_STARTS);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS, &first), FB_WORK_MAX_STARTS);
   CU_ASSERT_EQUAL (first.attempt, 2 * FB_WORK_MAX_STARTS);
-  CU_ASSERT_EQUAL (told_n (self, NOW_MS + 60000, NULL), 0);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS + 60000, NULL), 0);
   fb_recent_starts_free (self);
 }
 
@@ -165,15 +165,13 @@
   if (CU_initialize_registry () != CUE_SUCCESS)
     return 2;
   CU_pSuite suite = CU_add_suite ("recent starts", NULL, NULL);
-  CU_add_test (suite, "a start at a worker that fell silent",
-               test_a_start_at_a_worker_that_fell_silent);
-  CU_add_test (suite, "a start without an answer", test_a_start_without_an_answer);
-  CU_add_test (suite, "what is over is not told", test_what_is_over_is_not_told);
-  CU_add_test (suite, "what was seen is told later", test_what_was_seen_is_told_later);
-  CU_add_test (suite, "what is not listed any more is over",
-               test_what_is_not_listed_any_more_is_over);
-  CU_add_test (suite, "what is over takes no place", test_what_is_over_takes_no_place);
-  CU_add_test (suite, "the oldest goes", test_the_oldest_goes);
+  CU_add_test (suite, "a start on a silent worker", test_start_on_silent_worker);
+  CU_add_test (suite, "an unanswered start", test_unanswered_start);
+  CU_add_test (suite, "an ended start is not reported", test_ended_start_is_not_reported);
+  CU_add_test (suite, "a seen start is reported longer", test_seen_start_is_reported_longer);
+  CU_add_test (suite, "an unlisted run is over", test_unlisted_run_is_over);
+  CU_add_test (suite, "ended starts displace no others", test_ended_starts_displace_no_others);
+  CU_add_test (suite, "the oldest start is evicted", test_oldest_start_is_evicted);
   CU_basic_run_tests ();
   unsigned failures = CU_get_number_of_failures ();
   CU_cleanup_registry ();
--- a/tests/test-rounds.c
+++ b/tests/test-rounds.c
@@ -1,9 +1,9 @@
-/* Placement rounds that take several ticks: which step gets capacity that is freed during a round?
+/* Placement rounds that take several turns: which step gets capacity that is freed during a round?
  *
  * Failure: an urgent task waits while freed capacity goes to less urgent work, or capacity stays
  * unused for as many ms as there are waiting steps. It comes about when the pool is full and
- * hundreds of steps wait, so that a round takes dozens of ticks: a task ends, or a worker leaves,
- * during the round, and the next tick continues behind the most urgent steps. */
+ * hundreds of steps wait, so that a round takes dozens of turns: a task ends, or a worker leaves,
+ * during the round, and the next turn continues behind the most urgent steps. */
 #include "busy-pool.h"
 
 #include "fb-event.h"
@@ -36,7 +36,7 @@
 }
 
 static uint64_t
-until_round_is_open (BusyPool *play, uint64_t now_ms)
+advance_to_open_round (BusyPool *play, uint64_t now_ms)
 {
   for (uint64_t end_ms = now_ms + 3000; play->pool->place_from < 20 && now_ms < end_ms;)
     now_ms = step_once (play, now_ms);
@@ -58,7 +58,7 @@
 /* An urgent job has been waiting since before the round. Slots are freed one at a time, 100 ms
  * apart, while a round is open: the first one must go to the urgent job. */
 static void
-test_room_of_an_open_round_goes_to_the_urgent (void)
+test_urgent_gets_capacity_freed_in_open_round (void)
 {
   static BusyPool play;
   uint64_t now_ms = fill_pool (&play, 100000);
@@ -68,14 +68,14 @@
   guint others = 0;
   for (guint i = 0; i < 50 && !runs (&play, "ffffffffffffffff"); i++)
     {
-      now_ms = until_round_is_open (&play, now_ms);
+      now_ms = advance_to_open_round (&play, now_ms);
       guint before = play.started_n;
       busy_pool_end_run (&play, i, 1, now_ms);
       while (play.started_n == before)
         now_ms = step_once (&play, now_ms);
       others += !runs (&play, "ffffffffffffffff");
     }
-  printf ("\nroom that went to less urgent work while an urgent task waited: %u places\n", others);
+  printf ("\nfreed slots given to less urgent work while an urgent task waited: %u\n", others);
   CU_ASSERT_EQUAL (others, 0);
   busy_pool_clear (&play);
 }
@@ -83,7 +83,7 @@
 /* The same at any point of a round: an urgent job arrives every 300 ms, and a slot is freed 150 ms
  * later. */
 static void
-test_room_goes_to_the_urgent (void)
+test_urgent_gets_freed_capacity (void)
 {
   static BusyPool play;
   uint64_t now_ms = fill_pool (&play, 100000);
@@ -111,27 +111,27 @@
       for (uint64_t end_ms = now_ms + 150; now_ms < end_ms;)
         now_ms = step_once (&play, now_ms);
     }
-  printf ("\nof 50 places each went to less urgent work while an urgent job waited: %u\n", others);
+  printf ("\nof 50 freed slots given to less urgent work while an urgent job waited: %u\n", others);
   CU_ASSERT_EQUAL (others, 0);
   busy_pool_clear (&play);
 }
 
 /* ---- a worker with freed capacity ----------------------------------------------------- */
 
-#define MINE 0 /* the worker on which only urgent jobs may run */
-#define IDLE 1 /* a worker on which nothing may run */
+#define URGENT_WORKER 0   /* the worker on which only urgent jobs may run */
+#define UNUSABLE_WORKER 1 /* a worker on which nothing may run */
 
 /* A slot is freed during a round, and an idle worker that was there at its start leaves: the freed
  * slot must still be known to the next round. */
 static void
-test_opened_worker_is_not_missed (void)
+test_freed_capacity_is_not_missed (void)
 {
   static BusyPool play;
   uint64_t now_ms = 100000;
   busy_pool_begin (&play, now_ms);
   busy_pool_list_workers (&play, now_ms);
-  busy_pool_list_worker (&play, MINE, "mine", now_ms);
-  busy_pool_list_worker (&play, IDLE, "none", now_ms);
+  busy_pool_list_worker (&play, URGENT_WORKER, "mine", now_ms);
+  busy_pool_list_worker (&play, UNUSABLE_WORKER, "none", now_ms);
   for (guint i = 0; i < 20; i++)
     {
       g_autofree char *id = g_strdup_printf ("e%015x", i);
@@ -147,37 +147,37 @@
       for (uint64_t end_ms = now_ms + 3000; play.pool->place_from < 60 && now_ms < end_ms;)
         {
           if (play.pool->place_from == 0)
-            busy_pool_list_worker (&play, IDLE, "none", now_ms);
+            busy_pool_list_worker (&play, UNUSABLE_WORKER, "none", now_ms);
           now_ms = step_once (&play, now_ms);
         }
       guint before = play.started_n;
-      busy_pool_end_run (&play, MINE, i + 1, now_ms);
+      busy_pool_end_run (&play, URGENT_WORKER, i + 1, now_ms);
       fb_pool_worker_unlisted (play.pool, "1", now_ms);
       while (play.pool->place_from > 0)
         now_ms = step_once (&play, now_ms);
       const FbPoolWorker *mine = g_hash_table_lookup (play.pool->workers, "0");
       missed += play.started_n == before && !mine->opened;
-      busy_pool_list_worker (&play, IDLE, "none", now_ms);
+      busy_pool_list_worker (&play, UNUSABLE_WORKER, "none", now_ms);
       for (uint64_t end_ms = now_ms + 1000; now_ms < end_ms;)
         now_ms = step_once (&play, now_ms);
     }
-  printf ("\nof 3 places that came free in an open round forgotten at its end, unseen: %u\n",
+  printf ("\nof 3 slots freed in an open round, neither used nor known to the next round: %u\n",
           missed);
   CU_ASSERT_EQUAL (missed, 0);
   busy_pool_clear (&play);
 }
 
-/* ---- cost of a tick -------------------------------------------------------------------- */
+/* ---- cost of a turn -------------------------------------------------------------------- */
 
 #define BIG_N 3000
-/* Most workers and runs that one tick may visit: some 5 ms of one core, of which the smallest
+/* Most workers and runs that one turn may visit: some 5 ms of one core, of which the smallest
  * daemons have an eighth. */
 #define OPENED_TURN_VISITS 100000
 
-/* All workers are marked as having freed capacity at once, but none has room for the waiting
+/* All workers are marked as having freed capacity at once, but none has capacity for the waiting
  * steps. */
 static void
-test_a_turn_with_all_workers_opened (void)
+test_turn_with_freed_capacity_everywhere (void)
 {
   static BusyPool play;
   uint64_t now_ms = fill_pool (&play, 100000);
@@ -197,7 +197,7 @@
       busy_pool_answer_all (&play, now_ms);
       now_ms += STEP_MS;
     }
-  printf ("\nlongest turn with %u steps that wait and %u workers opened: %u visits\n",
+  printf ("\nlongest turn with %u waiting steps and %u workers with freed capacity: %u visits\n",
           play.pool->waiting->len, WORKER_N, most);
   CU_ASSERT_TRUE (most > WORKER_N);
   CU_ASSERT_TRUE (most <= OPENED_TURN_VISITS);
@@ -210,11 +210,12 @@
   fb_event_set_quiet (TRUE);
   CU_initialize_registry ();
   CU_pSuite suite = CU_add_suite ("rounds", NULL, NULL);
-  CU_add_test (suite, "room of an open round goes to the urgent",
-               test_room_of_an_open_round_goes_to_the_urgent);
-  CU_add_test (suite, "room goes to the urgent", test_room_goes_to_the_urgent);
-  CU_add_test (suite, "an opened worker is not missed", test_opened_worker_is_not_missed);
-  CU_add_test (suite, "a turn with all workers opened", test_a_turn_with_all_workers_opened);
+  CU_add_test (suite, "an urgent task gets capacity freed in an open round",
+               test_urgent_gets_capacity_freed_in_open_round);
+  CU_add_test (suite, "an urgent task gets freed capacity", test_urgent_gets_freed_capacity);
+  CU_add_test (suite, "freed capacity is not missed", test_freed_capacity_is_not_missed);
+  CU_add_test (suite, "a turn with freed capacity everywhere",
+               test_turn_with_freed_capacity_everywhere);
   CU_basic_set_mode (CU_BRM_NORMAL);
   CU_basic_run_tests ();
   guint failures = CU_get_number_of_failures ();
