--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -164,7 +164,7 @@
 /* Marks WORKER as able to take work that it could not take before. */
 void fb_pool_worker_opened (FbPool *self, FbPoolWorker *worker);
 
-/* pool-closed.c */
+/* pool-drain.c */
 
 /* Writes the steps that may still run on the draining WORKER into KNOWN. */
 void fb_pool_closed_record (const FbPoolWorker *worker, fb_work_known *known);
--- a/src/work/pool-crash-record.c
+++ b/src/work/pool-crash-record.c
@@ -4,62 +4,63 @@
 static void
 unresolved_start_free (gpointer data)
 {
-  FbPoolTried *tried = data;
-  g_free (tried->worker);
-  g_free (tried->address);
-  g_free (tried);
+  FbPoolUnresolvedStart *unresolved = data;
+  g_free (unresolved->worker);
+  g_free (unresolved->address);
+  g_free (unresolved);
 }
 
 /* Returns: (nullable): borrowed. */
 static FbPoolTried *
 find_unresolved_start (const FbPoolTask *task, const char *worker)
 {
-  for (guint i = 0; task->tried != NULL && i < task->tried->len; i++)
+  for (guint i = 0; task->unresolved != NULL && i < task->unresolved->len; i++)
     {
-      FbPoolTried *tried = task->tried->pdata[i];
-      if (g_str_equal (tried->worker, worker))
-        return tried;
+      FbPoolUnresolvedStart *unresolved = task->unresolved->pdata[i];
+      if (g_str_equal (unresolved->worker, worker))
+        return unresolved;
     }
   return NULL;
 }
 
 gboolean
-fb_pool_tried_has (const FbPoolTask *task, const char *worker)
+fb_pool_unresolved_start_has (const FbPoolTask *task, const char *worker)
 {
   return find_unresolved_start (task, worker) != NULL;
 }
 
 gboolean
-fb_pool_tried_see (FbPoolTask *task, const char *worker)
+fb_pool_unresolved_start_set_seen (FbPoolTask *task, const char *worker)
 {
   FbPoolTried *tried = find_unresolved_start (task, worker);
   if (tried == NULL || tried->seen)
     return FALSE;
-  tried->seen = TRUE;
+  unresolved->seen = TRUE;
   return TRUE;
 }
 
 void
-fb_pool_tried_drop_rank (FbPoolTask *task, uint64_t rank)
+fb_pool_unresolved_start_drop_id_hash (FbPoolTask *task, uint64_t id_hash)
 {
-  for (guint i = task->tried != NULL ? task->tried->len : 0; i > 0; i--)
+  for (guint i = task->unresolved != NULL ? task->unresolved->len : 0; i > 0; i--)
     {
-      const FbPoolTried *tried = task->tried->pdata[i - 1];
-      if (fb_pool_worker_rank (tried->worker) == rank)
-        g_ptr_array_remove_index (task->tried, i - 1);
+      const FbPoolUnresolvedStart *unresolved = task->unresolved->pdata[i - 1];
+      if (fb_pool_worker_id_hash (unresolved->worker) == id_hash)
+        g_ptr_array_remove_index (task->unresolved, i - 1);
     }
-  if (task->tried != NULL && task->tried->len == 0)
-    g_clear_pointer (&task->tried, g_ptr_array_unref);
+  if (task->unresolved != NULL && task->unresolved->len == 0)
+    g_clear_pointer (&task->unresolved, g_ptr_array_unref);
 }
 
 void
-fb_pool_tried_drop (FbPoolTask *task, const char *worker)
+fb_pool_unresolved_start_drop (FbPoolTask *task, const char *worker)
 {
-  fb_pool_tried_drop_rank (task, fb_pool_worker_rank (worker));
+  fb_pool_unresolved_start_drop_id_hash (task, fb_pool_worker_id_hash (worker));
 }
 
 void
-fb_pool_tried_note (FbPoolTask *task, const char *worker, const char *address, gboolean seen)
+fb_pool_unresolved_start_add (FbPoolTask *task, const char *worker, const char *address,
+                              gboolean seen)
 {
   fb_pool_tried_drop (task, worker);
   if (task->tried == NULL)
@@ -76,7 +77,8 @@
 static void
 add_unresolved_start (GArray *rows, const FbPoolTried *tried)
 {
-  const fb_work_tried row = { .worker = tried->worker, .address = tried->address };
+  const fb_work_unresolved_start row
+      = { .worker = unresolved->worker, .address = unresolved->address };
   if (rows->len < FB_WORK_MAX_CRASHES)
     g_array_append_val (rows, row);
 }
@@ -86,8 +88,8 @@
 static GArray *
 unresolved_starts_of (const FbPoolTask *task)
 {
-  GArray *rows = g_array_new (FALSE, FALSE, sizeof (fb_work_tried));
-  guint n = task->tried != NULL ? task->tried->len : 0;
+  GArray *rows = g_array_new (FALSE, FALSE, sizeof (fb_work_unresolved_start));
+  guint n = task->unresolved != NULL ? task->unresolved->len : 0;
   for (guint i = 0; i < n; i++)
     add_unresolved_start (rows, task->tried->pdata[i]);
   for (guint i = 0; i < n; i++)
@@ -101,14 +103,14 @@
 
 /* Returns: (transfer full): ranks of the workers of TASK's crashes with this value of APART. */
 static GArray *
-workers_of (const FbPoolTask *task, gboolean apart)
+workers_of (const FbPoolTask *task, gboolean isolated)
 {
   GArray *workers = g_array_new (FALSE, FALSE, sizeof (u_quad_t));
   for (guint i = 0; task->crashes != NULL && i < task->crashes->len; i++)
     {
       const FbPoolCrash *crash = &g_array_index (task->crashes, FbPoolCrash, i);
       u_quad_t worker = crash->worker;
-      if (crash->apart == apart)
+      if (crash->isolated == isolated)
         g_array_append_val (workers, worker);
     }
   return workers;
@@ -123,7 +125,7 @@
     {
       const FbPoolCrash *crash = &g_array_index (task->crashes, FbPoolCrash, i);
       u_quad_t worker = crash->worker;
-      if (crash->apart == apart && crash->evidence == FB_CRASH_FIRM
+      if (crash->isolated == isolated && crash->evidence == FB_CRASH_CONFIRMED
           && workers->len < FB_WORK_MAX_CRASHES)
         g_array_append_val (workers, worker);
     }
@@ -139,10 +141,11 @@
   append_confirmed_again (task, TRUE, apart);
   append_confirmed_again (task, FALSE, shared);
   fb_work_suspect suspect = { .occurrence = step->occurrence, .step = step->index, .index = index };
-  suspect.tried.tried_len = tried->len;
-  suspect.tried.tried_val = (fb_work_tried *) (gpointer) g_array_free (tried, FALSE);
-  suspect.apart.apart_len = apart->len;
-  suspect.apart.apart_val = (u_quad_t *) (gpointer) g_array_free (apart, FALSE);
+  suspect.unresolved.unresolved_len = unresolved->len;
+  suspect.unresolved.unresolved_val
+      = (fb_work_unresolved_start *) (gpointer) g_array_free (unresolved, FALSE);
+  suspect.isolated.isolated_len = isolated->len;
+  suspect.isolated.isolated_val = (u_quad_t *) (gpointer) g_array_free (isolated, FALSE);
   suspect.shared.shared_len = shared->len;
   suspect.shared.shared_val = (u_quad_t *) (gpointer) g_array_free (shared, FALSE);
   g_array_append_val (suspects, suspect);
@@ -151,10 +154,10 @@
 static void
 add_suspects (GArray *suspects, const FbPoolStep *step)
 {
-  for (uint32_t i = 0; i < step->shape->count && suspects->len < FB_WORK_MAX_MARKS; i++)
+  for (uint32_t i = 0; i < step->shape->count && suspects->len < FB_WORK_MAX_TASK_ROWS; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
-      if (!task->done && (task->crashes != NULL || task->tried != NULL))
+      if (!task->done && (task->crashes != NULL || task->unresolved != NULL))
         add_suspect (suspects, step, i);
     }
 }
@@ -178,9 +181,9 @@
 {
   for (u_int i = 0; i < record->tasks.tasks_len; i++)
     {
-      g_free (record->tasks.tasks_val[i].apart.apart_val);
+      g_free (record->tasks.tasks_val[i].isolated.isolated_val);
       g_free (record->tasks.tasks_val[i].shared.shared_val);
-      g_free (record->tasks.tasks_val[i].tried.tried_val);
+      g_free (record->tasks.tasks_val[i].unresolved.unresolved_val);
     }
   g_clear_pointer (&record->tasks.tasks_val, g_free);
   record->tasks.tasks_len = 0;
@@ -200,7 +203,7 @@
 /* Restored crashes get one cause more: the other tasks on the worker are not recorded if their jobs
  * have ended, so they stay possible causes. */
 static void
-restore_crashes (FbPool *self, FbPoolStep *step, uint32_t index, gboolean apart,
+restore_crashes (FbPool *self, FbPoolStep *step, uint32_t index, gboolean isolated,
                  const u_quad_t *workers, u_int n, uint64_t now_ms)
 {
   for (u_int i = 0; i < n; i++)
@@ -220,25 +223,25 @@
 {
   for (u_int i = from; i < until; i++)
     {
-      if (g_str_equal (suspect->tried.tried_val[i].worker, worker))
+      if (g_str_equal (suspect->unresolved.unresolved_val[i].worker, worker))
         return TRUE;
     }
   return FALSE;
 }
 
 gboolean
-fb_pool_tried_is_settled (const FbPool *self, const FbPoolTask *task, const char *worker)
+fb_pool_start_is_resolved (const FbPool *self, const FbPoolTask *task, const char *worker)
 {
   const FbPoolWorker *known = g_hash_table_lookup (self->workers, worker);
-  return (known != NULL && known->answered) || fb_pool_tried_has (task, worker)
-         || fb_pool_task_has_crash (task, fb_pool_worker_rank (worker));
+  return (known != NULL && known->answered) || fb_pool_unresolved_start_has (task, worker)
+         || fb_pool_task_has_crash (task, fb_pool_worker_id_hash (worker));
 }
 
 static void
 restore_unresolved_starts (FbPool *self, FbPoolStep *step, const fb_work_suspect *suspect,
                            uint64_t now_ms)
 {
-  for (u_int i = 0; i < suspect->tried.tried_len; i++)
+  for (u_int i = 0; i < suspect->unresolved.unresolved_len; i++)
     {
       const fb_work_tried *tried = &suspect->tried.tried_val[i];
       if (is_in_unresolved (suspect, 0, i, tried->worker)
@@ -257,8 +260,8 @@
 {
   if (step->tasks[suspect->index].done)
     return;
-  restore_crashes (self, step, suspect->index, TRUE, suspect->apart.apart_val,
-                   suspect->apart.apart_len, now_ms);
+  restore_crashes (self, step, suspect->index, TRUE, suspect->isolated.isolated_val,
+                   suspect->isolated.isolated_len, now_ms);
   restore_crashes (self, step, suspect->index, FALSE, suspect->shared.shared_val,
                    suspect->shared.shared_len, now_ms);
   restore_unresolved_starts (self, step, suspect, now_ms);
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -58,8 +58,9 @@
   for (guint i = 0; task->crashes != NULL && i < task->crashes->len; i++)
     {
       const FbPoolCrash *crash = &g_array_index (task->crashes, FbPoolCrash, i);
-      n += crash->evidence == FB_CRASH_FIRM
-           && (crash->apart || (eliminated && fb_pool_crash_has_one_cause (self, crash->worker)));
+      n += crash->evidence == FB_CRASH_CONFIRMED
+           && (crash->isolated
+               || (eliminated && fb_pool_crash_has_one_cause (self, crash->worker)));
     }
   return n;
 }
@@ -109,7 +110,7 @@
 gboolean
 fb_pool_task_is_suspect (const FbPoolTask *task)
 {
-  return task->crashes != NULL || task->doubts_n > 0;
+  return task->crashes != NULL || task->unresolved_losses_n > 0;
 }
 
 /* An owner whose store is unreachable would start a task on one worker after the other; when it is
@@ -124,7 +125,7 @@
 }
 
 void
-fb_pool_task_weigh (const FbPool *self, FbPoolStep *step, uint32_t index)
+fb_pool_task_update_withheld (const FbPool *self, FbPoolStep *step, uint32_t index)
 {
   FbPoolTask *task = &step->tasks[index];
   /* In an unresolved loss the task may have been the only possible cause. */
@@ -136,9 +137,9 @@
 void
 fb_pool_crash_stored (FbPool *self, FbPoolJob *job)
 {
-  if (job->suspicion_stored == job->suspicion_flushing)
+  if (job->suspects_version_stored == job->suspects_version_flushing)
     return;
-  job->suspicion_stored = job->suspicion_flushing;
+  job->suspects_version_stored = job->suspects_version_flushing;
   for (guint i = 0; i < job->occurrences->len; i++)
     {
       FbPoolOccurrence *occurrence = job->occurrences->pdata[i];
@@ -149,8 +150,8 @@
             {
               if (!step->tasks[k].withheld)
                 continue;
-              fb_pool_task_weigh (self, step, k);
-              fb_pool_task_may_wait (self, step, k);
+              fb_pool_task_update_withheld (self, step, k);
+              fb_pool_task_requeue (self, step, k);
             }
         }
     }
@@ -171,33 +172,33 @@
 fb_pool_crash_clear (FbPool *self, FbPoolStep *step, uint32_t index, const char *why)
 {
   FbPoolTask *task = &step->tasks[index];
-  g_clear_pointer (&task->tried, g_ptr_array_unref);
+  g_clear_pointer (&task->unresolved, g_ptr_array_unref);
   if (task->crashes == NULL)
     return;
   for (guint i = 0; i < task->crashes->len; i++)
     fb_pool_crash_cause_drop (self, g_array_index (task->crashes, FbPoolCrash, i).worker);
   g_clear_pointer (&task->crashes, g_array_unref);
-  fb_pool_task_weigh (self, step, index);
+  fb_pool_task_update_withheld (self, step, index);
   fb_event_log (FB_EVENT_TASK_CLEARED, "task=%s.%u.%u.%u why=\"%s\"", step->job->id,
                 step->occurrence, step->index, index, why);
   fb_pool_job_changed (self, step->job);
-  fb_pool_unstored_note (self, step->job);
-  fb_pool_task_may_wait (self, step, index);
+  fb_pool_unstored_suspects_add (self, step->job);
+  fb_pool_task_requeue (self, step, index);
 }
 
 void
 fb_pool_crash_task_gone (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step, uint32_t index)
 {
   FbPoolTask *task = &step->tasks[index];
-  if (task->tried == NULL)
+  if (task->unresolved == NULL)
     return;
-  fb_pool_tried_drop (task, worker->id);
+  fb_pool_unresolved_start_drop (task, worker->id);
   fb_pool_job_changed (self, step->job);
 }
 
 void
 fb_pool_crash_task_ended (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
-                          uint32_t index, FbEndHow how)
+                          uint32_t index, FbEndReason how)
 {
   fb_pool_crash_task_gone (self, worker, step, index);
   if (how == FB_END_DONE)
@@ -221,8 +222,9 @@
   return TRUE;
 }
 
-static const char *const evidence_names[]
-    = { [FB_CRASH_HEARSAY] = "hearsay", [FB_CRASH_LIKELY] = "likely", [FB_CRASH_FIRM] = "firm" };
+static const char *const evidence_names[] = {
+  [FB_CRASH_REPORTED] = "hearsay", [FB_CRASH_PROBABLE] = "likely", [FB_CRASH_CONFIRMED] = "firm"
+};
 
 void
 fb_pool_crash_count (FbPool *self, FbPoolStep *step, uint32_t index, FbPoolCrash crash,
@@ -235,11 +237,11 @@
   if (fb_pool_job_ended (step->job))
     return;
   fb_pool_probe_note_crash (step, crash.worker, now_ms);
-  step->job->suspicion++;
-  fb_pool_unstored_note (self, step->job);
-  fb_pool_task_weigh (self, step, index);
+  step->job->suspects_version++;
+  fb_pool_unstored_suspects_add (self, step->job);
+  fb_pool_task_update_withheld (self, step, index);
   g_hash_table_add (self->suspects, step);
-  self->limit_reached |= fb_pool_task_crashes_n (task) >= self->limits.crashes_n;
+  self->limit_reached |= fb_pool_task_crashes_n (task) >= self->limits.max_isolated_crashes;
   fb_pool_job_changed (self, step->job);
   fb_event_log (
       FB_EVENT_TASK_SUSPECTED, "task=%s.%u.%u.%u crashes=%u of=%u apart=%d evidence=%s doubts=%u",
@@ -251,7 +253,7 @@
 static uint64_t
 ran_ms (const FbPoolWorker *worker, const FbPoolRun *run)
 {
-  return worker->heard_ms > run->started_ms ? worker->heard_ms - run->started_ms : 0;
+  return worker->last_answer_ms > run->started_ms ? worker->last_answer_ms - run->started_ms : 0;
 }
 
 /* TRUE when RUN may have been on its worker. A start that neither an answer nor a list has
@@ -330,17 +332,17 @@
   const FbPoolCrash crash = { worker->rank, is_isolated (worker, run), evidence_of (worker, run) };
   if (next != NULL && run->listed_ms == 0 && fb_pool_return_may_come (self, run))
     {
-      if (run->lost_with.worker == 0)
-        run->lost_with = crash;
+      if (run->deferred_crash.worker == 0)
+        run->deferred_crash = crash;
       return;
     }
   /* A start can crash only one incarnation. If it does not arrive at this one, it crashed the one
    * before. */
   if (run->lost_with.worker != 0)
     return;
-  if (loss == FB_LOSS_OTHER_LIFE)
+  if (loss == FB_LOSS_OTHER_INCARNATION)
     {
-      fb_pool_tried_drop (&step->tasks[run->index], worker->id);
+      fb_pool_unresolved_start_drop (&step->tasks[run->index], worker->id);
       fb_pool_crash_count (self, step, run->index, crash, now_ms);
       return;
     }
@@ -354,7 +356,8 @@
 void
 fb_pool_crash_task_seen (FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run)
 {
-  if (run->step != NULL && fb_pool_tried_see (&run->step->tasks[run->index], worker->id))
+  if (run->step != NULL
+      && fb_pool_unresolved_start_set_seen (&run->step->tasks[run->index], worker->id))
     fb_pool_job_changed (self, run->step->job);
 }
 
@@ -364,11 +367,11 @@
   FbPoolTask *task = &run->step->tasks[run->index];
   if (silent)
     {
-      fb_pool_tried_note (task, worker->id, worker->address, run->seen_clock_ms > 0);
+      fb_pool_unresolved_start_add (task, worker->id, worker->address, run->seen_clock_ms > 0);
       fb_pool_job_changed (self, run->step->job);
     }
   else if (task->crashes == NULL)
-    fb_pool_tried_drop (task, worker->id);
+    fb_pool_unresolved_start_drop (task, worker->id);
 }
 
 /* If the owner is replaced within the 4 s in which a crash shows only as silence, the next owner
@@ -381,7 +384,7 @@
   gboolean silent = worker->answered && fb_pool_worker_silent (worker, now_ms);
   if (silent == worker->silence_recorded || worker->draining)
     return;
-  if (silent && !self->hears_most)
+  if (silent && !self->majority_answers)
     return;
   worker->silence_recorded = silent;
   GHashTableIter iter;
@@ -412,7 +415,7 @@
       fb_pool_worker_charge (worker, run, -1);
       fb_pool_crash_clear (self, run->step, run->index, "lasted");
       fb_pool_worker_charge (worker, run, 1);
-      fb_pool_worker_opened (self, worker);
+      fb_pool_worker_gained_capacity (self, worker);
     }
 }
 
@@ -438,10 +441,10 @@
       else
         suspect_run (self, worker, run, loss, next, now_ms);
     }
-  if (loss != FB_LOSS_OTHER_LIFE)
+  if (loss != FB_LOSS_OTHER_INCARNATION)
     return;
   fb_counter_add (FB_COUNTER_WORKER_CRASHES, !worker->draining);
-  fb_pool_doubt_end (self, worker->id, !worker->draining, now_ms);
+  fb_pool_unresolved_loss_resolve (self, worker->id, !worker->draining, now_ms);
 }
 
 /* ---- the crash limit ------------------------------------------------------------------ */
@@ -502,7 +505,7 @@
 static guint
 suspect_score_of (const FbPoolTask *task)
 {
-  return fb_pool_task_crashes_n (task) + task->doubts_n;
+  return fb_pool_task_crashes_n (task) + task->unresolved_losses_n;
 }
 
 gboolean
@@ -514,7 +517,8 @@
 gboolean
 fb_pool_crash_is_open (const FbPoolWorker *worker, const FbPoolTask *task, uint64_t now_ms)
 {
-  return worker->kept_for == NULL || worker->kept_for == task || now_ms >= worker->kept_until_ms;
+  return worker->exclusive_for == NULL || worker->exclusive_for == task
+         || now_ms >= worker->exclusive_until_ms;
 }
 
 static gboolean
@@ -536,7 +540,7 @@
  * begin, and its next crash would prove no more than those before. So such a task starts on a
  * worker where no run has begun recently, and nothing else starts on that worker meanwhile. */
 gboolean
-fb_pool_crash_waits_for_calm (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms)
+fb_pool_crash_waits_for_stable (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms)
 {
   if (suspect_score_of (task) < ISOLATE_AFTER_CRASHES || is_stable (worker))
     return FALSE;
@@ -544,8 +548,8 @@
     task->calm_until_ms = now_ms + STABLE_WAIT_MS;
   if (now_ms >= task->calm_until_ms)
     return FALSE;
-  worker->kept_for = task;
-  worker->kept_until_ms = task->calm_until_ms;
+  worker->exclusive_for = task;
+  worker->exclusive_until_ms = task->stable_wait_until_ms;
   return TRUE;
 }
 
@@ -575,9 +579,9 @@
   FbPoolTask *task = &step->tasks[index];
   if (!fb_pool_task_is_suspect (task))
     return;
-  task->calm_until_ms = 0;
-  if (worker->kept_for == task)
-    worker->kept_for = NULL;
-  fb_pool_tried_note (task, worker->id, worker->address, FALSE);
+  task->stable_wait_until_ms = 0;
+  if (worker->exclusive_for == task)
+    worker->exclusive_for = NULL;
+  fb_pool_unresolved_start_add (task, worker->id, worker->address, FALSE);
   g_hash_table_add (self->dirty, step->job);
 }
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -24,11 +24,11 @@
   static const char *const names[] = { [FB_ORDER_DONE] = "done",
                                        [FB_ORDER_FENCED] = "fenced",
                                        [FB_ORDER_SUPERSEDED] = "superseded",
-                                       [FB_ORDER_LATE] = "late",
-                                       [FB_ORDER_NO_ROOM] = "no-room",
+                                       [FB_ORDER_PAST_DEADLINE] = "late",
+                                       [FB_ORDER_NO_CAPACITY] = "no-room",
                                        [FB_ORDER_BAD_TICKET] = "bad-ticket",
                                        [FB_ORDER_NOT_DONE] = "not-done",
-                                       [FB_ORDER_OTHER_LIFE] = "other-life",
+                                       [FB_ORDER_OTHER_INCARNATION] = "other-life",
                                        [FB_ORDER_NO_LISTENER] = "no-listener",
                                        [FB_ORDER_UNKNOWN] = "unknown" };
   return names[MIN (result, FB_ORDER_UNKNOWN)];
@@ -126,7 +126,7 @@
 fb_pool_order_start (FbPool *self, FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
                      uint32_t attempt, uint64_t now_ms)
 {
-  const FbPoolRuling *ticket = fb_pool_valid_ticket (step, worker, now_ms);
+  const FbPoolWorkerAdvice *ticket = fb_pool_valid_ticket (step, worker, now_ms);
   g_autofree char *name = fb_pool_task_name (step, index);
   FbPoolTask *task = &step->tasks[index];
   FbPoolRun *run = fb_pool_worker_add_run (worker, step, index, name, attempt);
@@ -136,8 +136,8 @@
   run->whole = task->checkpoint == NULL;
   run->order = add_order (self, worker, run);
   worker->lease_ms = MAX (worker->lease_ms, run->deadline_ms);
-  fb_pool_worker_spare (worker, now_ms);
-  fb_pool_task_take_run (task, run);
+  fb_pool_worker_throttle (worker, now_ms);
+  fb_pool_task_attach_run (task, run);
   task->attempt = attempt;
   fb_pool_crash_task_ordered (self, worker, step, index);
   if (!step->job->started)
@@ -151,8 +151,8 @@
       "task=%s attempt=%u worker=%s cpu_used=%" G_GINT64_FORMAT " cpu=%u mem_used=%" G_GINT64_FORMAT
       " heard_ms_ago=%" G_GUINT64_FORMAT " slowness=%.2f tightness=%.2f epoch=%" G_GUINT64_FORMAT,
       name, attempt, worker->id, worker->cpu_used, worker->cpu_milli, worker->mem_used,
-      now_ms - worker->heard_ms, worker->speed->slowness, step->job->tightness, self->epoch);
-  fb_pool_lasting_started (self, step, run, now_ms);
+      now_ms - worker->last_answer_ms, worker->speed->slowness, step->job->tightness, self->epoch);
+  fb_pool_long_running_started (self, step, run, now_ms);
   const FbStartOrder order = { .order = run->order,
                                .worker = worker->id,
                                .address = worker->address,
@@ -196,7 +196,7 @@
 }
 
 uint64_t
-fb_pool_first_look_again_ms (const FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_first_poll_retry_ms (const FbPoolWorker *worker, uint64_t now_ms)
 {
   if (worker->first_answer_ms <= FIRST_POLL_TIMEOUT_MS)
     return now_ms;
@@ -239,25 +239,25 @@
 static gboolean
 may_acknowledge (const FbPoolWorker *worker)
 {
-  if (worker->look_failed)
+  if (worker->poll_failed)
     return FALSE;
   return !worker->returns || (fb_pool_owes_acknowledgement (worker) && !has_unlisted_run (worker));
 }
 
 gboolean
-fb_pool_may_look_on (const FbPoolWorker *worker)
+fb_pool_may_poll_again (const FbPoolWorker *worker)
 {
   return !fb_pool_owes_acknowledgement (worker) || !has_unlisted_run (worker);
 }
 
 void
-fb_pool_order_look (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_order_poll (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (worker->look_open || self->fenced)
+  if (worker->poll_open || self->fenced)
     return;
   gboolean acknowledges = may_acknowledge (worker);
-  uint64_t lease_ms = MIN (FB_POOL_LEASE_MS, self->limits.hold_max_ms);
-  FbLookOrder order = { .worker = worker->id,
+  uint64_t lease_ms = MIN (FB_POOL_LEASE_MS, self->limits.max_lease_ms);
+  FbPollOrder order = { .worker = worker->id,
                         .address = worker->address,
                         .epoch = self->epoch,
                         .acknowledged = acknowledges ? worker->acknowledged : 0,
@@ -272,28 +272,28 @@
    * same answer in a tight loop. */
   if (worker->answered && worker->acknowledged == worker->seen_end && !worker->unread
       && !fb_pool_owes_acknowledgement (worker))
-    order.wait_ms = FB_POOL_LOOK_WAIT_MS;
+    order.wait_ms = FB_POOL_POLL_WAIT_MS;
   worker->lease_ms = MAX (worker->lease_ms, order.deadline_ms);
-  worker->look_open = TRUE;
-  worker->look_sent_ms = now_ms;
-  self->sink->look (self->user, &order);
+  worker->poll_open = TRUE;
+  worker->poll_sent_ms = now_ms;
+  self->sink->poll (self->user, &order);
 }
 
 void
-fb_pool_run_over (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *how,
-                  uint64_t now_ms)
+fb_pool_run_ended (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *how,
+                   uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
   uint32_t index = run->index;
   gboolean was_current = step != NULL && step->tasks[index].run == run;
   gboolean ran = run->seen_clock_ms > 0;
   fb_pool_worker_drop_run (worker, run);
-  fb_pool_worker_opened (self, worker);
+  fb_pool_worker_gained_capacity (self, worker);
   if (!was_current)
     return;
   if (ran)
-    fb_pool_lasting_over (step, index, how, now_ms);
-  fb_pool_task_may_wait (self, step, index);
+    fb_pool_long_running_ended (step, index, how, now_ms);
+  fb_pool_task_requeue (self, step, index);
 }
 
 /* The worker refused the start: the run is not there and never will be. */
@@ -306,14 +306,14 @@
                 run->attempt, worker->id, fb_order_result_name (result));
   /* The worker stays allowed, so that a new ticket is requested for it. */
   if (result == FB_ORDER_BAD_TICKET)
-    fb_pool_ruling_expire (step, worker);
+    fb_pool_worker_advice_expire_ticket (step, worker);
   if (result != FB_ORDER_SUPERSEDED && result != FB_ORDER_BAD_TICKET)
     worker->paused_until_ms = now_ms + REFUSAL_PAUSE_MS;
   gboolean gang = step->shape->gang;
   fb_pool_crash_task_gone (self, worker, step, run->index);
-  fb_pool_run_over (self, worker, run, "refused", now_ms);
+  fb_pool_run_ended (self, worker, run, "refused", now_ms);
   if (gang)
-    fb_pool_gang_stop (self, step, now_ms);
+    fb_pool_stop_gang (self, step, now_ms);
 }
 
 /* Handles an answer that concerns WORKER (nullable) as a whole.
@@ -324,8 +324,8 @@
 {
   if (result == FB_ORDER_FENCED)
     fb_pool_fenced (self, worker);
-  else if (result == FB_ORDER_OTHER_LIFE && worker != NULL)
-    fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_LIFE, NULL, now_ms);
+  else if (result == FB_ORDER_OTHER_INCARNATION && worker != NULL)
+    fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_INCARNATION, NULL, now_ms);
   else
     return FALSE;
   return TRUE;
@@ -358,7 +358,7 @@
   else
     {
       fb_event_log (FB_EVENT_ORDER_UNANSWERED, "task=%s attempt=%u worker=%s heard_ms_ago=%u",
-                    run->name, run->attempt, worker->id, (guint) (now_ms - worker->heard_ms));
+                    run->name, run->attempt, worker->id, (guint) (now_ms - worker->last_answer_ms));
       worker->paused_until_ms = now_ms + REFUSAL_PAUSE_MS;
       run->unanswered = TRUE;
       if (worker->returns)
@@ -366,7 +366,7 @@
                                  run->started_ms, now_ms);
       /* The other members would wait for this one until their own timeout. */
       if (run->step->shape->gang)
-        fb_pool_gang_stop (self, run->step, now_ms);
+        fb_pool_stop_gang (self, run->step, now_ms);
     }
 }
 
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -49,7 +49,7 @@
 static void
 stop_run (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
 {
-  run->given_up = TRUE;
+  run->abandoned = TRUE;
   if (run->state != FB_RUN_STOPPING)
     fb_pool_order_stop (self, worker, run, now_ms);
 }
@@ -79,7 +79,7 @@
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       GHashTableIter runs;
       gpointer run;
@@ -96,7 +96,7 @@
  * and time out. So they are stopped at once, and the gang restarts under a new attempt when none of
  * them is left. */
 void
-fb_pool_gang_stop (FbPool *self, FbPoolStep *step, uint64_t now_ms)
+fb_pool_stop_gang (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
   if (step->gang_broken)
     return;
@@ -114,7 +114,7 @@
     {
       FbPoolOccurrence *occurrence = job->occurrences->pdata[i];
       for (guint j = 0; j < job->record.spec.steps.steps_len; j++)
-        g_ptr_array_unref (fb_pool_release_hold (self, &occurrence->steps[j]));
+        g_ptr_array_unref (fb_pool_release_reservation (self, &occurrence->steps[j]));
     }
 }
 
@@ -150,23 +150,23 @@
 mark_task_done (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms)
 {
   FbPoolTask *task = &step->tasks[index];
-  if (task->done || step->shape->lasting)
+  if (task->done || step->shape->long_running)
     return;
   task->done = TRUE;
   step->done_n++;
   if (task->run != NULL && task->run->state != FB_RUN_STOPPING)
-    task->run->given_up = TRUE;
+    task->run->abandoned = TRUE;
   if (step->shape->speculative)
     stop_runs (self, is_of_task, task, now_ms);
 }
 
 static void
-count_failure (FbPool *self, FbPoolStep *step, uint32_t index, const FbEndSeen *end,
+count_failure (FbPool *self, FbPoolStep *step, uint32_t index, const FbReportedEnd *end,
                uint64_t now_ms, uint64_t wall_ms)
 {
   /* A gang fails as a whole; the failures are counted at its first task. */
   FbPoolTask *task = &step->tasks[step->shape->gang ? 0 : index];
-  if (step->shape->lasting || task->done || !fb_pool_task_count_failed (task, end->attempt))
+  if (step->shape->long_running || task->done || !fb_pool_task_count_failed (task, end->attempt))
     return;
   fb_pool_job_changed (self, step->job);
   if (fb_pool_task_failed_n (task) >= step->job->record.policy.max_attempts)
@@ -178,15 +178,15 @@
 {
   if (how == FB_END_DONE)
     {
-      worker->bad_streak = 0;
-      worker->spared_until_ms = 0;
+      worker->failure_streak = 0;
+      worker->throttled_until_ms = 0;
     }
-  else if (how == FB_END_FAILED && g_strcmp0 (worker->last_bad_job, step->job->id) != 0)
+  else if (how == FB_END_FAILED && g_strcmp0 (worker->last_failed_job, step->job->id) != 0)
     {
-      worker->bad_streak++;
-      fb_pool_worker_spare (worker, now_ms);
-      g_free (worker->last_bad_job);
-      worker->last_bad_job = g_strdup (step->job->id);
+      worker->failure_streak++;
+      fb_pool_worker_throttle (worker, now_ms);
+      g_free (worker->last_failed_job);
+      worker->last_failed_job = g_strdup (step->job->id);
     }
 }
 
@@ -208,7 +208,7 @@
 {
   FbPoolTask *task = &step->tasks[index];
   FbPoolRun *run = g_hash_table_lookup (worker->runs, end->task);
-  fb_pool_task_save (step, index, end->checkpoint);
+  fb_pool_task_set_checkpoint (step, index, end->checkpoint);
   task->attempt = MAX (task->attempt, end->attempt);
   step->gang_attempt = MAX (step->gang_attempt, end->attempt);
   step->job->started = TRUE;
@@ -217,9 +217,9 @@
   if (run != NULL && run->step == step && run->attempt == end->attempt && end->how == FB_END_DONE)
     record_run_time (worker, run, now_ms);
   if (run != NULL && run->attempt <= end->attempt)
-    fb_pool_run_over (self, worker, run, end_names[end->how], now_ms);
+    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);
   if (task->run == NULL)
-    fb_pool_lasting_over (step, index, end_names[end->how], now_ms);
+    fb_pool_long_running_ended (step, index, end_names[end->how], now_ms);
   if (fb_pool_job_ended (step->job))
     return;
   if (end->how == FB_END_DONE && step->shape->gang)
@@ -233,7 +233,7 @@
     count_failure (self, step, index, end, now_ms, wall_ms);
   if (step->shape->gang && end->how != FB_END_DONE && end->attempt == step->gang_attempt
       && !fb_pool_step_done (step) && !fb_pool_job_ended (step->job))
-    fb_pool_gang_stop (self, step, now_ms);
+    fb_pool_stop_gang (self, step, now_ms);
   if (end->how == FB_END_DONE)
     {
       if (fb_pool_step_done (step))
@@ -253,10 +253,11 @@
   fb_event_log (FB_EVENT_TASK_ENDED, "task=%s attempt=%u worker=%s how=%s known=%d number=%u",
                 end->task, end->attempt, worker->id, end_names[end->how], step != NULL,
                 (guint) end->number);
-  static const FbCounter counters[]
-      = { [FB_END_DONE] = FB_COUNTER_TASKS_DONE,     [FB_END_FAILED] = FB_COUNTER_TASKS_FAILED,
-          [FB_END_STOPPED] = FB_COUNTER_TASKS_OTHER, [FB_END_LAPSED] = FB_COUNTER_TASKS_OTHER,
-          [FB_END_BROKEN] = FB_COUNTER_TASKS_OTHER,  [FB_END_ALONE] = FB_COUNTER_TASKS_OTHER };
+  static const FbCounter counters[] = {
+    [FB_END_DONE] = FB_COUNTER_TASKS_DONE,         [FB_END_FAILED] = FB_COUNTER_TASKS_FAILED,
+    [FB_END_STOPPED] = FB_COUNTER_TASKS_OTHER,     [FB_END_LEASE_EXPIRED] = FB_COUNTER_TASKS_OTHER,
+    [FB_END_GANG_BROKEN] = FB_COUNTER_TASKS_OTHER, [FB_END_GANG_TIMEOUT] = FB_COUNTER_TASKS_OTHER
+  };
   fb_counter_add (counters[end->how], 1);
   if (step != NULL)
     {
@@ -265,7 +266,7 @@
     }
   FbPoolRun *run = g_hash_table_lookup (worker->runs, end->task);
   if (run != NULL && run->attempt <= end->attempt)
-    fb_pool_run_over (self, worker, run, end_names[end->how], now_ms);
+    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);
 }
 
 /* ---- listed runs ------------------------------------------------------------------- */
@@ -287,7 +288,7 @@
       return;
     }
   if (task->run == NULL || step->shape->speculative)
-    fb_pool_task_take_run (task, run);
+    fb_pool_task_attach_run (task, run);
   task->attempt = MAX (task->attempt, run->attempt);
   step->gang_attempt = MAX (step->gang_attempt, run->attempt);
   step->job->started = TRUE;
@@ -305,7 +306,7 @@
   run->state = FB_RUN_RUNNING;
   run->started_ms = now_ms;
   run->seen_ms = now_ms;
-  fb_pool_return_found (self, worker, run, now_ms);
+  fb_pool_restart_found (self, worker, run, now_ms);
   if (step != NULL)
     assign_run (self, worker, run, now_ms);
   else
@@ -319,11 +320,11 @@
  * start a second time once read. So a run of an unknown job keeps its worker to itself until the
  * job is read, or certainly does not exist. */
 void
-fb_pool_bind_runs (FbPool *self, const FbPoolJob *job)
+fb_pool_adopt_runs (FbPool *self, const FbPoolJob *job)
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  while ((worker = fb_pool_roster_next (self, &slot)) != NULL)
+  while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       /* Only a run without a step can belong to a job that was unknown so far. */
       if (worker->alien_n == 0)
@@ -348,9 +349,9 @@
 }
 
 void
-fb_pool_stop_strays (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_stop_orphans (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (worker->alien_n == 0)
+  if (worker->unknown_runs_n == 0)
     return;
   GHashTableIter iter;
   gpointer value;
@@ -372,7 +373,7 @@
   /* The listed run is a later attempt. */
   if (run != NULL && run->came_ms != 0 && run->attempt < seen->attempt)
     {
-      fb_pool_run_over (self, worker, run, "superseded", now_ms);
+      fb_pool_run_ended (self, worker, run, "superseded", now_ms);
       run = NULL;
     }
   if (run == NULL)
@@ -381,12 +382,12 @@
     return;
   run->seen_clock_ms = MAX (run->seen_clock_ms, clock_ms);
   run->listed_ms = now_ms;
-  fb_pool_return_listed (self, worker, run, now_ms);
+  fb_pool_restart_listed (self, worker, run, now_ms);
   fb_pool_crash_task_seen (self, worker, run);
   if (run->state == FB_RUN_STARTING)
     run->state = FB_RUN_RUNNING;
   if (run->step != NULL)
-    fb_pool_task_save (run->step, run->index, seen->checkpoint);
+    fb_pool_task_set_checkpoint (run->step, run->index, seen->checkpoint);
 }
 
 /* TRUE when an answer of CLOCK_MS that does not list RUN proves that RUN is over. */
@@ -394,12 +395,12 @@
 is_proven_over (const FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
                 uint64_t clock_ms)
 {
-  if (run->came_ms != 0)
-    return fb_pool_return_is_over (self, worker, run, clock_ms);
+  if (run->transferred_ms != 0)
+    return fb_pool_restart_is_over (self, worker, run, clock_ms);
   if (run->seen_clock_ms >= clock_ms)
     return FALSE;
   if (run->state == FB_RUN_STOPPING && run->stopped_clock_ms > 0)
-    return clock_ms > run->stopped_clock_ms + self->limits.stop_ms;
+    return clock_ms > run->stopped_clock_ms + self->limits.max_stop_ms;
   return run->seen_clock_ms > 0 || clock_ms > run->deadline_ms;
 }
 
@@ -412,8 +413,8 @@
       FbPoolRun *run = l->data;
       if (!is_proven_over (self, worker, run, clock_ms))
         {
-          if (run->came_ms != 0)
-            fb_pool_return_shut_out (self, worker, run, now_ms);
+          if (run->transferred_ms != 0)
+            fb_pool_restart_reject (self, worker, run, now_ms);
           continue;
         }
       FbPoolStep *step = run->step;
@@ -421,11 +422,11 @@
                     run->name, run->attempt, worker->id, run->state, (guint) clock_ms);
       if (step != NULL)
         fb_pool_crash_task_gone (self, worker, step, run->index);
-      fb_pool_return_count_crash (self, run, now_ms);
-      fb_pool_run_over (self, worker, run, "absent", now_ms);
+      fb_pool_restart_count_crash (self, run, now_ms);
+      fb_pool_run_ended (self, worker, run, "absent", now_ms);
       if (step != NULL && step->shape->gang && !fb_pool_step_done (step)
           && !fb_pool_job_ended (step->job))
-        fb_pool_gang_stop (self, step, now_ms);
+        fb_pool_stop_gang (self, step, now_ms);
     }
 }
 
@@ -436,10 +437,10 @@
 {
   if (fb_pool_find_job (self, end->task) != NULL)
     return FALSE;
-  if (worker->unread_end != end->number)
-    worker->unread_ms = now_ms;
-  worker->unread_end = end->number;
-  return self->jobs_read_ms <= worker->unread_ms;
+  if (worker->unknown_end != end->number)
+    worker->unknown_end_ms = now_ms;
+  worker->unknown_end = end->number;
+  return self->jobs_read_ms <= worker->unknown_end_ms;
 }
 
 /* The stored record names the steps that may still run on a draining worker; it is rewritten when
@@ -457,8 +458,8 @@
 static uint64_t
 first_lease_ms (const FbPool *self, const FbPoolWorker *worker)
 {
-  return worker->follows_ms != 0
-             ? MAX (FB_POOL_LEASE_MS, self->limits.hold_max_ms + FB_POOL_HELD_CALL_MS)
+  return worker->misdirected_calls_since_ms != 0
+             ? MAX (FB_POOL_LEASE_MS, self->limits.max_lease_ms + FB_POOL_DELAYED_CALL_MS)
              : FB_POOL_LEASE_MS;
 }
 
@@ -466,7 +467,7 @@
  * received: the answer to another poll was taken for the one to the acknowledging poll.
  * Acknowledge it again. */
 static void
-acknowledge_again (FbPoolWorker *worker, const FbLookAnswer *answer)
+acknowledge_again (FbPoolWorker *worker, const FbPollAnswer *answer)
 {
   for (guint i = 0; i < answer->finished->len; i++)
     {
@@ -491,27 +492,27 @@
       /* The previous owner may have given it a lease just now, which covers any run started
        * there. */
       worker->lease_ms = MAX (worker->lease_ms, answer->clock_ms + first_lease_ms (self, worker));
-      fb_pool_worker_opened (self, worker);
+      fb_pool_worker_gained_capacity (self, worker);
       self->workers_dirty = self->workers_dirty || worker->draining;
     }
-  fb_pool_return_log_gone_back (worker, answer);
+  fb_pool_restart_log_stale (worker, answer);
   acknowledge_again (worker, answer);
-  fb_pool_doubt_end (self, worker->id, FALSE, now_ms);
+  fb_pool_unresolved_loss_resolve (self, worker->id, FALSE, now_ms);
   worker->answered = TRUE;
-  worker->gone = FALSE;
-  fb_pool_life_answered (self, worker, now_ms);
-  worker->proof_ms = worker->look_sent_ms;
-  worker->heard_ms = now_ms;
+  worker->runs_ended = FALSE;
+  fb_pool_incarnation_answered (self, worker, now_ms);
+  worker->answered_poll_sent_ms = worker->poll_sent_ms;
+  worker->last_answer_ms = now_ms;
   worker->clock_ms = answer->clock_ms;
   for (guint i = 0; i < answer->running->len; i++)
     process_listed_run (self, worker, &g_array_index (answer->running, FbRunSeen, i),
                         answer->clock_ms, now_ms);
   if (is_first)
-    fb_pool_late_starts_shut_out (self, worker, now_ms);
-  worker->unread = FALSE;
+    fb_pool_unanswered_starts_reject (self, worker, now_ms);
+  worker->has_unknown_end = FALSE;
   for (guint i = 0; i < answer->finished->len; i++)
     {
-      const FbEndSeen *end = &g_array_index (answer->finished, FbEndSeen, i);
+      const FbReportedEnd *end = &g_array_index (answer->finished, FbReportedEnd, i);
       if (end->number <= worker->seen_end)
         continue;
       worker->unread = is_of_unknown_job (self, worker, end, now_ms);
@@ -545,13 +546,13 @@
 }
 
 void
-fb_pool_look_answered (FbPool *self, const char *id, const FbLookAnswer *answer, uint64_t now_ms,
+fb_pool_poll_answered (FbPool *self, const char *id, const FbPollAnswer *answer, uint64_t now_ms,
                        uint64_t wall_ms)
 {
   FbPoolWorker *worker = g_hash_table_lookup (self->workers, id);
   if (worker == NULL)
     return;
-  worker->look_open = FALSE;
+  worker->poll_open = FALSE;
   if (answer->result == FB_ORDER_DONE)
     worker->confirmed_acknowledged
         = MAX (worker->confirmed_acknowledged, worker->poll_acknowledges);
@@ -566,10 +567,10 @@
     process_answer (self, worker, answer, now_ms, wall_ms);
   else if (answer->result == FB_ORDER_FENCED)
     fb_pool_fenced (self, worker);
-  else if (answer->result == FB_ORDER_OTHER_LIFE && answer->life != NULL)
-    fb_pool_worker_returned (self, worker, answer->life, now_ms);
-  else if (answer->result == FB_ORDER_OTHER_LIFE)
-    fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_LIFE, NULL, now_ms);
+  else if (answer->result == FB_ORDER_OTHER_INCARNATION && answer->incarnation != NULL)
+    fb_pool_worker_restarted (self, worker, answer->incarnation, now_ms);
+  else if (answer->result == FB_ORDER_OTHER_INCARNATION)
+    fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_INCARNATION, NULL, now_ms);
   else if (answer->result == FB_ORDER_NO_LISTENER && has_left (self, worker))
     fb_pool_worker_lost (self, worker, FB_LOSS_LEFT, NULL, now_ms);
 }
--- a/tests/test-recent-starts.c
+++ b/tests/test-recent-starts.c
@@ -11,8 +11,8 @@
 static guint
 reported_n (const FbRecentStarts *self, uint64_t now_ms, fb_recent_start *first)
 {
-  fb_told_starts told;
-  fb_recent_starts_tell (self, now_ms, &told);
+  fb_recent_starts_reply told;
+  fb_recent_starts_list (self, now_ms, &told);
   guint n = told.starts.starts_len;
   if (n > 0 && first != NULL)
     *first = told.starts.starts_val[0];
@@ -23,14 +23,14 @@
 static void
 answer_poll (FbRecentStarts *self, FbOrderResult result, const FbRunSeen *run, const FbEndSeen *end)
 {
-  g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbRunSeen));
-  g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbEndSeen));
+  g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbReportedRun));
+  g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbReportedEnd));
   if (run != NULL)
     g_array_append_val (running, *run);
   if (end != NULL)
     g_array_append_val (finished, *end);
-  const FbLookAnswer answer = { .result = result, .running = running, .finished = finished };
-  fb_recent_starts_looked (self, "w1", &answer);
+  const FbPollAnswer answer = { .result = result, .running = running, .finished = finished };
+  fb_recent_starts_polled (self, "w1", &answer);
 }
 
 /* Guards against: a start on a crashed worker is forgotten when its owner is lost. */
@@ -58,7 +58,7 @@
 {
   FbRecentStarts *self = fb_recent_starts_new ();
   fb_recent_start first = { .worker = "", .address = "", .task = "" };
-  const FbRunSeen run = { .task = (char *) TASK, .attempt = 1 };
+  const FbReportedRun run = { .task = (char *) TASK, .attempt = 1 };
   fb_recent_starts_sent (self, "w1", "a", TASK, 1, NOW_MS);
   fb_recent_starts_answered (self, "w1", TASK, 1, FB_ORDER_UNKNOWN);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS, &first), 1);
@@ -75,9 +75,9 @@
 test_ended_start_is_not_reported (void)
 {
   FbRecentStarts *self = fb_recent_starts_new ();
-  const FbEndSeen end = { .number = 1, .task = (char *) TASK, .attempt = 2 };
+  const FbReportedEnd end = { .number = 1, .task = (char *) TASK, .attempt = 2 };
   fb_recent_starts_sent (self, "w1", "a", TASK, 1, NOW_MS);
-  fb_recent_starts_answered (self, "w1", TASK, 1, FB_ORDER_NO_ROOM);
+  fb_recent_starts_answered (self, "w1", TASK, 1, FB_ORDER_NO_CAPACITY);
   fb_recent_starts_sent (self, "w1", "a", TASK, 2, NOW_MS);
   answer_poll (self, FB_ORDER_DONE, NULL, &end);
   fb_recent_starts_sent (self, "w1", "a", OTHER_TASK, 1, NOW_MS);
@@ -134,7 +134,7 @@
   for (guint i = 1; i < 3 * FB_WORK_MAX_STARTS; i++)
     {
       fb_recent_starts_sent (self, "w2", "a", TASK, i, NOW_MS);
-      fb_recent_starts_answered (self, "w2", TASK, i, FB_ORDER_LATE);
+      fb_recent_starts_answered (self, "w2", TASK, i, FB_ORDER_PAST_DEADLINE);
     }
   answer_poll (self, FB_ORDER_UNKNOWN, NULL, NULL);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS, NULL), 1);
--- a/tests/test-kept-suspects.c
+++ b/tests/test-suspect-backups.c
@@ -12,21 +12,21 @@
 pass_copy (FbKeptSuspects *self, const char *job, uint64_t epoch, u_int n, uint64_t now_ms)
 {
   fb_work_suspect tasks[] = { { .step = 1 }, { .step = 2 } };
-  const fb_kept_job kept
+  const fb_suspects_backup kept
       = { .job = (char *) job, .epoch = epoch, .suspects = { .tasks = { n, tasks } } };
-  fb_kept_suspects_take (self, &kept, now_ms);
+  fb_suspect_backups_put (self, &kept, now_ms);
 }
 
 /* Returns: the number of suspected tasks that SELF reports at NOW_MS, over all jobs. */
 static guint
 reported_n (const FbKeptSuspects *self, uint64_t now_ms)
 {
-  fb_told_kept told;
+  fb_suspect_backups_reply told;
   guint n = 0;
-  fb_kept_suspects_tell (self, now_ms, &told);
+  fb_suspect_backups_list (self, now_ms, &told);
   for (u_int i = 0; i < told.jobs.jobs_len; i++)
     n += told.jobs.jobs_val[i].suspects.tasks.tasks_len;
-  xdr_free ((xdrproc_t) xdr_fb_told_kept, (char *) &told);
+  xdr_free ((xdrproc_t) xdr_fb_suspect_backups_reply, (char *) &told);
   return n;
 }
 
@@ -70,8 +70,8 @@
 static void
 test_copies_are_bounded (void)
 {
-  FbKeptSuspects *self = fb_kept_suspects_new ();
-  for (guint i = 0; i < 2 * FB_WORK_MAX_KEPT; i++)
+  FbSuspectBackups *self = fb_suspect_backups_new ();
+  for (guint i = 0; i < 2 * FB_WORK_MAX_SUSPECT_BACKUPS; i++)
     {
       g_autofree char *job = g_strdup_printf ("%016x", i);
       pass_copy (self, job, 3, 1, NOW_MS);
