--- a/include/internal/pool-crash.h
+++ b/include/internal/pool-crash.h
@@ -10,7 +10,7 @@
   char *worker; /* id of the worker */
   char *address;
   gboolean seen; /* the task was seen running there */
-} FbPoolTried;
+} FbPoolUnresolvedStart;
 
 /* pool-crash.c: crash counts, the limit, placement */
 
@@ -22,7 +22,7 @@
 void fb_pool_crash_set_limits (FbPoolLimits *limits);
 /* Recomputes whether task INDEX is withheld; called when its crashes or unresolved losses
  * change. */
-void fb_pool_task_weigh (const FbPool *self, FbPoolStep *step, uint32_t index);
+void fb_pool_task_update_withheld (const FbPool *self, FbPoolStep *step, uint32_t index);
 /* A flush that contained JOB has been stored: releases tasks that were withheld until then. */
 void fb_pool_crash_stored (FbPool *self, FbPoolJob *job);
 /* TRUE when a worker has crashed, or may have crashed, while running TASK. */
@@ -38,7 +38,7 @@
                               uint32_t index);
 /* A run of task INDEX ended on WORKER, which is still up. */
 void fb_pool_crash_task_ended (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
-                               uint32_t index, FbEndHow how);
+                               uint32_t index, FbEndReason how);
 /* Task INDEX was started on WORKER: records the start if the task is suspected. */
 void fb_pool_crash_task_ordered (FbPool *self, FbPoolWorker *worker, FbPoolStep *step,
                                  uint32_t index);
@@ -62,7 +62,7 @@
 void fb_pool_crash_clear_lasted (FbPool *self, FbPoolWorker *worker);
 /* TRUE when TASK must wait until no run on WORKER, its best worker, is just beginning; reserves
  * WORKER for TASK. */
-gboolean fb_pool_crash_waits_for_calm (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms);
+gboolean fb_pool_crash_waits_for_stable (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms);
 /* Returns: the placement cost of WORKER for the suspected TASK; lower is better. */
 double fb_pool_crash_cost (const FbPoolWorker *worker, const FbPoolTask *task, uint64_t now_ms);
 /* Updates WORKER's counts of suspected runs when RUN is added (SIGN 1) or removed (-1). RUN has a
@@ -78,17 +78,19 @@
 /* TRUE when exactly one possible cause is left. */
 gboolean fb_pool_crash_has_one_cause (const FbPool *self, uint64_t worker);
 
-/* pool-doubt.c: losses that may or may not have been crashes */
+/* pool-unresolved-losses.c: losses that may or may not have been crashes */
 
-GHashTable *fb_pool_doubts_new (void);
+GHashTable *fb_pool_unresolved_losses_new (void);
 /* Task INDEX was on the lost worker ID at ADDRESS. CRASH: what to count if the worker crashed. */
-void fb_pool_doubt_add (FbPool *self, const char *id, const char *address, FbPoolStep *step,
-                        uint32_t index, FbPoolCrash crash, uint64_t now_ms);
+void fb_pool_unresolved_loss_add (FbPool *self, const char *id, const char *address,
+                                  FbPoolStep *step, uint32_t index, FbPoolCrash crash,
+                                  uint64_t now_ms);
 /* Resolves the loss of worker ID: counts it for its tasks if CRASHED, else discards it. */
-void fb_pool_doubt_end (FbPool *self, const char *id, gboolean crashed, uint64_t now_ms);
+void fb_pool_unresolved_loss_resolve (FbPool *self, const char *id, gboolean crashed,
+                                      uint64_t now_ms);
 /* Resolves losses by the list of workers, and discards those that are still unresolved after a
  * timeout. */
-void fb_pool_doubts_tend (FbPool *self, uint64_t now_ms);
+void fb_pool_unresolved_losses_check (FbPool *self, uint64_t now_ms);
 
 /* pool-probe.c: steps that start one task at a time */
 
@@ -104,26 +106,27 @@
 
 /* pool-crash-record.c: suspected tasks in a job's record */
 
-void fb_pool_tried_note (FbPoolTask *task, const char *worker, const char *address, gboolean seen);
+void fb_pool_unresolved_start_add (FbPoolTask *task, const char *worker, const char *address,
+                                   gboolean seen);
 /* TRUE when the outcome of TASK on WORKER is recorded as unknown. */
-gboolean fb_pool_tried_has (const FbPoolTask *task, const char *worker);
+gboolean fb_pool_unresolved_start_has (const FbPoolTask *task, const char *worker);
 /* TRUE when the outcome of TASK on WORKER is known, or already tracked as unresolved. */
-gboolean fb_pool_tried_is_settled (const FbPool *self, const FbPoolTask *task, const char *worker);
+gboolean fb_pool_start_is_resolved (const FbPool *self, const FbPoolTask *task, const char *worker);
 /* TASK was seen running on WORKER. Returns: TRUE if this changed an entry. */
-gboolean fb_pool_tried_see (FbPoolTask *task, const char *worker);
+gboolean fb_pool_unresolved_start_set_seen (FbPoolTask *task, const char *worker);
 /* The outcome of TASK on WORKER is known: removes the entry. */
-void fb_pool_tried_drop (FbPoolTask *task, const char *worker);
+void fb_pool_unresolved_start_drop (FbPoolTask *task, const char *worker);
 /* The same for the worker with that rank. */
-void fb_pool_tried_drop_rank (FbPoolTask *task, uint64_t rank);
+void fb_pool_unresolved_start_drop_id_hash (FbPoolTask *task, uint64_t id_hash);
 /* Fills in RECORD, whose strings are borrowed from JOB; clear with fb_pool_crash_record_clear(). */
 void fb_pool_crash_record (const FbPoolJob *job, fb_work_suspects *record);
 void fb_pool_crash_record_clear (fb_work_suspects *record);
 void fb_pool_crash_restore (FbPool *self, FbPoolJob *job, const fb_work_suspects *record,
                             uint64_t now_ms);
 
-/* pool-unstored.c: suspicions that are not stored yet */
+/* pool-unstored-suspects.c: suspicions that are not stored yet */
 
 /* Crashes or unresolved losses of JOB's tasks have changed. */
-void fb_pool_unstored_note (FbPool *self, FbPoolJob *job);
+void fb_pool_unstored_suspects_add (FbPool *self, FbPoolJob *job);
 /* Drops JOB, which is about to be freed. */
-void fb_pool_unstored_forget (FbPool *self, const FbPoolJob *job);
+void fb_pool_unstored_suspects_forget (FbPool *self, const FbPoolJob *job);
--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -13,17 +13,17 @@
 /* Evidence that a task was running on a worker when it crashed. */
 typedef enum
 {
-  FB_CRASH_HEARSAY, /* a stored record or another daemon reports that it was started there */
-  FB_CRASH_LIKELY,  /* this owner started it there without an answer, or an earlier owner saw it
-                       there */
-  FB_CRASH_FIRM     /* it was seen there, or almost certainly began there */
+  FB_CRASH_REPORTED, /* a stored record or another daemon reports that it was started there */
+  FB_CRASH_PROBABLE, /* this owner started it there without an answer, or an earlier owner saw it
+                      there */
+  FB_CRASH_CONFIRMED /* it was seen there, or almost certainly began there */
 } FbCrashEvidence;
 
 /* A worker crash, as counted for a task that was on the worker. */
 typedef struct
 {
-  uint64_t worker; /* FbPoolWorker.rank of the worker; 0: none */
-  gboolean apart;  /* no other run on the worker could have caused the crash */
+  uint64_t worker;   /* FbPoolWorker.rank of the worker; 0: none */
+  gboolean isolated; /* no other run on the worker could have caused the crash */
   FbCrashEvidence evidence;
 } FbPoolCrash;
 
@@ -38,11 +38,12 @@
   uint32_t index;
   uint32_t attempt;
   FbRunState state;
-  gboolean given_up;   /* its task no longer depends on this run */
+  gboolean abandoned;  /* its task no longer depends on this run */
   gboolean unanswered; /* the start got no answer: it may have begun */
-  guint suspicion_n;   /* crashes and unresolved losses of its task when the run was charged to the
-                          worker */
-  gboolean whole; /* begun here without a checkpoint: its duration measures the worker's speed */
+  guint suspect_score; /* crashes and unresolved losses of its task when the run was charged to the
+                        worker */
+  gboolean
+      from_start; /* begun here without a checkpoint: its duration measures the worker's speed */
   uint64_t order; /* id of the last request sent for it */
   uint64_t deadline_ms;      /* deadline of the start, on the worker's clock */
   uint64_t seen_clock_ms;    /* worker's clock when the run was last known to be there; 0: never */
@@ -52,21 +53,21 @@
   /* When the start was transferred to this incarnation because the one that it was sent to ended
    * before it listed the run. The start may still arrive here. 0: not transferred, or listed
    * since. */
-  uint64_t came_ms;
-  gboolean shut_out;     /* tombstone of a late start: the worker is told to refuse it */
-  FbPoolCrash lost_with; /* counted if the transferred start never arrives, as the earlier
+  uint64_t transferred_ms;
+  gboolean is_tombstone;      /* tombstone of a late start: the worker is told to refuse it */
+  FbPoolCrash deferred_crash; /* counted if the transferred start never arrives, as the earlier
                             incarnation crashed; worker 0: nothing to count */
 };
 
 typedef struct
 {
   char *id;
-  guint slot;      /* index in FbPool.roster */
-  uint32_t life;   /* number of this incarnation, unique in the pool, rising, never 0 */
-  uint64_t rank;   /* hash of the id: breaks ties between equal workers independently of the listing
-                      order, and identifies the worker in crash records */
-  gboolean opened; /* it can take more than in the last placement round */
-  gboolean took;   /* it accepted work at the last maintenance pass */
+  guint slot;           /* index in FbPool.roster */
+  uint32_t incarnation; /* number of this incarnation, unique in the pool, rising, never 0 */
+  uint64_t id_hash;     /* hash of the id: breaks ties between equal workers independently of the
+                        listing     order, and identifies the worker in crash records */
+  gboolean gained_capacity; /* it can take more than in the last placement round */
+  gboolean accepted_work;   /* it accepted work at the last maintenance pass */
   char *address;
   char *rack;
   char **labels;
@@ -78,31 +79,31 @@
   gboolean draining;
   gboolean answered;         /* has answered a poll under the present epoch */
   gboolean silence_recorded; /* it is silent, and its runs have been recorded */
-  gboolean gone;             /* this incarnation or all its leases have certainly ended */
+  gboolean runs_ended;       /* this incarnation or all its leases have certainly ended */
   gboolean replaced;         /* this incarnation has certainly ended */
-  gboolean returns;  /* restarts under the same id, so a later incarnation may receive calls meant
-                        for this one */
-  gboolean outlived; /* a later incarnation at its address is known */
+  gboolean may_restart;      /* restarts under the same id, so a later incarnation may receive calls
+                            meant      for this one */
+  gboolean superseded;       /* a later incarnation at its address is known */
   /* When it was found that calls meant for another incarnation may arrive here; 0: none may. */
-  uint64_t follows_ms;
+  uint64_t misdirected_calls_since_ms;
   /* Names of the steps that may still run here, as recorded by the previous owner when it stopped
    * starting work here; NULL: any step may run. */
-  GHashTable *closed_to;
-  gboolean look_open;       /* a poll is unanswered */
-  uint32_t first_answer_ms; /* timeout of the last initial poll; 0: none sent */
-  uint64_t look_at_ms;      /* when the next poll is due */
-  uint64_t look_sent_ms;    /* when the last poll was sent */
-  gboolean look_failed;     /* the last poll was not answered */
-  uint64_t proof_ms;        /* when the last answered poll had been sent */
-  uint64_t heard_ms;        /* when the last answer arrived; 0: never */
-  uint64_t clock_ms;        /* worker's clock, as read no later than heard_ms */
+  GHashTable *drain_steps;
+  gboolean poll_open;             /* a poll is unanswered */
+  uint32_t first_poll_timeout_ms; /* timeout of the last initial poll; 0: none sent */
+  uint64_t next_poll_ms;          /* when the next poll is due */
+  uint64_t poll_sent_ms;          /* when the last poll was sent */
+  gboolean poll_failed;           /* the last poll was not answered */
+  uint64_t answered_poll_sent_ms; /* when the last answered poll had been sent */
+  uint64_t last_answer_ms;        /* when the last answer arrived; 0: never */
+  uint64_t clock_ms;              /* worker's clock, as read no later than last_answer_ms */
   uint64_t lease_ms; /* highest deadline ever sent, on the worker's clock, including those of the
                         previous owner */
   uint64_t seen_end; /* highest number of an end that has been processed */
-  gboolean unread;   /* lists an end of a job that is not known yet, or may have more ends than one
-                        answer holds */
-  uint64_t unread_end;        /* number of the last such end; 0: none */
-  uint64_t unread_ms;         /* when that end was first listed */
+  gboolean has_unknown_end;   /* lists an end of a job that is not known yet, or may have more ends
+                        than one   answer holds */
+  uint64_t unknown_end;       /* number of the last such end; 0: none */
+  uint64_t unknown_end_ms;    /* when that end was first listed */
   uint64_t flushing_end;      /* seen_end when the open flush began */
   uint64_t acknowledged;      /* highest number of an end whose effects are stored */
   uint64_t poll_acknowledges; /* number acknowledged by the open poll if a later incarnation may
@@ -110,32 +111,32 @@
   uint64_t confirmed_acknowledged; /* highest number that the worker is known to have received, if
                                  later incarnations may receive calls */
   uint64_t paused_until_ms;        /* no starts before, as it refused one or left it unanswered */
-  uint32_t bad_streak;             /* failed runs of different jobs in a row */
+  uint32_t failure_streak;         /* failed runs of different jobs in a row */
   FbPoolSpeed *speed;
-  uint64_t spared_until_ms; /* no starts before, as its runs fail */
-  char *last_bad_job;       /* id of the job of the last failed run; NULL: none */
-  GHashTable *runs;         /* name -> FbPoolRun */
-  guint shut_out_n;         /* runs that are tombstones of late starts */
-  guint suspect_runs_n;     /* runs of tasks under which workers have crashed or may have crashed */
-  guint isolated_n;         /* runs of tasks that are isolated from other suspected tasks */
-  /* Only this task may start here until kept_until_ms; NULL: any. Compared only, never
+  uint64_t throttled_until_ms; /* no starts before, as its runs fail */
+  char *last_failed_job;       /* id of the job of the last failed run; NULL: none */
+  GHashTable *runs;            /* name -> FbPoolRun */
+  guint tombstones_n;          /* runs that are tombstones of late starts */
+  guint suspect_runs_n; /* runs of tasks under which workers have crashed or may have crashed */
+  guint isolated_n;     /* runs of tasks that are isolated from other suspected tasks */
+  /* Only this task may start here until exclusive_until_ms; NULL: any. Compared only, never
    * dereferenced. */
-  const FbPoolTask *kept_for;
-  uint64_t kept_until_ms;
-  uint32_t alien_n; /* runs of unknown jobs, whose resource use is unknown */
+  const FbPoolTask *exclusive_for;
+  uint64_t exclusive_until_ms;
+  uint32_t unknown_runs_n; /* runs of unknown jobs, whose resource use is unknown */
   int64_t cpu_used;
   int64_t mem_used;
   int64_t gpu_used;
-  guint held_n; /* tasks for which resources are reserved while their steps wait for advice */
-  int64_t cpu_held;
-  int64_t mem_held;
-  int64_t gpu_held;
+  guint reserved_n; /* tasks for which resources are reserved while their steps wait for advice */
+  int64_t cpu_reserved;
+  int64_t mem_reserved;
+  int64_t gpu_reserved;
 } FbPoolWorker;
 
 /* pool-worker.c */
 FbPoolWorker *fb_pool_worker_new (const char *id);
 /* Returns: a hash of ID that breaks ties between equal workers; the same at all owners. */
-uint64_t fb_pool_worker_rank (const char *id);
+uint64_t fb_pool_worker_id_hash (const char *id);
 void fb_pool_worker_free (gpointer worker);
 void fb_pool_worker_describe (FbPoolWorker *worker, const FbWorkerEntry *entry);
 /* Returns: a lower bound of the worker's clock now. */
@@ -148,33 +149,33 @@
 void fb_pool_worker_drop_run (FbPoolWorker *worker, FbPoolRun *run);
 gboolean fb_pool_worker_fits (const FbPoolWorker *worker, const fb_work_step *shape);
 /* Throttles a worker whose runs keep failing; called after a failure and after a start. */
-void fb_pool_worker_spare (FbPoolWorker *worker, uint64_t now_ms);
+void fb_pool_worker_throttle (FbPoolWorker *worker, uint64_t now_ms);
 /* Adds (SIGN 1) or subtracts (-1) the resources that RUN uses. */
 void fb_pool_worker_charge (FbPoolWorker *worker, FbPoolRun *run, int sign);
 /* Reserves (SIGN 1) or releases (-1) resources for a task of SHAPE. */
-void fb_pool_worker_hold (FbPoolWorker *worker, const fb_work_step *shape, int sign);
+void fb_pool_worker_reserve (FbPoolWorker *worker, const fb_work_step *shape, int sign);
 gboolean fb_pool_worker_has_label (const FbPoolWorker *worker, const char *label);
 
-/* pool-roster.c */
-void fb_pool_roster_add (FbPool *self, FbPoolWorker *worker);
+/* pool-worker-slots.c */
+void fb_pool_worker_slots_add (FbPool *self, FbPoolWorker *worker);
 /* Removes WORKER and frees it. */
-void fb_pool_roster_remove (FbPool *self, FbPoolWorker *worker);
+void fb_pool_worker_slots_remove (FbPool *self, FbPoolWorker *worker);
 /* Returns: the next worker at or after index *SLOT, which is moved past it; NULL at the end. */
-FbPoolWorker *fb_pool_roster_next (const FbPool *self, guint *slot);
+FbPoolWorker *fb_pool_worker_slots_next (const FbPool *self, guint *slot);
 /* Marks WORKER as able to take work that it could not take before. */
-void fb_pool_worker_opened (FbPool *self, FbPoolWorker *worker);
+void fb_pool_worker_gained_capacity (FbPool *self, FbPoolWorker *worker);
 
 /* pool-drain.c */
 
 /* Writes the steps that may still run on the draining WORKER into KNOWN. */
-void fb_pool_closed_record (const FbPoolWorker *worker, fb_work_known *known);
-void fb_pool_closed_record_clear (fb_work_known *known);
+void fb_pool_drain_record (const FbPoolWorker *worker, fb_work_known_worker *known);
+void fb_pool_drain_record_clear (fb_work_known_worker *known);
 /* Stores what the previous owner recorded of a worker until that worker is listed. */
-void fb_pool_closed_restore (FbPool *self, const fb_work_known *known);
+void fb_pool_drain_restore (FbPool *self, const fb_work_known_worker *known);
 /* WORKER was listed: applies what the previous owner recorded of it. */
-void fb_pool_closed_take (FbPool *self, FbPoolWorker *worker);
+void fb_pool_drain_apply (FbPool *self, FbPoolWorker *worker);
 /* FALSE when WORKER is draining and no run of STEP can be on it. */
-gboolean fb_pool_closed_may_hold (const FbPoolWorker *worker, const FbPoolStep *step);
+gboolean fb_pool_drain_may_run (const FbPoolWorker *worker, const FbPoolStep *step);
 /* TRUE when the previous owner's record proves that nothing runs on WORKER, even if it does not
  * answer. */
-gboolean fb_pool_closed_is_empty (const FbPoolWorker *worker);
+gboolean fb_pool_drain_is_empty (const FbPoolWorker *worker);
--- a/src/work/pool-crash-record.c
+++ b/src/work/pool-crash-record.c
@@ -11,7 +11,7 @@
 }
 
 /* Returns: (nullable): borrowed. */
-static FbPoolTried *
+static FbPoolUnresolvedStart *
 find_unresolved_start (const FbPoolTask *task, const char *worker)
 {
   for (guint i = 0; task->unresolved != NULL && i < task->unresolved->len; i++)
@@ -32,8 +32,8 @@
 gboolean
 fb_pool_unresolved_start_set_seen (FbPoolTask *task, const char *worker)
 {
-  FbPoolTried *tried = find_unresolved_start (task, worker);
-  if (tried == NULL || tried->seen)
+  FbPoolUnresolvedStart *unresolved = find_unresolved_start (task, worker);
+  if (unresolved == NULL || unresolved->seen)
     return FALSE;
   unresolved->seen = TRUE;
   return TRUE;
@@ -62,20 +62,20 @@
 fb_pool_unresolved_start_add (FbPoolTask *task, const char *worker, const char *address,
                               gboolean seen)
 {
-  fb_pool_tried_drop (task, worker);
-  if (task->tried == NULL)
-    task->tried = g_ptr_array_new_with_free_func (unresolved_start_free);
-  if (task->tried->len == FB_WORK_MAX_CRASHES)
-    g_ptr_array_remove_index (task->tried, 0);
-  FbPoolTried *tried = g_new0 (FbPoolTried, 1);
-  tried->worker = g_strdup (worker);
-  tried->address = g_strdup (address != NULL ? address : "");
-  tried->seen = seen;
-  g_ptr_array_add (task->tried, tried);
+  fb_pool_unresolved_start_drop (task, worker);
+  if (task->unresolved == NULL)
+    task->unresolved = g_ptr_array_new_with_free_func (unresolved_start_free);
+  if (task->unresolved->len == FB_WORK_MAX_CRASHES)
+    g_ptr_array_remove_index (task->unresolved, 0);
+  FbPoolUnresolvedStart *unresolved = g_new0 (FbPoolUnresolvedStart, 1);
+  unresolved->worker = g_strdup (worker);
+  unresolved->address = g_strdup (address != NULL ? address : "");
+  unresolved->seen = seen;
+  g_ptr_array_add (task->unresolved, unresolved);
 }
 
 static void
-add_unresolved_start (GArray *rows, const FbPoolTried *tried)
+add_unresolved_start (GArray *rows, const FbPoolUnresolvedStart *unresolved)
 {
   const fb_work_unresolved_start row
       = { .worker = unresolved->worker, .address = unresolved->address };
@@ -83,20 +83,21 @@
     g_array_append_val (rows, row);
 }
 
-/* Returns: (transfer full): array of fb_work_tried, whose strings are borrowed from TASK. The
- * record has no flag for FbPoolTried.seen: an entry that was seen is listed twice. */
+/* Returns: (transfer full): array of fb_work_unresolved_start, whose strings are borrowed from
+ * TASK. The record has no flag for FbPoolUnresolvedStart.seen: an entry that was seen is listed
+ * twice. */
 static GArray *
 unresolved_starts_of (const FbPoolTask *task)
 {
   GArray *rows = g_array_new (FALSE, FALSE, sizeof (fb_work_unresolved_start));
   guint n = task->unresolved != NULL ? task->unresolved->len : 0;
   for (guint i = 0; i < n; i++)
-    add_unresolved_start (rows, task->tried->pdata[i]);
+    add_unresolved_start (rows, task->unresolved->pdata[i]);
   for (guint i = 0; i < n; i++)
     {
-      const FbPoolTried *tried = task->tried->pdata[i];
-      if (tried->seen)
-        add_unresolved_start (rows, tried);
+      const FbPoolUnresolvedStart *unresolved = task->unresolved->pdata[i];
+      if (unresolved->seen)
+        add_unresolved_start (rows, unresolved);
     }
   return rows;
 }
@@ -119,7 +120,7 @@
 /* Marks confirmed crashes: the record has no field for the evidence, so their workers are listed
  * twice, up to the maximum length. */
 static void
-append_confirmed_again (const FbPoolTask *task, gboolean apart, GArray *workers)
+append_confirmed_again (const FbPoolTask *task, gboolean isolated, GArray *workers)
 {
   for (guint i = 0; task->crashes != NULL && i < task->crashes->len; i++)
     {
@@ -135,10 +136,10 @@
 add_suspect (GArray *suspects, const FbPoolStep *step, uint32_t index)
 {
   const FbPoolTask *task = &step->tasks[index];
-  GArray *tried = unresolved_starts_of (task);
-  GArray *apart = workers_of (task, TRUE);
+  GArray *unresolved = unresolved_starts_of (task);
+  GArray *isolated = workers_of (task, TRUE);
   GArray *shared = workers_of (task, FALSE);
-  append_confirmed_again (task, TRUE, apart);
+  append_confirmed_again (task, TRUE, isolated);
   append_confirmed_again (task, FALSE, shared);
   fb_work_suspect suspect = { .occurrence = step->occurrence, .step = step->index, .index = index };
   suspect.unresolved.unresolved_len = unresolved->len;
@@ -212,7 +213,8 @@
           || fb_pool_task_has_crash (&step->tasks[index], workers[i]))
         continue;
       gboolean confirmed = is_listed (workers, i + 1, n, workers[i]);
-      const FbPoolCrash crash = { workers[i], apart, confirmed ? FB_CRASH_FIRM : FB_CRASH_HEARSAY };
+      const FbPoolCrash crash
+          = { workers[i], isolated, confirmed ? FB_CRASH_CONFIRMED : FB_CRASH_REPORTED };
       fb_pool_crash_cause_add (self, crash.worker);
       fb_pool_crash_count (self, step, index, crash, now_ms);
     }
@@ -243,15 +245,18 @@
 {
   for (u_int i = 0; i < suspect->unresolved.unresolved_len; i++)
     {
-      const fb_work_tried *tried = &suspect->tried.tried_val[i];
-      if (is_in_unresolved (suspect, 0, i, tried->worker)
-          || fb_pool_tried_is_settled (self, &step->tasks[suspect->index], tried->worker))
+      const fb_work_unresolved_start *unresolved = &suspect->unresolved.unresolved_val[i];
+      if (is_in_unresolved (suspect, 0, i, unresolved->worker)
+          || fb_pool_start_is_resolved (self, &step->tasks[suspect->index], unresolved->worker))
         continue;
-      gboolean seen = is_in_unresolved (suspect, i + 1, suspect->tried.tried_len, tried->worker);
-      const FbPoolCrash crash = { fb_pool_worker_rank (tried->worker), FALSE,
-                                  seen ? FB_CRASH_LIKELY : FB_CRASH_HEARSAY };
-      fb_pool_tried_note (&step->tasks[suspect->index], tried->worker, tried->address, seen);
-      fb_pool_doubt_add (self, tried->worker, tried->address, step, suspect->index, crash, now_ms);
+      gboolean seen = is_in_unresolved (suspect, i + 1, suspect->unresolved.unresolved_len,
+                                        unresolved->worker);
+      const FbPoolCrash crash = { fb_pool_worker_id_hash (unresolved->worker), FALSE,
+                                  seen ? FB_CRASH_PROBABLE : FB_CRASH_REPORTED };
+      fb_pool_unresolved_start_add (&step->tasks[suspect->index], unresolved->worker,
+                                    unresolved->address, seen);
+      fb_pool_unresolved_loss_add (self, unresolved->worker, unresolved->address, step,
+                                   suspect->index, crash, now_ms);
     }
 }
 
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -8,9 +8,10 @@
  *
  * Other tasks on a crashed worker are counted as well, but must not be failed for it. So only proof
  * of a crash counts: another incarnation answers, or is listed, at the address. Silence alone
- * leaves the loss unresolved (pool-doubt.c); an unresolved loss holds back starts that could exceed
- * the limit. A task with ISOLATE_AFTER_CRASHES crashes is kept apart from all other suspected tasks
- * and nothing is started beside it, so that a further crash has fewer possible causes. */
+ * leaves the loss unresolved (pool-unresolved-losses.c); an unresolved loss holds back starts that
+ * could exceed the limit. A task with ISOLATE_AFTER_CRASHES crashes is kept apart from all other
+ * suspected tasks and nothing is started beside it, so that a further crash has fewer possible
+ * causes. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
@@ -78,11 +79,11 @@
 void
 fb_pool_crash_set_limits (FbPoolLimits *limits)
 {
-  if (limits->crashes_n == 0)
-    limits->crashes_n = MAX_ISOLATED_CRASHES;
-  if (limits->shared_crashes_n == 0)
-    limits->shared_crashes_n = MAX_SHARED_CRASHES;
-  limits->shared_crashes_n = MAX (limits->shared_crashes_n, limits->crashes_n);
+  if (limits->max_isolated_crashes == 0)
+    limits->max_isolated_crashes = MAX_ISOLATED_CRASHES;
+  if (limits->max_shared_crashes == 0)
+    limits->max_shared_crashes = MAX_SHARED_CRASHES;
+  limits->max_shared_crashes = MAX (limits->max_shared_crashes, limits->max_isolated_crashes);
 }
 
 /* Unanswered starts, and runs whose ends were not received, are counted for workers that crashed
@@ -91,8 +92,8 @@
 static gboolean
 has_confirmed_crashes (const FbPoolTask *task)
 {
-  return crashes_with_evidence_n (task, FB_CRASH_FIRM) >= CONFIRMED_CRASHES
-         && crashes_with_evidence_n (task, FB_CRASH_HEARSAY) == 0;
+  return crashes_with_evidence_n (task, FB_CRASH_CONFIRMED) >= CONFIRMED_CRASHES
+         && crashes_with_evidence_n (task, FB_CRASH_REPORTED) == 0;
 }
 
 /* Returns: the number of crashes at which TASK's job fails; one more if none of them is confirmed.
@@ -103,8 +104,9 @@
   guint alone = sole_cause_n (self, task, eliminated);
   guint shared = fb_pool_task_crashes_n (task) - alone;
   if (alone > 0 && has_confirmed_crashes (task) && shared < SHARED_CRASHES_CONCLUSIVE)
-    return self->limits.crashes_n;
-  return self->limits.shared_crashes_n + (crashes_with_evidence_n (task, FB_CRASH_FIRM) == 0);
+    return self->limits.max_isolated_crashes;
+  return self->limits.max_shared_crashes
+         + (crashes_with_evidence_n (task, FB_CRASH_CONFIRMED) == 0);
 }
 
 gboolean
@@ -120,8 +122,8 @@
 static gboolean
 awaits_storing (const FbPoolStep *step, const FbPoolTask *task)
 {
-  return fb_pool_task_crashes_n (task) + task->doubts_n >= ISOLATE_AFTER_CRASHES
-         && step->job->suspicion_stored != step->job->suspicion;
+  return fb_pool_task_crashes_n (task) + task->unresolved_losses_n >= ISOLATE_AFTER_CRASHES
+         && step->job->suspects_version_stored != step->job->suspects_version;
 }
 
 void
@@ -129,9 +131,10 @@
 {
   FbPoolTask *task = &step->tasks[index];
   /* In an unresolved loss the task may have been the only possible cause. */
-  guint limit = task->doubts_n > 0 ? self->limits.crashes_n : crash_limit (self, task, FALSE);
-  task->withheld
-      = fb_pool_task_crashes_n (task) + task->doubts_n >= limit || awaits_storing (step, task);
+  guint limit = task->unresolved_losses_n > 0 ? self->limits.max_isolated_crashes
+                                              : crash_limit (self, task, FALSE);
+  task->withheld = fb_pool_task_crashes_n (task) + task->unresolved_losses_n >= limit
+                   || awaits_storing (step, task);
 }
 
 void
@@ -243,10 +246,11 @@
   g_hash_table_add (self->suspects, step);
   self->limit_reached |= fb_pool_task_crashes_n (task) >= self->limits.max_isolated_crashes;
   fb_pool_job_changed (self, step->job);
-  fb_event_log (
-      FB_EVENT_TASK_SUSPECTED, "task=%s.%u.%u.%u crashes=%u of=%u apart=%d evidence=%s doubts=%u",
-      step->job->id, step->occurrence, step->index, index, fb_pool_task_crashes_n (task),
-      crash_limit (self, task, FALSE), crash.apart, evidence_names[crash.evidence], task->doubts_n);
+  fb_event_log (FB_EVENT_TASK_SUSPECTED,
+                "task=%s.%u.%u.%u crashes=%u of=%u apart=%d evidence=%s doubts=%u", step->job->id,
+                step->occurrence, step->index, index, fb_pool_task_crashes_n (task),
+                crash_limit (self, task, FALSE), crash.isolated, evidence_names[crash.evidence],
+                task->unresolved_losses_n);
 }
 
 /* Returns: how long RUN had been running at WORKER's last answer. */
@@ -274,7 +278,7 @@
 static gboolean
 is_proven_harmless (const FbPoolWorker *worker, const FbPoolRun *run)
 {
-  return run->step != NULL && run->step->shape->lasting
+  return run->step != NULL && run->step->shape->long_running
          && ran_ms (worker, run) >= LONG_RUNNING_PROVEN_MS;
 }
 
@@ -282,7 +286,7 @@
 static gboolean
 is_unlikely_cause (const FbPoolWorker *worker, const FbPoolRun *run, const FbPoolRun *other)
 {
-  return run->suspicion_n >= ISOLATE_AFTER_CRASHES && ran_ms (worker, run) < STARTUP_MS
+  return run->suspect_score >= ISOLATE_AFTER_CRASHES && ran_ms (worker, run) < STARTUP_MS
          && !is_starting_up (other);
 }
 
@@ -292,11 +296,11 @@
 static FbCrashEvidence
 evidence_of (const FbPoolWorker *worker, const FbPoolRun *run)
 {
-  gboolean sent_after_answer = run->started_ms >= worker->heard_ms
-                               && run->started_ms <= worker->heard_ms + POLL_NETWORK_MS;
-  gboolean confirmed
-      = run->seen_clock_ms > 0 || (run->suspicion_n >= ISOLATE_AFTER_CRASHES && sent_after_answer);
-  return confirmed ? FB_CRASH_FIRM : FB_CRASH_LIKELY;
+  gboolean sent_after_answer = run->started_ms >= worker->last_answer_ms
+                               && run->started_ms <= worker->last_answer_ms + POLL_NETWORK_MS;
+  gboolean confirmed = run->seen_clock_ms > 0
+                       || (run->suspect_score >= ISOLATE_AFTER_CRASHES && sent_after_answer);
+  return confirmed ? FB_CRASH_CONFIRMED : FB_CRASH_PROBABLE;
 }
 
 /* TRUE when RUN may have begun as its worker crashed: its start is not answered yet. */
@@ -329,8 +333,9 @@
              const FbPoolWorker *next, uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
-  const FbPoolCrash crash = { worker->rank, is_isolated (worker, run), evidence_of (worker, run) };
-  if (next != NULL && run->listed_ms == 0 && fb_pool_return_may_come (self, run))
+  const FbPoolCrash crash
+      = { worker->id_hash, is_isolated (worker, run), evidence_of (worker, run) };
+  if (next != NULL && run->listed_ms == 0 && fb_pool_restart_may_deliver (self, run))
     {
       if (run->deferred_crash.worker == 0)
         run->deferred_crash = crash;
@@ -338,7 +343,7 @@
     }
   /* A start can crash only one incarnation. If it does not arrive at this one, it crashed the one
    * before. */
-  if (run->lost_with.worker != 0)
+  if (run->deferred_crash.worker != 0)
     return;
   if (loss == FB_LOSS_OTHER_INCARNATION)
     {
@@ -346,10 +351,10 @@
       fb_pool_crash_count (self, step, run->index, crash, now_ms);
       return;
     }
-  fb_pool_doubt_add (self, worker->id, worker->address, step, run->index, crash, now_ms);
+  fb_pool_unresolved_loss_add (self, worker->id, worker->address, step, run->index, crash, now_ms);
   /* It is recorded as well, so that the next owner can find out whether the worker crashed. */
-  fb_pool_tried_note (&step->tasks[run->index], worker->id, worker->address,
-                      run->seen_clock_ms > 0);
+  fb_pool_unresolved_start_add (&step->tasks[run->index], worker->id, worker->address,
+                                run->seen_clock_ms > 0);
   fb_pool_job_changed (self, step->job);
 }
 
@@ -394,7 +399,7 @@
     {
       const FbPoolRun *run = value;
       /* A start transferred from an earlier incarnation is recorded for that one. */
-      if (run->step != NULL && run_may_have_begun (run) && run->came_ms == 0)
+      if (run->step != NULL && run_may_have_begun (run) && run->transferred_ms == 0)
         note_silence (self, worker, run, silent);
     }
 }
@@ -433,7 +438,7 @@
       /* The task is not suspected itself, but the others on the worker are no longer the only
        * possible cause. */
       if (is_start_unconfirmed (run))
-        fb_pool_crash_cause_add (self, worker->rank);
+        fb_pool_crash_cause_add (self, worker->id_hash);
       if (run->step == NULL || !run_may_have_begun (run))
         continue;
       if (is_proven_harmless (worker, run))
@@ -544,9 +549,9 @@
 {
   if (suspect_score_of (task) < ISOLATE_AFTER_CRASHES || is_stable (worker))
     return FALSE;
-  if (task->calm_until_ms == 0)
-    task->calm_until_ms = now_ms + STABLE_WAIT_MS;
-  if (now_ms >= task->calm_until_ms)
+  if (task->stable_wait_until_ms == 0)
+    task->stable_wait_until_ms = now_ms + STABLE_WAIT_MS;
+  if (now_ms >= task->stable_wait_until_ms)
     return FALSE;
   worker->exclusive_for = task;
   worker->exclusive_until_ms = task->stable_wait_until_ms;
@@ -558,7 +563,7 @@
 {
   gboolean isolated = suspect_score_of (task) >= ISOLATE_AFTER_CRASHES;
   /* A silent worker may have crashed already, and that crash would count for TASK. */
-  gboolean quiet = now_ms > worker->heard_ms + FB_POOL_LOOK_WAIT_MS + POLL_NETWORK_MS;
+  gboolean quiet = now_ms > worker->last_answer_ms + FB_POOL_POLL_WAIT_MS + POLL_NETWORK_MS;
   /* The other runs there would be lost with the worker. */
   return worker->suspect_runs_n + (isolated ? g_hash_table_size (worker->runs) : 0)
          + (quiet ? SILENT_WORKER_COST : 0);
@@ -568,9 +573,9 @@
 fb_pool_crash_charge (FbPoolWorker *worker, FbPoolRun *run, int sign)
 {
   if (sign > 0)
-    run->suspicion_n = suspect_score_of (&run->step->tasks[run->index]);
-  worker->suspect_runs_n += run->suspicion_n > 0 ? (guint) sign : 0;
-  worker->isolated_n += run->suspicion_n >= ISOLATE_AFTER_CRASHES ? (guint) sign : 0;
+    run->suspect_score = suspect_score_of (&run->step->tasks[run->index]);
+  worker->suspect_runs_n += run->suspect_score > 0 ? (guint) sign : 0;
+  worker->isolated_n += run->suspect_score >= ISOLATE_AFTER_CRASHES ? (guint) sign : 0;
 }
 
 void
--- a/src/work/pool-drain.c
+++ b/src/work/pool-drain.c
@@ -83,7 +83,7 @@
   GHashTable *steps = g_hash_table_lookup (self->closed, worker->id);
   if (steps == NULL || worker->drain_steps != NULL)
     return;
-  worker->closed_to = g_hash_table_ref (steps);
+  worker->drain_steps = g_hash_table_ref (steps);
   worker->draining = TRUE; /* an outdated list may not show it yet */
 }
 
--- a/src/work/pool-incarnations.c
+++ b/src/work/pool-incarnations.c
@@ -38,7 +38,7 @@
     return;
   /* The entry may be outdated. If the host's clock was set back, an answer of the worker corrects
    * this. */
-  if (latest != NULL && follows (self, latest, worker))
+  if (latest != NULL && is_newer_incarnation (self, latest, worker))
     {
       worker->superseded = TRUE;
       return;
--- a/src/work/pool-loss.c
+++ b/src/work/pool-loss.c
@@ -37,7 +37,7 @@
                     "task=%s attempt=%u worker=%s why=%s seen=%d ran_ms=%u beside=%u", run->name,
                     run->attempt, worker->id, why, run->seen_clock_ms > 0,
                     (guint) (now_ms - run->started_ms), runs_n - 1);
-      fb_pool_run_over (self, worker, run, why, now_ms);
+      fb_pool_run_ended (self, worker, run, why, now_ms);
       if (step != NULL && step->shape->gang)
         fb_pool_stop_gang (self, step, now_ms);
     }
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -133,7 +133,7 @@
   run->state = FB_RUN_STARTING;
   run->deadline_ms = fb_pool_worker_clock_low (worker, now_ms) + FB_POOL_START_WINDOW_MS;
   run->started_ms = now_ms;
-  run->whole = task->checkpoint == NULL;
+  run->from_start = task->checkpoint == NULL;
   run->order = add_order (self, worker, run);
   worker->lease_ms = MAX (worker->lease_ms, run->deadline_ms);
   fb_pool_worker_throttle (worker, now_ms);
@@ -189,26 +189,27 @@
 {
   if (worker->answered)
     return POLL_TIMEOUT_MS;
-  worker->first_answer_ms
-      = worker->first_answer_ms == 0 ? FIRST_POLL_TIMEOUT_MS : 2 * worker->first_answer_ms;
-  worker->first_answer_ms = MIN (worker->first_answer_ms, POLL_TIMEOUT_MS);
-  return worker->first_answer_ms;
+  worker->first_poll_timeout_ms = worker->first_poll_timeout_ms == 0
+                                      ? FIRST_POLL_TIMEOUT_MS
+                                      : 2 * worker->first_poll_timeout_ms;
+  worker->first_poll_timeout_ms = MIN (worker->first_poll_timeout_ms, POLL_TIMEOUT_MS);
+  return worker->first_poll_timeout_ms;
 }
 
 uint64_t
 fb_pool_first_poll_retry_ms (const FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (worker->first_answer_ms <= FIRST_POLL_TIMEOUT_MS)
+  if (worker->first_poll_timeout_ms <= FIRST_POLL_TIMEOUT_MS)
     return now_ms;
   /* A lost answer has taken its whole timeout, but a reset connection fails at once and would be
    * retried in every pass. */
-  return MAX (now_ms, worker->look_sent_ms + worker->first_answer_ms / 2);
+  return MAX (now_ms, worker->poll_sent_ms + worker->first_poll_timeout_ms / 2);
 }
 
 gboolean
 fb_pool_owes_acknowledgement (const FbPoolWorker *worker)
 {
-  return worker->returns && worker->acknowledged > worker->confirmed_acknowledged;
+  return worker->may_restart && worker->acknowledged > worker->confirmed_acknowledged;
 }
 
 /* TRUE when a run on WORKER has not been listed since it was started. A later incarnation may have
@@ -218,7 +219,7 @@
 {
   /* While an end of an unknown job is listed, no run is resolved, and a full list of ends can only
    * move on by an acknowledgement. */
-  if (worker->unread)
+  if (worker->has_unknown_end)
     return FALSE;
   GHashTableIter iter;
   gpointer value;
@@ -241,7 +242,8 @@
 {
   if (worker->poll_failed)
     return FALSE;
-  return !worker->returns || (fb_pool_owes_acknowledgement (worker) && !has_unlisted_run (worker));
+  return !worker->may_restart
+         || (fb_pool_owes_acknowledgement (worker) && !has_unlisted_run (worker));
 }
 
 gboolean
@@ -262,7 +264,7 @@
                         .epoch = self->epoch,
                         .acknowledged = acknowledges ? worker->acknowledged : 0,
                         .answer_ms = poll_timeout_ms (worker) };
-  worker->poll_acknowledges = worker->returns ? order.acknowledged : 0;
+  worker->poll_acknowledges = worker->may_restart ? order.acknowledged : 0;
   /* If each poll extended the lease of a silent worker, which may still receive it, the lease would
    * never end and its tasks would never start again. So a silent worker is polled without a lease,
    * and the last lease runs out. */
@@ -270,7 +272,7 @@
     order.deadline_ms = fb_pool_worker_clock_low (worker, now_ms) + lease_ms;
   /* A worker with unacknowledged ends answers at once, so waiting for news would only repeat the
    * same answer in a tight loop. */
-  if (worker->answered && worker->acknowledged == worker->seen_end && !worker->unread
+  if (worker->answered && worker->acknowledged == worker->seen_end && !worker->has_unknown_end
       && !fb_pool_owes_acknowledgement (worker))
     order.wait_ms = FB_POOL_POLL_WAIT_MS;
   worker->lease_ms = MAX (worker->lease_ms, order.deadline_ms);
@@ -341,7 +343,7 @@
     return;
   if (run == NULL || (run->order != order && run->state != FB_RUN_STOPPING))
     return;
-  if (result == FB_ORDER_DONE && run->came_ms != 0)
+  if (result == FB_ORDER_DONE && run->transferred_ms != 0)
     run->unanswered = TRUE; /* either incarnation may have sent this answer */
   else if (result == FB_ORDER_DONE)
     {
@@ -361,9 +363,9 @@
                     run->name, run->attempt, worker->id, (guint) (now_ms - worker->last_answer_ms));
       worker->paused_until_ms = now_ms + REFUSAL_PAUSE_MS;
       run->unanswered = TRUE;
-      if (worker->returns)
-        fb_pool_late_start_note (self, worker->id, worker->address, run->name, run->attempt,
-                                 run->started_ms, now_ms);
+      if (worker->may_restart)
+        fb_pool_unanswered_start_add (self, worker->id, worker->address, run->name, run->attempt,
+                                      run->started_ms, now_ms);
       /* The other members would wait for this one until their own timeout. */
       if (run->step->shape->gang)
         fb_pool_stop_gang (self, run->step, now_ms);
--- a/src/work/pool-record.c
+++ b/src/work/pool-record.c
@@ -138,7 +138,7 @@
   GPtrArray *records = g_ptr_array_new_with_free_func (record_free);
   flush_jobs (self, records);
   flush_workers (self, records);
-  if (now_ms >= self->expired_ms + FB_POOL_EXPIRE_EVERY_MS)
+  if (now_ms >= self->expired_ms + FB_POOL_EXPIRE_INTERVAL_MS)
     {
       self->expired_ms = now_ms;
       flush_expired (self, records, wall_ms);
@@ -173,6 +173,6 @@
         continue;
       worker->acknowledged = worker->flushing_end;
       /* The worker keeps unacknowledged ends, and does not wait for news while it has any. */
-      fb_pool_order_look (self, worker, now_ms);
+      fb_pool_order_poll (self, worker, now_ms);
     }
 }
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -64,9 +64,9 @@
   FbPoolWorker *worker = NULL;
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      if ((!worker->answered || worker->unread) && !worker->gone
-          && !fb_pool_closed_is_empty (worker) && !is_listed_after_takeover (self, worker))
-        g_ptr_array_add (self->unheard, worker);
+      if ((!worker->answered || worker->has_unknown_end) && !worker->runs_ended
+          && !fb_pool_drain_is_empty (worker) && !is_listed_after_takeover (self, worker))
+        g_ptr_array_add (self->unconfirmed_workers, worker);
     }
 }
 
@@ -80,7 +80,7 @@
   if (self->majority_ms == 0)
     return;
   find_unconfirmed (self);
-  if (self->unheard->len > 0)
+  if (self->unconfirmed_workers->len > 0)
     return;
   self->recovered = TRUE;
   self->place_due = TRUE;
@@ -102,7 +102,7 @@
 fb_pool_has_no_earlier_starts (const FbPool *self)
 {
   /* A job received now was stored after jobs_read_ms, or it would be known. */
-  return self->settled
+  return self->recovered
          || (self->majority_ms != 0
              && self->jobs_read_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);
 }
@@ -159,7 +159,7 @@
 gboolean
 fb_pool_may_run_unconfirmed (const FbPool *self, const FbPoolStep *step)
 {
-  if (step->job->end_unread && may_have_unknown_end (self, step->job))
+  if (step->job->awaits_unknown_ends && may_have_unknown_end (self, step->job))
     return TRUE;
   if (self->recovered || step->job->never_started)
     return FALSE;
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -24,8 +24,8 @@
 void
 fb_pool_report_set_limits (FbPoolLimits *limits)
 {
-  if (limits->ends_listed_n == 0)
-    limits->ends_listed_n = ENDS_LISTED_MAX;
+  if (limits->max_reported_ends == 0)
+    limits->max_reported_ends = ENDS_LISTED_MAX;
 }
 
 void
@@ -174,7 +174,8 @@
 }
 
 static void
-update_failure_streak (FbPoolWorker *worker, const FbPoolStep *step, FbEndHow how, uint64_t now_ms)
+update_failure_streak (FbPoolWorker *worker, const FbPoolStep *step, FbEndReason how,
+                       uint64_t now_ms)
 {
   if (how == FB_END_DONE)
     {
@@ -198,13 +199,13 @@
   step->timed_n++;
   step->timed_ms += took_ms;
   /* Members of a gang end together, so their times say nothing about single workers. */
-  if (run->whole && !step->shape->gang)
+  if (run->from_start && !step->shape->gang)
     fb_pool_speed_note (&step->tasks[run->index], worker->speed, took_ms);
 }
 
 static void
 process_task_end (FbPool *self, FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
-                  const FbEndSeen *end, uint64_t now_ms, uint64_t wall_ms)
+                  const FbReportedEnd *end, uint64_t now_ms, uint64_t wall_ms)
 {
   FbPoolTask *task = &step->tasks[index];
   FbPoolRun *run = g_hash_table_lookup (worker->runs, end->task);
@@ -245,7 +246,7 @@
 }
 
 static void
-process_end (FbPool *self, FbPoolWorker *worker, const FbEndSeen *end, uint64_t now_ms,
+process_end (FbPool *self, FbPoolWorker *worker, const FbReportedEnd *end, uint64_t now_ms,
              uint64_t wall_ms)
 {
   uint32_t index = 0;
@@ -298,7 +299,7 @@
 
 /* Adds a run that this owner did not start; an earlier owner did. */
 static FbPoolRun *
-adopt_run (FbPool *self, FbPoolWorker *worker, const FbRunSeen *seen, uint64_t now_ms)
+adopt_run (FbPool *self, FbPoolWorker *worker, const FbReportedRun *seen, uint64_t now_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, seen->task, &index);
@@ -327,7 +328,7 @@
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       /* Only a run without a step can belong to a job that was unknown so far. */
-      if (worker->alien_n == 0)
+      if (worker->unknown_runs_n == 0)
         continue;
       g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
       for (GList *l = runs; l != NULL; l = l->next)
@@ -366,12 +367,12 @@
 }
 
 static void
-process_listed_run (FbPool *self, FbPoolWorker *worker, const FbRunSeen *seen, uint64_t clock_ms,
-                    uint64_t now_ms)
+process_listed_run (FbPool *self, FbPoolWorker *worker, const FbReportedRun *seen,
+                    uint64_t clock_ms, uint64_t now_ms)
 {
   FbPoolRun *run = g_hash_table_lookup (worker->runs, seen->task);
   /* The listed run is a later attempt. */
-  if (run != NULL && run->came_ms != 0 && run->attempt < seen->attempt)
+  if (run != NULL && run->transferred_ms != 0 && run->attempt < seen->attempt)
     {
       fb_pool_run_ended (self, worker, run, "superseded", now_ms);
       run = NULL;
@@ -433,7 +434,8 @@
 /* TRUE while END belongs to a job that may not have been read from the store yet. If END were
  * acknowledged, the worker would forget it, and the job would run again once read. */
 static gboolean
-is_of_unknown_job (const FbPool *self, FbPoolWorker *worker, const FbEndSeen *end, uint64_t now_ms)
+is_of_unknown_job (const FbPool *self, FbPoolWorker *worker, const FbReportedEnd *end,
+                   uint64_t now_ms)
 {
   if (fb_pool_find_job (self, end->task) != NULL)
     return FALSE;
@@ -471,14 +473,14 @@
 {
   for (guint i = 0; i < answer->finished->len; i++)
     {
-      uint64_t number = g_array_index (answer->finished, FbEndSeen, i).number;
+      uint64_t number = g_array_index (answer->finished, FbReportedEnd, i).number;
       if (number > 0 && number <= worker->confirmed_acknowledged)
         worker->confirmed_acknowledged = number - 1;
     }
 }
 
 static void
-process_answer (FbPool *self, FbPoolWorker *worker, const FbLookAnswer *answer, uint64_t now_ms,
+process_answer (FbPool *self, FbPoolWorker *worker, const FbPollAnswer *answer, uint64_t now_ms,
                 uint64_t wall_ms)
 {
   guint runs_before = g_hash_table_size (worker->runs);
@@ -505,7 +507,7 @@
   worker->last_answer_ms = now_ms;
   worker->clock_ms = answer->clock_ms;
   for (guint i = 0; i < answer->running->len; i++)
-    process_listed_run (self, worker, &g_array_index (answer->running, FbRunSeen, i),
+    process_listed_run (self, worker, &g_array_index (answer->running, FbReportedRun, i),
                         answer->clock_ms, now_ms);
   if (is_first)
     fb_pool_unanswered_starts_reject (self, worker, now_ms);
@@ -515,23 +517,23 @@
       const FbReportedEnd *end = &g_array_index (answer->finished, FbReportedEnd, i);
       if (end->number <= worker->seen_end)
         continue;
-      worker->unread = is_of_unknown_job (self, worker, end, now_ms);
-      if (worker->unread)
+      worker->has_unknown_end = is_of_unknown_job (self, worker, end, now_ms);
+      if (worker->has_unknown_end)
         break;
       worker->seen_end = end->number;
       process_end (self, worker, end, now_ms, wall_ms);
     }
-  if (answer->finished->len >= self->limits.ends_listed_n)
-    worker->unread = TRUE;
+  if (answer->finished->len >= self->limits.max_reported_ends)
+    worker->has_unknown_end = TRUE;
   /* A run that is no longer listed may be among the ends after the unknown one, or after those that
    * fit into one answer. */
-  if (!worker->unread)
+  if (!worker->has_unknown_end)
     drop_unlisted_runs (self, worker, answer->clock_ms, now_ms);
   mark_dirty_if_emptied (self, worker, runs_before);
-  if (worker->unread)
-    worker->look_at_ms = now_ms + UNKNOWN_END_POLL_INTERVAL_MS;
-  else if (worker->acknowledged == worker->seen_end && fb_pool_may_look_on (worker))
-    fb_pool_order_look (self, worker, now_ms);
+  if (worker->has_unknown_end)
+    worker->next_poll_ms = now_ms + UNKNOWN_END_POLL_INTERVAL_MS;
+  else if (worker->acknowledged == worker->seen_end && fb_pool_may_poll_again (worker))
+    fb_pool_order_poll (self, worker, now_ms);
 }
 
 /* If a worker leaves during a take-over, the new owner knows it from the previous owner's record
@@ -557,12 +559,12 @@
     worker->confirmed_acknowledged
         = MAX (worker->confirmed_acknowledged, worker->poll_acknowledges);
   if (worker->poll_acknowledges != 0)
-    fb_pool_worker_opened (self, worker);
+    fb_pool_worker_gained_capacity (self, worker);
   worker->poll_acknowledges = 0;
-  worker->look_failed = answer->result != FB_ORDER_DONE;
-  worker->look_at_ms = !worker->answered && answer->result == FB_ORDER_UNKNOWN
-                           ? fb_pool_first_look_again_ms (worker, now_ms)
-                           : now_ms + POLL_INTERVAL_MS;
+  worker->poll_failed = answer->result != FB_ORDER_DONE;
+  worker->next_poll_ms = !worker->answered && answer->result == FB_ORDER_UNKNOWN
+                             ? fb_pool_first_poll_retry_ms (worker, now_ms)
+                             : now_ms + POLL_INTERVAL_MS;
   if (answer->result == FB_ORDER_DONE && !worker->replaced)
     process_answer (self, worker, answer, now_ms, wall_ms);
   else if (answer->result == FB_ORDER_FENCED)
--- a/src/work/pool-restart.c
+++ b/src/work/pool-restart.c
@@ -20,7 +20,7 @@
 /* A start that got no answer and may still be carried out. */
 typedef struct
 {
-  char *life; /* id of the incarnation that it was sent to */
+  char *incarnation; /* id of the incarnation that it was sent to */
   char *address;
   char *task;
   uint32_t attempt;
@@ -53,13 +53,13 @@
 fb_pool_unanswered_start_add (FbPool *self, const char *incarnation, const char *address,
                               const char *task, uint32_t attempt, uint64_t sent_ms, uint64_t now_ms)
 {
-  const FbPoolLateStart *oldest = NULL;
-  while ((oldest = g_queue_peek_head (self->late_starts)) != NULL
+  const FbPoolUnansweredStart *oldest = NULL;
+  while ((oldest = g_queue_peek_head (self->unanswered_starts)) != NULL
          && (now_ms > oldest->sent_ms + LATE_REQUEST_MAX_MS
-             || self->late_starts->length >= UNANSWERED_STARTS_MAX))
-    late_start_free (g_queue_pop_head (self->late_starts));
-  FbPoolLateStart *start = g_new0 (FbPoolLateStart, 1);
-  start->life = g_strdup (life);
+             || self->unanswered_starts->length >= UNANSWERED_STARTS_MAX))
+    unanswered_start_free (g_queue_pop_head (self->unanswered_starts));
+  FbPoolUnansweredStart *start = g_new0 (FbPoolUnansweredStart, 1);
+  start->incarnation = g_strdup (incarnation);
   start->address = g_strdup (address);
   start->task = g_strdup (task);
   start->attempt = attempt;
@@ -70,7 +70,8 @@
 /* Reserves resources on WORKER for START, which may arrive there, until WORKER has accepted a stop
  * of it. */
 static void
-add_tombstone (FbPool *self, FbPoolWorker *worker, const FbPoolLateStart *start, uint64_t now_ms)
+add_tombstone (FbPool *self, FbPoolWorker *worker, const FbPoolUnansweredStart *start,
+               uint64_t now_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, start->task, &index);
@@ -92,10 +93,10 @@
   for (const GList *l = worker->may_restart ? self->unanswered_starts->head : NULL; l != NULL;
        l = l->next)
     {
-      const FbPoolLateStart *start = l->data;
+      const FbPoolUnansweredStart *start = l->data;
       if (now_ms <= start->sent_ms + LATE_REQUEST_MAX_MS
           && g_str_equal (start->address, worker->address)
-          && !g_str_equal (start->life, worker->id))
+          && !g_str_equal (start->incarnation, worker->id))
         add_tombstone (self, worker, start, now_ms);
     }
 }
@@ -114,7 +115,8 @@
 
 /* Returns: the worker with id LIFE, which replaced BEFORE at its address. */
 static FbPoolWorker *
-next_incarnation (FbPool *self, const FbPoolWorker *before, const char *life, uint64_t now_ms)
+next_incarnation (FbPool *self, const FbPoolWorker *before, const char *incarnation,
+                  uint64_t now_ms)
 {
   FbPoolWorker *next = g_hash_table_lookup (self->workers, incarnation);
   if (next != NULL)
@@ -157,25 +159,25 @@
       fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_INCARNATION, NULL, now_ms);
       return;
     }
-  FbPoolWorker *named = next_incarnation (self, worker, life, now_ms);
-  FbPoolWorker *next = fb_pool_life_running (self, named);
-  if (worker->gone) /* fb_pool_life_known() found that it had ended */
+  FbPoolWorker *named = next_incarnation (self, worker, incarnation, now_ms);
+  FbPoolWorker *next = fb_pool_incarnation_running (self, named);
+  if (worker->runs_ended) /* fb_pool_incarnation_known() found that it had ended */
     return;
   if (next == worker) /* its start time says that it began later, but the answer is proof of the
                          opposite */
     next = named;
-  fb_pool_life_set_latest (self, next);
+  fb_pool_incarnation_set_latest (self, next);
   /* Starts that may have reached it are resolved by its answers or by the end of its leases. */
-  next->gone = FALSE;
+  next->runs_ended = FALSE;
   next->replaced = FALSE;
   fb_event_log (FB_EVENT_POOL_WORKER_RETURNED,
                 "worker=%s life=%s runs=%u may_come=%u heard_ms_ago=%u", worker->id, next->id,
                 g_hash_table_size (worker->runs), open_starts_n (self, worker),
-                worker->heard_ms != 0 ? (guint) (now_ms - worker->heard_ms) : 0);
-  fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_LIFE, next, now_ms);
+                worker->last_answer_ms != 0 ? (guint) (now_ms - worker->last_answer_ms) : 0);
+  fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_INCARNATION, next, now_ms);
   /* Polls meant for the earlier incarnation may have extended its lease by deadlines far ahead of
    * its clock. */
-  next->follows_ms = now_ms;
+  next->misdirected_calls_since_ms = now_ms;
   if (next->answered)
     next->lease_ms
         = MAX (next->lease_ms, next->clock_ms + now_ms - next->last_answer_ms
@@ -212,7 +214,7 @@
     return FALSE;
   if (moved == NULL)
     moved = copy_run_to (next, run, now_ms);
-  moved->lost_with = run->lost_with;
+  moved->deferred_crash = run->deferred_crash;
   fb_pool_orders_move (self, worker, run, next);
   fb_event_log (FB_EVENT_START_MAY_COME,
                 "task=%s attempt=%u worker=%s life=%s unanswered=%d sent_ms_ago=%u", run->name,
@@ -223,8 +225,8 @@
   fb_pool_worker_drop_run (worker, run);
   if (was_current && task->run == NULL)
     task->run = moved;
-  else if (!moved->shut_out) /* a tombstone does not count as a run of its task */
-    fb_pool_task_take_run (task, moved);
+  else if (!moved->is_tombstone) /* a tombstone does not count as a run of its task */
+    fb_pool_task_attach_run (task, moved);
   return TRUE;
 }
 
@@ -286,7 +288,7 @@
                          uint64_t clock_ms)
 {
   /* A list that was requested before the transfer may be older than the start. */
-  if (worker->look_sent_ms < run->came_ms)
+  if (worker->poll_sent_ms < run->transferred_ms)
     return FALSE;
   if (run->state == FB_RUN_STOPPING && run->stopped_clock_ms > 0)
     return clock_ms > run->stopped_clock_ms + self->limits.max_stop_ms;
@@ -306,7 +308,7 @@
 fb_pool_restart_log_stale (const FbPoolWorker *worker, const FbPollAnswer *answer)
 {
   guint again_n = 0;
-  uint64_t taken = worker->returns ? worker->confirmed_acknowledged : worker->acknowledged;
+  uint64_t taken = worker->may_restart ? worker->confirmed_acknowledged : worker->acknowledged;
   for (guint i = 0; i < answer->finished->len; i++)
     again_n += g_array_index (answer->finished, FbReportedEnd, i).number <= taken;
   if (answer->clock_ms >= worker->clock_ms && again_n == 0)
--- a/src/work/pool-unresolved-losses.c
+++ b/src/work/pool-unresolved-losses.c
@@ -50,7 +50,7 @@
 static UnresolvedLoss *
 loss_of_worker (FbPool *self, const char *id, const char *address, uint64_t now_ms)
 {
-  UnresolvedLoss *doubt = g_hash_table_lookup (self->doubts, id);
+  UnresolvedLoss *doubt = g_hash_table_lookup (self->unresolved_losses, id);
   if (doubt != NULL)
     return doubt;
   doubt = g_new0 (UnresolvedLoss, 1);
@@ -68,11 +68,11 @@
 {
   const LostTask lost = { fb_pool_task_name (step, index), crash };
   g_array_append_val (loss_of_worker (self, id, address, now_ms)->lost, lost);
-  step->tasks[index].doubts_n++;
-  step->job->suspicion++;
-  fb_pool_unstored_note (self, step->job);
-  fb_pool_task_weigh (self, step, index);
-  self->doubts_due = TRUE;
+  step->tasks[index].unresolved_losses_n++;
+  step->job->suspects_version++;
+  fb_pool_unstored_suspects_add (self, step->job);
+  fb_pool_task_update_withheld (self, step, index);
+  self->unresolved_losses_due = TRUE;
 }
 
 static void
@@ -106,11 +106,11 @@
 void
 fb_pool_unresolved_loss_resolve (FbPool *self, const char *id, gboolean crashed, uint64_t now_ms)
 {
-  const UnresolvedLoss *doubt = g_hash_table_lookup (self->doubts, id);
+  const UnresolvedLoss *doubt = g_hash_table_lookup (self->unresolved_losses, id);
   if (doubt == NULL)
     return;
   resolve (self, id, doubt, crashed, now_ms);
-  g_hash_table_remove (self->doubts, id);
+  g_hash_table_remove (self->unresolved_losses, id);
 }
 
 /* TRUE when OTHER replaced LOST. LOST is NULL if it is no longer known. An incarnation that was
--- a/src/work/pool-worker.c
+++ b/src/work/pool-worker.c
@@ -8,7 +8,7 @@
 #include <xxhash.h>
 
 /* A worker that has not answered for this long gets no new work: a poll takes up to
- * FB_POOL_LOOK_WAIT_MS, the rest allows for the network and a slow daemon. */
+ * FB_POOL_POLL_WAIT_MS, the rest allows for the network and a slow daemon. */
 #define SILENT_MS 1300
 /* Most by which a worker's clock may run slow, in 1/1000. */
 #define CLOCK_SLOW_PERMILLE 20
@@ -116,9 +116,9 @@
 {
   if (self->majority_ms == 0)
     return FALSE;
-  if (worker->follows_ms != 0
-      && now_ms <= worker->follows_ms
-                       + max_duration_ms (self->limits.hold_max_ms + FB_POOL_HELD_CALL_MS))
+  if (worker->misdirected_calls_since_ms != 0
+      && now_ms <= worker->misdirected_calls_since_ms
+                       + max_duration_ms (self->limits.max_lease_ms + FB_POOL_DELAYED_CALL_MS))
     return FALSE;
   return now_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS + max_duration_ms (FB_POOL_LEASE_MS);
 }
@@ -199,8 +199,8 @@
 void
 fb_pool_worker_throttle (FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (worker->bad_streak >= THROTTLE_AFTER_FAILURES)
-    worker->spared_until_ms = now_ms + THROTTLE_INTERVAL_MS;
+  if (worker->failure_streak >= THROTTLE_AFTER_FAILURES)
+    worker->throttled_until_ms = now_ms + THROTTLE_INTERVAL_MS;
 }
 
 gboolean
--- a/tests/test-recent-starts.c
+++ b/tests/test-recent-starts.c
@@ -21,7 +21,8 @@
 }
 
 static void
-answer_poll (FbRecentStarts *self, FbOrderResult result, const FbRunSeen *run, const FbEndSeen *end)
+answer_poll (FbRecentStarts *self, FbOrderResult result, const FbReportedRun *run,
+             const FbReportedEnd *end)
 {
   g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbReportedRun));
   g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbReportedEnd));
@@ -64,7 +65,7 @@
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS, &first), 1);
   CU_ASSERT_FALSE (first.seen);
   answer_poll (self, FB_ORDER_DONE, &run, NULL);
-  answer_poll (self, FB_ORDER_OTHER_LIFE, NULL, NULL);
+  answer_poll (self, FB_ORDER_OTHER_INCARNATION, NULL, NULL);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS, &first), 1);
   CU_ASSERT_TRUE (first.seen);
   fb_recent_starts_free (self);
@@ -85,7 +86,7 @@
   fb_recent_start first = { .worker = "", .address = "", .task = "" };
   CU_ASSERT_EQUAL_FATAL (reported_n (self, NOW_MS, &first), 1);
   CU_ASSERT_STRING_EQUAL (first.task, OTHER_TASK);
-  fb_recent_starts_answered (self, "w1", OTHER_TASK, 1, FB_ORDER_OTHER_LIFE);
+  fb_recent_starts_answered (self, "w1", OTHER_TASK, 1, FB_ORDER_OTHER_INCARNATION);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS, NULL), 0);
   fb_recent_starts_free (self);
 }
--- a/tests/test-rounds.c
+++ b/tests/test-rounds.c
@@ -156,7 +156,7 @@
       while (play.pool->place_from > 0)
         now_ms = step_once (&play, now_ms);
       const FbPoolWorker *mine = g_hash_table_lookup (play.pool->workers, "0");
-      missed += play.started_n == before && !mine->opened;
+      missed += play.started_n == before && !mine->gained_capacity;
       busy_pool_list_worker (&play, UNUSABLE_WORKER, "none", now_ms);
       for (uint64_t end_ms = now_ms + 1000; now_ms < end_ms;)
         now_ms = step_once (&play, now_ms);
--- a/tests/test-suspect-backups.c
+++ b/tests/test-suspect-backups.c
@@ -1,5 +1,5 @@
 /* Suspected tasks that a daemon keeps for owners whose store accepts no writes. */
-#include "src/entry/peers/kept-suspects.h"
+#include "src/entry/peers/suspect-backups.h"
 
 #include <CUnit/Basic.h>
 
@@ -9,7 +9,7 @@
 
 /* Passes in a copy of JOB with N suspected tasks. */
 static void
-pass_copy (FbKeptSuspects *self, const char *job, uint64_t epoch, u_int n, uint64_t now_ms)
+pass_copy (FbSuspectBackups *self, const char *job, uint64_t epoch, u_int n, uint64_t now_ms)
 {
   fb_work_suspect tasks[] = { { .step = 1 }, { .step = 2 } };
   const fb_suspects_backup kept
@@ -19,7 +19,7 @@
 
 /* Returns: the number of suspected tasks that SELF reports at NOW_MS, over all jobs. */
 static guint
-reported_n (const FbKeptSuspects *self, uint64_t now_ms)
+reported_n (const FbSuspectBackups *self, uint64_t now_ms)
 {
   fb_suspect_backups_reply told;
   guint n = 0;
@@ -34,36 +34,36 @@
 static void
 test_copy_is_reported (void)
 {
-  FbKeptSuspects *self = fb_kept_suspects_new ();
+  FbSuspectBackups *self = fb_suspect_backups_new ();
   pass_copy (self, JOB, 3, 1, NOW_MS);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS), 1);
   pass_copy (self, JOB, 3, 2, NOW_MS);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS), 2);
-  fb_kept_suspects_free (self);
+  fb_suspect_backups_free (self);
 }
 
 /* Guards against: a crash is counted for a task again after the task was cleared of it. */
 static void
 test_stored_copy_is_dropped (void)
 {
-  FbKeptSuspects *self = fb_kept_suspects_new ();
+  FbSuspectBackups *self = fb_suspect_backups_new ();
   pass_copy (self, JOB, 3, 2, NOW_MS);
   pass_copy (self, JOB, 4, 0, NOW_MS);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS), 0);
   pass_copy (self, JOB, 4, 2, NOW_MS);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS + TOO_OLD_MS), 0);
-  fb_kept_suspects_free (self);
+  fb_suspect_backups_free (self);
 }
 
 /* Guards against: a replaced owner overwrites the copy of its successor. */
 static void
 test_replaced_owner_is_ignored (void)
 {
-  FbKeptSuspects *self = fb_kept_suspects_new ();
+  FbSuspectBackups *self = fb_suspect_backups_new ();
   pass_copy (self, JOB, 4, 2, NOW_MS);
   pass_copy (self, JOB, 3, 0, NOW_MS);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS), 2);
-  fb_kept_suspects_free (self);
+  fb_suspect_backups_free (self);
 }
 
 /* Guards against: the copies of many jobs exhaust the memory of a daemon. */
@@ -76,15 +76,15 @@
       g_autofree char *job = g_strdup_printf ("%016x", i);
       pass_copy (self, job, 3, 1, NOW_MS);
     }
-  CU_ASSERT_EQUAL (reported_n (self, NOW_MS), FB_WORK_MAX_KEPT);
-  fb_kept_suspects_free (self);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS), FB_WORK_MAX_SUSPECT_BACKUPS);
+  fb_suspect_backups_free (self);
 }
 
 int
 main (void)
 {
   CU_initialize_registry ();
-  CU_pSuite suite = CU_add_suite ("kept-suspects", NULL, NULL);
+  CU_pSuite suite = CU_add_suite ("suspect-backups", NULL, NULL);
   CU_add_test (suite, "a copy is reported", test_copy_is_reported);
   CU_add_test (suite, "a stored copy is dropped", test_stored_copy_is_dropped);
   CU_add_test (suite, "a replaced owner is ignored", test_replaced_owner_is_ignored);
--- a/tools/pool-mutants.sh
+++ b/tools/pool-mutants.sh
@@ -40,8 +40,8 @@
 cancel-stops-nothing|pool-report.c|  if (job->state != FB_WORK_COMPLETED)|  if (0)
 known-workers-forgotten|pool.c|      if (worker == NULL \&\& !empty)|      if (FALSE)
 crash-not-counted|pool-crash.c|  if (task->done \|\| !add_crash (task, crash))|  if (TRUE)
-crash-not-recorded|pool-crash-record.c|      if (!task->done \&\& (task->crashes != NULL \|\| task->tried != NULL))|      if (FALSE)
-crash-of-a-successor-not-counted|pool-crash-record.c|  for (u_int i = 0; i < suspect->tried.tried_len; i++)|  for (u_int i = 0; FALSE; i++)
+crash-not-recorded|pool-crash-record.c|      if (!task->done \&\& (task->crashes != NULL \|\| task->unresolved != NULL))|      if (FALSE)
+crash-of-a-successor-not-counted|pool-crash-record.c|  for (u_int i = 0; i < suspect->unresolved.unresolved_len; i++)|  for (u_int i = 0; FALSE; i++)
 crash-counted-again-and-again|pool-crash.c|fb_pool_task_has_crash (task, crash.worker)\n      \|\| |
 silence-taken-for-a-crash|pool-crash.c|  if (loss == FB_LOSS_OTHER_INCARNATION)\n    {\n      fb_pool_unresolved_start_drop|  if (TRUE)\n    {\n      fb_pool_unresolved_start_drop
 new-life-not-noticed|pool-unresolved-losses.c|          \&\& is_successor (other, lost))|          \&\& FALSE)
@@ -56,7 +56,7 @@
 quiet-worker-for-a-suspect|pool-crash.c|(quiet ? SILENT_WORKER_COST : 0)|0
 isolated-beside-others|pool-choose.c|          \|\| worker->isolated_n > 0 \|\| |          \|\| 
 one-shared-crash-is-enough|pool-crash.c|#define MAX_SHARED_CRASHES 4|#define MAX_SHARED_CRASHES 1
-lasting-task-held-to-account|pool-crash.c|#define LONG_RUNNING_PROVEN_MS 20000|#define LASTING_PROVEN_MS 2000000
+lasting-task-held-to-account|pool-crash.c|#define LONG_RUNNING_PROVEN_MS 20000|#define LONG_RUNNING_PROVEN_MS 2000000
 planned-leave-taken-for-a-crash|pool-crash.c|  while (!worker->draining \&\& g_hash|  while (g_hash
 shrunk-room-not-noticed|pool-worker.c|  worker->cpu_milli = entry->cpu_milli;|  worker->cpu_milli = MAX (worker->cpu_milli, entry->cpu_milli);
 grown-room-not-noticed|pool-worker.c|  worker->cpu_milli = entry->cpu_milli;|  worker->cpu_milli = worker->cpu_milli != 0 ? MIN (worker->cpu_milli, entry->cpu_milli) : entry->cpu_milli;
@@ -69,19 +69,19 @@
 refused-start-stays-in-the-record|pool-orders.c|  fb_pool_crash_task_gone (self, worker, step, run->index);|
 settled-doubt-stays-in-the-record|pool-unresolved-losses.c|  fb_pool_job_changed (self, step->job);|
 end-shown-at-once|pool.c|  if (job->stored_state >= FB_WORK_COMPLETED)|  if (job->state >= FB_WORK_COMPLETED) { *state = job->state; return TRUE; } if (0)
-unanswered-is-firm|pool-crash.c|  return confirmed ? FB_CRASH_FIRM : FB_CRASH_LIKELY;|  return FB_CRASH_FIRM;
-evidence-not-recorded|pool-crash-record.c|confirmed ? FB_CRASH_FIRM : FB_CRASH_HEARSAY|FB_CRASH_HEARSAY
-other-birth-ignored|platform/worker.c|  if (born_ms == 0 \|\| g_str_equal (answered, life))|  if (TRUE)
-start-of-a-life-before-given-up|pool-return.c|  if (!fb_pool_return_may_come (self, run))\n    return FALSE;|  return FALSE;
-late-starts-not-shut-out|pool-report.c|    fb_pool_late_starts_shut_out (self, worker, now_ms);|    ;
-start-of-two-lives|pool-return.c|  if (task == NULL \|\| |  if (TRUE \|\| 
-silent-worker-acknowledged|pool-orders.c|  if (worker->look_failed)|  if (FALSE)
-recalled-starts-ignored|pool-recall.c|  if (task->done \|\| is_known (self, task, start))|  if (TRUE)
-recalled-start-at-a-worker-that-lives|pool-recall.c|  return (worker != NULL \&\& worker->answered)|  return FALSE
-moved-start-counts-twice|pool-crash.c|  if (run->lost_with.worker != 0)|  if (FALSE)
+unanswered-is-firm|pool-crash.c|  return confirmed ? FB_CRASH_CONFIRMED : FB_CRASH_PROBABLE;|  return FB_CRASH_CONFIRMED;
+evidence-not-recorded|pool-crash-record.c|confirmed ? FB_CRASH_CONFIRMED : FB_CRASH_REPORTED|FB_CRASH_REPORTED
+other-birth-ignored|platform/worker.c|  if (incarnation_started_ms == 0 \|\| g_str_equal (answered, incarnation))|  if (TRUE)
+start-of-a-life-before-given-up|pool-restart.c|  if (!fb_pool_restart_may_deliver (self, run))\n    return FALSE;|  return FALSE;
+late-starts-not-shut-out|pool-report.c|    fb_pool_unanswered_starts_reject (self, worker, now_ms);|    ;
+start-of-two-lives|pool-restart.c|  if (task == NULL \|\| |  if (TRUE \|\| 
+silent-worker-acknowledged|pool-orders.c|  if (worker->poll_failed)|  if (FALSE)
+recalled-starts-ignored|pool-import-starts.c|  if (task->done \|\| is_known (self, task, start))|  if (TRUE)
+recalled-start-at-a-worker-that-lives|pool-import-starts.c|  return (worker != NULL \&\& worker->answered)|  return FALSE
+moved-start-counts-twice|pool-crash.c|  if (run->deferred_crash.worker != 0)|  if (FALSE)
 awaited-start-is-no-cause|pool-crash.c|      if (run_may_have_begun (other) \|\| is_start_unconfirmed (other))|      if (run_may_have_begun (other))
-held-worker-forgotten|pool.c|  if (worker->listed \|\| worker->held_n > 0)|  if (worker->listed)
-unstored-never-handed|pool-unstored.c|      else if (is_late \&\& job->unstored_news)|      else if (FALSE)
+held-worker-forgotten|pool.c|  if (worker->listed \|\| worker->reserved_n > 0)|  if (worker->listed)
+unstored-never-handed|pool-unstored-suspects.c|      else if (is_late \&\& job->unstored_changed)|      else if (FALSE)
 acknowledged-beside-starts|pool-orders.c|(fb_pool_owes_acknowledgement (worker) \&\& !has_unlisted_run (worker))|fb_pool_owes_acknowledgement (worker)
 acknowledged-for-good|pool-report.c|  acknowledge_again (worker, answer);|  (void) acknowledge_again;
 second-copy-forgotten|pool-restart.c|(run->listed_ms == 0 \|\| is_open)|(run->listed_ms == 0)
