--- a/include/internal/pool-crash.h
+++ b/include/internal/pool-crash.h
@@ -16,7 +16,7 @@
 
 /* Returns: how many workers crashed while running TASK. */
 guint fb_pool_task_crashes_n (const FbPoolTask *task);
-/* TRUE when the crash of the worker with rank WORKER is counted for TASK. */
+/* TRUE when the crash of the worker with id hash WORKER is counted for TASK. */
 gboolean fb_pool_task_has_crash (const FbPoolTask *task, uint64_t worker);
 /* Sets defaults for the crash limits that are 0. */
 void fb_pool_crash_set_limits (FbPoolLimits *limits);
@@ -30,7 +30,7 @@
 /* Counts CRASH for task INDEX, at most once per worker. */
 void fb_pool_crash_count (FbPool *self, FbPoolStep *step, uint32_t index, FbPoolCrash crash,
                           uint64_t now_ms);
-/* Task INDEX has proven harmless: removes its crashes. WHY: a static string. */
+/* Task INDEX has proven to be harmless: removes its crashes. WHY: a static string. */
 void fb_pool_crash_clear (FbPool *self, FbPoolStep *step, uint32_t index, const char *why);
 /* No run of task INDEX is on WORKER, which is still up: removes the unresolved start from the job's
  * record. */
@@ -69,7 +69,7 @@
  * step. */
 void fb_pool_crash_charge (FbPoolWorker *worker, FbPoolRun *run, int sign);
 
-/* pool-crash-causes.c: possible causes per crash, keyed by the worker's rank */
+/* pool-crash-causes.c: possible causes per crash, keyed by the hash of the worker's id */
 
 GHashTable *fb_pool_crash_causes_new (void);
 /* Adds or removes one task that may have crashed WORKER. */
@@ -94,7 +94,7 @@
 
 /* pool-probe.c: steps that start one task at a time */
 
-/* The worker with rank WORKER has certainly crashed while running a task of STEP. */
+/* The worker with id hash WORKER has certainly crashed while running a task of STEP. */
 void fb_pool_probe_note_crash (FbPoolStep *step, uint64_t worker, uint64_t now_ms);
 /* A task of STEP has run without crashing its worker: ends the probe. */
 void fb_pool_probe_passed (FbPoolStep *step);
@@ -116,7 +116,7 @@
 gboolean fb_pool_unresolved_start_set_seen (FbPoolTask *task, const char *worker);
 /* The outcome of TASK on WORKER is known: removes the entry. */
 void fb_pool_unresolved_start_drop (FbPoolTask *task, const char *worker);
-/* The same for the worker with that rank. */
+/* The same for the worker with that id hash. */
 void fb_pool_unresolved_start_drop_id_hash (FbPoolTask *task, uint64_t id_hash);
 /* Fills in RECORD, whose strings are borrowed from JOB; clear with fb_pool_crash_record_clear(). */
 void fb_pool_crash_record (const FbPoolJob *job, fb_work_suspects *record);
--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -14,15 +14,14 @@
 typedef enum
 {
   FB_CRASH_REPORTED, /* a stored record or another daemon reports that it was started there */
-  FB_CRASH_PROBABLE, /* this owner started it there without an answer, or an earlier owner saw it
-                      there */
+  FB_CRASH_PROBABLE, /* its start got no answer, or an earlier owner saw it there */
   FB_CRASH_CONFIRMED /* it was seen there, or almost certainly began there */
 } FbCrashEvidence;
 
 /* A worker crash, as counted for a task that was on the worker. */
 typedef struct
 {
-  uint64_t worker;   /* FbPoolWorker.rank of the worker; 0: none */
+  uint64_t worker;   /* FbPoolWorker.id_hash of the worker; 0: none */
   gboolean isolated; /* no other run on the worker could have caused the crash */
   FbCrashEvidence evidence;
 } FbPoolCrash;
@@ -40,32 +39,33 @@
   FbRunState state;
   gboolean abandoned;  /* its task no longer depends on this run */
   gboolean unanswered; /* the start got no answer: it may have begun */
-  guint suspect_score; /* crashes and unresolved losses of its task when the run was charged to the
-                        worker */
-  gboolean
-      from_start; /* begun here without a checkpoint: its duration measures the worker's speed */
-  uint64_t order; /* id of the last request sent for it */
+  /* Crashes and unresolved losses of its task when the run was charged to the worker. */
+  guint suspect_score;
+  /* Begun here without a checkpoint: its duration measures the worker's speed. */
+  gboolean from_start;
+  uint64_t order;            /* id of the last request sent for it */
   uint64_t deadline_ms;      /* deadline of the start, on the worker's clock */
   uint64_t seen_clock_ms;    /* worker's clock when the run was last known to be there; 0: never */
   uint64_t stopped_clock_ms; /* worker's clock when it accepted a stop; 0: not yet */
-  uint64_t stop_sent_ms;
-  uint64_t started_ms;
+  uint64_t stop_sent_ms;     /* when the last stop was sent */
+  uint64_t started_ms;       /* when the start was sent, or the run was first listed */
   /* When the start was transferred to this incarnation because the one that it was sent to ended
-   * before it listed the run. The start may still arrive here. 0: not transferred, or listed
-   * since. */
+   * before it listed the run; the start may still arrive here. 0: not so, or listed since. */
   uint64_t transferred_ms;
-  gboolean is_tombstone;      /* tombstone of a late start: the worker is told to refuse it */
-  FbPoolCrash deferred_crash; /* counted if the transferred start never arrives, as the earlier
-                            incarnation crashed; worker 0: nothing to count */
+  gboolean is_tombstone; /* late start that the worker is told to refuse */
+  /* Counted if the transferred start never arrives, as the earlier incarnation crashed; worker 0:
+   * nothing to count. */
+  FbPoolCrash deferred_crash;
 };
 
 typedef struct
 {
   char *id;
-  guint slot;           /* index in FbPool.roster */
+  guint slot;           /* index in FbPool.worker_slots */
   uint32_t incarnation; /* number of this incarnation, unique in the pool, rising, never 0 */
-  uint64_t id_hash;     /* hash of the id: breaks ties between equal workers independently of the
-                        listing     order, and identifies the worker in crash records */
+  /* Hash of the id: breaks ties between equal workers independently of the listing order, and
+   * identifies the worker in crash records. */
+  uint64_t id_hash;
   gboolean gained_capacity; /* it can take more than in the last placement round */
   gboolean accepted_work;   /* it accepted work at the last maintenance pass */
   char *address;
@@ -81,9 +81,9 @@
   gboolean silence_recorded; /* it is silent, and its runs have been recorded */
   gboolean runs_ended;       /* this incarnation or all its leases have certainly ended */
   gboolean replaced;         /* this incarnation has certainly ended */
-  gboolean may_restart;      /* restarts under the same id, so a later incarnation may receive calls
-                            meant      for this one */
-  gboolean superseded;       /* a later incarnation at its address is known */
+  /* Restarts under the same id, so a later incarnation may receive calls meant for this one. */
+  gboolean may_restart;
+  gboolean superseded; /* a later incarnation at its address is known */
   /* When it was found that calls meant for another incarnation may arrive here; 0: none may. */
   uint64_t misdirected_calls_since_ms;
   /* Names of the steps that may still run here, as recorded by the previous owner when it stopped
@@ -97,25 +97,26 @@
   uint64_t answered_poll_sent_ms; /* when the last answered poll had been sent */
   uint64_t last_answer_ms;        /* when the last answer arrived; 0: never */
   uint64_t clock_ms;              /* worker's clock, as read no later than last_answer_ms */
-  uint64_t lease_ms; /* highest deadline ever sent, on the worker's clock, including those of the
-                        previous owner */
+  /* Highest deadline ever sent, on the worker's clock, including those of the previous owner. */
+  uint64_t lease_ms;
   uint64_t seen_end; /* highest number of an end that has been processed */
-  gboolean has_unknown_end;   /* lists an end of a job that is not known yet, or may have more ends
-                        than one   answer holds */
-  uint64_t unknown_end;       /* number of the last such end; 0: none */
-  uint64_t unknown_end_ms;    /* when that end was first listed */
-  uint64_t flushing_end;      /* seen_end when the open flush began */
-  uint64_t acknowledged;      /* highest number of an end whose effects are stored */
-  uint64_t poll_acknowledges; /* number acknowledged by the open poll if a later incarnation may
-                             receive it; 0: none */
-  uint64_t confirmed_acknowledged; /* highest number that the worker is known to have received, if
-                                 later incarnations may receive calls */
-  uint64_t paused_until_ms;        /* no starts before, as it refused one or left it unanswered */
-  uint32_t failure_streak;         /* failed runs of different jobs in a row */
+  /* Lists an end of a job that is not known yet, or may have more ends than one answer holds. */
+  gboolean has_unknown_end;
+  uint64_t unknown_end;    /* number of the last such end; 0: none */
+  uint64_t unknown_end_ms; /* when that end was first listed */
+  uint64_t flushing_end;   /* seen_end when the open flush began */
+  uint64_t acknowledged;   /* highest number of an end whose effects are stored */
+  /* Number acknowledged by the open poll if a later incarnation may receive it; 0: none. */
+  uint64_t poll_acknowledges;
+  /* Highest number that the worker is known to have received, if later incarnations may receive
+   * calls. */
+  uint64_t confirmed_acknowledged;
+  uint64_t paused_until_ms; /* no starts before, as it refused one or left it unanswered */
+  uint32_t failure_streak;  /* failed runs of different jobs in a row */
   FbPoolSpeed *speed;
   uint64_t throttled_until_ms; /* no starts before, as its runs fail */
   char *last_failed_job;       /* id of the job of the last failed run; NULL: none */
-  GHashTable *runs;            /* name -> FbPoolRun */
+  GHashTable *runs;            /* name of the task -> FbPoolRun */
   guint tombstones_n;          /* runs that are tombstones of late starts */
   guint suspect_runs_n; /* runs of tasks under which workers have crashed or may have crashed */
   guint isolated_n;     /* runs of tasks that are isolated from other suspected tasks */
--- a/src/work/pool-crash-record.c
+++ b/src/work/pool-crash-record.c
@@ -4,10 +4,10 @@
 static void
 unresolved_start_free (gpointer data)
 {
-  FbPoolUnresolvedStart *unresolved = data;
-  g_free (unresolved->worker);
-  g_free (unresolved->address);
-  g_free (unresolved);
+  FbPoolUnresolvedStart *start = data;
+  g_free (start->worker);
+  g_free (start->address);
+  g_free (start);
 }
 
 /* Returns: (nullable): borrowed. */
@@ -16,9 +16,9 @@
 {
   for (guint i = 0; task->unresolved != NULL && i < task->unresolved->len; i++)
     {
-      FbPoolUnresolvedStart *unresolved = task->unresolved->pdata[i];
-      if (g_str_equal (unresolved->worker, worker))
-        return unresolved;
+      FbPoolUnresolvedStart *start = task->unresolved->pdata[i];
+      if (g_str_equal (start->worker, worker))
+        return start;
     }
   return NULL;
 }
@@ -32,10 +32,10 @@
 gboolean
 fb_pool_unresolved_start_set_seen (FbPoolTask *task, const char *worker)
 {
-  FbPoolUnresolvedStart *unresolved = find_unresolved_start (task, worker);
-  if (unresolved == NULL || unresolved->seen)
+  FbPoolUnresolvedStart *start = find_unresolved_start (task, worker);
+  if (start == NULL || start->seen)
     return FALSE;
-  unresolved->seen = TRUE;
+  start->seen = TRUE;
   return TRUE;
 }
 
@@ -44,8 +44,8 @@
 {
   for (guint i = task->unresolved != NULL ? task->unresolved->len : 0; i > 0; i--)
     {
-      const FbPoolUnresolvedStart *unresolved = task->unresolved->pdata[i - 1];
-      if (fb_pool_worker_id_hash (unresolved->worker) == id_hash)
+      const FbPoolUnresolvedStart *start = task->unresolved->pdata[i - 1];
+      if (fb_pool_worker_id_hash (start->worker) == id_hash)
         g_ptr_array_remove_index (task->unresolved, i - 1);
     }
   if (task->unresolved != NULL && task->unresolved->len == 0)
@@ -67,18 +67,17 @@
     task->unresolved = g_ptr_array_new_with_free_func (unresolved_start_free);
   if (task->unresolved->len == FB_WORK_MAX_CRASHES)
     g_ptr_array_remove_index (task->unresolved, 0);
-  FbPoolUnresolvedStart *unresolved = g_new0 (FbPoolUnresolvedStart, 1);
-  unresolved->worker = g_strdup (worker);
-  unresolved->address = g_strdup (address != NULL ? address : "");
-  unresolved->seen = seen;
-  g_ptr_array_add (task->unresolved, unresolved);
+  FbPoolUnresolvedStart *start = g_new0 (FbPoolUnresolvedStart, 1);
+  start->worker = g_strdup (worker);
+  start->address = g_strdup (address != NULL ? address : "");
+  start->seen = seen;
+  g_ptr_array_add (task->unresolved, start);
 }
 
 static void
-add_unresolved_start (GArray *rows, const FbPoolUnresolvedStart *unresolved)
+add_unresolved_start (GArray *rows, const FbPoolUnresolvedStart *start)
 {
-  const fb_work_unresolved_start row
-      = { .worker = unresolved->worker, .address = unresolved->address };
+  const fb_work_unresolved_start row = { .worker = start->worker, .address = start->address };
   if (rows->len < FB_WORK_MAX_CRASHES)
     g_array_append_val (rows, row);
 }
@@ -95,16 +94,17 @@
     add_unresolved_start (rows, task->unresolved->pdata[i]);
   for (guint i = 0; i < n; i++)
     {
-      const FbPoolUnresolvedStart *unresolved = task->unresolved->pdata[i];
-      if (unresolved->seen)
-        add_unresolved_start (rows, unresolved);
+      const FbPoolUnresolvedStart *start = task->unresolved->pdata[i];
+      if (start->seen)
+        add_unresolved_start (rows, start);
     }
   return rows;
 }
 
-/* Returns: (transfer full): ranks of the workers of TASK's crashes with this value of APART. */
+/* Returns: (transfer full): id hashes of the workers of TASK's crashes with this value of ISOLATED.
+ */
 static GArray *
-workers_of (const FbPoolTask *task, gboolean isolated)
+crashed_workers_of (const FbPoolTask *task, gboolean isolated)
 {
   GArray *workers = g_array_new (FALSE, FALSE, sizeof (u_quad_t));
   for (guint i = 0; task->crashes != NULL && i < task->crashes->len; i++)
@@ -137,8 +137,8 @@
 {
   const FbPoolTask *task = &step->tasks[index];
   GArray *unresolved = unresolved_starts_of (task);
-  GArray *isolated = workers_of (task, TRUE);
-  GArray *shared = workers_of (task, FALSE);
+  GArray *isolated = crashed_workers_of (task, TRUE);
+  GArray *shared = crashed_workers_of (task, FALSE);
   append_confirmed_again (task, TRUE, isolated);
   append_confirmed_again (task, FALSE, shared);
   fb_work_suspect suspect = { .occurrence = step->occurrence, .step = step->index, .index = index };
@@ -191,7 +191,7 @@
 }
 
 static gboolean
-is_listed (const u_quad_t *workers, u_int from, u_int until, u_quad_t worker)
+contains (const u_quad_t *workers, u_int from, u_int until, u_quad_t worker)
 {
   for (u_int i = from; i < until; i++)
     {
@@ -209,10 +209,10 @@
 {
   for (u_int i = 0; i < n; i++)
     {
-      if (is_listed (workers, 0, i, workers[i])
+      if (contains (workers, 0, i, workers[i])
           || fb_pool_task_has_crash (&step->tasks[index], workers[i]))
         continue;
-      gboolean confirmed = is_listed (workers, i + 1, n, workers[i]);
+      gboolean confirmed = contains (workers, i + 1, n, workers[i]);
       const FbPoolCrash crash
           = { workers[i], isolated, confirmed ? FB_CRASH_CONFIRMED : FB_CRASH_REPORTED };
       fb_pool_crash_cause_add (self, crash.worker);
@@ -221,7 +221,7 @@
 }
 
 static gboolean
-is_in_unresolved (const fb_work_suspect *suspect, u_int from, u_int until, const char *worker)
+has_unresolved_start (const fb_work_suspect *suspect, u_int from, u_int until, const char *worker)
 {
   for (u_int i = from; i < until; i++)
     {
@@ -245,18 +245,18 @@
 {
   for (u_int i = 0; i < suspect->unresolved.unresolved_len; i++)
     {
-      const fb_work_unresolved_start *unresolved = &suspect->unresolved.unresolved_val[i];
-      if (is_in_unresolved (suspect, 0, i, unresolved->worker)
-          || fb_pool_start_is_resolved (self, &step->tasks[suspect->index], unresolved->worker))
+      const fb_work_unresolved_start *start = &suspect->unresolved.unresolved_val[i];
+      if (has_unresolved_start (suspect, 0, i, start->worker)
+          || fb_pool_start_is_resolved (self, &step->tasks[suspect->index], start->worker))
         continue;
-      gboolean seen = is_in_unresolved (suspect, i + 1, suspect->unresolved.unresolved_len,
-                                        unresolved->worker);
-      const FbPoolCrash crash = { fb_pool_worker_id_hash (unresolved->worker), FALSE,
+      gboolean seen = has_unresolved_start (suspect, i + 1, suspect->unresolved.unresolved_len,
+                                            start->worker);
+      const FbPoolCrash crash = { fb_pool_worker_id_hash (start->worker), FALSE,
                                   seen ? FB_CRASH_PROBABLE : FB_CRASH_REPORTED };
-      fb_pool_unresolved_start_add (&step->tasks[suspect->index], unresolved->worker,
-                                    unresolved->address, seen);
-      fb_pool_unresolved_loss_add (self, unresolved->worker, unresolved->address, step,
-                                   suspect->index, crash, now_ms);
+      fb_pool_unresolved_start_add (&step->tasks[suspect->index], start->worker, start->address,
+                                    seen);
+      fb_pool_unresolved_loss_add (self, start->worker, start->address, step, suspect->index, crash,
+                                   now_ms);
     }
 }
 
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -1,6 +1,6 @@
 /* Tasks that crash their workers.
  *
- * A task may crash its worker at each start, together with everything that runs there. A run lost
+ * A task may take down its worker, and all other runs there, each time it is started. A run lost
  * with its worker is not a failed run, so the limit on failures never applies, and the task would
  * be started on one worker after the other, which fall silent in series. So the workers that
  * crashed under a task are counted and recorded with its job, and the job fails after
@@ -35,10 +35,10 @@
  * are over or have been listed for STARTUP_MS. */
 #define STABLE_WAIT_MS 3500
 /* The lower limit applies only with at least this many confirmed crashes. */
-#define CONFIRMED_CRASHES 2
-/* With this many crashes on shared workers, a single one on an unshared worker is too little proof
- * for the lower limit. */
-#define SHARED_CRASHES_CONCLUSIVE 2
+#define MIN_CONFIRMED_CRASHES 2
+/* The lower limit does not apply with this many crashes on shared workers: a single one on an
+ * unshared worker is then too little proof. */
+#define SHARED_CRASHES_INCONCLUSIVE 2
 /* Exceeds the sum of all other costs. */
 #define SILENT_WORKER_COST 1000
 /* Network time of an answer to a poll, with some margin. */
@@ -51,7 +51,7 @@
 }
 
 /* Returns: how many of TASK's confirmed crashes have no other possible cause: the run was isolated,
- * or, with ELIMINATED, all other tasks present have since proven harmless. */
+ * or, with ELIMINATED, all other tasks present have proven to be harmless since. */
 static guint
 sole_cause_n (const FbPool *self, const FbPoolTask *task, gboolean eliminated)
 {
@@ -87,12 +87,12 @@
 }
 
 /* Unanswered starts, and runs whose ends were not received, are counted for workers that crashed
- * later, and a harmless job could be failed for them. So the lower limit requires CONFIRMED_CRASHES
- * and no crash that is only reported. */
+ * later, and a harmless job could be failed for them. So the lower limit requires
+ * MIN_CONFIRMED_CRASHES and no crash that is only reported. */
 static gboolean
 has_confirmed_crashes (const FbPoolTask *task)
 {
-  return crashes_with_evidence_n (task, FB_CRASH_CONFIRMED) >= CONFIRMED_CRASHES
+  return crashes_with_evidence_n (task, FB_CRASH_CONFIRMED) >= MIN_CONFIRMED_CRASHES
          && crashes_with_evidence_n (task, FB_CRASH_REPORTED) == 0;
 }
 
@@ -103,7 +103,7 @@
 {
   guint alone = sole_cause_n (self, task, eliminated);
   guint shared = fb_pool_task_crashes_n (task) - alone;
-  if (alone > 0 && has_confirmed_crashes (task) && shared < SHARED_CRASHES_CONCLUSIVE)
+  if (alone > 0 && has_confirmed_crashes (task) && shared < SHARED_CRASHES_INCONCLUSIVE)
     return self->limits.max_isolated_crashes;
   return self->limits.max_shared_crashes
          + (crashes_with_evidence_n (task, FB_CRASH_CONFIRMED) == 0);
@@ -282,7 +282,8 @@
          && ran_ms (worker, run) >= LONG_RUNNING_PROVEN_MS;
 }
 
-/* TRUE when RUN, which is isolated, was beginning on WORKER and OTHER was not. */
+/* TRUE when OTHER is unlikely to have crashed WORKER: RUN, which is isolated, was beginning and
+ * OTHER was not. */
 static gboolean
 is_unlikely_cause (const FbPoolWorker *worker, const FbPoolRun *run, const FbPoolRun *other)
 {
--- a/src/work/pool-import-starts.c
+++ b/src/work/pool-import-starts.c
@@ -31,8 +31,8 @@
 }
 
 void
-fb_pool_import_starts (FbPool *self, const fb_recent_starts_reply *told, uint64_t now_ms)
+fb_pool_import_starts (FbPool *self, const fb_recent_starts_reply *reply, uint64_t now_ms)
 {
-  for (u_int i = 0; i < told->starts.starts_len; i++)
-    import_start (self, &told->starts.starts_val[i], now_ms);
+  for (u_int i = 0; i < reply->starts.starts_len; i++)
+    import_start (self, &reply->starts.starts_val[i], now_ms);
 }
--- a/src/work/pool-restart.c
+++ b/src/work/pool-restart.c
@@ -113,7 +113,7 @@
   return g_hash_table_contains (worker->runs, name);
 }
 
-/* Returns: the worker with id LIFE, which replaced BEFORE at its address. */
+/* Returns: the worker with id INCARNATION, which replaced BEFORE at its address. */
 static FbPoolWorker *
 next_incarnation (FbPool *self, const FbPoolWorker *before, const char *incarnation,
                   uint64_t now_ms)
--- a/src/work/pool-unresolved-losses.c
+++ b/src/work/pool-unresolved-losses.c
@@ -35,10 +35,10 @@
 static void
 unresolved_loss_free (gpointer data)
 {
-  UnresolvedLoss *doubt = data;
-  g_array_unref (doubt->lost);
-  g_free (doubt->address);
-  g_free (doubt);
+  UnresolvedLoss *loss = data;
+  g_array_unref (loss->lost);
+  g_free (loss->address);
+  g_free (loss);
 }
 
 GHashTable *
@@ -50,16 +50,16 @@
 static UnresolvedLoss *
 loss_of_worker (FbPool *self, const char *id, const char *address, uint64_t now_ms)
 {
-  UnresolvedLoss *doubt = g_hash_table_lookup (self->unresolved_losses, id);
-  if (doubt != NULL)
-    return doubt;
-  doubt = g_new0 (UnresolvedLoss, 1);
-  doubt->lost = g_array_new (FALSE, FALSE, sizeof (LostTask));
-  g_array_set_clear_func (doubt->lost, lost_task_clear);
-  doubt->address = g_strdup (address);
-  doubt->since_ms = now_ms;
-  g_hash_table_insert (self->unresolved_losses, g_strdup (id), doubt);
-  return doubt;
+  UnresolvedLoss *loss = g_hash_table_lookup (self->unresolved_losses, id);
+  if (loss != NULL)
+    return loss;
+  loss = g_new0 (UnresolvedLoss, 1);
+  loss->lost = g_array_new (FALSE, FALSE, sizeof (LostTask));
+  g_array_set_clear_func (loss->lost, lost_task_clear);
+  loss->address = g_strdup (address);
+  loss->since_ms = now_ms;
+  g_hash_table_insert (self->unresolved_losses, g_strdup (id), loss);
+  return loss;
 }
 
 void
@@ -95,26 +95,26 @@
 }
 
 static void
-resolve (FbPool *self, const char *id, const UnresolvedLoss *doubt, gboolean crashed,
+resolve (FbPool *self, const char *id, const UnresolvedLoss *loss, gboolean crashed,
          uint64_t now_ms)
 {
   fb_counter_add (FB_COUNTER_WORKER_CRASHES, crashed);
-  for (guint i = 0; i < doubt->lost->len; i++)
-    resolve_task (self, id, &g_array_index (doubt->lost, LostTask, i), crashed, now_ms);
+  for (guint i = 0; i < loss->lost->len; i++)
+    resolve_task (self, id, &g_array_index (loss->lost, LostTask, i), crashed, now_ms);
 }
 
 void
 fb_pool_unresolved_loss_resolve (FbPool *self, const char *id, gboolean crashed, uint64_t now_ms)
 {
-  const UnresolvedLoss *doubt = g_hash_table_lookup (self->unresolved_losses, id);
-  if (doubt == NULL)
+  const UnresolvedLoss *loss = g_hash_table_lookup (self->unresolved_losses, id);
+  if (loss == NULL)
     return;
-  resolve (self, id, doubt, crashed, now_ms);
+  resolve (self, id, loss, crashed, now_ms);
   g_hash_table_remove (self->unresolved_losses, id);
 }
 
 /* TRUE when OTHER replaced LOST. LOST is NULL if it is no longer known. An incarnation that was
- * listed and is gone by now proves as much as one that is still listed. */
+ * listed and has disappeared since proves as much as one that is still listed. */
 static gboolean
 is_successor (const FbPoolWorker *other, const FbPoolWorker *lost)
 {
@@ -126,7 +126,7 @@
 /* TRUE when an incarnation that was listed later than worker ID is listed at its address, according
  * to a list that was read under this owner. */
 static gboolean
-is_replaced (const FbPool *self, const char *id, const UnresolvedLoss *doubt)
+is_replaced (const FbPool *self, const char *id, const UnresolvedLoss *loss)
 {
   const FbPoolWorker *lost = g_hash_table_lookup (self->workers, id);
   if (!self->workers_complete)
@@ -135,7 +135,7 @@
   const FbPoolWorker *other = NULL;
   while ((other = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      if (other != lost && g_strcmp0 (other->address, doubt->address) == 0
+      if (other != lost && g_strcmp0 (other->address, loss->address) == 0
           && is_successor (other, lost))
         return TRUE;
     }
@@ -160,11 +160,11 @@
   g_hash_table_iter_init (&iter, self->unresolved_losses);
   while (g_hash_table_iter_next (&iter, &id, &value))
     {
-      const UnresolvedLoss *doubt = value;
-      gboolean replaced = due && is_replaced (self, id, doubt);
-      if (!replaced && now_ms < doubt->since_ms + UNRESOLVED_LOSS_MAX_MS)
+      const UnresolvedLoss *loss = value;
+      gboolean replaced = due && is_replaced (self, id, loss);
+      if (!replaced && now_ms < loss->since_ms + UNRESOLVED_LOSS_MAX_MS)
         continue;
-      resolve (self, id, doubt, replaced && !is_draining (self, id), now_ms);
+      resolve (self, id, loss, replaced && !is_draining (self, id), now_ms);
       g_hash_table_iter_remove (&iter);
     }
 }
--- a/src/work/pool-unstored-suspects.c
+++ b/src/work/pool-unstored-suspects.c
@@ -1,4 +1,4 @@
-/* Suspicions against tasks that are not stored yet, because the store accepts no writes.
+/* Suspected tasks whose crash counts are not stored yet, because the store accepts no writes.
  *
  * If an owner counts crashes while its store accepts no writes, and is killed, the next owner would
  * count from zero, and a task would go on crashing workers. So other daemons keep such counts until
@@ -12,7 +12,7 @@
 #define SLOW_WRITE_MS 200
 
 static void
-unstored_free (gpointer data)
+unstored_suspects_free (gpointer data)
 {
   FbPoolUnstoredSuspects *unstored = data;
   g_free (unstored->job);
@@ -51,7 +51,7 @@
 }
 
 static void
-add (GPtrArray *all, FbPoolJob *job, GBytes *suspects)
+add_unstored (GPtrArray *all, FbPoolJob *job, GBytes *suspects)
 {
   job->unstored_changed = FALSE;
   if (suspects == NULL && !job->kept)
@@ -69,7 +69,7 @@
   if (g_hash_table_size (self->unstored) == 0)
     return NULL;
   gboolean is_late = self->flushing && now_ms > self->flush_began_ms + SLOW_WRITE_MS;
-  GPtrArray *all = g_ptr_array_new_with_free_func (unstored_free);
+  GPtrArray *all = g_ptr_array_new_with_free_func (unstored_suspects_free);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, self->unstored);
@@ -78,11 +78,11 @@
       FbPoolJob *job = value;
       if (is_stored (self, job))
         {
-          add (all, job, NULL);
+          add_unstored (all, job, NULL);
           g_hash_table_iter_remove (&iter);
         }
       else if (is_late && job->unstored_changed)
-        add (all, job, encode_suspects (job));
+        add_unstored (all, job, encode_suspects (job));
     }
   if (all->len > 0)
     return all;
--- a/tools/pool-mutants.sh
+++ b/tools/pool-mutants.sh
@@ -50,7 +50,7 @@
 wide-step-all-at-once|pool-place.c|  if (fb_pool_probe_is_on (step))\n    return FALSE;|
 suspect-gets-copies|pool-copy.c|  if (fb_pool_task_is_suspect (task))|  if (FALSE)
 cause-never-left|pool-crash.c|  for (guint i = 0; i < task->crashes->len; i++)\n    fb_pool_crash_cause_drop|  for (guint i = 0; FALSE; i++)\n    fb_pool_crash_cause_drop
-shared-crashes-count-as-alone|pool-crash.c|#define SHARED_CRASHES_CONCLUSIVE 2|#define SHARED_CRASHES_CONCLUSIVE 9
+shared-crashes-count-as-alone|pool-crash.c|#define SHARED_CRASHES_INCONCLUSIVE 2|#define SHARED_CRASHES_INCONCLUSIVE 9
 suspect-beside-what-begins|pool-crash.c|  if (suspect_score_of (task) < ISOLATE_AFTER_CRASHES \|\| is_stable (worker))|  if (TRUE)
 kept-worker-open-to-all|pool-choose.c|          \|\| !fb_pool_crash_is_open (worker, task, now_ms)|
 quiet-worker-for-a-suspect|pool-crash.c|(quiet ? SILENT_WORKER_COST : 0)|0
