--- a/src/work/pool-restart.c
+++ b/src/work/pool-restart.c
@@ -308,14 +308,15 @@
 fb_pool_restart_log_stale (const FbPoolWorker *worker, const FbPollAnswer *answer)
 {
   guint again_n = 0;
-  uint64_t taken = worker->may_restart ? worker->confirmed_acknowledged : worker->acknowledged;
+  uint64_t acknowledged
+      = worker->may_restart ? worker->confirmed_acknowledged : worker->acknowledged;
   for (guint i = 0; i < answer->finished->len; i++)
-    again_n += g_array_index (answer->finished, FbReportedEnd, i).number <= taken;
+    again_n += g_array_index (answer->finished, FbReportedEnd, i).number <= acknowledged;
   if (answer->clock_ms >= worker->clock_ms && again_n == 0)
     return;
   fb_event_log (FB_EVENT_POOL_WORKER_WENT_BACK,
                 "worker=%s clock_ms=%" G_GUINT64_FORMAT " before_ms=%" G_GUINT64_FORMAT
                 " ends=%u acknowledged_before=%u acknowledged=%" G_GUINT64_FORMAT " runs=%u",
                 worker->id, answer->clock_ms, worker->clock_ms, answer->finished->len, again_n,
-                taken, g_hash_table_size (worker->runs));
+                acknowledged, g_hash_table_size (worker->runs));
 }
--- a/src/work/pool-worker.c
+++ b/src/work/pool-worker.c
@@ -20,12 +20,12 @@
 #define THROTTLE_INTERVAL_MS 1000
 
 /* Arbitrary, but the same at all owners. */
-#define RANK_SEED 1
+#define ID_HASH_SEED 1
 
 uint64_t
 fb_pool_worker_id_hash (const char *id)
 {
-  return XXH64 (id, strlen (id), RANK_SEED);
+  return XXH64 (id, strlen (id), ID_HASH_SEED);
 }
 
 FbPoolWorker *
--- a/tests/test-recent-starts.c
+++ b/tests/test-recent-starts.c
@@ -11,12 +11,12 @@
 static guint
 reported_n (const FbRecentStarts *self, uint64_t now_ms, fb_recent_start *first)
 {
-  fb_recent_starts_reply told;
-  fb_recent_starts_list (self, now_ms, &told);
-  guint n = told.starts.starts_len;
+  fb_recent_starts_reply reply;
+  fb_recent_starts_list (self, now_ms, &reply);
+  guint n = reply.starts.starts_len;
   if (n > 0 && first != NULL)
-    *first = told.starts.starts_val[0];
-  g_free (told.starts.starts_val);
+    *first = reply.starts.starts_val[0];
+  g_free (reply.starts.starts_val);
   return n;
 }
 
--- a/tests/test-rounds.c
+++ b/tests/test-rounds.c
@@ -15,7 +15,7 @@
 #include <string.h>
 
 static uint64_t
-step_once (BusyPool *play, uint64_t now_ms)
+tick_once (BusyPool *play, uint64_t now_ms)
 {
   fb_pool_tick (play->pool, TRUE, now_ms, WALL_MS + now_ms);
   busy_pool_answer_all (play, now_ms);
@@ -30,7 +30,7 @@
   busy_pool_list_workers (play, now_ms);
   busy_pool_admit_backlog (play, 1, "", now_ms);
   for (uint64_t end_ms = now_ms + PLAY_MS; now_ms < end_ms;)
-    now_ms = step_once (play, now_ms);
+    now_ms = tick_once (play, now_ms);
   CU_ASSERT_EQUAL (play->started_n, WORKER_N * (WORKER_CPU / TASK_CPU));
   return now_ms;
 }
@@ -39,7 +39,7 @@
 advance_to_open_round (BusyPool *play, uint64_t now_ms)
 {
   for (uint64_t end_ms = now_ms + 3000; play->pool->place_from < 20 && now_ms < end_ms;)
-    now_ms = step_once (play, now_ms);
+    now_ms = tick_once (play, now_ms);
   return now_ms;
 }
 
@@ -64,7 +64,7 @@
   uint64_t now_ms = fill_pool (&play, 100000);
   busy_pool_admit (&play, "ffffffffffffffff", 0, "", 1, now_ms);
   for (guint i = 0; i < 5; i++)
-    now_ms = step_once (&play, now_ms);
+    now_ms = tick_once (&play, now_ms);
   guint others = 0;
   for (guint i = 0; i < 50 && !runs (&play, "ffffffffffffffff"); i++)
     {
@@ -72,7 +72,7 @@
       guint before = play.started_n;
       busy_pool_end_run (&play, i, 1, now_ms);
       while (play.started_n == before)
-        now_ms = step_once (&play, now_ms);
+        now_ms = tick_once (&play, now_ms);
       others += !runs (&play, "ffffffffffffffff");
     }
   printf ("\nfreed slots given to less urgent work while an urgent task waited: %u\n", others);
@@ -93,11 +93,11 @@
       g_autofree char *id = g_strdup_printf ("f%015x", i);
       busy_pool_admit (&play, id, 0, "", 1, now_ms);
       for (uint64_t end_ms = now_ms + 150; now_ms < end_ms;)
-        now_ms = step_once (&play, now_ms);
+        now_ms = tick_once (&play, now_ms);
       guint before = play.started_n;
       busy_pool_end_run (&play, i, 1, now_ms);
       for (uint64_t end_ms = now_ms + 150; now_ms < end_ms && play.started_n == before;)
-        now_ms = step_once (&play, now_ms);
+        now_ms = tick_once (&play, now_ms);
       others += !runs (&play, "f");
       /* End the urgent job, wherever it runs, before the next one. */
       fb_pool_cancel (play.pool, id, now_ms, WALL_MS + now_ms);
@@ -109,7 +109,7 @@
               break;
             }
       for (uint64_t end_ms = now_ms + 150; now_ms < end_ms;)
-        now_ms = step_once (&play, now_ms);
+        now_ms = tick_once (&play, now_ms);
     }
   printf ("\nof 50 freed slots given to less urgent work while an urgent job waited: %u\n", others);
   CU_ASSERT_EQUAL (others, 0);
@@ -139,7 +139,7 @@
     }
   busy_pool_admit_backlog (&play, 1, "a", now_ms);
   for (uint64_t end_ms = now_ms + PLAY_MS; now_ms < end_ms;)
-    now_ms = step_once (&play, now_ms);
+    now_ms = tick_once (&play, now_ms);
   CU_ASSERT_EQUAL (play.started_n, (WORKER_N - 1) * (WORKER_CPU / TASK_CPU));
   guint missed = 0;
   for (guint i = 0; i < 3; i++)
@@ -148,18 +148,18 @@
         {
           if (play.pool->place_from == 0)
             busy_pool_list_worker (&play, UNUSABLE_WORKER, "none", now_ms);
-          now_ms = step_once (&play, now_ms);
+          now_ms = tick_once (&play, now_ms);
         }
       guint before = play.started_n;
       busy_pool_end_run (&play, URGENT_WORKER, i + 1, now_ms);
       fb_pool_worker_unlisted (play.pool, "1", now_ms);
       while (play.pool->place_from > 0)
-        now_ms = step_once (&play, now_ms);
-      const FbPoolWorker *mine = g_hash_table_lookup (play.pool->workers, "0");
-      missed += play.started_n == before && !mine->gained_capacity;
+        now_ms = tick_once (&play, now_ms);
+      const FbPoolWorker *urgent = g_hash_table_lookup (play.pool->workers, "0");
+      missed += play.started_n == before && !urgent->gained_capacity;
       busy_pool_list_worker (&play, UNUSABLE_WORKER, "none", now_ms);
       for (uint64_t end_ms = now_ms + 1000; now_ms < end_ms;)
-        now_ms = step_once (&play, now_ms);
+        now_ms = tick_once (&play, now_ms);
     }
   printf ("\nof 3 slots freed in an open round, neither used nor known to the next round: %u\n",
           missed);
@@ -172,7 +172,7 @@
 #define BIG_N 3000
 /* Most workers and runs that one turn may visit: some 5 ms of one core, of which the smallest
  * daemons have an eighth. */
-#define OPENED_TURN_VISITS 100000
+#define MAX_TURN_VISITS 100000
 
 /* All workers are marked as having freed capacity at once, but none has capacity for the waiting
  * steps. */
@@ -200,7 +200,7 @@
   printf ("\nlongest turn with %u waiting steps and %u workers with freed capacity: %u visits\n",
           play.pool->waiting->len, WORKER_N, most);
   CU_ASSERT_TRUE (most > WORKER_N);
-  CU_ASSERT_TRUE (most <= OPENED_TURN_VISITS);
+  CU_ASSERT_TRUE (most <= MAX_TURN_VISITS);
   busy_pool_clear (&play);
 }
 
--- a/tests/test-suspect-backups.c
+++ b/tests/test-suspect-backups.c
@@ -12,21 +12,21 @@
 pass_copy (FbSuspectBackups *self, const char *job, uint64_t epoch, u_int n, uint64_t now_ms)
 {
   fb_work_suspect tasks[] = { { .step = 1 }, { .step = 2 } };
-  const fb_suspects_backup kept
+  const fb_suspects_backup backup
       = { .job = (char *) job, .epoch = epoch, .suspects = { .tasks = { n, tasks } } };
-  fb_suspect_backups_put (self, &kept, now_ms);
+  fb_suspect_backups_put (self, &backup, now_ms);
 }
 
 /* Returns: the number of suspected tasks that SELF reports at NOW_MS, over all jobs. */
 static guint
 reported_n (const FbSuspectBackups *self, uint64_t now_ms)
 {
-  fb_suspect_backups_reply told;
+  fb_suspect_backups_reply reply;
   guint n = 0;
-  fb_suspect_backups_list (self, now_ms, &told);
-  for (u_int i = 0; i < told.jobs.jobs_len; i++)
-    n += told.jobs.jobs_val[i].suspects.tasks.tasks_len;
-  xdr_free ((xdrproc_t) xdr_fb_suspect_backups_reply, (char *) &told);
+  fb_suspect_backups_list (self, now_ms, &reply);
+  for (u_int i = 0; i < reply.jobs.jobs_len; i++)
+    n += reply.jobs.jobs_val[i].suspects.tasks.tasks_len;
+  xdr_free ((xdrproc_t) xdr_fb_suspect_backups_reply, (char *) &reply);
   return n;
 }
 
