--- a/src/work/pool-crash-record.c
+++ b/src/work/pool-crash-record.c
@@ -1,24 +1,24 @@
-/* What a job's record says of its tasks under which workers crashed, or may have. */
+/* The part of a job's record about suspected tasks: their crashes and unresolved starts. */
 #include "internal/pool-crash.h"
 
 static void
-tried_free (gpointer data)
+unresolved_start_free (gpointer data)
 {
-  FbPoolUnresolvedStart *unresolved = data;
-  g_free (unresolved->worker);
-  g_free (unresolved->address);
-  g_free (unresolved);
+  FbPoolUnresolvedStart *start = data;
+  g_free (start->worker);
+  g_free (start->address);
+  g_free (start);
 }
 
 /* Returns: (nullable): borrowed. */
 static FbPoolUnresolvedStart *
-find_tried (const FbPoolTask *task, const char *worker)
+find_unresolved_start (const FbPoolTask *task, const char *worker)
 {
   for (guint i = 0; task->unresolved != NULL && i < task->unresolved->len; i++)
     {
-      FbPoolUnresolvedStart *unresolved = task->unresolved->pdata[i];
-      if (g_str_equal (unresolved->worker, worker))
-        return unresolved;
+      FbPoolUnresolvedStart *start = task->unresolved->pdata[i];
+      if (g_str_equal (start->worker, worker))
+        return start;
     }
   return NULL;
 }
@@ -26,16 +26,16 @@
 gboolean
 fb_pool_unresolved_start_has (const FbPoolTask *task, const char *worker)
 {
-  return find_tried (task, worker) != NULL;
+  return find_unresolved_start (task, worker) != NULL;
 }
 
 gboolean
 fb_pool_unresolved_start_set_seen (FbPoolTask *task, const char *worker)
 {
-  FbPoolUnresolvedStart *unresolved = find_tried (task, worker);
-  if (unresolved == NULL || unresolved->seen)
+  FbPoolUnresolvedStart *start = find_unresolved_start (task, worker);
+  if (start == NULL || start->seen)
     return FALSE;
-  unresolved->seen = TRUE;
+  start->seen = TRUE;
   return TRUE;
 }
 
@@ -44,8 +44,8 @@
 {
   for (guint i = task->unresolved != NULL ? task->unresolved->len : 0; i > 0; i--)
     {
-      const FbPoolUnresolvedStart *unresolved = task->unresolved->pdata[i - 1];
-      if (fb_pool_worker_id_hash (unresolved->worker) == id_hash)
+      const FbPoolUnresolvedStart *start = task->unresolved->pdata[i - 1];
+      if (fb_pool_worker_id_hash (start->worker) == id_hash)
         g_ptr_array_remove_index (task->unresolved, i - 1);
     }
   if (task->unresolved != NULL && task->unresolved->len == 0)
@@ -64,45 +64,47 @@
 {
   fb_pool_unresolved_start_drop (task, worker);
   if (task->unresolved == NULL)
-    task->unresolved = g_ptr_array_new_with_free_func (tried_free);
+    task->unresolved = g_ptr_array_new_with_free_func (unresolved_start_free);
   if (task->unresolved->len == FB_WORK_MAX_CRASHES)
     g_ptr_array_remove_index (task->unresolved, 0);
-  FbPoolUnresolvedStart *unresolved = g_new0 (FbPoolUnresolvedStart, 1);
-  unresolved->worker = g_strdup (worker);
-  unresolved->address = g_strdup (address != NULL ? address : "");
-  unresolved->seen = seen;
-  g_ptr_array_add (task->unresolved, unresolved);
+  FbPoolUnresolvedStart *start = g_new0 (FbPoolUnresolvedStart, 1);
+  start->worker = g_strdup (worker);
+  start->address = g_strdup (address != NULL ? address : "");
+  start->seen = seen;
+  g_ptr_array_add (task->unresolved, start);
 }
 
 static void
-add_tried (GArray *rows, const FbPoolUnresolvedStart *unresolved)
+add_unresolved_start (GArray *rows, const FbPoolUnresolvedStart *start)
 {
-  const fb_work_unresolved_start row
-      = { .worker = unresolved->worker, .address = unresolved->address };
+  const fb_work_unresolved_start row = { .worker = start->worker, .address = start->address };
   if (rows->len < FB_WORK_MAX_CRASHES)
     g_array_append_val (rows, row);
 }
 
-/* Returns: (transfer full): of fb_work_unresolved_start, which borrow from TASK. */
+/* Returns: (transfer full): array of fb_work_unresolved_start, whose strings are borrowed from
+ * TASK. The record has no flag for FbPoolUnresolvedStart.seen: an entry that was seen is listed
+ * twice. */
 static GArray *
-tried_of (const FbPoolTask *task)
+unresolved_starts_of (const FbPoolTask *task)
 {
   GArray *rows = g_array_new (FALSE, FALSE, sizeof (fb_work_unresolved_start));
   guint n = task->unresolved != NULL ? task->unresolved->len : 0;
   for (guint i = 0; i < n; i++)
-    add_tried (rows, task->unresolved->pdata[i]);
+    add_unresolved_start (rows, task->unresolved->pdata[i]);
   for (guint i = 0; i < n; i++)
     {
-      const FbPoolUnresolvedStart *unresolved = task->unresolved->pdata[i];
-      if (unresolved->seen)
-        add_tried (rows, unresolved);
+      const FbPoolUnresolvedStart *start = task->unresolved->pdata[i];
+      if (start->seen)
+        add_unresolved_start (rows, start);
     }
   return rows;
 }
 
-/* Returns: (transfer full): the workers of TASK's crashes that were APART, or not. */
+/* Returns: (transfer full): id hashes of the workers of TASK's crashes with this value of ISOLATED.
+ */
 static GArray *
-workers_of (const FbPoolTask *task, gboolean isolated)
+crashed_workers_of (const FbPoolTask *task, gboolean isolated)
 {
   GArray *workers = g_array_new (FALSE, FALSE, sizeof (u_quad_t));
   for (guint i = 0; task->crashes != NULL && i < task->crashes->len; i++)
@@ -115,9 +117,10 @@
   return workers;
 }
 
-/* Adds the workers of TASK's crashes that are firm a second time, as far as there is room. */
+/* Marks confirmed crashes: the record has no field for the evidence, so their workers are listed
+ * twice, up to the maximum length. */
 static void
-repeat_firm (const FbPoolTask *task, gboolean isolated, GArray *workers)
+append_confirmed_again (const FbPoolTask *task, gboolean isolated, GArray *workers)
 {
   for (guint i = 0; task->crashes != NULL && i < task->crashes->len; i++)
     {
@@ -133,11 +136,11 @@
 add_suspect (GArray *suspects, const FbPoolStep *step, uint32_t index)
 {
   const FbPoolTask *task = &step->tasks[index];
-  GArray *unresolved = tried_of (task);
-  GArray *isolated = workers_of (task, TRUE);
-  GArray *shared = workers_of (task, FALSE);
-  repeat_firm (task, TRUE, isolated);
-  repeat_firm (task, FALSE, shared);
+  GArray *unresolved = unresolved_starts_of (task);
+  GArray *isolated = crashed_workers_of (task, TRUE);
+  GArray *shared = crashed_workers_of (task, FALSE);
+  append_confirmed_again (task, TRUE, isolated);
+  append_confirmed_again (task, FALSE, shared);
   fb_work_suspect suspect = { .occurrence = step->occurrence, .step = step->index, .index = index };
   suspect.unresolved.unresolved_len = unresolved->len;
   suspect.unresolved.unresolved_val
@@ -188,7 +191,7 @@
 }
 
 static gboolean
-is_listed (const u_quad_t *workers, u_int from, u_int until, u_quad_t worker)
+contains (const u_quad_t *workers, u_int from, u_int until, u_quad_t worker)
 {
   for (u_int i = from; i < until; i++)
     {
@@ -198,26 +201,27 @@
   return FALSE;
 }
 
-/* What else was on a worker is not recorded where its job has ended: it stays suspected. */
+/* Restored crashes get one cause more: the other tasks on the worker are not recorded if their jobs
+ * have ended, so they stay possible causes. */
 static void
 restore_crashes (FbPool *self, FbPoolStep *step, uint32_t index, gboolean isolated,
                  const u_quad_t *workers, u_int n, uint64_t now_ms)
 {
   for (u_int i = 0; i < n; i++)
     {
-      if (is_listed (workers, 0, i, workers[i])
+      if (contains (workers, 0, i, workers[i])
           || fb_pool_task_has_crash (&step->tasks[index], workers[i]))
         continue;
-      gboolean firm = is_listed (workers, i + 1, n, workers[i]);
+      gboolean confirmed = contains (workers, i + 1, n, workers[i]);
       const FbPoolCrash crash
-          = { workers[i], isolated, firm ? FB_CRASH_CONFIRMED : FB_CRASH_REPORTED };
+          = { workers[i], isolated, confirmed ? FB_CRASH_CONFIRMED : FB_CRASH_REPORTED };
       fb_pool_crash_cause_add (self, crash.worker);
       fb_pool_crash_count (self, step, index, crash, now_ms);
     }
 }
 
 static gboolean
-is_tried (const fb_work_suspect *suspect, u_int from, u_int until, const char *worker)
+has_unresolved_start (const fb_work_suspect *suspect, u_int from, u_int until, const char *worker)
 {
   for (u_int i = from; i < until; i++)
     {
@@ -236,22 +240,23 @@
 }
 
 static void
-restore_tried (FbPool *self, FbPoolStep *step, const fb_work_suspect *suspect, uint64_t now_ms)
+restore_unresolved_starts (FbPool *self, FbPoolStep *step, const fb_work_suspect *suspect,
+                           uint64_t now_ms)
 {
   for (u_int i = 0; i < suspect->unresolved.unresolved_len; i++)
     {
-      const fb_work_unresolved_start *unresolved = &suspect->unresolved.unresolved_val[i];
-      if (is_tried (suspect, 0, i, unresolved->worker)
-          || fb_pool_start_is_resolved (self, &step->tasks[suspect->index], unresolved->worker))
+      const fb_work_unresolved_start *start = &suspect->unresolved.unresolved_val[i];
+      if (has_unresolved_start (suspect, 0, i, start->worker)
+          || fb_pool_start_is_resolved (self, &step->tasks[suspect->index], start->worker))
         continue;
-      gboolean seen
-          = is_tried (suspect, i + 1, suspect->unresolved.unresolved_len, unresolved->worker);
-      const FbPoolCrash crash = { fb_pool_worker_id_hash (unresolved->worker), FALSE,
+      gboolean seen = has_unresolved_start (suspect, i + 1, suspect->unresolved.unresolved_len,
+                                            start->worker);
+      const FbPoolCrash crash = { fb_pool_worker_id_hash (start->worker), FALSE,
                                   seen ? FB_CRASH_PROBABLE : FB_CRASH_REPORTED };
-      fb_pool_unresolved_start_add (&step->tasks[suspect->index], unresolved->worker,
-                                    unresolved->address, seen);
-      fb_pool_unresolved_loss_add (self, unresolved->worker, unresolved->address, step,
-                                   suspect->index, crash, now_ms);
+      fb_pool_unresolved_start_add (&step->tasks[suspect->index], start->worker, start->address,
+                                    seen);
+      fb_pool_unresolved_loss_add (self, start->worker, start->address, step, suspect->index, crash,
+                                   now_ms);
     }
 }
 
@@ -264,13 +269,13 @@
                    suspect->isolated.isolated_len, now_ms);
   restore_crashes (self, step, suspect->index, FALSE, suspect->shared.shared_val,
                    suspect->shared.shared_len, now_ms);
-  restore_tried (self, step, suspect, now_ms);
+  restore_unresolved_starts (self, step, suspect, now_ms);
 }
 
-/* Failure: the owner is replaced between a crash and the moment when it knows of it, and the
- * successor never saw the run; it shows as a task that is started more often than the limit allows
- * when owners change.  Guard: where a suspected task was started is recorded, and what becomes of
- * that worker counts for it under the next owner too. */
+/* If the owner is replaced between a crash and the moment when it learns of it, and the next owner
+ * never saw the run, the task could be started more often than the limit allows. So each start of a
+ * suspected task is recorded, and what happens to its worker counts for the task under the next
+ * owner too. */
 void
 fb_pool_crash_restore (FbPool *self, FbPoolJob *job, const fb_work_suspects *record,
                        uint64_t now_ms)
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -1,46 +1,48 @@
-/* Tasks under which workers crash.
+/* Tasks that crash their workers.
  *
- * Failure: a task takes its worker down each time it is started, with all that runs there.  A run
- * that ends with its worker is no failed end, so no limit counts it, and the task is started on one
- * worker after the other; it shows as workers that fall silent in series.  Guard: the workers that
- * crashed under a task are counted and recorded with its job, and after CRASHES_MOST of them the
- * job is given up.
+ * A task may take down its worker, and all other runs there, each time it is started. A run lost
+ * with its worker is not a failed run, so the limit on failures never applies, and the task would
+ * be started on one worker after the other, which fall silent in series. So the workers that
+ * crashed under a task are counted and recorded with its job, and the job fails after
+ * MAX_ISOLATED_CRASHES of them.
  *
- * What else ran on a crashed worker is counted as well, and must not be given up for it.  So only
- * what proves a crash counts: another life answers, or is listed, at the address.  Silence leaves
- * the runs in doubt (pool-unresolved-losses.c); a doubt holds back starts that would go past the
- * limit.  A task under which ISOLATED_CRASHES workers have crashed runs apart from all others that
- * are suspected, nothing is started beside it, and a crash then tells more. */
+ * Other tasks on a crashed worker are counted as well, but must not be failed for it. So only proof
+ * of a crash counts: another incarnation answers, or is listed, at the address. Silence alone
+ * leaves the loss unresolved (pool-unresolved-losses.c); an unresolved loss holds back starts that
+ * could exceed the limit. A task with ISOLATE_AFTER_CRASHES crashes is kept apart from all other
+ * suspected tasks and nothing is started beside it, so that a further crash has fewer possible
+ * causes. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
-/* Limits of a pool that is given none.  What is sent to a worker in the moments after its crash
- * counts too, as it is in no list and gets no answer, just like a task that crashed the worker at
- * once; so one more is needed where others were there each time. */
-#define CRASHES_MOST 3
-#define CRASHES_MOST_SHARED 4
-/* Crashes after which a task no longer shares a worker with others that are suspected, and nothing
- * is started beside it. */
-#define ISOLATED_CRASHES 2
-/* A task that lasts has shown that it does not crash its worker once it ran there for so long;
- * without this the losses of weeks would add up. */
-#define LASTING_PROVEN_MS 20000
-/* A task that crashes its worker does it as it begins.  A run that was listed for so long is taken
- * for no cause of a crash while another one begins. */
-#define BEGINNING_MS 1500
-/* For so long a task waits for a worker where nothing begins: what runs there has gone by then, or
- * is listed for BEGINNING_MS. */
-#define CALM_WAIT_MS 3500
-/* A job is given up at the sooner limit if so many of its crashes are firm. */
-#define FIRM_CRASHES 2
-/* Of so many crashes with others there each time, one more that was not so proves too little. */
-#define SHARED_ENOUGH 2
-/* Above all other costs. */
-#define QUIET_COST 1000
-/* What the answer to a look takes on its way, with room to spare. */
-#define ANSWER_MS 100
+/* Default limits. A start sent just after a worker crashed counts as well: it is in no list and
+ * gets no answer, exactly like a task that crashes its worker at once. So one more crash is needed
+ * where other tasks were present each time. */
+#define MAX_ISOLATED_CRASHES 3
+#define MAX_SHARED_CRASHES 4
+/* Crashes after which a task no longer shares a worker with other suspected tasks, and nothing is
+ * started beside it. */
+#define ISOLATE_AFTER_CRASHES 2
+/* A long-running task is cleared after it has run on its worker for this long; otherwise the losses
+ * of weeks would add up. */
+#define LONG_RUNNING_PROVEN_MS 20000
+/* Tasks that crash their worker do so as they begin. A run that has been listed for this long is
+ * not considered a cause of a crash while another run is beginning. */
+#define STARTUP_MS 1500
+/* Longest time that a task waits for a worker on which no run is beginning. After it the runs there
+ * are over or have been listed for STARTUP_MS. */
+#define STABLE_WAIT_MS 3500
+/* The lower limit applies only with at least this many confirmed crashes. */
+#define MIN_CONFIRMED_CRASHES 2
+/* The lower limit does not apply with this many crashes on shared workers: a single one on an
+ * unshared worker is then too little proof. */
+#define SHARED_CRASHES_INCONCLUSIVE 2
+/* Exceeds the sum of all other costs. */
+#define SILENT_WORKER_COST 1000
+/* Network time of an answer to a poll, with some margin. */
+#define POLL_NETWORK_MS 100
 
 guint
 fb_pool_task_crashes_n (const FbPoolTask *task)
@@ -48,10 +50,10 @@
   return task->crashes != NULL ? task->crashes->len : 0;
 }
 
-/* Returns: how many of TASK's firm crashes nothing else can have caused: it was apart, or, with
- * ELIMINATED, all others that were there have shown since that they crash no worker. */
+/* Returns: how many of TASK's confirmed crashes have no other possible cause: the run was isolated,
+ * or, with ELIMINATED, all other tasks present have proven to be harmless since. */
 static guint
-alone_n (const FbPool *self, const FbPoolTask *task, gboolean eliminated)
+sole_cause_n (const FbPool *self, const FbPoolTask *task, gboolean eliminated)
 {
   guint n = 0;
   for (guint i = 0; task->crashes != NULL && i < task->crashes->len; i++)
@@ -64,9 +66,9 @@
   return n;
 }
 
-/* Returns: how many of TASK's crashes rest on EVIDENCE. */
+/* Returns: how many of TASK's crashes have EVIDENCE. */
 static guint
-evidence_n (const FbPoolTask *task, FbCrashEvidence evidence)
+crashes_with_evidence_n (const FbPoolTask *task, FbCrashEvidence evidence)
 {
   guint n = 0;
   for (guint i = 0; task->crashes != NULL && i < task->crashes->len; i++)
@@ -78,31 +80,33 @@
 fb_pool_crash_set_limits (FbPoolLimits *limits)
 {
   if (limits->max_isolated_crashes == 0)
-    limits->max_isolated_crashes = CRASHES_MOST;
+    limits->max_isolated_crashes = MAX_ISOLATED_CRASHES;
   if (limits->max_shared_crashes == 0)
-    limits->max_shared_crashes = CRASHES_MOST_SHARED;
+    limits->max_shared_crashes = MAX_SHARED_CRASHES;
   limits->max_shared_crashes = MAX (limits->max_shared_crashes, limits->max_isolated_crashes);
 }
 
-/* Failure: starts that got no answer, or runs whose ends were not heard, count for workers that
- * crashed later, and a job is given up that crashed none.  Guard: the sooner limit needs
- * FIRM_CRASHES and no hearsay. */
+/* Unanswered starts, and runs whose ends were not received, are counted for workers that crashed
+ * later, and a harmless job could be failed for them. So the lower limit requires
+ * MIN_CONFIRMED_CRASHES and no crash that is only reported. */
 static gboolean
-is_well_known (const FbPoolTask *task)
+has_confirmed_crashes (const FbPoolTask *task)
 {
-  return evidence_n (task, FB_CRASH_CONFIRMED) >= FIRM_CRASHES
-         && evidence_n (task, FB_CRASH_REPORTED) == 0;
+  return crashes_with_evidence_n (task, FB_CRASH_CONFIRMED) >= MIN_CONFIRMED_CRASHES
+         && crashes_with_evidence_n (task, FB_CRASH_REPORTED) == 0;
 }
 
-/* Returns: after how many crashes TASK is given up.  Where none is firm, one more is needed. */
+/* Returns: the number of crashes at which TASK's job fails; one more if none of them is confirmed.
+ */
 static guint
-limit_of (const FbPool *self, const FbPoolTask *task, gboolean eliminated)
+crash_limit (const FbPool *self, const FbPoolTask *task, gboolean eliminated)
 {
-  guint alone = alone_n (self, task, eliminated);
+  guint alone = sole_cause_n (self, task, eliminated);
   guint shared = fb_pool_task_crashes_n (task) - alone;
-  if (alone > 0 && is_well_known (task) && shared < SHARED_ENOUGH)
+  if (alone > 0 && has_confirmed_crashes (task) && shared < SHARED_CRASHES_INCONCLUSIVE)
     return self->limits.max_isolated_crashes;
-  return self->limits.max_shared_crashes + (evidence_n (task, FB_CRASH_CONFIRMED) == 0);
+  return self->limits.max_shared_crashes
+         + (crashes_with_evidence_n (task, FB_CRASH_CONFIRMED) == 0);
 }
 
 gboolean
@@ -111,14 +115,14 @@
   return task->crashes != NULL || task->unresolved_losses_n > 0;
 }
 
-/* Failure: an owner whose store is gone starts a task on one worker after the other, and is
- * replaced; the next one counts from the beginning.  Guard: what has crashed several workers, or
- * may have, is started once it is stored how many these were, so that an owner takes few crashes
+/* An owner whose store is unreachable would start a task on one worker after the other; when it is
+ * replaced, the next owner would count from zero. So a task with several crashes or unresolved
+ * losses starts only once their number is stored, which limits the crashes that a lost owner takes
  * with it. */
 static gboolean
-is_unstored (const FbPoolStep *step, const FbPoolTask *task)
+awaits_storing (const FbPoolStep *step, const FbPoolTask *task)
 {
-  return fb_pool_task_crashes_n (task) + task->unresolved_losses_n >= ISOLATED_CRASHES
+  return fb_pool_task_crashes_n (task) + task->unresolved_losses_n >= ISOLATE_AFTER_CRASHES
          && step->job->suspects_version_stored != step->job->suspects_version;
 }
 
@@ -126,11 +130,11 @@
 fb_pool_task_update_withheld (const FbPool *self, FbPoolStep *step, uint32_t index)
 {
   FbPoolTask *task = &step->tasks[index];
-  /* What is in doubt may have been apart. */
+  /* In an unresolved loss the task may have been the only possible cause. */
   guint limit = task->unresolved_losses_n > 0 ? self->limits.max_isolated_crashes
-                                              : limit_of (self, task, FALSE);
+                                              : crash_limit (self, task, FALSE);
   task->withheld = fb_pool_task_crashes_n (task) + task->unresolved_losses_n >= limit
-                   || is_unstored (step, task);
+                   || awaits_storing (step, task);
 }
 
 void
@@ -206,11 +210,11 @@
     fb_pool_crash_clear (self, step, index, "ended");
 }
 
-/* ---- counting -------------------------------------------------------------------- */
+/* ---- counting crashes -------------------------------------------------------------- */
 
-/* Returns: FALSE when that worker was counted before. */
+/* Returns: FALSE when that worker's crash is counted already. */
 static gboolean
-note_crash (FbPoolTask *task, FbPoolCrash crash)
+add_crash (FbPoolTask *task, FbPoolCrash crash)
 {
   if (fb_pool_task_has_crash (task, crash.worker)
       || fb_pool_task_crashes_n (task) == FB_WORK_MAX_CRASHES)
@@ -230,7 +234,7 @@
                      uint64_t now_ms)
 {
   FbPoolTask *task = &step->tasks[index];
-  if (task->done || !note_crash (task, crash))
+  if (task->done || !add_crash (task, crash))
     return;
   fb_pool_crash_cause_add (self, crash.worker);
   if (fb_pool_job_ended (step->job))
@@ -245,76 +249,81 @@
   fb_event_log (FB_EVENT_TASK_SUSPECTED,
                 "task=%s.%u.%u.%u crashes=%u of=%u apart=%d evidence=%s doubts=%u", step->job->id,
                 step->occurrence, step->index, index, fb_pool_task_crashes_n (task),
-                limit_of (self, task, FALSE), crash.isolated, evidence_names[crash.evidence],
+                crash_limit (self, task, FALSE), crash.isolated, evidence_names[crash.evidence],
                 task->unresolved_losses_n);
 }
 
-/* For how long RUN was seen at work by what was last heard of WORKER. */
+/* Returns: how long RUN had been running at WORKER's last answer. */
 static uint64_t
 ran_ms (const FbPoolWorker *worker, const FbPoolRun *run)
 {
   return worker->last_answer_ms > run->started_ms ? worker->last_answer_ms - run->started_ms : 0;
 }
 
-/* A start that no answer and no list ever told of did not begin, or its order is still on its way:
- * what is sent to a worker that has just crashed comes to nothing. */
+/* TRUE when RUN may have been on its worker. A start that neither an answer nor a list has
+ * confirmed did not begin, or its request is still in flight: requests to a worker that has just
+ * crashed have no effect. */
 static gboolean
-was_there (const FbPoolRun *run)
+run_may_have_begun (const FbPoolRun *run)
 {
   return run->seen_clock_ms > 0 || run->unanswered;
 }
 
 static gboolean
-is_beginning (const FbPoolRun *run)
+is_starting_up (const FbPoolRun *run)
 {
-  return run->listed_ms < run->started_ms + BEGINNING_MS;
+  return run->listed_ms < run->started_ms + STARTUP_MS;
 }
 
 static gboolean
-is_proven (const FbPoolWorker *worker, const FbPoolRun *run)
+is_proven_harmless (const FbPoolWorker *worker, const FbPoolRun *run)
 {
   return run->step != NULL && run->step->shape->long_running
-         && ran_ms (worker, run) >= LASTING_PROVEN_MS;
+         && ran_ms (worker, run) >= LONG_RUNNING_PROVEN_MS;
 }
 
-/* TRUE when RUN, which runs apart, was beginning on WORKER and OTHER was not. */
+/* TRUE when OTHER is unlikely to have crashed WORKER: RUN, which is isolated, was beginning and
+ * OTHER was not. */
 static gboolean
-is_outlived (const FbPoolWorker *worker, const FbPoolRun *run, const FbPoolRun *other)
+is_unlikely_cause (const FbPoolWorker *worker, const FbPoolRun *run, const FbPoolRun *other)
 {
-  return run->suspect_score >= ISOLATED_CRASHES && ran_ms (worker, run) < BEGINNING_MS
-         && !is_beginning (other);
+  return run->suspect_score >= ISOLATE_AFTER_CRASHES && ran_ms (worker, run) < STARTUP_MS
+         && !is_starting_up (other);
 }
 
-/* A start that got no answer may have come to a worker that had just crashed by itself.  That is
- * hardly so if the task runs apart and the worker had spoken a moment before. */
+/* Returns: how certain it is that RUN was on WORKER when it crashed. An unanswered start may have
+ * been sent to a worker that had just crashed by itself. That is unlikely if the task is isolated
+ * and the worker had answered a moment before. */
 static FbCrashEvidence
 evidence_of (const FbPoolWorker *worker, const FbPoolRun *run)
 {
-  gboolean sent_soon = run->started_ms >= worker->last_answer_ms
-                       && run->started_ms <= worker->last_answer_ms + ANSWER_MS;
-  gboolean firm = run->seen_clock_ms > 0 || (run->suspect_score >= ISOLATED_CRASHES && sent_soon);
-  return firm ? FB_CRASH_CONFIRMED : FB_CRASH_PROBABLE;
+  gboolean sent_after_answer = run->started_ms >= worker->last_answer_ms
+                               && run->started_ms <= worker->last_answer_ms + POLL_NETWORK_MS;
+  gboolean confirmed = run->seen_clock_ms > 0
+                       || (run->suspect_score >= ISOLATE_AFTER_CRASHES && sent_after_answer);
+  return confirmed ? FB_CRASH_CONFIRMED : FB_CRASH_PROBABLE;
 }
 
-/* TRUE when RUN may have begun on WORKER as that crashed: its answer is awaited. */
+/* TRUE when RUN may have begun as its worker crashed: its start is not answered yet. */
 static gboolean
-may_have_begun (const FbPoolRun *run)
+is_start_unconfirmed (const FbPoolRun *run)
 {
-  return run->step != NULL && run->state == FB_RUN_STARTING && !was_there (run);
+  return run->step != NULL && run->state == FB_RUN_STARTING && !run_may_have_begun (run);
 }
 
-/* TRUE when RUN is the only one on WORKER that could have crashed it. */
+/* TRUE when RUN is the only run on WORKER that could have crashed it. */
 static gboolean
-is_apart (const FbPoolWorker *worker, const FbPoolRun *run)
+is_isolated (const FbPoolWorker *worker, const FbPoolRun *run)
 {
   GHashTableIter iter;
   gpointer other;
   g_hash_table_iter_init (&iter, worker->runs);
   while (g_hash_table_iter_next (&iter, NULL, &other))
     {
-      if (other == run || is_proven (worker, other) || is_outlived (worker, run, other))
+      if (other == run || is_proven_harmless (worker, other)
+          || is_unlikely_cause (worker, run, other))
         continue;
-      if (was_there (other) || may_have_begun (other))
+      if (run_may_have_begun (other) || is_start_unconfirmed (other))
         return FALSE;
     }
   return TRUE;
@@ -325,14 +334,16 @@
              const FbPoolWorker *next, uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
-  const FbPoolCrash crash = { worker->id_hash, is_apart (worker, run), evidence_of (worker, run) };
+  const FbPoolCrash crash
+      = { worker->id_hash, is_isolated (worker, run), evidence_of (worker, run) };
   if (next != NULL && run->listed_ms == 0 && fb_pool_restart_may_deliver (self, run))
     {
       if (run->deferred_crash.worker == 0)
         run->deferred_crash = crash;
       return;
     }
-  /* One start crashes one life; if it did not come to this one, it was on the one before. */
+  /* A start can crash only one incarnation. If it does not arrive at this one, it crashed the one
+   * before. */
   if (run->deferred_crash.worker != 0)
     return;
   if (loss == FB_LOSS_OTHER_INCARNATION)
@@ -342,7 +353,7 @@
       return;
     }
   fb_pool_unresolved_loss_add (self, worker->id, worker->address, step, run->index, crash, now_ms);
-  /* It is recorded too, so that a successor can still learn what became of the worker. */
+  /* It is recorded as well, so that the next owner can find out whether the worker crashed. */
   fb_pool_unresolved_start_add (&step->tasks[run->index], worker->id, worker->address,
                                 run->seen_clock_ms > 0);
   fb_pool_job_changed (self, step->job);
@@ -369,27 +380,27 @@
     fb_pool_unresolved_start_drop (task, worker->id);
 }
 
-/* Failure: the owner is replaced within the 4 s in which a crash shows only as silence, and the
- * next one knows nothing of what ran there; it shows as a task that goes on crashing workers while
- * owners change.  Guard: what is on a worker that falls silent is recorded at once.  An owner that
- * hears nobody is cut off itself, and records nothing. */
+/* If the owner is replaced within the 4 s in which a crash shows only as silence, the next owner
+ * does not know what ran there, and a task goes on crashing workers while owners change. So the
+ * runs on a worker that becomes silent are recorded at once. An owner that does not hear from most
+ * workers is itself disconnected and records nothing. */
 void
 fb_pool_crash_note_silence (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
   gboolean silent = worker->answered && fb_pool_worker_silent (worker, now_ms);
-  if (silent == worker->silence_noted || worker->draining)
+  if (silent == worker->silence_recorded || worker->draining)
     return;
   if (silent && !self->majority_answers)
     return;
-  worker->silence_noted = silent;
+  worker->silence_recorded = silent;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, worker->runs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const FbPoolRun *run = value;
-      /* Of a start that may have come from the life before, that one is recorded. */
-      if (run->step != NULL && was_there (run) && run->transferred_ms == 0)
+      /* A start transferred from an earlier incarnation is recorded for that one. */
+      if (run->step != NULL && run_may_have_begun (run) && run->transferred_ms == 0)
         note_silence (self, worker, run, silent);
     }
 }
@@ -397,7 +408,7 @@
 void
 fb_pool_crash_clear_lasted (FbPool *self, FbPoolWorker *worker)
 {
-  if (worker->suspects_n == 0)
+  if (worker->suspect_runs_n == 0)
     return;
   GHashTableIter iter;
   gpointer value;
@@ -405,7 +416,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbPoolRun *run = value;
-      if (!is_proven (worker, run) || run->step->tasks[run->index].crashes == NULL)
+      if (!is_proven_harmless (worker, run) || run->step->tasks[run->index].crashes == NULL)
         continue;
       fb_pool_worker_charge (worker, run, -1);
       fb_pool_crash_clear (self, run->step, run->index, "lasted");
@@ -414,7 +425,7 @@
     }
 }
 
-/* A worker that drains ends as planned: nobody is suspected for it. */
+/* A draining worker ends as planned, so no task is suspected for it. */
 void
 fb_pool_crash_worker_lost (FbPool *self, FbPoolWorker *worker, FbPoolLoss loss,
                            const FbPoolWorker *next, uint64_t now_ms)
@@ -425,12 +436,13 @@
   while (!worker->draining && g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbPoolRun *run = value;
-      /* It is not counted for that, but what else was there is no longer the only cause. */
-      if (may_have_begun (run))
+      /* The task is not suspected itself, but the others on the worker are no longer the only
+       * possible cause. */
+      if (is_start_unconfirmed (run))
         fb_pool_crash_cause_add (self, worker->id_hash);
-      if (run->step == NULL || !was_there (run))
+      if (run->step == NULL || !run_may_have_begun (run))
         continue;
-      if (is_proven (worker, run))
+      if (is_proven_harmless (worker, run))
         fb_pool_crash_clear (self, run->step, run->index, "lasted");
       else
         suspect_run (self, worker, run, loss, next, now_ms);
@@ -441,16 +453,16 @@
   fb_pool_unresolved_loss_resolve (self, worker->id, !worker->draining, now_ms);
 }
 
-/* ---- the limit ------------------------------------------------------------------------- */
+/* ---- the crash limit ------------------------------------------------------------------ */
 
 static void
-give_up (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms, uint64_t wall_ms)
+fail_job (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms, uint64_t wall_ms)
 {
   const FbPoolTask *task = &step->tasks[index];
   fb_counter_add (FB_COUNTER_TASKS_GIVEN_UP, 1);
   fb_event_log (FB_EVENT_TASK_GIVEN_UP, "task=%s.%u.%u.%u queue=%s crashes=%u apart=%d",
                 step->job->id, step->occurrence, step->index, index, step->job->record.policy.queue,
-                fb_pool_task_crashes_n (task), alone_n (self, task, FALSE) > 0);
+                fb_pool_task_crashes_n (task), sole_cause_n (self, task, FALSE) > 0);
   fb_pool_job_end (self, step->job, FB_WORK_FAILED, now_ms, wall_ms);
 }
 
@@ -460,9 +472,9 @@
   for (uint32_t i = 0; i < step->shape->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
-      if (fb_pool_task_crashes_n (task) < limit_of (self, task, TRUE))
+      if (fb_pool_task_crashes_n (task) < crash_limit (self, task, TRUE))
         continue;
-      give_up (self, step, i, now_ms, wall_ms);
+      fail_job (self, step, i, now_ms, wall_ms);
       return;
     }
 }
@@ -493,11 +505,11 @@
     }
 }
 
-/* ---- placing ---------------------------------------------------------------------------- */
+/* ---- placement -------------------------------------------------------------------------- */
 
-/* Crashes that TASK may have caused, those in doubt with them. */
+/* Returns: the crashes that TASK may have caused, including unresolved losses. */
 static guint
-suspicion_of (const FbPoolTask *task)
+suspect_score_of (const FbPoolTask *task)
 {
   return fb_pool_task_crashes_n (task) + task->unresolved_losses_n;
 }
@@ -505,7 +517,7 @@
 gboolean
 fb_pool_crash_may_share (const FbPoolWorker *worker, const FbPoolTask *task)
 {
-  return suspicion_of (task) < ISOLATED_CRASHES || worker->suspects_n == 0;
+  return suspect_score_of (task) < ISOLATE_AFTER_CRASHES || worker->suspect_runs_n == 0;
 }
 
 gboolean
@@ -516,30 +528,30 @@
 }
 
 static gboolean
-is_calm (const FbPoolWorker *worker)
+is_stable (const FbPoolWorker *worker)
 {
   GHashTableIter iter;
   gpointer run;
   g_hash_table_iter_init (&iter, worker->runs);
   while (g_hash_table_iter_next (&iter, NULL, &run))
     {
-      if (is_beginning (run))
+      if (is_starting_up (run))
         return FALSE;
     }
   return TRUE;
 }
 
-/* Failure: what has lost two workers to others starts beside another task that crashes its worker,
- * and is given up for it; or it did crash them, starts where others begin, and its crash proves no
- * more than those before.  Guard: it starts where nothing has begun of late, and nothing starts on
- * that worker meanwhile. */
+/* A harmless task that was on two crashed workers could start beside another task that crashes its
+ * worker, and its job would fail for it. A task that did cause the crashes could start where others
+ * begin, and its next crash would prove no more than those before. So such a task starts on a
+ * worker where no run has begun recently, and nothing else starts on that worker meanwhile. */
 gboolean
 fb_pool_crash_waits_for_stable (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms)
 {
-  if (suspicion_of (task) < ISOLATED_CRASHES || is_calm (worker))
+  if (suspect_score_of (task) < ISOLATE_AFTER_CRASHES || is_stable (worker))
     return FALSE;
   if (task->stable_wait_until_ms == 0)
-    task->stable_wait_until_ms = now_ms + CALM_WAIT_MS;
+    task->stable_wait_until_ms = now_ms + STABLE_WAIT_MS;
   if (now_ms >= task->stable_wait_until_ms)
     return FALSE;
   worker->exclusive_for = task;
@@ -550,21 +562,21 @@
 double
 fb_pool_crash_cost (const FbPoolWorker *worker, const FbPoolTask *task, uint64_t now_ms)
 {
-  gboolean isolated = suspicion_of (task) >= ISOLATED_CRASHES;
-  /* It may have crashed already, and that would count for TASK. */
-  gboolean quiet = now_ms > worker->last_answer_ms + FB_POOL_POLL_WAIT_MS + ANSWER_MS;
-  /* What runs beside it would be lost with the worker. */
-  return worker->suspects_n + (isolated ? g_hash_table_size (worker->runs) : 0)
-         + (quiet ? QUIET_COST : 0);
+  gboolean isolated = suspect_score_of (task) >= ISOLATE_AFTER_CRASHES;
+  /* A silent worker may have crashed already, and that crash would count for TASK. */
+  gboolean quiet = now_ms > worker->last_answer_ms + FB_POOL_POLL_WAIT_MS + POLL_NETWORK_MS;
+  /* The other runs there would be lost with the worker. */
+  return worker->suspect_runs_n + (isolated ? g_hash_table_size (worker->runs) : 0)
+         + (quiet ? SILENT_WORKER_COST : 0);
 }
 
 void
 fb_pool_crash_charge (FbPoolWorker *worker, FbPoolRun *run, int sign)
 {
   if (sign > 0)
-    run->suspect_score = suspicion_of (&run->step->tasks[run->index]);
-  worker->suspects_n += run->suspect_score > 0 ? (guint) sign : 0;
-  worker->isolated_n += run->suspect_score >= ISOLATED_CRASHES ? (guint) sign : 0;
+    run->suspect_score = suspect_score_of (&run->step->tasks[run->index]);
+  worker->suspect_runs_n += run->suspect_score > 0 ? (guint) sign : 0;
+  worker->isolated_n += run->suspect_score >= ISOLATE_AFTER_CRASHES ? (guint) sign : 0;
 }
 
 void
--- a/src/work/pool-import-starts.c
+++ b/src/work/pool-import-starts.c
@@ -1,15 +1,15 @@
-/* Starts of earlier owners that other daemons remember and no record tells of.
+/* Starts by earlier owners that other daemons remember and that are in no record.
  *
- * They are evidence only: such a start leaves its task in doubt, as a worker does that was lost
- * with the task on it (pool-unresolved-losses.c), until the worker answers or another life shows at
- * its address. */
+ * They are weak evidence only: such a start leaves an unresolved loss, like a worker that was lost
+ * with the task on it (pool-unresolved-losses.c), until the worker answers or another incarnation
+ * is found at its address. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
 static void
-recall (FbPool *self, const fb_recent_start *start, uint64_t now_ms)
+import_start (FbPool *self, const fb_recent_start *start, uint64_t now_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, start->task, &index);
@@ -31,8 +31,8 @@
 }
 
 void
-fb_pool_import_starts (FbPool *self, const fb_recent_starts_reply *told, uint64_t now_ms)
+fb_pool_import_starts (FbPool *self, const fb_recent_starts_reply *reply, uint64_t now_ms)
 {
-  for (u_int i = 0; i < told->starts.starts_len; i++)
-    recall (self, &told->starts.starts_val[i], now_ms);
+  for (u_int i = 0; i < reply->starts.starts_len; i++)
+    import_start (self, &reply->starts.starts_val[i], now_ms);
 }
--- a/src/work/pool-record.c
+++ b/src/work/pool-record.c
@@ -1,12 +1,12 @@
-/* What a pool makes durable: the progress of jobs that changed, and its workers.
+/* Durable state of a pool: the progress of jobs that changed, and the list of workers.
  *
- * One flush is open at a time and holds all that changed meanwhile.  Ends in it may be
- * acknowledged, and the states of jobs shown, when it is stored. */
+ * One flush is open at a time and contains everything that changed since the previous one. Ends of
+ * runs in it may be acknowledged, and job states shown to callers, once it is stored. */
 #include "internal/codec.h"
 #include "internal/pool-crash.h"
 
-/* Results are kept this long after a job has ended, for callers who ask late. */
-#define KEEP_ENDED_MS 300000
+/* Results are kept this long after a job has ended, for callers that ask late. */
+#define ENDED_JOB_RETENTION_MS 300000
 
 static void
 record_free (gpointer data)
@@ -71,7 +71,7 @@
 }
 
 static void
-take_dirty (FbPool *self, GPtrArray *records)
+flush_jobs (FbPool *self, GPtrArray *records)
 {
   GHashTableIter iter;
   gpointer value;
@@ -88,7 +88,7 @@
 }
 
 static void
-take_workers (FbPool *self, GPtrArray *records)
+flush_workers (FbPool *self, GPtrArray *records)
 {
   if (!self->workers_dirty || !self->recovered)
     return;
@@ -111,7 +111,7 @@
 }
 
 static void
-take_expired (FbPool *self, GPtrArray *records, uint64_t wall_ms)
+flush_expired (FbPool *self, GPtrArray *records, uint64_t wall_ms)
 {
   GHashTableIter iter;
   gpointer value;
@@ -119,7 +119,7 @@
   while (g_hash_table_iter_next (&iter, &value, NULL))
     {
       FbPoolJob *job = value;
-      if (job->stored_state != job->state || wall_ms <= job->ended_wall_ms + KEEP_ENDED_MS
+      if (job->stored_state != job->state || wall_ms <= job->ended_wall_ms + ENDED_JOB_RETENTION_MS
           || has_run (self, job))
         continue;
       add_record (records, job->id, NULL);
@@ -136,19 +136,19 @@
   if (self->flushing || self->fenced)
     return NULL;
   GPtrArray *records = g_ptr_array_new_with_free_func (record_free);
-  take_dirty (self, records);
-  take_workers (self, records);
+  flush_jobs (self, records);
+  flush_workers (self, records);
   if (now_ms >= self->expired_ms + FB_POOL_EXPIRE_INTERVAL_MS)
     {
       self->expired_ms = now_ms;
-      take_expired (self, records, wall_ms);
+      flush_expired (self, records, wall_ms);
     }
   mark_flushing_ends (self);
   self->flushing = TRUE;
   self->flush_began_ms = now_ms;
   if (records->len > 0)
     return records;
-  /* Ends that changed nothing need no write to be acknowledged. */
+  /* Ends that changed nothing can be acknowledged without a write. */
   g_ptr_array_unref (records);
   fb_pool_flushed (self, now_ms);
   return NULL;
@@ -172,7 +172,7 @@
       if (worker->acknowledged == worker->flushing_end)
         continue;
       worker->acknowledged = worker->flushing_end;
-      /* The worker keeps what is not acknowledged, and answers no look until then. */
+      /* The worker keeps unacknowledged ends, and does not wait for news while it has any. */
       fb_pool_order_poll (self, worker, now_ms);
     }
 }
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -1,15 +1,16 @@
-/* The beginning of an owner: what may still run that it has not heard of.
+/* Take-over by a new owner: which runs may exist that it does not know of.
  *
- * Failure: a new owner starts a task that still runs on a worker that it has not heard; it
- * shows as two runs of one task.  Guard: a task starts only when no worker that has not
- * answered under the new epoch can hold a run of it.  That is so for every task once all
- * have answered or their leases have surely ended.
+ * A new owner must not start a task that still runs on a worker that has not answered yet, as the
+ * task would run twice. So a task starts only when no worker without an answer under the new epoch
+ * can hold a run of it. This is the case for every task once all workers have answered or their
+ * leases have certainly ended.
  *
- * A worker that is dark at that moment takes up to 6.2 s to lapse, and waiting for it with
- * everything kept whole pools idle.  Until then work goes on that surely is not there:
- * steps that did not run there when it began to drain, steps for which the worker lacks a label,
- * steps that the advice service does not allow it (what it allows never changes, and workers refuse
- * starts without its ticket), and jobs that were stored after the owner before had stopped. */
+ * A worker that is unreachable at that moment takes up to 6.2 s until its lease ends, and holding
+ * back everything for it kept whole pools idle. Until then these tasks may start, as they certainly
+ * do not run there: steps that did not run there when the worker began to drain, steps for which
+ * the worker lacks a label, steps that the advice service does not allow on it (its permissions
+ * never change, and workers refuse starts without its ticket), and jobs that were stored after the
+ * previous owner had stopped. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
@@ -46,17 +47,17 @@
     }
 }
 
-/* Failure: workers are replaced one after the other during a take-over; each new one is not heard
- * for its first moments, so that there always is one, and the pool is never settled.  Guard: the
- * owner before had stopped, and its last orders had run out, before the worker was listed. */
+/* When workers are replaced one after the other during a take-over, each new one is unconfirmed for
+ * its first moments, so that the take-over would never complete. A worker listed after the previous
+ * owner had stopped and its last requests had expired cannot hold any of its runs. */
 static gboolean
-came_too_late (const FbPool *self, const FbPoolWorker *worker)
+is_listed_after_takeover (const FbPool *self, const FbPoolWorker *worker)
 {
   return worker->listed_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS + FB_POOL_START_WINDOW_MS;
 }
 
 static void
-find_unheard (FbPool *self)
+find_unconfirmed (FbPool *self)
 {
   g_ptr_array_set_size (self->unconfirmed_workers, 0);
   guint slot = 0;
@@ -64,7 +65,7 @@
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       if ((!worker->answered || worker->has_unknown_end) && !worker->runs_ended
-          && !fb_pool_drain_is_empty (worker) && !came_too_late (self, worker))
+          && !fb_pool_drain_is_empty (worker) && !is_listed_after_takeover (self, worker))
         g_ptr_array_add (self->unconfirmed_workers, worker);
     }
 }
@@ -78,7 +79,7 @@
     self->majority_ms = now_ms;
   if (self->majority_ms == 0)
     return;
-  find_unheard (self);
+  find_unconfirmed (self);
   if (self->unconfirmed_workers->len > 0)
     return;
   self->recovered = TRUE;
@@ -100,7 +101,7 @@
 gboolean
 fb_pool_has_no_earlier_starts (const FbPool *self)
 {
-  /* A job that comes now was stored after JOBS_READ_MS, or it would be known. */
+  /* A job received now was stored after jobs_read_ms, or it would be known. */
   return self->recovered
          || (self->majority_ms != 0
              && self->jobs_read_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);
@@ -111,10 +112,10 @@
 {
   if (!fb_pool_drain_may_run (worker, step))
     return FALSE;
-  /* Of a worker that is not listed no label is known. */
+  /* The labels of a worker that is not listed are unknown. */
   if (!worker->listed)
     return TRUE;
-  /* Its size proves nothing: it may have shrunk since a run that it had room for began. */
+  /* Its capacity proves nothing: it may have shrunk since a run began that fitted then. */
   if (!fb_pool_has_labels_for (worker, step->shape))
     return FALSE;
   if (!step->job->record.policy.advised || !step->job->advised_when_stored)
@@ -123,11 +124,11 @@
   return advice == NULL || advice->allowed;
 }
 
-/* Failure: reads of the store are behind, and a job is read after the new owner has heard its
- * end from a worker; it shows as a second run of a task that is done.  Guard: a job that comes
- * while an end is unread waits until the workers that listed one are heard again. */
+/* If reads of the store lag, the new owner may see the end of a task at a worker before it reads
+ * the task's job, and would then run the finished task again. So a job that is read while a worker
+ * lists an end of an unknown job waits until these workers have answered again. */
 static gboolean
-end_may_be_unread (const FbPool *self, FbPoolJob *job)
+may_have_unknown_end (const FbPool *self, FbPoolJob *job)
 {
   guint slot = 0;
   const FbPoolWorker *worker = NULL;
@@ -158,7 +159,7 @@
 gboolean
 fb_pool_may_run_unconfirmed (const FbPool *self, const FbPoolStep *step)
 {
-  if (step->job->awaits_unknown_ends && end_may_be_unread (self, step->job))
+  if (step->job->awaits_unknown_ends && may_have_unknown_end (self, step->job))
     return TRUE;
   if (self->recovered || step->job->never_started)
     return FALSE;
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -1,24 +1,23 @@
-/* What workers report: what runs, what ended, and what must be true then.
+/* Handles what workers report: the runs they list and the ends of runs.
  *
- * An end is taken in once by its number, and counted once by its attempt: a
- * successor finds ends again that its predecessor had recorded but could not
- * acknowledge any more. */
+ * Each end is processed once by its number and counted once by its attempt: a new owner sees ends
+ * again that the previous owner had recorded but could no longer acknowledge. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 #include "fb-histogram.h"
 
-/* The same while an end waits for its job to be read from the store. */
-#define UNREAD_PAUSE_MS 100
-/* Looks that find unacknowledged ends return at once; this is their pause.  It shows when
- * records take long: other ends at the worker are heard that much later, and a job has
- * 250 ms to spare; 35 workers cost 300 looks a second meanwhile. */
-#define LOOK_PAUSE_MS 120
+/* Pause between polls while an end waits for its job to be read from the store. */
+#define UNKNOWN_END_POLL_INTERVAL_MS 100
+/* Pause between polls. Polls return at once while ends are unacknowledged. When writes to the store
+ * are slow, other ends at the worker are seen later by this pause, and a job has 250 ms to spare;
+ * 35 workers cost 300 polls a second meanwhile. */
+#define POLL_INTERVAL_MS 120
 
-/* Ends that a worker lists in one answer; those behind them are listed once these are
+/* Most ends that a worker lists in one answer; later ends are listed once these are
  * acknowledged. */
-#define ENDS_LISTED 500
+#define ENDS_LISTED_MAX 500
 
 static const char *const end_names[] = { "done", "failed", "stopped", "lapsed", "broken", "alone" };
 
@@ -26,7 +25,7 @@
 fb_pool_report_set_limits (FbPoolLimits *limits)
 {
   if (limits->max_reported_ends == 0)
-    limits->max_reported_ends = ENDS_LISTED;
+    limits->max_reported_ends = ENDS_LISTED_MAX;
 }
 
 void
@@ -42,10 +41,10 @@
 fb_pool_job_changed (FbPool *self, FbPoolJob *job)
 {
   g_hash_table_add (self->dirty, job);
-  self->round_due = TRUE;
+  self->place_due = TRUE;
 }
 
-/* ---- stopping ----------------------------------------------------------------- */
+/* ---- stopping runs ----------------------------------------------------------------- */
 
 static void
 stop_run (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
@@ -76,7 +75,7 @@
 }
 
 static void
-stop_all (FbPool *self, RunFilter filter, gconstpointer of, uint64_t now_ms)
+stop_runs (FbPool *self, RunFilter filter, gconstpointer of, uint64_t now_ms)
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
@@ -93,9 +92,9 @@
     }
 }
 
-/* Failure: a member of a gang is refused or lost; the others hold their room,
- * wait for it and end alone.  Guard: they are stopped at once, and the gang starts
- * again under a new attempt when none of them is left. */
+/* When one member of a gang is refused or lost, the others would hold their resources, wait for it
+ * and time out. So they are stopped at once, and the gang restarts under a new attempt when none of
+ * them is left. */
 void
 fb_pool_stop_gang (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
@@ -105,11 +104,11 @@
   fb_counter_add (FB_COUNTER_GANGS_BROKEN, 1);
   fb_event_log (FB_EVENT_GANG_BROKEN, "job=%s step=%u attempt=%u", step->job->id, step->index,
                 step->gang_attempt);
-  stop_all (self, is_of_step, step, now_ms);
+  stop_runs (self, is_of_step, step, now_ms);
 }
 
 static void
-release_holds (FbPool *self, FbPoolJob *job)
+release_reservations (FbPool *self, FbPoolJob *job)
 {
   for (guint i = 0; i < job->occurrences->len; i++)
     {
@@ -131,23 +130,24 @@
       fb_pool_job_changed (self, job);
     }
   g_hash_table_remove (self->active, job);
-  g_hash_table_remove (self->jobs_to_release, job);
-  g_hash_table_remove (self->jobs_with_dependencies, job);
+  g_hash_table_remove (self->timed, job);
+  g_hash_table_remove (self->chained, job);
   g_hash_table_add (self->ended, job);
   fb_pool_crash_forget (self, job);
-  release_holds (self, job);
+  release_reservations (self, job);
   fb_event_log (FB_EVENT_JOB_OVER, "job=%s queue=%s state=%d age_ms=%" G_GUINT64_FORMAT, job->id,
                 job->record.policy.queue, job->state, now_ms - job->admitted_ms);
-  /* What still runs of a completed job are members of a gang that end by themselves. */
+  /* The remaining runs of a completed job are gang members, which end by themselves. */
   if (job->state != FB_WORK_COMPLETED)
-    stop_all (self, is_of_job, job, now_ms);
+    stop_runs (self, is_of_job, job, now_ms);
 }
 
-/* ---- ends ---------------------------------------------------------------------- */
+/* ---- ends of runs ------------------------------------------------------------------ */
 
-/* What runs on of a task that may have copies has lost; members of a gang end together. */
+/* The task is done: other runs of a task with speculative copies are stopped. Members of a gang end
+ * together. */
 static void
-task_done (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms)
+mark_task_done (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms)
 {
   FbPoolTask *task = &step->tasks[index];
   if (task->done || step->shape->long_running)
@@ -157,14 +157,14 @@
   if (task->run != NULL && task->run->state != FB_RUN_STOPPING)
     task->run->abandoned = TRUE;
   if (step->shape->speculative)
-    stop_all (self, is_of_task, task, now_ms);
+    stop_runs (self, is_of_task, task, now_ms);
 }
 
 static void
 count_failure (FbPool *self, FbPoolStep *step, uint32_t index, const FbReportedEnd *end,
                uint64_t now_ms, uint64_t wall_ms)
 {
-  /* A gang fails as one: its first task keeps the count. */
+  /* A gang fails as a whole; the failures are counted at its first task. */
   FbPoolTask *task = &step->tasks[step->shape->gang ? 0 : index];
   if (step->shape->long_running || task->done || !fb_pool_task_count_failed (task, end->attempt))
     return;
@@ -174,7 +174,8 @@
 }
 
 static void
-judge_worker (FbPoolWorker *worker, const FbPoolStep *step, FbEndReason how, uint64_t now_ms)
+update_failure_streak (FbPoolWorker *worker, const FbPoolStep *step, FbEndReason how,
+                       uint64_t now_ms)
 {
   if (how == FB_END_DONE)
     {
@@ -191,20 +192,20 @@
 }
 
 static void
-take_time (FbPoolWorker *worker, const FbPoolRun *run, uint64_t now_ms)
+record_run_time (FbPoolWorker *worker, const FbPoolRun *run, uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
   uint32_t took_ms = (uint32_t) (now_ms - run->started_ms);
-  step->timed_runs_n++;
-  step->timed_total_ms += took_ms;
-  /* Members of a gang end together, whatever their workers are. */
+  step->timed_n++;
+  step->timed_ms += took_ms;
+  /* Members of a gang end together, so their times say nothing about single workers. */
   if (run->from_start && !step->shape->gang)
-    fb_pool_speed_record_run (&step->tasks[run->index], worker->speed, took_ms);
+    fb_pool_speed_note (&step->tasks[run->index], worker->speed, took_ms);
 }
 
 static void
-end_of_task (FbPool *self, FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
-             const FbReportedEnd *end, uint64_t now_ms, uint64_t wall_ms)
+process_task_end (FbPool *self, FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
+                  const FbReportedEnd *end, uint64_t now_ms, uint64_t wall_ms)
 {
   FbPoolTask *task = &step->tasks[index];
   FbPoolRun *run = g_hash_table_lookup (worker->runs, end->task);
@@ -212,10 +213,10 @@
   task->attempt = MAX (task->attempt, end->attempt);
   step->gang_attempt = MAX (step->gang_attempt, end->attempt);
   step->job->started = TRUE;
-  judge_worker (worker, step, end->how, now_ms);
+  update_failure_streak (worker, step, end->how, now_ms);
   fb_pool_crash_task_ended (self, worker, step, index, end->how);
   if (run != NULL && run->step == step && run->attempt == end->attempt && end->how == FB_END_DONE)
-    take_time (worker, run, now_ms);
+    record_run_time (worker, run, now_ms);
   if (run != NULL && run->attempt <= end->attempt)
     fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);
   if (task->run == NULL)
@@ -225,10 +226,10 @@
   if (end->how == FB_END_DONE && step->shape->gang)
     {
       for (uint32_t i = 0; i < step->shape->count; i++)
-        task_done (self, step, i, now_ms);
+        mark_task_done (self, step, i, now_ms);
     }
   else if (end->how == FB_END_DONE)
-    task_done (self, step, index, now_ms);
+    mark_task_done (self, step, index, now_ms);
   else if (end->how == FB_END_FAILED)
     count_failure (self, step, index, end, now_ms, wall_ms);
   if (step->shape->gang && end->how != FB_END_DONE && end->attempt == step->gang_attempt
@@ -245,8 +246,8 @@
 }
 
 static void
-take_end (FbPool *self, FbPoolWorker *worker, const FbReportedEnd *end, uint64_t now_ms,
-          uint64_t wall_ms)
+process_end (FbPool *self, FbPoolWorker *worker, const FbReportedEnd *end, uint64_t now_ms,
+             uint64_t wall_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, end->task, &index);
@@ -261,7 +262,7 @@
   fb_counter_add (counters[end->how], 1);
   if (step != NULL)
     {
-      end_of_task (self, worker, step, index, end, now_ms, wall_ms);
+      process_task_end (self, worker, step, index, end, now_ms, wall_ms);
       return;
     }
   FbPoolRun *run = g_hash_table_lookup (worker->runs, end->task);
@@ -269,11 +270,11 @@
     fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);
 }
 
-/* ---- what runs ------------------------------------------------------------------ */
+/* ---- listed runs ------------------------------------------------------------------- */
 
-/* Gives a run that is of STEP to its task, or stops it. */
+/* Assigns RUN, whose step is known, to its task, or stops it if it is not needed. */
 static void
-settle_run (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
+assign_run (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
   FbPoolTask *task = &step->tasks[run->index];
@@ -296,9 +297,9 @@
     step->job->state = FB_WORK_RUNNING;
 }
 
-/* A run that this owner did not order: a predecessor did. */
+/* Adds a run that this owner did not start; an earlier owner did. */
 static FbPoolRun *
-adopt (FbPool *self, FbPoolWorker *worker, const FbReportedRun *seen, uint64_t now_ms)
+adopt_run (FbPool *self, FbPoolWorker *worker, const FbReportedRun *seen, uint64_t now_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, seen->task, &index);
@@ -308,17 +309,17 @@
   run->seen_ms = now_ms;
   fb_pool_restart_found (self, worker, run, now_ms);
   if (step != NULL)
-    settle_run (self, worker, run, now_ms);
+    assign_run (self, worker, run, now_ms);
   else
     fb_event_log (FB_EVENT_RUN_ADOPTED, "task=%s attempt=%u worker=%s job not known", seen->task,
                   seen->attempt, worker->id);
   return run;
 }
 
-/* Failure: the owner before was told of a job directly and started it; this one finds
- * the run before it has read the job.  Taken for a stray it would be stopped, and the
- * job, once read, started a second time meanwhile.  Guard: a run of no known job keeps
- * its worker to itself until the job is read, or certainly does not exist. */
+/* The previous owner may have received a job directly and started it, and this owner lists the run
+ * before it has read the job. Stopping the run as an orphan would lose its work, and the job would
+ * start a second time once read. So a run of an unknown job keeps its worker to itself until the
+ * job is read, or certainly does not exist. */
 void
 fb_pool_adopt_runs (FbPool *self, const FbPoolJob *job)
 {
@@ -326,7 +327,7 @@
   FbPoolWorker *worker = NULL;
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      /* Only a run without a step can be of a job that was not known. */
+      /* Only a run without a step can belong to a job that was unknown so far. */
       if (worker->unknown_runs_n == 0)
         continue;
       g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
@@ -343,7 +344,7 @@
           run->step = step;
           run->index = index;
           fb_pool_worker_charge (worker, run, 1);
-          settle_run (self, worker, run, run->started_ms);
+          assign_run (self, worker, run, run->started_ms);
         }
     }
 }
@@ -366,18 +367,18 @@
 }
 
 static void
-take_running (FbPool *self, FbPoolWorker *worker, const FbReportedRun *seen, uint64_t clock_ms,
-              uint64_t now_ms)
+process_listed_run (FbPool *self, FbPoolWorker *worker, const FbReportedRun *seen,
+                    uint64_t clock_ms, uint64_t now_ms)
 {
   FbPoolRun *run = g_hash_table_lookup (worker->runs, seen->task);
-  /* What is listed has been started since. */
+  /* The listed run is a later attempt. */
   if (run != NULL && run->transferred_ms != 0 && run->attempt < seen->attempt)
     {
       fb_pool_run_ended (self, worker, run, "superseded", now_ms);
       run = NULL;
     }
   if (run == NULL)
-    run = adopt (self, worker, seen, now_ms);
+    run = adopt_run (self, worker, seen, now_ms);
   if (run->attempt != seen->attempt)
     return;
   run->seen_clock_ms = MAX (run->seen_clock_ms, clock_ms);
@@ -390,9 +391,9 @@
     fb_pool_task_set_checkpoint (run->step, run->index, seen->checkpoint);
 }
 
-/* TRUE when a look at CLOCK_MS that does not list RUN proves that it is over. */
+/* TRUE when an answer of CLOCK_MS that does not list RUN proves that RUN is over. */
 static gboolean
-absence_proves (const FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
+is_proven_over (const FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
                 uint64_t clock_ms)
 {
   if (run->transferred_ms != 0)
@@ -405,13 +406,13 @@
 }
 
 static void
-drop_absent (FbPool *self, FbPoolWorker *worker, uint64_t clock_ms, uint64_t now_ms)
+drop_unlisted_runs (FbPool *self, FbPoolWorker *worker, uint64_t clock_ms, uint64_t now_ms)
 {
   g_autoptr (GList) runs = g_hash_table_get_values (worker->runs);
   for (GList *l = runs; l != NULL; l = l->next)
     {
       FbPoolRun *run = l->data;
-      if (!absence_proves (self, worker, run, clock_ms))
+      if (!is_proven_over (self, worker, run, clock_ms))
         {
           if (run->transferred_ms != 0)
             fb_pool_restart_reject (self, worker, run, now_ms);
@@ -430,10 +431,11 @@
     }
 }
 
-/* TRUE while END is of a job that may yet be read from the store.  Once acknowledged it
- * would be gone, and the job, when it is read, would run again. */
+/* TRUE while END belongs to a job that may not have been read from the store yet. If END were
+ * acknowledged, the worker would forget it, and the job would run again once read. */
 static gboolean
-is_unread (const FbPool *self, FbPoolWorker *worker, const FbReportedEnd *end, uint64_t now_ms)
+is_of_unknown_job (const FbPool *self, FbPoolWorker *worker, const FbReportedEnd *end,
+                   uint64_t now_ms)
 {
   if (fb_pool_find_job (self, end->task) != NULL)
     return FALSE;
@@ -443,17 +445,18 @@
   return self->jobs_read_ms <= worker->unknown_end_ms;
 }
 
-/* The record names what may still run on a worker that drains: once that is nothing, it is
- * written again. */
+/* The stored record names the steps that may still run on a draining worker; it is rewritten when
+ * the last run there is over. */
 static void
-note_if_emptied (FbPool *self, const FbPoolWorker *worker, guint runs_before)
+mark_dirty_if_emptied (FbPool *self, const FbPoolWorker *worker, guint runs_before)
 {
   if (worker->draining && runs_before > 0 && g_hash_table_size (worker->runs) == 0)
     self->workers_dirty = TRUE;
 }
 
-/* The longest lease that WORKER may have at its first answer: by the owner before, or by a look at
- * its life before, whose deadline its clock may be far behind. */
+/* Returns: the longest lease that WORKER may hold at its first answer. It comes from the previous
+ * owner, or from a poll of an earlier incarnation, whose deadline may be far ahead of this
+ * incarnation's clock. */
 static uint64_t
 first_lease_ms (const FbPool *self, const FbPoolWorker *worker)
 {
@@ -462,22 +465,23 @@
              : FB_POOL_LEASE_MS;
 }
 
-/* What WORKER lists it has not forgotten: an answer to another look was taken for that to the one
- * that acknowledged. */
+/* A worker forgets acknowledged ends. If one is still listed, the acknowledgement was not
+ * received: the answer to another poll was taken for the one to the acknowledging poll.
+ * Acknowledge it again. */
 static void
 acknowledge_again (FbPoolWorker *worker, const FbPollAnswer *answer)
 {
   for (guint i = 0; i < answer->finished->len; i++)
     {
       uint64_t number = g_array_index (answer->finished, FbReportedEnd, i).number;
-      if (number > 0 && number <= worker->told_acknowledged)
-        worker->told_acknowledged = number - 1;
+      if (number > 0 && number <= worker->confirmed_acknowledged)
+        worker->confirmed_acknowledged = number - 1;
     }
 }
 
 static void
-take_answer (FbPool *self, FbPoolWorker *worker, const FbPollAnswer *answer, uint64_t now_ms,
-             uint64_t wall_ms)
+process_answer (FbPool *self, FbPoolWorker *worker, const FbPollAnswer *answer, uint64_t now_ms,
+                uint64_t wall_ms)
 {
   guint runs_before = g_hash_table_size (worker->runs);
   gboolean is_first = !worker->answered;
@@ -487,7 +491,8 @@
                   self->epoch, answer->running->len, answer->finished->len);
   if (!worker->answered)
     {
-      /* The owner before may have given it a lease a moment ago, which covers what starts there. */
+      /* The previous owner may have given it a lease just now, which covers any run started
+       * there. */
       worker->lease_ms = MAX (worker->lease_ms, answer->clock_ms + first_lease_ms (self, worker));
       fb_pool_worker_gained_capacity (self, worker);
       self->workers_dirty = self->workers_dirty || worker->draining;
@@ -502,8 +507,8 @@
   worker->last_answer_ms = now_ms;
   worker->clock_ms = answer->clock_ms;
   for (guint i = 0; i < answer->running->len; i++)
-    take_running (self, worker, &g_array_index (answer->running, FbReportedRun, i),
-                  answer->clock_ms, now_ms);
+    process_listed_run (self, worker, &g_array_index (answer->running, FbReportedRun, i),
+                        answer->clock_ms, now_ms);
   if (is_first)
     fb_pool_unanswered_starts_reject (self, worker, now_ms);
   worker->has_unknown_end = FALSE;
@@ -512,30 +517,30 @@
       const FbReportedEnd *end = &g_array_index (answer->finished, FbReportedEnd, i);
       if (end->number <= worker->seen_end)
         continue;
-      worker->has_unknown_end = is_unread (self, worker, end, now_ms);
+      worker->has_unknown_end = is_of_unknown_job (self, worker, end, now_ms);
       if (worker->has_unknown_end)
         break;
       worker->seen_end = end->number;
-      take_end (self, worker, end, now_ms, wall_ms);
+      process_end (self, worker, end, now_ms, wall_ms);
     }
   if (answer->finished->len >= self->limits.max_reported_ends)
     worker->has_unknown_end = TRUE;
-  /* What is not listed any more may be among the ends behind the unread one, or behind those that
-   * one answer holds. */
+  /* A run that is no longer listed may be among the ends after the unknown one, or after those that
+   * fit into one answer. */
   if (!worker->has_unknown_end)
-    drop_absent (self, worker, answer->clock_ms, now_ms);
-  note_if_emptied (self, worker, runs_before);
+    drop_unlisted_runs (self, worker, answer->clock_ms, now_ms);
+  mark_dirty_if_emptied (self, worker, runs_before);
   if (worker->has_unknown_end)
-    worker->next_poll_ms = now_ms + UNREAD_PAUSE_MS;
+    worker->next_poll_ms = now_ms + UNKNOWN_END_POLL_INTERVAL_MS;
   else if (worker->acknowledged == worker->seen_end && fb_pool_may_poll_again (worker))
     fb_pool_order_poll (self, worker, now_ms);
 }
 
-/* Failure: a worker leaves while its pool changes hands; the successor knows it from the
- * record of the owner before and waits for its lease, 6 s with the whole pool idle (seen
- * when a worker left 1 s before).  Guard: a worker that a list read under this epoch lacks,
- * and whose host answers that nothing listens there, has left with all that ran on it.
- * Either alone is no proof: lists lose workers that live, and a cut may refuse connections. */
+/* If a worker leaves during a take-over, the new owner knows it from the previous owner's record
+ * and would wait for its lease, 6 s with the whole pool idle (seen when a worker left 1 s before).
+ * A worker that is missing from a list read under this epoch, and whose host answers that nothing
+ * listens at the port, has left with all its runs. Neither sign alone is proof: lists can lose live
+ * workers, and a network partition may refuse connections. */
 static gboolean
 has_left (const FbPool *self, const FbPoolWorker *worker)
 {
@@ -551,16 +556,17 @@
     return;
   worker->poll_open = FALSE;
   if (answer->result == FB_ORDER_DONE)
-    worker->told_acknowledged = MAX (worker->told_acknowledged, worker->acknowledging);
-  if (worker->acknowledging != 0)
+    worker->confirmed_acknowledged
+        = MAX (worker->confirmed_acknowledged, worker->poll_acknowledges);
+  if (worker->poll_acknowledges != 0)
     fb_pool_worker_gained_capacity (self, worker);
-  worker->acknowledging = 0;
+  worker->poll_acknowledges = 0;
   worker->poll_failed = answer->result != FB_ORDER_DONE;
   worker->next_poll_ms = !worker->answered && answer->result == FB_ORDER_UNKNOWN
                              ? fb_pool_first_poll_retry_ms (worker, now_ms)
-                             : now_ms + LOOK_PAUSE_MS;
+                             : now_ms + POLL_INTERVAL_MS;
   if (answer->result == FB_ORDER_DONE && !worker->replaced)
-    take_answer (self, worker, answer, now_ms, wall_ms);
+    process_answer (self, worker, answer, now_ms, wall_ms);
   else if (answer->result == FB_ORDER_FENCED)
     fb_pool_fenced (self, worker);
   else if (answer->result == FB_ORDER_OTHER_INCARNATION && answer->incarnation != NULL)
--- a/src/work/pool-restart.c
+++ b/src/work/pool-restart.c
@@ -1,24 +1,26 @@
-/* Workers that start again under the id that they had.
+/* Workers that restart under the same id.
  *
- * Failure: a call that was on its way to a life of a worker, which ended meanwhile, is taken by the
- * next one: the id is the same, its clock may be behind the deadline of a start, and it has seen no
- * epoch.  With what ran there given up, it shows as a second run of a task.  Guard: what was listed
- * by the life that ended has ended with it.  A start that it never listed goes over to the next
- * life and counts as under way there, until that life lists it, its clock has passed the deadline,
- * or it has taken a stop of that attempt, after which it refuses the start. */
+ * A call on its way to an incarnation that has ended meanwhile is received by the next one: the id
+ * is the same, its clock may be behind the deadline of a start, and it has seen no epoch. If the
+ * runs of the ended incarnation were simply dropped, such a start would run the task twice. So runs
+ * that the ended incarnation had listed are over, but a start that it never listed is transferred
+ * to the next incarnation and counts as starting there. It stays until that incarnation lists it,
+ * the incarnation's clock has passed the deadline, or it has accepted a stop of that attempt, after
+ * which it refuses the start. */
 #include "internal/pool-crash.h"
 
 #include "fb-event.h"
 
-/* Orders without an answer are carried out some seconds late, if at all. */
-#define LATE_MOST_MS 15000
-/* The latest of them are kept: each first answer of a worker goes through all. */
-#define LATE_STARTS_MOST 4096
+/* An unanswered request is carried out within this time, if at all. */
+#define LATE_REQUEST_MAX_MS 15000
+/* Most unanswered starts kept, the newest; bounds the work at a worker's first answer, which scans
+ * all of them. */
+#define UNANSWERED_STARTS_MAX 4096
 
-/* A start that got no answer. */
+/* A start that got no answer and may still be carried out. */
 typedef struct
 {
-  char *incarnation; /* that it was sent to */
+  char *incarnation; /* id of the incarnation that it was sent to */
   char *address;
   char *task;
   uint32_t attempt;
@@ -53,8 +55,8 @@
 {
   const FbPoolUnansweredStart *oldest = NULL;
   while ((oldest = g_queue_peek_head (self->unanswered_starts)) != NULL
-         && (now_ms > oldest->sent_ms + LATE_MOST_MS
-             || self->unanswered_starts->length >= LATE_STARTS_MOST))
+         && (now_ms > oldest->sent_ms + LATE_REQUEST_MAX_MS
+             || self->unanswered_starts->length >= UNANSWERED_STARTS_MAX))
     unanswered_start_free (g_queue_pop_head (self->unanswered_starts));
   FbPoolUnansweredStart *start = g_new0 (FbPoolUnansweredStart, 1);
   start->incarnation = g_strdup (incarnation);
@@ -65,10 +67,11 @@
   g_queue_push_tail (self->unanswered_starts, start);
 }
 
-/* Charges START to WORKER, where it may come, until WORKER has taken a stop of it. */
+/* Reserves resources on WORKER for START, which may arrive there, until WORKER has accepted a stop
+ * of it. */
 static void
-is_tombstone (FbPool *self, FbPoolWorker *worker, const FbPoolUnansweredStart *start,
-              uint64_t now_ms)
+add_tombstone (FbPool *self, FbPoolWorker *worker, const FbPoolUnansweredStart *start,
+               uint64_t now_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, start->task, &index);
@@ -91,14 +94,16 @@
        l = l->next)
     {
       const FbPoolUnansweredStart *start = l->data;
-      if (now_ms <= start->sent_ms + LATE_MOST_MS && g_str_equal (start->address, worker->address)
+      if (now_ms <= start->sent_ms + LATE_REQUEST_MAX_MS
+          && g_str_equal (start->address, worker->address)
           && !g_str_equal (start->incarnation, worker->id))
-        is_tombstone (self, worker, start, now_ms);
+        add_tombstone (self, worker, start, now_ms);
     }
 }
 
-/* Failure: a task starts on the worker that is to shut an earlier start of it out, and takes that
- * one's place there; it shows as room that is never free again.  Guard: it waits for the answer. */
+/* If a task started on a worker that must still refuse an earlier start of it, the new run would
+ * replace the tombstone in the table of runs, and the tombstone's resources would never be
+ * released. So the task does not start there until the stop is answered. */
 gboolean
 fb_pool_restart_rejects (const FbPoolWorker *worker, const FbPoolStep *step, uint32_t index)
 {
@@ -108,9 +113,10 @@
   return g_hash_table_contains (worker->runs, name);
 }
 
-/* Returns: the worker called LIFE, at the address of BEFORE, which ran there until then. */
+/* Returns: the worker with id INCARNATION, which replaced BEFORE at its address. */
 static FbPoolWorker *
-next_life (FbPool *self, const FbPoolWorker *before, const char *incarnation, uint64_t now_ms)
+next_incarnation (FbPool *self, const FbPoolWorker *before, const char *incarnation,
+                  uint64_t now_ms)
 {
   FbPoolWorker *next = g_hash_table_lookup (self->workers, incarnation);
   if (next != NULL)
@@ -124,8 +130,7 @@
   return next;
 }
 
-/* A copy of a call that is not answered yet may still be on its way, though another was carried
- * out. */
+/* A copy of an open call may still be in flight, even if another copy was carried out. */
 gboolean
 fb_pool_restart_may_deliver (const FbPool *self, const FbPoolRun *run)
 {
@@ -134,7 +139,7 @@
 }
 
 static guint
-starts_that_may_come (const FbPool *self, const FbPoolWorker *worker)
+open_starts_n (const FbPool *self, const FbPoolWorker *worker)
 {
   guint n = 0;
   GHashTableIter iter;
@@ -154,22 +159,24 @@
       fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_INCARNATION, NULL, now_ms);
       return;
     }
-  FbPoolWorker *named = next_life (self, worker, incarnation, now_ms);
+  FbPoolWorker *named = next_incarnation (self, worker, incarnation, now_ms);
   FbPoolWorker *next = fb_pool_incarnation_running (self, named);
-  if (worker->runs_ended) /* it was found to have ended as the other life became known */
+  if (worker->runs_ended) /* fb_pool_incarnation_known() found that it had ended */
     return;
-  if (next == worker) /* by its birth it began later; the answer knows better */
+  if (next == worker) /* its start time says that it began later, but the answer is proof of the
+                         opposite */
     next = named;
   fb_pool_incarnation_set_latest (self, next);
-  /* What may have come to it is settled by its answers, or by the end of its leases. */
+  /* Starts that may have reached it are resolved by its answers or by the end of its leases. */
   next->runs_ended = FALSE;
   next->replaced = FALSE;
   fb_event_log (FB_EVENT_POOL_WORKER_RETURNED,
                 "worker=%s life=%s runs=%u may_come=%u heard_ms_ago=%u", worker->id, next->id,
-                g_hash_table_size (worker->runs), starts_that_may_come (self, worker),
+                g_hash_table_size (worker->runs), open_starts_n (self, worker),
                 worker->last_answer_ms != 0 ? (guint) (now_ms - worker->last_answer_ms) : 0);
   fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_INCARNATION, next, now_ms);
-  /* Looks at the life before may have extended its lease by deadlines far ahead of its clock. */
+  /* Polls meant for the earlier incarnation may have extended its lease by deadlines far ahead of
+   * its clock. */
   next->misdirected_calls_since_ms = now_ms;
   if (next->answered)
     next->lease_ms
@@ -178,9 +185,9 @@
   next->next_poll_ms = now_ms;
 }
 
-/* Returns: RUN as it may come to NEXT. */
+/* Returns: a copy of RUN on NEXT, where its start may arrive. */
 static FbPoolRun *
-run_on_next (FbPoolWorker *next, const FbPoolRun *run, uint64_t now_ms)
+copy_run_to (FbPoolWorker *next, const FbPoolRun *run, uint64_t now_ms)
 {
   FbPoolRun *moved = fb_pool_worker_add_run (next, run->step, run->index, run->name, run->attempt);
   moved->started_ms = run->started_ms;
@@ -201,12 +208,12 @@
 {
   if (!fb_pool_restart_may_deliver (self, run))
     return FALSE;
-  /* It may be there already, to be refused. */
+  /* NEXT may already have a tombstone that makes it refuse this start. */
   FbPoolRun *moved = g_hash_table_lookup (next->runs, run->name);
   if (moved != NULL && (moved->attempt != run->attempt || moved->transferred_ms == 0))
     return FALSE;
   if (moved == NULL)
-    moved = run_on_next (next, run, now_ms);
+    moved = copy_run_to (next, run, now_ms);
   moved->deferred_crash = run->deferred_crash;
   fb_pool_orders_move (self, worker, run, next);
   fb_event_log (FB_EVENT_START_MAY_COME,
@@ -218,7 +225,7 @@
   fb_pool_worker_drop_run (worker, run);
   if (was_current && task->run == NULL)
     task->run = moved;
-  else if (!moved->is_tombstone) /* that one is no run of its task any more */
+  else if (!moved->is_tombstone) /* a tombstone does not count as a run of its task */
     fb_pool_task_attach_run (task, moved);
   return TRUE;
 }
@@ -229,7 +236,8 @@
   return other != NULL && other != run && other->attempt == run->attempt;
 }
 
-/* The start went to one life only: what an earlier one was thought to have of it is not there. */
+/* A start is carried out by one incarnation only: drops the same attempt on other incarnations at
+ * the address. */
 void
 fb_pool_restart_found (FbPool *self, const FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms)
 {
@@ -279,7 +287,7 @@
 fb_pool_restart_is_over (const FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run,
                          uint64_t clock_ms)
 {
-  /* A list that was asked for before may be older than the start. */
+  /* A list that was requested before the transfer may be older than the start. */
   if (worker->poll_sent_ms < run->transferred_ms)
     return FALSE;
   if (run->state == FB_RUN_STOPPING && run->stopped_clock_ms > 0)
@@ -294,19 +302,21 @@
     fb_pool_order_stop (self, worker, run, now_ms);
 }
 
-/* A worker's clock only goes on, and it forgets ends that were acknowledged. */
+/* Logs an answer that contradicts earlier ones: a worker's clock never goes back, and acknowledged
+ * ends are never listed again. */
 void
 fb_pool_restart_log_stale (const FbPoolWorker *worker, const FbPollAnswer *answer)
 {
   guint again_n = 0;
-  uint64_t taken = worker->may_restart ? worker->told_acknowledged : worker->acknowledged;
+  uint64_t acknowledged
+      = worker->may_restart ? worker->confirmed_acknowledged : worker->acknowledged;
   for (guint i = 0; i < answer->finished->len; i++)
-    again_n += g_array_index (answer->finished, FbReportedEnd, i).number <= taken;
+    again_n += g_array_index (answer->finished, FbReportedEnd, i).number <= acknowledged;
   if (answer->clock_ms >= worker->clock_ms && again_n == 0)
     return;
   fb_event_log (FB_EVENT_POOL_WORKER_WENT_BACK,
                 "worker=%s clock_ms=%" G_GUINT64_FORMAT " before_ms=%" G_GUINT64_FORMAT
                 " ends=%u acknowledged_before=%u acknowledged=%" G_GUINT64_FORMAT " runs=%u",
                 worker->id, answer->clock_ms, worker->clock_ms, answer->finished->len, again_n,
-                taken, g_hash_table_size (worker->runs));
+                acknowledged, g_hash_table_size (worker->runs));
 }
--- a/src/work/pool-unresolved-losses.c
+++ b/src/work/pool-unresolved-losses.c
@@ -1,29 +1,30 @@
-/* Workers that were lost and may have crashed, and what was on them.
+/* Lost workers that may have crashed, and the tasks that were on them.
  *
- * A worker that fell silent may run on behind a cut, be frozen, or be gone for good with its rack;
- * that all its leases have ended says nothing of why.  Its tasks start again elsewhere, and until
- * something proves more they are in doubt: the worker answers again, or another life is found at
- * its address.  What proves nothing for DOUBT_MS is counted for nobody. */
+ * A silent worker may still be running on the other side of a network partition, be frozen, or be
+ * lost for good with its rack; the end of its leases does not tell which. Its tasks start again
+ * elsewhere, and the loss stays unresolved until the worker answers again or another incarnation is
+ * found at its address. A loss that stays unresolved for UNRESOLVED_LOSS_MAX_MS is not counted for
+ * any task. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
 /* Hosts are back some seconds after a crash, and a lease ends 4 s after the last answer. */
-#define DOUBT_MS 10000
+#define UNRESOLVED_LOSS_MAX_MS 10000
 
 typedef struct
 {
-  char *name; /* of the task */
+  char *name; /* name of the task */
   FbPoolCrash crash;
 } LostTask;
 
 typedef struct
 {
-  GArray *lost;  /* of LostTask */
-  char *address; /* of the worker */
+  GArray *lost;  /* of LostTask: the tasks that were on the worker */
+  char *address; /* address of the worker */
   uint64_t since_ms;
-} Doubt;
+} UnresolvedLoss;
 
 static void
 lost_task_clear (gpointer data)
@@ -32,33 +33,33 @@
 }
 
 static void
-doubt_free (gpointer data)
+unresolved_loss_free (gpointer data)
 {
-  Doubt *doubt = data;
-  g_array_unref (doubt->lost);
-  g_free (doubt->address);
-  g_free (doubt);
+  UnresolvedLoss *loss = data;
+  g_array_unref (loss->lost);
+  g_free (loss->address);
+  g_free (loss);
 }
 
 GHashTable *
 fb_pool_unresolved_losses_new (void)
 {
-  return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, doubt_free);
+  return g_hash_table_new_full (g_str_hash, g_str_equal, g_free, unresolved_loss_free);
 }
 
-static Doubt *
-doubt_about (FbPool *self, const char *id, const char *address, uint64_t now_ms)
+static UnresolvedLoss *
+loss_of_worker (FbPool *self, const char *id, const char *address, uint64_t now_ms)
 {
-  Doubt *doubt = g_hash_table_lookup (self->unresolved_losses, id);
-  if (doubt != NULL)
-    return doubt;
-  doubt = g_new0 (Doubt, 1);
-  doubt->lost = g_array_new (FALSE, FALSE, sizeof (LostTask));
-  g_array_set_clear_func (doubt->lost, lost_task_clear);
-  doubt->address = g_strdup (address);
-  doubt->since_ms = now_ms;
-  g_hash_table_insert (self->unresolved_losses, g_strdup (id), doubt);
-  return doubt;
+  UnresolvedLoss *loss = g_hash_table_lookup (self->unresolved_losses, id);
+  if (loss != NULL)
+    return loss;
+  loss = g_new0 (UnresolvedLoss, 1);
+  loss->lost = g_array_new (FALSE, FALSE, sizeof (LostTask));
+  g_array_set_clear_func (loss->lost, lost_task_clear);
+  loss->address = g_strdup (address);
+  loss->since_ms = now_ms;
+  g_hash_table_insert (self->unresolved_losses, g_strdup (id), loss);
+  return loss;
 }
 
 void
@@ -66,7 +67,7 @@
                              uint32_t index, FbPoolCrash crash, uint64_t now_ms)
 {
   const LostTask lost = { fb_pool_task_name (step, index), crash };
-  g_array_append_val (doubt_about (self, id, address, now_ms)->lost, lost);
+  g_array_append_val (loss_of_worker (self, id, address, now_ms)->lost, lost);
   step->tasks[index].unresolved_losses_n++;
   step->job->suspects_version++;
   fb_pool_unstored_suspects_add (self, step->job);
@@ -75,7 +76,7 @@
 }
 
 static void
-settle_task (FbPool *self, const char *id, const LostTask *lost, gboolean crashed, uint64_t now_ms)
+resolve_task (FbPool *self, const char *id, const LostTask *lost, gboolean crashed, uint64_t now_ms)
 {
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, lost->name, &index);
@@ -94,25 +95,26 @@
 }
 
 static void
-settle (FbPool *self, const char *id, const Doubt *doubt, gboolean crashed, uint64_t now_ms)
+resolve (FbPool *self, const char *id, const UnresolvedLoss *loss, gboolean crashed,
+         uint64_t now_ms)
 {
   fb_counter_add (FB_COUNTER_WORKER_CRASHES, crashed);
-  for (guint i = 0; i < doubt->lost->len; i++)
-    settle_task (self, id, &g_array_index (doubt->lost, LostTask, i), crashed, now_ms);
+  for (guint i = 0; i < loss->lost->len; i++)
+    resolve_task (self, id, &g_array_index (loss->lost, LostTask, i), crashed, now_ms);
 }
 
 void
 fb_pool_unresolved_loss_resolve (FbPool *self, const char *id, gboolean crashed, uint64_t now_ms)
 {
-  const Doubt *doubt = g_hash_table_lookup (self->unresolved_losses, id);
-  if (doubt == NULL)
+  const UnresolvedLoss *loss = g_hash_table_lookup (self->unresolved_losses, id);
+  if (loss == NULL)
     return;
-  settle (self, id, doubt, crashed, now_ms);
+  resolve (self, id, loss, crashed, now_ms);
   g_hash_table_remove (self->unresolved_losses, id);
 }
 
-/* LOST may be NULL: it is not known any more.  A life that was listed and is gone by now proves as
- * much as one that is listed. */
+/* TRUE when OTHER replaced LOST. LOST is NULL if it is no longer known. An incarnation that was
+ * listed and has disappeared since proves as much as one that is still listed. */
 static gboolean
 is_successor (const FbPoolWorker *other, const FbPoolWorker *lost)
 {
@@ -121,10 +123,10 @@
   return other->listed && (lost == NULL || !lost->listed);
 }
 
-/* TRUE when another life than that of the worker called ID is listed at its address, by a list that
- * is newer than this pool, and was listed later. */
+/* TRUE when an incarnation that was listed later than worker ID is listed at its address, according
+ * to a list that was read under this owner. */
 static gboolean
-is_replaced (const FbPool *self, const char *id, const Doubt *doubt)
+is_replaced (const FbPool *self, const char *id, const UnresolvedLoss *loss)
 {
   const FbPoolWorker *lost = g_hash_table_lookup (self->workers, id);
   if (!self->workers_complete)
@@ -133,7 +135,7 @@
   const FbPoolWorker *other = NULL;
   while ((other = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      if (other != lost && g_strcmp0 (other->address, doubt->address) == 0
+      if (other != lost && g_strcmp0 (other->address, loss->address) == 0
           && is_successor (other, lost))
         return TRUE;
     }
@@ -141,7 +143,7 @@
 }
 
 static gboolean
-drains (const FbPool *self, const char *id)
+is_draining (const FbPool *self, const char *id)
 {
   const FbPoolWorker *worker = g_hash_table_lookup (self->workers, id);
   return worker != NULL && worker->draining;
@@ -158,11 +160,11 @@
   g_hash_table_iter_init (&iter, self->unresolved_losses);
   while (g_hash_table_iter_next (&iter, &id, &value))
     {
-      const Doubt *doubt = value;
-      gboolean replaced = due && is_replaced (self, id, doubt);
-      if (!replaced && now_ms < doubt->since_ms + DOUBT_MS)
+      const UnresolvedLoss *loss = value;
+      gboolean replaced = due && is_replaced (self, id, loss);
+      if (!replaced && now_ms < loss->since_ms + UNRESOLVED_LOSS_MAX_MS)
         continue;
-      settle (self, id, doubt, replaced && !drains (self, id), now_ms);
+      resolve (self, id, loss, replaced && !is_draining (self, id), now_ms);
       g_hash_table_iter_remove (&iter);
     }
 }
--- a/src/work/pool-unstored-suspects.c
+++ b/src/work/pool-unstored-suspects.c
@@ -1,19 +1,18 @@
-/* What is held against tasks while the store takes nothing.
+/* Suspected tasks whose crash counts are not stored yet, because the store accepts no writes.
  *
- * Failure: an owner counts crashes, its store takes nothing, and it is killed; the next one counts
- * from the beginning.  It shows as a task that goes on crashing workers.  Guard: other daemons keep
- * such counts until they are stored, and tell the next owner.  In a pool that is well nothing is
- * sent. */
+ * If an owner counts crashes while its store accepts no writes, and is killed, the next owner would
+ * count from zero, and a task would go on crashing workers. So other daemons keep such counts until
+ * they are stored, and pass them to the next owner. Nothing is sent while the store works. */
 #include "internal/codec.h"
 #include "internal/pool-crash.h"
 
 #include "fb-event.h"
 
-/* Stores take 10 to 50 ms as a rule. */
-#define STORED_SOON_MS 200
+/* A write usually takes 10 to 50 ms. */
+#define SLOW_WRITE_MS 200
 
 static void
-unstored_free (gpointer data)
+unstored_suspects_free (gpointer data)
 {
   FbPoolUnstoredSuspects *unstored = data;
   g_free (unstored->job);
@@ -40,7 +39,7 @@
   return !g_hash_table_contains (self->dirty, job) && !g_ptr_array_find (self->in_flush, job, NULL);
 }
 
-/* Returns: (transfer full) (nullable): NULL when nothing is held against its tasks. */
+/* Returns: (transfer full) (nullable): NULL when no task of JOB is suspected. */
 static GBytes *
 encode_suspects (const FbPoolJob *job)
 {
@@ -52,7 +51,7 @@
 }
 
 static void
-add (GPtrArray *all, FbPoolJob *job, GBytes *suspects)
+add_unstored (GPtrArray *all, FbPoolJob *job, GBytes *suspects)
 {
   job->unstored_changed = FALSE;
   if (suspects == NULL && !job->has_backup)
@@ -69,8 +68,8 @@
 {
   if (g_hash_table_size (self->unstored) == 0)
     return NULL;
-  gboolean is_late = self->flushing && now_ms > self->flush_began_ms + STORED_SOON_MS;
-  GPtrArray *all = g_ptr_array_new_with_free_func (unstored_free);
+  gboolean is_late = self->flushing && now_ms > self->flush_began_ms + SLOW_WRITE_MS;
+  GPtrArray *all = g_ptr_array_new_with_free_func (unstored_suspects_free);
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, self->unstored);
@@ -79,11 +78,11 @@
       FbPoolJob *job = value;
       if (is_stored (self, job))
         {
-          add (all, job, NULL);
+          add_unstored (all, job, NULL);
           g_hash_table_iter_remove (&iter);
         }
       else if (is_late && job->unstored_changed)
-        add (all, job, encode_suspects (job));
+        add_unstored (all, job, encode_suspects (job));
     }
   if (all->len > 0)
     return all;
