--- a/src/entry/clock.h
+++ b/src/entry/clock.h
@@ -3,7 +3,7 @@
 
 #include <stdint.h>
 
-/* Time that goes on while the host is suspended, in ms. */
+/* Returns: monotonic time in ms, which includes time while the host is suspended. */
 uint64_t fb_clock_ms (void);
-/* Time since 1970 in ms, as this host has it. */
+/* Returns: time since 1970 in ms, by this host's clock. */
 uint64_t fb_clock_wall_ms (void);
--- a/src/entry/entry-private.h
+++ b/src/entry/entry-private.h
@@ -1,8 +1,8 @@
-/* The parts of a daemon on the platform, for its own files only.
+/* Internal definitions of the daemon that is deployed on the platform.
  *
- * All parts but the keepalive share one thread's main loop: a daemon has a fraction of one
- * core, and what it does is short.  Each part owns its calls; a part that is freed with a
- * call open leaves the call to free what it needs. */
+ * All components except the keepalive run on one thread's main loop: a daemon has a fraction of one
+ * core, and its callbacks are short.  Each component owns its open calls; a component that is freed
+ * while a call is open leaves freeing of the call's state to the call's completion. */
 #pragma once
 
 #include "clock.h"
@@ -32,11 +32,11 @@
 #include "internal/pool.h"
 #include "platform/wire.h"
 
-/* Keys of FB_TOPIC_JOBS: one letter and the job's id. */
+/* First letter of the keys in FB_TOPIC_JOBS; the job's id follows. */
 #define FB_KEY_JOB 'j'
 #define FB_KEY_CANCEL 'c'
 
-/* ---- the whole --------------------------------------------------------- */
+/* ---- daemon state ------------------------------------------------------ */
 
 struct _FbEntry
 {
@@ -45,58 +45,60 @@
   FbHttpClient *store_client;
   FbHttpClient *worker_client;
   FbHttpClient *advice_client;
-  FbLinks *links;   /* to the other daemons */
+  FbLinks *links;   /* connections to the other daemons */
   FbRoutes *routes; /* NULL until the first configuration */
   FbFollower *config_follower;
-  FbFollower *worker_follower; /* NULL until it owns something */
+  FbFollower *worker_follower; /* NULL until this daemon owns a partition */
   FbWorkerList *workers;
-  GHashTable *skipped;  /* ids of entries that could not be read, told of already */
-  GHashTable *relisted; /* ids of the listing that is open; NULL: none is */
+  GHashTable *skipped;  /* ids of malformed worker entries that have been logged */
+  GHashTable *relisted; /* ids in the current listing; NULL: none in progress */
   FbKeepalive *keepalive;
   FbDaemons *daemons;
   FbGroup *group;
   FbAdvisor *advisor;
   GHashTable *owners;    /* partition -> FbOwner */
   GHashTable *appenders; /* partition -> FbAppender for callers' records */
-  GHashTable *takes;     /* partition -> FbTake: epochs that were used here */
+  GHashTable *takes;     /* partition -> FbTake: epochs used by this daemon */
   FbTimer *timer;
   FbLoopWatch *loop;
   FbLinkWatch *link;
-  FbPayloadShare *payload_share; /* what was sent to other daemons */
-  FbPayloadCache *payload_cache; /* what they have sent here */
-  FbRecentStarts *recent_starts; /* that went out from here */
-  FbKeptSuspects *kept_suspects; /* for owners whose store takes nothing */
+  FbPayloadShare *payload_share; /* payloads sent to other daemons */
+  FbPayloadCache *payload_cache; /* payloads received from other daemons */
+  FbRecentStarts *recent_starts; /* starts sent to workers from this daemon */
+  FbKeptSuspects *kept_suspects; /* held for owners that the store does not serve */
   FbJoinWatch joins;
   gboolean stopping;
-  gboolean refusing;    /* near its end: calls are turned away at once */
-  guint open_calls;     /* of callers */
-  uint64_t answered_ms; /* when a caller was given an answer last */
-  uint64_t store_ok_ms; /* last answer of the store */
+  gboolean refusing;    /* shutting down: new callers are refused immediately */
+  guint open_calls;     /* number of callers' requests without an answer */
+  uint64_t answered_ms; /* time of the last answer to a caller */
+  uint64_t store_ok_ms; /* time of the store's last answer */
   gboolean store_lost;
-  FbStorePace pace;  /* of callers' records */
-  gboolean troubled; /* they had better not be stored from here, as was logged last */
+  FbStorePace pace;  /* latency and failures of this daemon's calls to the store */
+  gboolean troubled; /* as last logged: callers' records should not be appended from this daemon */
 };
 
 uint32_t fb_entry_partition_of (const FbEntry *self, const char *service);
 FbOwner *fb_entry_owner (const FbEntry *self, uint32_t partition);
 FbAppender *fb_entry_appender (FbEntry *self, uint32_t partition);
-/* Sets which partitions this daemon owns from now on, under EPOCH if they are new.  WHY: what
- * is told of those that it owns no more. */
+/* Sets which partitions this daemon owns; new ones are taken over under EPOCH.  WHY is logged for
+ * partitions that it no longer owns. */
 void fb_entry_own (FbEntry *self, const GArray *partitions, uint64_t epoch, const char *why);
 void fb_entry_disown (FbEntry *self, uint32_t partition);
 void fb_entry_each_owner (FbEntry *self, void (*func) (FbOwner *owner));
-/* Begins to follow the configuration and to give up what is lost. */
+/* Starts following the configuration, and the periodic release of partitions whose ownership was
+ * lost. */
 void fb_entry_watch (FbEntry *self);
-/* Returns: (transfer full): how old its joins are and how late its loop was, for lines that tell
- * of a loss. */
+/* Returns: (transfer full): ages of the last joins and the largest main loop delay, for log lines
+ * about a lost partition. */
 char *fb_entry_ages (const FbEntry *self);
-/* The store has answered a join; TTL_MS is the daemon's time to live in the group. */
+/* To be called when the store has answered a join of the owners' group; TTL_MS is this daemon's
+ * time to live in the group. */
 void fb_entry_join_answered (FbEntry *self, uint32_t ttl_ms);
-/* A renewal of a membership that was sent at SENT_MS has come to REPLY. */
+/* To be called with the REPLY to a membership renewal that was sent at SENT_MS. */
 void fb_entry_renewed (FbEntry *self, const FbHttpReply *reply, uint64_t sent_ms);
-/* Notes whether the store answered. */
+/* Updates the store's health from REPLY. */
 void fb_entry_store_answered (FbEntry *self, const FbHttpReply *reply);
-/* TRUE when the store has been silent for so long that a call would most likely get no
- * answer: callers are refused at once then, before anything is sent. */
+/* TRUE when the store has not answered for so long that a call would most likely time out; callers
+ * are then refused before anything is sent. */
 gboolean fb_entry_store_is_silent (const FbEntry *self);
 gboolean fb_entry_is_ready (const FbEntry *self);
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -1,4 +1,4 @@
-/* Joins the parts of a daemon on the platform and runs their loop. */
+/* Creates the components of the daemon on the platform and runs its main loop. */
 #include "entry.h"
 
 #include "entry-private.h"
@@ -22,22 +22,23 @@
 
 #define TIMER_MS 25
 #define SETTINGS_CHECK_MS 1000
-/* How often the use of the link is looked at: bursts of a take-over last a second or two. */
+/* Interval at which the use of the network link is checked: bursts of a take-over last 1 to 2 s. */
 #define LINK_CHECK_MS 2000
-/* A planned stop: answers are flushed, then partitions are given back, then callers on
- * open connections are served until shortly before the process would be killed. */
-/* Failure: steps of 50 ms fall in phase with a caller who asks as often, each step finds an answer
- * that was just given, and the process stays until it has to turn callers away.  Guard: steps are
- * shorter than what they look for. */
+/* Phases of a planned stop: progress is flushed, then partitions are released, then callers on open
+ * connections are served until shortly before the process would be killed. */
+/* Failure: with steps of 50 ms and a caller that sends a request every 50 ms, every step sees an
+ * answer that was just given, so the process does not end until it has to refuse callers.  Guard:
+ * the step is shorter than STOP_SETTLE_MS, the quiet time that it checks for. */
 #define STOP_STEP_MS 10
 #define STOP_MARGIN_MS 1200
 #define STOP_FLUSH_MS 800
 #define STOP_LINGER_MS 1500
-/* An answer is on its way this long after it was given, on a quarter of a core. */
+/* Time until an answer has been written to the socket, on a quarter of a core. */
 #define STOP_SETTLE_MS 20
-/* Payloads of other owners' jobs that are kept: some 700 of 1.4 KB, 1 of the 64 MB of a daemon. */
+/* Size of the cache of payloads received from other owners: some 700 payloads of 1.4 KB, 1 MB of a
+ * daemon's 64 MB. */
 #define PAYLOADS_KEPT_BYTES (1024 * 1024)
-/* Lines a second; a day's peak of decisions is below it. */
+/* Limit of log lines per second; the daily peak of decisions is below it. */
 #define LOG_LINES_PER_S 2000
 
 typedef struct
@@ -48,7 +49,7 @@
   SoupServer *internal;
   uint64_t stop_began_ms;
   gboolean leave_asked;
-  uint64_t left_ms; /* when the partitions were given back; 0: not yet */
+  uint64_t left_ms; /* when the partitions were released; 0: not yet */
 } Daemon;
 
 /* ---- servers ---------------------------------------------------------------------- */
@@ -142,7 +143,7 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Settings may change without a signal. */
+/* Reloads the settings when the file's content has changed, also without a signal. */
 static void
 check_settings (gpointer data, uint64_t now_ms)
 {
@@ -158,7 +159,7 @@
   last = g_steal_pointer (&text);
 }
 
-/* ---- life ------------------------------------------------------------------------- */
+/* ---- process life cycle ----------------------------------------------------------- */
 
 static gboolean
 on_timer (gpointer data)
@@ -208,8 +209,8 @@
       fb_entry_own (entry, none, 0, "planned stop");
       fb_group_leave (entry->group, on_left, self);
     }
-  /* Failure: the process ends while calls are open; it shows as requests that were read
-   * and get no answer.  Guard: it takes none that could last beyond its end. */
+  /* Failure: the process ends while calls are open; it shows as requests that were read and get no
+   * answer.  Guard: a request that could last beyond the end of the process is refused. */
   if (spent_ms + STOP_MARGIN_MS + FB_FRONT_LONGEST_CALL_MS >= entry->settings->grace_ms)
     entry->refusing = TRUE;
   gboolean done = self->left_ms != 0 && now_ms > self->left_ms + STOP_LINGER_MS
--- a/src/entry/entry.h
+++ b/src/entry/entry.h
@@ -1,5 +1,6 @@
-/* A daemon on the platform. */
+/* The daemon that is deployed on the platform. */
 #pragma once
 
-/* Runs until it is told to stop.  Returns: the exit code of the process. */
+/* Runs the daemon until it is told to stop.
+ * Returns: the exit code of the process. */
 int fb_entry_main (const char *settings_path, int check_only);
--- a/src/entry/owner/owner-load.c
+++ b/src/entry/owner/owner-load.c
@@ -1,7 +1,8 @@
-/* Loading what the owner before left, and what comes in later.
+/* Loads the records of a partition when it is taken over, and applies records that arrive later.
  *
- * The order matters: the writer before is shut out, then its progress is read, then the
- * jobs, and only then are workers spoken to, whose lists of runs can be understood then. */
+ * The order matters: first the previous writer is fenced off, then its progress is read, then the
+ * jobs.  Only then are workers contacted, because their lists of runs can be interpreted only with
+ * the jobs known. */
 #include "owner-private.h"
 
 #include "fb-counter.h"
@@ -10,7 +11,7 @@
 
 #include <string.h>
 
-/* Records that a turn of the main loop takes in: some 10 ms of processor time. */
+/* Records applied in one iteration of the main loop: some 10 ms of processor time. */
 #define LOAD_PER_TURN 32
 
 static void
@@ -29,7 +30,7 @@
   xdr_free ((xdrproc_t) xdr_fb_work_admit, (char *) &record);
 }
 
-/* NOTHING: the record of a cancel says no more. */
+/* VALUE is not used: the key alone identifies the cancelled job. */
 static void
 cancel (FbOwner *self, const char *job, GBytes *nothing)
 {
@@ -106,7 +107,8 @@
 
 typedef void (*TakeRecord) (FbOwner *self, const char *key, GBytes *value);
 
-/* Takes up to MOST records out of TABLE.  Returns: how many it took. */
+/* Applies and removes up to MOST records of TABLE.
+ * Returns: how many were applied. */
 static guint
 take_some (FbOwner *self, GHashTable *table, TakeRecord take, guint most)
 {
@@ -136,9 +138,10 @@
   fb_owner_kick (self);
 }
 
-/* Failure: a pool of hundreds of jobs is taken in within one turn of the main loop, 0.4 s on
- * 0.12 of a core; it shows as callers, orders of other owners and renewals that wait for
- * it.  Guard: each turn takes a few, all jobs before their progress, that before the cancels. */
+/* Failure: a pool of hundreds of jobs is loaded in one iteration of the main loop, 0.4 s on 0.12 of
+ * a core; it shows as callers, orders of other owners and membership renewals that wait for it.
+ * Guard: each iteration loads a few records: all jobs before their progress, and the progress
+ * before the cancels. */
 static gboolean
 on_load_some (gpointer data)
 {
--- a/src/entry/owner/owner-orders.c
+++ b/src/entry/owner/owner-orders.c
@@ -1,5 +1,5 @@
-/* Orders of pools to workers.  An order on its way outlives its owner, so it carries names
- * and finds the pool again when its answer comes. */
+/* Sends the orders of pools to workers.  An order in flight may outlive its owner, so it holds
+ * names and looks the pool up again when its answer arrives. */
 #include "owner-private.h"
 
 #include "fb-counter.h"
@@ -62,7 +62,7 @@
     fb_pool_stop_answered (part->pool, order->order, answer->result, answer->clock_ms, now_ms);
 }
 
-/* What became of ORDER, which ends here. */
+/* Passes ANSWER to the pool of ORDER, if this daemon still owns it, and frees ORDER. */
 static void
 finish (Order *order, const FbLookAnswer *answer)
 {
--- a/src/entry/owner/owner-recall.c
+++ b/src/entry/owner/owner-recall.c
@@ -1,10 +1,11 @@
-/* Asking the other daemons for what no record tells of: starts of earlier owners, and what these
- * held against tasks and could not store. */
+/* Recovers from the other daemons what no record holds: recent starts of earlier owners, and crash
+ * suspects that these could not store. */
 #include "owner-private.h"
 
-/* The answer is of use before the first tasks start again, some 1 s after a take-over. */
+/* The answer is needed before the first tasks are started again, some 1 s after a take-over. */
 #define ANSWER_MS 1000
-/* A daemon knows that a worker fell silent once its last look at it has run out. */
+/* A daemon learns that a worker is unresponsive when its last poll of that worker times out; hence
+ * a second request. */
 #define AGAIN_MS 1500
 #define ASKED_MOST 2
 
@@ -80,7 +81,7 @@
       const FbDaemon *daemon = daemons->pdata[i];
       if (g_str_equal (daemon->address, self->entry->settings->peers))
         continue;
-      /* Asked for once: a task may have been cleared of it since. */
+      /* Requested only once: the owner may have cleared a task of suspicion since. */
       if (self->recalled_n == 1)
         ask_daemon (self, daemon->address, FB_ASK_KEPT);
       ask_daemon (self, daemon->address, FB_ASK_STARTS);
--- a/src/entry/owner/owner-unstored.c
+++ b/src/entry/owner/owner-unstored.c
@@ -1,5 +1,5 @@
-/* Handing what the store does not take to other daemons, and asking them for it after a take-over.
- */
+/* Copies crash suspects that the store does not accept to other daemons, and restores them after a
+ * take-over. */
 #include "owner-private.h"
 
 #include "src/entry/store/rendezvous.h"
@@ -7,7 +7,8 @@
 #include "fb-event.h"
 #include "internal/codec.h"
 
-/* One may be killed with the owner, and another be cut off. */
+/* Number of daemons that hold a copy: one may be killed together with the owner, and another may be
+ * partitioned from the network. */
 #define KEEPERS 3
 #define ANSWER_MS 1000
 
@@ -25,7 +26,8 @@
          && !g_ptr_array_find_with_equal_func (choice->chosen, daemon->address, g_str_equal, NULL);
 }
 
-/* The same daemons for a job, whatever is handed over, as long as they live. */
+/* Sends ASK to the daemons chosen for its job.  A job's copies always go to the same daemons while
+ * these are alive. */
 static void
 hand_over (const FbOwner *self, const fb_ask *ask)
 {
--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -1,5 +1,5 @@
-/* The owner of one partition: drives the pools of the partition's services, makes their
- * progress durable, and knows for how long it may. */
+/* Owner of one partition: runs the pools of the partition's services, stores their progress, and
+ * checks that its ownership is still valid. */
 #include "owner-private.h"
 
 #include "fb-event.h"
@@ -8,16 +8,16 @@
 #include <string.h>
 
 #define WRITER "owner"
-/* Events that come close together are handled in one go. */
+/* Events within this time are handled in one step. */
 #define KICK_MS 4
 #define TICK_MS 25
-/* Evidence that no other daemon owns the pools, and for how long an owner without
- * any keeps its state. */
+/* MAJORITY_MS: age of workers' answers that confirm ownership.  STEP_DOWN_MS: how long an owner
+ * without any confirmation keeps its state. */
 #define MAJORITY_MS 1500
 #define STEP_DOWN_MS 2000
-/* Records of jobs that have ended are dropped together. */
+/* Interval at which records of ended jobs are dropped together. */
 #define DROP_EVERY_MS 1000
-/* "No such job" needs a read of the jobs that is not older than this. */
+/* "No such job" is answered only when the jobs were read at most this long ago. */
 #define FRESH_MS 1500
 
 /* ---- pools --------------------------------------------------------------------- */
@@ -75,7 +75,7 @@
   uint32_t partition;
   uint64_t epoch;
   char *service;
-  GPtrArray *ended; /* ids of jobs whose ends it stores */
+  GPtrArray *ended; /* ids of jobs whose end is part of this flush */
 } Flush;
 
 static void
@@ -104,13 +104,14 @@
 nothing_to_do (gpointer user, FbAppendResult result)
 {
   (void) user;
-  (void) result; /* what stays is dropped when the job is forgotten */
+  (void) result; /* a record that remains is dropped when the pool forgets the job */
 }
 
-/* Failure: an owner is replaced after minutes of work; its successor reads every job that has
- * ended since, each with what it was to run, and places nothing meanwhile: 0.35 to 0.49 s with
- * 2,200 jobs, on a quarter of a core.  Guard: once the end of a job is stored only the end is
- * kept, a tenth of the bytes.  Done in turns, as each append is a call of the store. */
+/* Failure: an owner is replaced after minutes of work; its successor reads every job that has ended
+ * since, each with its full specification, and places nothing meanwhile: 0.35 to 0.49 s with 2,200
+ * jobs, on a quarter of a core.  Guard: once the end of a job is stored its admission is dropped
+ * and only the end is kept, a tenth of the bytes.  Records are dropped in batches because each
+ * append is a call of the store. */
 static void
 drop_spent_jobs (FbOwner *self, uint64_t now_ms)
 {
@@ -157,7 +158,7 @@
   fb_appender_put (self->appender, body, 0, on_flushed, flush);
 }
 
-/* ---- the round -------------------------------------------------------------------- */
+/* ---- periodic step ---------------------------------------------------------------- */
 
 static gboolean
 is_sure (FbOwner *self, const FbOwnerPart *part, uint64_t now_ms)
@@ -169,10 +170,10 @@
   return TRUE;
 }
 
-/* Failure: the daemon was cut off from the store, came back and took over; its list of
- * workers is as old as the cut and lacks one that the owner before has used.  It
- * shows as a second run of what runs there.  Guard: only a list that was read after
- * the owner before was shut out counts. */
+/* Failure: a daemon that was partitioned from the store reconnects and takes a pool over; its list
+ * of workers dates from before the partition and lacks a worker that the previous owner used.  It
+ * shows as a second run of the tasks on that worker.  Guard: only a list that was read after the
+ * previous owner was fenced off counts. */
 static void
 check_worker_list (FbOwner *self)
 {
@@ -237,7 +238,7 @@
     round_of (self);
 }
 
-/* ---- life --------------------------------------------------------------------------- */
+/* ---- construction -------------------------------------------------------------------- */
 
 FbOwner *
 fb_owner_new (FbEntry *entry, uint32_t partition, uint64_t epoch)
@@ -286,7 +287,7 @@
   return self->lost;
 }
 
-/* ---- what the daemon learns ------------------------------------------------------------ */
+/* ---- events of the daemon -------------------------------------------------------------- */
 
 void
 fb_owner_routes_changed (FbOwner *self)
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -1,5 +1,5 @@
-/* What a daemon believes: the store's health, the configuration, the workers, and which
- * partitions are its own. */
+/* State of a daemon: the store's health, the configuration, the workers, and the partitions that it
+ * owns. */
 #include "entry-private.h"
 
 #include "fb-counter.h"
@@ -11,19 +11,19 @@
 #include <xxhash.h>
 
 #define REAP_MS 100
-/* Ids of entries that could not be read; with more of them some are told of again. */
+/* Number of malformed worker entries remembered as logged; beyond it some are logged again. */
 #define SKIPPED_MAX 1000
-/* A poll of the store is answered each 0.4 s, after up to 0.25 s more when it is slow; a
- * join each 0.25 s. */
+/* The store answers a poll every 0.4 s, up to 0.25 s later when it is slow, and a join every
+ * 0.25 s. */
 #define STORE_SILENT_MS 1000
-/* The store counts as lost after this without an answer; polls end sooner. */
+/* Without an answer for this long the store counts as lost; polls time out sooner. */
 #define STORE_LOST_MS 2500
-/* Takes of one partition by one daemon within a generation of the group: with a take
- * each 350 ms this lasts 6 minutes. */
+/* Number of epochs that one daemon can use for a partition within one generation of the group: at
+ * one take-over every 350 ms they last 6 minutes. */
 #define EPOCHS_PER_GENERATION 1024
-/* Every worker writes to its entry each 1.5 s, and a poll returns at the first
- * change: without a pause 48 workers cost 32 polls a second.  A worker that leaves
- * has to be known within 2 s. */
+/* Every worker rewrites its entry each 1.5 s, and a poll returns at the first change: without a
+ * pause 48 workers would cost 32 polls a second.  A worker that leaves has to be noticed within 2
+ * s. */
 #define WORKER_LIST_PAUSE_MS 300
 
 uint64_t
@@ -102,7 +102,7 @@
 
 /* ---- workers ---------------------------------------------------------------------------- */
 
-/* ID: of a worker; the life that is listed under it is not any more. */
+/* Removes the listed incarnation of the worker with this ID. */
 static void
 unlist_worker (FbEntry *self, const char *id)
 {
@@ -131,8 +131,7 @@
     fb_owner_worker_listed (owner, worker);
 }
 
-/* An entry that cannot be read names no worker.  It is told of once: its writer may write it
- * again each second. */
+/* A malformed entry lists no worker.  It is logged once: its writer may repeat it every second. */
 static void
 skip_entry (FbEntry *self, const char *id)
 {
@@ -192,8 +191,8 @@
 
 /* ---- partitions --------------------------------------------------------------------- */
 
-/* Epochs of one partition rise with each owner: with the group's generation, and
- * within it when the same daemon takes the partition again. */
+/* Epochs of a partition grow with each owner: with the group's generation, and within a generation
+ * with each take-over by the same daemon. */
 typedef struct
 {
   uint64_t generation;
@@ -224,7 +223,7 @@
   return appender;
 }
 
-/* 0 for what never happened. */
+/* Returns: the time since AT_MS; 0 when AT_MS is 0, that is, the event has not happened. */
 static guint
 ms_ago (uint64_t at_ms, uint64_t now_ms)
 {
@@ -274,7 +273,7 @@
   take->generation = generation;
   if (take->n >= EPOCHS_PER_GENERATION)
     {
-      /* The next change of the group brings new ones. */
+      /* The group's next generation allows new epochs. */
       log_lost (self, partition, generation, "taken too often in one generation");
       return;
     }
@@ -295,7 +294,7 @@
   fb_owner_free (owner);
 }
 
-/* Only partitions that a service falls on need an owner. */
+/* TRUE when a configured service maps to PARTITION; other partitions need no owner. */
 static gboolean
 is_used (const FbEntry *self, uint32_t partition)
 {
@@ -359,8 +358,8 @@
   (void) user;
 }
 
-/* The highest version that was ever read stays in force: a slow read may return an
- * older one after a newer one. */
+/* Keeps the highest version that was read: a slow read may return an older version after a newer
+ * one. */
 static void
 on_config_record (gpointer user, const FbStoreRecord *record)
 {
