--- a/src/entry/advice/advice-line.c
+++ b/src/entry/advice/advice-line.c
@@ -2,27 +2,28 @@
 
 #include "advice-share.h"
 
-/* Failure: two pools have questions, one of them long ones for every daemon; a daemon that takes
- * them as they come gives one short answer for each long one, 50 a second in all instead of 300
- * with 30 daemons; it shows as one service of which nothing is done in time for as long as the
- * other one has a backlog, and as tasks that last and wait for seconds.  Guard: who has waited
- * longest in shares of its own time goes first, so that short questions get three fifths of the
- * time when both wait, and a long one waits for at most this many times its own time. */
+/* Failure: two pools send requests, one of them long ones to every daemon.  A daemon that sends
+ * them in order of arrival returns one short answer for each long one: 50 a second in all instead
+ * of 300 with 30 daemons.  It shows as one service whose tasks are all late for as long as the
+ * other has a backlog, and as tasks that run and wait for seconds.  Guard: a request becomes due
+ * STRETCH times its own duration after its arrival, and the earliest due goes first.  When both
+ * kinds wait, short requests get three fifths of the time, and a long request waits at most STRETCH
+ * times its own duration. */
 #define STRETCH 1.5
-/* Short questions may follow each other at the service without a pause for the way. */
+/* Two short requests may be open at the service at once, to hide the round trip. */
 #define SHORT_AT_ONCE 2
 
 typedef struct
 {
   gpointer question;
   uint32_t expected_ms;
-  uint64_t due_ms; /* who is due first goes first */
+  uint64_t due_ms; /* the earliest due is sent first */
 } Waiting;
 
 struct _FbAdviceLine
 {
   GArray *waiting; /* of Waiting */
-  GArray *called;  /* of Waiting: with the service */
+  GArray *called;  /* of Waiting: open calls to the service */
 };
 
 FbAdviceLine *
@@ -57,7 +58,7 @@
   return waiting->expected_ms < FB_ADVICE_LONG_MS;
 }
 
-/* Returns: the index of who is due first; WAITING->len when nobody waits. */
+/* Returns: the index of the request that is due first; waiting->len when none waits. */
 static guint
 first_due (const FbAdviceLine *self)
 {
--- a/src/entry/advice/advice-share.c
+++ b/src/entry/advice/advice-share.c
@@ -2,28 +2,29 @@
 
 #include <math.h>
 
-/* Questions are told apart by the power of two of their time. */
+/* Number of classes of requests; the class is the binary logarithm of the expected duration. */
 #define CLASS_N 16
-/* A question is kept from daemons by those that take less than a quarter of its time: a
- * wait behind one of half its length costs a caller little more than its own. */
+/* Daemons are reserved against a request for those that take less than a quarter of its duration:
+ * waiting behind a request of half its own length costs a caller little more than its own
+ * duration. */
 #define CLASSES_APART 2
-/* Failure: two owners do not know of each other's questions, and a daemon's calls wait for each
- * other; a short question of one waits behind a long one of the other, and its callers are late
- * (0.008 of the mean worth of a site with two services).  Guard: long ones are taken from the end
- * of the daemons, short ones from the beginning (FB_ADVICE_LONG_MS). */
-
-/* Failure: another owner has a long question at every daemon, and a daemon that has answered a
- * short one begins a long one while the next short one is on its way; it shows as short questions
- * that get one answer for each long one.  Guard: a second short question waits at the daemon
- * already. */
+/* Failure: two owners do not know of each other's requests, and a daemon's calls queue; a short
+ * request of one waits behind a long one of the other, and its callers are late (0.008 of the mean
+ * worth of a site with two services).  Guard: long requests are assigned from the end of the list
+ * of daemons, short ones from the beginning (FB_ADVICE_LONG_MS). */
+
+/* Failure: another owner has a long request at every daemon, and a daemon that has answered a short
+ * one begins a long one while the next short one is still in transit; it shows as short requests
+ * that get one answer for each long one.  Guard: a second short request is already queued at the
+ * daemon. */
 #define SHORT_AT_ONCE 2
 
-/* What was asked counts half after this: bursts last some seconds. */
+/* Half-life of the load of sent requests: bursts last some seconds. */
 #define HALF_LIFE_MS 1000
 
 typedef struct
 {
-  double busy_ms; /* time of questions, halved each HALF_LIFE_MS */
+  double busy_ms; /* expected duration of requests sent, halved every HALF_LIFE_MS */
   uint64_t as_of_ms;
 } Load;
 
@@ -33,10 +34,10 @@
   GHashTable *open; /* address -> Open */
 };
 
-/* What is open at one daemon: one question, or several short ones. */
+/* Open requests at one daemon: one, or several short ones. */
 typedef struct
 {
-  guint class; /* of the last one */
+  guint class; /* class of the last request */
   guint n;
 } Open;
 
@@ -69,7 +70,7 @@
   load->as_of_ms = MAX (load->as_of_ms, now_ms);
 }
 
-/* Daemons that questions much shorter than CLASS have kept busy lately. */
+/* Returns: how many daemons were recently kept busy by requests much shorter than CLASS. */
 static double
 shorter_load (FbAdviceShare *self, guint class, uint64_t now_ms)
 {
@@ -79,19 +80,20 @@
       fade (&self->loads[i], now_ms);
       busy_ms += self->loads[i].busy_ms;
     }
-  /* A steady load of one daemon adds up to this. */
+  /* A constantly busy daemon adds up to HALF_LIFE_MS / ln 2. */
   return busy_ms / (HALF_LIFE_MS / G_LN2);
 }
 
-/* With 38 questions of 16 ms a second, 10 of 89 ms and 2 of 875 ms at nine daemons the long ones
- * may use seven, and six during a burst of 2.3 times the short ones.  Half as many again and one
- * more were too many: gangs waited, and the mean worth of 20 days of two sites without processor
- * time was 0.006 lower. */
+/* With 38 requests of 16 ms a second, 10 of 89 ms and 2 of 875 ms at nine daemons, the long ones
+ * may use seven daemons, and six during a burst of 2.3 times the short ones.  Reserving half as
+ * many again and one more was too much: gangs waited, and the mean worth of 20 days of two sites
+ * without processor time was 0.006 lower. */
 guint
 fb_advice_share_kept (FbAdviceShare *self, guint daemons_n, uint32_t expected_ms, uint64_t now_ms)
 {
   double load = shorter_load (self, class_of (expected_ms), now_ms);
-  /* A hundredth of a daemon: who asked last some seconds ago is asked for no more. */
+  /* Below a hundredth of a daemon nothing is reserved: the last short request was some seconds
+   * ago. */
   if (load < 0.01 || daemons_n < 2)
     return 0;
   return MIN (MAX ((guint) (load + 0.5), 1), daemons_n - 1);
@@ -109,7 +111,7 @@
   return n;
 }
 
-/* Returns: (nullable): a daemon with OPEN_N questions open, all of them short if any are. */
+/* Returns: (nullable): a daemon with OPEN_N open requests, all of them short. */
 static const char *
 daemon_with (const FbAdviceShare *self, const GPtrArray *daemons, guint open_n, gboolean from_end)
 {
--- a/src/entry/advice/advisor.c
+++ b/src/entry/advice/advisor.c
@@ -1,11 +1,11 @@
-/* Questions for advice.  The advice service handles one call at a time for each
- * calling daemon, and a call takes up to a second: the owner of a pool spreads its
- * questions over all daemons, one open at each or two short ones (advice-share.h), where those of
- * several owners wait in one line (advice-line.h).
+/* Requests to the advice service.  The service handles one call at a time for each calling daemon,
+ * and a call takes up to a second.  The owner of a pool therefore spreads its requests over all
+ * daemons, with one open at each, or two short ones (advice-share.h); at a daemon, requests of
+ * several owners wait in one queue (advice-line.h).
  *
- * Failure: one daemon is left and owns two pools; the one whose answer has just come asks
- * again first, each time, and nothing of the other is started any more.  Guard: pools that
- * wait for a daemon take turns, by the time that their questions have taken. */
+ * Failure: one daemon is left and owns two pools; the pool that has just got its answer always asks
+ * again first, and no task of the other pool is started any more.  Guard: pools that wait for a
+ * daemon take turns, by the service time that their requests have used. */
 #include "advice-line.h"
 #include "advice-share.h"
 #include "src/entry/entry-private.h"
@@ -15,20 +15,21 @@
 #include "fb-event.h"
 #include "fb-histogram.h"
 
-/* How long a question may wait at a daemon for those of other pools: for one of 1.8 s that has just
- * begun, and for the short ones that go first meanwhile; a long one for twice its own time. */
+/* How long a request may wait at a daemon behind those of other pools: long enough for one of 1.8 s
+ * that has just begun and for short ones that go first meanwhile; a long request may wait for twice
+ * its own duration. */
 #define PATIENCE_MS 3000
 #define PATIENCE_TIMES 2
-/* The longest that is believed of a question: a hundred workers at 100 ms each. */
+/* Upper bound of a request's expected duration: a hundred workers at 100 ms each. */
 #define EXPECTED_MOST_MS 10000
-/* For the way to the service and back, over what it has to decide. */
+/* Allowance for the network on top of the time that the decision takes. */
 #define CALL_SLACK_MS 1500
 
 struct _FbAdvisor
 {
   FbEntry *entry;
-  FbTurns *turns;      /* of pools: for short questions, or for all */
-  FbTurns *long_turns; /* for those that leave daemons to shorter ones */
+  FbTurns *turns;      /* fair shares of pools among requests that reserve no daemons */
+  FbTurns *long_turns; /* the same for requests that leave daemons to shorter ones */
   FbAdviceShare *share;
   FbAdviceLine *line; /* of AdviceCall */
 };
@@ -58,7 +59,7 @@
   g_free (question);
 }
 
-/* Returns: (nullable): the life that QUESTION asked about under ID; borrowed. */
+/* Returns: (nullable): the incarnation of worker ID that QUESTION named; borrowed. */
 static char *
 life_of (const Question *question, const char *id)
 {
@@ -71,8 +72,8 @@
   return NULL;
 }
 
-/* Tickets name workers by their ids; they are for the lives that were asked about.  TOLD: NULL
- * without an answer. */
+/* Passes the answer to OWNER.  Tickets name workers by id; they are assigned to the incarnations
+ * that the request named.  TOLD: NULL without an answer. */
 static void
 tell_owner (FbOwner *owner, const Question *question, const fb_told_advice *told)
 {
@@ -104,7 +105,7 @@
                   question->daemon);
   if (owner != NULL)
     tell_owner (owner, question, answered ? &told->fb_told_u.advice : NULL);
-  /* Whose turn it is may ask now. */
+  /* Lets the pool whose turn it is send its request. */
   fb_entry_each_owner (question->entry, fb_owner_kick);
   question_free (question);
 }
@@ -115,8 +116,8 @@
   return g_strcmp0 (*(const char *const *) a, *(const char *const *) b);
 }
 
-/* Returns: (transfer container): addresses of the daemons that may take a question; the same
- * order at every owner, so that short questions of two owners meet at the same ones. */
+/* Returns: (transfer container): addresses of the daemons that may take a request, in the same
+ * order at every owner, so that short requests of two owners are sent to the same daemons. */
 static GPtrArray *
 all_daemons (const FbAdvisor *self)
 {
@@ -127,8 +128,8 @@
   return daemons;
 }
 
-/* Returns: (nullable): the daemon for a question; NULL: none is free, or another pool is to
- * go first. */
+/* Returns: (nullable): the daemon for a request; NULL when none is free or another pool is to go
+ * first. */
 static const char *
 take_turn (FbAdvisor *self, uint32_t partition, uint32_t expected_ms)
 {
@@ -187,7 +188,7 @@
   return TRUE;
 }
 
-/* ---- the call itself --------------------------------------------------------- */
+/* ---- call of the service ------------------------------------------------------- */
 
 typedef struct
 {
@@ -201,7 +202,7 @@
 
 static void call_next (FbAdvisor *self);
 
-/* TOLD: NULL without an answer. */
+/* Completes CALL with TOLD, which is NULL without an answer, and frees it. */
 static void
 end_call (AdviceCall *call, const fb_told *told)
 {
@@ -224,7 +225,8 @@
   call_next (self);
 }
 
-/* Who asked has given up by then: a call would only hold up the others. */
+/* TRUE when the requester has given up already: calling the service would only delay other
+ * requests. */
 static gboolean
 is_too_late (const AdviceCall *call)
 {
--- a/src/entry/advice/advisor.h
+++ b/src/entry/advice/advisor.h
@@ -1,4 +1,4 @@
-/* Spreads questions for advice over the daemons, and calls the service for all of them. */
+/* Spreads requests for advice over the daemons, and calls the service on behalf of any daemon. */
 #pragma once
 
 #include "src/entry/peers/relay.h"
@@ -6,7 +6,7 @@
 typedef struct _FbAdvisor FbAdvisor;
 
 FbAdvisor *fb_advisor_new (FbEntry *entry);
-/* Returns: FALSE when every daemon has a question open. */
+/* Returns: FALSE when no daemon can take the request now. */
 gboolean fb_advisor_ask (FbAdvisor *self, uint32_t partition, const char *step,
                          const char *const *workers, guint n, uint32_t expected_ms);
 /* Calls the advice service from here. */
--- a/src/entry/advice/turns.c
+++ b/src/entry/advice/turns.c
@@ -1,15 +1,15 @@
 #include "turns.h"
 
-/* One that waits asks again each 25 ms: after so long without it waits no more. */
+/* A waiting user asks again every 25 ms; one that has not asked for this long no longer waits. */
 #define WAITS_MS 100
-/* One that asked for nothing for so long has no claim for that time. */
+/* A user that asked for nothing for this long gets no credit for that time. */
 #define IDLE_MS 1000
 
 typedef struct
 {
   uint64_t used_ms;
   uint64_t asked_ms;
-  uint64_t waits_ms; /* when it was last turned away; 0: it was not, or went since */
+  uint64_t waits_ms; /* when it last had to wait; 0: not since it was last served */
 } Turn;
 
 struct _FbTurns
@@ -44,7 +44,7 @@
   return turn;
 }
 
-/* The least that another has used which waits; G_MAXUINT64 when none does. */
+/* Returns: the least time used by any waiting user other than BUT; G_MAXUINT64 when none waits. */
 static uint64_t
 least_used_ms (const FbTurns *self, const Turn *but, uint64_t now_ms)
 {
--- a/src/entry/store/appender.c
+++ b/src/entry/store/appender.c
@@ -1,21 +1,21 @@
-/* Appends to one partition, one call at a time: what arrives meanwhile goes into the
- * next call (group commit).
+/* Appends records to one partition with one call at a time; records that arrive meanwhile go into
+ * the next call (group commit).
  *
- * An append without an answer may have been done, or may be done later.  A writer
- * repeats it under its sequence until it knows.  Without a writer the records are
- * keyed, so a repeat does no harm: it is repeated too, and if doubt is left at the
- * end the caller is told so, never that nothing was stored. */
+ * An append without an answer may have been stored, or may be stored later.  A writer repeats it
+ * under its sequence number until the outcome is known.  Without a writer the records are keyed, so
+ * a repeat is harmless: it is repeated too, and if the outcome is still unknown at the end the
+ * caller is told so, never that nothing was stored. */
 #include "src/entry/entry-private.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 #include "fb-histogram.h"
 
-/* For an append through another daemon. */
+/* Time limit of an append through another daemon. */
 #define PEER_ANSWER_MS 900
 #define RETRY_FIRST_MS 40
 #define RETRY_LAST_MS 300
-/* Largest body of a call that the store takes, less room for one record. */
+/* Largest body that the store accepts in one call, less room for one record. */
 #define BATCH_MAX_BYTES (1024 * 1024)
 
 typedef struct
@@ -35,11 +35,11 @@
   uint64_t epoch;
   uint64_t sequence;
   GQueue waiting; /* of Item */
-  GQueue batch;   /* of Item: what the open call, or its repeat, holds */
+  GQueue batch;   /* of Item: records in the open call or its repeat */
   GBytes *body;
   uint64_t begun_ms; /* when the batch was first sent */
-  gboolean doubt;    /* a call with this body got no answer */
-  guint failed_n;    /* calls with this body that the store did not take */
+  gboolean doubt;    /* a call with this body got no answer, so it may be stored */
+  guint failed_n;    /* number of calls with this body that failed */
   uint32_t retry_ms;
   guint timer;
   gboolean call_open;
@@ -140,7 +140,7 @@
   finish_batch (self, result);
 }
 
-/* The open call came to RESULT; CODE is the store's, 0 for a peer's word. */
+/* Ends the open call with RESULT; CODE is the store's HTTP status, 0 when a peer made the call. */
 static void
 end_call (FbAppender *self, FbAppendResult result, guint code)
 {
@@ -189,10 +189,10 @@
   self->begun_ms = fb_clock_ms ();
 }
 
-/* Failure: the store turns the owner away and serves the others; until another daemon has
- * taken the pool over, 1 to 1.5 s, no end is recorded, so that none is shown: short jobs
- * that end meanwhile are late.  Guard: every second try goes through a peer; the store
- * takes a sequence once, whoever sends it. */
+/* Failure: the store rejects the owner's calls and serves the other daemons; until another daemon
+ * has taken the pool over, 1 to 1.5 s, no end is recorded and therefore none is reported: short
+ * jobs that end meanwhile are late.  Guard: every second attempt goes through a peer; the store
+ * accepts a sequence number once, whoever sends it. */
 static gboolean
 write_by_peer (FbAppender *self)
 {
--- a/src/entry/store/daemons.c
+++ b/src/entry/store/daemons.c
@@ -10,32 +10,33 @@
 #include <string.h>
 
 #define GROUP "daemons"
-/* A member that is dead is left out after this; meanwhile what is sent to it fails at once or
- * after its time limit, and it rests.  Short lives cost calls of the store. */
+/* A dead member is removed after this time; until then calls to it fail at once or time out, and it
+ * is not used for a while (rests_ms).  A shorter time to live costs more calls of the store. */
 #define TTL_MS 2000
 #define JOIN_EVERY_MS 600
-/* The store deals anew once each member has joined with the new generation: who learned of one
- * joins again soon. */
+/* The store reassigns partitions once each member has joined with the new generation: a member that
+ * learns of a new generation joins again soon. */
 #define JOIN_CHANGED_MS 100
 #define ANSWER_MS 500
-/* Members are read when the group has changed, and this often all the same. */
+/* Members are read when the group has changed, and at this interval in any case. */
 #define READ_EVERY_MS 3000
 #define READ_SOON_MS 300
-/* While no list counts yet, pools wait for it. */
+/* Retry interval until a list counts, because pools wait for it. */
 #define READ_FIRST_MS 100
-/* Failure: all daemons start at the same moment, and the list that each of them reads first names
+/* Failure: all daemons start at the same moment, and the first list that each of them reads names
  * two of 33: each takes itself for a strong one.  It shows as pools that daemons of 0.12 of a core
- * take over, and lose 0.5 to 1.3 s later to those of 0.5 of a core, which begin anew.  Guard: a
- * list that does not name the reader's address does not count: it is of after the loss and before
- * the return.  One that names the process before it does, as it is of before the loss.  After this
- * time any list counts: the store may not get round to deal the reader in. */
+ * take over and lose 0.5 to 1.3 s later to those of 0.5 of a core, which begin anew.  Guard: a list
+ * that does not name the reader's address does not count, because it was made after the loss of the
+ * old members and before the reader was added.  A list that names the reader's previous process
+ * counts, because it was made before the loss.  After this time any list counts, because the store
+ * may never get to assign a partition to the reader. */
 #define FIRST_LIST_MS 1500
-/* Topics that the group deals out at first.  The store names only members that hold a partition, so
- * there have to be more of these than daemons; see fb_daemons_topics(). */
+/* Number of topics whose partitions the group assigns at first.  The store names only members that
+ * hold a partition, so there have to be more partitions than daemons; see fb_daemons_topics(). */
 #define TOPICS_FIRST 4
 #define TOPICS_MAX 64
-/* A daemon with less than half of the strongest one's processor owns nothing: an owner's load is
- * that of its pool, whatever it has itself. */
+/* A daemon with less than half of the strongest one's processor owns nothing: an owner's load
+ * depends on its pool, not on the owner's own size. */
 #define STRONG_PERCENT 50
 
 struct _FbDaemons
@@ -50,7 +51,7 @@
   FbDismissal *dismissal;
   uint64_t generation;
   uint64_t read_generation;
-  uint64_t read_ms; /* when they were asked for last */
+  uint64_t read_ms; /* when the members were last requested */
   gboolean read_open;
   gboolean leaving;
   guint timer;
@@ -67,7 +68,8 @@
   g_free (member);
 }
 
-/* NAME: ADDRESS/DOMAIN/CPU/START.  Returns: (transfer full) (nullable). */
+/* NAME: ADDRESS/DOMAIN/CPU/START.
+ * Returns: (transfer full) (nullable): the member; NULL when NAME is malformed. */
 static FbDaemon *
 member_from (const char *name)
 {
@@ -120,9 +122,9 @@
   return find (members, address) != NULL;
 }
 
-/* Failure: a group of more daemons than partitions names only some of them; the others carry no
- * orders and ask for no advice.  Guard: once as many are named as there are partitions, the group
- * deals out twice as many topics. */
+/* Failure: a group of more daemons than partitions names only some of them; the others relay no
+ * orders and send no requests for advice.  Guard: once as many members are named as there are
+ * partitions, the number of topics is doubled. */
 guint
 fb_daemons_topics (guint topics_n, guint partitions_n, guint members_n)
 {
@@ -136,9 +138,9 @@
   return strncmp (name, own_name, address_len + 1) == 0 && !g_str_equal (name, own_name);
 }
 
-/* Failure: all daemons lose power and come back within their time to live; the store deals nothing
- * to the new processes until the ones before have run out of it, so that new lists come 1.2 s
- * after the return.  Guard: the processes before are taken out. */
+/* Failure: all daemons lose power and come back within their time to live; the store assigns
+ * nothing to the new processes until the previous ones have expired, so that new lists come 1.2 s
+ * after the restart.  Guard: each daemon removes its previous processes from the group. */
 static void
 dismiss_predecessors (FbDaemons *self, const GArray *rows)
 {
--- a/src/entry/store/daemons.h
+++ b/src/entry/store/daemons.h
@@ -1,7 +1,7 @@
-/* The daemons that live, as the store's group has them: where they are and what they can do.
+/* The live daemons according to the store's group: their addresses and capacities.
  *
- * Every daemon is a member.  Ownership of pools is dealt among the stronger ones only
- * (group.c), work that can be done anywhere is spread over all. */
+ * Every daemon is a member.  Ownership of pools is assigned among the stronger ones only (group.c);
+ * work that any daemon can do is spread over all. */
 #pragma once
 
 #include <glib.h>
@@ -12,36 +12,38 @@
 
 typedef struct
 {
-  char *address; /* for its peers */
+  char *address; /* IP:PORT where its peers reach it */
   char *domain;  /* failure domain */
   uint32_t cpu_milli;
-  uint64_t started_us; /* of its process, on its own clock */
-  uint64_t rests_ms;   /* it gets nothing to carry until then: it did not answer */
-  uint64_t refuses_ms; /* it gets no records to store until then: it could not */
+  uint64_t started_us; /* start of its process, us since 1970 on its own clock */
+  uint64_t rests_ms;   /* gets no orders to relay until then: it did not answer */
+  uint64_t refuses_ms; /* gets no records to append until then: it failed */
 } FbDaemon;
 
 FbDaemons *fb_daemons_new (FbEntry *entry);
-/* Returns: of FbDaemon, borrowed; empty while nothing is known. */
+/* Returns: the members, of FbDaemon, borrowed; empty until a list was read. */
 const GPtrArray *fb_daemons_all (const FbDaemons *self);
-/* TRUE when this daemon is one of the stronger: it has half or more of what the strongest has. */
+/* TRUE when this daemon may own partitions: it has half or more of the strongest member's
+ * processor. */
 gboolean fb_daemons_is_strong (const FbDaemons *self);
-/* FALSE until a list of the members was read that names this daemon's address. */
+/* FALSE until a list of the members was read that names this daemon's address, or FIRST_LIST_MS
+ * have passed. */
 gboolean fb_daemons_known (const FbDaemons *self);
-/* The member at ADDRESS did not answer. */
+/* Records that the member at ADDRESS did not answer: it gets no orders to relay until UNTIL_MS. */
 void fb_daemons_rest (FbDaemons *self, const char *address, uint64_t until_ms);
-/* The member at ADDRESS could not store a record. */
+/* Records that the member at ADDRESS could not store a record: it gets none until UNTIL_MS. */
 void fb_daemons_refuses (FbDaemons *self, const char *address, uint64_t until_ms);
-/* Leaves at a planned stop: nothing is given to it any more. */
+/* Leaves the group at a planned stop, so that peers send nothing more to this daemon. */
 void fb_daemons_leave (FbDaemons *self);
 
-/* Reads the members that ROWS name, of FbPartitionOwner, into MEMBERS, of FbDaemon: one for each
- * address, the process that started last.  What is no name of a member is left out. */
+/* Adds the members named by ROWS, of FbPartitionOwner, to MEMBERS, of FbDaemon: one for each
+ * address, the process that started last.  Malformed names are skipped. */
 void fb_daemons_read (GPtrArray *members, const GArray *rows);
 void fb_daemon_free (gpointer member);
-/* TRUE when MEMBERS hold a process at ADDRESS. */
+/* TRUE when MEMBERS contain a process at ADDRESS. */
 gboolean fb_daemons_hold (const GPtrArray *members, const char *address);
-/* TRUE when NAME is of another process at the address of OWN_NAME; both are names of members. */
+/* TRUE when NAME, a member's name, denotes another process at the address of OWN_NAME. */
 gboolean fb_daemons_is_predecessor (const char *name, const char *own_name);
-/* Returns: how many topics a group is to deal out that deals TOPICS_N with PARTITIONS_N partitions
- * in all, and names MEMBERS_N daemons. */
+/* Returns: the number of topics for the group's next join, given that it has TOPICS_N topics with
+ * PARTITIONS_N partitions in all and names MEMBERS_N daemons. */
 guint fb_daemons_topics (guint topics_n, guint partitions_n, guint members_n);
--- a/src/entry/store/dismissal.c
+++ b/src/entry/store/dismissal.c
@@ -9,7 +9,7 @@
   FbEntry *entry;
   const char *group;
   const char *name;
-  GHashTable *dismissed; /* names of earlier processes that were taken out */
+  GHashTable *dismissed; /* names of earlier processes that were removed */
 };
 
 FbDismissal *
@@ -27,7 +27,7 @@
 on_taken_out (gpointer data, const FbHttpReply *reply)
 {
   (void) data;
-  (void) reply; /* without an answer its time to live runs out */
+  (void) reply; /* without an answer the member expires after its time to live */
 }
 
 static void
--- a/src/entry/store/dismissal.h
+++ b/src/entry/store/dismissal.h
@@ -1,6 +1,6 @@
-/* Takes processes of this daemon out of a group of the store: this one when it leaves, and those
- * before it, which the store would deal to until their time to live is over.  This process listens
- * at the same address, so those are dead. */
+/* Removes processes of this daemon from a group of the store: this process when it leaves, and
+ * earlier ones, to which the store would assign partitions until their time to live is over.  This
+ * process listens at the same address, so the earlier ones are dead. */
 #pragma once
 
 #include "src/net/http-client.h"
@@ -8,10 +8,11 @@
 typedef struct _FbEntry FbEntry;
 typedef struct _FbDismissal FbDismissal;
 
-/* GROUP: a static text.  NAME: of this process as a member, borrowed while SELF lives. */
+/* GROUP: a static string.  NAME: this process's member name, borrowed while SELF exists. */
 FbDismissal *fb_dismissal_new (FbEntry *entry, const char *group, const char *name);
-/* Takes this process out.  DONE is called when the store has it, or gave no answer; may be NULL. */
+/* Removes this process.  DONE, which may be NULL, is called with the store's answer, or when none
+ * came. */
 void fb_dismissal_leave (FbDismissal *self, FbHttpReplyDone done, gpointer user);
-/* Takes MEMBER out if it is an earlier process of this daemon.
- * Returns: FALSE when it is none, or was taken out before. */
+/* Removes MEMBER if it is an earlier process of this daemon.
+ * Returns: FALSE when it is not one, or was removed before. */
 gboolean fb_dismissal_of (FbDismissal *self, const char *member);
--- a/src/entry/store/follower.c
+++ b/src/entry/store/follower.c
@@ -1,28 +1,28 @@
-/* Follows one partition of a keyed topic: the newest record of each key first, then
- * what is added, by long polls.
+/* Follows one partition of a keyed topic: first the newest record of each key, then each later
+ * record, by long polls.
  *
- * Failure: a connection goes silent for good; it shows as a poll that never ends.
- * Guard: a poll has little more time than it asked to wait, and its successor
- * uses another connection. */
+ * Failure: a connection goes silent for good; it shows as a poll that never ends.  Guard: a poll
+ * times out shortly after the time that it asked the store to wait, and the next poll uses another
+ * connection. */
 #include "src/entry/entry-private.h"
 
 #include "fb-event.h"
 
-/* A poll waits this long, so that a silent connection is found and a new one has
- * answered within the 2 s in which a configuration has to be in force. */
+/* Wait time of a poll at the store.  It is short enough that a silent connection is detected and a
+ * new one has answered within the 2 s in which a configuration has to be in force. */
 #define POLL_WAIT_MS 400
-/* The store's answers take 4 ms, and 60 times that when it is slow. */
+/* Allowance for the store's answer, which takes 4 ms, and 60 times as long when the store is
+ * slow. */
 #define ANSWER_MS 800
-/* The first bytes of a page come after some 20 ms, and after 0.3 s when the store is slow.
+/* The first bytes of a page arrive after some 20 ms, and after 0.3 s when the store is slow.
  *
- * Failure: a daemon starts while the store is silent; a listing that it sent just before
- * the store came back is never answered, and shows as 1.5 s in which it knows neither
- * configuration nor jobs.  Guard: the first try is given up after a short silence, each
- * repeat waits twice as long. */
+ * Failure: a daemon starts while the store is silent; a listing that it requested just before the
+ * store came back is never answered, so that for 1.5 s it knows neither configuration nor jobs.
+ * Guard: the first attempt times out after a short silence, and each repeat waits twice as long. */
 #define PAGE_FIRST_MS 300
 #define PAGE_LAST_MS 2400
-/* A page of 1 MB, a third more on the way, takes 1.1 s at 10 Mbit/s, the thinnest link of a
- * daemon; four pools may be listed at once, and callers' jobs come meanwhile. */
+/* A page of 1 MB, a third more when encoded, takes 1.1 s at 10 Mbit/s, the slowest link of a
+ * daemon; four pools may be listed at once, and callers' jobs use the link as well. */
 #define WHOLE_MS 6000
 #define RETRY_FIRST_MS 50
 #define RETRY_LAST_MS 400
@@ -32,21 +32,21 @@
   FbEntry *entry;
   char *topic;
   uint32_t partition;
-  uint32_t pause_ms; /* between a page of changes and the next poll */
+  uint32_t pause_ms; /* pause between a page of changes and the next poll */
   const FbFollowerOps *ops;
   gpointer user;
-  char *after; /* last key of the listing so far; NULL: it begins */
+  char *after; /* last key of the listing so far; NULL before its first page */
   gboolean listing;
   uint64_t from;
   uint64_t sent_ms;
-  uint64_t listing_ms; /* when the first page of the open listing was sent */
+  uint64_t listing_ms; /* when the first page of the current listing was requested */
   uint64_t fresh_ms;
   uint32_t retry_ms;
-  uint32_t page_ms; /* silence after which the next page of a listing is given up */
+  uint32_t page_ms; /* silence after which the next page of a listing times out */
   guint timer;
-  gboolean hurry; /* the next pause is left out */
+  gboolean hurry; /* the next pause is skipped */
   gboolean call_open;
-  gboolean in_reply; /* the callbacks below may free it */
+  gboolean in_reply; /* callbacks are running, which may free this follower */
   gboolean freed;
 };
 
@@ -105,7 +105,7 @@
       retry_later (self);
       return;
     }
-  /* Pages are no snapshot: what changed since the first page is read again. */
+  /* The pages are no snapshot: changes since the first page are read again. */
   if (self->after == NULL)
     {
       self->from = end;
@@ -120,9 +120,10 @@
     }
   else
     {
-      /* Failure: a record stored behind the page that had been read is not known yet when the last
-       * page comes; dated by that one, the listing proved that there is no such job, and its
-       * caller was told so.  Guard: it is as old as its first page. */
+      /* Failure: a record is stored in a part of the listing that was read already, so that it is
+       * not known when the last page arrives; with the time of the last page as its age, the
+       * listing proved that there is no such job, and its caller was told so.  Guard: a listing is
+       * as old as its first page. */
       self->listing = FALSE;
       self->fresh_ms = self->listing_ms;
       self->ops->listed (self->user);
--- a/src/entry/store/follower.h
+++ b/src/entry/store/follower.h
@@ -8,19 +8,19 @@
 
 typedef struct
 {
-  /* A full listing begins; what it does not pass is gone. */
+  /* A full listing begins; keys that it does not contain no longer exist. */
   void (*begin) (gpointer user);
   void (*record) (gpointer user, const FbStoreRecord *record);
-  /* The listing is complete; changes follow. */
+  /* The listing is complete; later records follow as they are stored. */
   void (*listed) (gpointer user);
 } FbFollowerOps;
 
-/* PAUSE_MS lies between a page of changes and the next poll. */
+/* PAUSE_MS: pause between a page of changes and the next poll. */
 FbFollower *fb_follower_new (FbEntry *entry, const char *topic, uint32_t partition,
                              uint32_t pause_ms, const FbFollowerOps *ops, gpointer user);
 void fb_follower_free (FbFollower *self);
-/* Reads now what it would read after its pause. */
+/* Skips the pause before the next poll. */
 void fb_follower_hurry (FbFollower *self);
-/* When the last answered read was sent: everything stored before is known.  0
- * while the first listing is open. */
+/* Returns: when the last answered read was sent: every record stored before that time is known; 0
+ * while the first listing is incomplete. */
 uint64_t fb_follower_fresh_ms (const FbFollower *self);
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -1,8 +1,8 @@
-/* Which daemon owns which partitions, as the store deals them.
+/* Ownership of partitions, as the store assigns them to the members of a group.
  *
- * A daemon that the store can no longer hear is dealt out after its time to live.
- * Its name carries the moment of its start: a restarted process must not be taken
- * for the one before, whose orders may still be under way. */
+ * The partitions of a daemon whose joins no longer reach the store are reassigned after its time to
+ * live.  A member's name contains the start time of its process: a restarted process must not be
+ * taken for its predecessor, whose orders may still be in transit. */
 #include "dismissal.h"
 
 #include "src/entry/entry-private.h"
@@ -12,27 +12,27 @@
 #include <string.h>
 
 #define GROUP "owners"
-/* A dead owner is replaced after this, if the store allows so short a time; a take-over
- * adds some 0.3 s.  A daemon on a quarter of a core gets three joins through. */
+/* A dead owner is replaced after this time, if the store allows so short a time to live; a
+ * take-over adds some 0.3 s.  A daemon on a quarter of a core completes three joins within it. */
 #define TTL_MS 1000
 #define JOIN_EVERY_MS 250
-/* The store deals anew once each member has joined with the new generation; after a loss
- * of all daemons that takes several rounds.  With 62 ms pools were settled 0.8 s after the
- * last start, with this 0.25 s. */
+/* The store reassigns partitions once each member has joined with the new generation; after a loss
+ * of all daemons that takes several rounds.  With 62 ms pools were operational 0.8 s after the last
+ * start, with this 0.25 s. */
 #define JOIN_CHANGED_MS 30
-/* Pause while it is not known yet who the members are, some 10 ms after the start. */
+/* Retry interval until the members are known, some 10 ms after the start. */
 #define UNKNOWN_MS 10
 #define ANSWER_MS 500
-/* Failure: a store that was silent answers again, and callers are refused until a call that
- * is sent later has told so; with 0.5 s for a join it showed as 0.4 to 0.6 s of refusals more,
- * a fifth of the time in which a caller tries.  Guard: while the store is silent a join is
- * given up and repeated soon, and each second one has the usual time, for a slow store. */
+/* Failure: a store that was silent answers again, but callers are refused until a call that was
+ * sent after its return is answered; with 0.5 s for a join this added 0.4 to 0.6 s of refusals, a
+ * fifth of the time in which a caller retries.  Guard: while the store is silent a join times out
+ * and is repeated soon; every second one has the usual time limit, for a slow store. */
 #define PROBE_ANSWER_MS 150
 #define PROBE_PAUSE_MS 30
-/* Owners are asked for when the group changed, and this often all the same. */
+/* Owners are requested when the group has changed, and at this interval in any case. */
 #define OWNERS_EVERY_MS 3000
 #define OWNERS_SOON_MS 200
-/* What the store has told is told to peers for so long: a read each OWNERS_EVERY_MS. */
+/* Age up to which the owners are passed on to peers; they are read every OWNERS_EVERY_MS. */
 #define OWNERS_FRESH_MS 3800
 
 struct _FbGroup
@@ -41,18 +41,18 @@
   char *member;
   uint32_t ttl_ms;
   uint64_t generation;
-  uint64_t ok_sent_ms; /* when the last join that was answered had been sent */
+  uint64_t ok_sent_ms; /* when the last answered join was sent; 0: not a member */
   uint64_t join_sent_ms;
-  uint64_t owners_ms;   /* when the store last told the owners */
-  guint probes_n;       /* joins since the store fell silent */
+  uint64_t owners_ms;   /* when the store last returned the owners */
+  guint probes_n;       /* number of joins since the store stopped answering */
   GHashTable *owner_of; /* partition -> address */
   uint64_t owners_generation;
   uint64_t owners_asked_ms;
   gboolean owners_open;
-  gboolean peer_open; /* a peer is asked for them */
+  gboolean peer_open; /* a request to a peer for the owners is open */
   FbDismissal *dismissal;
   guint timer;
-  gboolean renews; /* joins are sent, and repeated by the keepalive */
+  gboolean renews; /* joins are being sent, and repeated by the keepalive */
   gboolean leaving;
   void (*left) (gpointer user);
   gpointer left_user;
@@ -79,10 +79,9 @@
 
 /* ---- earlier processes of this daemon ------------------------------------------ */
 
-/* Failure: a daemon is killed and starts again within its time to live; the store still
- * takes the process before for the owner of its partitions, and their pools stand still
- * for what is left of that time (0.5 s when all are killed).  Guard: the process before is
- * taken out of the group. */
+/* Failure: a daemon is killed and starts again within its time to live; the store still regards the
+ * previous process as the owner of its partitions, and their pools make no progress for the rest of
+ * that time (0.5 s when all are killed).  Guard: the previous process is removed from the group. */
 static void
 dismiss_predecessors (FbGroup *self, const GArray *owners)
 {
@@ -94,7 +93,7 @@
     }
 }
 
-/* ---- what the store says of owners ---------------------------------------------- */
+/* ---- reading the owners --------------------------------------------------------- */
 
 static void
 on_peer_owners (gpointer data, const fb_told *told)
@@ -102,7 +101,7 @@
   FbGroup *self = data;
   self->peer_open = FALSE;
   if (told == NULL || told->type != FB_TOLD_OWNERS)
-    return; /* who needs them asks again */
+    return; /* a caller that needs the owners asks again */
   const fb_told_owners *owners = &told->fb_told_u.owners;
   fb_event_log (FB_EVENT_OWNERS_FROM_PEER, "partitions=%u store_ok_ms_ago=%u",
                 owners->owners.owners_len, (guint) (fb_clock_ms () - self->entry->store_ok_ms));
@@ -115,9 +114,9 @@
     }
 }
 
-/* Failure: the store turns this daemon away and its partitions have new owners; it shows as
- * callers here who ask for a job, wait for 2 s and are told that the owner is away.  Guard: a
- * peer that the store serves knows the owners. */
+/* Failure: the store rejects this daemon's calls and its partitions have new owners; it shows as
+ * callers of this daemon who request a job's state, wait for 2 s and are told that the owner is
+ * away.  Guard: a peer that the store serves knows the owners. */
 static void
 ask_peer (FbGroup *self)
 {
@@ -165,9 +164,10 @@
   fb_http_call_clear (&call);
 }
 
-/* Failure: a daemon that has left joins no more, and with its joins it asked for owners;
- * it shows as callers of its last seconds who wait for 2 s and are turned away, or cut
- * off at its end.  Guard: who notices that an owner is not the one asks. */
+/* Failure: a daemon that has left sends no joins, and the owners were requested along with joins
+ * only; it shows as callers in its last seconds who wait for 2 s and are refused, or cut off when
+ * the process ends.  Guard: a component that finds an owner to be wrong requests the owners
+ * itself. */
 void
 fb_group_refresh (FbGroup *self)
 {
@@ -205,10 +205,10 @@
   return g_hash_table_lookup (self->owner_of, GUINT_TO_POINTER (partition));
 }
 
-/* Failure: a daemon that the store turned away for 2 s is no member for its peers; one that reads
- * the members just then and is turned away next knows of nobody that could write for it, and shows
- * no end of a job until it is served again.  Guard: owners count too, whom the store tells apart
- * from the members. */
+/* Failure: a daemon whose calls the store rejected for 2 s is no member for its peers.  A daemon
+ * that reads the members just then, and is rejected next, knows of no peer that could append for
+ * it, and reports no end of a job until the store serves it again.  Guard: owners are included too,
+ * which the store lists separately from the members. */
 GPtrArray *
 fb_group_daemons (const FbGroup *self)
 {
@@ -251,8 +251,8 @@
 
 /* ---- membership ---------------------------------------------------------------- */
 
-/* Returns: until when no other daemon can have been dealt this one's partitions, by the last
- * renewal that the main loop has sent or that was sent for it; 0: no member. */
+/* Returns: the time until which no other daemon can have been assigned this daemon's partitions, by
+ * the last renewal that the main loop or the keepalive has sent; 0: not a member. */
 static uint64_t
 held_until_ms (const FbGroup *self)
 {
@@ -268,9 +268,9 @@
   return now_ms < held_until_ms (self);
 }
 
-/* Failure: a daemon was away for longer than its time to live and is dealt the same
- * partitions again; it shows as an owner whose state lacks what another did in between.
- * Guard: it gives up what it had, and takes it over anew. */
+/* Failure: a daemon does not join for longer than its time to live and is assigned the same
+ * partitions again; it shows as an owner whose state lacks the changes that another owner made in
+ * between.  Guard: it releases its partitions and takes them over anew. */
 static void
 give_up_after_absence (FbGroup *self, uint64_t generation)
 {
@@ -308,9 +308,10 @@
   ask_owners (self, now_ms);
 }
 
-/* The pool of a service is decided by one daemon, so it is left to those with the most
- * processor.  On a site of 0.5 and 0.12 of a core one of the latter got the pool of 350 workers
- * in four of five cases, and was out of processor after 4 s. */
+/* Releases all partitions, because this daemon is not strong enough to be an owner.  One daemon
+ * makes all decisions for the pool of a service, so pools are left to the daemons with the most
+ * processor.  On a site of 0.5 and 0.12 of a core one of the latter got the pool of 350 workers in
+ * four of five cases, and was out of processor after 4 s. */
 static void
 stay_out (FbGroup *self)
 {
@@ -367,7 +368,7 @@
 on_left (gpointer data, const FbHttpReply *reply)
 {
   FbGroup *self = data;
-  (void) reply; /* without an answer the store waits for the time to live */
+  (void) reply; /* without an answer the membership expires after its time to live */
   self->left (self->left_user);
 }
 
--- a/src/entry/store/keepalive.c
+++ b/src/entry/store/keepalive.c
@@ -7,17 +7,17 @@
 
 #include <stdatomic.h>
 
-/* Shares of the time to live: the first repeat leaves the main loop two renewals to be late with,
- * and two repeats may be lost. */
+/* Fractions of the time to live: the first repeat is sent after two renewals of the main loop are
+ * missing, and two repeats may be lost. */
 #define OVERDUE_PART 2
 #define REPEAT_PART 4
-/* A main loop that was away for so long hangs, or is too slow for the leases of its workers, which
- * last 4 s: its pools are better off elsewhere.  The longest turn seen is 0.5 s, on a daemon of
- * 0.12 of a core that took over 2,300 jobs at once. */
+/* A main loop without a renewal for this long hangs, or is too slow for the leases of its workers,
+ * which last 4 s: its pools are better owned by another daemon.  The longest iteration seen is
+ * 0.5 s, on a daemon of 0.12 of a core that took over 2,300 jobs at once. */
 #define HANGS_MS 3000
 #define HTTP_OK 200
 
-/* What the main loop sent last, for the task. */
+/* The main loop's last renewal, as passed to the keepalive thread. */
 typedef struct
 {
   FbKeepalive *keepalive;
@@ -31,7 +31,7 @@
 typedef struct
 {
   FbKeepalive *keepalive;
-  Renewal *renewal; /* NULL: not a member */
+  Renewal *renewal; /* last renewal; NULL: not a member */
   GSource *timer;   /* fires when the main loop is overdue; NULL: none */
   gboolean call_open;
   uint64_t repeated_ms; /* when the last repeat was sent */
@@ -41,7 +41,7 @@
 struct _FbKeepalive
 {
   FbLoop *loop;
-  FbHttpClient *client; /* the task's */
+  FbHttpClient *client; /* used by the keepalive thread only */
   Membership memberships[FB_MEMBERSHIP_N];
 };
 
@@ -73,8 +73,8 @@
   g_source_attach (membership->timer, fb_loop_context (membership->keepalive->loop));
 }
 
-/* A repeat that came after the time to live had run out keeps nothing: the store may have dealt the
- * partitions to another daemon and back. */
+/* Records that a repeat has extended the membership.  A repeat sent after the time to live had run
+ * out extends nothing: the store may have assigned the partitions to another daemon and back. */
 static void
 note_kept (Membership *membership)
 {
@@ -166,7 +166,7 @@
   return atomic_load (&self->memberships[which].kept_ms);
 }
 
-/* ---- life ----------------------------------------------------------------------------- */
+/* ---- construction ---------------------------------------------------------------------- */
 
 FbKeepalive *
 fb_keepalive_new (void)
--- a/src/entry/store/keepalive.h
+++ b/src/entry/store/keepalive.h
@@ -1,12 +1,12 @@
 /* Renews this daemon's memberships in the store's groups while its main loop is busy.
  *
- * Failure: a take-over keeps the main loop busy for longer than the time to live of a member;
- * the store deals the pool to the next daemon before this one has settled it, the same happens
- * there, and the pool never works again.  It shows as two daemons that take a pool from each
- * other every few seconds, with leases that lapse and callers of one service that get nothing.
- * Guard: a task of its own repeats the last renewal once the main loop is overdue, so that
- * work, however much, is not taken for a death.  A daemon that dies or stands still takes this
- * task with it; a main loop that hangs is given up after a bound. */
+ * Failure: a take-over keeps the main loop busy for longer than a member's time to live; the store
+ * assigns the pool to the next daemon before this one has finished the take-over, the same happens
+ * there, and the pool never works again.  It shows as two daemons that take a pool from each other
+ * every few seconds, with leases that expire and callers of one service that get no results.
+ * Guard: a separate thread repeats the last renewal once the main loop is overdue, so that a busy
+ * daemon is not taken for a dead one.  A process that dies or is suspended stops this thread too,
+ * and a main loop that hangs is given up after HANGS_MS. */
 #pragma once
 
 #include "src/net/http-client.h"
@@ -22,17 +22,17 @@
   FB_MEMBERSHIP_N
 } FbMembership;
 
-/* Starts the task. */
+/* Starts the keepalive thread. */
 FbKeepalive *fb_keepalive_new (void);
-/* Ends the task; a call that is open is forgotten. */
+/* Ends the thread; an open call is dropped. */
 void fb_keepalive_free (FbKeepalive *self);
 
-/* The main loop sends CALL (borrowed, idempotent), which renews WHICH for TTL_MS.  OK_SENT_MS: when
- * the last of its renewals that was answered had been sent; 0: none was. */
+/* To be called when the main loop sends CALL (borrowed, idempotent), which renews WHICH for TTL_MS.
+ * OK_SENT_MS: when its last answered renewal was sent; 0: none was answered. */
 void fb_keepalive_renewing (FbKeepalive *self, FbMembership which, const FbHttpCall *call,
                             uint32_t ttl_ms, uint64_t ok_sent_ms);
-/* WHICH is given up: nothing more is sent for it.  A call that is open may still arrive. */
+/* Stops renewing WHICH.  A call that is open may still reach the store. */
 void fb_keepalive_forget (FbKeepalive *self, FbMembership which);
-/* Returns: when the last repeat was sent up to which WHICH was never without a renewal for its time
- * to live; 0: none was. */
+/* Returns: when the last repeat was sent of an unbroken sequence of renewals of WHICH, each within
+ * the time to live of the one before; 0: none was. */
 uint64_t fb_keepalive_kept_ms (const FbKeepalive *self, FbMembership which);
--- a/src/entry/store/rendezvous.h
+++ b/src/entry/store/rendezvous.h
@@ -1,11 +1,11 @@
-/* Weighted rendezvous hashing: of the daemons that may, which one serves a key.  All daemons that
- * know the same members choose alike; each member's chance is its share of the processor, and when
- * one leaves only what it served moves.  No I/O, clock or thread. */
+/* Weighted rendezvous hashing: chooses the daemon that serves a key.  All daemons that know the
+ * same members choose alike; each member's probability is its share of the processor, and when one
+ * leaves only the keys that it served move.  No I/O, clock or thread. */
 #pragma once
 
 #include "daemons.h"
 
-/* TRUE when MEMBER may be chosen; USER is the caller's. */
+/* Returns: TRUE when MEMBER may be chosen; USER is passed through. */
 typedef gboolean (*FbRendezvousMay) (const FbDaemon *member, gconstpointer user);
 
 /* MEMBERS: of FbDaemon.
--- a/src/entry/store/store-pace.c
+++ b/src/entry/store/store-pace.c
@@ -1,17 +1,19 @@
 #include "store-pace.h"
 
-/* Appends take 10 to 20 ms; above this the store counts as slow. */
+/* Appends usually take 10 to 20 ms; from this latency on the store counts as slow. */
 #define SLOW_APPEND_MS 50
-/* Renewals take some 10 ms; a weak daemon's loop adds up to 50 ms when it is busy, and a store that
- * is 50 times slower takes 200 ms. */
+/* Renewals usually take some 10 ms; the main loop of a weak daemon adds up to 50 ms when it is
+ * busy, and a store that is 50 times slower takes 200 ms. */
 #define SLOW_RENEWAL_MS 120
-/* After an append that was not taken another way goes first for so long: the store may turn just
- * this daemon away, which lasts some seconds. */
+/* After a failed append other daemons are tried first for this long: the store may reject just this
+ * daemon, which lasts some seconds. */
 #define FAILED_FOR_MS 1000
 
-/* The store's answers take some 10 ms, also in a queue of some tens of appends. */
+/* Time limit of an append.  The store's answers take some 10 ms, also with some tens of appends
+ * queued. */
 #define PATIENCE_MS 900
-/* Callers wait for 2.6 s; the way to them and back is left out. */
+/* Time limit of an append while the store is slow: callers wait for 2.6 s, less the time for the
+ * network. */
 #define SLOW_PATIENCE_MS 2400
 
 void
--- a/src/entry/store/store-pace.h
+++ b/src/entry/store/store-pace.h
@@ -1,39 +1,38 @@
-/* Whether the store is slow to take records, as this daemon knows from its own calls.  No I/O,
- * clock or thread.
+/* Latency of the store as measured by this daemon's own calls.  No I/O, clock or thread.
  *
- * Failure: while the store is slow a partition takes one append in 100 ms and more, and those of
- * all daemons queue up; a daemon that learns of it only from an append that was taken never learns,
- * as its first ones are given up in that queue.  It shows as nine of ten callers without an answer
- * for as long as the store is slow (33 daemons, 50 jobs a second).  Guard: renewals tell of it
- * before any caller comes, and an append that was not taken tells as well. */
+ * Failure: while the store is slow a partition takes one append in 100 ms and more, and the appends
+ * of all daemons queue up; a daemon that learns of it only from successful appends never learns, as
+ * its first ones time out in that queue.  It shows as nine of ten callers without an answer for as
+ * long as the store is slow (33 daemons, 50 jobs a second).  Guard: the latency of membership
+ * renewals shows it before any caller comes, and a failed append counts as well. */
 #pragma once
 
 #include <glib.h>
 #include <stdint.h>
 
-/* Empty: all zero. */
+/* All zero in a new one. */
 typedef struct
 {
-  uint32_t append_ms; /* how long the last append that was taken took, by whatever way */
+  uint32_t append_ms; /* latency of the last append that was stored, by any daemon */
   uint32_t renewal_ms;
-  uint64_t failed_until_ms; /* the store did not take or answer a call from here lately */
+  uint64_t failed_until_ms; /* a failed call of this daemon counts as recent until then */
 } FbStorePace;
 
-/* An append came to its end after TOOK_MS.  HERE: it was this daemon's own, not one through another
- * daemon. */
+/* To be called when an append has ended after TOOK_MS.  TAKEN: it was stored.  HERE: it was sent
+ * from this daemon, not through another one. */
 void fb_store_pace_appended (FbStorePace *self, gboolean taken, gboolean here, uint32_t took_ms,
                              uint64_t now_ms);
-/* The store has answered a renewal of a membership after TOOK_MS. */
+/* To be called when the store has answered a membership renewal after TOOK_MS. */
 void fb_store_pace_renewed (FbStorePace *self, uint32_t took_ms);
-/* A call from here got no answer. */
+/* To be called when a call from this daemon got no answer. */
 void fb_store_pace_failed (FbStorePace *self, uint64_t now_ms);
-/* TRUE while the store takes long for each call. */
+/* TRUE when the last append or renewal took long. */
 gboolean fb_store_pace_is_slow (const FbStorePace *self);
-/* Returns: how long an append is waited for before it is sent again.
+/* Returns: the time limit of an append, after which it is repeated.
  *
- * Failure: an append that is given up stays in the queue of the partition, and its repeat waits
+ * Failure: an append that timed out stays in the queue of the partition, and its repeat waits
  * behind it; while the store is slow each batch is sent two or three times, and callers wait for
- * all of them.  Guard: a slow store is given nearly all the time that callers have. */
+ * all of them.  Guard: a slow store is given nearly all the time that callers allow. */
 uint32_t fb_store_pace_patience_ms (const FbStorePace *self);
-/* TRUE for a second after a call that failed. */
+/* TRUE for a second after a failed call. */
 gboolean fb_store_pace_has_failed (const FbStorePace *self, uint64_t now_ms);
--- a/src/entry/store/worker-list.c
+++ b/src/entry/store/worker-list.c
@@ -4,9 +4,9 @@
 
 struct _FbWorkerList
 {
-  GHashTable *workers;     /* life -> FbListedWorker */
-  GHashTable *lives;       /* id of a worker -> FbListedWorker; borrowed */
-  GHashTable *passed_over; /* id -> uint64_t, birth in its last entry that was passed over */
+  GHashTable *workers;     /* incarnation -> FbListedWorker */
+  GHashTable *lives;       /* id of a worker -> FbListedWorker, borrowed */
+  GHashTable *passed_over; /* id -> uint64_t: start time in its last ignored entry */
 };
 
 FbWorkerList *
--- a/src/entry/store/worker-list.h
+++ b/src/entry/store/worker-list.h
@@ -1,10 +1,10 @@
-/* The workers that the platform lists, a life of each.
+/* The workers that the platform lists, with one incarnation each.
  *
- * Failure: what an earlier life of a worker wrote to its entry arrives after the entry of the life
- * that came back under its id; taken as it stands it shows as a worker that is gone.  Guard: an
- * entry with an earlier birth than the listed one counts only when it comes again with none of the
- * listed life between, as that of a host whose time went back does; one without a birth never does.
- */
+ * Failure: an entry written by an earlier incarnation of a worker arrives after the entry of the
+ * incarnation that restarted under the same id; if it were applied, the worker would appear to be
+ * gone.  Guard: an entry with an earlier start time than the listed one counts only when it is
+ * repeated without an entry of the listed incarnation in between, as happens when the host's clock
+ * was set back; an entry without a start time never replaces one with it. */
 #pragma once
 
 #include "platform/wire.h"
@@ -13,14 +13,15 @@
 
 FbWorkerList *fb_worker_list_new (void);
 void fb_worker_list_free (FbWorkerList *self);
-/* Returns: (nullable): borrowed; the life that is listed of the worker called ID. */
+/* Returns: (nullable): the listed incarnation of worker ID; borrowed. */
 const FbListedWorker *fb_worker_list_of (const FbWorkerList *self, const char *id);
-/* Returns: (nullable): borrowed. */
+/* Returns: (nullable): the worker listed with the incarnation LIFE; borrowed. */
 const FbListedWorker *fb_worker_list_find (const FbWorkerList *self, const char *life);
-/* TRUE when WORKER, an entry that was just read, is to be passed over as one of an earlier life. */
+/* TRUE when WORKER, an entry that was just read, is to be ignored as one of an earlier
+ * incarnation. */
 gboolean fb_worker_list_passes_over (FbWorkerList *self, const FbListedWorker *worker);
-/* WORKER (transfer full) takes the place of what was listed of it, of the same life. */
+/* Lists WORKER (transfer full) in place of the entry of the same incarnation. */
 void fb_worker_list_put (FbWorkerList *self, FbListedWorker *worker);
 void fb_worker_list_remove (FbWorkerList *self, const char *id);
-/* Returns: (transfer container): ids of all, which are borrowed. */
+/* Returns: (transfer container): ids of all listed workers, borrowed. */
 GList *fb_worker_list_ids (const FbWorkerList *self);
