--- a/src/entry/store/daemons.h
+++ b/src/entry/store/daemons.h
@@ -26,8 +26,8 @@
 /* TRUE when this daemon may own partitions: it has half or more of the strongest member's
  * processor. */
 gboolean fb_daemons_is_strong (const FbDaemons *self);
-/* FALSE until a list of the members was read that names this daemon's address, or FIRST_LIST_MS
- * have passed. */
+/* FALSE until a list of the members was read that names this daemon's address or, after
+ * FIRST_LIST_MS, any list. */
 gboolean fb_daemons_known (const FbDaemons *self);
 /* Records that the member at ADDRESS did not answer: it gets no orders to relay until UNTIL_MS. */
 void fb_daemons_rest (FbDaemons *self, const char *address, uint64_t until_ms);
