--- a/src/entry/front/front-private.h
+++ b/src/entry/front/front-private.h
@@ -1,11 +1,11 @@
-/* A call of a caller, for the files of the front only. */
+/* Internal definitions of the HTTP frontend for callers. */
 #pragma once
 
 #include "front.h"
 
 #include "src/entry/entry-private.h"
 
-/* One call of a caller; the arena of all that it needs. */
+/* One HTTP request of a caller; talloc context of everything that belongs to it. */
 typedef struct
 {
   FbEntry *entry;
@@ -13,19 +13,19 @@
   char *job;
   char *queue;
   char *service;
-  char *key; /* of the record that is to be stored */
+  char *key; /* key of the record to store */
   GBytes *value;
-  GByteArray *records; /* the same, encoded; kept for a peer */
-  GPtrArray *asked;    /* addresses of peers that were asked to store it */
-  gboolean in_doubt;   /* a call that may have stored it got no answer */
+  GByteArray *records; /* the record, encoded; also sent to peers */
+  GPtrArray *asked;    /* addresses of peers that were asked to store the record */
+  gboolean in_doubt;   /* a call that may have stored the record got no answer */
   uint32_t partition;
   uint64_t since_ms;
-  uint64_t stored_since_ms; /* when storing began */
+  uint64_t stored_since_ms; /* when storing the record began */
   gboolean is_delete;
 } FbFrontRequest;
 
 /* Answers the caller and frees REQUEST. */
 void fb_front_finish (FbFrontRequest *request, guint status, const char *body);
-/* Stores VALUE (borrowed) and answers the caller; KIND is the first letter of the record's
- * key.  REQUEST is freed when that is done. */
+/* Stores VALUE (borrowed), answers the caller and frees REQUEST.  KIND: first letter of the
+ * record's key, FB_KEY_JOB or FB_KEY_CANCEL. */
 void fb_front_store (FbFrontRequest *request, char kind, GBytes *value);
--- a/src/entry/front/front-store.c
+++ b/src/entry/front/front-store.c
@@ -1,6 +1,6 @@
-/* How a caller's record gets into the store: from here, by a daemon that stores for many
- * (gatherer.h), or by peers while the store turns this daemon away.  A record is only said not to
- * be stored when no call that may have stored it is without an answer. */
+/* Stores a caller's record: from this daemon, through a daemon that appends for many (gatherer.h),
+ * or through peers while the store rejects this daemon's calls.  The caller is told that its record
+ * is not stored only if no call that may have stored it is without an answer. */
 #include "front-private.h"
 #include "gatherer.h"
 
@@ -13,7 +13,8 @@
 #define PEER_APPEND_MS 700
 #define PEERS_UNTIL_MS (FB_FRONT_LONGEST_CALL_MS - PEER_APPEND_MS)
 #define PEERS_MAX 3
-/* Long enough to spare most callers the same try, short enough for a daemon that is well again. */
+/* How long a daemon that failed to append a record is not used: long enough to spare most callers
+ * the same failed attempt, short enough for a daemon that has recovered. */
 #define REFUSES_MS 1000
 
 static void
@@ -51,7 +52,7 @@
     }
 }
 
-/* No call is known to have stored it. */
+/* Answers the caller when no call is known to have stored the record. */
 static void
 answer_unstored (FbFrontRequest *request)
 {
@@ -79,8 +80,8 @@
   fb_peers_ask (request->entry, daemon, &ask, timeout_ms, done, request);
 }
 
-/* TOLD: what another daemon has said of the record; NULL: nothing.
- * Returns: TRUE when it is stored; the caller is answered then, and REQUEST freed. */
+/* TOLD: another daemon's reply to the request to store the record; NULL: none.
+ * Returns: TRUE when the record is stored; the caller was answered then, and REQUEST freed. */
 static gboolean
 is_stored_by_other (FbFrontRequest *request, const fb_told *told)
 {
@@ -103,9 +104,9 @@
   store_by_peer (request);
 }
 
-/* Failure: the store turns this daemon away and serves the others; it shows as
- * refused callers while workers are free.  Guard: peers are asked to store the job, one
- * after the other; the key makes that harmless where it was stored before. */
+/* Failure: the store rejects this daemon's calls and serves the other daemons; it shows as refused
+ * callers while workers are free.  Guard: peers are asked to store the job, one after the other;
+ * the record's key makes storing it again harmless. */
 static void
 store_by_peer (FbFrontRequest *request)
 {
@@ -154,7 +155,8 @@
 
 static void store_by_gatherer (FbFrontRequest *request);
 
-/* The daemon that was asked last did not store the record; others are asked first for a while. */
+/* Records that the daemon that was asked last did not store the record, so that others are
+ * preferred for a while. */
 static void
 note_refusal (FbFrontRequest *request)
 {
@@ -172,7 +174,7 @@
   store_by_gatherer (request);
 }
 
-/* By another daemon, or from here where that is better. */
+/* Stores the record through another daemon, or from this one if that is better. */
 static void
 store_by_gatherer (FbFrontRequest *request)
 {
@@ -209,9 +211,10 @@
   request->records = g_byte_array_new ();
   fb_wire_put_record (request->records, request->key, value);
   request->stored_since_ms = fb_clock_ms ();
-  /* Failure: the store takes calls and answers none; it shows as callers who wait for 2 s
-   * and then are told that nobody knows.  Guard: a daemon that has heard nothing from it
-   * sends it nothing, so its refusal is true, and asks those that may still reach it. */
+  /* Failure: the store accepts calls and answers none; it shows as callers who wait for 2 s and are
+   * then told that the outcome is unknown.  Guard: a daemon that has received nothing from the
+   * store sends it nothing, so that its refusal is correct, and asks peers that may still reach the
+   * store. */
   if (fb_entry_store_is_silent (request->entry))
     store_by_peer (request);
   else
--- a/src/entry/front/front.c
+++ b/src/entry/front/front.c
@@ -1,9 +1,8 @@
-/* Callers: jobs in, states and counts out.
+/* HTTP frontend for callers: accepts jobs and cancels, and returns states and counts.
  *
- * Any daemon stores a job itself and answers when the store has it, so jobs are
- * taken while an owner is being replaced.  A refusal is final: it is given only
- * when the job is certainly not stored.  When that is not known the caller gets
- * 504 and asks again under the same id. */
+ * Any daemon stores a job itself and answers when the store has it, so jobs are accepted while an
+ * owner is being replaced.  A refusal is final: it is given only when the job is certainly not
+ * stored.  When that is not known the caller gets 504 and submits again under the same id. */
 #include "front-private.h"
 
 #include "fb-counter.h"
@@ -16,11 +15,11 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Callers wait about 3 s; an answer leaves before that. */
+/* Time limit of a request to the owner: callers wait about 3 s for the answer. */
 #define ASK_MS 2000
 #define BODY_MAX_BYTES (256 * 1024)
-/* When a caller may come back: as long as the store has been away already, so that a
- * caller's few tries outlast an outage of seconds. */
+/* Bounds of Retry-After, which is the time for which the store has been unavailable already, so
+ * that a caller's few attempts outlast an outage of seconds. */
 #define RETRY_AFTER_MIN_S 1
 #define RETRY_AFTER_MAX_S 4
 
@@ -140,7 +139,7 @@
     fb_front_finish (request, SOUP_STATUS_GONE, "{\"error\":\"no such job\"}");
   else if (request->is_delete)
     {
-      /* A record without a value would drop its key. */
+      /* The value must not be empty: a record without a value drops its key. */
       g_autoptr (GBytes) mark = g_bytes_new_static ("x", 1);
       fb_front_store (request, FB_KEY_CANCEL, mark);
     }
--- a/src/entry/front/gatherer.c
+++ b/src/entry/front/gatherer.c
@@ -7,19 +7,21 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Up to so many daemons each appends by itself: nine appends of 120 ms wait 1.1 s, which callers
- * bear until it is known that the store is slow. */
+/* Up to this number of daemons each appends by itself: nine appends of 120 ms take 1.1 s, which
+ * callers can wait until it is known that the store is slow. */
 #define DIRECT_MAX 9
-/* Four appends of 120 ms wait half a second; with one, its loss would stop all callers for the
- * time that it takes to notice. */
+/* Number of daemons per partition that append for the others.  Four appends of 120 ms take half a
+ * second; with only one daemon, its failure would block all callers until it is detected. */
 #define GATHERER_N 4
-/* Long enough for an append by another daemon, short enough to ask one more. */
+/* Time limit of an append through another daemon: long enough for the append, short enough to ask
+ * one more daemon. */
 #define PATIENCE_MS 400
-/* A slow store takes longer, and others wait there; what is left of a caller's time is for the
- * answer. */
+/* The same while the store is slow, where more appends are queued; the rest of a caller's time is
+ * for the answer. */
 #define SLOW_PATIENCE_MS 2300
 #define ASKED_MAX 2
-/* Later there is no time left to ask another one and to store it from here then. */
+/* Age of a request from which there is no time left to ask another daemon and then store the record
+ * from this one. */
 #define ASK_UNTIL_MS (FB_FRONT_LONGEST_CALL_MS - PATIENCE_MS - FB_FRONT_STORE_MS)
 
 static gboolean
@@ -68,7 +70,7 @@
   return fb_store_pace_has_failed (pace, now_ms) || fb_store_pace_is_slow (pace);
 }
 
-/* Returns: (nullable): whom to ask, borrowed. */
+/* Returns: (nullable): address of the daemon to ask, borrowed; NULL when none is to be asked. */
 static const char *
 next_gatherer (const FbGathererRecord *record, const FbStorePace *pace, const GPtrArray *members,
                uint64_t now_ms)
@@ -93,9 +95,9 @@
       uint32_t patience_ms = slow ? SLOW_PATIENCE_MS : PATIENCE_MS;
       return (FbGathererWay){ FB_GATHERER_ASK, address, (uint32_t) MIN (patience_ms, left_ms) };
     }
-  /* Failure: who is refused by a slow store tries other ways, each of which is one more append in
-   * the queue for which it was refused; it shows as callers without an answer for as long as the
-   * store is slow.  Guard: then the caller is told so at once, and comes again later. */
+  /* Failure: a record that a slow store has refused is sent by other daemons, each attempt being
+   * one more append in the queue for which it was refused; it shows as callers without an answer
+   * for as long as the store is slow.  Guard: the caller is refused at once, and retries later. */
   gboolean give_up = slow && record->asked->len > 0;
   return (FbGathererWay){ .step = give_up ? FB_GATHERER_GIVE_UP : FB_GATHERER_NONE };
 }
--- a/src/entry/front/gatherer.h
+++ b/src/entry/front/gatherer.h
@@ -1,57 +1,58 @@
-/* The daemons through which the others store their callers' records.  No I/O, clock or thread.
+/* Chooses the daemons through which the others store their callers' records.  No I/O, clock or
+ * thread.
  *
- * A partition of the store takes one append after the other, and in 100 ms and more each while the
+ * A partition of the store processes one append after the other, each in 100 ms and more while the
  * store is slow.  With few daemons each appends by itself, and all go through the owner once the
  * store is known to be slow.
  *
- * Failure: of 147 daemons that append by themselves forty do within the time that it takes to
- * learn that the store is slow; its queue is longer than callers wait from then on, and who is
- * refused there tries again by others.  It shows as 392 of 619 callers of six seconds without an
- * answer.  Guard: with many daemons a few append for all, always: four appends wait for each other
- * at most. */
+ * Failure: of 147 daemons that append by themselves forty do so before they learn that the store is
+ * slow; from then on its queue is longer than callers wait, and refused records are sent again by
+ * other daemons.  It shows as 392 of 619 callers of six seconds without an answer.  Guard: with
+ * many daemons a few append for all at all times, so that at most four appends wait for each
+ * other. */
 #pragma once
 
 #include "src/entry/store/daemons.h"
 #include "src/entry/store/store-pace.h"
 
-/* A caller's record; what it points to is borrowed. */
+/* A caller's record; everything that it points to is borrowed. */
 typedef struct
 {
-  const char *front;      /* address of the daemon that has taken it */
-  const char *owner;      /* of the pool of its partition; NULL: not known */
+  const char *front;      /* address of the daemon that received it */
+  const char *owner;      /* address of the partition's owner; NULL: not known */
   const GPtrArray *asked; /* addresses of daemons that were asked to store it */
   uint32_t partition;
-  uint64_t since_ms; /* when its caller came */
+  uint64_t since_ms; /* when it was received */
 } FbGathererRecord;
 
 typedef enum
 {
-  FB_GATHERER_NONE,   /* it is to be stored from here */
-  FB_GATHERER_ASK,    /* by another daemon */
-  FB_GATHERER_GIVE_UP /* nothing more is tried */
+  FB_GATHERER_NONE,   /* append from this daemon */
+  FB_GATHERER_ASK,    /* append through another daemon */
+  FB_GATHERER_GIVE_UP /* no further attempt */
 } FbGathererStep;
 
 typedef struct
 {
   FbGathererStep step;
-  const char *address;  /* of that daemon, borrowed; NULL unless one is to be asked */
-  uint32_t patience_ms; /* how long its answer is waited for */
+  const char *address;  /* address of that daemon, borrowed; else NULL */
+  uint32_t patience_ms; /* time limit of its reply */
 } FbGathererWay;
 
-/* TRUE when records had better not be stored from a daemon with PACE. */
+/* TRUE when PACE of a daemon shows that records should not be stored from there. */
 gboolean fb_gatherer_is_troubled (const FbStorePace *pace, uint64_t now_ms);
-/* What is to be done with RECORD first, or after the daemon asked last has not stored it.  PACE: of
- * the daemon that has taken it.  MEMBERS: of FbDaemon. */
+/* Returns: the next step for RECORD, initially or after the daemon asked last has not stored it.
+ * PACE: of the daemon that received the record.  MEMBERS: of FbDaemon. */
 FbGathererWay fb_gatherer_way (const FbGathererRecord *record, const FbStorePace *pace,
                                const GPtrArray *members, uint64_t now_ms);
 
-/* Which daemon is to store a record of PARTITION that the daemon at FRONT has taken: with many
- * daemons one of four that all choose alike, else the owner, or without it one that all choose.
- * MEMBERS: of FbDaemon.  OWNER: of the partition's pool; NULL: not known.  ASKED: addresses that
- * are not to be chosen again.
+/* Chooses the daemon that stores a record of PARTITION received by the daemon at FRONT: with many
+ * daemons, one of four on which all agree; otherwise the owner or, if that is not known, one on
+ * which all agree.  MEMBERS: of FbDaemon.  OWNER: address of the partition's owner; NULL: not
+ * known.  ASKED: addresses that are not to be chosen again.
  *
- * Returns: (nullable): its address, borrowed; NULL: there is none. */
+ * Returns: (nullable): its address, borrowed; NULL when there is none. */
 const char *fb_gatherer_for (const GPtrArray *members, const char *owner, const char *front,
                              const GPtrArray *asked, uint32_t partition, uint64_t now_ms);
-/* TRUE when records go through others at all times, not only while the store is slow. */
+/* TRUE when records go through other daemons at all times, not only while the store is slow. */
 gboolean fb_gatherer_always (const GPtrArray *members);
--- a/src/entry/link-watch.c
+++ b/src/entry/link-watch.c
@@ -1,6 +1,6 @@
 #include "link-watch.h"
 
-/* Above this part of a link, bursts wait for longer than a renewal may. */
+/* Above this utilization bursts wait for longer than a membership renewal may. */
 #define BUSY_PERCENT 50
 
 struct _FbLinkWatch
@@ -25,7 +25,7 @@
   g_free (self);
 }
 
-/* Bits in a millisecond are kilobits in a second. */
+/* Bits per millisecond are kilobits per second. */
 static uint32_t
 rate_kbit_s (uint64_t bytes, uint64_t span_ms)
 {
--- a/src/entry/link-watch.h
+++ b/src/entry/link-watch.h
@@ -1,15 +1,15 @@
-/* How much of its network link a daemon uses, and for what.  No I/O, clock or thread.
+/* Utilization of a daemon's network link by kind of traffic.  No I/O, clock or thread.
  *
- * Failure: the link of an owner is full, and the renewals of its membership wait behind what it
- * sends to workers; it shows as a pool that goes from daemon to daemon while the processors are
- * idle.  This tells it apart from a lack of processor. */
+ * Failure: the link of an owner is full, and the renewals of its membership queue behind its orders
+ * to workers; it shows as a pool that moves from daemon to daemon while the processors are idle.
+ * This report distinguishes that from a lack of processor time. */
 #pragma once
 
 #include "fb-traffic.h"
 
 typedef struct _FbLinkWatch FbLinkWatch;
 
-/* The kind that took most in one direction, and all kinds. */
+/* Utilization of one direction. */
 typedef struct
 {
   uint32_t kbit_s;
@@ -17,11 +17,11 @@
   uint32_t most_kbit_s;
 } FbLinkUse;
 
-/* LINK_KBIT_S: what the link carries in each direction; 0: not known, and nothing is told. */
+/* LINK_KBIT_S: capacity of the link in each direction; 0: not known, and nothing is reported. */
 FbLinkWatch *fb_link_watch_new (uint32_t link_kbit_s, uint64_t now_ms);
 void fb_link_watch_free (FbLinkWatch *self);
-/* TOTALS as of NOW_MS, called each few seconds.
+/* To be called every few seconds with TOTALS as of NOW_MS.
  * Returns: TRUE when more than half of the link was used in either direction since the last call;
- * SENT and RECEIVED tell for what. */
+ * SENT and RECEIVED hold the figures. */
 gboolean fb_link_watch_turn (FbLinkWatch *self, const FbTrafficTotals *totals, uint64_t now_ms,
                              FbLinkUse *sent, FbLinkUse *received);
--- a/src/entry/loop-watch.c
+++ b/src/entry/loop-watch.c
@@ -2,16 +2,17 @@
 
 #include "fb-histogram.h"
 
-/* A join each 250 ms keeps a daemon in the group: a loop that is later misses one. */
+/* A daemon joins its group every 250 ms to stay a member; a main loop that is later than this
+ * misses a join. */
 #define LATE_MS 250
 #define TELL_EVERY_MS 1000
-/* The last 2 s, in slots, the oldest of which is in part older. */
+/* Slots that cover the last 2 s; part of the oldest one is older. */
 #define SLOT_MS 250
 #define SLOT_N 9
 
 typedef struct
 {
-  uint64_t number; /* of the time that it holds, in slots */
+  uint64_t number; /* time that the slot covers, in units of SLOT_MS */
   uint32_t late_ms;
 } Slot;
 
@@ -19,7 +20,7 @@
 {
   uint32_t period_ms;
   uint64_t turn_ms;
-  uint64_t told_ms; /* 0: nothing was told yet */
+  uint64_t told_ms; /* when late turns were last reported; 0: never */
   FbLoopLate untold;
   Slot slots[SLOT_N];
 };
@@ -39,7 +40,7 @@
   g_free (self);
 }
 
-/* What a turn that came at NOW_MS would be late. */
+/* Returns: the delay of a turn that comes at NOW_MS. */
 static uint32_t
 late_at (const FbLoopWatch *self, uint64_t now_ms)
 {
--- a/src/entry/loop-watch.h
+++ b/src/entry/loop-watch.h
@@ -1,5 +1,5 @@
-/* How late the turns of the daemon's loop come: a loop that is out of processor, or holds on to
- * one thing for long, answers and asks nothing meanwhile.  No I/O, clock or thread. */
+/* Delays of the main loop's turns.  A loop that lacks processor time, or spends long in one
+ * callback, serves no calls meanwhile.  No I/O, clock or thread. */
 #pragma once
 
 #include <glib.h>
@@ -7,18 +7,19 @@
 
 typedef struct _FbLoopWatch FbLoopWatch;
 
-/* What is to be told of late turns. */
+/* Report of late turns. */
 typedef struct
 {
-  uint32_t late_ms; /* the latest of them */
-  uint32_t turns_n; /* how many they are */
+  uint32_t late_ms; /* largest delay */
+  uint32_t turns_n; /* number of late turns */
 } FbLoopLate;
 
-/* A turn should come each PERIOD_MS after the one before. */
+/* PERIOD_MS: expected time between two turns. */
 FbLoopWatch *fb_loop_watch_new (uint32_t period_ms, uint64_t now_ms);
 void fb_loop_watch_free (FbLoopWatch *self);
-/* A turn has come.
- * Returns: TRUE when *LATE is to be told, at most once a second; no late turn is left out. */
+/* To be called at each turn.
+ * Returns: TRUE when *LATE is to be logged, at most once a second; every late turn is included in
+ * one report. */
 gboolean fb_loop_watch_turn (FbLoopWatch *self, uint64_t now_ms, FbLoopLate *late);
-/* The latest of the turns of the last 2 s, with one that should have come by now. */
+/* Returns: the largest delay of the last 2 s, including a turn that is overdue now. */
 uint32_t fb_loop_watch_longest_ms (const FbLoopWatch *self, uint64_t now_ms);
--- a/src/entry/peers/kept-suspects.c
+++ b/src/entry/peers/kept-suspects.c
@@ -5,7 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A store is away for some tens of seconds; an owner that lives hands over what is new again. */
+/* How long a copy is held.  The store is unavailable for some tens of seconds at most; a live owner
+ * sends changes again. */
 #define KEPT_MS 60000
 
 typedef struct
--- a/src/entry/peers/kept-suspects.h
+++ b/src/entry/peers/kept-suspects.h
@@ -1,7 +1,7 @@
-/* What owners of pools hold against tasks and could not store yet, kept for the next owner.
+/* Copies of crash suspects that owners of pools could not store yet, held for the next owner.
  *
- * A copy, which the owner takes back once the store has it; without that it goes by its age.
- * Bounded by time and number.  No I/O, clock or thread. */
+ * The owner withdraws its copy once the record is stored; otherwise the copy expires by age.
+ * Bounded by age and number.  No I/O, clock or thread. */
 #pragma once
 
 #include "internal/pool.h"
@@ -10,7 +10,7 @@
 
 FbKeptSuspects *fb_kept_suspects_new (void);
 void fb_kept_suspects_free (FbKeptSuspects *self);
-/* Takes what KEPT says of its job, unless that is of an earlier owner than what is kept. */
+/* Replaces the copy of KEPT's job, unless the copy held is of a later owner. */
 void fb_kept_suspects_take (FbKeptSuspects *self, const fb_kept_job *kept, uint64_t now_ms);
-/* Fills in TOLD, which is the caller's to xdr_free(). */
+/* Fills in TOLD with all copies; the caller frees it with xdr_free(). */
 void fb_kept_suspects_tell (const FbKeptSuspects *self, uint64_t now_ms, fb_told_kept *told);
--- a/src/entry/peers/link-connection.c
+++ b/src/entry/peers/link-connection.c
@@ -1,8 +1,9 @@
-/* One connection between two daemons: frames in and out, and the calls that wait on it.
+/* One connection between two daemons: sends and receives frames, and holds the calls that wait for
+ * an answer on it.
  *
- * A frame is a header of three 32-bit words in network order (length of what follows the
- * first word, number of the call, kind) and a body.  Numbers are the caller's, unique on
- * its connection. */
+ * A frame consists of a header of three 32-bit words in network byte order (length of what follows
+ * the first word, number of the call, kind) and a body.  Call numbers are chosen by the caller and
+ * are unique on its connection. */
 #include "links-private.h"
 
 #include "fb-counter.h"
@@ -18,12 +19,12 @@
 #define HEADER_BYTES 12
 #define KIND_CALL 1
 #define KIND_ANSWER 2
-/* A peer that reads nothing gets no more than this. */
+/* Limit of unsent bytes; beyond it new frames for a peer that does not read are refused. */
 #define OUT_MAX_BYTES (8 * 1024 * 1024)
 #define READ_BYTES (64 * 1024)
-/* Between failure domains a connection is made in some 5 ms. */
+/* Time limit of connecting, which takes some 5 ms between failure domains. */
 #define CONNECT_MS 400
-/* A connection from a peer that lost its power is closed after these. */
+/* TCP keepalive, which closes connections from peers that lost power. */
 #define KEEPALIVE_IDLE_S 10
 #define KEEPALIVE_EVERY_S 2
 #define KEEPALIVE_N 3
@@ -34,7 +35,7 @@
   uint32_t number;
 };
 
-/* ---- life --------------------------------------------------------------- */
+/* ---- life cycle --------------------------------------------------------- */
 
 void
 fb_link_connection_ref (FbLinkConnection *self)
@@ -142,9 +143,9 @@
   g_ptr_array_add (self->links->dirty, self);
 }
 
-/* Failure: a daemon is suspended with a call to a peer in hand, and sends it when it wakes, which
- * its caller had given up; it shows as a second run of a task.  Guard: a connection that holds such
- * a call unwritten is closed. */
+/* Failure: a daemon is suspended before it has written a call to a peer, and writes it after it
+ * resumes, although the caller has timed out; it shows as a second run of a task.  Guard: a
+ * connection with an unwritten call past its time limit is closed. */
 static gboolean
 holds_overdue (const FbLinkConnection *self)
 {
@@ -212,7 +213,7 @@
       g_free (pending);
       return;
     }
-  /* Its caller has given it up. */
+  /* The call has timed out already. */
 }
 
 static uint32_t
@@ -223,7 +224,8 @@
   return ntohl (word);
 }
 
-/* Returns: FALSE when the peer does not speak this protocol. */
+/* Handles all complete frames in the input buffer.
+ * Returns: FALSE when the peer does not speak this protocol. */
 static gboolean
 take_frames (FbLinkConnection *self)
 {
@@ -252,7 +254,8 @@
   return TRUE;
 }
 
-/* Returns: FALSE when the connection has ended. */
+/* Reads and handles all available input.
+ * Returns: FALSE when the connection has ended. */
 static gboolean
 read_in (FbLinkConnection *self)
 {
@@ -294,7 +297,7 @@
 fb_link_connection_handle (FbLinkConnection *self, uint32_t events)
 {
   gboolean fine = TRUE;
-  self->refs++; /* what it calls may close it */
+  self->refs++; /* callbacks may close the connection */
   if (self->connecting && (events & (EPOLLOUT | EPOLLERR | EPOLLHUP)))
     fine = finish_connecting (self) && fb_link_connection_write (self);
   else if (events & EPOLLOUT)
@@ -323,13 +326,14 @@
       if (now_ms >= pending->until_ms)
         {
           silent = self->heard_ms <= pending->sent_ms;
-          /* A silent connection is closed; on another one the frame is written yet. */
+          /* If the connection is silent it is closed and the frame is never written; otherwise the
+           * frame may still be written. */
           FbLinkResult result
               = silent && self->written <= pending->frame_from ? FB_LINK_NOT_SENT : FB_LINK_LOST;
           g_queue_delete_link (&self->pending, l);
           pending->done (pending->user, result, NULL, 0);
           g_free (pending);
-          /* What it called may have changed the queue. */
+          /* The callback may have changed the queue. */
           next = self->closed ? NULL : self->pending.head;
         }
       l = next;
--- a/src/entry/peers/links-private.h
+++ b/src/entry/peers/links-private.h
@@ -1,15 +1,15 @@
-/* The parts of links, for their own files only. */
+/* Internal definitions of the links between daemons. */
 #pragma once
 
 #include "links.h"
 
-/* Largest body: a batch of records that a peer appends, and room for its encoding. */
+/* Largest body: a batch of records that a peer is to append, with its encoding. */
 #define FB_LINK_BODY_MAX_BYTES (2 * 1024 * 1024)
 
 typedef struct
 {
   uint32_t number;
-  uint64_t frame_from; /* bytes written to the connection before its frame */
+  uint64_t frame_from; /* offset of its frame in the bytes written to the connection */
   uint64_t sent_ms;
   uint64_t until_ms;
   FbLinkDone done;
@@ -20,11 +20,11 @@
 {
   FbLinks *links;
   int fd;
-  char *address; /* of the peer that was called; NULL: it is the caller */
+  char *address; /* address of the peer that was called; NULL when the peer connected */
   gboolean connecting;
-  gboolean dirty; /* it has bytes to write and is listed for that */
+  gboolean dirty; /* has bytes to write and is in the links' dirty list */
   gboolean closed;
-  guint refs; /* one of the links, one of each call that is being served */
+  guint refs; /* one reference of the links, one of each call being served */
   uint64_t began_ms;
   uint64_t heard_ms;
   uint32_t last_number;
@@ -43,28 +43,34 @@
   FbLinkServe serve;
   gpointer user;
   uint64_t now_ms;
-  GHashTable *by_address; /* address -> FbLinkConnection: where calls go out */
+  GHashTable *by_address; /* address -> FbLinkConnection, for outgoing calls */
   GPtrArray *all;         /* of FbLinkConnection */
   GPtrArray *dirty;       /* of FbLinkConnection */
 };
 
 /* link-connection.c */
 
-/* A connection over FD, which it owns.  ADDRESS: of the peer that is called; NULL: it called.
- * Returns: owned by LINKS until it is closed. */
+/* Creates a connection on FD, which it owns.  ADDRESS: of the peer that is called; NULL when the
+ * peer connected.
+ * Returns: the connection, owned by LINKS until it is closed. */
 FbLinkConnection *fb_link_connection_new (FbLinks *links, int fd, const char *address);
-/* It may be written to now, or, with FOR_ROOM, is watched until it may. */
+/* Registers SELF with epoll by OPERATION (EPOLL_CTL_*) for input, and with FOR_ROOM also for room
+ * to write. */
 void fb_link_connection_watch (const FbLinkConnection *self, int operation, gboolean for_room);
 void fb_link_connection_ref (FbLinkConnection *self);
 void fb_link_connection_unref (FbLinkConnection *self);
-/* Ends SELF: calls that were not written at all were not sent, the others are lost. */
+/* Closes SELF: calls of which nothing was written end with FB_LINK_NOT_SENT, the others with
+ * FB_LINK_LOST. */
 void fb_link_connection_close (FbLinkConnection *self);
-/* Returns: FALSE when the connection is of no more use. */
+/* Writes as much as the socket accepts.
+ * Returns: FALSE when the connection is to be closed. */
 gboolean fb_link_connection_write (FbLinkConnection *self);
-/* EVENTS: of epoll. */
+/* Handles EVENTS, as reported by epoll. */
 void fb_link_connection_handle (FbLinkConnection *self, uint32_t events);
-/* Returns: FALSE when it has too much to write already, or BODY is too large. */
+/* Queues a call.
+ * Returns: FALSE when too many bytes are unwritten already, or BODY is too large. */
 gboolean fb_link_connection_call (FbLinkConnection *self, GBytes *body, uint32_t timeout_ms,
                                   FbLinkDone done, gpointer user);
-/* Gives up calls whose time has passed.  Returns: FALSE when the connection is silent. */
+/* Ends calls whose time limit has passed.
+ * Returns: FALSE when the connection is silent and is to be closed. */
 gboolean fb_link_connection_give_up_calls (FbLinkConnection *self, uint64_t now_ms);
--- a/src/entry/peers/links.c
+++ b/src/entry/peers/links.c
@@ -1,11 +1,12 @@
-/* A daemon on a quarter of a core answers some hundred calls of its peers a second.  Over
- * HTTP each cost it 0.3 ms, and each connection was one more source of the main loop, which
- * looks at all of them in every turn.  Here one epoll descriptor stands for all connections,
- * and what is written to a peer in one turn of the loop leaves in one system call.
+/* A daemon on a quarter of a core answers some hundred calls of its peers a second.  Over HTTP each
+ * call cost it 0.3 ms, and each connection was one more source of the main loop, which checks every
+ * source in each iteration.  Here one epoll descriptor covers all connections, and the frames for a
+ * peer from one iteration leave in one system call.
  *
- * Failure: a connection goes silent for good while new ones work; it shows as calls that get
- * no answer.  Guard: each call has a time limit, and a connection on which nothing was heard
- * since a call that has passed its limit was sent is closed; the next call opens another. */
+ * Failure: a connection goes silent for good while new ones work; it shows as calls that get no
+ * answer.  Guard: each call has a time limit.  When a call passes its limit and nothing was
+ * received on the connection since the call was sent, the connection is closed; the next call opens
+ * another. */
 #define _GNU_SOURCE /* accept4() */
 #include "links-private.h"
 #include "src/entry/clock.h"
@@ -54,12 +55,12 @@
     {
       int fd = accept4 (self->listener, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
       if (fd < 0)
-        return; /* none is left, or it has gone again */
+        return; /* no connection is waiting, or the peer has closed it again */
       fb_link_connection_watch (fb_link_connection_new (self, fd, NULL), EPOLL_CTL_ADD, FALSE);
     }
 }
 
-/* A connection that an earlier event of the same turn has closed is skipped. */
+/* FALSE for a connection that an earlier event of the same iteration has closed. */
 static gboolean
 is_open (const FbLinks *self, gconstpointer connection)
 {
@@ -110,7 +111,7 @@
   return port > 0 && port <= G_MAXUINT16;
 }
 
-/* Returns: (nullable): a connection to ADDRESS, made or being made. */
+/* Returns: (nullable): a connection to ADDRESS, established or being established. */
 static FbLinkConnection *
 connection_to (FbLinks *self, const char *address)
 {
@@ -169,7 +170,7 @@
   for (guint i = self->all->len; i > 0; i--)
     {
       if (i > self->all->len)
-        continue; /* some were closed meanwhile */
+        continue; /* callbacks have closed some */
       FbLinkConnection *connection = self->all->pdata[i - 1];
       fb_link_connection_ref (connection);
       if (!fb_link_connection_give_up_calls (connection, now_ms) && !connection->closed)
@@ -183,7 +184,7 @@
     }
 }
 
-/* ---- life ---------------------------------------------------------------------------------- */
+/* ---- construction -------------------------------------------------------------------------- */
 
 static int
 listen_on (const char *address)
--- a/src/entry/peers/payload-cache.h
+++ b/src/entry/peers/payload-cache.h
@@ -1,12 +1,12 @@
-/* Payloads of jobs that a daemon was sent with orders to carry, for later orders that only name
- * them.  Bounded by bytes: the oldest goes first.  No I/O, clock or thread. */
+/* Cache of job payloads that a daemon has received with orders to relay, for later orders that only
+ * name a payload.  Bounded by bytes: the oldest is evicted first.  No I/O, clock or thread. */
 #pragma once
 
 #include "fb-types.h"
 
 #define FB_PAYLOAD_DIGEST_BYTES 16
 
-/* Of a payload's content: equal only for equal payloads, by all that one can meet. */
+/* Digest of a payload's content; collisions are too improbable to occur. */
 typedef struct
 {
   uint8_t bytes[FB_PAYLOAD_DIGEST_BYTES];
@@ -21,8 +21,8 @@
 
 FbPayloadCache *fb_payload_cache_new (gsize max_bytes);
 void fb_payload_cache_free (FbPayloadCache *self);
-/* Keeps a copy of PAYLOAD, which DIGEST is of. */
+/* Adds a copy of PAYLOAD, whose digest is DIGEST. */
 void fb_payload_cache_put (FbPayloadCache *self, const FbPayloadDigest *digest,
                            const char *payload);
-/* Returns: (nullable): borrowed until the next put. */
+/* Returns: (nullable): the payload with DIGEST, borrowed until the next put. */
 const char *fb_payload_cache_get (const FbPayloadCache *self, const FbPayloadDigest *digest);
--- a/src/entry/peers/payload-share.c
+++ b/src/entry/peers/payload-share.c
@@ -3,25 +3,29 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Three quarters are left for looks, records and renewals. */
+/* Share of the link that payloads may use before it counts as constrained; three quarters are left
+ * for polls, records and renewals. */
 #define SCARCE_PERCENT 25
-/* Tasks that share a daemon in each failure domain: with three to five domains it starts four to
- * seven of them, some 2 ms of work each on 0.12 of a core. */
+/* Number of a job's tasks that are relayed through the same daemon of each failure domain: with
+ * three to five domains a daemon starts four to seven of them, some 2 ms of work each on 0.12 of a
+ * core. */
 #define TASKS_TOGETHER 20
-/* A daemon keeps some 700 payloads (PAYLOADS_KEPT_BYTES), those of 20 s at 30 jobs a second. */
+/* How long a payload is assumed to be cached.  A daemon caches some 700 payloads
+ * (PAYLOADS_KEPT_BYTES), those of 20 s at 30 jobs a second. */
 #define SENT_FOR_MS 10000
-/* Payloads remembered for one daemon: 66 jobs a second, each through a dozen of 147 daemons, are 54
- * for each of them in SENT_FOR_MS.  Beyond that they are sent again. */
+/* Number of payloads remembered per daemon: 66 jobs a second, each through a dozen of 147 daemons,
+ * are 54 for each daemon in SENT_FOR_MS.  Beyond that number payloads are sent again. */
 #define SENT_MAX 250
-/* The rate is that of the last whole slot, or of the one that is open if that is higher. */
+/* Period over which the rate is measured; the rate is that of the last complete period, or of the
+ * current one if that is higher. */
 #define SLOT_MS 1000
 
 struct _FbPayloadShare
 {
   uint32_t link_kbit_s;
-  uint64_t slot; /* number of the open one */
+  uint64_t slot; /* number of the current period */
   uint64_t slot_bytes;
-  uint64_t last_bytes; /* of the slot before */
+  uint64_t last_bytes; /* bytes of the previous period */
   GHashTable *daemons; /* address -> GHashTable: FbPayloadDigest -> when it was sent */
 };
 
--- a/src/entry/peers/peers.c
+++ b/src/entry/peers/peers.c
@@ -1,23 +1,24 @@
-/* Questions between daemons: one XDR value in, one out, over the links between them.
+/* Requests between daemons: one XDR value in each direction, over the links between them.
  *
- * ONC RPC's client blocks a thread for each open call, and here hundreds of calls
- * are open on one thread with a fraction of a core; only its encoding is used. */
+ * ONC RPC's client blocks a thread for each open call, but here hundreds of calls are open on one
+ * thread with a fraction of a core, so only its encoding is used. */
 #include "src/entry/entry-private.h"
 
 #include "fb-event.h"
 #include "fb-traffic.h"
 #include "internal/codec.h"
 
-/* For an append on behalf of a daemon that the store turns away. */
+/* Time limit of appending a caller's record for a daemon that the store rejects. */
 #define APPEND_MS 1500
-/* For one append of an owner's progress; it is repeated by the owner. */
+/* Time limit of one append of an owner's progress, which the owner repeats. */
 #define WRITE_MS 500
-/* After this the owner has read the record itself. */
+/* Time limit of the notification of a stored record; after it the owner has read the record
+ * itself. */
 #define TELL_MS 700
-/* An owner that is being replaced is asked for again after this. */
+/* Retry interval while an owner is being replaced. */
 #define ASK_AGAIN_MS 120
 
-/* ---- what calls are counted as ------------------------------------------------- */
+/* ---- traffic accounting ------------------------------------------------------- */
 
 static FbTraffic
 traffic_of (const fb_ask *ask)
@@ -45,7 +46,7 @@
   return FB_TRAFFIC_OTHER;
 }
 
-/* ---- asking ------------------------------------------------------------------- */
+/* ---- requests ----------------------------------------------------------------- */
 
 typedef struct
 {
@@ -67,7 +68,7 @@
     }
   else if (result == FB_LINK_NOT_SENT)
     {
-      /* The peer is down: it did nothing, and knows nothing. */
+      /* The peer is down, so it has done nothing. */
       static const fb_told unsure = { .type = FB_TOLD_UNSURE };
       asked->done (asked->user, &unsure);
     }
@@ -89,7 +90,7 @@
   fb_links_call (entry->links, address, body, timeout_ms, on_reply, asked);
 }
 
-/* ---- asking an owner ------------------------------------------------------------ */
+/* ---- requests to an owner ------------------------------------------------------- */
 
 typedef struct
 {
@@ -174,7 +175,7 @@
   ask_owner (question);
 }
 
-/* ---- telling an owner --------------------------------------------------------------- */
+/* ---- notifying an owner ------------------------------------------------------------- */
 
 void
 fb_peers_ignore_told (gpointer user, const fb_told *told)
@@ -183,9 +184,9 @@
   (void) told;
 }
 
-/* The owner reads the record from the store too, but later: a poll costs a call of the
- * store (4 ms, 100 ms and more when it is slow), and polls may hear nothing for a
- * second while the store cleans up. */
+/* The owner reads the record from the store too, but later: a poll costs a call of the store (4 ms,
+ * 100 ms and more when it is slow), and a poll may return nothing for a second while the store
+ * compacts. */
 void
 fb_peers_tell_stored (FbEntry *entry, uint32_t partition, const char *key, GBytes *value)
 {
@@ -210,9 +211,9 @@
   fb_peers_ask (entry, address, &ask, TELL_MS, fb_peers_ignore_told, NULL);
 }
 
-/* ---- writing through a peer --------------------------------------------------------- */
+/* ---- appending through a peer ------------------------------------------------------- */
 
-/* What an append came to, as peers tell it. */
+/* Results of an append and the replies that denote them. */
 static const struct
 {
   FbAppendResult result;
@@ -240,7 +241,7 @@
         result = append_results[i].result;
     }
   if (told != NULL && told->type == FB_TOLD_UNSURE)
-    result = FB_APPEND_NOT_STORED; /* the peer is down, or does not know the partition */
+    result = FB_APPEND_NOT_STORED; /* the peer is down, or has no such partition */
   write->done (write->user, result);
   g_free (write);
 }
@@ -257,23 +258,23 @@
   fb_peers_ask (entry, peer, &ask, timeout_ms, on_peer_wrote, open);
 }
 
-/* ---- answering -------------------------------------------------------------------- */
+/* ---- serving requests ------------------------------------------------------------- */
 
-/* A call of a peer that is being served. */
+/* A peer's call that is being served. */
 typedef struct
 {
   FbLinkCall *call;
   FbTraffic traffic;
 } Answer;
 
-/* DATA: the Answer, which ends here. */
+/* Sends the reply; TOLD of NULL means that none is available.  DATA: the Answer, which is freed. */
 static void
 on_answer_ready (gpointer data, const fb_told *told)
 {
   Answer *answer = data;
   static const fb_told unsure = { .type = FB_TOLD_UNSURE };
   g_autoptr (GBytes) body = fb_codec_encode_told (told != NULL ? told : &unsure);
-  if (body == NULL) /* more than one answer holds */
+  if (body == NULL) /* the reply is larger than the limit */
     body = fb_codec_encode_told (&unsure);
   fb_traffic_add (answer->traffic, g_bytes_get_size (body), 0);
   fb_link_call_answer (answer->call, body);
@@ -298,7 +299,8 @@
   on_appended (data, fb_wire_append_result (reply));
 }
 
-/* Sent at once, under the owner's own sequence: a repeat from there does no harm. */
+/* Appends immediately, under the owner's own sequence number, so that a repeat by the owner is
+ * harmless. */
 static void
 write_for_owner (FbEntry *entry, const fb_ask_write *ask, Answer *answer)
 {
--- a/src/entry/peers/peers.h
+++ b/src/entry/peers/peers.h
@@ -1,4 +1,4 @@
-/* Questions between daemons, and their answers. */
+/* Requests between daemons, and their replies. */
 #pragma once
 
 #include "links.h"
@@ -7,16 +7,17 @@
 
 void fb_peers_ask (FbEntry *entry, const char *address, const fb_ask *ask, uint32_t timeout_ms,
                    FbTold done, gpointer user);
-/* For what needs no answer. */
+/* Completion callback for requests whose reply does not matter. */
 void fb_peers_ignore_told (gpointer user, const fb_told *told);
-/* Asks the owner of the pool of SERVICE, wherever it is. */
+/* Sends a request to the owner of the pool of SERVICE, which may be this daemon; retries until
+ * TIMEOUT_MS have passed. */
 void fb_peers_ask_owner (FbEntry *entry, const char *service, const fb_ask *ask,
                          uint32_t timeout_ms, FbTold done, gpointer user);
-/* Tells the owner of PARTITION of a stored record; it is read from the store anyway,
- * so nothing depends on the answer. */
+/* Notifies the owner of PARTITION of a stored record.  The owner reads it from the store in any
+ * case, so nothing depends on the reply. */
 void fb_peers_tell_stored (FbEntry *entry, uint32_t partition, const char *key, GBytes *value);
-/* Appends progress through PEER, as the store would take it from here. */
+/* Appends an owner's progress through PEER, as if it were sent to the store by this daemon. */
 void fb_peers_write (FbEntry *entry, const char *peer, const fb_ask_write *write,
                      uint32_t timeout_ms, FbAppended done, gpointer user);
-/* For the links of ENTRY. */
+/* Handles calls of peers; a FbLinkServe for the links of ENTRY. */
 void fb_peers_serve (gpointer entry, FbLinkCall *call, gconstpointer body, gsize len);
--- a/src/entry/peers/recent-starts.c
+++ b/src/entry/peers/recent-starts.c
@@ -1,34 +1,34 @@
 #include "recent-starts.h"
 
-/* An owner is replaced some 2 s after its last order, and its successor takes up to some seconds to
- * ask; what is older has ended or was recorded. */
+/* How long a start is remembered.  An owner is replaced some 2 s after its last order, and its
+ * successor may take some more seconds to ask; older starts have ended or were recorded. */
 #define KEPT_MS 10000
-/* Nothing is recorded and nobody takes over while the store is away.  A start that the worker had
- * said is there is proof enough to be told later. */
+/* The same for a start that the worker has confirmed.  While the store is unavailable nothing is
+ * recorded and no daemon takes over, and a confirmed start is still sufficient evidence later. */
 #define SEEN_KEPT_MS 40000
-/* So many lists of a worker that lack a run prove that it has ended. */
+/* Number of consecutive run lists of a worker without the run that prove that it has ended. */
 #define MISSED_MOST 2
 
 typedef struct
 {
-  char *worker; /* its id */
+  char *worker; /* id of the worker */
   char *address;
   char *task;
   uint32_t attempt;
   uint64_t sent_ms;
-  gboolean seen; /* the worker has said that it is there */
-  guint missed;  /* lists of the worker in a row that lack it, since then */
+  gboolean seen; /* the worker has confirmed the run */
+  guint missed;  /* number of consecutive run lists without it since then */
 } Start;
 
 typedef struct
 {
   GQueue starts;   /* of Start, borrowed; the oldest at its head */
-  gboolean silent; /* the last order to it got no answer */
+  gboolean silent; /* the last order to the worker got no answer */
 } Target;
 
 struct _FbRecentStarts
 {
-  GHashTable *targets; /* id of a worker -> Target, of those with starts */
+  GHashTable *targets; /* id of a worker -> Target, only for workers with starts */
   GQueue starts;       /* of Start; the oldest at its head */
 };
 
@@ -114,7 +114,7 @@
   g_queue_push_tail (&target_for (self, worker)->starts, start);
 }
 
-/* The start at LINK of TARGET has ended, or never began. */
+/* Removes the start at LINK of TARGET, whose run has ended or was never created. */
 static void
 drop_start (FbRecentStarts *self, Target *target, GList *link)
 {
@@ -131,7 +131,7 @@
     g_hash_table_remove (self->targets, worker);
 }
 
-/* TRUE when a worker that was sent an order with RESULT lives on. */
+/* TRUE when RESULT of an order shows that the worker is alive. */
 static gboolean
 was_heard (FbOrderResult result)
 {
@@ -154,7 +154,7 @@
       if (start->attempt != attempt || !g_str_equal (start->task, task))
         continue;
       start->seen |= result == FB_ORDER_DONE;
-      /* A run of a superseded attempt may be there. */
+      /* The worker may have a run although the attempt is superseded. */
       if (result != FB_ORDER_DONE && result != FB_ORDER_UNKNOWN && result != FB_ORDER_SUPERSEDED)
         drop_start (self, target, l);
     }
@@ -185,8 +185,8 @@
   return FALSE;
 }
 
-/* A run that is not listed any more has ended, and another daemon heard the end.  One list that
- * lacks it may be older than the run. */
+/* Compares the starts with the list of runs.  A run that is no longer listed has ended, and another
+ * daemon has received the end.  A single list without the run may be older than the run. */
 static void
 take_running (FbRecentStarts *self, Target *target, const GArray *running)
 {
--- a/src/entry/peers/recent-starts.h
+++ b/src/entry/peers/recent-starts.h
@@ -1,12 +1,12 @@
-/* The starts of tasks that went out from this daemon of late, for the next owner of their pool.
+/* Recent starts of tasks that this daemon sent to workers, for the next owner of their pool.
  *
- * Failure: an owner starts a task that crashes its worker, and is replaced before it knows of the
- * crash; no record tells of that start, the next owner counts from the beginning, and it shows as
- * workers that go on crashing while owners change.  Guard: other daemons have carried the starts
- * and outlive the owner.  They tell the next one which of them went to workers that fell silent: a
- * hint, which costs nothing but the crash when it is lost.
+ * Failure: an owner starts a task that crashes its worker, and is replaced before it learns of the
+ * crash; no record contains that start, so the next owner counts from zero, and it shows as workers
+ * that go on crashing while owners change.  Guard: other daemons have relayed the starts and
+ * outlive the owner.  They report to the next owner which starts went to workers that no longer
+ * answer.  The report is a hint: when it is lost, one more crash is the only cost.
  *
- * Bounded by time and number.  No I/O, clock or thread. */
+ * Bounded by age and number.  No I/O, clock or thread. */
 #pragma once
 
 #include "internal/pool.h"
@@ -15,14 +15,14 @@
 
 FbRecentStarts *fb_recent_starts_new (void);
 void fb_recent_starts_free (FbRecentStarts *self);
-/* A start of TASK goes out to WORKER. */
+/* Records that a start of TASK is sent to WORKER. */
 void fb_recent_starts_sent (FbRecentStarts *self, const char *worker, const char *address,
                             const char *task, uint32_t attempt, uint64_t now_ms);
-/* What that start came to. */
+/* Records the result of that start. */
 void fb_recent_starts_answered (FbRecentStarts *self, const char *worker, const char *task,
                                 uint32_t attempt, FbOrderResult result);
-/* What a look at WORKER came to. */
+/* Records the answer to a poll of WORKER. */
 void fb_recent_starts_looked (FbRecentStarts *self, const char *worker, const FbLookAnswer *answer);
-/* Fills in TOLD: the starts at workers that did not answer what was sent to them last.  Its array
- * is the caller's to free, its texts are borrowed until SELF changes. */
+/* Fills in TOLD with the starts at workers that did not answer the last order to them.  The caller
+ * frees the array; its strings are borrowed until SELF changes. */
 void fb_recent_starts_tell (const FbRecentStarts *self, uint64_t now_ms, fb_told_starts *told);
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -1,18 +1,18 @@
-/* Orders that other daemons carry to workers for the owner of a pool.
+/* Relays orders to workers through other daemons on behalf of the owner of a pool.
  *
- * One daemon decides for a service, and what it decides is cheap; the calls to workers are not:
- * each takes a request, a parse of its answer and several system calls.  So each worker has a
- * daemon of its own failure domain that carries the owner's orders to it, chosen by rendezvous
- * hashing weighted by processor, and the owner sends and hears frames of a few hundred bytes.
- * Starts of one job go through few daemons where the owner's link is thin (payload-share.h).
+ * One daemon makes all decisions for a service, which is cheap; the calls to workers are not: each
+ * takes a request, parsing of the answer and several system calls.  So each worker has a daemon in
+ * its own failure domain that relays the owner's orders to it, chosen by rendezvous hashing
+ * weighted by processor, and the owner exchanges frames of a few hundred bytes with that daemon.
+ * When the owner's link is slow, the starts of one job go through few daemons (payload-share.h).
  *
- * The relay decides nothing and repeats nothing.  An order that it delays is as one that the
- * network delays: it carries the owner's epoch and a deadline on the worker's clock.
+ * A relay makes no decisions and no retries.  An order that it delays is equivalent to one that the
+ * network delays: it contains the owner's epoch and a deadline on the worker's clock.
  *
- * Failure: a relay dies, freezes or is cut off; it shows as workers of one domain that seem
- * silent together.  Guard: a relay that does not answer rests, its workers go to the next one or
- * to the owner itself, and an order that was certainly not sent counts as not done and is
- * repeated. */
+ * Failure: a relay dies, hangs or is partitioned from the network; it shows as workers of one
+ * domain that seem unresponsive together.  Guard: a relay that does not answer is not used for a
+ * while, its workers are served by the next relay or by the owner itself, and an order that was
+ * certainly not sent counts as not done and is repeated. */
 #include "relay.h"
 
 #include "src/entry/entry-private.h"
@@ -23,17 +23,18 @@
 
 #include <string.h>
 
-/* A relay that did not answer gets nothing for so long. */
+/* How long a relay that did not answer is not used. */
 #define REST_MS 3000
-/* On top of an order's own time limit: the way to the relay and back. */
+/* Added to an order's own time limit for the network to the relay and back. */
 #define WAY_MS 150
-/* For an order that is not a look.  An answered one takes a few ms; a worker that hangs should
- * not hold up its caller for long. */
+/* Time limit of a start or stop.  An answer takes a few ms; a worker that hangs should not block
+ * its caller for long. */
 #define ORDER_MS 600
-/* To name a payload takes 20 bytes, and it may have to be sent after all. */
+/* Shorter payloads are always sent: naming a payload takes 20 bytes, and it may have to be sent
+ * after all. */
 #define SHARED_MIN_BYTES 64
 
-/* ---- choosing ------------------------------------------------------------------- */
+/* ---- choosing a relay ----------------------------------------------------------- */
 
 typedef struct
 {
@@ -127,7 +128,7 @@
     }
 }
 
-/* An order to start or stop a run, on its way to its worker. */
+/* An order to start or stop a run that was sent to its worker. */
 typedef struct
 {
   FbEntry *entry;
@@ -216,7 +217,7 @@
     answer->result = fb_wire_order_result (reply, &answer->clock_ms);
 }
 
-/* ---- asking ----------------------------------------------------------------------- */
+/* ---- sending orders to a relay ---------------------------------------------------- */
 
 typedef struct
 {
@@ -224,14 +225,15 @@
   char *daemon;
   FbRelayDone done;
   gpointer user;
-  GBytes *whole; /* the order with its payload, of one that was sent without; else NULL */
+  GBytes *whole; /* request with its payload, if that was left out; else NULL */
   FbPayloadDigest digest;
   uint64_t until_ms;
 } Carried;
 
 static void on_told (gpointer data, const fb_told *told);
 
-/* The daemon has started anew, or dropped the payload.  Returns: FALSE when it was sent it. */
+/* Sends the order again with its payload, because the relay has restarted or evicted the payload.
+ * Returns: FALSE when that is not possible any more. */
 static gboolean
 send_whole (Carried *carried)
 {
@@ -273,7 +275,7 @@
   g_free (carried);
 }
 
-/* Names the payload of ASK, a start, instead of sending it where DAEMON has it. */
+/* If the relay has the payload of ASK, a start, replaces it by its digest. */
 static void
 share_payload (Carried *carried, fb_ask *ask, uint64_t now_ms)
 {
@@ -308,7 +310,7 @@
   fb_peers_ask (entry, daemon, &ask, patience_ms, on_told, carried);
 }
 
-/* ---- carrying ------------------------------------------------------------------------ */
+/* ---- serving as a relay ---------------------------------------------------------------- */
 
 typedef struct
 {
@@ -319,7 +321,8 @@
   char *worker;
 } Order;
 
-/* ROWS and ENDS borrow from ANSWER. */
+/* Fills in TOLD from ANSWER; ROWS and ENDS are its arrays, whose strings are borrowed from
+ * ANSWER. */
 static void
 tell_look (const FbLookAnswer *answer, fb_told_order *told, fb_seen_run *rows, fb_seen_end *ends)
 {
@@ -364,8 +367,8 @@
   g_free (order);
 }
 
-/* Keeps the payload of ASK, or puts the one that it names into it; borrowed.
- * Returns: FALSE when that is not here. */
+/* Caches the payload of ASK, or fills in the cached one that ASK names, borrowed.
+ * Returns: FALSE when the named payload is not cached. */
 static gboolean
 complete_payload (FbEntry *entry, fb_ask_order *ask)
 {
--- a/src/entry/peers/relay.h
+++ b/src/entry/peers/relay.h
@@ -1,4 +1,4 @@
-/* Orders that other daemons carry to workers for the owner of a pool. */
+/* Relays orders to workers through other daemons on behalf of the owner of a pool. */
 #pragma once
 
 #include "src/entry/store/daemons.h"
@@ -8,33 +8,35 @@
 typedef enum
 {
   FB_RELAY_ANSWERED,
-  FB_RELAY_NOT_CARRIED, /* certainly */
-  FB_RELAY_LOST         /* the order may be carried out, now or later */
+  FB_RELAY_NOT_CARRIED, /* the order was certainly not executed */
+  FB_RELAY_LOST         /* the order may be executed, now or later */
 } FbRelayResult;
 
-/* TOLD is borrowed; NULL unless it was answered. */
+/* Completion of a relayed order.  TOLD is borrowed; NULL unless the relay answered. */
 typedef void (*FbRelayDone) (gpointer user, FbRelayResult result, const fb_told_order *told);
-/* TOLD is borrowed; NULL when no answer came, UNSURE also when nothing was sent. */
+/* Completion of a request to a peer.  TOLD is borrowed; NULL when no reply came; of type
+ * FB_TOLD_UNSURE also when nothing was sent. */
 typedef void (*FbTold) (gpointer user, const fb_told *told);
 
 /* MEMBERS: of FbDaemon.  BUT: an address that is not to be chosen.
- * Returns: (nullable): who of DOMAIN carries what KEY stands for; borrowed. */
+ * Returns: (nullable): the member of DOMAIN that relays orders with KEY; borrowed. */
 const FbDaemon *fb_relay_choose (const GPtrArray *members, const char *domain, const char *key,
                                  const char *but, uint64_t now_ms);
-/* Returns: (nullable): the address of the daemon that carries ORDER to its worker, borrowed; NULL:
- * this one does. */
+/* Returns: (nullable): the address of the daemon that relays ORDER to its worker, borrowed; NULL
+ * when this daemon sends it itself. */
 const char *fb_relay_for (FbEntry *entry, const fb_ask_order *order);
-/* Has DAEMON carry ORDER; all it points to is borrowed for the call. */
+/* Sends ORDER through DAEMON; everything that ORDER points to is borrowed for the call. */
 void fb_relay_carry (FbEntry *entry, const char *daemon, const fb_ask_order *order,
                      FbRelayDone done, gpointer user);
-/* Carries an order for another daemon; DONE is called once. */
+/* Sends ORDER to its worker on behalf of another daemon; DONE is called once. */
 void fb_relay_serve (FbEntry *entry, const fb_ask_order *order, FbTold done, gpointer user);
-/* Calls the worker from here. */
+/* Sends ORDER to its worker from this daemon. */
 void fb_relay_call_worker (FbEntry *entry, const fb_ask_order *order, FbHttpReplyDone done,
                            gpointer user);
-/* Reads what the worker answered to an order of KIND; the lists are those of a look.  ANSWER is
+/* Parses the worker's answer to an order of KIND; only the answer to a poll has lists.  ANSWER is
  * cleared with fb_look_answer_clear(). */
 void fb_relay_worker_answer (fb_order_kind kind, const char *worker, const FbHttpReply *reply,
                              FbLookAnswer *answer);
-/* ANSWER borrows its texts from TOLD; it is cleared with fb_look_answer_clear(). */
+/* Converts a relay's reply.  ANSWER borrows its strings from TOLD; it is cleared with
+ * fb_look_answer_clear(). */
 void fb_relay_look_answer (const fb_told_order *told, FbLookAnswer *answer);
--- a/src/entry/routes.h
+++ b/src/entry/routes.h
@@ -1,4 +1,4 @@
-/* The routes in force: which queue a caller's path belongs to. */
+/* Routes in force: map a caller's host and path to a queue. */
 #pragma once
 
 #include "rpc/work.h"
@@ -22,7 +22,7 @@
 
 FbRoutes *fb_routes_new (uint64_t version);
 void fb_routes_free (FbRoutes *self);
-/* Takes over the strings. */
+/* Adds ROUTE and takes it over with its strings. */
 void fb_routes_add (FbRoutes *self, FbRoute *route);
 /* Returns: (nullable): the route of HOST (a port is ignored) with the longest
  * prefix of PATH, borrowed. */
--- a/src/entry/settings.c
+++ b/src/entry/settings.c
@@ -9,7 +9,7 @@
 #define NAME_MAX_LEN 128
 #define PARTITIONS_MAX 65536
 #define CPU_MILLI_DEFAULT 1000
-/* More would be more workers than a job's record names. */
+/* More workers than that do not fit into a job's record. */
 #define CRASHES_MOST 8
 
 static const FbIniField daemon_fields[]
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -7,28 +7,28 @@
 {
   char *name;
   char *domain;  /* failure domain */
-  char *callers; /* IP:PORT, each of these */
+  char *callers; /* IP:PORT where callers are served */
   char *readiness;
-  char *peers;        /* where the other daemons reach this one */
-  char *peers_listen; /* where it listens for them */
+  char *peers;        /* IP:PORT where the other daemons reach this one */
+  char *peers_listen; /* IP:PORT where it listens for them */
   char *metrics;
   char *store;
-  char *advice; /* NULL: no queue has advice */
+  char *advice; /* IP:PORT of the advice service; NULL: no queue has advice */
   uint64_t partitions;
-  uint64_t shortest_ttl_ms; /* of a member of a group */
+  uint64_t shortest_ttl_ms; /* shortest time to live of a member of a group */
   uint64_t hold_max_ms;
   uint64_t stop_ms;
   uint64_t gang_wait_ms;
-  uint64_t crashes_n;        /* of workers under a task before it is given up; 0 if not told */
-  uint64_t shared_crashes_n; /* the same if others were on the workers; 0 if not told */
+  uint64_t crashes_n;        /* isolated crashes under a task before it is given up; 0: default */
+  uint64_t shared_crashes_n; /* the same if other tasks ran on the workers; 0: default */
   uint64_t grace_ms;
-  uint64_t link_kbit_s; /* of its network link, each way; Mbit/s in the file; 0 if not told */
-  uint64_t cpu_milli;   /* what it has of a core, in thousandths; 1000 if not told */
+  uint64_t link_kbit_s; /* network link in each direction; Mbit/s in the file; 0: unknown */
+  uint64_t cpu_milli;   /* processor, in thousandths of a core; 1000 by default */
 } FbEntrySettings;
 
-/* Returns: TRUE when the file at PATH is of this kind, not a cell's daemon. */
+/* Returns: TRUE when the file at PATH holds settings of this kind, not those of a cell's daemon. */
 gboolean fb_entry_settings_recognize (const char *path);
-/* Returns: (transfer full): NULL with a last message that names file, group and key. */
+/* Returns: (transfer full): NULL on an error; fb_status_message() names file, group and key. */
 FbEntrySettings *fb_entry_settings_load (const char *path);
 void fb_entry_settings_free (FbEntrySettings *self);
 gboolean fb_entry_settings_same_listeners (const FbEntrySettings *a, const FbEntrySettings *b);
