--- a/rpc/work.x
+++ b/rpc/work.x
@@ -1,7 +1,7 @@
 /* Graph jobs: what callers submit, and the records that outlive a daemon.
  *
- * The same types serve in memory, in the platform's log and between daemons, so
- * each is decoded once. */
+ * The same types are used in memory, in records of the platform's log and in messages between
+ * daemons, so that each is decoded once. */
 
 const FB_WORK_MAX_PAYLOAD = 4000;
 const FB_WORK_MAX_STEPS = 64;
@@ -19,7 +19,7 @@
 const FB_WORK_MAX_KEPT = 256;
 const FB_WORK_DIGEST_BYTES = 16;
 
-/* One step: COUNT equal tasks, each of the size given. */
+/* One step: COUNT identical tasks, each with the given resource demand. */
 struct fb_work_step {
   unsigned int count;
   unsigned int cpu_milli;
@@ -27,14 +27,14 @@
   unsigned int gpu_count;
   unsigned int estimate_ms;
   unsigned int max_per_worker;  /* 0: no bound */
-  unsigned int max_unavailable; /* of a lasting step; 0: no bound */
-  unsigned int tail_target_ms;  /* of a serving step; 0: none */
+  unsigned int max_unavailable; /* of a long-running step; 0: no bound */
+  unsigned int tail_target_ms;  /* of a step that serves requests; 0: none */
   bool gang;
   bool rack_local;
   bool checkpointing;
   bool speculative;
   bool lasting;
-  bool fills; /* takes only what other tasks leave; its cpu is not counted */
+  bool fills; /* best-effort: uses only what other tasks leave; its cpu is not counted */
   string data_rack<FB_WORK_MAX_NAME>;
   string required_label<FB_WORK_MAX_NAME>;
   string image<FB_WORK_MAX_NAME>;
@@ -44,16 +44,16 @@
 struct fb_work_spec {
   string payload<FB_WORK_MAX_PAYLOAD>;
   fb_work_step steps<FB_WORK_MAX_STEPS>;
-  unsigned hyper first_due_ms; /* since 1970, of occurrence 0 */
+  unsigned hyper first_due_ms; /* due time of occurrence 0, ms since 1970 */
   unsigned hyper interval_ms;
-  unsigned int occurrences; /* 0: runs once, as soon as it can */
+  unsigned int occurrences; /* 0: runs once, as soon as possible */
 };
 
-/* A queue's policy, as it was when the job was accepted. */
+/* A queue's policy as of the time when the job was accepted. */
 struct fb_work_policy {
   string queue<FB_WORK_MAX_NAME>;
   string service<FB_WORK_MAX_NAME>;
-  unsigned int priority; /* 0 goes first */
+  unsigned int priority; /* 0: highest */
   unsigned int max_attempts;
   unsigned int stretch_milli;
   unsigned int target_ms;
@@ -63,20 +63,20 @@
   unsigned int advice_validity_ms;
 };
 
-/* The key of a record names the job; see fb_record_key(). */
+/* Admission of a job.  The key of the record names the job; see fb_record_key(). */
 struct fb_work_admit {
   fb_work_policy policy;
   fb_work_spec spec;
-  unsigned hyper accepted_ms; /* since 1970, on the daemon that accepted it */
+  unsigned hyper accepted_ms; /* ms since 1970, by the clock of the daemon that accepted it */
 };
 
-/* What is known of one task, left out while it has neither ended nor saved. */
+/* Progress of one task; left out while the task has neither ended nor saved a checkpoint. */
 struct fb_work_mark {
   unsigned int occurrence;
   unsigned int step;
   unsigned int index;
   unsigned int attempt;
-  unsigned int failed<FB_WORK_MAX_FAILED>; /* attempts that ended failed */
+  unsigned int failed<FB_WORK_MAX_FAILED>; /* numbers of the attempts that failed */
   bool done;
   string checkpoint<FB_WORK_MAX_NAME>;
 };
@@ -91,7 +91,7 @@
 
 struct fb_work_progress {
   fb_work_state state;
-  unsigned hyper ended_ms; /* since 1970; 0 while it has not ended */
+  unsigned hyper ended_ms; /* ms since 1970; 0 while it has not ended */
   fb_work_mark marks<FB_WORK_MAX_MARKS>;
 };
 
@@ -100,25 +100,25 @@
   string address<FB_WORK_MAX_NAME>;
 };
 
-/* A task under which workers have crashed; they are named by their
- * FbPoolWorker.rank.  One whose crash is firm, or where the task was seen at work, is listed
- * twice; daemons that know nothing of that pass over the second row. */
+/* A task under which workers have crashed.  Workers are identified by their FbPoolWorker.rank.  A
+ * worker whose crash is confirmed, or where the task was seen running, is listed twice; daemons of
+ * earlier versions ignore the second entry. */
 struct fb_work_suspect {
   unsigned int occurrence;
   unsigned int step;
   unsigned int index;
-  unsigned hyper apart<FB_WORK_MAX_CRASHES>;  /* nothing else was there that could have done it */
+  unsigned hyper apart<FB_WORK_MAX_CRASHES>;  /* no other task could be the cause */
   unsigned hyper shared<FB_WORK_MAX_CRASHES>;
-  fb_work_tried tried<FB_WORK_MAX_CRASHES>; /* where it was ordered, and it is not known what became */
+  fb_work_tried tried<FB_WORK_MAX_CRASHES>; /* starts with unknown outcome */
 };
 
-/* Follows the progress of a job in its record; left out when there are none. */
+/* Follows the progress of a job in the job's record; left out when there are no suspects. */
 struct fb_work_suspects {
   fb_work_suspect tasks<FB_WORK_MAX_MARKS>;
 };
 
-/* The workers of a pool that may run something, as its owner knew them.  The
- * platform's list loses entries while the store is away. */
+/* The workers of a pool that may have runs, as its owner knew them.  The platform's list loses
+ * entries while the store is unavailable. */
 struct fb_step_name {
   string name<FB_WORK_MAX_NAME>;
 };
@@ -126,7 +126,7 @@
 struct fb_work_known {
   string id<FB_WORK_MAX_NAME>;
   string address<FB_WORK_MAX_NAME>;
-  bool closed; /* nothing is started there any more: no other step can run there */
+  bool closed; /* draining: starts no tasks, and only these steps can have runs there */
   fb_step_name steps<FB_WORK_MAX_RUNS>;
 };
 
@@ -134,21 +134,21 @@
   fb_work_known workers<FB_WORK_MAX_WORKERS>;
 };
 
-/* Between daemons: asked of the owner of a pool, or of a helper. */
+/* Requests between daemons, to the owner of a pool or to any peer. */
 
 enum fb_ask_type {
-  FB_ASK_STATE = 1,  /* of a job, by the owner of its pool */
-  FB_ASK_PENDING = 2, /* of a queue */
-  FB_ASK_ADVICE = 3, /* call the advice service from the daemon asked */
-  FB_ASK_APPEND = 4, /* append to the log for a daemon that it turns away */
-  FB_ASK_STORED = 5, /* tells the owner of a record that is in the log */
-  FB_ASK_OWNERS = 6, /* who owns which partition, as the log's group has it */
-  FB_ASK_WRITE = 7,  /* append progress for an owner that the log turns away */
-  FB_ASK_STARTS = 9, /* which starts went out from the daemon asked to workers that fell silent */
-  FB_ASK_ORDER = 10, /* carry an order to a worker; 8 was one that named no life: daemons of both
-                      * versions carry nothing for each other */
-  FB_ASK_KEEP = 11,  /* keep what is held against tasks of a job, until the store has it */
-  FB_ASK_KEPT = 12   /* what is kept so */
+  FB_ASK_STATE = 1,  /* state of a job, answered by the owner of its pool */
+  FB_ASK_PENDING = 2, /* number of pending jobs of a queue */
+  FB_ASK_ADVICE = 3, /* call the advice service from the receiving daemon */
+  FB_ASK_APPEND = 4, /* append to the log for a daemon that the log rejects */
+  FB_ASK_STORED = 5, /* notifies the owner of a record that is in the log */
+  FB_ASK_OWNERS = 6, /* owners of all partitions, according to the log's group */
+  FB_ASK_WRITE = 7,  /* append progress for an owner that the log rejects */
+  FB_ASK_STARTS = 9, /* starts that the receiving daemon sent to workers that no longer answer */
+  FB_ASK_ORDER = 10, /* relay an order to a worker; 8 was one without the worker's incarnation:
+                      * daemons of both versions relay nothing for each other */
+  FB_ASK_KEEP = 11,  /* hold a copy of a job's crash suspects until the store has them */
+  FB_ASK_KEPT = 12   /* all copies held so */
 };
 
 struct fb_ask_job {
@@ -176,7 +176,7 @@
   opaque records<>;
 };
 
-/* The log takes each SEQUENCE of a writer once, whoever sends it. */
+/* The log accepts each SEQUENCE of a writer once, whoever sends it. */
 struct fb_ask_write {
   unsigned int partition;
   string writer<FB_WORK_MAX_NAME>;
@@ -197,8 +197,8 @@
   FB_CARRY_LOOK = 3
 };
 
-/* An order of the owner of a pool, carried by the daemon asked.  What a kind does not need is
- * empty or 0. */
+/* An order of the owner of a pool that the receiving daemon relays.  Members that a kind does not
+ * need are empty or 0. */
 struct fb_ask_order {
   fb_order_kind kind;
   string worker<FB_WORK_MAX_NAME>;
@@ -206,21 +206,21 @@
   unsigned hyper epoch;
   string task<FB_WORK_MAX_NAME>;
   unsigned int attempt;
-  string payload<FB_WORK_MAX_PAYLOAD>; /* "" with a digest: one that was sent before */
-  opaque payload_digest<FB_WORK_DIGEST_BYTES>; /* of a payload that is to be kept; empty: none */
+  string payload<FB_WORK_MAX_PAYLOAD>; /* "" with a digest: a payload that was sent before */
+  opaque payload_digest<FB_WORK_DIGEST_BYTES>; /* of a payload to cache; empty: none */
   string checkpoint<FB_WORK_MAX_NAME>;
   string ticket<FB_WORK_MAX_NAME>; /* "": none */
   unsigned hyper deadline_ms;      /* on the worker's clock */
   unsigned hyper acknowledged;
-  unsigned int wait_ms;   /* at the worker */
-  unsigned int answer_ms; /* given up when it has not answered so long after that */
+  unsigned int wait_ms;   /* how long a poll waits at the worker */
+  unsigned int answer_ms; /* allowance for the worker's answer after that */
 };
 
-/* What the owner of a pool holds against tasks of a job and could not store yet; nothing: it is
- * stored, or nothing is held against them any more. */
+/* Crash suspects of a job that the owner of its pool could not store yet; none: they are stored, or
+ * nothing is suspected any more. */
 struct fb_kept_job {
   string job<FB_WORK_MAX_NAME>;
-  unsigned hyper epoch; /* of the owner */
+  unsigned hyper epoch; /* epoch of the owner */
   fb_work_suspects suspects;
 };
 
@@ -239,19 +239,19 @@
 };
 
 enum fb_told_type {
-  FB_TOLD_UNSURE = 1, /* not the owner, or not caught up: ask again */
+  FB_TOLD_UNSURE = 1, /* not the owner, or not caught up: retry */
   FB_TOLD_STATE = 2,
   FB_TOLD_NO_JOB = 3,
   FB_TOLD_PENDING = 4,
   FB_TOLD_ADVICE = 5,
   FB_TOLD_STORED = 6,
-  FB_TOLD_NOT_STORED = 7, /* certainly */
+  FB_TOLD_NOT_STORED = 7, /* certainly not stored */
   FB_TOLD_IN_DOUBT = 8,
   FB_TOLD_OWNERS = 9,
   FB_TOLD_FENCED = 10,  /* a higher epoch writes there */
-  FB_TOLD_SEQUENCE = 11, /* another sequence was expected */
-  FB_TOLD_ORDER = 12,    /* what became of an order */
-  FB_TOLD_NO_PAYLOAD = 13, /* nothing was done: the payload that the order names is not there */
+  FB_TOLD_SEQUENCE = 11, /* another sequence number was expected */
+  FB_TOLD_ORDER = 12,    /* result of an order */
+  FB_TOLD_NO_PAYLOAD = 13, /* nothing was done: the payload that the order names is not cached */
   FB_TOLD_STARTS = 14,
   FB_TOLD_KEPT = 15
 };
@@ -268,7 +268,7 @@
 
 struct fb_partition_owner {
   unsigned int partition;
-  string address<FB_WORK_MAX_NAME>; /* of the daemon, for its peers */
+  string address<FB_WORK_MAX_NAME>; /* IP:PORT where the daemon's peers reach it */
 };
 
 struct fb_told_owners {
@@ -289,11 +289,11 @@
   string checkpoint<FB_WORK_MAX_NAME>;
 };
 
-/* The lists are those of a look. */
+/* Reply to a relayed order; the lists are only used for a poll. */
 struct fb_told_order {
   unsigned int result;     /* FbOrderResult */
-  unsigned hyper clock_ms; /* the worker's; 0: not told */
-  string life<FB_WORK_MAX_NAME>; /* that answered instead of the one asked; "": not known */
+  unsigned hyper clock_ms; /* the worker's clock; 0: not known */
+  string life<FB_WORK_MAX_NAME>; /* that answered instead of the one addressed; "": not known */
   fb_seen_run running<FB_WORK_MAX_SEEN>;
   fb_seen_end finished<FB_WORK_MAX_SEEN>;
 };
@@ -301,10 +301,10 @@
 /* A start of the last seconds whose run is not known to have ended. */
 struct fb_recent_start {
   string worker<FB_WORK_MAX_NAME>;
-  string address<FB_WORK_MAX_NAME>; /* of the worker */
+  string address<FB_WORK_MAX_NAME>; /* IP:PORT of the worker */
   string task<FB_WORK_MAX_NAME>;
   unsigned int attempt;
-  bool seen; /* the worker has said that it is there */
+  bool seen; /* the worker has confirmed the run */
 };
 
 struct fb_told_starts {
