--- a/src/entry/advice/advisor.c
+++ b/src/entry/advice/advisor.c
@@ -106,7 +106,7 @@
   if (owner != NULL)
     tell_owner (owner, question, answered ? &told->fb_told_u.advice : NULL);
   /* Lets the pool whose turn it is send its request. */
-  fb_entry_each_owner (question->entry, fb_owner_kick);
+  fb_entry_foreach_owner (question->entry, fb_owner_schedule_tick);
   question_free (question);
 }
 
--- a/src/entry/entry-private.h
+++ b/src/entry/entry-private.h
@@ -50,15 +50,15 @@
   FbFollower *config_follower;
   FbFollower *worker_follower; /* NULL until this daemon owns a partition */
   FbWorkerList *workers;
-  GHashTable *skipped;  /* ids of malformed worker entries that have been logged */
-  GHashTable *relisted; /* ids in the current listing; NULL: none in progress */
+  GHashTable *malformed_ids; /* ids of malformed worker entries that have been logged */
+  GHashTable *listed_ids;    /* ids in the current listing; NULL: none in progress */
   FbKeepalive *keepalive;
   FbDaemons *daemons;
   FbGroup *group;
   FbAdvisor *advisor;
-  GHashTable *owners;    /* partition -> FbOwner */
-  GHashTable *appenders; /* partition -> FbAppender for callers' records */
-  GHashTable *takes;     /* partition -> FbTake: epochs used by this daemon */
+  GHashTable *owners;           /* partition -> FbOwner */
+  GHashTable *appenders;        /* partition -> FbAppender for callers' records */
+  GHashTable *partition_epochs; /* partition -> FbPartitionEpochs: epochs used by this daemon */
   FbTimer *timer;
   FbLoopWatch *loop;
   FbLinkWatch *link;
@@ -68,13 +68,14 @@
   FbKeptSuspects *kept_suspects; /* held for owners that the store does not serve */
   FbJoinWatch joins;
   gboolean stopping;
-  gboolean refusing;    /* shutting down: new callers are refused immediately */
-  guint open_calls;     /* number of callers' requests without an answer */
-  uint64_t answered_ms; /* time of the last answer to a caller */
-  uint64_t store_ok_ms; /* time of the store's last answer */
+  gboolean refusing_callers; /* shutting down: new callers are refused immediately */
+  guint open_calls;          /* number of callers' requests without an answer */
+  uint64_t answered_ms;      /* time of the last answer to a caller */
+  uint64_t store_ok_ms;      /* time of the store's last answer */
   gboolean store_lost;
-  FbStorePace pace;  /* latency and failures of this daemon's calls to the store */
-  gboolean troubled; /* as last logged: callers' records should not be appended from this daemon */
+  FbStorePace pace; /* latency and failures of this daemon's calls to the store */
+  gboolean
+      store_degraded; /* as last logged: callers' records should not be appended from this daemon */
 };
 
 uint32_t fb_entry_partition_of (const FbEntry *self, const char *service);
@@ -82,20 +83,21 @@
 FbAppender *fb_entry_appender (FbEntry *self, uint32_t partition);
 /* Sets which partitions this daemon owns; new ones are taken over under EPOCH.  WHY is logged for
  * partitions that it no longer owns. */
-void fb_entry_own (FbEntry *self, const GArray *partitions, uint64_t epoch, const char *why);
-void fb_entry_disown (FbEntry *self, uint32_t partition);
-void fb_entry_each_owner (FbEntry *self, void (*func) (FbOwner *owner));
+void fb_entry_set_owned_partitions (FbEntry *self, const GArray *partitions, uint64_t epoch,
+                                    const char *why);
+void fb_entry_release_partition (FbEntry *self, uint32_t partition);
+void fb_entry_foreach_owner (FbEntry *self, void (*func) (FbOwner *owner));
 /* Starts following the configuration, and the periodic release of partitions whose ownership was
  * lost. */
-void fb_entry_watch (FbEntry *self);
+void fb_entry_start_watching (FbEntry *self);
 /* Returns: (transfer full): ages of the last joins and the largest main loop delay, for log lines
  * about a lost partition. */
-char *fb_entry_ages (const FbEntry *self);
+char *fb_entry_format_timing (const FbEntry *self);
 /* To be called when the store has answered a join of the owners' group; TTL_MS is this daemon's
  * time to live in the group. */
 void fb_entry_join_answered (FbEntry *self, uint32_t ttl_ms);
 /* To be called with the REPLY to a membership renewal that was sent at SENT_MS. */
-void fb_entry_renewed (FbEntry *self, const FbHttpReply *reply, uint64_t sent_ms);
+void fb_entry_membership_renewed (FbEntry *self, const FbHttpReply *reply, uint64_t sent_ms);
 /* Updates the store's health from REPLY. */
 void fb_entry_store_answered (FbEntry *self, const FbHttpReply *reply);
 /* TRUE when the store has not answered for so long that a call would most likely time out; callers
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -48,8 +48,8 @@
   SoupServer *callers;
   SoupServer *internal;
   uint64_t stop_began_ms;
-  gboolean leave_asked;
-  uint64_t left_ms; /* when the partitions were released; 0: not yet */
+  gboolean leave_requested;
+  uint64_t released_ms; /* when the partitions were released; 0: not yet */
 } Daemon;
 
 /* ---- servers ---------------------------------------------------------------------- */
@@ -178,18 +178,18 @@
 on_left (gpointer data)
 {
   Daemon *self = data;
-  self->left_ms = fb_clock_ms ();
+  self->released_ms = fb_clock_ms ();
 }
 
 static gboolean
-all_quiet (const FbEntry *self)
+all_owners_flushed (const FbEntry *self)
 {
   GHashTableIter iter;
   gpointer owner;
   g_hash_table_iter_init (&iter, self->owners);
   while (g_hash_table_iter_next (&iter, NULL, &owner))
     {
-      if (!fb_owner_is_quiet (owner))
+      if (!fb_owner_is_flushed (owner))
         return FALSE;
     }
   return TRUE;
@@ -202,18 +202,18 @@
   FbEntry *entry = &self->entry;
   uint64_t now_ms = fb_clock_ms ();
   uint64_t spent_ms = now_ms - self->stop_began_ms;
-  if (!self->leave_asked && (all_quiet (entry) || spent_ms > STOP_FLUSH_MS))
+  if (!self->leave_requested && (all_owners_flushed (entry) || spent_ms > STOP_FLUSH_MS))
     {
       g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
-      self->leave_asked = TRUE;
-      fb_entry_own (entry, none, 0, "planned stop");
+      self->leave_requested = TRUE;
+      fb_entry_set_owned_partitions (entry, none, 0, "planned stop");
       fb_group_leave (entry->group, on_left, self);
     }
   /* Failure: the process ends while calls are open; it shows as requests that were read and get no
    * answer.  Guard: a request that could last beyond the end of the process is refused. */
   if (spent_ms + STOP_MARGIN_MS + FB_FRONT_LONGEST_CALL_MS >= entry->settings->grace_ms)
-    entry->refusing = TRUE;
-  gboolean done = self->left_ms != 0 && now_ms > self->left_ms + STOP_LINGER_MS
+    entry->refusing_callers = TRUE;
+  gboolean done = self->released_ms != 0 && now_ms > self->released_ms + STOP_LINGER_MS
                   && entry->open_calls == 0 && now_ms >= entry->answered_ms + STOP_SETTLE_MS;
   if (!done && spent_ms + STOP_MARGIN_MS < entry->settings->grace_ms)
     return G_SOURCE_CONTINUE;
@@ -231,14 +231,14 @@
   self->stop_began_ms = fb_clock_ms ();
   fb_event_log (FB_EVENT_PROCESS_DRAINING, "grace_ms=%u open=%u",
                 (guint) self->entry.settings->grace_ms, self->entry.open_calls);
-  fb_entry_each_owner (&self->entry, fb_owner_quiesce);
+  fb_entry_foreach_owner (&self->entry, fb_owner_quiesce);
   fb_daemons_leave (self->entry.daemons);
   g_timeout_add (STOP_STEP_MS, on_stop_step, self);
   return G_SOURCE_CONTINUE;
 }
 
 static void
-watch_link (gpointer data, uint64_t now_ms)
+check_link_use (gpointer data, uint64_t now_ms)
 {
   FbEntry *self = data;
   FbTrafficTotals totals;
@@ -256,7 +256,7 @@
 }
 
 static void
-tend_links (gpointer data, uint64_t now_ms)
+check_link_timeouts (gpointer data, uint64_t now_ms)
 {
   fb_links_tend (((FbEntry *) data)->links, now_ms);
 }
@@ -276,18 +276,18 @@
   self->worker_client = fb_http_client_new ();
   self->advice_client = fb_http_client_new ();
   self->workers = fb_worker_list_new ();
-  self->skipped = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  self->malformed_ids = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   self->owners = g_hash_table_new (NULL, NULL);
   self->appenders = g_hash_table_new (NULL, NULL);
-  self->takes = g_hash_table_new_full (NULL, NULL, NULL, g_free);
+  self->partition_epochs = g_hash_table_new_full (NULL, NULL, NULL, g_free);
   self->advisor = fb_advisor_new (self);
   self->keepalive = fb_keepalive_new ();
   self->daemons = fb_daemons_new (self);
   self->group = fb_group_new (self);
-  fb_entry_watch (self);
-  fb_timer_subscribe (self->timer, TIMER_MS, tend_links, self);
+  fb_entry_start_watching (self);
+  fb_timer_subscribe (self->timer, TIMER_MS, check_link_timeouts, self);
   fb_timer_subscribe (self->timer, SETTINGS_CHECK_MS, check_settings, self);
-  fb_timer_subscribe (self->timer, LINK_CHECK_MS, watch_link, self);
+  fb_timer_subscribe (self->timer, LINK_CHECK_MS, check_link_use, self);
   g_timeout_add (TIMER_MS, on_timer, self);
 }
 
--- a/src/entry/front/front-store.c
+++ b/src/entry/front/front-store.c
@@ -145,12 +145,12 @@
 note_trouble (FbEntry *entry, uint64_t now_ms)
 {
   const FbStorePace *pace = &entry->pace;
-  gboolean troubled = fb_gatherer_is_troubled (pace, now_ms);
-  if (troubled != entry->troubled)
-    fb_event_log (troubled ? FB_EVENT_STORE_SLOW : FB_EVENT_STORE_QUICK,
+  gboolean store_degraded = fb_gatherer_is_troubled (pace, now_ms);
+  if (store_degraded != entry->store_degraded)
+    fb_event_log (store_degraded ? FB_EVENT_STORE_SLOW : FB_EVENT_STORE_QUICK,
                   "append_ms=%u renewal_ms=%u failed=%d", pace->append_ms, pace->renewal_ms,
                   fb_store_pace_has_failed (pace, now_ms));
-  entry->troubled = troubled;
+  entry->store_degraded = store_degraded;
 }
 
 static void store_by_gatherer (FbFrontRequest *request);
--- a/src/entry/front/front.c
+++ b/src/entry/front/front.c
@@ -231,10 +231,10 @@
   (void) query;
   FbEntry *entry = data;
   fb_counter_add (FB_COUNTER_REQUESTS, 1);
-  if (entry->refusing || entry->routes == NULL)
+  if (entry->refusing_callers || entry->routes == NULL)
     {
       refuse (entry, message, SOUP_STATUS_SERVICE_UNAVAILABLE,
-              entry->refusing ? "the daemon is about to end" : "no configuration yet");
+              entry->refusing_callers ? "the daemon is about to end" : "no configuration yet");
       return;
     }
   SoupMessageHeaders *headers = soup_server_message_get_request_headers (message);
--- a/src/entry/owner/owner-load.c
+++ b/src/entry/owner/owner-load.c
@@ -25,7 +25,7 @@
       fb_event_log (FB_EVENT_LOG_RECORD_SKIPPED, "job=%s malformed", job);
       return;
     }
-  fb_pool_admit_owned (fb_owner_part_for (self, record.policy.service)->pool, job, &record,
+  fb_pool_admit_owned (fb_owner_pool_for (self, record.policy.service)->pool, job, &record,
                        fb_clock_ms (), fb_clock_wall_ms ());
   xdr_free ((xdrproc_t) xdr_fb_work_admit, (char *) &record);
 }
@@ -36,10 +36,11 @@
 {
   (void) nothing;
   GHashTableIter iter;
-  gpointer part;
-  g_hash_table_iter_init (&iter, self->parts);
-  while (g_hash_table_iter_next (&iter, NULL, &part))
-    fb_pool_cancel (((FbOwnerPart *) part)->pool, job, fb_clock_ms (), fb_clock_wall_ms ());
+  gpointer service_pool;
+  g_hash_table_iter_init (&iter, self->service_pools);
+  while (g_hash_table_iter_next (&iter, NULL, &service_pool))
+    fb_pool_cancel (((FbServicePool *) service_pool)->pool, job, fb_clock_ms (),
+                    fb_clock_wall_ms ());
 }
 
 static void
@@ -53,7 +54,7 @@
       fb_event_log (FB_EVENT_LOG_RECORD_SKIPPED, "workers of service=%s malformed", service);
       return;
     }
-  fb_pool_restore_workers (fb_owner_part_for (self, service)->pool, &record);
+  fb_pool_restore_workers (fb_owner_pool_for (self, service)->pool, &record);
   xdr_free ((xdrproc_t) xdr_fb_work_workers, (char *) &record);
 }
 
@@ -75,10 +76,11 @@
       return;
     }
   GHashTableIter iter;
-  gpointer part;
-  g_hash_table_iter_init (&iter, self->parts);
-  while (g_hash_table_iter_next (&iter, NULL, &part))
-    fb_pool_restore (((FbOwnerPart *) part)->pool, job, &record, &suspects, fb_clock_ms ());
+  gpointer service_pool;
+  g_hash_table_iter_init (&iter, self->service_pools);
+  while (g_hash_table_iter_next (&iter, NULL, &service_pool))
+    fb_pool_restore (((FbServicePool *) service_pool)->pool, job, &record, &suspects,
+                     fb_clock_ms ());
   fb_codec_clear_progress (&record, &suspects);
 }
 
@@ -91,26 +93,27 @@
 }
 
 static void
-log_taken (const FbOwner *self)
+log_take_over (const FbOwner *self)
 {
   uint64_t now_ms = fb_clock_ms ();
-  fb_event_log (
-      FB_EVENT_POOL_TAKEN,
-      "partition=%u epoch=%" G_GUINT64_FORMAT
-      " load_ms=%u shut_out_ms=%u progress_ms=%u jobs_ms=%u admit_ms=%u jobs=%u"
-      " bytes=%" G_GSIZE_FORMAT " loop_late_ms=%u",
-      self->partition, self->epoch, (guint) (now_ms - self->began_ms),
-      (guint) (self->fenced_ms - self->began_ms), (guint) (self->progress_ms - self->fenced_ms),
-      (guint) (self->jobs_ms - self->progress_ms), (guint) (now_ms - self->jobs_ms), self->loaded_n,
-      self->loaded_bytes, fb_loop_watch_longest_ms (self->entry->loop, now_ms));
+  fb_event_log (FB_EVENT_POOL_TAKEN,
+                "partition=%u epoch=%" G_GUINT64_FORMAT
+                " load_ms=%u shut_out_ms=%u progress_ms=%u jobs_ms=%u admit_ms=%u jobs=%u"
+                " bytes=%" G_GSIZE_FORMAT " loop_late_ms=%u",
+                self->partition, self->epoch, (guint) (now_ms - self->take_over_began_ms),
+                (guint) (self->fenced_ms - self->take_over_began_ms),
+                (guint) (self->progress_ms - self->fenced_ms),
+                (guint) (self->jobs_ms - self->progress_ms), (guint) (now_ms - self->jobs_ms),
+                self->loaded_n, self->loaded_bytes,
+                fb_loop_watch_longest_ms (self->entry->loop, now_ms));
 }
 
-typedef void (*TakeRecord) (FbOwner *self, const char *key, GBytes *value);
+typedef void (*ApplyRecord) (FbOwner *self, const char *key, GBytes *value);
 
 /* Applies and removes up to MOST records of TABLE.
  * Returns: how many were applied. */
 static guint
-take_some (FbOwner *self, GHashTable *table, TakeRecord take, guint most)
+apply_some (FbOwner *self, GHashTable *table, ApplyRecord take, guint most)
 {
   GHashTableIter iter;
   gpointer key;
@@ -132,10 +135,10 @@
 {
   self->loaded = TRUE;
   fb_counter_add (FB_COUNTER_TAKE_OVERS, 1);
-  self->authority_ms = fb_clock_ms ();
-  log_taken (self);
+  self->confirmed_ms = fb_clock_ms ();
+  log_take_over (self);
   fb_owner_routes_changed (self);
-  fb_owner_kick (self);
+  fb_owner_schedule_tick (self);
 }
 
 /* Failure: a pool of hundreds of jobs is loaded in one iteration of the main loop, 0.4 s on 0.12 of
@@ -147,20 +150,20 @@
 {
   FbOwner *self = data;
   guint left = LOAD_PER_TURN;
-  guint jobs_n = take_some (self, self->loading, admit, left);
+  guint jobs_n = apply_some (self, self->loading, admit, left);
   self->loaded_n += jobs_n;
   left -= jobs_n;
-  left -= take_some (self, self->progress, restore, left);
-  left -= take_some (self, self->cancelled, cancel, left);
+  left -= apply_some (self, self->progress, restore, left);
+  left -= apply_some (self, self->cancelled, cancel, left);
   if (left == 0)
     return G_SOURCE_CONTINUE;
-  self->load_turn = 0;
+  self->load_source = 0;
   finish_loading (self);
   return G_SOURCE_REMOVE;
 }
 
 void
-fb_owner_take_record (FbOwner *self, const char *key, GBytes *value)
+fb_owner_apply_record (FbOwner *self, const char *key, GBytes *value)
 {
   if (!self->loaded || value == NULL || strlen (key) < 2)
     return;
@@ -168,7 +171,7 @@
     admit (self, key + 1, value);
   else
     cancel (self, key + 1, value);
-  fb_owner_kick (self);
+  fb_owner_schedule_tick (self);
 }
 
 static void
@@ -177,7 +180,7 @@
   FbOwner *self = user;
   if (self->loaded)
     {
-      fb_owner_take_record (self, record->key, record->value);
+      fb_owner_apply_record (self, record->key, record->value);
       return;
     }
   if (record->value == NULL || strlen (record->key) < 2)
@@ -190,10 +193,10 @@
 on_jobs_listed (gpointer user)
 {
   FbOwner *self = user;
-  if (self->loaded || self->load_turn != 0)
+  if (self->loaded || self->load_source != 0)
     return;
   self->jobs_ms = fb_clock_ms ();
-  self->load_turn = g_idle_add_full (G_PRIORITY_DEFAULT, on_load_some, self, NULL);
+  self->load_source = g_idle_add_full (G_PRIORITY_DEFAULT, on_load_some, self, NULL);
 }
 
 static const FbFollowerOps job_ops = { ignore_begin, on_job_record, on_jobs_listed };
@@ -221,12 +224,12 @@
 static const FbFollowerOps progress_ops = { ignore_begin, on_progress_record, on_progress_listed };
 
 void
-fb_owner_writer_shut_out (gpointer data, FbAppendResult result)
+fb_owner_writer_fenced (gpointer data, FbAppendResult result)
 {
   FbOwner *self = data;
   if (result != FB_APPEND_STORED)
     {
-      fb_owner_lose (self, "a later owner writes");
+      fb_owner_step_down (self, "a later owner writes");
       return;
     }
   self->fenced_ms = fb_clock_ms ();
--- a/src/entry/owner/owner-orders.c
+++ b/src/entry/owner/owner-orders.c
@@ -19,13 +19,13 @@
 } Order;
 
 static Order *
-order_new (const FbOwnerPart *part, const char *worker, uint64_t id, fb_order_kind kind)
+order_new (const FbServicePool *service_pool, const char *worker, uint64_t id, fb_order_kind kind)
 {
   Order *order = g_new0 (Order, 1);
-  order->entry = part->owner->entry;
-  order->partition = part->owner->partition;
-  order->epoch = part->owner->epoch;
-  order->service = g_strdup (part->service);
+  order->entry = service_pool->owner->entry;
+  order->partition = service_pool->owner->partition;
+  order->epoch = service_pool->owner->epoch;
+  order->service = g_strdup (service_pool->service);
   order->worker = g_strdup (worker);
   order->order = id;
   order->kind = kind;
@@ -41,38 +41,40 @@
   g_free (order);
 }
 
-static FbOwnerPart *
-part_of_order (const Order *order)
+static FbServicePool *
+pool_of_order (const Order *order)
 {
   FbOwner *owner = fb_entry_owner (order->entry, order->partition);
   if (owner == NULL || owner->epoch != order->epoch)
     return NULL;
-  return g_hash_table_lookup (owner->parts, order->service);
+  return g_hash_table_lookup (owner->service_pools, order->service);
 }
 
 static void
-take_answer (FbOwnerPart *part, const Order *order, const FbLookAnswer *answer)
+pass_answer (FbServicePool *service_pool, const Order *order, const FbLookAnswer *answer)
 {
   uint64_t now_ms = fb_clock_ms ();
   if (order->kind == FB_CARRY_LOOK)
-    fb_pool_look_answered (part->pool, order->worker, answer, now_ms, fb_clock_wall_ms ());
+    fb_pool_look_answered (service_pool->pool, order->worker, answer, now_ms, fb_clock_wall_ms ());
   else if (order->kind == FB_CARRY_START)
-    fb_pool_start_answered (part->pool, order->order, answer->result, answer->clock_ms, now_ms);
+    fb_pool_start_answered (service_pool->pool, order->order, answer->result, answer->clock_ms,
+                            now_ms);
   else
-    fb_pool_stop_answered (part->pool, order->order, answer->result, answer->clock_ms, now_ms);
+    fb_pool_stop_answered (service_pool->pool, order->order, answer->result, answer->clock_ms,
+                           now_ms);
 }
 
 /* Passes ANSWER to the pool of ORDER, if this daemon still owns it, and frees ORDER. */
 static void
 finish (Order *order, const FbLookAnswer *answer)
 {
-  FbOwnerPart *part = part_of_order (order);
+  FbServicePool *service_pool = pool_of_order (order);
   if (order->kind != FB_CARRY_LOOK)
     fb_histogram_add (FB_HISTOGRAM_ORDER, fb_clock_ms () - order->sent_ms);
-  if (part != NULL)
+  if (service_pool != NULL)
     {
-      take_answer (part, order, answer);
-      fb_owner_kick (part->owner);
+      pass_answer (service_pool, order, answer);
+      fb_owner_schedule_tick (service_pool->owner);
     }
   order_free (order);
 }
@@ -101,7 +103,7 @@
 }
 
 static void
-on_carried (gpointer data, FbRelayResult result, const fb_told_order *told)
+on_relayed (gpointer data, FbRelayResult result, const fb_told_order *told)
 {
   Order *order = data;
   FbLookAnswer answer
@@ -115,14 +117,14 @@
 }
 
 static void
-send_order (const FbOwnerPart *part, const fb_ask_order *ask, uint64_t id)
+send_order (const FbServicePool *service_pool, const fb_ask_order *ask, uint64_t id)
 {
-  FbEntry *entry = part->owner->entry;
-  Order *order = order_new (part, ask->worker, id, ask->kind);
+  FbEntry *entry = service_pool->owner->entry;
+  Order *order = order_new (service_pool, ask->worker, id, ask->kind);
   const char *relay = fb_relay_for (entry, ask);
   fb_counter_add (FB_COUNTER_WORKER_SYNCS, 1);
   if (relay != NULL)
-    fb_relay_carry (entry, relay, ask, on_carried, order);
+    fb_relay_carry (entry, relay, ask, on_relayed, order);
   else
     fb_relay_call_worker (entry, ask, on_order_reply, order);
 }
@@ -180,17 +182,17 @@
 sink_advise (gpointer user, const char *step, const char *const *workers, guint n,
              uint32_t expected_ms)
 {
-  const FbOwner *owner = ((FbOwnerPart *) user)->owner;
+  const FbOwner *owner = ((FbServicePool *) user)->owner;
   return fb_advisor_ask (owner->entry->advisor, owner->partition, step, workers, n, expected_ms);
 }
 
 void
-fb_owner_lose (FbOwner *self, const char *why)
+fb_owner_step_down (FbOwner *self, const char *why)
 {
   if (self->lost)
     return;
   self->lost = TRUE;
-  g_autofree char *ages = fb_entry_ages (self->entry);
+  g_autofree char *ages = fb_entry_format_timing (self->entry);
   fb_event_log (FB_EVENT_POOL_LOST, "partition=%u epoch=%" G_GUINT64_FORMAT " why=\"%s\" %s",
                 self->partition, self->epoch, why, ages);
 }
@@ -199,7 +201,7 @@
 sink_fenced (gpointer user, const char *worker)
 {
   (void) worker;
-  fb_owner_lose (((FbOwnerPart *) user)->owner, "a worker has seen a later owner");
+  fb_owner_step_down (((FbServicePool *) user)->owner, "a worker has seen a later owner");
 }
 
 const FbPoolSink fb_owner_sink
--- a/src/entry/owner/owner-private.h
+++ b/src/entry/owner/owner-private.h
@@ -9,7 +9,7 @@
   FbOwner *owner;
   FbPool *pool;
   char *service;
-} FbOwnerPart;
+} FbServicePool;
 
 struct _FbOwner
 {
@@ -19,29 +19,29 @@
   FbAppender *appender;
   FbFollower *progress_follower;
   FbFollower *job_follower;
-  GHashTable *progress;  /* job -> GBytes, while loading */
-  GHashTable *cancelled; /* set of cancelled jobs, while loading */
-  GHashTable *loading;   /* job -> GBytes, while loading */
-  GHashTable *parts;     /* service -> FbOwnerPart */
-  guint load_turn;       /* source that applies the records read; 0 when none is scheduled */
+  GHashTable *progress;      /* job -> GBytes, while loading */
+  GHashTable *cancelled;     /* set of cancelled jobs, while loading */
+  GHashTable *loading;       /* job -> GBytes, while loading */
+  GHashTable *service_pools; /* service -> FbServicePool */
+  guint load_source;         /* source that applies the records read; 0 when none is scheduled */
   gboolean loaded;
   gboolean workers_known; /* the list of workers was read after fenced_ms */
   gboolean lost;
-  gboolean quiet;
-  uint64_t began_ms;
-  uint64_t fenced_ms;    /* when the previous owner was fenced off */
-  uint64_t progress_ms;  /* when the recorded progress had been read */
-  uint64_t jobs_ms;      /* when the jobs had been read; they are applied from then on */
-  guint loaded_n;        /* number of jobs that were loaded */
-  gsize loaded_bytes;    /* size of all records that were loaded */
-  uint64_t authority_ms; /* when its ownership was last confirmed */
-  guint recalled_n;      /* number of requests for recent starts sent to each other daemon */
-  uint64_t recall_ms;    /* time of the next such request */
-  guint kick;
-  guint tick;
+  gboolean quiesced;
+  uint64_t take_over_began_ms;
+  uint64_t fenced_ms;     /* when the previous owner was fenced off */
+  uint64_t progress_ms;   /* when the recorded progress had been read */
+  uint64_t jobs_ms;       /* when the jobs had been read; they are applied from then on */
+  guint loaded_n;         /* number of jobs that were loaded */
+  gsize loaded_bytes;     /* size of all records that were loaded */
+  uint64_t confirmed_ms;  /* when its ownership was last confirmed */
+  guint start_requests_n; /* number of requests for recent starts sent to each other daemon */
+  uint64_t next_start_request_ms; /* time of the next such request */
+  guint tick_source;
+  guint tick_timer;
   guint open_flushes;
-  GPtrArray *spent;    /* ids of jobs whose end is stored: their records can be dropped */
-  uint64_t dropped_ms; /* when such records were last dropped */
+  GPtrArray *ended_jobs; /* ids of jobs whose end is stored: their records can be dropped */
+  uint64_t dropped_ms;   /* when such records were last dropped */
 };
 
 /* Keys of FB_TOPIC_PROGRESS are job ids, or this prefix and the name of a service. */
@@ -50,27 +50,27 @@
 /* owner-orders.c: sends the orders of pools and passes the answers back. */
 extern const FbPoolSink fb_owner_sink;
 /* Marks SELF as no longer the owner: it stops acting at once, and the daemon frees it soon. */
-void fb_owner_lose (FbOwner *self, const char *why);
+void fb_owner_step_down (FbOwner *self, const char *why);
 
 /* owner-load.c: loads the records of previous owners. */
 
 /* Completion of the append that fences off the previous writer. */
-void fb_owner_writer_shut_out (gpointer self, FbAppendResult result);
+void fb_owner_writer_fenced (gpointer self, FbAppendResult result);
 
 /* owner-unstored.c */
 
 /* Sends crash suspects that the store does not accept to other daemons. */
-void fb_owner_hand_unstored (const FbOwnerPart *part);
+void fb_owner_back_up_suspects (const FbServicePool *service_pool);
 /* Applies TOLD, the copies of suspects that a daemon has held for earlier owners. */
-void fb_owner_take_kept (FbOwner *self, const fb_told_kept *told);
+void fb_owner_import_suspects (FbOwner *self, const fb_told_kept *told);
 
 /* owner-recall.c */
 
-/* Requests the recent starts of earlier owners from all daemons, twice.  To be called in every step
+/* Requests the recent starts of earlier owners from all daemons, twice.  To be called in every tick
  * once the owner has loaded. */
-void fb_owner_recall_starts (FbOwner *self, uint64_t now_ms);
+void fb_owner_request_starts (FbOwner *self, uint64_t now_ms);
 
 /* owner.c */
 
 /* Returns: the pool of SERVICE, borrowed; created when there is none. */
-FbOwnerPart *fb_owner_part_for (FbOwner *self, const char *service);
+FbServicePool *fb_owner_pool_for (FbOwner *self, const char *service);
--- a/src/entry/owner/owner-recall.c
+++ b/src/entry/owner/owner-recall.c
@@ -6,94 +6,94 @@
 #define ANSWER_MS 1000
 /* A daemon learns that a worker is unresponsive when its last poll of that worker times out; hence
  * a second request. */
-#define AGAIN_MS 1500
-#define ASKED_MOST 2
+#define REPEAT_MS 1500
+#define REQUESTS_MAX 2
 
 typedef struct
 {
   FbEntry *entry;
   uint32_t partition;
   uint64_t epoch;
-} Recall;
+} ImportRequest;
 
 static void
-take_starts (FbOwner *self, const fb_told_starts *told)
+import_starts (FbOwner *self, const fb_told_starts *told)
 {
   GHashTableIter iter;
-  gpointer part;
-  g_hash_table_iter_init (&iter, self->parts);
-  while (g_hash_table_iter_next (&iter, NULL, &part))
-    fb_pool_recall_starts (((FbOwnerPart *) part)->pool, told, fb_clock_ms ());
+  gpointer service_pool;
+  g_hash_table_iter_init (&iter, self->service_pools);
+  while (g_hash_table_iter_next (&iter, NULL, &service_pool))
+    fb_pool_recall_starts (((FbServicePool *) service_pool)->pool, told, fb_clock_ms ());
 }
 
 static void
 on_told (gpointer data, const fb_told *told)
 {
-  Recall *recall = data;
-  FbOwner *owner = fb_entry_owner (recall->entry, recall->partition);
+  ImportRequest *request = data;
+  FbOwner *owner = fb_entry_owner (request->entry, request->partition);
   if (told != NULL && told->type == FB_TOLD_STARTS && owner != NULL
-      && owner->epoch == recall->epoch)
-    take_starts (owner, &told->fb_told_u.starts);
+      && owner->epoch == request->epoch)
+    import_starts (owner, &told->fb_told_u.starts);
   else if (told != NULL && told->type == FB_TOLD_KEPT && owner != NULL
-           && owner->epoch == recall->epoch)
-    fb_owner_take_kept (owner, &told->fb_told_u.kept);
-  g_free (recall);
+           && owner->epoch == request->epoch)
+    fb_owner_import_suspects (owner, &told->fb_told_u.kept);
+  g_free (request);
 }
 
 static void
-ask_daemon (const FbOwner *self, const char *address, fb_ask_type what)
+request_from (const FbOwner *self, const char *address, fb_ask_type what)
 {
   const fb_ask ask = { .type = what };
-  Recall *recall = g_new0 (Recall, 1);
-  recall->entry = self->entry;
-  recall->partition = self->partition;
-  recall->epoch = self->epoch;
-  fb_peers_ask (self->entry, address, &ask, ANSWER_MS, on_told, recall);
+  ImportRequest *request = g_new0 (ImportRequest, 1);
+  request->entry = self->entry;
+  request->partition = self->partition;
+  request->epoch = self->epoch;
+  fb_peers_ask (self->entry, address, &ask, ANSWER_MS, on_told, request);
 }
 
 static void
-recall_own (FbOwner *self)
+import_own_starts (FbOwner *self)
 {
   fb_told_starts told;
   fb_recent_starts_tell (self->entry->recent_starts, fb_clock_ms (), &told);
-  take_starts (self, &told);
+  import_starts (self, &told);
   g_free (told.starts.starts_val);
 }
 
 static void
-recall_own_kept (FbOwner *self)
+import_own_suspects (FbOwner *self)
 {
   fb_told_kept told;
   fb_kept_suspects_tell (self->entry->kept_suspects, fb_clock_ms (), &told);
-  fb_owner_take_kept (self, &told);
+  fb_owner_import_suspects (self, &told);
   xdr_free ((xdrproc_t) xdr_fb_told_kept, (char *) &told);
 }
 
 static void
-ask_all (FbOwner *self)
+request_from_all (FbOwner *self)
 {
   const GPtrArray *daemons = fb_daemons_all (self->entry->daemons);
-  if (self->recalled_n == 1)
-    recall_own_kept (self);
-  recall_own (self);
+  if (self->start_requests_n == 1)
+    import_own_suspects (self);
+  import_own_starts (self);
   for (guint i = 0; i < daemons->len; i++)
     {
       const FbDaemon *daemon = daemons->pdata[i];
       if (g_str_equal (daemon->address, self->entry->settings->peers))
         continue;
       /* Requested only once: the owner may have cleared a task of suspicion since. */
-      if (self->recalled_n == 1)
-        ask_daemon (self, daemon->address, FB_ASK_KEPT);
-      ask_daemon (self, daemon->address, FB_ASK_STARTS);
+      if (self->start_requests_n == 1)
+        request_from (self, daemon->address, FB_ASK_KEPT);
+      request_from (self, daemon->address, FB_ASK_STARTS);
     }
 }
 
 void
-fb_owner_recall_starts (FbOwner *self, uint64_t now_ms)
+fb_owner_request_starts (FbOwner *self, uint64_t now_ms)
 {
-  if (self->recalled_n >= ASKED_MOST || now_ms < self->recall_ms)
+  if (self->start_requests_n >= REQUESTS_MAX || now_ms < self->next_start_request_ms)
     return;
-  self->recalled_n++;
-  self->recall_ms = now_ms + AGAIN_MS;
-  ask_all (self);
+  self->start_requests_n++;
+  self->next_start_request_ms = now_ms + REPEAT_MS;
+  request_from_all (self);
 }
--- a/src/entry/owner/owner-unstored.c
+++ b/src/entry/owner/owner-unstored.c
@@ -9,7 +9,7 @@
 
 /* Number of daemons that hold a copy: one may be killed together with the owner, and another may be
  * partitioned from the network. */
-#define KEEPERS 3
+#define BACKUPS_N 3
 #define ANSWER_MS 1000
 
 typedef struct
@@ -19,7 +19,7 @@
 } Choice;
 
 static gboolean
-may_keep (const FbDaemon *daemon, gconstpointer user)
+may_hold_backup (const FbDaemon *daemon, gconstpointer user)
 {
   const Choice *choice = user;
   return !g_str_equal (daemon->address, choice->own_address)
@@ -29,15 +29,16 @@
 /* Sends ASK to the daemons chosen for its job.  A job's copies always go to the same daemons while
  * these are alive. */
 static void
-hand_over (const FbOwner *self, const fb_ask *ask)
+send_backups (const FbOwner *self, const fb_ask *ask)
 {
   const GPtrArray *daemons = fb_daemons_all (self->entry->daemons);
   g_autoptr (GPtrArray) chosen = g_ptr_array_new ();
   const Choice choice = { self->entry->settings->peers, chosen };
   const FbDaemon *daemon = NULL;
-  while (chosen->len < KEEPERS
-         && (daemon = fb_rendezvous_choose (daemons, ask->fb_ask_u.keep.job, may_keep, &choice))
-                != NULL)
+  while (
+      chosen->len < BACKUPS_N
+      && (daemon = fb_rendezvous_choose (daemons, ask->fb_ask_u.keep.job, may_hold_backup, &choice))
+             != NULL)
     {
       g_ptr_array_add (chosen, daemon->address);
       fb_peers_ask (self->entry, daemon->address, ask, ANSWER_MS, fb_peers_ignore_told, NULL);
@@ -48,7 +49,7 @@
 }
 
 static void
-hand_job (const FbOwner *self, const FbPoolUnstored *unstored)
+back_up_job (const FbOwner *self, const FbPoolUnstored *unstored)
 {
   fb_ask ask = { .type = FB_ASK_KEEP };
   fb_kept_job *kept = &ask.fb_ask_u.keep;
@@ -59,33 +60,33 @@
       = unstored->suspects != NULL ? g_bytes_get_data (unstored->suspects, &len) : NULL;
   if (data != NULL && !fb_codec_decode_suspects (data, len, &kept->suspects))
     return;
-  hand_over (self, &ask);
+  send_backups (self, &ask);
   xdr_free ((xdrproc_t) xdr_fb_work_suspects, (char *) &kept->suspects);
 }
 
 void
-fb_owner_hand_unstored (const FbOwnerPart *part)
+fb_owner_back_up_suspects (const FbServicePool *service_pool)
 {
-  g_autoptr (GPtrArray) unstored = fb_pool_unstored (part->pool, fb_clock_ms ());
+  g_autoptr (GPtrArray) unstored = fb_pool_unstored (service_pool->pool, fb_clock_ms ());
   for (guint i = 0; unstored != NULL && i < unstored->len; i++)
-    hand_job (part->owner, unstored->pdata[i]);
+    back_up_job (service_pool->owner, unstored->pdata[i]);
 }
 
 /* ---- after a take-over ------------------------------------------------------------------- */
 
 void
-fb_owner_take_kept (FbOwner *self, const fb_told_kept *told)
+fb_owner_import_suspects (FbOwner *self, const fb_told_kept *told)
 {
   GHashTableIter iter;
-  gpointer part;
+  gpointer service_pool;
   for (u_int i = 0; i < told->jobs.jobs_len; i++)
     {
       const fb_kept_job *kept = &told->jobs.jobs_val[i];
       if (kept->epoch >= self->epoch)
         continue;
-      g_hash_table_iter_init (&iter, self->parts);
-      while (g_hash_table_iter_next (&iter, NULL, &part))
-        fb_pool_recall_unstored (((FbOwnerPart *) part)->pool, kept->job, &kept->suspects,
+      g_hash_table_iter_init (&iter, self->service_pools);
+      while (g_hash_table_iter_next (&iter, NULL, &service_pool))
+        fb_pool_recall_unstored (((FbServicePool *) service_pool)->pool, kept->job, &kept->suspects,
                                  fb_clock_ms ());
     }
 }
--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -8,63 +8,64 @@
 #include <string.h>
 
 #define WRITER "owner"
-/* Events within this time are handled in one step. */
-#define KICK_MS 4
-#define TICK_MS 25
+/* Events within this time are handled in one tick. */
+#define TICK_DELAY_MS 4
+#define TICK_INTERVAL_MS 25
 /* MAJORITY_MS: age of workers' answers that confirm ownership.  STEP_DOWN_MS: how long an owner
  * without any confirmation keeps its state. */
 #define MAJORITY_MS 1500
 #define STEP_DOWN_MS 2000
 /* Interval at which records of ended jobs are dropped together. */
-#define DROP_EVERY_MS 1000
+#define DROP_INTERVAL_MS 1000
 /* "No such job" is answered only when the jobs were read at most this long ago. */
-#define FRESH_MS 1500
+#define JOBS_FRESH_MS 1500
 
 /* ---- pools --------------------------------------------------------------------- */
 
 static void
-part_free (gpointer data)
+service_pool_free (gpointer data)
 {
-  FbOwnerPart *part = data;
-  fb_pool_free (part->pool);
-  g_free (part->service);
-  g_free (part);
+  FbServicePool *service_pool = data;
+  fb_pool_free (service_pool->pool);
+  g_free (service_pool->service);
+  g_free (service_pool);
 }
 
 static void
-list_known_workers (const FbOwnerPart *part)
+list_known_workers (const FbServicePool *service_pool)
 {
-  const FbWorkerList *workers = part->owner->entry->workers;
+  const FbWorkerList *workers = service_pool->owner->entry->workers;
   g_autoptr (GList) ids = fb_worker_list_ids (workers);
   for (const GList *l = ids; l != NULL; l = l->next)
     {
       const FbListedWorker *worker = fb_worker_list_of (workers, l->data);
-      if (g_str_equal (worker->service, part->service))
-        fb_pool_worker_listed (part->pool, &worker->entry, fb_clock_ms ());
+      if (g_str_equal (worker->service, service_pool->service))
+        fb_pool_worker_listed (service_pool->pool, &worker->entry, fb_clock_ms ());
     }
 }
 
-FbOwnerPart *
-fb_owner_part_for (FbOwner *self, const char *service)
+FbServicePool *
+fb_owner_pool_for (FbOwner *self, const char *service)
 {
-  FbOwnerPart *part = g_hash_table_lookup (self->parts, service);
-  if (part != NULL)
-    return part;
+  FbServicePool *service_pool = g_hash_table_lookup (self->service_pools, service);
+  if (service_pool != NULL)
+    return service_pool;
   const FbEntrySettings *settings = self->entry->settings;
   const FbPoolLimits limits = { .hold_max_ms = (uint32_t) settings->hold_max_ms,
                                 .stop_ms = (uint32_t) settings->stop_ms,
                                 .gang_wait_ms = (uint32_t) settings->gang_wait_ms,
                                 .crashes_n = (uint32_t) settings->crashes_n,
                                 .shared_crashes_n = (uint32_t) settings->shared_crashes_n };
-  part = g_new0 (FbOwnerPart, 1);
-  part->owner = self;
-  part->service = g_strdup (service);
-  part->pool = fb_pool_new (service, self->epoch, &limits, &fb_owner_sink, part, fb_clock_ms ());
-  g_hash_table_insert (self->parts, part->service, part);
-  list_known_workers (part);
+  service_pool = g_new0 (FbServicePool, 1);
+  service_pool->owner = self;
+  service_pool->service = g_strdup (service);
+  service_pool->pool
+      = fb_pool_new (service, self->epoch, &limits, &fb_owner_sink, service_pool, fb_clock_ms ());
+  g_hash_table_insert (self->service_pools, service_pool->service, service_pool);
+  list_known_workers (service_pool);
   if (self->workers_known)
-    fb_pool_workers_complete (part->pool);
-  return part;
+    fb_pool_workers_complete (service_pool->pool);
+  return service_pool;
 }
 
 /* ---- durability ------------------------------------------------------------------ */
@@ -85,15 +86,15 @@
   FbOwner *owner = fb_entry_owner (flush->entry, flush->partition);
   if (owner != NULL && owner->epoch == flush->epoch)
     {
-      FbOwnerPart *part = g_hash_table_lookup (owner->parts, flush->service);
+      FbServicePool *service_pool = g_hash_table_lookup (owner->service_pools, flush->service);
       owner->open_flushes--;
       if (result == FB_APPEND_STORED)
-        g_ptr_array_extend_and_steal (owner->spent, g_steal_pointer (&flush->ended));
-      if (result == FB_APPEND_STORED && part != NULL)
-        fb_pool_flushed (part->pool, fb_clock_ms ());
+        g_ptr_array_extend_and_steal (owner->ended_jobs, g_steal_pointer (&flush->ended));
+      if (result == FB_APPEND_STORED && service_pool != NULL)
+        fb_pool_flushed (service_pool->pool, fb_clock_ms ());
       else if (result != FB_APPEND_STORED)
-        fb_owner_lose (owner, "a later owner writes");
-      fb_owner_kick (owner);
+        fb_owner_step_down (owner, "a later owner writes");
+      fb_owner_schedule_tick (owner);
     }
   g_clear_pointer (&flush->ended, g_ptr_array_unref);
   g_free (flush->service);
@@ -113,29 +114,30 @@
  * and only the end is kept, a tenth of the bytes.  Records are dropped in batches because each
  * append is a call of the store. */
 static void
-drop_spent_jobs (FbOwner *self, uint64_t now_ms)
+drop_ended_jobs (FbOwner *self, uint64_t now_ms)
 {
-  if (self->spent->len == 0 || now_ms < self->dropped_ms + DROP_EVERY_MS)
+  if (self->ended_jobs->len == 0 || now_ms < self->dropped_ms + DROP_INTERVAL_MS)
     return;
   self->dropped_ms = now_ms;
   GByteArray *body = g_byte_array_new ();
-  for (guint i = 0; i < self->spent->len; i++)
+  for (guint i = 0; i < self->ended_jobs->len; i++)
     {
-      const char *job = self->spent->pdata[i];
+      const char *job = self->ended_jobs->pdata[i];
       g_autofree char *job_key = g_strdup_printf ("%c%s", FB_KEY_JOB, job);
       g_autofree char *cancel_key = g_strdup_printf ("%c%s", FB_KEY_CANCEL, job);
       fb_wire_put_record (body, job_key, NULL);
       fb_wire_put_record (body, cancel_key, NULL);
     }
-  g_ptr_array_set_size (self->spent, 0);
+  g_ptr_array_set_size (self->ended_jobs, 0);
   fb_appender_put (fb_entry_appender (self->entry, self->partition), body, 0, nothing_to_do, NULL);
 }
 
 static void
-flush_part (FbOwnerPart *part)
+flush_pool (FbServicePool *service_pool)
 {
-  FbOwner *self = part->owner;
-  g_autoptr (GPtrArray) records = fb_pool_flush (part->pool, fb_clock_ms (), fb_clock_wall_ms ());
+  FbOwner *self = service_pool->owner;
+  g_autoptr (GPtrArray) records
+      = fb_pool_flush (service_pool->pool, fb_clock_ms (), fb_clock_wall_ms ());
   if (records == NULL)
     return;
   GByteArray *body = g_byte_array_new ();
@@ -143,7 +145,7 @@
   for (guint i = 0; i < records->len; i++)
     {
       const FbPoolRecord *record = records->pdata[i];
-      g_autofree char *workers_key = g_strconcat (FB_KEY_WORKERS, part->service, NULL);
+      g_autofree char *workers_key = g_strconcat (FB_KEY_WORKERS, service_pool->service, NULL);
       fb_wire_put_record (body, record->job != NULL ? record->job : workers_key, record->progress);
       if (record->progress == NULL || record->ended)
         g_ptr_array_add (ended, g_strdup (record->job));
@@ -152,21 +154,21 @@
   flush->entry = self->entry;
   flush->partition = self->partition;
   flush->epoch = self->epoch;
-  flush->service = g_strdup (part->service);
+  flush->service = g_strdup (service_pool->service);
   flush->ended = ended;
   self->open_flushes++;
   fb_appender_put (self->appender, body, 0, on_flushed, flush);
 }
 
-/* ---- periodic step ---------------------------------------------------------------- */
+/* ---- periodic tick ---------------------------------------------------------------- */
 
 static gboolean
-is_sure (FbOwner *self, const FbOwnerPart *part, uint64_t now_ms)
+confirm_ownership (FbOwner *self, const FbServicePool *service_pool, uint64_t now_ms)
 {
   if (!fb_group_is_member (self->entry->group, now_ms)
-      && !fb_pool_holds_majority (part->pool, MAJORITY_MS, now_ms))
+      && !fb_pool_holds_majority (service_pool->pool, MAJORITY_MS, now_ms))
     return FALSE;
-  self->authority_ms = now_ms;
+  self->confirmed_ms = now_ms;
   return TRUE;
 }
 
@@ -181,52 +183,52 @@
   if (self->workers_known || fb_follower_fresh_ms (list) <= self->fenced_ms)
     return;
   self->workers_known = TRUE;
-  fb_histogram_add (FB_HISTOGRAM_TAKE_OVER, fb_clock_ms () - self->began_ms);
+  fb_histogram_add (FB_HISTOGRAM_TAKE_OVER, fb_clock_ms () - self->take_over_began_ms);
   GHashTableIter iter;
-  gpointer part;
-  g_hash_table_iter_init (&iter, self->parts);
-  while (g_hash_table_iter_next (&iter, NULL, &part))
-    fb_pool_workers_complete (((FbOwnerPart *) part)->pool);
+  gpointer service_pool;
+  g_hash_table_iter_init (&iter, self->service_pools);
+  while (g_hash_table_iter_next (&iter, NULL, &service_pool))
+    fb_pool_workers_complete (((FbServicePool *) service_pool)->pool);
 }
 
 static void
-round_of (FbOwner *self)
+run_tick (FbOwner *self)
 {
   uint64_t now_ms = fb_clock_ms ();
   check_worker_list (self);
-  fb_owner_recall_starts (self, now_ms);
+  fb_owner_request_starts (self, now_ms);
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, self->parts);
+  g_hash_table_iter_init (&iter, self->service_pools);
   while (!self->lost && g_hash_table_iter_next (&iter, NULL, &value))
     {
-      FbOwnerPart *part = value;
-      gboolean may_start = is_sure (self, part, now_ms) && !self->quiet;
-      fb_pool_jobs_read (part->pool, fb_follower_fresh_ms (self->job_follower));
-      fb_pool_step (part->pool, may_start, now_ms, fb_clock_wall_ms ());
-      flush_part (part);
-      fb_owner_hand_unstored (part);
+      FbServicePool *service_pool = value;
+      gboolean may_start = confirm_ownership (self, service_pool, now_ms) && !self->quiesced;
+      fb_pool_jobs_read (service_pool->pool, fb_follower_fresh_ms (self->job_follower));
+      fb_pool_step (service_pool->pool, may_start, now_ms, fb_clock_wall_ms ());
+      flush_pool (service_pool);
+      fb_owner_back_up_suspects (service_pool);
     }
-  drop_spent_jobs (self, now_ms);
-  if (self->loaded && now_ms > self->authority_ms + STEP_DOWN_MS)
-    fb_owner_lose (self, "neither the store nor the workers say that it still owns it");
+  drop_ended_jobs (self, now_ms);
+  if (self->loaded && now_ms > self->confirmed_ms + STEP_DOWN_MS)
+    fb_owner_step_down (self, "neither the store nor the workers say that it still owns it");
 }
 
 static gboolean
-on_kick (gpointer data)
+on_tick_due (gpointer data)
 {
   FbOwner *self = data;
-  self->kick = 0;
+  self->tick_source = 0;
   if (self->loaded && !self->lost)
-    round_of (self);
+    run_tick (self);
   return G_SOURCE_REMOVE;
 }
 
 void
-fb_owner_kick (FbOwner *self)
+fb_owner_schedule_tick (FbOwner *self)
 {
-  if (self->kick == 0)
-    self->kick = g_timeout_add (KICK_MS, on_kick, self);
+  if (self->tick_source == 0)
+    self->tick_source = g_timeout_add (TICK_DELAY_MS, on_tick_due, self);
 }
 
 static void
@@ -235,7 +237,7 @@
   (void) now_ms;
   FbOwner *self = data;
   if (self->loaded && !self->lost)
-    round_of (self);
+    run_tick (self);
 }
 
 /* ---- construction -------------------------------------------------------------------- */
@@ -247,34 +249,34 @@
   self->entry = entry;
   self->partition = partition;
   self->epoch = epoch;
-  self->began_ms = fb_clock_ms ();
+  self->take_over_began_ms = fb_clock_ms ();
   self->progress
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify) g_bytes_unref);
   self->loading
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify) g_bytes_unref);
   self->cancelled
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify) g_bytes_unref);
-  self->parts = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, part_free);
-  self->spent = g_ptr_array_new_with_free_func (g_free);
+  self->service_pools = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, service_pool_free);
+  self->ended_jobs = g_ptr_array_new_with_free_func (g_free);
   self->appender = fb_appender_new (entry, FB_TOPIC_PROGRESS, partition, WRITER, epoch);
-  self->tick = fb_timer_subscribe (entry->timer, TICK_MS, on_tick, self);
-  fb_appender_put (self->appender, g_byte_array_new (), 0, fb_owner_writer_shut_out, self);
+  self->tick_timer = fb_timer_subscribe (entry->timer, TICK_INTERVAL_MS, on_tick, self);
+  fb_appender_put (self->appender, g_byte_array_new (), 0, fb_owner_writer_fenced, self);
   return self;
 }
 
 void
 fb_owner_free (FbOwner *self)
 {
-  fb_timer_unsubscribe (self->entry->timer, self->tick);
-  if (self->kick != 0)
-    g_source_remove (self->kick);
-  if (self->load_turn != 0)
-    g_source_remove (self->load_turn);
+  fb_timer_unsubscribe (self->entry->timer, self->tick_timer);
+  if (self->tick_source != 0)
+    g_source_remove (self->tick_source);
+  if (self->load_source != 0)
+    g_source_remove (self->load_source);
   fb_appender_free (self->appender);
   fb_follower_free (self->progress_follower);
   fb_follower_free (self->job_follower);
-  g_ptr_array_unref (self->spent);
-  g_hash_table_unref (self->parts);
+  g_ptr_array_unref (self->ended_jobs);
+  g_hash_table_unref (self->service_pools);
   g_hash_table_unref (self->loading);
   g_hash_table_unref (self->progress);
   g_hash_table_unref (self->cancelled);
@@ -298,7 +300,7 @@
   for (guint i = 0; i < routes->services->len; i++)
     {
       if (fb_entry_partition_of (self->entry, routes->services->pdata[i]) == self->partition)
-        fb_owner_part_for (self, routes->services->pdata[i]);
+        fb_owner_pool_for (self, routes->services->pdata[i]);
     }
   g_autoptr (GHashTable) policies = g_hash_table_new (g_str_hash, g_str_equal);
   for (guint i = 0; i < routes->routes->len; i++)
@@ -307,28 +309,28 @@
       g_hash_table_insert (policies, policy->queue, policy);
     }
   GHashTableIter iter;
-  gpointer part;
-  g_hash_table_iter_init (&iter, self->parts);
-  while (g_hash_table_iter_next (&iter, NULL, &part))
-    fb_pool_policies (((FbOwnerPart *) part)->pool, policies);
+  gpointer service_pool;
+  g_hash_table_iter_init (&iter, self->service_pools);
+  while (g_hash_table_iter_next (&iter, NULL, &service_pool))
+    fb_pool_policies (((FbServicePool *) service_pool)->pool, policies);
 }
 
 void
 fb_owner_worker_listed (FbOwner *self, const FbListedWorker *worker)
 {
-  FbOwnerPart *part = g_hash_table_lookup (self->parts, worker->service);
-  if (part == NULL)
+  FbServicePool *service_pool = g_hash_table_lookup (self->service_pools, worker->service);
+  if (service_pool == NULL)
     return;
-  fb_pool_worker_listed (part->pool, &worker->entry, fb_clock_ms ());
-  fb_owner_kick (self);
+  fb_pool_worker_listed (service_pool->pool, &worker->entry, fb_clock_ms ());
+  fb_owner_schedule_tick (self);
 }
 
 void
 fb_owner_worker_unlisted (FbOwner *self, const FbListedWorker *worker)
 {
-  FbOwnerPart *part = g_hash_table_lookup (self->parts, worker->service);
-  if (part != NULL)
-    fb_pool_worker_unlisted (part->pool, worker->entry.id, fb_clock_ms ());
+  FbServicePool *service_pool = g_hash_table_lookup (self->service_pools, worker->service);
+  if (service_pool != NULL)
+    fb_pool_worker_unlisted (service_pool->pool, worker->entry.id, fb_clock_ms ());
 }
 
 void
@@ -336,59 +338,60 @@
                   const fb_told_advice *told)
 {
   GHashTableIter iter;
-  gpointer part;
-  g_hash_table_iter_init (&iter, self->parts);
-  while (g_hash_table_iter_next (&iter, NULL, &part))
-    fb_pool_advised (((FbOwnerPart *) part)->pool, step, asked, n, told, fb_clock_ms ());
-  fb_owner_kick (self);
+  gpointer service_pool;
+  g_hash_table_iter_init (&iter, self->service_pools);
+  while (g_hash_table_iter_next (&iter, NULL, &service_pool))
+    fb_pool_advised (((FbServicePool *) service_pool)->pool, step, asked, n, told, fb_clock_ms ());
+  fb_owner_schedule_tick (self);
 }
 
 void
 fb_owner_quiesce (FbOwner *self)
 {
-  self->quiet = TRUE;
+  self->quiesced = TRUE;
 }
 
 gboolean
-fb_owner_is_quiet (const FbOwner *self)
+fb_owner_is_flushed (const FbOwner *self)
 {
-  return self->quiet && self->open_flushes == 0;
+  return self->quiesced && self->open_flushes == 0;
 }
 
 /* ---- queries ------------------------------------------------------------------------------ */
 
 static void
-tell_state (FbOwner *self, const fb_ask_job *ask, fb_told *told)
+answer_job_state (FbOwner *self, const fb_ask_job *ask, fb_told *told)
 {
-  const FbOwnerPart *part = g_hash_table_lookup (self->parts, ask->service);
+  const FbServicePool *service_pool = g_hash_table_lookup (self->service_pools, ask->service);
   fb_work_state state = FB_WORK_QUEUED;
-  if (part != NULL && fb_pool_job_state (part->pool, ask->job, &state))
+  if (service_pool != NULL && fb_pool_job_state (service_pool->pool, ask->job, &state))
     {
       told->type = FB_TOLD_STATE;
       told->fb_told_u.state = state;
       return;
     }
   uint64_t now_ms = fb_clock_ms ();
-  if (now_ms < fb_follower_fresh_ms (self->job_follower) + FRESH_MS)
+  if (now_ms < fb_follower_fresh_ms (self->job_follower) + JOBS_FRESH_MS)
     told->type = FB_TOLD_NO_JOB;
 }
 
 static void
-tell_pending (FbOwner *self, const fb_ask_queue *ask, fb_told *told)
+answer_pending (FbOwner *self, const fb_ask_queue *ask, fb_told *told)
 {
-  const FbOwnerPart *part = g_hash_table_lookup (self->parts, ask->service);
+  const FbServicePool *service_pool = g_hash_table_lookup (self->service_pools, ask->service);
   told->type = FB_TOLD_PENDING;
-  told->fb_told_u.pending = part != NULL ? fb_pool_pending (part->pool, ask->queue) : 0;
+  told->fb_told_u.pending
+      = service_pool != NULL ? fb_pool_pending (service_pool->pool, ask->queue) : 0;
 }
 
 void
-fb_owner_tell (FbOwner *self, const fb_ask *ask, fb_told *told)
+fb_owner_answer (FbOwner *self, const fb_ask *ask, fb_told *told)
 {
   told->type = FB_TOLD_UNSURE;
   if (!self->loaded || self->lost)
     return;
   if (ask->type == FB_ASK_STATE)
-    tell_state (self, &ask->fb_ask_u.job, told);
+    answer_job_state (self, &ask->fb_ask_u.job, told);
   else if (ask->type == FB_ASK_PENDING)
-    tell_pending (self, &ask->fb_ask_u.queue, told);
+    answer_pending (self, &ask->fb_ask_u.queue, told);
 }
--- a/src/entry/owner/owner.h
+++ b/src/entry/owner/owner.h
@@ -10,17 +10,17 @@
 void fb_owner_free (FbOwner *self);
 gboolean fb_owner_lost (const FbOwner *self);
 /* Answers a request about a job or a queue. */
-void fb_owner_tell (FbOwner *self, const fb_ask *ask, fb_told *told);
+void fb_owner_answer (FbOwner *self, const fb_ask *ask, fb_told *told);
 /* Applies a record of FB_TOPIC_JOBS that is known to be stored, before the follower reads it. */
-void fb_owner_take_record (FbOwner *self, const char *key, GBytes *value);
-/* Schedules a step of the pools within some ms. */
-void fb_owner_kick (FbOwner *self);
+void fb_owner_apply_record (FbOwner *self, const char *key, GBytes *value);
+/* Schedules a tick of the pools within some ms. */
+void fb_owner_schedule_tick (FbOwner *self);
 void fb_owner_routes_changed (FbOwner *self);
 void fb_owner_worker_listed (FbOwner *self, const FbListedWorker *worker);
 void fb_owner_worker_unlisted (FbOwner *self, const FbListedWorker *worker);
 /* Stops starting tasks; progress is still stored. */
 void fb_owner_quiesce (FbOwner *self);
-gboolean fb_owner_is_quiet (const FbOwner *self);
+gboolean fb_owner_is_flushed (const FbOwner *self);
 /* Passes on an answer of the advice service; TOLD is NULL when the request failed. */
 void fb_owner_advised (FbOwner *self, const char *step, const char *const *asked, guint n,
                        const fb_told_advice *told);
--- a/src/entry/peers/peers.c
+++ b/src/entry/peers/peers.c
@@ -152,7 +152,7 @@
   fb_told told = { .type = FB_TOLD_UNSURE };
   uint64_t left_ms = question->until_ms - now_ms;
   if (owner != NULL)
-    fb_owner_tell (owner, &ask, &told);
+    fb_owner_answer (owner, &ask, &told);
   if (owner == NULL && address != NULL && !g_str_equal (address, question->entry->settings->peers))
     fb_peers_ask (question->entry, address, &ask, (uint32_t) MIN (left_ms, 700), on_owner_told,
                   question);
@@ -194,7 +194,7 @@
   const char *address = fb_group_owner_of (entry->group, partition);
   if (owner != NULL)
     {
-      fb_owner_take_record (owner, key, value);
+      fb_owner_apply_record (owner, key, value);
       return;
     }
   if (address == NULL || g_str_equal (address, entry->settings->peers))
@@ -343,7 +343,7 @@
   FbOwner *owner = fb_entry_owner (entry, ask->partition);
   g_autoptr (GBytes) value = g_bytes_new (ask->value.value_val, ask->value.value_len);
   if (owner != NULL)
-    fb_owner_take_record (owner, ask->key, value);
+    fb_owner_apply_record (owner, ask->key, value);
 }
 
 static void
@@ -410,7 +410,7 @@
     case FB_ASK_PENDING:
       owner = fb_entry_owner (entry, fb_entry_partition_of (entry, service_of (ask)));
       if (owner != NULL)
-        fb_owner_tell (owner, ask, &told);
+        fb_owner_answer (owner, ask, &told);
       break;
     }
   on_answer_ready (answer, &told);
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -10,9 +10,9 @@
 #include <time.h>
 #include <xxhash.h>
 
-#define REAP_MS 100
+#define RELEASE_INTERVAL_MS 100
 /* Number of malformed worker entries remembered as logged; beyond it some are logged again. */
-#define SKIPPED_MAX 1000
+#define MALFORMED_IDS_MAX 1000
 /* The store answers a poll every 0.4 s, up to 0.25 s later when it is slow, and a join every
  * 0.25 s. */
 #define STORE_SILENT_MS 1000
@@ -59,7 +59,7 @@
 }
 
 void
-fb_entry_renewed (FbEntry *self, const FbHttpReply *reply, uint64_t sent_ms)
+fb_entry_membership_renewed (FbEntry *self, const FbHttpReply *reply, uint64_t sent_ms)
 {
   uint64_t now_ms = fb_clock_ms ();
   if (reply->status == FB_HTTP_OK)
@@ -91,7 +91,7 @@
 }
 
 void
-fb_entry_each_owner (FbEntry *self, void (*func) (FbOwner *owner))
+fb_entry_foreach_owner (FbEntry *self, void (*func) (FbOwner *owner))
 {
   GHashTableIter iter;
   gpointer owner;
@@ -133,13 +133,13 @@
 
 /* A malformed entry lists no worker.  It is logged once: its writer may repeat it every second. */
 static void
-skip_entry (FbEntry *self, const char *id)
+skip_malformed_entry (FbEntry *self, const char *id)
 {
   fb_counter_add (FB_COUNTER_LOG_SKIPPED, 1);
   unlist_worker (self, id);
-  if (g_hash_table_size (self->skipped) >= SKIPPED_MAX)
-    g_hash_table_remove_all (self->skipped);
-  if (g_hash_table_add (self->skipped, g_strdup (id)))
+  if (g_hash_table_size (self->malformed_ids) >= MALFORMED_IDS_MAX)
+    g_hash_table_remove_all (self->malformed_ids);
+  if (g_hash_table_add (self->malformed_ids, g_strdup (id)))
     fb_event_log (FB_EVENT_LOG_RECORD_SKIPPED, "%s", fb_status_message ());
 }
 
@@ -155,11 +155,11 @@
   FbListedWorker *worker = fb_wire_listed_worker (record->key, record->value);
   if (worker == NULL)
     {
-      skip_entry (self, record->key);
+      skip_malformed_entry (self, record->key);
       return;
     }
-  if (self->relisted != NULL)
-    g_hash_table_add (self->relisted, g_strdup (record->key));
+  if (self->listed_ids != NULL)
+    g_hash_table_add (self->listed_ids, g_strdup (record->key));
   if (fb_worker_list_passes_over (self->workers, worker))
     fb_listed_worker_free (worker);
   else
@@ -170,8 +170,8 @@
 on_workers_begin (gpointer user)
 {
   FbEntry *self = user;
-  g_clear_pointer (&self->relisted, g_hash_table_unref);
-  self->relisted = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  g_clear_pointer (&self->listed_ids, g_hash_table_unref);
+  self->listed_ids = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
 
 static void
@@ -181,10 +181,10 @@
   g_autoptr (GList) ids = fb_worker_list_ids (self->workers);
   for (GList *l = ids; l != NULL; l = l->next)
     {
-      if (!g_hash_table_contains (self->relisted, l->data))
+      if (!g_hash_table_contains (self->listed_ids, l->data))
         unlist_worker (self, l->data);
     }
-  g_clear_pointer (&self->relisted, g_hash_table_unref);
+  g_clear_pointer (&self->listed_ids, g_hash_table_unref);
 }
 
 static const FbFollowerOps worker_ops = { on_workers_begin, on_worker_record, on_workers_listed };
@@ -197,7 +197,7 @@
 {
   uint64_t generation;
   uint64_t n;
-} FbTake;
+} FbPartitionEpochs;
 
 uint32_t
 fb_entry_partition_of (const FbEntry *self, const char *service)
@@ -231,7 +231,7 @@
 }
 
 char *
-fb_entry_ages (const FbEntry *self)
+fb_entry_format_timing (const FbEntry *self)
 {
   uint64_t now_ms = fb_clock_ms ();
   return g_strdup_printf (
@@ -247,27 +247,27 @@
 {
   if (!fb_join_watch_answered (&self->joins, ttl_ms, fb_clock_ms ()))
     return;
-  g_autofree char *ages = fb_entry_ages (self);
+  g_autofree char *ages = fb_entry_format_timing (self);
   fb_event_log (FB_EVENT_JOIN_LATE, "ttl_ms=%u %s", ttl_ms, ages);
 }
 
 static void
 log_lost (const FbEntry *self, uint32_t partition, uint64_t generation, const char *why)
 {
-  g_autofree char *ages = fb_entry_ages (self);
+  g_autofree char *ages = fb_entry_format_timing (self);
   fb_event_log (FB_EVENT_POOL_LOST, "partition=%u generation=%" G_GUINT64_FORMAT " why=\"%s\" %s",
                 partition, generation, why, ages);
 }
 
 static void
-take_partition (FbEntry *self, uint32_t partition, uint64_t generation)
+take_over_partition (FbEntry *self, uint32_t partition, uint64_t generation)
 {
   gpointer key = GUINT_TO_POINTER (partition);
-  FbTake *take = g_hash_table_lookup (self->takes, key);
+  FbPartitionEpochs *take = g_hash_table_lookup (self->partition_epochs, key);
   if (take == NULL)
     {
-      take = g_new0 (FbTake, 1);
-      g_hash_table_insert (self->takes, key, take);
+      take = g_new0 (FbPartitionEpochs, 1);
+      g_hash_table_insert (self->partition_epochs, key, take);
     }
   take->n = take->generation == generation ? take->n + 1 : 0;
   take->generation = generation;
@@ -285,7 +285,7 @@
 }
 
 void
-fb_entry_disown (FbEntry *self, uint32_t partition)
+fb_entry_release_partition (FbEntry *self, uint32_t partition)
 {
   FbOwner *owner = fb_entry_owner (self, partition);
   if (owner == NULL)
@@ -296,7 +296,7 @@
 
 /* TRUE when a configured service maps to PARTITION; other partitions need no owner. */
 static gboolean
-is_used (const FbEntry *self, uint32_t partition)
+has_service (const FbEntry *self, uint32_t partition)
 {
   for (guint i = 0; self->routes != NULL && i < self->routes->services->len; i++)
     {
@@ -318,35 +318,36 @@
 }
 
 void
-fb_entry_own (FbEntry *self, const GArray *partitions, uint64_t generation, const char *why)
+fb_entry_set_owned_partitions (FbEntry *self, const GArray *partitions, uint64_t generation,
+                               const char *why)
 {
-  g_autoptr (GList) mine = g_hash_table_get_keys (self->owners);
-  for (GList *l = mine; l != NULL; l = l->next)
+  g_autoptr (GList) owned = g_hash_table_get_keys (self->owners);
+  for (GList *l = owned; l != NULL; l = l->next)
     {
       uint32_t partition = GPOINTER_TO_UINT (l->data);
       if (contains (partitions, partition))
         continue;
       log_lost (self, partition, generation, why);
-      fb_entry_disown (self, partition);
+      fb_entry_release_partition (self, partition);
     }
   for (guint i = 0; i < partitions->len && !self->stopping; i++)
     {
       uint32_t partition = g_array_index (partitions, uint32_t, i);
-      if (fb_entry_owner (self, partition) == NULL && is_used (self, partition))
-        take_partition (self, partition, generation);
+      if (fb_entry_owner (self, partition) == NULL && has_service (self, partition))
+        take_over_partition (self, partition, generation);
     }
 }
 
 static void
-reap_lost (gpointer data, uint64_t now_ms)
+release_lost_partitions (gpointer data, uint64_t now_ms)
 {
   FbEntry *self = data;
   check_store (self, now_ms);
-  g_autoptr (GList) mine = g_hash_table_get_keys (self->owners);
-  for (GList *l = mine; l != NULL; l = l->next)
+  g_autoptr (GList) owned = g_hash_table_get_keys (self->owners);
+  for (GList *l = owned; l != NULL; l = l->next)
     {
       if (fb_owner_lost (fb_entry_owner (self, GPOINTER_TO_UINT (l->data))))
-        fb_entry_disown (self, GPOINTER_TO_UINT (l->data));
+        fb_entry_release_partition (self, GPOINTER_TO_UINT (l->data));
     }
 }
 
@@ -382,14 +383,14 @@
   fb_event_log (FB_EVENT_ROUTES_IN_FORCE,
                 "version=%" G_GUINT64_FORMAT " routes=%u services=%u offset=%" G_GUINT64_FORMAT,
                 routes->version, routes->routes->len, routes->services->len, record->offset);
-  fb_entry_each_owner (self, fb_owner_routes_changed);
+  fb_entry_foreach_owner (self, fb_owner_routes_changed);
 }
 
 static const FbFollowerOps config_ops = { nothing, on_config_record, nothing };
 
 void
-fb_entry_watch (FbEntry *self)
+fb_entry_start_watching (FbEntry *self)
 {
   self->config_follower = fb_follower_new (self, FB_TOPIC_CONFIG, 0, 0, &config_ops, self);
-  fb_timer_subscribe (self->timer, REAP_MS, reap_lost, self);
+  fb_timer_subscribe (self->timer, RELEASE_INTERVAL_MS, release_lost_partitions, self);
 }
--- a/src/entry/store/daemons.c
+++ b/src/entry/store/daemons.c
@@ -212,7 +212,7 @@
   g_autoptr (GArray) partitions = g_array_new (FALSE, TRUE, sizeof (uint32_t));
   uint64_t generation = 0;
   fb_entry_store_answered (self->entry, reply);
-  fb_entry_renewed (self->entry, reply, self->join_sent_ms);
+  fb_entry_membership_renewed (self->entry, reply, self->join_sent_ms);
   if (self->leaving)
     return;
   gboolean joined = fb_wire_joined (reply, &generation, partitions);
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -278,7 +278,7 @@
       || self->join_sent_ms < held_until_ms (self))
     return;
   g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
-  fb_entry_own (self->entry, none, generation, "it joined too late");
+  fb_entry_set_owned_partitions (self->entry, none, generation, "it joined too late");
 }
 
 static void
@@ -286,7 +286,7 @@
 {
   FbGroup *self = data;
   fb_entry_store_answered (self->entry, reply);
-  fb_entry_renewed (self->entry, reply, self->join_sent_ms);
+  fb_entry_membership_renewed (self->entry, reply, self->join_sent_ms);
   g_autoptr (GArray) partitions = g_array_new (FALSE, TRUE, sizeof (uint32_t));
   uint64_t generation = 0;
   uint64_t now_ms = fb_clock_ms ();
@@ -303,7 +303,7 @@
   gboolean changed = generation != self->generation;
   self->generation = generation;
   self->ok_sent_ms = self->join_sent_ms;
-  fb_entry_own (self->entry, partitions, generation, "dealt to another daemon");
+  fb_entry_set_owned_partitions (self->entry, partitions, generation, "dealt to another daemon");
   self->timer = g_timeout_add (changed ? JOIN_CHANGED_MS : JOIN_EVERY_MS, join, self);
   ask_owners (self, now_ms);
 }
@@ -318,7 +318,8 @@
   if (self->ok_sent_ms != 0)
     {
       g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
-      fb_entry_own (self->entry, none, self->generation, "not among the strong daemons");
+      fb_entry_set_owned_partitions (self->entry, none, self->generation,
+                                     "not among the strong daemons");
       fb_join_watch_left (&self->entry->joins);
       fb_dismissal_leave (self->dismissal, NULL, NULL);
       self->ok_sent_ms = 0;
