--- a/src/entry/advice/advice-line.h
+++ b/src/entry/advice/advice-line.h
@@ -7,16 +7,16 @@
 #include <glib.h>
 #include <stdint.h>
 
-typedef struct _FbAdviceLine FbAdviceLine;
+typedef struct _FbAdviceQueue FbAdviceQueue;
 
-FbAdviceLine *fb_advice_line_new (void);
+FbAdviceQueue *fb_advice_queue_new (void);
 /* Waiting requests are dropped without a callback. */
-void fb_advice_line_free (FbAdviceLine *self);
-/* Adds QUESTION (borrowed), which arrived at NOW_MS; the service is expected to take EXPECTED_MS to
+void fb_advice_queue_free (FbAdviceQueue *self);
+/* Adds REQUEST (borrowed), which arrived at NOW_MS; the service is expected to take EXPECTED_MS to
  * decide on it. */
-void fb_advice_line_wait (FbAdviceLine *self, gpointer question, uint32_t expected_ms,
+void fb_advice_queue_add (FbAdviceQueue *self, gpointer request, uint32_t expected_ms,
                           uint64_t now_ms);
 /* Returns: (nullable): the request to send to the service now; NULL when none may be sent. */
-gpointer fb_advice_line_next (FbAdviceLine *self);
-/* To be called when the call with QUESTION has ended. */
-void fb_advice_line_ended (FbAdviceLine *self, gconstpointer question);
+gpointer fb_advice_queue_next (FbAdviceQueue *self);
+/* To be called when the call with REQUEST has ended. */
+void fb_advice_queue_ended (FbAdviceQueue *self, gconstpointer request);
--- a/src/entry/advice/advice-share.c
+++ b/src/entry/advice/advice-share.c
@@ -7,7 +7,7 @@
 /* Daemons are reserved against a request for those that take less than a quarter of its duration:
  * waiting behind a request of half its own length costs a caller little more than its own
  * duration. */
-#define CLASSES_APART 2
+#define CLASS_DISTANCE 2
 /* Failure: two owners do not know of each other's requests, and a daemon's calls queue; a short
  * request of one waits behind a long one of the other, and its callers are late (0.008 of the mean
  * worth of a site with two services).  Guard: long requests are assigned from the end of the list
@@ -17,7 +17,7 @@
  * one begins a long one while the next short one is still in transit; it shows as short requests
  * that get one answer for each long one.  Guard: a second short request is already queued at the
  * daemon. */
-#define SHORT_AT_ONCE 2
+#define SHORT_MAX 2
 
 /* Half-life of the load of sent requests: bursts last some seconds. */
 #define HALF_LIFE_MS 1000
@@ -28,7 +28,7 @@
   uint64_t as_of_ms;
 } Load;
 
-struct _FbAdviceShare
+struct _FbAdviceBalancer
 {
   Load loads[CLASS_N];
   GHashTable *open; /* address -> Open */
@@ -41,16 +41,16 @@
   guint n;
 } Open;
 
-FbAdviceShare *
-fb_advice_share_new (void)
+FbAdviceBalancer *
+fb_advice_balancer_new (void)
 {
-  FbAdviceShare *self = g_new0 (FbAdviceShare, 1);
+  FbAdviceBalancer *self = g_new0 (FbAdviceBalancer, 1);
   self->open = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return self;
 }
 
 void
-fb_advice_share_free (FbAdviceShare *self)
+fb_advice_balancer_free (FbAdviceBalancer *self)
 {
   g_hash_table_unref (self->open);
   g_free (self);
@@ -63,7 +63,7 @@
 }
 
 static void
-fade (Load *load, uint64_t now_ms)
+decay (Load *load, uint64_t now_ms)
 {
   if (now_ms > load->as_of_ms)
     load->busy_ms *= exp2 (-(double) (now_ms - load->as_of_ms) / HALF_LIFE_MS);
@@ -72,12 +72,12 @@
 
 /* Returns: how many daemons were recently kept busy by requests much shorter than CLASS. */
 static double
-shorter_load (FbAdviceShare *self, guint class, uint64_t now_ms)
+shorter_load (FbAdviceBalancer *self, guint class, uint64_t now_ms)
 {
   double busy_ms = 0;
-  for (guint i = 0; i + CLASSES_APART < class + 1; i++)
+  for (guint i = 0; i + CLASS_DISTANCE < class + 1; i++)
     {
-      fade (&self->loads[i], now_ms);
+      decay (&self->loads[i], now_ms);
       busy_ms += self->loads[i].busy_ms;
     }
   /* A constantly busy daemon adds up to HALF_LIFE_MS / ln 2. */
@@ -89,7 +89,8 @@
  * many again and one more was too much: gangs waited, and the mean worth of 20 days of two sites
  * without processor time was 0.006 lower. */
 guint
-fb_advice_share_kept (FbAdviceShare *self, guint daemons_n, uint32_t expected_ms, uint64_t now_ms)
+fb_advice_balancer_reserved (FbAdviceBalancer *self, guint daemons_n, uint32_t expected_ms,
+                             uint64_t now_ms)
 {
   double load = shorter_load (self, class_of (expected_ms), now_ms);
   /* Below a hundredth of a daemon nothing is reserved: the last short request was some seconds
@@ -100,7 +101,7 @@
 }
 
 static guint
-open_n (const FbAdviceShare *self, guint from_class)
+open_n (const FbAdviceBalancer *self, guint from_class)
 {
   guint n = 0;
   GHashTableIter iter;
@@ -113,7 +114,8 @@
 
 /* Returns: (nullable): a daemon with OPEN_N open requests, all of them short. */
 static const char *
-daemon_with (const FbAdviceShare *self, const GPtrArray *daemons, guint open_n, gboolean from_end)
+daemon_with (const FbAdviceBalancer *self, const GPtrArray *daemons, guint open_n,
+             gboolean from_end)
 {
   for (guint i = 0; i < daemons->len; i++)
     {
@@ -127,16 +129,16 @@
 }
 
 const char *
-fb_advice_share_daemon (FbAdviceShare *self, const GPtrArray *daemons, uint32_t expected_ms,
-                        uint64_t now_ms)
+fb_advice_balancer_choose (FbAdviceBalancer *self, const GPtrArray *daemons, uint32_t expected_ms,
+                           uint64_t now_ms)
 {
   guint class = class_of (expected_ms);
-  guint kept = fb_advice_share_kept (self, daemons->len, expected_ms, now_ms);
-  guint from_class = class + 1 > CLASSES_APART ? class + 1 - CLASSES_APART : 0;
-  if (kept > 0 && open_n (self, from_class) + kept >= daemons->len)
+  guint reserved = fb_advice_balancer_reserved (self, daemons->len, expected_ms, now_ms);
+  guint from_class = class + 1 > CLASS_DISTANCE ? class + 1 - CLASS_DISTANCE : 0;
+  if (reserved > 0 && open_n (self, from_class) + reserved >= daemons->len)
     return NULL;
   gboolean is_long = expected_ms >= FB_ADVICE_LONG_MS;
-  guint most = is_long ? 1 : SHORT_AT_ONCE;
+  guint most = is_long ? 1 : SHORT_MAX;
   const char *daemon = NULL;
   for (guint open_n = 0; open_n < most && daemon == NULL; open_n++)
     daemon = daemon_with (self, daemons, open_n, is_long);
@@ -144,11 +146,11 @@
 }
 
 void
-fb_advice_share_began (FbAdviceShare *self, const char *daemon, uint32_t expected_ms,
-                       uint64_t now_ms)
+fb_advice_balancer_began (FbAdviceBalancer *self, const char *daemon, uint32_t expected_ms,
+                          uint64_t now_ms)
 {
   guint class = class_of (expected_ms);
-  fade (&self->loads[class], now_ms);
+  decay (&self->loads[class], now_ms);
   self->loads[class].busy_ms += expected_ms;
   Open *open = g_hash_table_lookup (self->open, daemon);
   if (open == NULL)
@@ -161,7 +163,7 @@
 }
 
 void
-fb_advice_share_ended (FbAdviceShare *self, const char *daemon)
+fb_advice_balancer_ended (FbAdviceBalancer *self, const char *daemon)
 {
   Open *open = g_hash_table_lookup (self->open, daemon);
   if (open != NULL && --open->n == 0)
--- a/src/entry/advice/advice-share.h
+++ b/src/entry/advice/advice-share.h
@@ -15,22 +15,23 @@
  * request for a hundred workers of such a queue (68 ms) is short. */
 #define FB_ADVICE_LONG_MS 128
 
-typedef struct _FbAdviceShare FbAdviceShare;
+typedef struct _FbAdviceBalancer FbAdviceBalancer;
 
-FbAdviceShare *fb_advice_share_new (void);
-void fb_advice_share_free (FbAdviceShare *self);
+FbAdviceBalancer *fb_advice_balancer_new (void);
+void fb_advice_balancer_free (FbAdviceBalancer *self);
 
 /* Returns: how many of DAEMONS_N daemons a request of EXPECTED_MS has to leave to shorter ones; 0
  * when none. */
-guint fb_advice_share_kept (FbAdviceShare *self, guint daemons_n, uint32_t expected_ms,
-                            uint64_t now_ms);
+guint fb_advice_balancer_reserved (FbAdviceBalancer *self, guint daemons_n, uint32_t expected_ms,
+                                   uint64_t now_ms);
 /* DAEMONS: addresses, of const char.
  * Returns: (nullable): the daemon to use, borrowed from DAEMONS; NULL when the request has to
  * wait. */
-const char *fb_advice_share_daemon (FbAdviceShare *self, const GPtrArray *daemons,
-                                    uint32_t expected_ms, uint64_t now_ms);
-/* Records that a request of EXPECTED_MS was sent to DAEMON, as fb_advice_share_daemon() chose. */
-void fb_advice_share_began (FbAdviceShare *self, const char *daemon, uint32_t expected_ms,
-                            uint64_t now_ms);
+const char *fb_advice_balancer_choose (FbAdviceBalancer *self, const GPtrArray *daemons,
+                                       uint32_t expected_ms, uint64_t now_ms);
+/* Records that a request of EXPECTED_MS was sent to DAEMON, as fb_advice_balancer_choose() chose.
+ */
+void fb_advice_balancer_began (FbAdviceBalancer *self, const char *daemon, uint32_t expected_ms,
+                               uint64_t now_ms);
 /* Records that a request at DAEMON was answered or failed. */
-void fb_advice_share_ended (FbAdviceShare *self, const char *daemon);
+void fb_advice_balancer_ended (FbAdviceBalancer *self, const char *daemon);
--- a/src/entry/advice/advisor.c
+++ b/src/entry/advice/advisor.c
@@ -18,20 +18,20 @@
 /* How long a request may wait at a daemon behind those of other pools: long enough for one of 1.8 s
  * that has just begun and for short ones that go first meanwhile; a long request may wait for twice
  * its own duration. */
-#define PATIENCE_MS 3000
-#define PATIENCE_TIMES 2
+#define WAIT_MAX_MS 3000
+#define WAIT_MAX_FACTOR 2
 /* Upper bound of a request's expected duration: a hundred workers at 100 ms each. */
-#define EXPECTED_MOST_MS 10000
+#define EXPECTED_MAX_MS 10000
 /* Allowance for the network on top of the time that the decision takes. */
 #define CALL_SLACK_MS 1500
 
 struct _FbAdvisor
 {
   FbEntry *entry;
-  FbTurns *turns;      /* fair shares of pools among requests that reserve no daemons */
-  FbTurns *long_turns; /* the same for requests that leave daemons to shorter ones */
-  FbAdviceShare *share;
-  FbAdviceLine *line; /* of AdviceCall */
+  FbFairShare *fair_share;      /* fair shares of pools among requests that reserve no daemons */
+  FbFairShare *long_fair_share; /* the same for requests that leave daemons to shorter ones */
+  FbAdviceBalancer *balancer;
+  FbAdviceQueue *queue; /* of AdviceCall */
 };
 
 typedef struct
@@ -42,32 +42,32 @@
   char *step;
   GPtrArray *workers;
   uint64_t sent_ms;
-} Question;
+} AdviceRequest;
 
 static uint32_t
-patience_ms (uint32_t expected_ms)
+wait_max_ms (uint32_t expected_ms)
 {
-  return MAX (PATIENCE_MS, PATIENCE_TIMES * expected_ms);
+  return MAX (WAIT_MAX_MS, WAIT_MAX_FACTOR * expected_ms);
 }
 
 static void
-question_free (Question *question)
+advice_request_free (AdviceRequest *request)
 {
-  g_free (question->daemon);
-  g_free (question->step);
-  g_ptr_array_unref (question->workers);
-  g_free (question);
+  g_free (request->daemon);
+  g_free (request->step);
+  g_ptr_array_unref (request->workers);
+  g_free (request);
 }
 
-/* Returns: (nullable): the incarnation of worker ID that QUESTION named; borrowed. */
+/* Returns: (nullable): the incarnation of worker ID that REQUEST named; borrowed. */
 static char *
-life_of (const Question *question, const char *id)
+incarnation_of (const AdviceRequest *request, const char *id)
 {
-  for (guint i = 0; i < question->workers->len; i++)
+  for (guint i = 0; i < request->workers->len; i++)
     {
-      g_autofree char *asked = fb_wire_life_id (question->workers->pdata[i]);
+      g_autofree char *asked = fb_wire_life_id (request->workers->pdata[i]);
       if (g_str_equal (asked, id))
-        return question->workers->pdata[i];
+        return request->workers->pdata[i];
     }
   return NULL;
 }
@@ -75,39 +75,38 @@
 /* Passes the answer to OWNER.  Tickets name workers by id; they are assigned to the incarnations
  * that the request named.  TOLD: NULL without an answer. */
 static void
-tell_owner (FbOwner *owner, const Question *question, const fb_told_advice *told)
+pass_to_owner (FbOwner *owner, const AdviceRequest *request, const fb_told_advice *told)
 {
   guint n = told != NULL ? told->tickets.tickets_len : 0;
   g_autofree fb_ticket *tickets = g_new0 (fb_ticket, n + 1);
-  fb_told_advice of_lives = { .tickets = { 0, tickets } };
-  of_lives.validity_ms = told != NULL ? told->validity_ms : 0;
+  fb_told_advice of_incarnations = { .tickets = { 0, tickets } };
+  of_incarnations.validity_ms = told != NULL ? told->validity_ms : 0;
   for (guint i = 0; i < n; i++)
     {
       const fb_ticket *got = &told->tickets.tickets_val[i];
-      char *life = life_of (question, got->worker);
+      char *life = incarnation_of (request, got->worker);
       if (life != NULL)
-        tickets[of_lives.tickets.tickets_len++] = (fb_ticket){ life, got->ticket };
+        tickets[of_incarnations.tickets.tickets_len++] = (fb_ticket){ life, got->ticket };
     }
-  fb_owner_advised (owner, question->step, (const char *const *) question->workers->pdata,
-                    question->workers->len, told != NULL ? &of_lives : NULL);
+  fb_owner_advised (owner, request->step, (const char *const *) request->workers->pdata,
+                    request->workers->len, told != NULL ? &of_incarnations : NULL);
 }
 
 static void
 on_told (gpointer data, const fb_told *told)
 {
-  Question *question = data;
-  fb_advice_share_ended (question->entry->advisor->share, question->daemon);
-  fb_histogram_add (FB_HISTOGRAM_ADVICE, fb_clock_ms () - question->sent_ms);
-  FbOwner *owner = fb_entry_owner (question->entry, question->partition);
+  AdviceRequest *request = data;
+  fb_advice_balancer_ended (request->entry->advisor->balancer, request->daemon);
+  fb_histogram_add (FB_HISTOGRAM_ADVICE, fb_clock_ms () - request->sent_ms);
+  FbOwner *owner = fb_entry_owner (request->entry, request->partition);
   gboolean answered = told != NULL && told->type == FB_TOLD_ADVICE;
   if (!answered)
-    fb_event_log (FB_EVENT_CALL_FAILED, "advice step=%s daemon=%s", question->step,
-                  question->daemon);
+    fb_event_log (FB_EVENT_CALL_FAILED, "advice step=%s daemon=%s", request->step, request->daemon);
   if (owner != NULL)
-    tell_owner (owner, question, answered ? &told->fb_told_u.advice : NULL);
+    pass_to_owner (owner, request, answered ? &told->fb_told_u.advice : NULL);
   /* Lets the pool whose turn it is send its request. */
-  fb_entry_foreach_owner (question->entry, fb_owner_schedule_tick);
-  question_free (question);
+  fb_entry_foreach_owner (request->entry, fb_owner_schedule_tick);
+  advice_request_free (request);
 }
 
 static gint
@@ -131,22 +130,23 @@
 /* Returns: (nullable): the daemon for a request; NULL when none is free or another pool is to go
  * first. */
 static const char *
-take_turn (FbAdvisor *self, uint32_t partition, uint32_t expected_ms)
+choose_daemon (FbAdvisor *self, uint32_t partition, uint32_t expected_ms)
 {
   uint64_t now_ms = fb_clock_ms ();
   g_autoptr (GPtrArray) daemons = all_daemons (self);
-  gboolean leaves_some = fb_advice_share_kept (self->share, daemons->len, expected_ms, now_ms) > 0;
-  FbTurns *turns = leaves_some ? self->long_turns : self->turns;
+  gboolean reserves
+      = fb_advice_balancer_reserved (self->balancer, daemons->len, expected_ms, now_ms) > 0;
+  FbFairShare *fair_share = reserves ? self->long_fair_share : self->fair_share;
   const char *daemon = NULL;
-  if (fb_turns_is_next (turns, partition, now_ms))
-    daemon = fb_advice_share_daemon (self->share, daemons, expected_ms, now_ms);
+  if (fb_fair_share_is_next (fair_share, partition, now_ms))
+    daemon = fb_advice_balancer_choose (self->balancer, daemons, expected_ms, now_ms);
   if (daemon == NULL)
     {
-      fb_turns_waits (turns, partition, now_ms);
+      fb_fair_share_wait (fair_share, partition, now_ms);
       return NULL;
     }
-  fb_turns_went (turns, partition, expected_ms);
-  fb_advice_share_began (self->share, daemon, expected_ms, now_ms);
+  fb_fair_share_served (fair_share, partition, expected_ms);
+  fb_advice_balancer_began (self->balancer, daemon, expected_ms, now_ms);
   return daemon;
 }
 
@@ -156,33 +156,33 @@
 {
   if (self->entry->settings->advice == NULL)
     return FALSE;
-  const char *daemon = take_turn (self, partition, expected_ms);
+  const char *daemon = choose_daemon (self, partition, expected_ms);
   if (daemon == NULL)
     return FALSE;
   g_autofree fb_worker_name *names = g_new0 (fb_worker_name, n);
-  Question *question = g_new0 (Question, 1);
-  question->entry = self->entry;
-  question->partition = partition;
-  question->daemon = g_strdup (daemon);
-  question->step = g_strdup (step);
-  question->sent_ms = fb_clock_ms ();
+  AdviceRequest *request = g_new0 (AdviceRequest, 1);
+  request->entry = self->entry;
+  request->partition = partition;
+  request->daemon = g_strdup (daemon);
+  request->step = g_strdup (step);
+  request->sent_ms = fb_clock_ms ();
   fb_counter_add (FB_COUNTER_ADVICE_ASKED, 1);
-  question->workers = g_ptr_array_new_with_free_func (g_free);
+  request->workers = g_ptr_array_new_with_free_func (g_free);
   for (guint i = 0; i < n; i++)
     {
-      g_ptr_array_add (question->workers, g_strdup (workers[i]));
+      g_ptr_array_add (request->workers, g_strdup (workers[i]));
       names[i].id = fb_wire_life_id (workers[i]);
     }
   fb_ask ask = { .type = FB_ASK_ADVICE };
-  ask.fb_ask_u.advice.step = question->step;
+  ask.fb_ask_u.advice.step = request->step;
   ask.fb_ask_u.advice.workers.workers_len = n;
   ask.fb_ask_u.advice.workers.workers_val = names;
   ask.fb_ask_u.advice.expected_ms = expected_ms;
   if (g_str_equal (daemon, self->entry->settings->peers))
-    fb_advisor_call (self->entry, &ask.fb_ask_u.advice, on_told, question);
+    fb_advisor_call (self->entry, &ask.fb_ask_u.advice, on_told, request);
   else
-    fb_peers_ask (self->entry, daemon, &ask, expected_ms + patience_ms (expected_ms), on_told,
-                  question);
+    fb_peers_ask (self->entry, daemon, &ask, expected_ms + wait_max_ms (expected_ms), on_told,
+                  request);
   for (guint i = 0; i < n; i++)
     g_free (names[i].id);
   return TRUE;
@@ -206,7 +206,7 @@
 static void
 end_call (AdviceCall *call, const fb_told *told)
 {
-  fb_advice_line_ended (call->advisor->line, call);
+  fb_advice_queue_ended (call->advisor->queue, call);
   call->done (call->user, told);
   fb_http_call_clear (&call->call);
   g_free (call);
@@ -228,18 +228,18 @@
 /* TRUE when the requester has given up already: calling the service would only delay other
  * requests. */
 static gboolean
-is_too_late (const AdviceCall *call)
+has_timed_out (const AdviceCall *call)
 {
-  return fb_clock_ms () > call->since_ms + patience_ms (call->expected_ms);
+  return fb_clock_ms () > call->since_ms + wait_max_ms (call->expected_ms);
 }
 
 static void
 call_next (FbAdvisor *self)
 {
   AdviceCall *call = NULL;
-  while ((call = fb_advice_line_next (self->line)) != NULL)
+  while ((call = fb_advice_queue_next (self->queue)) != NULL)
     {
-      if (is_too_late (call))
+      if (has_timed_out (call))
         end_call (call, NULL);
       else
         fb_http_client_exchange (self->entry->advice_client, &call->call,
@@ -253,12 +253,12 @@
   FbAdvisor *self = entry->advisor;
   AdviceCall *call = g_new0 (AdviceCall, 1);
   call->advisor = self;
-  call->expected_ms = MIN (ask->expected_ms, EXPECTED_MOST_MS);
+  call->expected_ms = MIN (ask->expected_ms, EXPECTED_MAX_MS);
   call->since_ms = fb_clock_ms ();
   call->done = done;
   call->user = user;
   fb_wire_advise (&call->call, entry->settings->advice, ask);
-  fb_advice_line_wait (self->line, call, call->expected_ms, call->since_ms);
+  fb_advice_queue_add (self->queue, call, call->expected_ms, call->since_ms);
   call_next (self);
 }
 
@@ -267,9 +267,9 @@
 {
   FbAdvisor *self = g_new0 (FbAdvisor, 1);
   self->entry = entry;
-  self->share = fb_advice_share_new ();
-  self->line = fb_advice_line_new ();
-  self->turns = fb_turns_new ();
-  self->long_turns = fb_turns_new ();
+  self->balancer = fb_advice_balancer_new ();
+  self->queue = fb_advice_queue_new ();
+  self->fair_share = fb_fair_share_new ();
+  self->long_fair_share = fb_fair_share_new ();
   return self;
 }
--- a/src/entry/advice/turns.c
+++ b/src/entry/advice/turns.c
@@ -1,7 +1,7 @@
 #include "turns.h"
 
 /* A waiting user asks again every 25 ms; one that has not asked for this long no longer waits. */
-#define WAITS_MS 100
+#define WAIT_EXPIRY_MS 100
 /* A user that asked for nothing for this long gets no credit for that time. */
 #define IDLE_MS 1000
 
@@ -9,79 +9,79 @@
 {
   uint64_t used_ms;
   uint64_t asked_ms;
-  uint64_t waits_ms; /* when it last had to wait; 0: not since it was last served */
-} Turn;
+  uint64_t waited_ms; /* when it last had to wait; 0: not since it was last served */
+} Share;
 
-struct _FbTurns
+struct _FbFairShare
 {
-  GHashTable *turns; /* user -> Turn */
+  GHashTable *shares; /* user -> Share */
 };
 
-FbTurns *
-fb_turns_new (void)
+FbFairShare *
+fb_fair_share_new (void)
 {
-  FbTurns *self = g_new0 (FbTurns, 1);
-  self->turns = g_hash_table_new_full (NULL, NULL, NULL, g_free);
+  FbFairShare *self = g_new0 (FbFairShare, 1);
+  self->shares = g_hash_table_new_full (NULL, NULL, NULL, g_free);
   return self;
 }
 
 void
-fb_turns_free (FbTurns *self)
+fb_fair_share_free (FbFairShare *self)
 {
-  g_hash_table_unref (self->turns);
+  g_hash_table_unref (self->shares);
   g_free (self);
 }
 
-static Turn *
-turn_of (FbTurns *self, uint32_t user)
+static Share *
+share_of (FbFairShare *self, uint32_t user)
 {
-  Turn *turn = g_hash_table_lookup (self->turns, GUINT_TO_POINTER (user));
-  if (turn == NULL)
+  Share *share = g_hash_table_lookup (self->shares, GUINT_TO_POINTER (user));
+  if (share == NULL)
     {
-      turn = g_new0 (Turn, 1);
-      g_hash_table_insert (self->turns, GUINT_TO_POINTER (user), turn);
+      share = g_new0 (Share, 1);
+      g_hash_table_insert (self->shares, GUINT_TO_POINTER (user), share);
     }
-  return turn;
+  return share;
 }
 
 /* Returns: the least time used by any waiting user other than BUT; G_MAXUINT64 when none waits. */
 static uint64_t
-least_used_ms (const FbTurns *self, const Turn *but, uint64_t now_ms)
+least_used_by_waiting_ms (const FbFairShare *self, const Share *but, uint64_t now_ms)
 {
   uint64_t least_ms = G_MAXUINT64;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, self->turns);
+  g_hash_table_iter_init (&iter, self->shares);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const Turn *turn = value;
-      if (turn != but && turn->waits_ms != 0 && now_ms < turn->waits_ms + WAITS_MS)
-        least_ms = MIN (least_ms, turn->used_ms);
+      const Share *share = value;
+      if (share != but && share->waited_ms != 0 && now_ms < share->waited_ms + WAIT_EXPIRY_MS)
+        least_ms = MIN (least_ms, share->used_ms);
     }
   return least_ms;
 }
 
 gboolean
-fb_turns_is_next (FbTurns *self, uint32_t user, uint64_t now_ms)
+fb_fair_share_is_next (FbFairShare *self, uint32_t user, uint64_t now_ms)
 {
-  Turn *turn = turn_of (self, user);
-  uint64_t least_ms = least_used_ms (self, turn, now_ms);
-  if (now_ms > turn->asked_ms + IDLE_MS && least_ms != G_MAXUINT64)
-    turn->used_ms = MAX (turn->used_ms, least_ms);
-  turn->asked_ms = now_ms;
-  return turn->used_ms <= least_ms;
+  Share *share = share_of (self, user);
+  uint64_t least_ms = least_used_by_waiting_ms (self, share, now_ms);
+  if (now_ms > share->asked_ms + IDLE_MS && least_ms != G_MAXUINT64)
+    share->used_ms = MAX (share->used_ms, least_ms);
+  share->asked_ms = now_ms;
+  return share->used_ms <= least_ms;
 }
 
 void
-fb_turns_went (FbTurns *self, uint32_t user, uint32_t took_ms)
+fb_fair_share_served (FbFairShare *self, uint32_t user, uint32_t took_ms)
 {
-  Turn *turn = turn_of (self, user);
-  turn->used_ms += took_ms;
-  turn->waits_ms = 0;
+  Share *share = share_of (self, user);
+  share->used_ms += took_ms;
+  share->waited_ms = 0;
 }
 
 void
-fb_turns_waits (FbTurns *self, uint32_t user, uint64_t now_ms)
+fb_fair_share_wait (FbFairShare *self, uint32_t user, uint64_t now_ms)
 {
-  turn_of (self, user)->waits_ms = now_ms;
+  share_of (self, user)->waited_ms = now_ms;
 }
--- a/src/entry/advice/turns.h
+++ b/src/entry/advice/turns.h
@@ -5,14 +5,14 @@
 #include <glib.h>
 #include <stdint.h>
 
-typedef struct _FbTurns FbTurns;
+typedef struct _FbFairShare FbFairShare;
 
-FbTurns *fb_turns_new (void);
-void fb_turns_free (FbTurns *self);
+FbFairShare *fb_fair_share_new (void);
+void fb_fair_share_free (FbFairShare *self);
 /* To be called each time that USER requests the resource.
  * Returns: FALSE while a user that has used less is waiting. */
-gboolean fb_turns_is_next (FbTurns *self, uint32_t user, uint64_t now_ms);
+gboolean fb_fair_share_is_next (FbFairShare *self, uint32_t user, uint64_t now_ms);
 /* Records that USER was served with something that takes TOOK_MS. */
-void fb_turns_went (FbTurns *self, uint32_t user, uint32_t took_ms);
+void fb_fair_share_served (FbFairShare *self, uint32_t user, uint32_t took_ms);
 /* Records that USER has to wait; it will ask again soon. */
-void fb_turns_waits (FbTurns *self, uint32_t user, uint64_t now_ms);
+void fb_fair_share_wait (FbFairShare *self, uint32_t user, uint64_t now_ms);
--- a/tests/test-advice.c
+++ b/tests/test-advice.c
@@ -7,13 +7,13 @@
 
 #define DAEMON_N 30
 #define LONG_MS 1000
-#define PLAY_MS 3000
+#define SIMULATION_MS 3000
 /* Network delay from a daemon to an owner and back. */
-#define WAY_MS 4
+#define NETWORK_MS 4
 
 typedef struct
 {
-  FbAdviceShare *share;
+  FbAdviceBalancer *balancer;
   uint32_t takes_ms;
   guint waiting;
   guint answered;
@@ -23,14 +23,14 @@
 {
   Owner *owner;
   guint daemon;
-  uint64_t told_ms; /* when its owner has the answer; 0: not yet */
-} Question;
+  uint64_t answered_ms; /* when its owner has the answer; 0: not yet */
+} Request;
 
 /* A daemon and its calls at the service, which handles them one after the other. */
 typedef struct
 {
-  FbAdviceLine *line;
-  GQueue calls;     /* of Question */
+  FbAdviceQueue *queue;
+  GQueue calls;     /* of Request */
   uint64_t ends_ms; /* end of the call at the head; 0: it has not begun */
 } Daemon;
 
@@ -39,109 +39,114 @@
   GPtrArray *names;
   Daemon daemons[DAEMON_N];
   Owner owners[2];
-  GQueue told; /* of Question: answers in transit */
-} Play;
+  GQueue answers; /* of Request: answers in transit */
+} Simulation;
 
 static void
-ask (Play *play, Owner *owner, uint64_t now_ms)
+send_requests (Simulation *simulation, Owner *owner, uint64_t now_ms)
 {
   const char *name = NULL;
   while (owner->waiting > 0
-         && (name = fb_advice_share_daemon (owner->share, play->names, owner->takes_ms, now_ms))
+         && (name = fb_advice_balancer_choose (owner->balancer, simulation->names, owner->takes_ms,
+                                               now_ms))
                 != NULL)
     {
-      Question *question = g_new0 (Question, 1);
-      question->owner = owner;
-      g_ptr_array_find (play->names, name, &question->daemon);
-      fb_advice_share_began (owner->share, name, owner->takes_ms, now_ms);
-      fb_advice_line_wait (play->daemons[question->daemon].line, question, owner->takes_ms, now_ms);
+      Request *request = g_new0 (Request, 1);
+      request->owner = owner;
+      g_ptr_array_find (simulation->names, name, &request->daemon);
+      fb_advice_balancer_began (owner->balancer, name, owner->takes_ms, now_ms);
+      fb_advice_queue_add (simulation->daemons[request->daemon].queue, request, owner->takes_ms,
+                           now_ms);
       owner->waiting--;
     }
 }
 
 static void
-serve (Play *play, Daemon *daemon, uint64_t now_ms)
+serve (Simulation *simulation, Daemon *daemon, uint64_t now_ms)
 {
-  Question *question = g_queue_peek_head (&daemon->calls);
-  if (question != NULL && now_ms >= daemon->ends_ms)
+  Request *request = g_queue_peek_head (&daemon->calls);
+  if (request != NULL && now_ms >= daemon->ends_ms)
     {
       g_queue_pop_head (&daemon->calls);
-      fb_advice_line_ended (daemon->line, question);
-      question->told_ms = now_ms + WAY_MS;
-      g_queue_push_tail (&play->told, question);
-      question = g_queue_peek_head (&daemon->calls);
-      daemon->ends_ms = question != NULL ? now_ms + question->owner->takes_ms : 0;
+      fb_advice_queue_ended (daemon->queue, request);
+      request->answered_ms = now_ms + NETWORK_MS;
+      g_queue_push_tail (&simulation->answers, request);
+      request = g_queue_peek_head (&daemon->calls);
+      daemon->ends_ms = request != NULL ? now_ms + request->owner->takes_ms : 0;
     }
   gpointer next = NULL;
-  while ((next = fb_advice_line_next (daemon->line)) != NULL)
+  while ((next = fb_advice_queue_next (daemon->queue)) != NULL)
     {
       if (g_queue_is_empty (&daemon->calls))
-        daemon->ends_ms = now_ms + ((Question *) next)->owner->takes_ms;
+        daemon->ends_ms = now_ms + ((Request *) next)->owner->takes_ms;
       g_queue_push_tail (&daemon->calls, next);
     }
 }
 
 static void
-hear (Play *play, uint64_t now_ms)
+receive_answers (Simulation *simulation, uint64_t now_ms)
 {
-  Question *question = NULL;
-  while ((question = g_queue_peek_head (&play->told)) != NULL && now_ms >= question->told_ms)
+  Request *request = NULL;
+  while ((request = g_queue_peek_head (&simulation->answers)) != NULL
+         && now_ms >= request->answered_ms)
     {
-      g_queue_pop_head (&play->told);
-      fb_advice_share_ended (question->owner->share, play->names->pdata[question->daemon]);
-      question->owner->answered++;
-      g_free (question);
+      g_queue_pop_head (&simulation->answers);
+      fb_advice_balancer_ended (request->owner->balancer,
+                                simulation->names->pdata[request->daemon]);
+      request->owner->answered++;
+      g_free (request);
     }
 }
 
 static void
-play_new (Play *play, uint32_t short_ms)
+simulation_init (Simulation *simulation, uint32_t short_ms)
 {
-  *play = (Play){ .names = g_ptr_array_new_with_free_func (g_free) };
+  *simulation = (Simulation){ .names = g_ptr_array_new_with_free_func (g_free) };
   for (guint i = 0; i < DAEMON_N; i++)
     {
-      g_ptr_array_add (play->names, g_strdup_printf ("daemon-%02u", i));
-      play->daemons[i].line = fb_advice_line_new ();
+      g_ptr_array_add (simulation->names, g_strdup_printf ("daemon-%02u", i));
+      simulation->daemons[i].queue = fb_advice_queue_new ();
     }
-  play->owners[0]
-      = (Owner){ .share = fb_advice_share_new (), .takes_ms = short_ms, .waiting = 5000 };
-  play->owners[1] = (Owner){ .share = fb_advice_share_new (), .takes_ms = LONG_MS, .waiting = 500 };
+  simulation->owners[0]
+      = (Owner){ .balancer = fb_advice_balancer_new (), .takes_ms = short_ms, .waiting = 5000 };
+  simulation->owners[1]
+      = (Owner){ .balancer = fb_advice_balancer_new (), .takes_ms = LONG_MS, .waiting = 500 };
 }
 
 static void
-play_clear (Play *play)
+simulation_clear (Simulation *simulation)
 {
-  for (guint i = 0; i < G_N_ELEMENTS (play->owners); i++)
-    fb_advice_share_free (play->owners[i].share);
+  for (guint i = 0; i < G_N_ELEMENTS (simulation->owners); i++)
+    fb_advice_balancer_free (simulation->owners[i].balancer);
   for (guint i = 0; i < DAEMON_N; i++)
     {
-      fb_advice_line_free (play->daemons[i].line);
-      g_queue_clear (&play->daemons[i].calls);
+      fb_advice_queue_free (simulation->daemons[i].queue);
+      g_queue_clear (&simulation->daemons[i].calls);
     }
-  g_queue_clear_full (&play->told, g_free);
-  g_ptr_array_unref (play->names);
+  g_queue_clear_full (&simulation->answers, g_free);
+  g_ptr_array_unref (simulation->names);
 }
 
 static void
-play_two_owners (uint32_t short_ms)
+simulate_two_owners (uint32_t short_ms)
 {
-  Play play;
-  play_new (&play, short_ms);
-  for (uint64_t now_ms = 1; now_ms < PLAY_MS; now_ms++)
+  Simulation simulation;
+  simulation_init (&simulation, short_ms);
+  for (uint64_t now_ms = 1; now_ms < SIMULATION_MS; now_ms++)
     {
-      hear (&play, now_ms);
+      receive_answers (&simulation, now_ms);
       for (guint i = 0; i < DAEMON_N; i++)
-        serve (&play, &play.daemons[i], now_ms);
+        serve (&simulation, &simulation.daemons[i], now_ms);
       /* Long requests are first at each daemon. */
-      ask (&play, &play.owners[1], now_ms);
-      ask (&play, &play.owners[0], now_ms);
+      send_requests (&simulation, &simulation.owners[1], now_ms);
+      send_requests (&simulation, &simulation.owners[0], now_ms);
     }
-  printf ("    in 3 s: %u short answers, %u long ones\n", play.owners[0].answered,
-          play.owners[1].answered);
-  CU_ASSERT_TRUE (play.owners[0].answered >= 3 * 200);
+  printf ("    in 3 s: %u short answers, %u long ones\n", simulation.owners[0].answered,
+          simulation.owners[1].answered);
+  CU_ASSERT_TRUE (simulation.owners[0].answered >= 3 * 200);
   /* A quarter of the answers that they would get alone. */
-  CU_ASSERT_TRUE (play.owners[1].answered >= 3 * DAEMON_N / 4);
-  play_clear (&play);
+  CU_ASSERT_TRUE (simulation.owners[1].answered >= 3 * DAEMON_N / 4);
+  simulation_clear (&simulation);
 }
 
 /* Guards against: short requests of one owner wait for long ones of another at every daemon,
@@ -151,17 +156,17 @@
  * service had a backlog.  Evidence: 48 to 69 answers a second to each of the two owners for 8 s,
  * and 198 to 335 once the long backlog was done. */
 static void
-test_long_questions_of_another_owner (void)
+test_long_requests_of_another_owner (void)
 {
-  play_two_owners (36);
+  simulate_two_owners (36);
 }
 
 /* The same with requests that name a hundred workers, which took 68 ms each on the site of the
  * trace. */
 static void
-test_long_questions_and_large_ones (void)
+test_long_requests_and_large_ones (void)
 {
-  play_two_owners (68);
+  simulate_two_owners (68);
 }
 
 /* ---- a long request beside short ones --------------------------------------------------- */
@@ -174,29 +179,29 @@
 /* Guards against: a long request is never sent to the service while four short ones are always
  * waiting at the daemon, as with two owners.  It has to be sent before it counts as too late. */
 static void
-test_a_long_question_is_called (void)
+test_a_long_request_is_sent (void)
 {
   static const uint32_t takes_ms[] = { 1000, 1800, VERY_LONG_MS };
   for (guint i = 0; i < G_N_ELEMENTS (takes_ms); i++)
     {
-      FbAdviceLine *line = fb_advice_line_new ();
-      char a_long = 0;
-      char shorts[4] = { 0 };
+      FbAdviceQueue *queue = fb_advice_queue_new ();
+      char long_request = 0;
+      char short_requests[4] = { 0 };
       uint64_t now_ms = 1;
       gpointer next = NULL;
-      fb_advice_line_wait (line, &a_long, takes_ms[i], now_ms);
-      for (guint k = 0; k < G_N_ELEMENTS (shorts); k++)
-        fb_advice_line_wait (line, &shorts[k], 68, now_ms);
-      while ((next = fb_advice_line_next (line)) != &a_long)
+      fb_advice_queue_add (queue, &long_request, takes_ms[i], now_ms);
+      for (guint k = 0; k < G_N_ELEMENTS (short_requests); k++)
+        fb_advice_queue_add (queue, &short_requests[k], 68, now_ms);
+      while ((next = fb_advice_queue_next (queue)) != &long_request)
         {
           now_ms += 68;
-          fb_advice_line_ended (line, next);
-          fb_advice_line_wait (line, next, 68, now_ms);
+          fb_advice_queue_ended (queue, next);
+          fb_advice_queue_add (queue, next, 68, now_ms);
         }
-      printf ("    one of %u ms is called after %u ms\n", takes_ms[i], (guint) now_ms - 1);
+      printf ("    a request of %u ms is sent after %u ms\n", takes_ms[i], (guint) now_ms - 1);
       CU_ASSERT_TRUE (now_ms <= 1 + MAX (CALLED_UNTIL_MS, 2 * takes_ms[i]));
-      fb_advice_line_ended (line, next);
-      fb_advice_line_free (line);
+      fb_advice_queue_ended (queue, next);
+      fb_advice_queue_free (queue);
     }
 }
 
@@ -206,9 +211,9 @@
   if (CU_initialize_registry () != CUE_SUCCESS)
     return 1;
   CU_pSuite suite = CU_add_suite ("advice", NULL, NULL);
-  CU_add_test (suite, "long questions of another owner", test_long_questions_of_another_owner);
-  CU_add_test (suite, "long questions and large ones", test_long_questions_and_large_ones);
-  CU_add_test (suite, "a long question is called", test_a_long_question_is_called);
+  CU_add_test (suite, "long requests of another owner", test_long_requests_of_another_owner);
+  CU_add_test (suite, "long requests and large ones", test_long_requests_and_large_ones);
+  CU_add_test (suite, "a long request is sent", test_a_long_request_is_sent);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   guint failed = CU_get_number_of_failures ();
--- a/tests/test-carry.c
+++ b/tests/test-carry.c
@@ -13,7 +13,7 @@
 #define DAEMON_N 18
 #define JOBS_PER_S 12
 #define TASKS_PER_JOB 14
-#define PLAY_S 8
+#define SIMULATION_S 8
 
 /* ---- how often a payload is sent ------------------------------------------------ */
 
@@ -34,14 +34,14 @@
   return daemons;
 }
 
-/* Returns: bytes of payloads that an owner on a link of LINK_KBIT_S sends in PLAY_S. */
+/* Returns: bytes of payloads that an owner on a link of LINK_KBIT_S sends in SIMULATION_S. */
 static uint64_t
-play_starts (uint32_t link_kbit_s)
+simulate_starts (uint32_t link_kbit_s)
 {
   g_autoptr (GPtrArray) daemons = make_daemons ();
   FbPayloadShare *share = fb_payload_share_new (link_kbit_s);
   uint64_t sent_bytes = 0;
-  for (guint job = 0; job < PLAY_S * JOBS_PER_S; job++)
+  for (guint job = 0; job < SIMULATION_S * JOBS_PER_S; job++)
     {
       uint64_t now_ms = 100000 + job * 1000 / JOBS_PER_S;
       g_autofree char *payload = g_strdup_printf ("%0*u", PAYLOAD_BYTES, job);
@@ -71,9 +71,9 @@
 static void
 test_payloads_leave_half_of_a_thin_link (void)
 {
-  uint64_t each_bytes = (uint64_t) PLAY_S * JOBS_PER_S * TASKS_PER_JOB * PAYLOAD_BYTES;
-  CU_ASSERT_TRUE (each_bytes * 8 / PLAY_S / 1000 > 1000);
-  CU_ASSERT_TRUE (play_starts (2000) * 8 / PLAY_S / 1000 < 1000);
+  uint64_t each_bytes = (uint64_t) SIMULATION_S * JOBS_PER_S * TASKS_PER_JOB * PAYLOAD_BYTES;
+  CU_ASSERT_TRUE (each_bytes * 8 / SIMULATION_S / 1000 > 1000);
+  CU_ASSERT_TRUE (simulate_starts (2000) * 8 / SIMULATION_S / 1000 < 1000);
 }
 
 /* On a fast link the starts of a job are spread by worker, as relaying each start costs a daemon
@@ -81,8 +81,8 @@
 static void
 test_a_wide_link_spreads_the_work (void)
 {
-  CU_ASSERT_TRUE (play_starts (200000) > 2 * play_starts (2000));
-  CU_ASSERT_EQUAL (play_starts (200000), play_starts (0));
+  CU_ASSERT_TRUE (simulate_starts (200000) > 2 * simulate_starts (2000));
+  CU_ASSERT_EQUAL (simulate_starts (200000), simulate_starts (0));
 }
 
 /* ---- payload cache -------------------------------------------------------------------- */
--- a/tests/test-entry.c
+++ b/tests/test-entry.c
@@ -19,7 +19,7 @@
 static void
 test_neither_pool_starves (void)
 {
-  FbTurns *turns = fb_turns_new ();
+  FbFairShare *turns = fb_fair_share_new ();
   uint64_t busy_until_ms = 0;
   uint32_t used_ms[3] = { 0 };
   for (uint64_t now_ms = 1000; now_ms < 31000; now_ms += RETRY_MS)
@@ -28,32 +28,32 @@
       for (uint32_t pool = 1; pool <= 2; pool++)
         {
           uint32_t takes_ms = pool == 1 ? LONG_MS : SHORT_MS;
-          if (fb_turns_is_next (turns, pool, now_ms) && now_ms >= busy_until_ms)
+          if (fb_fair_share_is_next (turns, pool, now_ms) && now_ms >= busy_until_ms)
             {
               busy_until_ms = now_ms + takes_ms;
               used_ms[pool] += takes_ms;
-              fb_turns_went (turns, pool, takes_ms);
+              fb_fair_share_served (turns, pool, takes_ms);
             }
           else
-            fb_turns_waits (turns, pool, now_ms);
+            fb_fair_share_wait (turns, pool, now_ms);
         }
     }
   CU_ASSERT_TRUE (used_ms[1] > 9000);
   CU_ASSERT_TRUE (used_ms[2] > 9000);
-  fb_turns_free (turns);
+  fb_fair_share_free (turns);
 }
 
 /* Guards against: a pool that stopped asking keeps another one waiting. */
 static void
-test_who_asks_no_more_is_not_waited_for (void)
+test_a_pool_that_stopped_asking (void)
 {
-  FbTurns *turns = fb_turns_new ();
-  CU_ASSERT_TRUE (fb_turns_is_next (turns, 1, 1000));
-  fb_turns_went (turns, 1, LONG_MS);
-  fb_turns_waits (turns, 2, 1000);
-  CU_ASSERT_FALSE (fb_turns_is_next (turns, 1, 1050));
-  CU_ASSERT_TRUE (fb_turns_is_next (turns, 1, 1200));
-  fb_turns_free (turns);
+  FbFairShare *turns = fb_fair_share_new ();
+  CU_ASSERT_TRUE (fb_fair_share_is_next (turns, 1, 1000));
+  fb_fair_share_served (turns, 1, LONG_MS);
+  fb_fair_share_wait (turns, 2, 1000);
+  CU_ASSERT_FALSE (fb_fair_share_is_next (turns, 1, 1050));
+  CU_ASSERT_TRUE (fb_fair_share_is_next (turns, 1, 1200));
+  fb_fair_share_free (turns);
 }
 
 /* Guards against: a pool that was idle for long takes all daemons until it has used as much as the
@@ -61,23 +61,23 @@
 static void
 test_idle_time_gives_no_claim (void)
 {
-  FbTurns *turns = fb_turns_new ();
-  CU_ASSERT_TRUE (fb_turns_is_next (turns, 2, 1000));
-  fb_turns_went (turns, 2, SHORT_MS);
-  CU_ASSERT_TRUE (fb_turns_is_next (turns, 1, 1000));
-  fb_turns_went (turns, 1, 20 * LONG_MS);
-  fb_turns_waits (turns, 1, 9000);
-  CU_ASSERT_TRUE (fb_turns_is_next (turns, 2, 9000));
-  fb_turns_went (turns, 2, SHORT_MS);
-  fb_turns_waits (turns, 2, 9001);
-  CU_ASSERT_TRUE (fb_turns_is_next (turns, 1, 9001));
-  fb_turns_free (turns);
+  FbFairShare *turns = fb_fair_share_new ();
+  CU_ASSERT_TRUE (fb_fair_share_is_next (turns, 2, 1000));
+  fb_fair_share_served (turns, 2, SHORT_MS);
+  CU_ASSERT_TRUE (fb_fair_share_is_next (turns, 1, 1000));
+  fb_fair_share_served (turns, 1, 20 * LONG_MS);
+  fb_fair_share_wait (turns, 1, 9000);
+  CU_ASSERT_TRUE (fb_fair_share_is_next (turns, 2, 9000));
+  fb_fair_share_served (turns, 2, SHORT_MS);
+  fb_fair_share_wait (turns, 2, 9001);
+  CU_ASSERT_TRUE (fb_fair_share_is_next (turns, 1, 9001));
+  fb_fair_share_free (turns);
 }
 
 /* ---- requests for advice ---------------------------------------------------------- */
 
 #define DAEMON_N 9
-#define PLAY_MS 20000
+#define SIMULATION_MS 20000
 
 /* One kind of request of the simulated load. */
 typedef struct
@@ -94,9 +94,9 @@
   uint64_t busy_until_ms[DAEMON_N];
   GQueue ends_ms[DAEMON_N]; /* end times of the requests at the daemon, in their order */
   GPtrArray *names;
-  FbAdviceShare
-      *share; /* NULL: a third of the daemons serves requests under 100 ms, the rest the others */
-} Play;
+  FbAdviceBalancer *
+      balancer; /* NULL: a third of the daemons serves requests under 100 ms, the rest the others */
+} Simulation;
 
 static gint
 compare_waits (gconstpointer a, gconstpointer b)
@@ -112,64 +112,68 @@
 }
 
 static int
-daemon_by_split (const Play *play, uint32_t takes_ms, uint64_t now_ms)
+daemon_by_split (const Simulation *simulation, uint32_t takes_ms, uint64_t now_ms)
 {
   guint from = takes_ms > 100 ? 3 : 0;
   guint to = takes_ms > 100 ? DAEMON_N : 3;
   for (guint i = from; i < to; i++)
     {
-      if (now_ms >= play->busy_until_ms[i])
+      if (now_ms >= simulation->busy_until_ms[i])
         return (int) i;
     }
   return -1;
 }
 
 static int
-daemon_by_share (const Play *play, uint32_t takes_ms, uint64_t now_ms)
+daemon_by_balancer (const Simulation *simulation, uint32_t takes_ms, uint64_t now_ms)
 {
-  const char *name = fb_advice_share_daemon (play->share, play->names, takes_ms, now_ms);
+  const char *name
+      = fb_advice_balancer_choose (simulation->balancer, simulation->names, takes_ms, now_ms);
   for (guint i = 0; name != NULL && i < DAEMON_N; i++)
     {
-      if (play->names->pdata[i] == name)
+      if (simulation->names->pdata[i] == name)
         return (int) i;
     }
   return -1;
 }
 
 static void
-ask_what_waits (Play *play, Kind *kind, uint64_t now_ms)
+send_waiting (Simulation *simulation, Kind *kind, uint64_t now_ms)
 {
   while (!g_queue_is_empty (&kind->waiting))
     {
-      int at = play->share != NULL ? daemon_by_share (play, kind->takes_ms, now_ms)
-                                   : daemon_by_split (play, kind->takes_ms, now_ms);
+      int at = simulation->balancer != NULL
+                   ? daemon_by_balancer (simulation, kind->takes_ms, now_ms)
+                   : daemon_by_split (simulation, kind->takes_ms, now_ms);
       if (at < 0)
         return;
-      uint64_t begins_ms = MAX (play->busy_until_ms[at], now_ms);
+      uint64_t begins_ms = MAX (simulation->busy_until_ms[at], now_ms);
       uint32_t waited_ms
           = (uint32_t) (begins_ms - GPOINTER_TO_UINT (g_queue_pop_head (&kind->waiting)));
       g_array_append_val (kind->waits_ms, waited_ms);
-      play->busy_until_ms[at] = begins_ms + kind->takes_ms;
-      g_queue_push_tail (&play->ends_ms[at], GUINT_TO_POINTER ((guint) play->busy_until_ms[at]));
-      if (play->share != NULL)
-        fb_advice_share_began (play->share, play->names->pdata[at], kind->takes_ms, now_ms);
+      simulation->busy_until_ms[at] = begins_ms + kind->takes_ms;
+      g_queue_push_tail (&simulation->ends_ms[at],
+                         GUINT_TO_POINTER ((guint) simulation->busy_until_ms[at]));
+      if (simulation->balancer != NULL)
+        fb_advice_balancer_began (simulation->balancer, simulation->names->pdata[at],
+                                  kind->takes_ms, now_ms);
     }
 }
 
 /* Simulates the requests of KINDS, the most urgent kind first. */
 static void
-play_questions (Play *play, Kind *kinds, guint n)
+simulate_requests (Simulation *simulation, Kind *kinds, guint n)
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (7);
-  for (uint64_t now_ms = 1; now_ms < PLAY_MS; now_ms++)
+  for (uint64_t now_ms = 1; now_ms < SIMULATION_MS; now_ms++)
     {
       for (guint i = 0; i < DAEMON_N; i++)
         {
-          if (GPOINTER_TO_UINT (g_queue_peek_head (&play->ends_ms[i])) != now_ms)
+          if (GPOINTER_TO_UINT (g_queue_peek_head (&simulation->ends_ms[i])) != now_ms)
             continue;
-          g_queue_pop_head (&play->ends_ms[i]);
-          if (play->share != NULL)
-            fb_advice_share_ended (play->share, play->names->pdata[i]);
+          g_queue_pop_head (&simulation->ends_ms[i]);
+          if (simulation->balancer != NULL)
+            fb_advice_balancer_ended (simulation->balancer, simulation->names->pdata[i]);
         }
       for (guint k = 0; k < n; k++)
         {
@@ -177,27 +181,27 @@
           if ((uint32_t) g_rand_int_range (rand, 0, 1000)
               < (burst ? kinds[k].in_burst_s : kinds[k].per_s))
             g_queue_push_tail (&kinds[k].waiting, GUINT_TO_POINTER ((guint) now_ms));
-          ask_what_waits (play, &kinds[k], now_ms);
+          send_waiting (simulation, &kinds[k], now_ms);
         }
     }
 }
 
 static void
-play_new (Play *play, gboolean shared)
+simulation_init (Simulation *simulation, gboolean shared)
 {
-  *play = (Play){ .names = g_ptr_array_new_with_free_func (g_free) };
+  *simulation = (Simulation){ .names = g_ptr_array_new_with_free_func (g_free) };
   for (guint i = 0; i < DAEMON_N; i++)
-    g_ptr_array_add (play->names, g_strdup_printf ("daemon-%u", i));
-  play->share = shared ? fb_advice_share_new () : NULL;
+    g_ptr_array_add (simulation->names, g_strdup_printf ("daemon-%u", i));
+  simulation->balancer = shared ? fb_advice_balancer_new () : NULL;
 }
 
 static void
-play_clear (Play *play)
+simulation_clear (Simulation *simulation)
 {
-  g_clear_pointer (&play->share, fb_advice_share_free);
-  g_ptr_array_unref (play->names);
+  g_clear_pointer (&simulation->balancer, fb_advice_balancer_free);
+  g_ptr_array_unref (simulation->names);
   for (guint i = 0; i < DAEMON_N; i++)
-    g_queue_clear (&play->ends_ms[i]);
+    g_queue_clear (&simulation->ends_ms[i]);
 }
 
 static void
@@ -215,7 +219,7 @@
  * seconds, beside batches and gangs; a fixed split that reserves a third of the daemons for
  * requests under 100 ms is the reference. */
 static void
-test_short_questions_in_a_burst (void)
+test_short_requests_in_a_burst (void)
 {
   uint32_t p95_ms[2];
   uint32_t gang_p95_ms[2];
@@ -226,15 +230,15 @@
                        { .takes_ms = 875, .per_s = 2, .in_burst_s = 3 } };
       for (guint k = 0; k < G_N_ELEMENTS (kinds); k++)
         kinds[k].waits_ms = g_array_new (FALSE, FALSE, sizeof (uint32_t));
-      Play play;
-      play_new (&play, shared == 1);
-      play_questions (&play, kinds, G_N_ELEMENTS (kinds));
+      Simulation simulation;
+      simulation_init (&simulation, shared == 1);
+      simulate_requests (&simulation, kinds, G_N_ELEMENTS (kinds));
       p95_ms[shared] = wait_of (&kinds[0], 0.95);
       gang_p95_ms[shared] = wait_of (&kinds[2], 0.95);
-      play_clear (&play);
+      simulation_clear (&simulation);
       kinds_clear (kinds, G_N_ELEMENTS (kinds));
     }
-  printf ("    short question, 95th percentile of waits: %u ms split, %u ms shared; gangs %u and "
+  printf ("    short request, 95th percentile of waits: %u ms split, %u ms shared; gangs %u and "
           "%u ms\n",
           p95_ms[0], p95_ms[1], gang_p95_ms[0], gang_p95_ms[1]);
   CU_ASSERT_TRUE (p95_ms[1] <= 5);
@@ -244,35 +248,36 @@
 
 /* Guards against: daemons stay reserved for short requests when only long ones arrive. */
 static void
-test_nothing_is_kept_for_nobody (void)
+test_reservation_expires (void)
 {
-  Play play;
-  play_new (&play, TRUE);
-  fb_advice_share_began (play.share, "daemon-0", 16, 1000);
-  fb_advice_share_ended (play.share, "daemon-0");
-  CU_ASSERT_EQUAL (fb_advice_share_kept (play.share, DAEMON_N, 875, 1001), 1);
-  CU_ASSERT_EQUAL (fb_advice_share_kept (play.share, DAEMON_N, 875, 9000), 0);
+  Simulation simulation;
+  simulation_init (&simulation, TRUE);
+  fb_advice_balancer_began (simulation.balancer, "daemon-0", 16, 1000);
+  fb_advice_balancer_ended (simulation.balancer, "daemon-0");
+  CU_ASSERT_EQUAL (fb_advice_balancer_reserved (simulation.balancer, DAEMON_N, 875, 1001), 1);
+  CU_ASSERT_EQUAL (fb_advice_balancer_reserved (simulation.balancer, DAEMON_N, 875, 9000), 0);
   for (guint i = 0; i < DAEMON_N; i++)
     {
-      const char *daemon = fb_advice_share_daemon (play.share, play.names, 875, 9000);
+      const char *daemon
+          = fb_advice_balancer_choose (simulation.balancer, simulation.names, 875, 9000);
       CU_ASSERT_PTR_NOT_NULL_FATAL (daemon);
-      fb_advice_share_began (play.share, daemon, 875, 9000);
+      fb_advice_balancer_began (simulation.balancer, daemon, 875, 9000);
     }
-  CU_ASSERT_PTR_NULL (fb_advice_share_daemon (play.share, play.names, 16, 9000));
-  play_clear (&play);
+  CU_ASSERT_PTR_NULL (fb_advice_balancer_choose (simulation.balancer, simulation.names, 16, 9000));
+  simulation_clear (&simulation);
 }
 
 /* Of two daemons a long request leaves one to short requests; a single daemon serves all. */
 static void
 test_few_daemons (void)
 {
-  Play play;
-  play_new (&play, TRUE);
-  fb_advice_share_began (play.share, "daemon-0", 16, 1000);
-  fb_advice_share_ended (play.share, "daemon-0");
-  CU_ASSERT_EQUAL (fb_advice_share_kept (play.share, 2, 875, 1001), 1);
-  CU_ASSERT_EQUAL (fb_advice_share_kept (play.share, 1, 875, 1001), 0);
-  play_clear (&play);
+  Simulation simulation;
+  simulation_init (&simulation, TRUE);
+  fb_advice_balancer_began (simulation.balancer, "daemon-0", 16, 1000);
+  fb_advice_balancer_ended (simulation.balancer, "daemon-0");
+  CU_ASSERT_EQUAL (fb_advice_balancer_reserved (simulation.balancer, 2, 875, 1001), 1);
+  CU_ASSERT_EQUAL (fb_advice_balancer_reserved (simulation.balancer, 1, 875, 1001), 0);
+  simulation_clear (&simulation);
 }
 
 /* ---- late turns of the loop -------------------------------------------------------- */
@@ -294,7 +299,7 @@
 /* Guards against: a daemon that processed a long list for 1.2 s joins the group too late, and its
  * log reports only that the pool was lost.  The late turn has to be reported with its delay. */
 static void
-test_a_late_turn_is_told (void)
+test_a_late_turn_is_reported (void)
 {
   FbLoopWatch *watch = fb_loop_watch_new (TURN_MS, 1000);
   FbLoopLate late;
@@ -311,7 +316,7 @@
 /* A daemon that lacks processor time has late turns all the time: one report a second covers all of
  * them. */
 static void
-test_late_turns_are_told_once_a_second (void)
+test_late_turns_are_reported_once_a_second (void)
 {
   static const uint32_t late_ms[] = { 300, 700, 260 };
   FbLoopWatch *watch = fb_loop_watch_new (TURN_MS, 1000);
@@ -358,7 +363,7 @@
 /* Guards against: a daemon with a time to live of 1 s is busy with a take-over for 1.4 s, the group
  * reassigns the pool, and no log line names the late join as the cause. */
 static void
-test_a_late_join_is_told (void)
+test_a_late_join_is_reported (void)
 {
   FbJoinWatch watch = { 0 };
   fb_join_watch_sent (&watch, 1000);
@@ -374,7 +379,7 @@
 
 /* A daemon that left the group itself and joins it again is not late. */
 static void
-test_who_left_joins_in_time (void)
+test_a_join_after_leaving_is_not_late (void)
 {
   FbJoinWatch watch = { 0 };
   fb_join_watch_sent (&watch, 1000);
@@ -411,7 +416,7 @@
 /* Guards against: peers connect to the bound address of a host that is reached at another address.
  * The advertised address is used. */
 static void
-test_the_others_dial_what_is_advertised (void)
+test_peers_use_the_advertised_address (void)
 {
   FbEntrySettings *plain = settings_with ("");
   FbEntrySettings *advertised = settings_with ("advertised-peers=192.0.2.7:33");
@@ -441,19 +446,18 @@
     return 2;
   CU_pSuite suite = CU_add_suite ("entry", NULL, NULL);
   CU_add_test (suite, "neither pool starves", test_neither_pool_starves);
-  CU_add_test (suite, "who asks no more is not waited for",
-               test_who_asks_no_more_is_not_waited_for);
+  CU_add_test (suite, "a pool that stopped asking", test_a_pool_that_stopped_asking);
   CU_add_test (suite, "idle time gives no claim", test_idle_time_gives_no_claim);
-  CU_add_test (suite, "short questions in a burst", test_short_questions_in_a_burst);
-  CU_add_test (suite, "nothing is kept for nobody", test_nothing_is_kept_for_nobody);
+  CU_add_test (suite, "short requests in a burst", test_short_requests_in_a_burst);
+  CU_add_test (suite, "reservation expires", test_reservation_expires);
   CU_add_test (suite, "few daemons", test_few_daemons);
-  CU_add_test (suite, "a late turn is told", test_a_late_turn_is_told);
-  CU_add_test (suite, "late turns are told once a second", test_late_turns_are_told_once_a_second);
+  CU_add_test (suite, "a late turn is reported", test_a_late_turn_is_reported);
+  CU_add_test (suite, "late turns are reported once a second",
+               test_late_turns_are_reported_once_a_second);
   CU_add_test (suite, "the latest turn is kept", test_the_latest_turn_is_kept);
-  CU_add_test (suite, "a late join is told", test_a_late_join_is_told);
-  CU_add_test (suite, "who left joins in time", test_who_left_joins_in_time);
-  CU_add_test (suite, "the others dial what is advertised",
-               test_the_others_dial_what_is_advertised);
+  CU_add_test (suite, "a late join is reported", test_a_late_join_is_reported);
+  CU_add_test (suite, "a join after leaving is not late", test_a_join_after_leaving_is_not_late);
+  CU_add_test (suite, "peers use the advertised address", test_peers_use_the_advertised_address);
   CU_add_test (suite, "an advertised address is checked", test_an_advertised_address_is_checked);
   CU_basic_run_tests ();
   unsigned failures = CU_get_number_of_failures ();
