--- a/src/entry/front/gatherer.c
+++ b/src/entry/front/gatherer.c
@@ -40,7 +40,7 @@
 may_gather (const FbDaemon *member, gconstpointer user)
 {
   const Choice *choice = user;
-  return choice->now_ms >= MAX (member->rests_ms, member->refuses_ms)
+  return choice->now_ms >= MAX (member->relay_backoff_until_ms, member->append_backoff_until_ms)
          && !was_asked (choice->asked, member->address);
 }
 
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -47,7 +47,8 @@
 may_carry (const FbDaemon *member, gconstpointer user)
 {
   const Choice *choice = user;
-  return choice->now_ms >= member->rests_ms && g_str_equal (member->domain, choice->domain)
+  return choice->now_ms >= member->relay_backoff_until_ms
+         && g_str_equal (member->domain, choice->domain)
          && !g_str_equal (member->address, choice->but);
 }
 
--- a/src/entry/store/daemons.c
+++ b/src/entry/store/daemons.c
@@ -11,7 +11,8 @@
 
 #define GROUP "daemons"
 /* A dead member is removed after this time; until then calls to it fail at once or time out, and it
- * is not used for a while (rests_ms).  A shorter time to live costs more calls of the store. */
+ * is not used for a while (relay_backoff_until_ms).  A shorter time to live costs more calls of the
+ * store. */
 #define TTL_MS 2000
 #define JOIN_EVERY_MS 600
 /* The store reassigns partitions once each member has joined with the new generation: a member that
@@ -156,8 +157,8 @@
     {
       FbDaemon *member = members->pdata[i];
       const FbDaemon *before = find (self->members, member->address);
-      member->rests_ms = before != NULL ? before->rests_ms : 0;
-      member->refuses_ms = before != NULL ? before->refuses_ms : 0;
+      member->relay_backoff_until_ms = before != NULL ? before->relay_backoff_until_ms : 0;
+      member->append_backoff_until_ms = before != NULL ? before->append_backoff_until_ms : 0;
     }
   g_ptr_array_unref (self->members);
   self->members = members;
@@ -291,7 +292,7 @@
 {
   FbDaemon *member = find (self->members, address);
   if (member != NULL)
-    member->rests_ms = until_ms;
+    member->relay_backoff_until_ms = until_ms;
 }
 
 void
@@ -299,7 +300,7 @@
 {
   FbDaemon *member = find (self->members, address);
   if (member != NULL)
-    member->refuses_ms = until_ms;
+    member->append_backoff_until_ms = until_ms;
 }
 
 FbDaemons *
--- a/src/entry/store/daemons.h
+++ b/src/entry/store/daemons.h
@@ -15,9 +15,9 @@
   char *address; /* IP:PORT where its peers reach it */
   char *domain;  /* failure domain */
   uint32_t cpu_milli;
-  uint64_t started_us; /* start of its process, us since 1970 on its own clock */
-  uint64_t rests_ms;   /* gets no orders to relay until then: it did not answer */
-  uint64_t refuses_ms; /* gets no records to append until then: it failed */
+  uint64_t started_us;              /* start of its process, us since 1970 on its own clock */
+  uint64_t relay_backoff_until_ms;  /* gets no orders to relay until then: it did not answer */
+  uint64_t append_backoff_until_ms; /* gets no records to append until then: it failed */
 } FbDaemon;
 
 FbDaemons *fb_daemons_new (FbEntry *entry);
--- a/tests/test-daemons.c
+++ b/tests/test-daemons.c
@@ -116,12 +116,12 @@
   FbDaemon *resting = daemons->pdata[1];
   for (guint i = 0; i < WORKER_N; i++)
     {
-      resting->rests_ms = 0;
+      resting->relay_backoff_until_ms = 0;
       const char *before = relay_of (daemons, i, 1000);
       CU_ASSERT_STRING_NOT_EQUAL (before, "10.0.0.4:7");
       CU_ASSERT_STRING_NOT_EQUAL (before, "10.0.0.9:7");
       strong_n += g_str_equal (before, "10.0.0.1:7");
-      resting->rests_ms = 2000;
+      resting->relay_backoff_until_ms = 2000;
       const char *after = relay_of (daemons, i, 1000);
       CU_ASSERT_STRING_NOT_EQUAL (after, resting->address);
       moved_n += !g_str_equal (before, after);
--- a/tests/test-slow-store.c
+++ b/tests/test-slow-store.c
@@ -322,7 +322,7 @@
   for (guint i = 0; i < members->len; i++)
     {
       FbDaemon *member = members->pdata[i];
-      member->refuses_ms = g_str_equal (member->address, first) ? 2000 : 0;
+      member->append_backoff_until_ms = g_str_equal (member->address, first) ? 2000 : 0;
     }
   CU_ASSERT_STRING_NOT_EQUAL (gatherer (members, NULL, front->address, asked, 1999), first);
   CU_ASSERT_STRING_EQUAL (gatherer (members, NULL, front->address, asked, 2000), first);
