--- a/src/entry/advice/advisor.c
+++ b/src/entry/advice/advisor.c
@@ -181,8 +181,8 @@
   if (g_str_equal (daemon, self->entry->settings->peers))
     fb_advisor_call (self->entry, &ask.fb_ask_u.advice, on_told, request);
   else
-    fb_peers_ask (self->entry, daemon, &ask, expected_ms + wait_max_ms (expected_ms), on_told,
-                  request);
+    fb_peers_request (self->entry, daemon, &ask, expected_ms + wait_max_ms (expected_ms), on_told,
+                      request);
   for (guint i = 0; i < n; i++)
     g_free (names[i].id);
   return TRUE;
@@ -196,7 +196,7 @@
   FbHttpCall call;
   uint32_t expected_ms;
   uint64_t since_ms;
-  FbTold done;
+  FbPeerReplyDone done;
   gpointer user;
 } AdviceCall;
 
@@ -248,7 +248,7 @@
 }
 
 void
-fb_advisor_call (FbEntry *entry, const fb_ask_advice *ask, FbTold done, gpointer user)
+fb_advisor_call (FbEntry *entry, const fb_ask_advice *ask, FbPeerReplyDone done, gpointer user)
 {
   FbAdvisor *self = entry->advisor;
   AdviceCall *call = g_new0 (AdviceCall, 1);
--- a/src/entry/entry-private.h
+++ b/src/entry/entry-private.h
@@ -62,7 +62,7 @@
   FbTimer *timer;
   FbLoopWatch *loop;
   FbLinkWatch *link;
-  FbPayloadShare *payload_share; /* payloads sent to other daemons */
+  FbPayloadDedup *payload_dedup; /* payloads sent to other daemons */
   FbPayloadCache *payload_cache; /* payloads received from other daemons */
   FbRecentStarts *recent_starts; /* starts sent to workers from this daemon */
   FbKeptSuspects *kept_suspects; /* held for owners that the store does not serve */
@@ -73,7 +73,7 @@
   uint64_t answered_ms;      /* time of the last answer to a caller */
   uint64_t store_ok_ms;      /* time of the store's last answer */
   gboolean store_lost;
-  FbStorePace pace; /* latency and failures of this daemon's calls to the store */
+  FbStorePace store_health; /* latency and failures of this daemon's calls to the store */
   gboolean
       store_degraded; /* as last logged: callers' records should not be appended from this daemon */
 };
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -207,7 +207,7 @@
       g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
       self->leave_requested = TRUE;
       fb_entry_set_owned_partitions (entry, none, 0, "planned stop");
-      fb_group_leave (entry->group, on_left, self);
+      fb_group_release_partitions (entry->group, on_left, self);
     }
   /* Failure: the process ends while calls are open; it shows as requests that were read and get no
    * answer.  Guard: a request that could last beyond the end of the process is refused. */
@@ -258,7 +258,7 @@
 static void
 check_link_timeouts (gpointer data, uint64_t now_ms)
 {
-  fb_links_tend (((FbEntry *) data)->links, now_ms);
+  fb_links_check_timeouts (((FbEntry *) data)->links, now_ms);
 }
 
 static void
@@ -267,7 +267,7 @@
   self->store_ok_ms = fb_clock_ms ();
   self->timer = fb_timer_new (self->store_ok_ms);
   self->loop = fb_loop_watch_new (TIMER_MS, self->store_ok_ms);
-  self->payload_share = fb_payload_share_new ((uint32_t) self->settings->link_kbit_s);
+  self->payload_dedup = fb_payload_dedup_new ((uint32_t) self->settings->link_kbit_s);
   self->payload_cache = fb_payload_cache_new (PAYLOADS_KEPT_BYTES);
   self->recent_starts = fb_recent_starts_new ();
   self->kept_suspects = fb_kept_suspects_new ();
--- a/src/entry/front/front-store.c
+++ b/src/entry/front/front-store.c
@@ -15,7 +15,7 @@
 #define PEERS_MAX 3
 /* How long a daemon that failed to append a record is not used: long enough to spare most callers
  * the same failed attempt, short enough for a daemon that has recovered. */
-#define REFUSES_MS 1000
+#define BACKOFF_MS 1000
 
 static void
 log_stored (const FbFrontRequest *request, gboolean stored, const char *how)
@@ -36,7 +36,7 @@
   if (result == FB_APPEND_STORED)
     {
       fb_counter_add (FB_COUNTER_JOBS_STORED, 1);
-      fb_peers_tell_stored (request->entry, request->partition, request->key, request->value);
+      fb_peers_notify_stored (request->entry, request->partition, request->key, request->value);
       fb_front_finish (request, SOUP_STATUS_OK, "{}");
     }
   else if (result == FB_APPEND_IN_DOUBT || request->is_delete)
@@ -54,30 +54,31 @@
 
 /* Answers the caller when no call is known to have stored the record. */
 static void
-answer_unstored (FbFrontRequest *request)
+answer_not_stored (FbFrontRequest *request)
 {
   answer_stored (request, request->in_doubt ? FB_APPEND_IN_DOUBT : FB_APPEND_NOT_STORED);
 }
 
 static void
-note_pace (FbFrontRequest *request, gboolean taken, gboolean here)
+note_append (FbFrontRequest *request, gboolean taken, gboolean locally)
 {
   uint64_t now_ms = fb_clock_ms ();
   uint64_t took_ms = now_ms - request->stored_since_ms;
-  fb_store_pace_appended (&request->entry->pace, taken, here, (uint32_t) MIN (took_ms, G_MAXUINT32),
-                          now_ms);
+  fb_store_pace_appended (&request->entry->store_health, taken, locally,
+                          (uint32_t) MIN (took_ms, G_MAXUINT32), now_ms);
 }
 
 static void store_by_peer (FbFrontRequest *request);
 
 static void
-ask_to_append (FbFrontRequest *request, const char *daemon, uint32_t timeout_ms, FbTold done)
+request_append (FbFrontRequest *request, const char *daemon, uint32_t timeout_ms,
+                FbPeerReplyDone done)
 {
   fb_ask ask = { .type = FB_ASK_APPEND };
   ask.fb_ask_u.append.partition = request->partition;
   ask.fb_ask_u.append.records.records_len = request->records->len;
   ask.fb_ask_u.append.records.records_val = (char *) request->records->data;
-  fb_peers_ask (request->entry, daemon, &ask, timeout_ms, done, request);
+  fb_peers_request (request->entry, daemon, &ask, timeout_ms, done, request);
 }
 
 /* TOLD: another daemon's reply to the request to store the record; NULL: none.
@@ -87,7 +88,7 @@
 {
   if (told != NULL && told->type == FB_TOLD_STORED)
     {
-      note_pace (request, TRUE, FALSE);
+      note_append (request, TRUE, FALSE);
       answer_stored (request, FB_APPEND_STORED);
       return TRUE;
     }
@@ -114,18 +115,18 @@
   uint64_t spent_ms = fb_clock_ms () - request->since_ms;
   if (peer == NULL || spent_ms >= PEERS_UNTIL_MS || request->asked->len >= PEERS_MAX)
     {
-      answer_unstored (request);
+      answer_not_stored (request);
       return;
     }
   g_ptr_array_add (request->asked, g_strdup (peer));
-  ask_to_append (request, peer, PEER_APPEND_MS, on_peer_stored);
+  request_append (request, peer, PEER_APPEND_MS, on_peer_stored);
 }
 
 static void
 on_stored (gpointer data, FbAppendResult result)
 {
   FbFrontRequest *request = data;
-  note_pace (request, result == FB_APPEND_STORED, TRUE);
+  note_append (request, result == FB_APPEND_STORED, TRUE);
   request->in_doubt = request->in_doubt || result == FB_APPEND_IN_DOUBT;
   if (result == FB_APPEND_STORED)
     answer_stored (request, result);
@@ -134,7 +135,7 @@
 }
 
 static void
-store_here (FbFrontRequest *request)
+store_locally (FbFrontRequest *request)
 {
   fb_appender_put (fb_entry_appender (request->entry, request->partition),
                    g_byte_array_ref (request->records), request->since_ms + FB_FRONT_STORE_MS,
@@ -142,41 +143,42 @@
 }
 
 static void
-note_trouble (FbEntry *entry, uint64_t now_ms)
+note_store_health (FbEntry *entry, uint64_t now_ms)
 {
-  const FbStorePace *pace = &entry->pace;
-  gboolean store_degraded = fb_gatherer_is_troubled (pace, now_ms);
+  const FbStorePace *store_health = &entry->store_health;
+  gboolean store_degraded = fb_gatherer_is_troubled (store_health, now_ms);
   if (store_degraded != entry->store_degraded)
     fb_event_log (store_degraded ? FB_EVENT_STORE_SLOW : FB_EVENT_STORE_QUICK,
-                  "append_ms=%u renewal_ms=%u failed=%d", pace->append_ms, pace->renewal_ms,
-                  fb_store_pace_has_failed (pace, now_ms));
+                  "append_ms=%u renewal_ms=%u failed=%d", store_health->append_latency_ms,
+                  store_health->renewal_latency_ms,
+                  fb_store_pace_has_failed (store_health, now_ms));
   entry->store_degraded = store_degraded;
 }
 
-static void store_by_gatherer (FbFrontRequest *request);
+static void store_by_proxy (FbFrontRequest *request);
 
 /* Records that the daemon that was asked last did not store the record, so that others are
  * preferred for a while. */
 static void
-note_refusal (FbFrontRequest *request)
+note_append_failure (FbFrontRequest *request)
 {
   const char *daemon = request->asked->pdata[request->asked->len - 1];
-  fb_daemons_refuses (request->entry->daemons, daemon, fb_clock_ms () + REFUSES_MS);
+  fb_daemons_back_off_append (request->entry->daemons, daemon, fb_clock_ms () + BACKOFF_MS);
 }
 
 static void
-on_gatherer_stored (gpointer data, const fb_told *told)
+on_proxy_stored (gpointer data, const fb_told *told)
 {
   FbFrontRequest *request = data;
   if (is_stored_by_other (request, told))
     return;
-  note_refusal (request);
-  store_by_gatherer (request);
+  note_append_failure (request);
+  store_by_proxy (request);
 }
 
 /* Stores the record through another daemon, or from this one if that is better. */
 static void
-store_by_gatherer (FbFrontRequest *request)
+store_by_proxy (FbFrontRequest *request)
 {
   FbEntry *entry = request->entry;
   uint64_t now_ms = fb_clock_ms ();
@@ -185,20 +187,20 @@
                                     .asked = request->asked,
                                     .partition = request->partition,
                                     .since_ms = request->since_ms };
-  note_trouble (entry, now_ms);
-  FbGathererWay way
-      = fb_gatherer_way (&record, &entry->pace, fb_daemons_all (entry->daemons), now_ms);
-  switch (way.step)
+  note_store_health (entry, now_ms);
+  FbGathererWay route
+      = fb_gatherer_way (&record, &entry->store_health, fb_daemons_all (entry->daemons), now_ms);
+  switch (route.step)
     {
     case FB_GATHERER_NONE:
-      store_here (request);
+      store_locally (request);
       break;
     case FB_GATHERER_ASK:
-      g_ptr_array_add (request->asked, g_strdup (way.address));
-      ask_to_append (request, way.address, way.patience_ms, on_gatherer_stored);
+      g_ptr_array_add (request->asked, g_strdup (route.address));
+      request_append (request, route.address, route.timeout_ms, on_proxy_stored);
       break;
     case FB_GATHERER_GIVE_UP:
-      answer_unstored (request);
+      answer_not_stored (request);
       break;
     }
 }
@@ -218,5 +220,5 @@
   if (fb_entry_store_is_silent (request->entry))
     store_by_peer (request);
   else
-    store_by_gatherer (request);
+    store_by_proxy (request);
 }
--- a/src/entry/front/front.c
+++ b/src/entry/front/front.c
@@ -16,7 +16,7 @@
 #include <talloc.h>
 
 /* Time limit of a request to the owner: callers wait about 3 s for the answer. */
-#define ASK_MS 2000
+#define OWNER_TIMEOUT_MS 2000
 #define BODY_MAX_BYTES (256 * 1024)
 /* Bounds of Retry-After, which is the time for which the store has been unavailable already, so
  * that a caller's few attempts outlast an outage of seconds. */
@@ -153,16 +153,16 @@
 }
 
 static void
-ask_state (FbEntry *entry, SoupServerMessage *message, const FbRoute *route, const char *job,
-           gboolean is_delete)
+request_state (FbEntry *entry, SoupServerMessage *message, const FbRoute *route, const char *job,
+               gboolean is_delete)
 {
   FbFrontRequest *request = request_new (entry, message, route, job);
   request->is_delete = is_delete;
   fb_ask ask = { .type = FB_ASK_STATE };
   ask.fb_ask_u.job.service = request->service;
   ask.fb_ask_u.job.job = request->job;
-  fb_peers_ask_owner (entry, request->service, &ask, is_delete ? ASK_MS / 4 : ASK_MS, on_state,
-                      request);
+  fb_peers_request_owner (entry, request->service, &ask,
+                          is_delete ? OWNER_TIMEOUT_MS / 4 : OWNER_TIMEOUT_MS, on_state, request);
 }
 
 /* ---- pending ---------------------------------------------------------------------------- */
@@ -180,13 +180,13 @@
 }
 
 static void
-ask_pending (FbEntry *entry, SoupServerMessage *message, const FbRoute *route)
+request_pending (FbEntry *entry, SoupServerMessage *message, const FbRoute *route)
 {
   FbFrontRequest *request = request_new (entry, message, route, "");
   fb_ask ask = { .type = FB_ASK_PENDING };
   ask.fb_ask_u.queue.service = request->service;
   ask.fb_ask_u.queue.queue = request->queue;
-  fb_peers_ask_owner (entry, request->service, &ask, ASK_MS, on_pending, request);
+  fb_peers_request_owner (entry, request->service, &ask, OWNER_TIMEOUT_MS, on_pending, request);
 }
 
 /* ---- dispatch ------------------------------------------------------------------------------ */
@@ -210,13 +210,13 @@
   const char *method = soup_server_message_get_method (message);
   gboolean is_get = g_str_equal (method, "GET");
   if (is_get && *rest == '\0')
-    ask_pending (entry, message, route);
+    request_pending (entry, message, route);
   else if (!is_job_id (rest))
     refuse (entry, message, SOUP_STATUS_NOT_FOUND, "expected 16 hexadecimal digits as job id");
   else if (is_get)
-    ask_state (entry, message, route, rest, FALSE);
+    request_state (entry, message, route, rest, FALSE);
   else if (g_str_equal (method, "DELETE"))
-    ask_state (entry, message, route, rest, TRUE);
+    request_state (entry, message, route, rest, TRUE);
   else if (g_str_equal (method, "POST"))
     submit (entry, message, route, rest);
   else
--- a/src/entry/front/gatherer.c
+++ b/src/entry/front/gatherer.c
@@ -12,17 +12,17 @@
 #define DIRECT_MAX 9
 /* Number of daemons per partition that append for the others.  Four appends of 120 ms take half a
  * second; with only one daemon, its failure would block all callers until it is detected. */
-#define GATHERER_N 4
+#define PROXY_N 4
 /* Time limit of an append through another daemon: long enough for the append, short enough to ask
  * one more daemon. */
-#define PATIENCE_MS 400
+#define TIMEOUT_MS 400
 /* The same while the store is slow, where more appends are queued; the rest of a caller's time is
  * for the answer. */
-#define SLOW_PATIENCE_MS 2300
+#define SLOW_TIMEOUT_MS 2300
 #define ASKED_MAX 2
 /* Age of a request from which there is no time left to ask another daemon and then store the record
  * from this one. */
-#define ASK_UNTIL_MS (FB_FRONT_LONGEST_CALL_MS - PATIENCE_MS - FB_FRONT_STORE_MS)
+#define PROXY_UNTIL_MS (FB_FRONT_LONGEST_CALL_MS - TIMEOUT_MS - FB_FRONT_STORE_MS)
 
 static gboolean
 was_asked (const GPtrArray *asked, const char *address)
@@ -37,7 +37,7 @@
 } Choice;
 
 static gboolean
-may_gather (const FbDaemon *member, gconstpointer user)
+may_append (const FbDaemon *member, gconstpointer user)
 {
   const Choice *choice = user;
   return choice->now_ms >= MAX (member->relay_backoff_until_ms, member->append_backoff_until_ms)
@@ -57,26 +57,26 @@
   gboolean always = fb_gatherer_always (members);
   if (!always && owner != NULL && !was_asked (asked, owner))
     return owner;
-  guint group = always ? (guint) (XXH64 (front, strlen (front), 0) % GATHERER_N) : 0;
+  guint group = always ? (guint) (XXH64 (front, strlen (front), 0) % PROXY_N) : 0;
   g_autofree char *key = g_strdup_printf ("partition-%u/%u", partition, group);
   const Choice choice = { asked, now_ms };
-  const FbDaemon *member = fb_rendezvous_choose (members, key, may_gather, &choice);
+  const FbDaemon *member = fb_rendezvous_choose (members, key, may_append, &choice);
   return member != NULL ? member->address : NULL;
 }
 
 gboolean
-fb_gatherer_is_troubled (const FbStorePace *pace, uint64_t now_ms)
+fb_gatherer_is_troubled (const FbStorePace *store_health, uint64_t now_ms)
 {
-  return fb_store_pace_has_failed (pace, now_ms) || fb_store_pace_is_slow (pace);
+  return fb_store_pace_has_failed (store_health, now_ms) || fb_store_pace_is_slow (store_health);
 }
 
 /* Returns: (nullable): address of the daemon to ask, borrowed; NULL when none is to be asked. */
 static const char *
-next_gatherer (const FbGathererRecord *record, const FbStorePace *pace, const GPtrArray *members,
-               uint64_t now_ms)
+next_proxy (const FbGathererRecord *record, const FbStorePace *store_health,
+            const GPtrArray *members, uint64_t now_ms)
 {
-  if ((!fb_gatherer_is_troubled (pace, now_ms) && !fb_gatherer_always (members))
-      || record->asked->len >= ASKED_MAX || now_ms >= record->since_ms + ASK_UNTIL_MS)
+  if ((!fb_gatherer_is_troubled (store_health, now_ms) && !fb_gatherer_always (members))
+      || record->asked->len >= ASKED_MAX || now_ms >= record->since_ms + PROXY_UNTIL_MS)
     return NULL;
   const char *address = fb_gatherer_for (members, record->owner, record->front, record->asked,
                                          record->partition, now_ms);
@@ -84,16 +84,16 @@
 }
 
 FbGathererWay
-fb_gatherer_way (const FbGathererRecord *record, const FbStorePace *pace, const GPtrArray *members,
-                 uint64_t now_ms)
+fb_gatherer_way (const FbGathererRecord *record, const FbStorePace *store_health,
+                 const GPtrArray *members, uint64_t now_ms)
 {
-  const char *address = next_gatherer (record, pace, members, now_ms);
-  gboolean slow = fb_store_pace_is_slow (pace);
+  const char *address = next_proxy (record, store_health, members, now_ms);
+  gboolean slow = fb_store_pace_is_slow (store_health);
   if (address != NULL)
     {
       uint64_t left_ms = record->since_ms + FB_FRONT_LONGEST_CALL_MS - now_ms;
-      uint32_t patience_ms = slow ? SLOW_PATIENCE_MS : PATIENCE_MS;
-      return (FbGathererWay){ FB_GATHERER_ASK, address, (uint32_t) MIN (patience_ms, left_ms) };
+      uint32_t timeout_ms = slow ? SLOW_TIMEOUT_MS : TIMEOUT_MS;
+      return (FbGathererWay){ FB_GATHERER_ASK, address, (uint32_t) MIN (timeout_ms, left_ms) };
     }
   /* Failure: a record that a slow store has refused is sent by other daemons, each attempt being
    * one more append in the queue for which it was refused; it shows as callers without an answer
--- a/src/entry/front/gatherer.h
+++ b/src/entry/front/gatherer.h
@@ -35,15 +35,15 @@
 typedef struct
 {
   FbGathererStep step;
-  const char *address;  /* address of that daemon, borrowed; else NULL */
-  uint32_t patience_ms; /* time limit of its reply */
+  const char *address; /* address of that daemon, borrowed; else NULL */
+  uint32_t timeout_ms; /* time limit of its reply */
 } FbGathererWay;
 
 /* TRUE when PACE of a daemon shows that records should not be stored from there. */
-gboolean fb_gatherer_is_troubled (const FbStorePace *pace, uint64_t now_ms);
+gboolean fb_gatherer_is_troubled (const FbStorePace *store_health, uint64_t now_ms);
 /* Returns: the next step for RECORD, initially or after the daemon asked last has not stored it.
  * PACE: of the daemon that received the record.  MEMBERS: of FbDaemon. */
-FbGathererWay fb_gatherer_way (const FbGathererRecord *record, const FbStorePace *pace,
+FbGathererWay fb_gatherer_way (const FbGathererRecord *record, const FbStorePace *store_health,
                                const GPtrArray *members, uint64_t now_ms);
 
 /* Chooses the daemon that stores a record of PARTITION received by the daemon at FRONT: with many
--- a/src/entry/loop-watch.c
+++ b/src/entry/loop-watch.c
@@ -5,7 +5,7 @@
 /* A daemon joins its group every 250 ms to stay a member; a main loop that is later than this
  * misses a join. */
 #define LATE_MS 250
-#define TELL_EVERY_MS 1000
+#define REPORT_INTERVAL_MS 1000
 /* Slots that cover the last 2 s; part of the oldest one is older. */
 #define SLOT_MS 250
 #define SLOT_N 9
@@ -20,8 +20,8 @@
 {
   uint32_t period_ms;
   uint64_t turn_ms;
-  uint64_t told_ms; /* when late turns were last reported; 0: never */
-  FbLoopLate untold;
+  uint64_t reported_ms; /* when late turns were last reported; 0: never */
+  FbLoopLate unreported;
   Slot slots[SLOT_N];
 };
 
@@ -67,14 +67,15 @@
   note_slot (self, now_ms, late_ms);
   if (late_ms > LATE_MS)
     {
-      self->untold.late_ms = MAX (self->untold.late_ms, late_ms);
-      self->untold.turns_n++;
+      self->unreported.late_ms = MAX (self->unreported.late_ms, late_ms);
+      self->unreported.turns_n++;
     }
-  if (self->untold.turns_n == 0 || (self->told_ms != 0 && now_ms < self->told_ms + TELL_EVERY_MS))
+  if (self->unreported.turns_n == 0
+      || (self->reported_ms != 0 && now_ms < self->reported_ms + REPORT_INTERVAL_MS))
     return FALSE;
-  *late = self->untold;
-  self->untold = (FbLoopLate){ 0 };
-  self->told_ms = now_ms;
+  *late = self->unreported;
+  self->unreported = (FbLoopLate){ 0 };
+  self->reported_ms = now_ms;
   return TRUE;
 }
 
--- a/src/entry/owner/owner-recall.c
+++ b/src/entry/owner/owner-recall.c
@@ -48,7 +48,7 @@
   request->entry = self->entry;
   request->partition = self->partition;
   request->epoch = self->epoch;
-  fb_peers_ask (self->entry, address, &ask, ANSWER_MS, on_told, request);
+  fb_peers_request (self->entry, address, &ask, ANSWER_MS, on_told, request);
 }
 
 static void
--- a/src/entry/owner/owner-unstored.c
+++ b/src/entry/owner/owner-unstored.c
@@ -41,7 +41,7 @@
              != NULL)
     {
       g_ptr_array_add (chosen, daemon->address);
-      fb_peers_ask (self->entry, daemon->address, ask, ANSWER_MS, fb_peers_ignore_told, NULL);
+      fb_peers_request (self->entry, daemon->address, ask, ANSWER_MS, fb_peers_ignore_reply, NULL);
     }
   fb_event_log (FB_EVENT_SUSPECTS_HANDED, "job=%s epoch=%" G_GUINT64_FORMAT " tasks=%u daemons=%u",
                 ask->fb_ask_u.keep.job, self->epoch, ask->fb_ask_u.keep.suspects.tasks.tasks_len,
--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -38,7 +38,7 @@
   g_autoptr (GList) ids = fb_worker_list_ids (workers);
   for (const GList *l = ids; l != NULL; l = l->next)
     {
-      const FbListedWorker *worker = fb_worker_list_of (workers, l->data);
+      const FbListedWorker *worker = fb_worker_list_by_id (workers, l->data);
       if (g_str_equal (worker->service, service_pool->service))
         fb_pool_worker_listed (service_pool->pool, &worker->entry, fb_clock_ms ());
     }
--- a/src/entry/peers/link-connection.c
+++ b/src/entry/peers/link-connection.c
@@ -79,8 +79,8 @@
   self->fd = fd;
   self->address = g_strdup (address);
   self->refs = 1;
-  self->began_ms = links->now_ms;
-  self->heard_ms = links->now_ms;
+  self->created_ms = links->now_ms;
+  self->received_ms = links->now_ms;
   self->out = g_byte_array_new ();
   self->in = g_byte_array_new ();
   set_up_socket (fd);
@@ -147,7 +147,7 @@
  * resumes, although the caller has timed out; it shows as a second run of a task.  Guard: a
  * connection with an unwritten call past its time limit is closed. */
 static gboolean
-holds_overdue (const FbLinkConnection *self)
+has_overdue_call (const FbLinkConnection *self)
 {
   for (const GList *l = self->pending.tail; l != NULL; l = l->prev)
     {
@@ -165,7 +165,7 @@
 {
   if (self->connecting)
     return TRUE;
-  if (holds_overdue (self))
+  if (has_overdue_call (self))
     return FALSE;
   while (unwritten (self) > 0)
     {
@@ -191,7 +191,7 @@
 /* ---- reading ----------------------------------------------------------------------- */
 
 static void
-take_call (FbLinkConnection *self, uint32_t number, const guint8 *body, gsize len)
+handle_call (FbLinkConnection *self, uint32_t number, const guint8 *body, gsize len)
 {
   FbLinkCall *call = g_new0 (FbLinkCall, 1);
   call->connection = self;
@@ -201,7 +201,7 @@
 }
 
 static void
-take_answer (FbLinkConnection *self, uint32_t number, const guint8 *body, gsize len)
+handle_answer (FbLinkConnection *self, uint32_t number, const guint8 *body, gsize len)
 {
   for (GList *l = self->pending.head; l != NULL; l = l->next)
     {
@@ -227,7 +227,7 @@
 /* Handles all complete frames in the input buffer.
  * Returns: FALSE when the peer does not speak this protocol. */
 static gboolean
-take_frames (FbLinkConnection *self)
+handle_frames (FbLinkConnection *self)
 {
   gsize at = 0;
   while (!self->closed && self->in->len - at >= HEADER_BYTES)
@@ -243,9 +243,9 @@
       const guint8 *body = self->in->data + at + HEADER_BYTES;
       at += frame;
       if (kind == KIND_CALL)
-        take_call (self, number, body, frame - HEADER_BYTES);
+        handle_call (self, number, body, frame - HEADER_BYTES);
       else if (kind == KIND_ANSWER)
-        take_answer (self, number, body, frame - HEADER_BYTES);
+        handle_answer (self, number, body, frame - HEADER_BYTES);
       else
         return FALSE;
     }
@@ -269,11 +269,11 @@
         return errno == EAGAIN || errno == EWOULDBLOCK;
       if (n == 0)
         return FALSE;
-      self->heard_ms = self->links->now_ms;
+      self->received_ms = self->links->now_ms;
       g_byte_array_append (self->in, buffer, (guint) n);
       if ((gsize) n < sizeof buffer)
-        return take_frames (self);
-      if (!take_frames (self) || self->closed)
+        return handle_frames (self);
+      if (!handle_frames (self) || self->closed)
         return FALSE;
     }
 }
@@ -315,9 +315,9 @@
 /* ---- calls --------------------------------------------------------------------- */
 
 gboolean
-fb_link_connection_give_up_calls (FbLinkConnection *self, uint64_t now_ms)
+fb_link_connection_check_timeouts (FbLinkConnection *self, uint64_t now_ms)
 {
-  gboolean silent = self->connecting && now_ms > self->began_ms + CONNECT_MS;
+  gboolean silent = self->connecting && now_ms > self->created_ms + CONNECT_MS;
   GList *l = self->pending.head;
   while (l != NULL && !silent)
     {
@@ -325,7 +325,7 @@
       GList *next = l->next;
       if (now_ms >= pending->until_ms)
         {
-          silent = self->heard_ms <= pending->sent_ms;
+          silent = self->received_ms <= pending->sent_ms;
           /* If the connection is silent it is closed and the frame is never written; otherwise the
            * frame may still be written. */
           FbLinkResult result
--- a/src/entry/peers/links-private.h
+++ b/src/entry/peers/links-private.h
@@ -25,8 +25,8 @@
   gboolean dirty; /* has bytes to write and is in the links' dirty list */
   gboolean closed;
   guint refs; /* one reference of the links, one of each call being served */
-  uint64_t began_ms;
-  uint64_t heard_ms;
+  uint64_t created_ms;
+  uint64_t received_ms;
   uint32_t last_number;
   uint64_t written;
   GByteArray *out;
@@ -73,4 +73,4 @@
                                   FbLinkDone done, gpointer user);
 /* Ends calls whose time limit has passed.
  * Returns: FALSE when the connection is silent and is to be closed. */
-gboolean fb_link_connection_give_up_calls (FbLinkConnection *self, uint64_t now_ms);
+gboolean fb_link_connection_check_timeouts (FbLinkConnection *self, uint64_t now_ms);
--- a/src/entry/peers/links.c
+++ b/src/entry/peers/links.c
@@ -164,7 +164,7 @@
 }
 
 void
-fb_links_tend (FbLinks *self, uint64_t now_ms)
+fb_links_check_timeouts (FbLinks *self, uint64_t now_ms)
 {
   self->now_ms = now_ms;
   for (guint i = self->all->len; i > 0; i--)
@@ -173,11 +173,11 @@
         continue; /* callbacks have closed some */
       FbLinkConnection *connection = self->all->pdata[i - 1];
       fb_link_connection_ref (connection);
-      if (!fb_link_connection_give_up_calls (connection, now_ms) && !connection->closed)
+      if (!fb_link_connection_check_timeouts (connection, now_ms) && !connection->closed)
         {
           fb_event_log (FB_EVENT_PEER_UNREACHABLE, "address=%s silent_ms=%u",
                         connection->address != NULL ? connection->address : "",
-                        (guint) (now_ms - connection->heard_ms));
+                        (guint) (now_ms - connection->received_ms));
           fb_link_connection_close (connection);
         }
       fb_link_connection_unref (connection);
--- a/src/entry/peers/links.h
+++ b/src/entry/peers/links.h
@@ -38,4 +38,4 @@
 /* Answers CALL with BODY and frees CALL.  The answer is dropped when the connection is closed. */
 void fb_link_call_answer (FbLinkCall *call, GBytes *body);
 /* Ends calls that have passed their time limit.  To be called about every 25 ms. */
-void fb_links_tend (FbLinks *self, uint64_t now_ms);
+void fb_links_check_timeouts (FbLinks *self, uint64_t now_ms);
--- a/src/entry/peers/payload-share.c
+++ b/src/entry/peers/payload-share.c
@@ -5,11 +5,11 @@
 
 /* Share of the link that payloads may use before it counts as constrained; three quarters are left
  * for polls, records and renewals. */
-#define SCARCE_PERCENT 25
+#define PAYLOAD_PERCENT 25
 /* Number of a job's tasks that are relayed through the same daemon of each failure domain: with
  * three to five domains a daemon starts four to seven of them, some 2 ms of work each on 0.12 of a
  * core. */
-#define TASKS_TOGETHER 20
+#define TASKS_PER_RELAY 20
 /* How long a payload is assumed to be cached.  A daemon caches some 700 payloads
  * (PAYLOADS_KEPT_BYTES), those of 20 s at 30 jobs a second. */
 #define SENT_FOR_MS 10000
@@ -18,21 +18,21 @@
 #define SENT_MAX 250
 /* Period over which the rate is measured; the rate is that of the last complete period, or of the
  * current one if that is higher. */
-#define SLOT_MS 1000
+#define PERIOD_MS 1000
 
-struct _FbPayloadShare
+struct _FbPayloadDedup
 {
   uint32_t link_kbit_s;
-  uint64_t slot; /* number of the current period */
-  uint64_t slot_bytes;
+  uint64_t period; /* number of the current period */
+  uint64_t period_bytes;
   uint64_t last_bytes; /* bytes of the previous period */
   GHashTable *daemons; /* address -> GHashTable: FbPayloadDigest -> when it was sent */
 };
 
-FbPayloadShare *
-fb_payload_share_new (uint32_t link_kbit_s)
+FbPayloadDedup *
+fb_payload_dedup_new (uint32_t link_kbit_s)
 {
-  FbPayloadShare *self = g_new0 (FbPayloadShare, 1);
+  FbPayloadDedup *self = g_new0 (FbPayloadDedup, 1);
   self->link_kbit_s = link_kbit_s;
   self->daemons = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                          (GDestroyNotify) g_hash_table_unref);
@@ -40,44 +40,44 @@
 }
 
 void
-fb_payload_share_free (FbPayloadShare *self)
+fb_payload_dedup_free (FbPayloadDedup *self)
 {
   g_hash_table_unref (self->daemons);
   g_free (self);
 }
 
 static void
-turn_slot (FbPayloadShare *self, uint64_t now_ms)
+advance_period (FbPayloadDedup *self, uint64_t now_ms)
 {
-  uint64_t slot = now_ms / SLOT_MS;
-  if (slot == self->slot)
+  uint64_t period = now_ms / PERIOD_MS;
+  if (period == self->period)
     return;
-  self->last_bytes = slot == self->slot + 1 ? self->slot_bytes : 0;
-  self->slot_bytes = 0;
-  self->slot = slot;
+  self->last_bytes = period == self->period + 1 ? self->period_bytes : 0;
+  self->period_bytes = 0;
+  self->period = period;
 }
 
 gboolean
-fb_payload_share_is_scarce (FbPayloadShare *self, gsize payload_bytes, uint64_t now_ms)
+fb_payload_dedup_link_is_full (FbPayloadDedup *self, gsize payload_bytes, uint64_t now_ms)
 {
-  turn_slot (self, now_ms);
-  self->slot_bytes += payload_bytes;
-  uint64_t bytes = MAX (self->slot_bytes, self->last_bytes);
-  return bytes * 8 / SLOT_MS * 100 > (uint64_t) self->link_kbit_s * SCARCE_PERCENT
+  advance_period (self, now_ms);
+  self->period_bytes += payload_bytes;
+  uint64_t bytes = MAX (self->period_bytes, self->last_bytes);
+  return bytes * 8 / PERIOD_MS * 100 > (uint64_t) self->link_kbit_s * PAYLOAD_PERCENT
          && self->link_kbit_s > 0;
 }
 
 char *
-fb_payload_share_key (const char *task)
+fb_payload_dedup_relay_key (const char *task)
 {
   gsize job_len = strcspn (task, ".");
   const char *index = strrchr (task, '.');
-  unsigned long group = index != NULL ? strtoul (index + 1, NULL, 10) / TASKS_TOGETHER : 0;
+  unsigned long group = index != NULL ? strtoul (index + 1, NULL, 10) / TASKS_PER_RELAY : 0;
   return g_strdup_printf ("%.*s/%lu", (int) job_len, task, group);
 }
 
 gboolean
-fb_payload_share_sent (FbPayloadShare *self, const char *daemon, const FbPayloadDigest *digest,
+fb_payload_dedup_sent (FbPayloadDedup *self, const char *daemon, const FbPayloadDigest *digest,
                        uint64_t now_ms)
 {
   GHashTable *sent = g_hash_table_lookup (self->daemons, daemon);
@@ -98,7 +98,7 @@
 }
 
 void
-fb_payload_share_forget (FbPayloadShare *self, const char *daemon, const FbPayloadDigest *digest)
+fb_payload_dedup_forget (FbPayloadDedup *self, const char *daemon, const FbPayloadDigest *digest)
 {
   GHashTable *sent = g_hash_table_lookup (self->daemons, daemon);
   if (sent != NULL)
--- a/src/entry/peers/payload-share.h
+++ b/src/entry/peers/payload-share.h
@@ -12,21 +12,21 @@
 
 #include "payload-cache.h"
 
-typedef struct _FbPayloadShare FbPayloadShare;
+typedef struct _FbPayloadDedup FbPayloadDedup;
 
 /* LINK_KBIT_S: capacity of the link in each direction; 0: not known. */
-FbPayloadShare *fb_payload_share_new (uint32_t link_kbit_s);
-void fb_payload_share_free (FbPayloadShare *self);
+FbPayloadDedup *fb_payload_dedup_new (uint32_t link_kbit_s);
+void fb_payload_dedup_free (FbPayloadDedup *self);
 /* To be called for each start with PAYLOAD_BYTES that is to be sent at NOW_MS.
  * Returns: TRUE while the starts of one job should go through few daemons. */
-gboolean fb_payload_share_is_scarce (FbPayloadShare *self, gsize payload_bytes, uint64_t now_ms);
+gboolean fb_payload_dedup_link_is_full (FbPayloadDedup *self, gsize payload_bytes, uint64_t now_ms);
 /* Returns: (transfer full): key for choosing the daemon that relays the start of TASK, equal for
  * tasks that should use the same one. */
-char *fb_payload_share_key (const char *task);
+char *fb_payload_dedup_relay_key (const char *task);
 /* Returns: TRUE when DAEMON was sent that payload recently; FALSE when it has to be sent, which is
  * recorded. */
-gboolean fb_payload_share_sent (FbPayloadShare *self, const char *daemon,
+gboolean fb_payload_dedup_sent (FbPayloadDedup *self, const char *daemon,
                                 const FbPayloadDigest *digest, uint64_t now_ms);
 /* Records that DAEMON does not have the payload. */
-void fb_payload_share_forget (FbPayloadShare *self, const char *daemon,
+void fb_payload_dedup_forget (FbPayloadDedup *self, const char *daemon,
                               const FbPayloadDigest *digest);
--- a/src/entry/peers/peers.c
+++ b/src/entry/peers/peers.c
@@ -11,12 +11,12 @@
 /* Time limit of appending a caller's record for a daemon that the store rejects. */
 #define APPEND_MS 1500
 /* Time limit of one append of an owner's progress, which the owner repeats. */
-#define WRITE_MS 500
+#define APPEND_PROGRESS_MS 500
 /* Time limit of the notification of a stored record; after it the owner has read the record
  * itself. */
-#define TELL_MS 700
+#define NOTIFY_MS 700
 /* Retry interval while an owner is being replaced. */
-#define ASK_AGAIN_MS 120
+#define RETRY_MS 120
 
 /* ---- traffic accounting ------------------------------------------------------- */
 
@@ -50,44 +50,44 @@
 
 typedef struct
 {
-  FbTold done;
+  FbPeerReplyDone done;
   gpointer user;
   FbTraffic traffic;
-} Asked;
+} OpenRequest;
 
 static void
 on_reply (gpointer data, FbLinkResult result, gconstpointer body, gsize len)
 {
-  Asked *asked = data;
+  OpenRequest *open = data;
   fb_told told;
-  fb_traffic_add (asked->traffic, 0, len);
+  fb_traffic_add (open->traffic, 0, len);
   if (result == FB_LINK_ANSWERED && fb_codec_decode_told (body, len, &told))
     {
-      asked->done (asked->user, &told);
+      open->done (open->user, &told);
       xdr_free ((xdrproc_t) xdr_fb_told, (char *) &told);
     }
   else if (result == FB_LINK_NOT_SENT)
     {
       /* The peer is down, so it has done nothing. */
       static const fb_told unsure = { .type = FB_TOLD_UNSURE };
-      asked->done (asked->user, &unsure);
+      open->done (open->user, &unsure);
     }
   else
-    asked->done (asked->user, NULL);
-  g_free (asked);
+    open->done (open->user, NULL);
+  g_free (open);
 }
 
 void
-fb_peers_ask (FbEntry *entry, const char *address, const fb_ask *ask, uint32_t timeout_ms,
-              FbTold done, gpointer user)
+fb_peers_request (FbEntry *entry, const char *address, const fb_ask *ask, uint32_t timeout_ms,
+                  FbPeerReplyDone done, gpointer user)
 {
-  Asked *asked = g_new0 (Asked, 1);
-  asked->done = done;
-  asked->user = user;
-  asked->traffic = traffic_of (ask);
+  OpenRequest *open = g_new0 (OpenRequest, 1);
+  open->done = done;
+  open->user = user;
+  open->traffic = traffic_of (ask);
   g_autoptr (GBytes) body = fb_codec_encode_ask (ask);
-  fb_traffic_add (asked->traffic, body != NULL ? g_bytes_get_size (body) : 0, 0);
-  fb_links_call (entry->links, address, body, timeout_ms, on_reply, asked);
+  fb_traffic_add (open->traffic, body != NULL ? g_bytes_get_size (body) : 0, 0);
+  fb_links_call (entry->links, address, body, timeout_ms, on_reply, open);
 }
 
 /* ---- requests to an owner ------------------------------------------------------- */
@@ -98,87 +98,87 @@
   uint32_t partition;
   GBytes *ask;
   uint64_t until_ms;
-  FbTold done;
+  FbPeerReplyDone done;
   gpointer user;
-} OwnerQuestion;
+} OwnerRequest;
 
-static void ask_owner (OwnerQuestion *question);
+static void send_to_owner (OwnerRequest *request);
 
 static void
-finish (OwnerQuestion *question, const fb_told *told)
+finish (OwnerRequest *request, const fb_told *told)
 {
-  question->done (question->user, told);
-  g_bytes_unref (question->ask);
-  g_free (question);
+  request->done (request->user, told);
+  g_bytes_unref (request->ask);
+  g_free (request);
 }
 
 static gboolean
-on_ask_again (gpointer data)
+on_retry (gpointer data)
 {
-  ask_owner (data);
+  send_to_owner (data);
   return G_SOURCE_REMOVE;
 }
 
 static void
-on_owner_told (gpointer data, const fb_told *told)
+on_owner_reply (gpointer data, const fb_told *told)
 {
-  OwnerQuestion *question = data;
+  OwnerRequest *request = data;
   if (told != NULL && told->type != FB_TOLD_UNSURE)
     {
-      finish (question, told);
+      finish (request, told);
       return;
     }
-  fb_group_refresh (question->entry->group);
-  if (fb_clock_ms () + ASK_AGAIN_MS < question->until_ms)
-    g_timeout_add (ASK_AGAIN_MS, on_ask_again, question);
+  fb_group_refresh_owners (request->entry->group);
+  if (fb_clock_ms () + RETRY_MS < request->until_ms)
+    g_timeout_add (RETRY_MS, on_retry, request);
   else
-    finish (question, NULL);
+    finish (request, NULL);
 }
 
 static void
-ask_owner (OwnerQuestion *question)
+send_to_owner (OwnerRequest *request)
 {
   uint64_t now_ms = fb_clock_ms ();
   gsize len = 0;
-  gconstpointer data = g_bytes_get_data (question->ask, &len);
+  gconstpointer data = g_bytes_get_data (request->ask, &len);
   fb_ask ask;
-  if (now_ms >= question->until_ms || !fb_codec_decode_ask (data, len, &ask))
+  if (now_ms >= request->until_ms || !fb_codec_decode_ask (data, len, &ask))
     {
-      finish (question, NULL);
+      finish (request, NULL);
       return;
     }
-  FbOwner *owner = fb_entry_owner (question->entry, question->partition);
-  const char *address = fb_group_owner_of (question->entry->group, question->partition);
+  FbOwner *owner = fb_entry_owner (request->entry, request->partition);
+  const char *address = fb_group_owner_of (request->entry->group, request->partition);
   fb_told told = { .type = FB_TOLD_UNSURE };
-  uint64_t left_ms = question->until_ms - now_ms;
+  uint64_t left_ms = request->until_ms - now_ms;
   if (owner != NULL)
     fb_owner_answer (owner, &ask, &told);
-  if (owner == NULL && address != NULL && !g_str_equal (address, question->entry->settings->peers))
-    fb_peers_ask (question->entry, address, &ask, (uint32_t) MIN (left_ms, 700), on_owner_told,
-                  question);
+  if (owner == NULL && address != NULL && !g_str_equal (address, request->entry->settings->peers))
+    fb_peers_request (request->entry, address, &ask, (uint32_t) MIN (left_ms, 700), on_owner_reply,
+                      request);
   else
-    on_owner_told (question, &told);
+    on_owner_reply (request, &told);
   xdr_free ((xdrproc_t) xdr_fb_ask, (char *) &ask);
 }
 
 void
-fb_peers_ask_owner (FbEntry *entry, const char *service, const fb_ask *ask, uint32_t timeout_ms,
-                    FbTold done, gpointer user)
+fb_peers_request_owner (FbEntry *entry, const char *service, const fb_ask *ask, uint32_t timeout_ms,
+                        FbPeerReplyDone done, gpointer user)
 {
-  OwnerQuestion *question = g_new0 (OwnerQuestion, 1);
-  question->entry = entry;
-  question->partition = fb_entry_partition_of (entry, service);
-  question->ask = fb_codec_encode_ask (ask);
-  question->until_ms = fb_clock_ms () + timeout_ms;
-  question->done = done;
-  question->user = user;
-  ask_owner (question);
+  OwnerRequest *request = g_new0 (OwnerRequest, 1);
+  request->entry = entry;
+  request->partition = fb_entry_partition_of (entry, service);
+  request->ask = fb_codec_encode_ask (ask);
+  request->until_ms = fb_clock_ms () + timeout_ms;
+  request->done = done;
+  request->user = user;
+  send_to_owner (request);
 }
 
 /* ---- notifying an owner ------------------------------------------------------------- */
 
 void
-fb_peers_ignore_told (gpointer user, const fb_told *told)
+fb_peers_ignore_reply (gpointer user, const fb_told *told)
 {
   (void) user;
   (void) told;
@@ -188,7 +188,7 @@
  * 100 ms and more when it is slow), and a poll may return nothing for a second while the store
  * compacts. */
 void
-fb_peers_tell_stored (FbEntry *entry, uint32_t partition, const char *key, GBytes *value)
+fb_peers_notify_stored (FbEntry *entry, uint32_t partition, const char *key, GBytes *value)
 {
   FbOwner *owner = fb_entry_owner (entry, partition);
   const char *address = fb_group_owner_of (entry->group, partition);
@@ -199,7 +199,7 @@
     }
   if (address == NULL || g_str_equal (address, entry->settings->peers))
     {
-      fb_group_refresh (entry->group);
+      fb_group_refresh_owners (entry->group);
       return;
     }
   gsize len = 0;
@@ -208,7 +208,7 @@
   ask.fb_ask_u.stored.key = (char *) key;
   ask.fb_ask_u.stored.value.value_val = (char *) g_bytes_get_data (value, &len);
   ask.fb_ask_u.stored.value.value_len = (u_int) len;
-  fb_peers_ask (entry, address, &ask, TELL_MS, fb_peers_ignore_told, NULL);
+  fb_peers_request (entry, address, &ask, NOTIFY_MS, fb_peers_ignore_reply, NULL);
 }
 
 /* ---- appending through a peer ------------------------------------------------------- */
@@ -226,14 +226,14 @@
 
 typedef struct
 {
-  FbAppended done;
+  FbAppendDone done;
   gpointer user;
-} PeerWrite;
+} PeerAppend;
 
 static void
-on_peer_wrote (gpointer data, const fb_told *told)
+on_peer_appended (gpointer data, const fb_told *told)
 {
-  PeerWrite *write = data;
+  PeerAppend *write = data;
   FbAppendResult result = FB_APPEND_IN_DOUBT;
   for (guint i = 0; told != NULL && i < G_N_ELEMENTS (append_results); i++)
     {
@@ -247,15 +247,15 @@
 }
 
 void
-fb_peers_write (FbEntry *entry, const char *peer, const fb_ask_write *write, uint32_t timeout_ms,
-                FbAppended done, gpointer user)
+fb_peers_append_progress (FbEntry *entry, const char *peer, const fb_ask_write *write,
+                          uint32_t timeout_ms, FbAppendDone done, gpointer user)
 {
-  PeerWrite *open = g_new0 (PeerWrite, 1);
+  PeerAppend *open = g_new0 (PeerAppend, 1);
   open->done = done;
   open->user = user;
   fb_ask ask = { .type = FB_ASK_WRITE };
   ask.fb_ask_u.write = *write;
-  fb_peers_ask (entry, peer, &ask, timeout_ms, on_peer_wrote, open);
+  fb_peers_request (entry, peer, &ask, timeout_ms, on_peer_appended, open);
 }
 
 /* ---- serving requests ------------------------------------------------------------- */
@@ -294,7 +294,7 @@
 }
 
 static void
-on_written (gpointer data, const FbHttpReply *reply)
+on_progress_appended (gpointer data, const FbHttpReply *reply)
 {
   on_appended (data, fb_wire_append_result (reply));
 }
@@ -302,7 +302,7 @@
 /* Appends immediately, under the owner's own sequence number, so that a repeat by the owner is
  * harmless. */
 static void
-write_for_owner (FbEntry *entry, const fb_ask_write *ask, Answer *answer)
+append_for_owner (FbEntry *entry, const fb_ask_write *ask, Answer *answer)
 {
   if (ask->partition >= entry->settings->partitions)
     {
@@ -313,7 +313,8 @@
   FbHttpCall call;
   fb_wire_append (&call, entry->settings->store, FB_TOPIC_PROGRESS, ask->partition, body,
                   ask->writer, ask->epoch, ask->sequence);
-  fb_http_client_exchange (entry->store_client, &call, WRITE_MS, on_written, answer);
+  fb_http_client_exchange (entry->store_client, &call, APPEND_PROGRESS_MS, on_progress_appended,
+                           answer);
   fb_http_call_clear (&call);
 }
 
@@ -338,7 +339,7 @@
 }
 
 static void
-take_stored (FbEntry *entry, const fb_ask_stored *ask)
+apply_stored (FbEntry *entry, const fb_ask_stored *ask)
 {
   FbOwner *owner = fb_entry_owner (entry, ask->partition);
   g_autoptr (GBytes) value = g_bytes_new (ask->value.value_val, ask->value.value_len);
@@ -347,7 +348,7 @@
 }
 
 static void
-tell_starts (FbEntry *entry, Answer *answer)
+answer_starts (FbEntry *entry, Answer *answer)
 {
   fb_told told = { .type = FB_TOLD_STARTS };
   fb_recent_starts_tell (entry->recent_starts, fb_clock_ms (), &told.fb_told_u.starts);
@@ -356,7 +357,7 @@
 }
 
 static void
-tell_kept (FbEntry *entry, Answer *answer)
+answer_suspect_backups (FbEntry *entry, Answer *answer)
 {
   fb_told told = { .type = FB_TOLD_KEPT };
   fb_kept_suspects_tell (entry->kept_suspects, fb_clock_ms (), &told.fb_told_u.kept);
@@ -371,7 +372,7 @@
 }
 
 static void
-answer_ask (FbEntry *entry, const fb_ask *ask, Answer *answer)
+serve_request (FbEntry *entry, const fb_ask *ask, Answer *answer)
 {
   fb_told told = { .type = FB_TOLD_UNSURE };
   FbOwner *owner = NULL;
@@ -386,25 +387,25 @@
       append_for_peer (entry, &ask->fb_ask_u.append, answer);
       return;
     case FB_ASK_WRITE:
-      write_for_owner (entry, &ask->fb_ask_u.write, answer);
+      append_for_owner (entry, &ask->fb_ask_u.write, answer);
       return;
     case FB_ASK_OWNERS:
-      fb_group_tell_owners (entry->group, on_answer_ready, answer);
+      fb_group_send_owners (entry->group, on_answer_ready, answer);
       return;
     case FB_ASK_ORDER:
       fb_relay_serve (entry, &ask->fb_ask_u.order, on_answer_ready, answer);
       return;
     case FB_ASK_STARTS:
-      tell_starts (entry, answer);
+      answer_starts (entry, answer);
       return;
     case FB_ASK_KEPT:
-      tell_kept (entry, answer);
+      answer_suspect_backups (entry, answer);
       return;
     case FB_ASK_KEEP:
       fb_kept_suspects_take (entry->kept_suspects, &ask->fb_ask_u.keep, fb_clock_ms ());
       break;
     case FB_ASK_STORED:
-      take_stored (entry, &ask->fb_ask_u.stored);
+      apply_stored (entry, &ask->fb_ask_u.stored);
       break;
     case FB_ASK_STATE:
     case FB_ASK_PENDING:
@@ -431,6 +432,6 @@
     }
   answer->traffic = traffic_of (&ask);
   fb_traffic_add (answer->traffic, 0, len);
-  answer_ask (data, &ask, answer);
+  serve_request (data, &ask, answer);
   xdr_free ((xdrproc_t) xdr_fb_ask, (char *) &ask);
 }
--- a/src/entry/peers/recent-starts.c
+++ b/src/entry/peers/recent-starts.c
@@ -5,9 +5,9 @@
 #define KEPT_MS 10000
 /* The same for a start that the worker has confirmed.  While the store is unavailable nothing is
  * recorded and no daemon takes over, and a confirmed start is still sufficient evidence later. */
-#define SEEN_KEPT_MS 40000
+#define CONFIRMED_KEPT_MS 40000
 /* Number of consecutive run lists of a worker without the run that prove that it has ended. */
-#define MISSED_MOST 2
+#define MISSING_MAX 2
 
 typedef struct
 {
@@ -16,19 +16,19 @@
   char *task;
   uint32_t attempt;
   uint64_t sent_ms;
-  gboolean seen; /* the worker has confirmed the run */
-  guint missed;  /* number of consecutive run lists without it since then */
+  gboolean confirmed; /* the worker has confirmed the run */
+  guint missing_n;    /* number of consecutive run lists without it since then */
 } Start;
 
 typedef struct
 {
-  GQueue starts;   /* of Start, borrowed; the oldest at its head */
-  gboolean silent; /* the last order to the worker got no answer */
-} Target;
+  GQueue starts;         /* of Start, borrowed; the oldest at its head */
+  gboolean unresponsive; /* the last order to the worker got no answer */
+} WorkerStarts;
 
 struct _FbRecentStarts
 {
-  GHashTable *targets; /* id of a worker -> Target, only for workers with starts */
+  GHashTable *workers; /* id of a worker -> WorkerStarts, only for workers with starts */
   GQueue starts;       /* of Start; the oldest at its head */
 };
 
@@ -43,18 +43,18 @@
 }
 
 static void
-target_free (gpointer data)
+worker_starts_free (gpointer data)
 {
-  Target *target = data;
-  g_queue_clear (&target->starts);
-  g_free (target);
+  WorkerStarts *worker_starts = data;
+  g_queue_clear (&worker_starts->starts);
+  g_free (worker_starts);
 }
 
 FbRecentStarts *
 fb_recent_starts_new (void)
 {
   FbRecentStarts *self = g_new0 (FbRecentStarts, 1);
-  self->targets = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, target_free);
+  self->workers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, worker_starts_free);
   g_queue_init (&self->starts);
   return self;
 }
@@ -62,38 +62,38 @@
 void
 fb_recent_starts_free (FbRecentStarts *self)
 {
-  g_hash_table_unref (self->targets);
+  g_hash_table_unref (self->workers);
   g_queue_clear_full (&self->starts, start_free);
   g_free (self);
 }
 
-static Target *
-target_for (FbRecentStarts *self, const char *worker)
+static WorkerStarts *
+worker_starts_for (FbRecentStarts *self, const char *worker)
 {
-  Target *target = g_hash_table_lookup (self->targets, worker);
-  if (target != NULL)
-    return target;
-  target = g_new0 (Target, 1);
-  g_queue_init (&target->starts);
-  g_hash_table_insert (self->targets, g_strdup (worker), target);
-  return target;
+  WorkerStarts *worker_starts = g_hash_table_lookup (self->workers, worker);
+  if (worker_starts != NULL)
+    return worker_starts;
+  worker_starts = g_new0 (WorkerStarts, 1);
+  g_queue_init (&worker_starts->starts);
+  g_hash_table_insert (self->workers, g_strdup (worker), worker_starts);
+  return worker_starts;
 }
 
 static void
 drop_oldest (FbRecentStarts *self)
 {
   Start *start = g_queue_pop_head (&self->starts);
-  Target *target = g_hash_table_lookup (self->targets, start->worker);
-  (void) g_queue_pop_head (&target->starts);
-  if (g_queue_is_empty (&target->starts))
-    g_hash_table_remove (self->targets, start->worker);
+  WorkerStarts *worker_starts = g_hash_table_lookup (self->workers, start->worker);
+  (void) g_queue_pop_head (&worker_starts->starts);
+  if (g_queue_is_empty (&worker_starts->starts))
+    g_hash_table_remove (self->workers, start->worker);
   start_free (start);
 }
 
 static gboolean
 is_kept (const Start *start, uint64_t now_ms)
 {
-  return now_ms < start->sent_ms + (start->seen ? SEEN_KEPT_MS : KEPT_MS);
+  return now_ms < start->sent_ms + (start->confirmed ? CONFIRMED_KEPT_MS : KEPT_MS);
 }
 
 void
@@ -111,29 +111,29 @@
   start->attempt = attempt;
   start->sent_ms = now_ms;
   g_queue_push_tail (&self->starts, start);
-  g_queue_push_tail (&target_for (self, worker)->starts, start);
+  g_queue_push_tail (&worker_starts_for (self, worker)->starts, start);
 }
 
 /* Removes the start at LINK of TARGET, whose run has ended or was never created. */
 static void
-drop_start (FbRecentStarts *self, Target *target, GList *link)
+drop_start (FbRecentStarts *self, WorkerStarts *worker_starts, GList *link)
 {
   Start *start = link->data;
-  g_queue_delete_link (&target->starts, link);
+  g_queue_delete_link (&worker_starts->starts, link);
   g_queue_remove (&self->starts, start);
   start_free (start);
 }
 
 static void
-drop_if_empty (FbRecentStarts *self, const char *worker, Target *target)
+drop_if_empty (FbRecentStarts *self, const char *worker, WorkerStarts *worker_starts)
 {
-  if (g_queue_is_empty (&target->starts))
-    g_hash_table_remove (self->targets, worker);
+  if (g_queue_is_empty (&worker_starts->starts))
+    g_hash_table_remove (self->workers, worker);
 }
 
 /* TRUE when RESULT of an order shows that the worker is alive. */
 static gboolean
-was_heard (FbOrderResult result)
+is_alive (FbOrderResult result)
 {
   return result != FB_ORDER_UNKNOWN && result != FB_ORDER_OTHER_LIFE
          && result != FB_ORDER_NO_LISTENER;
@@ -143,33 +143,33 @@
 fb_recent_starts_answered (FbRecentStarts *self, const char *worker, const char *task,
                            uint32_t attempt, FbOrderResult result)
 {
-  Target *target = g_hash_table_lookup (self->targets, worker);
-  if (target == NULL)
+  WorkerStarts *worker_starts = g_hash_table_lookup (self->workers, worker);
+  if (worker_starts == NULL)
     return;
-  target->silent = !was_heard (result);
-  for (GList *l = target->starts.head, *next = NULL; l != NULL; l = next)
+  worker_starts->unresponsive = !is_alive (result);
+  for (GList *l = worker_starts->starts.head, *next = NULL; l != NULL; l = next)
     {
       Start *start = l->data;
       next = l->next;
       if (start->attempt != attempt || !g_str_equal (start->task, task))
         continue;
-      start->seen |= result == FB_ORDER_DONE;
+      start->confirmed |= result == FB_ORDER_DONE;
       /* The worker may have a run although the attempt is superseded. */
       if (result != FB_ORDER_DONE && result != FB_ORDER_UNKNOWN && result != FB_ORDER_SUPERSEDED)
-        drop_start (self, target, l);
+        drop_start (self, worker_starts, l);
     }
-  drop_if_empty (self, worker, target);
+  drop_if_empty (self, worker, worker_starts);
 }
 
 static void
-take_end (FbRecentStarts *self, Target *target, const FbEndSeen *end)
+apply_end (FbRecentStarts *self, WorkerStarts *worker_starts, const FbEndSeen *end)
 {
-  for (GList *l = target->starts.head, *next = NULL; l != NULL; l = next)
+  for (GList *l = worker_starts->starts.head, *next = NULL; l != NULL; l = next)
     {
       const Start *start = l->data;
       next = l->next;
       if (start->attempt <= end->attempt && g_str_equal (start->task, end->task))
-        drop_start (self, target, l);
+        drop_start (self, worker_starts, l);
     }
 }
 
@@ -188,34 +188,34 @@
 /* Compares the starts with the list of runs.  A run that is no longer listed has ended, and another
  * daemon has received the end.  A single list without the run may be older than the run. */
 static void
-take_running (FbRecentStarts *self, Target *target, const GArray *running)
+apply_running (FbRecentStarts *self, WorkerStarts *worker_starts, const GArray *running)
 {
-  for (GList *l = target->starts.head, *next = NULL; l != NULL; l = next)
+  for (GList *l = worker_starts->starts.head, *next = NULL; l != NULL; l = next)
     {
       Start *start = l->data;
       next = l->next;
       if (is_running (start, running))
         {
-          start->seen = TRUE;
-          start->missed = 0;
+          start->confirmed = TRUE;
+          start->missing_n = 0;
         }
-      else if (start->seen && ++start->missed == MISSED_MOST)
-        drop_start (self, target, l);
+      else if (start->confirmed && ++start->missing_n == MISSING_MAX)
+        drop_start (self, worker_starts, l);
     }
 }
 
 void
 fb_recent_starts_looked (FbRecentStarts *self, const char *worker, const FbLookAnswer *answer)
 {
-  Target *target = g_hash_table_lookup (self->targets, worker);
-  if (target == NULL)
+  WorkerStarts *worker_starts = g_hash_table_lookup (self->workers, worker);
+  if (worker_starts == NULL)
     return;
-  target->silent = !was_heard (answer->result);
+  worker_starts->unresponsive = !is_alive (answer->result);
   if (answer->result == FB_ORDER_DONE)
-    take_running (self, target, answer->running);
+    apply_running (self, worker_starts, answer->running);
   for (guint i = 0; answer->finished != NULL && i < answer->finished->len; i++)
-    take_end (self, target, &g_array_index (answer->finished, FbEndSeen, i));
-  drop_if_empty (self, worker, target);
+    apply_end (self, worker_starts, &g_array_index (answer->finished, FbEndSeen, i));
+  drop_if_empty (self, worker, worker_starts);
 }
 
 void
@@ -226,11 +226,11 @@
   for (const GList *l = self->starts.head; l != NULL; l = l->next)
     {
       const Start *start = l->data;
-      const Target *target = g_hash_table_lookup (self->targets, start->worker);
-      if (!target->silent || !is_kept (start, now_ms))
+      const WorkerStarts *worker_starts = g_hash_table_lookup (self->workers, start->worker);
+      if (!worker_starts->unresponsive || !is_kept (start, now_ms))
         continue;
       told->starts.starts_val[told->starts.starts_len++]
           = (fb_recent_start){ start->worker, start->address, start->task, start->attempt,
-                               start->seen };
+                               start->confirmed };
     }
 }
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -24,15 +24,15 @@
 #include <string.h>
 
 /* How long a relay that did not answer is not used. */
-#define REST_MS 3000
+#define BACKOFF_MS 3000
 /* Added to an order's own time limit for the network to the relay and back. */
-#define WAY_MS 150
+#define NETWORK_MS 150
 /* Time limit of a start or stop.  An answer takes a few ms; a worker that hangs should not block
  * its caller for long. */
 #define ORDER_MS 600
 /* Shorter payloads are always sent: naming a payload takes 20 bytes, and it may have to be sent
  * after all. */
-#define SHARED_MIN_BYTES 64
+#define NAMED_MIN_BYTES 64
 
 /* ---- choosing a relay ----------------------------------------------------------- */
 
@@ -44,7 +44,7 @@
 } Choice;
 
 static gboolean
-may_carry (const FbDaemon *member, gconstpointer user)
+may_relay (const FbDaemon *member, gconstpointer user)
 {
   const Choice *choice = user;
   return choice->now_ms >= member->relay_backoff_until_ms
@@ -57,20 +57,20 @@
                  uint64_t now_ms)
 {
   const Choice choice = { domain, but, now_ms };
-  return fb_rendezvous_choose (members, key, may_carry, &choice);
+  return fb_rendezvous_choose (members, key, may_relay, &choice);
 }
 
 const char *
 fb_relay_for (FbEntry *entry, const fb_ask_order *order)
 {
-  const FbListedWorker *listed = fb_worker_list_find (entry->workers, order->worker);
+  const FbListedWorker *listed = fb_worker_list_by_incarnation (entry->workers, order->worker);
   if (listed == NULL)
     return NULL;
   uint64_t now_ms = fb_clock_ms ();
   gboolean by_job
       = order->kind == FB_CARRY_START
-        && fb_payload_share_is_scarce (entry->payload_share, strlen (order->payload), now_ms);
-  g_autofree char *job_key = by_job ? fb_payload_share_key (order->task) : NULL;
+        && fb_payload_dedup_link_is_full (entry->payload_dedup, strlen (order->payload), now_ms);
+  g_autofree char *job_key = by_job ? fb_payload_dedup_relay_key (order->task) : NULL;
   const FbDaemon *member
       = fb_relay_choose (fb_daemons_all (entry->daemons), listed->domain,
                          by_job ? job_key : order->worker, entry->settings->peers, now_ms);
@@ -226,30 +226,30 @@
   char *daemon;
   FbRelayDone done;
   gpointer user;
-  GBytes *whole; /* request with its payload, if that was left out; else NULL */
+  GBytes *full_request; /* request with its payload, if that was left out; else NULL */
   FbPayloadDigest digest;
   uint64_t until_ms;
-} Carried;
+} RelayedOrder;
 
 static void on_told (gpointer data, const fb_told *told);
 
 /* Sends the order again with its payload, because the relay has restarted or evicted the payload.
  * Returns: FALSE when that is not possible any more. */
 static gboolean
-send_whole (Carried *carried)
+send_with_payload (RelayedOrder *relayed)
 {
   uint64_t now_ms = fb_clock_ms ();
-  g_autoptr (GBytes) whole = g_steal_pointer (&carried->whole);
+  g_autoptr (GBytes) full_request = g_steal_pointer (&relayed->full_request);
   gsize len = 0;
-  gconstpointer data = whole != NULL ? g_bytes_get_data (whole, &len) : NULL;
+  gconstpointer data = full_request != NULL ? g_bytes_get_data (full_request, &len) : NULL;
   fb_ask ask;
-  fb_payload_share_forget (carried->entry->payload_share, carried->daemon, &carried->digest);
-  if (data == NULL || now_ms >= carried->until_ms || !fb_codec_decode_ask (data, len, &ask))
+  fb_payload_dedup_forget (relayed->entry->payload_dedup, relayed->daemon, &relayed->digest);
+  if (data == NULL || now_ms >= relayed->until_ms || !fb_codec_decode_ask (data, len, &ask))
     return FALSE;
-  (void) fb_payload_share_sent (carried->entry->payload_share, carried->daemon, &carried->digest,
+  (void) fb_payload_dedup_sent (relayed->entry->payload_dedup, relayed->daemon, &relayed->digest,
                                 now_ms);
-  fb_peers_ask (carried->entry, carried->daemon, &ask, (uint32_t) (carried->until_ms - now_ms),
-                on_told, carried);
+  fb_peers_request (relayed->entry, relayed->daemon, &ask, (uint32_t) (relayed->until_ms - now_ms),
+                    on_told, relayed);
   xdr_free ((xdrproc_t) xdr_fb_ask, (char *) &ask);
   return TRUE;
 }
@@ -257,39 +257,40 @@
 static void
 on_told (gpointer data, const fb_told *told)
 {
-  Carried *carried = data;
-  if (told != NULL && told->type == FB_TOLD_NO_PAYLOAD && send_whole (carried))
+  RelayedOrder *relayed = data;
+  if (told != NULL && told->type == FB_TOLD_NO_PAYLOAD && send_with_payload (relayed))
     return;
   gboolean answered = told != NULL && told->type == FB_TOLD_ORDER;
   if (!answered)
     {
-      fb_event_log (FB_EVENT_CALL_FAILED, "order by daemon=%s lost=%d", carried->daemon,
+      fb_event_log (FB_EVENT_CALL_FAILED, "order by daemon=%s lost=%d", relayed->daemon,
                     told == NULL);
-      fb_daemons_rest (carried->entry->daemons, carried->daemon, fb_clock_ms () + REST_MS);
+      fb_daemons_back_off_relay (relayed->entry->daemons, relayed->daemon,
+                                 fb_clock_ms () + BACKOFF_MS);
     }
   if (answered)
-    carried->done (carried->user, FB_RELAY_ANSWERED, &told->fb_told_u.order);
+    relayed->done (relayed->user, FB_RELAY_ANSWERED, &told->fb_told_u.order);
   else
-    carried->done (carried->user, told != NULL ? FB_RELAY_NOT_CARRIED : FB_RELAY_LOST, NULL);
-  g_clear_pointer (&carried->whole, g_bytes_unref);
-  g_free (carried->daemon);
-  g_free (carried);
+    relayed->done (relayed->user, told != NULL ? FB_RELAY_NOT_CARRIED : FB_RELAY_LOST, NULL);
+  g_clear_pointer (&relayed->full_request, g_bytes_unref);
+  g_free (relayed->daemon);
+  g_free (relayed);
 }
 
 /* If the relay has the payload of ASK, a start, replaces it by its digest. */
 static void
-share_payload (Carried *carried, fb_ask *ask, uint64_t now_ms)
+omit_sent_payload (RelayedOrder *relayed, fb_ask *ask, uint64_t now_ms)
 {
   fb_ask_order *order = &ask->fb_ask_u.order;
-  if (order->kind != FB_CARRY_START || strlen (order->payload) < SHARED_MIN_BYTES)
+  if (order->kind != FB_CARRY_START || strlen (order->payload) < NAMED_MIN_BYTES)
     return;
-  fb_payload_digest (order->payload, &carried->digest);
-  order->payload_digest.payload_digest_val = (char *) carried->digest.bytes;
-  order->payload_digest.payload_digest_len = sizeof carried->digest.bytes;
-  if (!fb_payload_share_sent (carried->entry->payload_share, carried->daemon, &carried->digest,
+  fb_payload_digest (order->payload, &relayed->digest);
+  order->payload_digest.payload_digest_val = (char *) relayed->digest.bytes;
+  order->payload_digest.payload_digest_len = sizeof relayed->digest.bytes;
+  if (!fb_payload_dedup_sent (relayed->entry->payload_dedup, relayed->daemon, &relayed->digest,
                               now_ms))
     return;
-  carried->whole = fb_codec_encode_ask (ask);
+  relayed->full_request = fb_codec_encode_ask (ask);
   order->payload = "";
 }
 
@@ -297,18 +298,18 @@
 fb_relay_carry (FbEntry *entry, const char *daemon, const fb_ask_order *order, FbRelayDone done,
                 gpointer user)
 {
-  Carried *carried = g_new0 (Carried, 1);
-  carried->entry = entry;
-  carried->daemon = g_strdup (daemon);
-  carried->done = done;
-  carried->user = user;
+  RelayedOrder *relayed = g_new0 (RelayedOrder, 1);
+  relayed->entry = entry;
+  relayed->daemon = g_strdup (daemon);
+  relayed->done = done;
+  relayed->user = user;
   uint64_t now_ms = fb_clock_ms ();
-  uint32_t patience_ms = limit_ms (order) + WAY_MS;
-  carried->until_ms = now_ms + patience_ms;
+  uint32_t timeout_ms = limit_ms (order) + NETWORK_MS;
+  relayed->until_ms = now_ms + timeout_ms;
   fb_ask ask = { .type = FB_ASK_ORDER };
   ask.fb_ask_u.order = *order;
-  share_payload (carried, &ask, now_ms);
-  fb_peers_ask (entry, daemon, &ask, patience_ms, on_told, carried);
+  omit_sent_payload (relayed, &ask, now_ms);
+  fb_peers_request (entry, daemon, &ask, timeout_ms, on_told, relayed);
 }
 
 /* ---- serving as a relay ---------------------------------------------------------------- */
@@ -316,7 +317,7 @@
 typedef struct
 {
   FbEntry *entry;
-  FbTold done;
+  FbPeerReplyDone done;
   gpointer user;
   fb_order_kind kind;
   char *worker;
@@ -325,7 +326,8 @@
 /* Fills in TOLD from ANSWER; ROWS and ENDS are its arrays, whose strings are borrowed from
  * ANSWER. */
 static void
-tell_look (const FbLookAnswer *answer, fb_told_order *told, fb_seen_run *rows, fb_seen_end *ends)
+fill_poll_reply (const FbLookAnswer *answer, fb_told_order *told, fb_seen_run *rows,
+                 fb_seen_end *ends)
 {
   for (guint i = 0; i < answer->running->len; i++)
     {
@@ -361,7 +363,7 @@
   g_autofree fb_seen_run *rows = g_new0 (fb_seen_run, runs_n + 1);
   g_autofree fb_seen_end *ends = g_new0 (fb_seen_end, ends_n + 1);
   if (answer.running != NULL && answer.finished != NULL)
-    tell_look (&answer, mine, rows, ends);
+    fill_poll_reply (&answer, mine, rows, ends);
   order->done (order->user, &told);
   fb_look_answer_clear (&answer);
   g_free (order->worker);
@@ -387,7 +389,7 @@
 }
 
 void
-fb_relay_serve (FbEntry *entry, const fb_ask_order *ask, FbTold done, gpointer user)
+fb_relay_serve (FbEntry *entry, const fb_ask_order *ask, FbPeerReplyDone done, gpointer user)
 {
   fb_ask_order complete = *ask;
   if (!complete_payload (entry, &complete))
--- a/src/entry/peers/relay.h
+++ b/src/entry/peers/relay.h
@@ -16,7 +16,7 @@
 typedef void (*FbRelayDone) (gpointer user, FbRelayResult result, const fb_told_order *told);
 /* Completion of a request to a peer.  TOLD is borrowed; NULL when no reply came; of type
  * FB_TOLD_UNSURE also when nothing was sent. */
-typedef void (*FbTold) (gpointer user, const fb_told *told);
+typedef void (*FbPeerReplyDone) (gpointer user, const fb_told *told);
 
 /* MEMBERS: of FbDaemon.  BUT: an address that is not to be chosen.
  * Returns: (nullable): the member of DOMAIN that relays orders with KEY; borrowed. */
@@ -29,7 +29,8 @@
 void fb_relay_carry (FbEntry *entry, const char *daemon, const fb_ask_order *order,
                      FbRelayDone done, gpointer user);
 /* Sends ORDER to its worker on behalf of another daemon; DONE is called once. */
-void fb_relay_serve (FbEntry *entry, const fb_ask_order *order, FbTold done, gpointer user);
+void fb_relay_serve (FbEntry *entry, const fb_ask_order *order, FbPeerReplyDone done,
+                     gpointer user);
 /* Sends ORDER to its worker from this daemon. */
 void fb_relay_call_worker (FbEntry *entry, const fb_ask_order *order, FbHttpReplyDone done,
                            gpointer user);
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -63,9 +63,9 @@
 {
   uint64_t now_ms = fb_clock_ms ();
   if (reply->status == FB_HTTP_OK)
-    fb_store_pace_renewed (&self->pace, (uint32_t) MIN (now_ms - sent_ms, G_MAXUINT32));
+    fb_store_pace_renewed (&self->store_health, (uint32_t) MIN (now_ms - sent_ms, G_MAXUINT32));
   else if (reply->status == FB_HTTP_TIMEOUT)
-    fb_store_pace_failed (&self->pace, now_ms);
+    fb_store_pace_failed (&self->store_health, now_ms);
 }
 
 static void
@@ -106,7 +106,7 @@
 static void
 unlist_worker (FbEntry *self, const char *id)
 {
-  const FbListedWorker *worker = fb_worker_list_of (self->workers, id);
+  const FbListedWorker *worker = fb_worker_list_by_id (self->workers, id);
   if (worker == NULL)
     return;
   GHashTableIter iter;
@@ -120,7 +120,7 @@
 static void
 list_worker (FbEntry *self, FbListedWorker *worker)
 {
-  const FbListedWorker *before = fb_worker_list_of (self->workers, worker->id);
+  const FbListedWorker *before = fb_worker_list_by_id (self->workers, worker->id);
   if (before != NULL && before->born_ms != worker->born_ms)
     unlist_worker (self, worker->id);
   fb_worker_list_put (self->workers, worker);
@@ -160,7 +160,7 @@
     }
   if (self->listed_ids != NULL)
     g_hash_table_add (self->listed_ids, g_strdup (record->key));
-  if (fb_worker_list_passes_over (self->workers, worker))
+  if (fb_worker_list_ignores (self->workers, worker))
     fb_listed_worker_free (worker);
   else
     list_worker (self, worker);
--- a/src/entry/store/appender.c
+++ b/src/entry/store/appender.c
@@ -22,7 +22,7 @@
 {
   GByteArray *records;
   uint64_t give_up_ms;
-  FbAppended done;
+  FbAppendDone done;
   gpointer user;
 } Item;
 
@@ -38,8 +38,8 @@
   GQueue batch;   /* of Item: records in the open call or its repeat */
   GBytes *body;
   uint64_t begun_ms; /* when the batch was first sent */
-  gboolean doubt;    /* a call with this body got no answer, so it may be stored */
-  guint failed_n;    /* number of calls with this body that failed */
+  gboolean in_doubt; /* a call with this body got no answer, so it may be stored */
+  guint failures_n;  /* number of calls with this body that failed */
   uint32_t retry_ms;
   guint timer;
   gboolean call_open;
@@ -58,7 +58,7 @@
 }
 
 static void
-really_free (FbAppender *self)
+destroy (FbAppender *self)
 {
   g_queue_clear_full (&self->waiting, item_free);
   g_queue_clear_full (&self->batch, item_free);
@@ -75,8 +75,8 @@
   g_queue_init (&self->batch);
   fb_histogram_add (FB_HISTOGRAM_STORE_APPEND, fb_clock_ms () - self->begun_ms);
   g_clear_pointer (&self->body, g_bytes_unref);
-  self->doubt = FALSE;
-  self->failed_n = 0;
+  self->in_doubt = FALSE;
+  self->failures_n = 0;
   self->retry_ms = RETRY_FIRST_MS;
   self->sequence++;
   Item *item = NULL;
@@ -105,7 +105,7 @@
 }
 
 static gboolean
-may_go_on (const FbAppender *self)
+may_retry (const FbAppender *self)
 {
   uint64_t now_ms = fb_clock_ms ();
   for (GList *l = self->batch.head; l != NULL; l = l->next)
@@ -117,20 +117,20 @@
 }
 
 static void
-take_result (FbAppender *self, FbAppendResult result)
+handle_result (FbAppender *self, FbAppendResult result)
 {
-  self->doubt = self->doubt || result == FB_APPEND_IN_DOUBT;
+  self->in_doubt = self->in_doubt || result == FB_APPEND_IN_DOUBT;
   gboolean final
       = result == FB_APPEND_STORED || result == FB_APPEND_FENCED || result == FB_APPEND_SEQUENCE;
   if (self->writer != NULL && !final)
     {
-      self->failed_n++;
+      self->failures_n++;
       retry_later (self);
       return;
     }
-  if (self->writer == NULL && !final && self->doubt)
+  if (self->writer == NULL && !final && self->in_doubt)
     {
-      if (may_go_on (self))
+      if (may_retry (self))
         {
           retry_later (self);
           return;
@@ -151,11 +151,11 @@
       if (result != FB_APPEND_STORED)
         fb_event_log (FB_EVENT_CALL_FAILED, "append topic=%s partition=%u result=%d code=%u",
                       self->topic, self->partition, result, code);
-      take_result (self, result);
+      handle_result (self, result);
     }
   self->in_reply = FALSE;
   if (self->freed && !self->call_open)
-    really_free (self);
+    destroy (self);
   else if (self->timer == 0)
     proceed (self);
 }
@@ -170,7 +170,7 @@
 }
 
 static void
-on_peer_wrote (gpointer data, FbAppendResult result)
+on_peer_appended (gpointer data, FbAppendResult result)
 {
   end_call (data, result, 0);
 }
@@ -194,9 +194,9 @@
  * jobs that end meanwhile are late.  Guard: every second attempt goes through a peer; the store
  * accepts a sequence number once, whoever sends it. */
 static gboolean
-write_by_peer (FbAppender *self)
+append_by_peer (FbAppender *self)
 {
-  const char *peer = self->writer != NULL && self->failed_n % 2 == 1
+  const char *peer = self->writer != NULL && self->failures_n % 2 == 1
                          ? fb_group_any_peer (self->entry->group, NULL)
                          : NULL;
   if (peer == NULL)
@@ -208,7 +208,7 @@
                                .epoch = self->epoch,
                                .sequence = self->sequence,
                                .records = { (u_int) len, (char *) records } };
-  fb_peers_write (self->entry, peer, &write, PEER_ANSWER_MS, on_peer_wrote, self);
+  fb_peers_append_progress (self->entry, peer, &write, PEER_ANSWER_MS, on_peer_appended, self);
   return TRUE;
 }
 
@@ -222,14 +222,14 @@
   if (self->body == NULL)
     fill_batch (self);
   self->call_open = TRUE;
-  if (write_by_peer (self))
+  if (append_by_peer (self))
     return;
   FbHttpCall call;
   fb_wire_append (&call, self->entry->settings->store, self->topic, self->partition, self->body,
                   self->writer, self->epoch, self->sequence);
   fb_counter_add (FB_COUNTER_LOG_APPENDS, 1);
   fb_http_client_exchange (self->entry->store_client, &call,
-                           fb_store_pace_patience_ms (&self->entry->pace), on_reply, self);
+                           fb_store_pace_patience_ms (&self->entry->store_health), on_reply, self);
   fb_http_call_clear (&call);
 }
 
@@ -257,11 +257,11 @@
     g_source_remove (self->timer);
   self->timer = 0;
   if (!self->call_open && !self->in_reply)
-    really_free (self);
+    destroy (self);
 }
 
 void
-fb_appender_put (FbAppender *self, GByteArray *records, uint64_t give_up_ms, FbAppended done,
+fb_appender_put (FbAppender *self, GByteArray *records, uint64_t give_up_ms, FbAppendDone done,
                  gpointer user)
 {
   Item *item = g_new0 (Item, 1);
--- a/src/entry/store/appender.h
+++ b/src/entry/store/appender.h
@@ -6,7 +6,7 @@
 typedef struct _FbEntry FbEntry;
 typedef struct _FbAppender FbAppender;
 
-typedef void (*FbAppended) (gpointer user, FbAppendResult result);
+typedef void (*FbAppendDone) (gpointer user, FbAppendResult result);
 
 /* WRITER of NULL: appends without fencing, and repeats a call only while its outcome is unknown.
  * Otherwise a call is repeated until it is stored or rejected for good. */
@@ -15,5 +15,5 @@
 void fb_appender_free (FbAppender *self);
 /* Takes over RECORDS, which are encoded.  DONE is called once unless the appender is freed; without
  * a writer, not later than GIVE_UP_MS. */
-void fb_appender_put (FbAppender *self, GByteArray *records, uint64_t give_up_ms, FbAppended done,
+void fb_appender_put (FbAppender *self, GByteArray *records, uint64_t give_up_ms, FbAppendDone done,
                       gpointer user);
--- a/src/entry/store/daemons.c
+++ b/src/entry/store/daemons.c
@@ -33,7 +33,8 @@
  * may never get to assign a partition to the reader. */
 #define FIRST_LIST_MS 1500
 /* Number of topics whose partitions the group assigns at first.  The store names only members that
- * hold a partition, so there have to be more partitions than daemons; see fb_daemons_topics(). */
+ * hold a partition, so there have to be more partitions than daemons; see
+ * fb_daemons_needed_topics(). */
 #define TOPICS_FIRST 4
 #define TOPICS_MAX 64
 /* A daemon with less than half of the strongest one's processor owns nothing: an owner's load
@@ -47,9 +48,9 @@
   uint64_t began_ms;
   uint64_t join_sent_ms;
   GPtrArray *members; /* of FbDaemon */
-  gboolean known;
+  gboolean list_complete;
   guint topics_n;
-  FbDismissal *dismissal;
+  FbGroupLeave *group_leave;
   uint64_t generation;
   uint64_t read_generation;
   uint64_t read_ms; /* when the members were last requested */
@@ -97,7 +98,7 @@
 }
 
 void
-fb_daemons_read (GPtrArray *members, const GArray *rows)
+fb_daemons_parse (GPtrArray *members, const GArray *rows)
 {
   for (guint i = 0; i < rows->len; i++)
     {
@@ -118,7 +119,7 @@
 }
 
 gboolean
-fb_daemons_hold (const GPtrArray *members, const char *address)
+fb_daemons_contain (const GPtrArray *members, const char *address)
 {
   return find (members, address) != NULL;
 }
@@ -127,7 +128,7 @@
  * orders and send no requests for advice.  Guard: once as many members are named as there are
  * partitions, the number of topics is doubled. */
 guint
-fb_daemons_topics (guint topics_n, guint partitions_n, guint members_n)
+fb_daemons_needed_topics (guint topics_n, guint partitions_n, guint members_n)
 {
   return members_n > 0 && members_n >= partitions_n ? MIN (2 * topics_n, TOPICS_MAX) : topics_n;
 }
@@ -143,10 +144,11 @@
  * nothing to the new processes until the previous ones have expired, so that new lists come 1.2 s
  * after the restart.  Guard: each daemon removes its previous processes from the group. */
 static void
-dismiss_predecessors (FbDaemons *self, const GArray *rows)
+remove_predecessors (FbDaemons *self, const GArray *rows)
 {
   for (guint i = 0; i < rows->len; i++)
-    fb_dismissal_of (self->dismissal, g_array_index (rows, FbPartitionOwner, i).member);
+    fb_group_leave_predecessor (self->group_leave,
+                                g_array_index (rows, FbPartitionOwner, i).member);
 }
 
 static void
@@ -162,13 +164,14 @@
     }
   g_ptr_array_unref (self->members);
   self->members = members;
-  self->known = self->known || fb_daemons_hold (members, self->entry->settings->peers)
-                || fb_clock_ms () > self->began_ms + FIRST_LIST_MS;
-  self->topics_n = fb_daemons_topics (self->topics_n, partitions_n, members->len);
+  self->list_complete = self->list_complete
+                        || fb_daemons_contain (members, self->entry->settings->peers)
+                        || fb_clock_ms () > self->began_ms + FIRST_LIST_MS;
+  self->topics_n = fb_daemons_needed_topics (self->topics_n, partitions_n, members->len);
   if (members->len != before_n)
     fb_event_log (FB_EVENT_DAEMONS_READ,
                   "members=%u before=%u generation=%" G_GUINT64_FORMAT " partitions=%u complete=%d",
-                  members->len, before_n, self->generation, partitions_n, self->known);
+                  members->len, before_n, self->generation, partitions_n, self->list_complete);
 }
 
 static void
@@ -184,8 +187,8 @@
       return;
     }
   GPtrArray *members = g_ptr_array_new_with_free_func (fb_daemon_free);
-  fb_daemons_read (members, rows);
-  dismiss_predecessors (self, rows);
+  fb_daemons_parse (members, rows);
+  remove_predecessors (self, rows);
   note_members (self, members, rows->len);
 }
 
@@ -193,7 +196,7 @@
 read_members (FbDaemons *self, uint64_t now_ms)
 {
   uint64_t every_ms = self->read_generation != self->generation ? READ_SOON_MS : READ_EVERY_MS;
-  if (!self->known)
+  if (!self->list_complete)
     every_ms = READ_FIRST_MS;
   if (self->read_open || (self->read_ms != 0 && now_ms < self->read_ms + every_ms))
     return;
@@ -221,7 +224,7 @@
   if (joined)
     self->generation = generation;
   read_members (self, fb_clock_ms ());
-  gboolean soon = changed || !self->known;
+  gboolean soon = changed || !self->list_complete;
   self->timer = g_timeout_add (soon ? JOIN_CHANGED_MS : JOIN_EVERY_MS, join, self);
 }
 
@@ -246,7 +249,7 @@
   fb_wire_join (&call, self->entry->settings->store, GROUP, self->name,
                 (const char *const *) topics, ttl_ms, self->generation);
   self->join_sent_ms = fb_clock_ms ();
-  fb_keepalive_renewing (self->entry->keepalive, FB_MEMBERSHIP_DAEMONS, &call, ttl_ms, 0);
+  fb_keepalive_set_renewal (self->entry->keepalive, FB_MEMBERSHIP_DAEMONS, &call, ttl_ms, 0);
   fb_http_client_exchange (self->entry->store_client, &call, ANSWER_MS, on_joined, self);
   fb_http_call_clear (&call);
   return G_SOURCE_REMOVE;
@@ -262,7 +265,7 @@
     g_source_remove (self->timer);
   self->timer = 0;
   fb_keepalive_forget (self->entry->keepalive, FB_MEMBERSHIP_DAEMONS);
-  fb_dismissal_leave (self->dismissal, NULL, NULL);
+  fb_group_leave_self (self->group_leave, NULL, NULL);
 }
 
 const GPtrArray *
@@ -272,13 +275,13 @@
 }
 
 gboolean
-fb_daemons_known (const FbDaemons *self)
+fb_daemons_is_list_complete (const FbDaemons *self)
 {
-  return self->known;
+  return self->list_complete;
 }
 
 gboolean
-fb_daemons_is_strong (const FbDaemons *self)
+fb_daemons_may_own (const FbDaemons *self)
 {
   uint64_t own_milli = self->entry->settings->cpu_milli;
   uint64_t most_milli = own_milli;
@@ -288,7 +291,7 @@
 }
 
 void
-fb_daemons_rest (FbDaemons *self, const char *address, uint64_t until_ms)
+fb_daemons_back_off_relay (FbDaemons *self, const char *address, uint64_t until_ms)
 {
   FbDaemon *member = find (self->members, address);
   if (member != NULL)
@@ -296,7 +299,7 @@
 }
 
 void
-fb_daemons_refuses (FbDaemons *self, const char *address, uint64_t until_ms)
+fb_daemons_back_off_append (FbDaemons *self, const char *address, uint64_t until_ms)
 {
   FbDaemon *member = find (self->members, address);
   if (member != NULL)
@@ -314,7 +317,7 @@
   self->topics_n = TOPICS_FIRST;
   self->name = g_strdup_printf ("%s/%s/%u/%" G_GINT64_FORMAT, settings->peers, settings->domain,
                                 (guint) settings->cpu_milli, g_get_real_time ());
-  self->dismissal = fb_dismissal_new (entry, GROUP, self->name);
+  self->group_leave = fb_group_leave_new (entry, GROUP, self->name);
   read_members (self, fb_clock_ms ());
   join (self);
   return self;
--- a/src/entry/store/dismissal.c
+++ b/src/entry/store/dismissal.c
@@ -4,34 +4,34 @@
 
 #define ANSWER_MS 500
 
-struct _FbDismissal
+struct _FbGroupLeave
 {
   FbEntry *entry;
   const char *group;
   const char *name;
-  GHashTable *dismissed; /* names of earlier processes that were removed */
+  GHashTable *removed; /* names of earlier processes that were removed */
 };
 
-FbDismissal *
-fb_dismissal_new (FbEntry *entry, const char *group, const char *name)
+FbGroupLeave *
+fb_group_leave_new (FbEntry *entry, const char *group, const char *name)
 {
-  FbDismissal *self = g_new0 (FbDismissal, 1);
+  FbGroupLeave *self = g_new0 (FbGroupLeave, 1);
   self->entry = entry;
   self->group = group;
   self->name = name;
-  self->dismissed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  self->removed = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   return self;
 }
 
 static void
-on_taken_out (gpointer data, const FbHttpReply *reply)
+on_removed (gpointer data, const FbHttpReply *reply)
 {
   (void) data;
   (void) reply; /* without an answer the member expires after its time to live */
 }
 
 static void
-take_out (FbDismissal *self, const char *member, FbHttpReplyDone done, gpointer user)
+remove_member (FbGroupLeave *self, const char *member, FbHttpReplyDone done, gpointer user)
 {
   FbHttpCall call;
   fb_wire_leave (&call, self->entry->settings->store, self->group, member);
@@ -40,17 +40,17 @@
 }
 
 void
-fb_dismissal_leave (FbDismissal *self, FbHttpReplyDone done, gpointer user)
+fb_group_leave_self (FbGroupLeave *self, FbHttpReplyDone done, gpointer user)
 {
-  take_out (self, self->name, done != NULL ? done : on_taken_out, user);
+  remove_member (self, self->name, done != NULL ? done : on_removed, user);
 }
 
 gboolean
-fb_dismissal_of (FbDismissal *self, const char *member)
+fb_group_leave_predecessor (FbGroupLeave *self, const char *member)
 {
   if (!fb_daemons_is_predecessor (member, self->name)
-      || !g_hash_table_add (self->dismissed, g_strdup (member)))
+      || !g_hash_table_add (self->removed, g_strdup (member)))
     return FALSE;
-  take_out (self, member, on_taken_out, NULL);
+  remove_member (self, member, on_removed, NULL);
   return TRUE;
 }
--- a/src/entry/store/dismissal.h
+++ b/src/entry/store/dismissal.h
@@ -6,13 +6,13 @@
 #include "src/net/http-client.h"
 
 typedef struct _FbEntry FbEntry;
-typedef struct _FbDismissal FbDismissal;
+typedef struct _FbGroupLeave FbGroupLeave;
 
 /* GROUP: a static string.  NAME: this process's member name, borrowed while SELF exists. */
-FbDismissal *fb_dismissal_new (FbEntry *entry, const char *group, const char *name);
+FbGroupLeave *fb_group_leave_new (FbEntry *entry, const char *group, const char *name);
 /* Removes this process.  DONE, which may be NULL, is called with the store's answer, or when none
  * came. */
-void fb_dismissal_leave (FbDismissal *self, FbHttpReplyDone done, gpointer user);
+void fb_group_leave_self (FbGroupLeave *self, FbHttpReplyDone done, gpointer user);
 /* Removes MEMBER if it is an earlier process of this daemon.
  * Returns: FALSE when it is not one, or was removed before. */
-gboolean fb_dismissal_of (FbDismissal *self, const char *member);
+gboolean fb_group_leave_predecessor (FbGroupLeave *self, const char *member);
--- a/src/entry/store/follower.c
+++ b/src/entry/store/follower.c
@@ -44,7 +44,7 @@
   uint32_t retry_ms;
   uint32_t page_ms; /* silence after which the next page of a listing times out */
   guint timer;
-  gboolean hurry; /* the next pause is skipped */
+  gboolean skip_pause; /* the next pause is skipped */
   gboolean call_open;
   gboolean in_reply; /* callbacks are running, which may free this follower */
   gboolean freed;
@@ -53,7 +53,7 @@
 static void proceed (FbFollower *self);
 
 static void
-really_free (FbFollower *self)
+destroy (FbFollower *self)
 {
   fb_http_client_drop (self->entry->store_client, self);
   g_free (self->after);
@@ -93,7 +93,7 @@
 }
 
 static void
-take_listing (FbFollower *self, const FbHttpReply *reply)
+handle_listing (FbFollower *self, const FbHttpReply *reply)
 {
   g_autoptr (GPtrArray) records = g_ptr_array_new_with_free_func (fb_store_record_free);
   gboolean more = FALSE;
@@ -133,7 +133,7 @@
 }
 
 static void
-take_changes (FbFollower *self, const FbHttpReply *reply)
+handle_changes (FbFollower *self, const FbHttpReply *reply)
 {
   g_autoptr (GPtrArray) records = g_ptr_array_new_with_free_func (fb_store_record_free);
   uint64_t end = 0;
@@ -152,8 +152,8 @@
         self->fresh_ms = self->sent_ms;
       break;
     }
-  gboolean pause = self->pause_ms > 0 && !self->listing && !self->hurry && !self->freed;
-  self->hurry = FALSE;
+  gboolean pause = self->pause_ms > 0 && !self->listing && !self->skip_pause && !self->freed;
+  self->skip_pause = FALSE;
   if (pause)
     self->timer = g_timeout_add (self->pause_ms, on_retry, self);
   else
@@ -170,13 +170,13 @@
     {
       fb_entry_store_answered (self->entry, reply);
       if (self->listing)
-        take_listing (self, reply);
+        handle_listing (self, reply);
       else
-        take_changes (self, reply);
+        handle_changes (self, reply);
     }
   self->in_reply = FALSE;
   if (self->freed)
-    really_free (self);
+    destroy (self);
 }
 
 static void
@@ -225,13 +225,13 @@
     g_source_remove (self->timer);
   self->timer = 0;
   if (!self->in_reply)
-    really_free (self);
+    destroy (self);
 }
 
 void
 fb_follower_hurry (FbFollower *self)
 {
-  self->hurry = TRUE;
+  self->skip_pause = TRUE;
   if (self->call_open || self->timer == 0)
     return;
   g_source_remove (self->timer);
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -47,15 +47,15 @@
   guint probes_n;       /* number of joins since the store stopped answering */
   GHashTable *owner_of; /* partition -> address */
   uint64_t owners_generation;
-  uint64_t owners_asked_ms;
+  uint64_t owners_requested_ms;
   gboolean owners_open;
   gboolean peer_open; /* a request to a peer for the owners is open */
-  FbDismissal *dismissal;
+  FbGroupLeave *group_leave;
   guint timer;
-  gboolean renews; /* joins are being sent, and repeated by the keepalive */
+  gboolean joins_sent; /* joins are being sent, and repeated by the keepalive */
   gboolean leaving;
-  void (*left) (gpointer user);
-  gpointer left_user;
+  void (*on_released) (gpointer user);
+  gpointer on_released_user;
 };
 
 static gboolean join (gpointer data);
@@ -63,7 +63,7 @@
 /* ---- owners ------------------------------------------------------------------ */
 
 static void
-take_owners (FbGroup *self, const GArray *owners)
+set_owners (FbGroup *self, const GArray *owners)
 {
   g_hash_table_remove_all (self->owner_of);
   for (guint i = 0; i < owners->len; i++)
@@ -83,12 +83,12 @@
  * previous process as the owner of its partitions, and their pools make no progress for the rest of
  * that time (0.5 s when all are killed).  Guard: the previous process is removed from the group. */
 static void
-dismiss_predecessors (FbGroup *self, const GArray *owners)
+remove_predecessors (FbGroup *self, const GArray *owners)
 {
   for (guint i = 0; i < owners->len; i++)
     {
       const char *member = g_array_index (owners, FbPartitionOwner, i).member;
-      if (fb_dismissal_of (self->dismissal, member))
+      if (fb_group_leave_predecessor (self->group_leave, member))
         fb_event_log (FB_EVENT_PREDECESSOR_DISMISSED, "member=%s", member);
     }
 }
@@ -96,7 +96,7 @@
 /* ---- reading the owners --------------------------------------------------------- */
 
 static void
-on_peer_owners (gpointer data, const fb_told *told)
+on_peer_owners_reply (gpointer data, const fb_told *told)
 {
   FbGroup *self = data;
   self->peer_open = FALSE;
@@ -118,18 +118,18 @@
  * callers of this daemon who request a job's state, wait for 2 s and are told that the owner is
  * away.  Guard: a peer that the store serves knows the owners. */
 static void
-ask_peer (FbGroup *self)
+request_owners_from_peer (FbGroup *self)
 {
   const char *peer = fb_group_any_peer (self, NULL);
   if (self->peer_open || peer == NULL)
     return;
   static const fb_ask ask = { .type = FB_ASK_OWNERS };
   self->peer_open = TRUE;
-  fb_peers_ask (self->entry, peer, &ask, ANSWER_MS, on_peer_owners, self);
+  fb_peers_request (self->entry, peer, &ask, ANSWER_MS, on_peer_owners_reply, self);
 }
 
 static void
-on_owners (gpointer data, const FbHttpReply *reply)
+on_owners_reply (gpointer data, const FbHttpReply *reply)
 {
   FbGroup *self = data;
   self->owners_open = FALSE;
@@ -138,29 +138,29 @@
   if (fb_wire_owners_told (reply, owners))
     {
       self->owners_ms = fb_clock_ms ();
-      take_owners (self, owners);
-      dismiss_predecessors (self, owners);
+      set_owners (self, owners);
+      remove_predecessors (self, owners);
     }
   else
     {
       self->owners_generation = 0;
-      ask_peer (self);
+      request_owners_from_peer (self);
     }
 }
 
 static void
-ask_owners (FbGroup *self, uint64_t now_ms)
+request_owners (FbGroup *self, uint64_t now_ms)
 {
   gboolean changed = self->owners_generation != self->generation;
   uint64_t every_ms = changed ? OWNERS_SOON_MS : OWNERS_EVERY_MS;
-  if (self->owners_open || now_ms < self->owners_asked_ms + every_ms)
+  if (self->owners_open || now_ms < self->owners_requested_ms + every_ms)
     return;
   self->owners_open = TRUE;
-  self->owners_asked_ms = now_ms;
+  self->owners_requested_ms = now_ms;
   self->owners_generation = self->generation;
   FbHttpCall call;
   fb_wire_owners (&call, self->entry->settings->store, GROUP);
-  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_MS, on_owners, self);
+  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_MS, on_owners_reply, self);
   fb_http_call_clear (&call);
 }
 
@@ -169,14 +169,14 @@
  * the process ends.  Guard: a component that finds an owner to be wrong requests the owners
  * itself. */
 void
-fb_group_refresh (FbGroup *self)
+fb_group_refresh_owners (FbGroup *self)
 {
   self->owners_generation = 0;
-  ask_owners (self, fb_clock_ms ());
+  request_owners (self, fb_clock_ms ());
 }
 
 void
-fb_group_tell_owners (const FbGroup *self, FbTold done, gpointer user)
+fb_group_send_owners (const FbGroup *self, FbPeerReplyDone done, gpointer user)
 {
   fb_told told = { .type = FB_TOLD_UNSURE };
   if (fb_clock_ms () > self->owners_ms + OWNERS_FRESH_MS || self->owners_generation == 0)
@@ -254,28 +254,28 @@
 /* Returns: the time until which no other daemon can have been assigned this daemon's partitions, by
  * the last renewal that the main loop or the keepalive has sent; 0: not a member. */
 static uint64_t
-held_until_ms (const FbGroup *self)
+member_until_ms (const FbGroup *self)
 {
   if (self->ok_sent_ms == 0)
     return 0;
-  uint64_t kept_ms = fb_keepalive_kept_ms (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
-  return MAX (self->ok_sent_ms, kept_ms) + self->ttl_ms;
+  uint64_t renewed_ms = fb_keepalive_kept_ms (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
+  return MAX (self->ok_sent_ms, renewed_ms) + self->ttl_ms;
 }
 
 gboolean
 fb_group_is_member (const FbGroup *self, uint64_t now_ms)
 {
-  return now_ms < held_until_ms (self);
+  return now_ms < member_until_ms (self);
 }
 
 /* Failure: a daemon does not join for longer than its time to live and is assigned the same
  * partitions again; it shows as an owner whose state lacks the changes that another owner made in
  * between.  Guard: it releases its partitions and takes them over anew. */
 static void
-give_up_after_absence (FbGroup *self, uint64_t generation)
+release_after_absence (FbGroup *self, uint64_t generation)
 {
   if (self->generation == 0 || generation == self->generation
-      || self->join_sent_ms < held_until_ms (self))
+      || self->join_sent_ms < member_until_ms (self))
     return;
   g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
   fb_entry_set_owned_partitions (self->entry, none, generation, "it joined too late");
@@ -299,13 +299,13 @@
       return;
     }
   fb_entry_join_answered (self->entry, self->ttl_ms);
-  give_up_after_absence (self, generation);
+  release_after_absence (self, generation);
   gboolean changed = generation != self->generation;
   self->generation = generation;
   self->ok_sent_ms = self->join_sent_ms;
   fb_entry_set_owned_partitions (self->entry, partitions, generation, "dealt to another daemon");
   self->timer = g_timeout_add (changed ? JOIN_CHANGED_MS : JOIN_EVERY_MS, join, self);
-  ask_owners (self, now_ms);
+  request_owners (self, now_ms);
 }
 
 /* Releases all partitions, because this daemon is not strong enough to be an owner.  One daemon
@@ -313,7 +313,7 @@
  * processor.  On a site of 0.5 and 0.12 of a core one of the latter got the pool of 350 workers in
  * four of five cases, and was out of processor after 4 s. */
 static void
-stay_out (FbGroup *self)
+stay_non_owner (FbGroup *self)
 {
   if (self->ok_sent_ms != 0)
     {
@@ -321,20 +321,20 @@
       fb_entry_set_owned_partitions (self->entry, none, self->generation,
                                      "not among the strong daemons");
       fb_join_watch_left (&self->entry->joins);
-      fb_dismissal_leave (self->dismissal, NULL, NULL);
+      fb_group_leave_self (self->group_leave, NULL, NULL);
       self->ok_sent_ms = 0;
       self->generation = 0;
     }
-  if (self->renews)
+  if (self->joins_sent)
     fb_keepalive_forget (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
-  self->renews = FALSE;
-  ask_owners (self, fb_clock_ms ());
-  guint again_ms = fb_daemons_known (self->entry->daemons) ? JOIN_EVERY_MS : UNKNOWN_MS;
+  self->joins_sent = FALSE;
+  request_owners (self, fb_clock_ms ());
+  guint again_ms = fb_daemons_is_list_complete (self->entry->daemons) ? JOIN_EVERY_MS : UNKNOWN_MS;
   self->timer = g_timeout_add (again_ms, join, self);
 }
 
 static guint
-join_patience_ms (FbGroup *self)
+join_timeout_ms (FbGroup *self)
 {
   self->probes_n = fb_entry_store_is_silent (self->entry) ? self->probes_n + 1 : 0;
   return self->probes_n % 2 == 1 ? PROBE_ANSWER_MS : ANSWER_MS;
@@ -345,9 +345,10 @@
 {
   FbGroup *self = data;
   self->timer = 0;
-  if (!fb_daemons_known (self->entry->daemons) || !fb_daemons_is_strong (self->entry->daemons))
+  if (!fb_daemons_is_list_complete (self->entry->daemons)
+      || !fb_daemons_may_own (self->entry->daemons))
     {
-      stay_out (self);
+      stay_non_owner (self);
       return G_SOURCE_REMOVE;
     }
   static const char *const topics[] = { FB_TOPIC_JOBS, NULL };
@@ -356,10 +357,10 @@
                 self->generation);
   self->join_sent_ms = fb_clock_ms ();
   fb_join_watch_sent (&self->entry->joins, self->join_sent_ms);
-  self->renews = TRUE;
-  fb_keepalive_renewing (self->entry->keepalive, FB_MEMBERSHIP_OWNERS, &call, self->ttl_ms,
-                         self->ok_sent_ms);
-  fb_http_client_exchange (self->entry->store_client, &call, join_patience_ms (self), on_joined,
+  self->joins_sent = TRUE;
+  fb_keepalive_set_renewal (self->entry->keepalive, FB_MEMBERSHIP_OWNERS, &call, self->ttl_ms,
+                            self->ok_sent_ms);
+  fb_http_client_exchange (self->entry->store_client, &call, join_timeout_ms (self), on_joined,
                            self);
   fb_http_call_clear (&call);
   return G_SOURCE_REMOVE;
@@ -370,20 +371,20 @@
 {
   FbGroup *self = data;
   (void) reply; /* without an answer the membership expires after its time to live */
-  self->left (self->left_user);
+  self->on_released (self->on_released_user);
 }
 
 void
-fb_group_leave (FbGroup *self, void (*done) (gpointer user), gpointer user)
+fb_group_release_partitions (FbGroup *self, void (*done) (gpointer user), gpointer user)
 {
   self->leaving = TRUE;
-  self->left = done;
-  self->left_user = user;
+  self->on_released = done;
+  self->on_released_user = user;
   if (self->timer != 0)
     g_source_remove (self->timer);
   self->timer = 0;
   fb_keepalive_forget (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
-  fb_dismissal_leave (self->dismissal, on_left, self);
+  fb_group_leave_self (self->group_leave, on_left, self);
 }
 
 FbGroup *
@@ -395,8 +396,8 @@
       = g_strdup_printf ("%s/%" G_GINT64_FORMAT, entry->settings->peers, g_get_real_time ());
   self->ttl_ms = (uint32_t) MAX (TTL_MS, entry->settings->shortest_ttl_ms);
   self->owner_of = g_hash_table_new_full (NULL, NULL, NULL, g_free);
-  self->dismissal = fb_dismissal_new (entry, GROUP, self->member);
-  ask_owners (self, fb_clock_ms ());
+  self->group_leave = fb_group_leave_new (entry, GROUP, self->member);
+  request_owners (self, fb_clock_ms ());
   join (self);
   return self;
 }
--- a/src/entry/store/group.h
+++ b/src/entry/store/group.h
@@ -7,17 +7,17 @@
 
 FbGroup *fb_group_new (FbEntry *entry);
 /* Releases all partitions.  DONE is called with the store's answer, or when none came. */
-void fb_group_leave (FbGroup *self, void (*done) (gpointer user), gpointer user);
+void fb_group_release_partitions (FbGroup *self, void (*done) (gpointer user), gpointer user);
 /* TRUE while no other daemon can have been assigned this one's partitions. */
 gboolean fb_group_is_member (const FbGroup *self, uint64_t now_ms);
 /* Returns: (nullable): the address of the daemon that owns PARTITION, borrowed. */
 const char *fb_group_owner_of (const FbGroup *self, uint32_t partition);
 /* To be called when a known owner turns out to be wrong: requests the owners, at most every
  * 0.2 s. */
-void fb_group_refresh (FbGroup *self);
+void fb_group_refresh_owners (FbGroup *self);
 /* Passes the owners of all partitions to DONE, or FB_TOLD_UNSURE while the store does not answer
  * this daemon. */
-void fb_group_tell_owners (const FbGroup *self, FbTold done, gpointer user);
+void fb_group_send_owners (const FbGroup *self, FbPeerReplyDone done, gpointer user);
 /* Returns: (transfer container): addresses of all daemons that are members or owners. */
 GPtrArray *fb_group_daemons (const FbGroup *self);
 /* EXCEPT: addresses to leave out; may be NULL.
--- a/src/entry/store/keepalive.c
+++ b/src/entry/store/keepalive.c
@@ -9,12 +9,12 @@
 
 /* Fractions of the time to live: the first repeat is sent after two renewals of the main loop are
  * missing, and two repeats may be lost. */
-#define OVERDUE_PART 2
-#define REPEAT_PART 4
+#define OVERDUE_FRACTION 2
+#define REPEAT_FRACTION 4
 /* A main loop without a renewal for this long hangs, or is too slow for the leases of its workers,
  * which last 4 s: its pools are better owned by another daemon.  The longest iteration seen is
  * 0.5 s, on a daemon of 0.12 of a core that took over 2,300 jobs at once. */
-#define HANGS_MS 3000
+#define HANG_MS 3000
 #define HTTP_OK 200
 
 /* The main loop's last renewal, as passed to the keepalive thread. */
@@ -35,7 +35,7 @@
   GSource *timer;   /* fires when the main loop is overdue; NULL: none */
   gboolean call_open;
   uint64_t repeated_ms; /* when the last repeat was sent */
-  _Atomic uint64_t kept_ms;
+  _Atomic uint64_t renewed_ms;
 } Membership;
 
 struct _FbKeepalive
@@ -76,12 +76,12 @@
 /* Records that a repeat has extended the membership.  A repeat sent after the time to live had run
  * out extends nothing: the store may have assigned the partitions to another daemon and back. */
 static void
-note_kept (Membership *membership)
+note_renewed (Membership *membership)
 {
   const Renewal *renewal = membership->renewal;
-  uint64_t before_ms = MAX (atomic_load (&membership->kept_ms), renewal->ok_sent_ms);
+  uint64_t before_ms = MAX (atomic_load (&membership->renewed_ms), renewal->ok_sent_ms);
   if (membership->repeated_ms <= before_ms + renewal->ttl_ms)
-    atomic_store (&membership->kept_ms, membership->repeated_ms);
+    atomic_store (&membership->renewed_ms, membership->repeated_ms);
 }
 
 static void
@@ -90,7 +90,7 @@
   Membership *membership = data;
   membership->call_open = FALSE;
   if (membership->renewal != NULL && reply->status == FB_HTTP_OK && reply->code == HTTP_OK)
-    note_kept (membership);
+    note_renewed (membership);
 }
 
 static void
@@ -101,7 +101,7 @@
   membership->repeated_ms = fb_clock_ms ();
   fb_counter_add (FB_COUNTER_MEMBERSHIPS_KEPT, 1);
   fb_http_client_exchange (membership->keepalive->client, &renewal->call,
-                           renewal->ttl_ms / OVERDUE_PART, on_repeated, membership);
+                           renewal->ttl_ms / OVERDUE_FRACTION, on_repeated, membership);
 }
 
 static gboolean
@@ -109,27 +109,27 @@
 {
   Membership *membership = data;
   const Renewal *renewal = membership->renewal;
-  if (fb_clock_ms () > renewal->sent_ms + HANGS_MS)
+  if (fb_clock_ms () > renewal->sent_ms + HANG_MS)
     {
       stop_timer (membership);
       return G_SOURCE_REMOVE;
     }
   if (!membership->call_open)
     repeat (membership);
-  start_timer (membership, renewal->ttl_ms / REPEAT_PART);
+  start_timer (membership, renewal->ttl_ms / REPEAT_FRACTION);
   return G_SOURCE_REMOVE;
 }
 
 /* ---- messages of the main loop ---------------------------------------------------- */
 
 static void
-take_renewal (gpointer data)
+set_renewal (gpointer data)
 {
   Renewal *renewal = data;
   Membership *membership = &renewal->keepalive->memberships[renewal->which];
   g_clear_pointer (&membership->renewal, renewal_free);
   membership->renewal = renewal;
-  start_timer (membership, renewal->ttl_ms / OVERDUE_PART);
+  start_timer (membership, renewal->ttl_ms / OVERDUE_FRACTION);
 }
 
 static void
@@ -141,8 +141,8 @@
 }
 
 void
-fb_keepalive_renewing (FbKeepalive *self, FbMembership which, const FbHttpCall *call,
-                       uint32_t ttl_ms, uint64_t ok_sent_ms)
+fb_keepalive_set_renewal (FbKeepalive *self, FbMembership which, const FbHttpCall *call,
+                          uint32_t ttl_ms, uint64_t ok_sent_ms)
 {
   Renewal *renewal = g_new0 (Renewal, 1);
   renewal->keepalive = self;
@@ -151,7 +151,7 @@
   renewal->ttl_ms = ttl_ms;
   renewal->ok_sent_ms = ok_sent_ms;
   renewal->sent_ms = fb_clock_ms ();
-  fb_loop_post (self->loop, take_renewal, renewal, NULL);
+  fb_loop_post (self->loop, set_renewal, renewal, NULL);
 }
 
 void
@@ -163,7 +163,7 @@
 uint64_t
 fb_keepalive_kept_ms (const FbKeepalive *self, FbMembership which)
 {
-  return atomic_load (&self->memberships[which].kept_ms);
+  return atomic_load (&self->memberships[which].renewed_ms);
 }
 
 /* ---- construction ---------------------------------------------------------------------- */
--- a/src/entry/store/keepalive.h
+++ b/src/entry/store/keepalive.h
@@ -6,7 +6,7 @@
  * every few seconds, with leases that expire and callers of one service that get no results.
  * Guard: a separate thread repeats the last renewal once the main loop is overdue, so that a busy
  * daemon is not taken for a dead one.  A process that dies or is suspended stops this thread too,
- * and a main loop that hangs is given up after HANGS_MS. */
+ * and a main loop that hangs is given up after HANG_MS. */
 #pragma once
 
 #include "src/net/http-client.h"
@@ -29,8 +29,8 @@
 
 /* To be called when the main loop sends CALL (borrowed, idempotent), which renews WHICH for TTL_MS.
  * OK_SENT_MS: when its last answered renewal was sent; 0: none was answered. */
-void fb_keepalive_renewing (FbKeepalive *self, FbMembership which, const FbHttpCall *call,
-                            uint32_t ttl_ms, uint64_t ok_sent_ms);
+void fb_keepalive_set_renewal (FbKeepalive *self, FbMembership which, const FbHttpCall *call,
+                               uint32_t ttl_ms, uint64_t ok_sent_ms);
 /* Stops renewing WHICH.  A call that is open may still reach the store. */
 void fb_keepalive_forget (FbKeepalive *self, FbMembership which);
 /* Returns: when the last repeat was sent of an unbroken sequence of renewals of WHICH, each within
--- a/src/entry/store/store-pace.c
+++ b/src/entry/store/store-pace.c
@@ -11,10 +11,10 @@
 
 /* Time limit of an append.  The store's answers take some 10 ms, also with some tens of appends
  * queued. */
-#define PATIENCE_MS 900
+#define TIMEOUT_MS 900
 /* Time limit of an append while the store is slow: callers wait for 2.6 s, less the time for the
  * network. */
-#define SLOW_PATIENCE_MS 2400
+#define SLOW_TIMEOUT_MS 2400
 
 void
 fb_store_pace_failed (FbStorePace *self, uint64_t now_ms)
@@ -23,27 +23,27 @@
 }
 
 void
-fb_store_pace_appended (FbStorePace *self, gboolean taken, gboolean here, uint32_t took_ms,
+fb_store_pace_appended (FbStorePace *self, gboolean taken, gboolean locally, uint32_t took_ms,
                         uint64_t now_ms)
 {
   if (taken)
-    self->append_ms = took_ms;
-  if (here && taken)
+    self->append_latency_ms = took_ms;
+  if (locally && taken)
     self->failed_until_ms = 0;
-  else if (here)
+  else if (locally)
     fb_store_pace_failed (self, now_ms);
 }
 
 void
 fb_store_pace_renewed (FbStorePace *self, uint32_t took_ms)
 {
-  self->renewal_ms = took_ms;
+  self->renewal_latency_ms = took_ms;
 }
 
 gboolean
 fb_store_pace_is_slow (const FbStorePace *self)
 {
-  return self->append_ms >= SLOW_APPEND_MS || self->renewal_ms >= SLOW_RENEWAL_MS;
+  return self->append_latency_ms >= SLOW_APPEND_MS || self->renewal_latency_ms >= SLOW_RENEWAL_MS;
 }
 
 gboolean
@@ -55,5 +55,5 @@
 uint32_t
 fb_store_pace_patience_ms (const FbStorePace *self)
 {
-  return fb_store_pace_is_slow (self) ? SLOW_PATIENCE_MS : PATIENCE_MS;
+  return fb_store_pace_is_slow (self) ? SLOW_TIMEOUT_MS : TIMEOUT_MS;
 }
--- a/src/entry/store/store-pace.h
+++ b/src/entry/store/store-pace.h
@@ -13,14 +13,14 @@
 /* All zero in a new one. */
 typedef struct
 {
-  uint32_t append_ms; /* latency of the last append that was stored, by any daemon */
-  uint32_t renewal_ms;
+  uint32_t append_latency_ms; /* latency of the last append that was stored, by any daemon */
+  uint32_t renewal_latency_ms;
   uint64_t failed_until_ms; /* a failed call of this daemon counts as recent until then */
 } FbStorePace;
 
 /* To be called when an append has ended after TOOK_MS.  TAKEN: it was stored.  HERE: it was sent
  * from this daemon, not through another one. */
-void fb_store_pace_appended (FbStorePace *self, gboolean taken, gboolean here, uint32_t took_ms,
+void fb_store_pace_appended (FbStorePace *self, gboolean taken, gboolean locally, uint32_t took_ms,
                              uint64_t now_ms);
 /* To be called when the store has answered a membership renewal after TOOK_MS. */
 void fb_store_pace_renewed (FbStorePace *self, uint32_t took_ms);
--- a/src/entry/store/worker-list.c
+++ b/src/entry/store/worker-list.c
@@ -4,9 +4,9 @@
 
 struct _FbWorkerList
 {
-  GHashTable *workers;     /* incarnation -> FbListedWorker */
-  GHashTable *lives;       /* id of a worker -> FbListedWorker, borrowed */
-  GHashTable *passed_over; /* id -> uint64_t: start time in its last ignored entry */
+  GHashTable *workers; /* incarnation -> FbListedWorker */
+  GHashTable *lives;   /* id of a worker -> FbListedWorker, borrowed */
+  GHashTable *ignored; /* id -> uint64_t: start time in its last ignored entry */
 };
 
 FbWorkerList *
@@ -15,7 +15,7 @@
   FbWorkerList *self = g_new0 (FbWorkerList, 1);
   self->workers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, fb_listed_worker_free);
   self->lives = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  self->passed_over = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  self->ignored = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return self;
 }
 
@@ -23,33 +23,33 @@
 fb_worker_list_free (FbWorkerList *self)
 {
   g_hash_table_unref (self->lives);
-  g_hash_table_unref (self->passed_over);
+  g_hash_table_unref (self->ignored);
   g_hash_table_unref (self->workers);
   g_free (self);
 }
 
 const FbListedWorker *
-fb_worker_list_of (const FbWorkerList *self, const char *id)
+fb_worker_list_by_id (const FbWorkerList *self, const char *id)
 {
   return g_hash_table_lookup (self->lives, id);
 }
 
 const FbListedWorker *
-fb_worker_list_find (const FbWorkerList *self, const char *life)
+fb_worker_list_by_incarnation (const FbWorkerList *self, const char *life)
 {
   return g_hash_table_lookup (self->workers, life);
 }
 
 gboolean
-fb_worker_list_passes_over (FbWorkerList *self, const FbListedWorker *worker)
+fb_worker_list_ignores (FbWorkerList *self, const FbListedWorker *worker)
 {
-  const FbListedWorker *listed = fb_worker_list_of (self, worker->id);
+  const FbListedWorker *listed = fb_worker_list_by_id (self, worker->id);
   if (listed == NULL || worker->born_ms >= listed->born_ms)
     return FALSE;
-  const uint64_t *before = g_hash_table_lookup (self->passed_over, worker->id);
+  const uint64_t *before = g_hash_table_lookup (self->ignored, worker->id);
   if (worker->born_ms != 0 && before != NULL && *before == worker->born_ms)
     return FALSE;
-  g_hash_table_replace (self->passed_over, g_strdup (worker->id),
+  g_hash_table_replace (self->ignored, g_strdup (worker->id),
                         g_memdup2 (&worker->born_ms, sizeof worker->born_ms));
   fb_event_log (FB_EVENT_WORKER_ENTRY_LATE, "worker=%s listed=%s", worker->entry.id,
                 listed->entry.id);
@@ -59,7 +59,7 @@
 void
 fb_worker_list_put (FbWorkerList *self, FbListedWorker *worker)
 {
-  g_hash_table_remove (self->passed_over, worker->id);
+  g_hash_table_remove (self->ignored, worker->id);
   g_hash_table_replace (self->lives, g_strdup (worker->id), worker);
   g_hash_table_replace (self->workers, g_strdup (worker->entry.id), worker);
 }
@@ -67,7 +67,7 @@
 void
 fb_worker_list_remove (FbWorkerList *self, const char *id)
 {
-  const FbListedWorker *worker = fb_worker_list_of (self, id);
+  const FbListedWorker *worker = fb_worker_list_by_id (self, id);
   if (worker == NULL)
     return;
   g_hash_table_remove (self->lives, id);
--- a/src/entry/store/worker-list.h
+++ b/src/entry/store/worker-list.h
@@ -14,12 +14,12 @@
 FbWorkerList *fb_worker_list_new (void);
 void fb_worker_list_free (FbWorkerList *self);
 /* Returns: (nullable): the listed incarnation of worker ID; borrowed. */
-const FbListedWorker *fb_worker_list_of (const FbWorkerList *self, const char *id);
+const FbListedWorker *fb_worker_list_by_id (const FbWorkerList *self, const char *id);
 /* Returns: (nullable): the worker listed with the incarnation LIFE; borrowed. */
-const FbListedWorker *fb_worker_list_find (const FbWorkerList *self, const char *life);
+const FbListedWorker *fb_worker_list_by_incarnation (const FbWorkerList *self, const char *life);
 /* TRUE when WORKER, an entry that was just read, is to be ignored as one of an earlier
  * incarnation. */
-gboolean fb_worker_list_passes_over (FbWorkerList *self, const FbListedWorker *worker);
+gboolean fb_worker_list_ignores (FbWorkerList *self, const FbListedWorker *worker);
 /* Lists WORKER (transfer full) in place of the entry of the same incarnation. */
 void fb_worker_list_put (FbWorkerList *self, FbListedWorker *worker);
 void fb_worker_list_remove (FbWorkerList *self, const char *id);
--- a/tests/test-carry.c
+++ b/tests/test-carry.c
@@ -30,7 +30,7 @@
       g_array_append_val (rows, row);
     }
   GPtrArray *daemons = g_ptr_array_new_with_free_func (fb_daemon_free);
-  fb_daemons_read (daemons, rows);
+  fb_daemons_parse (daemons, rows);
   return daemons;
 }
 
@@ -39,7 +39,7 @@
 simulate_starts (uint32_t link_kbit_s)
 {
   g_autoptr (GPtrArray) daemons = make_daemons ();
-  FbPayloadShare *share = fb_payload_share_new (link_kbit_s);
+  FbPayloadDedup *dedup = fb_payload_dedup_new (link_kbit_s);
   uint64_t sent_bytes = 0;
   for (guint job = 0; job < SIMULATION_S * JOBS_PER_S; job++)
     {
@@ -52,14 +52,14 @@
           g_autofree char *task = g_strdup_printf ("%016x.0.0.%u", job, i);
           g_autofree char *worker = g_strdup_printf ("i-%08x", (job * 31 + i) * 2654435761U);
           g_autofree char *domain = g_strdup_printf ("z%u", (job + i) % DOMAIN_N);
-          gboolean scarce = fb_payload_share_is_scarce (share, PAYLOAD_BYTES, now_ms);
-          g_autofree char *key = scarce ? fb_payload_share_key (task) : g_strdup (worker);
+          gboolean link_full = fb_payload_dedup_link_is_full (dedup, PAYLOAD_BYTES, now_ms);
+          g_autofree char *key = link_full ? fb_payload_dedup_relay_key (task) : g_strdup (worker);
           const FbDaemon *daemon = fb_relay_choose (daemons, domain, key, "", now_ms);
-          if (!fb_payload_share_sent (share, daemon->address, &digest, now_ms))
+          if (!fb_payload_dedup_sent (dedup, daemon->address, &digest, now_ms))
             sent_bytes += PAYLOAD_BYTES;
         }
     }
-  fb_payload_share_free (share);
+  fb_payload_dedup_free (dedup);
   return sent_bytes;
 }
 
@@ -69,7 +69,7 @@
  * seven of ten checks dropped, while no processor was busy.  Evidence: 2.2 of 2.7 Mbit/s sent were
  * payloads; the target is half of the link, the rest is for traffic that must not wait. */
 static void
-test_payloads_leave_half_of_a_thin_link (void)
+test_payloads_leave_half_of_a_slow_link (void)
 {
   uint64_t each_bytes = (uint64_t) SIMULATION_S * JOBS_PER_S * TASKS_PER_JOB * PAYLOAD_BYTES;
   CU_ASSERT_TRUE (each_bytes * 8 / SIMULATION_S / 1000 > 1000);
@@ -79,7 +79,7 @@
 /* On a fast link the starts of a job are spread by worker, as relaying each start costs a daemon
  * processor time. */
 static void
-test_a_wide_link_spreads_the_work (void)
+test_a_fast_link_spreads_the_work (void)
 {
   CU_ASSERT_TRUE (simulate_starts (200000) > 2 * simulate_starts (2000));
   CU_ASSERT_EQUAL (simulate_starts (200000), simulate_starts (0));
@@ -89,7 +89,7 @@
 
 /* Guards against: payloads of a busy day fill the memory of a daemon.  The oldest are evicted. */
 static void
-test_the_oldest_payload_goes (void)
+test_the_oldest_payload_is_evicted (void)
 {
   FbPayloadCache *cache = fb_payload_cache_new (3 * (PAYLOAD_BYTES + 1));
   FbPayloadDigest digests[4];
@@ -111,14 +111,14 @@
 typedef struct
 {
   FbEntry entry;
-  guint whole_n; /* starts received with their payload */
-  guint named_n; /* starts received with its digest only */
-  guint lacked_n;
-} Carrier;
+  guint with_payload_n; /* starts received with their payload */
+  guint by_digest_n;    /* starts received with its digest only */
+  guint missing_n;
+} Relay;
 
 typedef struct
 {
-  Carrier *carrier;
+  Relay *relay;
   FbLinkCall *call;
 } Served;
 
@@ -126,24 +126,24 @@
 on_served (gpointer user, const fb_told *told)
 {
   Served *served = user;
-  served->carrier->lacked_n += told->type == FB_TOLD_NO_PAYLOAD;
+  served->relay->missing_n += told->type == FB_TOLD_NO_PAYLOAD;
   g_autoptr (GBytes) body = fb_codec_encode_told (told);
   fb_link_call_answer (served->call, body);
   g_free (served);
 }
 
 static void
-serve_carrier (gpointer data, FbLinkCall *call, gconstpointer body, gsize len)
+serve_relay (gpointer data, FbLinkCall *call, gconstpointer body, gsize len)
 {
-  Carrier *self = data;
+  Relay *self = data;
   fb_ask ask;
   CU_ASSERT_TRUE_FATAL (fb_codec_decode_ask (body, len, &ask));
   if (*ask.fb_ask_u.order.payload != '\0')
-    self->whole_n++;
+    self->with_payload_n++;
   else
-    self->named_n++;
+    self->by_digest_n++;
   Served *served = g_new0 (Served, 1);
-  served->carrier = self;
+  served->relay = self;
   served->call = call;
   fb_relay_serve (&self->entry, &ask.fb_ask_u.order, on_served, served);
   xdr_free ((xdrproc_t) xdr_fb_ask, (char *) &ask);
@@ -156,7 +156,7 @@
 } Seen;
 
 static void
-on_carried (gpointer user, FbRelayResult result, const fb_told_order *told)
+on_relayed (gpointer user, FbRelayResult result, const fb_told_order *told)
 {
   Seen *seen = user;
   (void) told;
@@ -165,14 +165,14 @@
 }
 
 static gboolean
-on_tend (gpointer links)
+on_check_timeouts (gpointer links)
 {
-  fb_links_tend (links, fb_clock_ms ());
+  fb_links_check_timeouts (links, fb_clock_ms ());
   return G_SOURCE_CONTINUE;
 }
 
 static void
-carry (FbEntry *entry, const char *address, const char *task, const char *payload, Seen *seen)
+relay_order (FbEntry *entry, const char *address, const char *task, const char *payload, Seen *seen)
 {
   const fb_ask_order order = { .kind = FB_CARRY_START,
                                .worker = "i-1",
@@ -182,8 +182,8 @@
                                .checkpoint = "",
                                .ticket = "" };
   guint before_n = seen->done_n;
-  fb_relay_carry (entry, address, &order, on_carried, seen);
-  guint tend = g_timeout_add (10, on_tend, entry->links);
+  fb_relay_carry (entry, address, &order, on_relayed, seen);
+  guint tend = g_timeout_add (10, on_check_timeouts, entry->links);
   while (seen->done_n == before_n)
     g_main_context_iteration (NULL, TRUE);
   g_source_remove (tend);
@@ -194,37 +194,37 @@
  * Guards against: the task starts 0.3 s later at the earliest, and again for each start until the
  * owner's record expires. */
 static void
-test_a_carrier_that_started_anew_is_sent_it_again (void)
+test_a_restarted_relay_gets_the_payload_again (void)
 {
   g_autofree char *payload = g_strdup_printf ("%0*u", PAYLOAD_BYTES, 7U);
   g_autofree char *address = test_unused_address ();
   g_autofree char *own_address = test_unused_address ();
-  Carrier carrier = { .entry = { .payload_cache = fb_payload_cache_new (1 << 20),
-                                 .recent_starts = fb_recent_starts_new (),
-                                 .worker_client = fb_http_client_new () } };
+  Relay relay = { .entry = { .payload_cache = fb_payload_cache_new (1 << 20),
+                             .recent_starts = fb_recent_starts_new (),
+                             .worker_client = fb_http_client_new () } };
   Seen seen = { 0 };
-  FbLinks *served = fb_links_new (address, serve_carrier, &carrier);
-  FbEntry entry = { .links = fb_links_new (own_address, serve_carrier, NULL),
-                    .payload_share = fb_payload_share_new (2000) };
-  carry (&entry, address, "0000000000000001.0.0.0", payload, &seen);
-  carry (&entry, address, "0000000000000001.0.0.1", payload, &seen);
-  CU_ASSERT_EQUAL (carrier.whole_n, 1);
-  CU_ASSERT_EQUAL (carrier.named_n, 1);
-  fb_payload_cache_free (carrier.entry.payload_cache);
-  carrier.entry.payload_cache = fb_payload_cache_new (1 << 20);
-  carry (&entry, address, "0000000000000001.0.0.2", payload, &seen);
-  CU_ASSERT_EQUAL (carrier.lacked_n, 1);
-  CU_ASSERT_EQUAL (carrier.whole_n, 2);
+  FbLinks *served = fb_links_new (address, serve_relay, &relay);
+  FbEntry entry = { .links = fb_links_new (own_address, serve_relay, NULL),
+                    .payload_dedup = fb_payload_dedup_new (2000) };
+  relay_order (&entry, address, "0000000000000001.0.0.0", payload, &seen);
+  relay_order (&entry, address, "0000000000000001.0.0.1", payload, &seen);
+  CU_ASSERT_EQUAL (relay.with_payload_n, 1);
+  CU_ASSERT_EQUAL (relay.by_digest_n, 1);
+  fb_payload_cache_free (relay.entry.payload_cache);
+  relay.entry.payload_cache = fb_payload_cache_new (1 << 20);
+  relay_order (&entry, address, "0000000000000001.0.0.2", payload, &seen);
+  CU_ASSERT_EQUAL (relay.missing_n, 1);
+  CU_ASSERT_EQUAL (relay.with_payload_n, 2);
   CU_ASSERT_EQUAL (seen.answered_n, 3);
   FbPayloadDigest digest;
   fb_payload_digest (payload, &digest);
-  CU_ASSERT_STRING_EQUAL (fb_payload_cache_get (carrier.entry.payload_cache, &digest), payload);
+  CU_ASSERT_STRING_EQUAL (fb_payload_cache_get (relay.entry.payload_cache, &digest), payload);
   fb_links_free (entry.links);
   fb_links_free (served);
-  fb_http_client_free (carrier.entry.worker_client);
-  fb_payload_cache_free (carrier.entry.payload_cache);
-  fb_recent_starts_free (carrier.entry.recent_starts);
-  fb_payload_share_free (entry.payload_share);
+  fb_http_client_free (relay.entry.worker_client);
+  fb_payload_cache_free (relay.entry.payload_cache);
+  fb_recent_starts_free (relay.entry.recent_starts);
+  fb_payload_dedup_free (entry.payload_dedup);
 }
 
 /* ---- reports of link utilization ------------------------------------------------------- */
@@ -232,7 +232,7 @@
 /* Guards against: the owner's link is full while its processor is idle, and no log line says so.
  * The report names the kind of traffic. */
 static void
-test_a_busy_link_is_told (void)
+test_a_busy_link_is_reported (void)
 {
   FbLinkWatch *watch = fb_link_watch_new (2000, 1000);
   FbTrafficTotals totals = { 0 };
@@ -254,7 +254,7 @@
 
 /* A link of unknown capacity is never reported as busy. */
 static void
-test_a_link_of_unknown_width (void)
+test_a_link_of_unknown_capacity (void)
 {
   FbLinkWatch *watch = fb_link_watch_new (0, 1000);
   FbTrafficTotals totals = { .sent_bytes = { 1000000 } };
@@ -270,14 +270,14 @@
   if (CU_initialize_registry () != CUE_SUCCESS)
     return 2;
   CU_pSuite suite = CU_add_suite ("carry", NULL, NULL);
-  CU_add_test (suite, "payloads leave half of a thin link",
-               test_payloads_leave_half_of_a_thin_link);
-  CU_add_test (suite, "a wide link spreads the work", test_a_wide_link_spreads_the_work);
-  CU_add_test (suite, "the oldest payload goes", test_the_oldest_payload_goes);
-  CU_add_test (suite, "a carrier that started anew is sent it again",
-               test_a_carrier_that_started_anew_is_sent_it_again);
-  CU_add_test (suite, "a busy link is told", test_a_busy_link_is_told);
-  CU_add_test (suite, "a link of unknown width", test_a_link_of_unknown_width);
+  CU_add_test (suite, "payloads leave half of a slow link",
+               test_payloads_leave_half_of_a_slow_link);
+  CU_add_test (suite, "a fast link spreads the work", test_a_fast_link_spreads_the_work);
+  CU_add_test (suite, "the oldest payload is evicted", test_the_oldest_payload_is_evicted);
+  CU_add_test (suite, "a restarted relay gets the payload again",
+               test_a_restarted_relay_gets_the_payload_again);
+  CU_add_test (suite, "a busy link is reported", test_a_busy_link_is_reported);
+  CU_add_test (suite, "a link of unknown capacity", test_a_link_of_unknown_capacity);
   CU_basic_run_tests ();
   unsigned failures = CU_get_number_of_failures ();
   CU_cleanup_registry ();
--- a/tests/test-daemons.c
+++ b/tests/test-daemons.c
@@ -14,14 +14,14 @@
       g_array_append_val (rows, row);
     }
   GPtrArray *daemons = g_ptr_array_new_with_free_func (fb_daemon_free);
-  fb_daemons_read (daemons, rows);
+  fb_daemons_parse (daemons, rows);
   return daemons;
 }
 
 /* A daemon is killed and restarted, and the store still names its previous process.  Both have one
  * address, and only the later one is alive. */
 static void
-test_one_daemon_an_address (void)
+test_one_daemon_per_address (void)
 {
   static const char *const names[] = { "10.0.0.1:7/z1/250/100",
                                        "10.0.0.2:7/z1/500/100",
@@ -53,15 +53,15 @@
   static const char *const between[] = { "10.0.0.1:7/z1/120/100", "10.0.0.2:7/z1/120/100", NULL };
   g_autoptr (GPtrArray) old = daemons_from (before);
   g_autoptr (GPtrArray) partial = daemons_from (between);
-  CU_ASSERT_FALSE (fb_daemons_hold (partial, "10.0.0.3:7"));
-  CU_ASSERT_TRUE (fb_daemons_hold (old, "10.0.0.3:7"));
+  CU_ASSERT_FALSE (fb_daemons_contain (partial, "10.0.0.3:7"));
+  CU_ASSERT_TRUE (fb_daemons_contain (old, "10.0.0.3:7"));
 }
 
 /* Guards against: all daemons lost power and came back within 0.7 s, and the group waited for their
  * previous processes until their time to live was over.  Each daemon removes its own previous
  * processes, and no others. */
 static void
-test_only_the_process_before_is_dismissed (void)
+test_only_predecessors_are_removed (void)
 {
   static const char own[] = "10.0.0.3:7/z1/500/200";
   CU_ASSERT_TRUE (fb_daemons_is_predecessor ("10.0.0.3:7/z1/500/100", own));
@@ -82,14 +82,14 @@
   guint partitions_n = 4 * 32;
   for (guint reads = 0; reads < 3; reads++)
     {
-      topics_n = fb_daemons_topics (topics_n, partitions_n, MIN (300, partitions_n));
+      topics_n = fb_daemons_needed_topics (topics_n, partitions_n, MIN (300, partitions_n));
       partitions_n = topics_n * 32;
     }
   CU_ASSERT_EQUAL (partitions_n, 512);
-  CU_ASSERT_EQUAL (fb_daemons_topics (topics_n, partitions_n, 300), topics_n);
-  CU_ASSERT_EQUAL (fb_daemons_topics (4, 128, 39), 4);
-  CU_ASSERT_EQUAL (fb_daemons_topics (4, 0, 0), 4);
-  CU_ASSERT_EQUAL (fb_daemons_topics (64, 2048, 2048), 64);
+  CU_ASSERT_EQUAL (fb_daemons_needed_topics (topics_n, partitions_n, 300), topics_n);
+  CU_ASSERT_EQUAL (fb_daemons_needed_topics (4, 128, 39), 4);
+  CU_ASSERT_EQUAL (fb_daemons_needed_topics (4, 0, 0), 4);
+  CU_ASSERT_EQUAL (fb_daemons_needed_topics (64, 2048, 2048), 64);
 }
 
 #define WORKER_N 350
@@ -113,19 +113,19 @@
   g_autoptr (GPtrArray) daemons = daemons_from (names);
   guint strong_n = 0;
   guint moved_n = 0;
-  FbDaemon *resting = daemons->pdata[1];
+  FbDaemon *backed_off = daemons->pdata[1];
   for (guint i = 0; i < WORKER_N; i++)
     {
-      resting->relay_backoff_until_ms = 0;
+      backed_off->relay_backoff_until_ms = 0;
       const char *before = relay_of (daemons, i, 1000);
       CU_ASSERT_STRING_NOT_EQUAL (before, "10.0.0.4:7");
       CU_ASSERT_STRING_NOT_EQUAL (before, "10.0.0.9:7");
       strong_n += g_str_equal (before, "10.0.0.1:7");
-      resting->relay_backoff_until_ms = 2000;
+      backed_off->relay_backoff_until_ms = 2000;
       const char *after = relay_of (daemons, i, 1000);
-      CU_ASSERT_STRING_NOT_EQUAL (after, resting->address);
+      CU_ASSERT_STRING_NOT_EQUAL (after, backed_off->address);
       moved_n += !g_str_equal (before, after);
-      CU_ASSERT (g_str_equal (before, after) || g_str_equal (before, resting->address));
+      CU_ASSERT (g_str_equal (before, after) || g_str_equal (before, backed_off->address));
     }
   /* It has two thirds of the processor; the bounds allow for random variation. */
   CU_ASSERT (strong_n > WORKER_N * 6 / 10 && strong_n < WORKER_N * 73 / 100);
@@ -134,7 +134,7 @@
 
 /* Without another daemon in the workers' domain the owner sends its orders itself. */
 static void
-test_no_relay_left (void)
+test_no_relay_in_the_domain (void)
 {
   static const char *const names[] = { "10.0.0.4:7/z2/500/1", "10.0.0.9:7/z1/500/1", NULL };
   g_autoptr (GPtrArray) daemons = daemons_from (names);
@@ -143,7 +143,7 @@
 
 /* A worker's lists of runs and ends are unchanged by the relay. */
 static void
-test_a_carried_look (void)
+test_a_relayed_poll (void)
 {
   fb_seen_run run = { (char *) "j.0.0.1", 3, (char *) "c1" };
   fb_seen_end end = { 7, (char *) "j.0.0.2", 2, FB_END_LAPSED, (char *) "" };
@@ -176,15 +176,14 @@
   if (CU_initialize_registry () != CUE_SUCCESS)
     return 2;
   CU_pSuite suite = CU_add_suite ("daemons", NULL, NULL);
-  CU_add_test (suite, "one daemon an address", test_one_daemon_an_address);
+  CU_add_test (suite, "one daemon per address", test_one_daemon_per_address);
   CU_add_test (suite, "a list without the reader does not count",
                test_a_list_without_the_reader_does_not_count);
-  CU_add_test (suite, "only the process before is dismissed",
-               test_only_the_process_before_is_dismissed);
+  CU_add_test (suite, "only predecessors are removed", test_only_predecessors_are_removed);
   CU_add_test (suite, "each daemon has a partition", test_each_daemon_has_a_partition);
   CU_add_test (suite, "relays share the workers", test_relays_share_the_workers);
-  CU_add_test (suite, "nobody to carry", test_no_relay_left);
-  CU_add_test (suite, "a carried look", test_a_carried_look);
+  CU_add_test (suite, "no relay in the domain", test_no_relay_in_the_domain);
+  CU_add_test (suite, "a relayed poll", test_a_relayed_poll);
   CU_basic_run_tests ();
   unsigned failures = CU_get_number_of_failures ();
   CU_cleanup_registry ();
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -331,7 +331,7 @@
   FbHttpCall call = { .method = "GET",
                       .idempotent = TRUE,
                       .url = g_strdup_printf ("http://%s/", store->address) };
-  fb_keepalive_renewing (keepalive, FB_MEMBERSHIP_OWNERS, &call, TTL_MS, ok_sent_ms);
+  fb_keepalive_set_renewal (keepalive, FB_MEMBERSHIP_OWNERS, &call, TTL_MS, ok_sent_ms);
   fb_http_call_clear (&call);
 }
 
--- a/tests/test-links.c
+++ b/tests/test-links.c
@@ -77,9 +77,9 @@
 }
 
 static gboolean
-on_tend (gpointer links)
+on_check_timeouts (gpointer links)
 {
-  fb_links_tend (links, boot_ms ());
+  fb_links_check_timeouts (links, boot_ms ());
   return G_SOURCE_CONTINUE;
 }
 
@@ -87,7 +87,7 @@
 static void
 run_until (FbLinks *links, const Seen *seen, guint n)
 {
-  guint tick = g_timeout_add (5, on_tend, links);
+  guint tick = g_timeout_add (5, on_check_timeouts, links);
   uint64_t until_ms = boot_ms () + FOREVER_MS;
   while (seen->done_n < n && boot_ms () < until_ms)
     g_main_context_iteration (NULL, TRUE);
@@ -121,7 +121,7 @@
 /* A peer's process is dead and its host refuses the connection.  The caller must learn at once that
  * nothing was sent, so that it can do the work itself. */
 static void
-test_nobody_listens (void)
+test_connection_refused (void)
 {
   g_autofree char *here = test_unused_address ();
   g_autofree char *there = test_unused_address ();
@@ -166,7 +166,7 @@
 /* A connection goes silent: writes succeed and nothing is received.  The call with the first
  * expired time limit detects it, and the next call has to use a new connection. */
 static void
-test_silent_connection_is_left (void)
+test_silent_connection_is_closed (void)
 {
   uint16_t port = 0;
   int listener = test_socket_at (&port);
@@ -203,7 +203,7 @@
  * written is lost, not unsent.  Evidence: the bytes of a call that had timed out arrive at the
  * peer. */
 static void
-test_given_up_before_it_is_written (void)
+test_timed_out_before_it_is_written (void)
 {
   uint16_t port = 0;
   int listener = test_socket_at (&port);
@@ -235,7 +235,7 @@
 /* A client of another protocol connects to the port of the links: its connection is closed, and
  * peers are still served. */
 static void
-test_other_protocols_are_cut_off (void)
+test_other_protocols_are_closed (void)
 {
   g_autofree char *here = test_unused_address ();
   g_autofree char *there = test_unused_address ();
@@ -291,12 +291,12 @@
     return 2;
   CU_pSuite suite = CU_add_suite ("links", NULL, NULL);
   CU_add_test (suite, "answers go to their calls", test_answers_go_to_their_calls);
-  CU_add_test (suite, "nobody listens", test_nobody_listens);
+  CU_add_test (suite, "connection refused", test_connection_refused);
   CU_add_test (suite, "peer restarts", test_peer_restarts);
-  CU_add_test (suite, "silent connection is left", test_silent_connection_is_left);
-  CU_add_test (suite, "given up before it is written", test_given_up_before_it_is_written);
+  CU_add_test (suite, "silent connection is closed", test_silent_connection_is_closed);
+  CU_add_test (suite, "timed out before it is written", test_timed_out_before_it_is_written);
   CU_add_test (suite, "an overdue call is not sent", test_an_overdue_call_is_not_sent);
-  CU_add_test (suite, "other protocols are cut off", test_other_protocols_are_cut_off);
+  CU_add_test (suite, "other protocols are closed", test_other_protocols_are_closed);
   CU_basic_run_tests ();
   unsigned failures = CU_get_number_of_failures ();
   CU_cleanup_registry ();
--- a/tests/test-slow-store.c
+++ b/tests/test-slow-store.c
@@ -110,7 +110,7 @@
     return;
   g_ptr_array_add (job->asked, g_strdup (way.address));
   job->at = (guint) atoi (way.address + strlen ("10.0.0."));
-  job->until_ms = now_ms + way.patience_ms;
+  job->until_ms = now_ms + way.timeout_ms;
 }
 
 /* Puts the open append of DAEMON into the partition's queue, again if it was given up: the earlier
@@ -128,7 +128,7 @@
 }
 
 static uint32_t
-patience_ms (const Play *play, const Daemon *daemon)
+timeout_ms (const Play *play, const Daemon *daemon)
 {
   static const FbStorePace quick = { 0 };
   return fb_store_pace_patience_ms (play->learns ? &daemon->pace : &quick);
@@ -207,7 +207,7 @@
         end_append (play, i, now_ms);
       if (daemon->append_ends_ms == 0)
         begin_append (play, i, now_ms);
-      else if (now_ms >= daemon->append_began_ms + patience_ms (play, daemon))
+      else if (now_ms >= daemon->append_began_ms + timeout_ms (play, daemon))
         queue_append (play, daemon, now_ms);
     }
   give_up_ways (play, now_ms);
@@ -365,7 +365,7 @@
   FbGathererWay way = way_of (members, &pace, asked, 1000);
   CU_ASSERT_EQUAL (way.step, FB_GATHERER_ASK);
   CU_ASSERT_STRING_EQUAL (way.address, "10.0.0.0:7");
-  CU_ASSERT_EQUAL (way.patience_ms, 400);
+  CU_ASSERT_EQUAL (way.timeout_ms, 400);
   g_ptr_array_add (asked, (gpointer) way.address);
   way = way_of (members, &pace, asked, 1400);
   CU_ASSERT_EQUAL (way.step, FB_GATHERER_ASK);
@@ -386,8 +386,8 @@
   CU_ASSERT_TRUE (fb_gatherer_is_troubled (&pace, 1000));
   FbGathererWay way = way_of (members, &pace, asked, 1000);
   CU_ASSERT_EQUAL (way.step, FB_GATHERER_ASK);
-  CU_ASSERT_EQUAL (way.patience_ms, 2300);
-  CU_ASSERT_EQUAL (way_of (members, &pace, asked, 2000).patience_ms, 1600);
+  CU_ASSERT_EQUAL (way.timeout_ms, 2300);
+  CU_ASSERT_EQUAL (way_of (members, &pace, asked, 2000).timeout_ms, 1600);
   g_ptr_array_add (asked, "10.0.0.0:7");
   CU_ASSERT_EQUAL (way_of (members, &pace, asked, 2499).step, FB_GATHERER_ASK);
   CU_ASSERT_EQUAL (way_of (members, &pace, asked, 2500).step, FB_GATHERER_GIVE_UP);
@@ -402,7 +402,7 @@
   FbStorePace pace = { 0 };
   FbGathererWay way = way_of (members, &pace, asked, 1000);
   CU_ASSERT_EQUAL (way.step, FB_GATHERER_ASK);
-  CU_ASSERT_EQUAL (way.patience_ms, 400);
+  CU_ASSERT_EQUAL (way.timeout_ms, 400);
   guint self_n = 0;
   for (uint32_t partition = 0; partition < 1000; partition++)
     {
--- a/tests/test-worker-list.c
+++ b/tests/test-worker-list.c
@@ -21,7 +21,7 @@
 take (FbWorkerList *self, uint64_t born_ms)
 {
   FbListedWorker *worker = entry_of (born_ms);
-  if (fb_worker_list_passes_over (self, worker))
+  if (fb_worker_list_ignores (self, worker))
     {
       fb_listed_worker_free (worker);
       return FALSE;
@@ -41,13 +41,13 @@
 
 /* Guards against: a late write of the previous incarnation unlists a worker that has restarted. */
 static void
-test_a_late_entry_of_the_life_before (void)
+test_a_late_entry_of_the_previous_incarnation (void)
 {
   FbWorkerList *self = list_of (7);
   CU_ASSERT_TRUE (take (self, 8));
   CU_ASSERT_FALSE (take (self, 7));
-  CU_ASSERT_STRING_EQUAL (fb_worker_list_of (self, "i-1")->entry.id, "i-1@8");
-  CU_ASSERT_PTR_NULL (fb_worker_list_find (self, "i-1@7"));
+  CU_ASSERT_STRING_EQUAL (fb_worker_list_by_id (self, "i-1")->entry.id, "i-1@8");
+  CU_ASSERT_PTR_NULL (fb_worker_list_by_incarnation (self, "i-1@7"));
   CU_ASSERT_TRUE (take (self, 8));
   CU_ASSERT_FALSE (take (self, 7));
   fb_worker_list_free (self);
@@ -55,18 +55,18 @@
 
 /* Guards against: a worker whose host's clock was set back is never listed again. */
 static void
-test_an_earlier_birth_that_is_written_again (void)
+test_an_earlier_start_time_that_is_repeated (void)
 {
   FbWorkerList *self = list_of (8);
   CU_ASSERT_FALSE (take (self, 7));
   CU_ASSERT_TRUE (take (self, 7));
-  CU_ASSERT_STRING_EQUAL (fb_worker_list_of (self, "i-1")->entry.id, "i-1@7");
+  CU_ASSERT_STRING_EQUAL (fb_worker_list_by_id (self, "i-1")->entry.id, "i-1@7");
   fb_worker_list_free (self);
 }
 
 /* Guards against: an entry without a start time, of another writer, replaces one that has it. */
 static void
-test_an_entry_without_a_birth (void)
+test_an_entry_without_a_start_time (void)
 {
   FbWorkerList *self = list_of (7);
   CU_ASSERT_FALSE (take (self, 0));
@@ -75,7 +75,7 @@
   self = list_of (0);
   CU_ASSERT_TRUE (take (self, 0));
   CU_ASSERT_TRUE (take (self, 7));
-  CU_ASSERT_STRING_EQUAL (fb_worker_list_of (self, "i-1")->entry.id, "i-1@7");
+  CU_ASSERT_STRING_EQUAL (fb_worker_list_by_id (self, "i-1")->entry.id, "i-1@7");
   fb_worker_list_free (self);
 }
 
@@ -85,10 +85,11 @@
   fb_event_set_quiet (TRUE);
   CU_initialize_registry ();
   CU_pSuite suite = CU_add_suite ("worker list", NULL, NULL);
-  CU_add_test (suite, "a late entry of the life before", test_a_late_entry_of_the_life_before);
-  CU_add_test (suite, "an earlier birth that is written again",
-               test_an_earlier_birth_that_is_written_again);
-  CU_add_test (suite, "an entry without a birth", test_an_entry_without_a_birth);
+  CU_add_test (suite, "a late entry of the previous incarnation",
+               test_a_late_entry_of_the_previous_incarnation);
+  CU_add_test (suite, "an earlier start time that is repeated",
+               test_an_earlier_start_time_that_is_repeated);
+  CU_add_test (suite, "an entry without a start time", test_an_entry_without_a_start_time);
   CU_basic_run_tests ();
   guint failed = CU_get_number_of_failures ();
   CU_cleanup_registry ();
