--- a/rpc/work.x
+++ b/rpc/work.x
@@ -7,16 +7,16 @@
 const FB_WORK_MAX_STEPS = 64;
 const FB_WORK_MAX_NAME = 128;
 const FB_WORK_JOB_ID_CHARS = 16;
-const FB_WORK_MAX_MARKS = 65536;
+const FB_WORK_MAX_TASK_ROWS = 65536;
 const FB_WORK_MAX_FAILED = 1024;
 const FB_WORK_MAX_CRASHES = 8;
 const FB_WORK_MAX_TICKETS = 128;
 const FB_WORK_MAX_WORKERS = 20000;
 const FB_WORK_MAX_RUNS = 256;
-const FB_WORK_MAX_SEEN = 4096;
+const FB_WORK_MAX_REPORTED = 4096;
 const FB_WORK_MAX_PARTITIONS = 4096;
 const FB_WORK_MAX_STARTS = 512;
-const FB_WORK_MAX_KEPT = 256;
+const FB_WORK_MAX_SUSPECT_BACKUPS = 256;
 const FB_WORK_DIGEST_BYTES = 16;
 
 /* One step: COUNT identical tasks, each with the given resource demand. */
@@ -55,7 +55,7 @@
   string service<FB_WORK_MAX_NAME>;
   unsigned int priority; /* 0: highest */
   unsigned int max_attempts;
-  unsigned int stretch_milli;
+  unsigned int stretch_factor_milli;
   unsigned int target_ms;
   bool advised;
   unsigned int advice_decision_us;
@@ -95,7 +95,7 @@
   fb_work_mark marks<FB_WORK_MAX_MARKS>;
 };
 
-struct fb_work_tried {
+struct fb_work_unresolved_start {
   string worker<FB_WORK_MAX_NAME>;
   string address<FB_WORK_MAX_NAME>;
 };
@@ -114,7 +114,7 @@
 
 /* Follows the progress of a job in the job's record; left out when there are no suspects. */
 struct fb_work_suspects {
-  fb_work_suspect tasks<FB_WORK_MAX_MARKS>;
+  fb_work_suspect tasks<FB_WORK_MAX_TASK_ROWS>;
 };
 
 /* The workers of a pool that may have runs, as its owner knew them.  The platform's list loses
@@ -123,7 +123,7 @@
   string name<FB_WORK_MAX_NAME>;
 };
 
-struct fb_work_known {
+struct fb_work_known_worker {
   string id<FB_WORK_MAX_NAME>;
   string address<FB_WORK_MAX_NAME>;
   bool closed; /* draining: starts no tasks, and only these steps can have runs there */
@@ -131,7 +131,7 @@
 };
 
 struct fb_work_workers {
-  fb_work_known workers<FB_WORK_MAX_WORKERS>;
+  fb_work_known_worker workers<FB_WORK_MAX_WORKERS>;
 };
 
 /* Requests between daemons, to the owner of a pool or to any peer. */
@@ -151,12 +151,12 @@
   FB_ASK_KEPT = 12   /* all copies held so */
 };
 
-struct fb_ask_job {
+struct fb_job_state_request {
   string service<FB_WORK_MAX_NAME>;
   string job<FB_WORK_MAX_NAME>;
 };
 
-struct fb_ask_queue {
+struct fb_pending_request {
   string service<FB_WORK_MAX_NAME>;
   string queue<FB_WORK_MAX_NAME>;
 };
@@ -165,13 +165,13 @@
   string id<FB_WORK_MAX_NAME>;
 };
 
-struct fb_ask_advice {
+struct fb_advice_request {
   string step<FB_WORK_MAX_NAME>;
   fb_worker_name workers<FB_WORK_MAX_TICKETS>;
   unsigned int expected_ms;  /* how long the service takes to decide */
 };
 
-struct fb_ask_append {
+struct fb_append_request {
   unsigned int partition;
   opaque records<>;
 };
@@ -185,16 +185,16 @@
   opaque records<>;
 };
 
-struct fb_ask_stored {
+struct fb_stored_notice {
   unsigned int partition;
   string key<FB_WORK_MAX_NAME>;
   opaque value<>;
 };
 
 enum fb_order_kind {
-  FB_CARRY_START = 1,
-  FB_CARRY_STOP = 2,
-  FB_CARRY_LOOK = 3
+  FB_ORDER_KIND_START = 1,
+  FB_ORDER_KIND_STOP = 2,
+  FB_ORDER_KIND_POLL = 3
 };
 
 /* An order of the owner of a pool that the receiving daemon relays.  Members that a kind does not
@@ -224,18 +224,18 @@
   fb_work_suspects suspects;
 };
 
-union fb_ask switch (fb_ask_type type) {
-case FB_ASK_STATE: fb_ask_job job;
-case FB_ASK_PENDING: fb_ask_queue queue;
-case FB_ASK_ADVICE: fb_ask_advice advice;
-case FB_ASK_APPEND: fb_ask_append append;
-case FB_ASK_STORED: fb_ask_stored stored;
-case FB_ASK_OWNERS: void;
-case FB_ASK_WRITE: fb_ask_write write;
-case FB_ASK_ORDER: fb_ask_order order;
-case FB_ASK_STARTS: void;
-case FB_ASK_KEEP: fb_kept_job keep;
-case FB_ASK_KEPT: void;
+union fb_peer_request switch (fb_peer_request_type type) {
+case FB_REQUEST_JOB_STATE: fb_job_state_request job;
+case FB_REQUEST_PENDING_COUNT: fb_pending_request queue;
+case FB_REQUEST_ADVICE: fb_advice_request advice;
+case FB_REQUEST_APPEND_JOB_RECORD: fb_append_request append;
+case FB_REQUEST_NOTIFY_STORED: fb_stored_notice stored;
+case FB_REQUEST_PARTITION_OWNERS: void;
+case FB_REQUEST_APPEND_PROGRESS: fb_progress_append_request write;
+case FB_REQUEST_RELAY_ORDER: fb_relay_request order;
+case FB_REQUEST_RECENT_STARTS: void;
+case FB_REQUEST_BACK_UP_SUSPECTS: fb_suspects_backup keep;
+case FB_REQUEST_SUSPECT_BACKUPS: void;
 };
 
 enum fb_told_type {
@@ -261,7 +261,7 @@
   string ticket<FB_WORK_MAX_NAME>;
 };
 
-struct fb_told_advice {
+struct fb_advice_reply {
   fb_ticket tickets<FB_WORK_MAX_TICKETS>;
   unsigned int validity_ms;
 };
@@ -271,21 +271,21 @@
   string address<FB_WORK_MAX_NAME>; /* IP:PORT where the daemon's peers reach it */
 };
 
-struct fb_told_owners {
+struct fb_owners_reply {
   fb_partition_owner owners<FB_WORK_MAX_PARTITIONS>;
 };
 
-struct fb_seen_run {
+struct fb_reported_run {
   string task<FB_WORK_MAX_NAME>;
   unsigned int attempt;
   string checkpoint<FB_WORK_MAX_NAME>;
 };
 
-struct fb_seen_end {
+struct fb_reported_end {
   unsigned hyper number;
   string task<FB_WORK_MAX_NAME>;
   unsigned int attempt;
-  unsigned int how; /* FbEndHow */
+  unsigned int how; /* FbEndReason */
   string checkpoint<FB_WORK_MAX_NAME>;
 };
 
@@ -307,21 +307,21 @@
   bool seen; /* the worker has confirmed the run */
 };
 
-struct fb_told_starts {
+struct fb_recent_starts_reply {
   fb_recent_start starts<FB_WORK_MAX_STARTS>;
 };
 
-struct fb_told_kept {
-  fb_kept_job jobs<FB_WORK_MAX_KEPT>;
+struct fb_suspect_backups_reply {
+  fb_suspects_backup jobs<FB_WORK_MAX_SUSPECT_BACKUPS>;
 };
 
-union fb_told switch (fb_told_type type) {
-case FB_TOLD_STATE: fb_work_state state;
-case FB_TOLD_PENDING: unsigned int pending;
-case FB_TOLD_ADVICE: fb_told_advice advice;
-case FB_TOLD_OWNERS: fb_told_owners owners;
-case FB_TOLD_ORDER: fb_told_order order;
-case FB_TOLD_STARTS: fb_told_starts starts;
-case FB_TOLD_KEPT: fb_told_kept kept;
+union fb_peer_reply switch (fb_peer_reply_type type) {
+case FB_REPLY_JOB_STATE: fb_work_state state;
+case FB_REPLY_PENDING_COUNT: unsigned int pending;
+case FB_REPLY_ADVICE: fb_advice_reply advice;
+case FB_REPLY_PARTITION_OWNERS: fb_owners_reply owners;
+case FB_REPLY_ORDER_RESULT: fb_relay_reply order;
+case FB_REPLY_RECENT_STARTS: fb_recent_starts_reply starts;
+case FB_REPLY_SUSPECT_BACKUPS: fb_suspect_backups_reply kept;
 default: void;
 };
--- a/src/entry/advice/advice-line.c
+++ b/src/entry/advice/advice-queue.c
@@ -1,6 +1,6 @@
-#include "advice-line.h"
+#include "advice-queue.h"
 
-#include "advice-share.h"
+#include "advice-balancer.h"
 
 /* Failure: two pools send requests, one of them long ones to every daemon.  A daemon that sends
  * them in order of arrival returns one short answer for each long one: 50 a second in all instead
--- a/src/entry/advice/advisor.c
+++ b/src/entry/advice/advisor.c
@@ -9,7 +9,6 @@
 #include "advice-line.h"
 #include "advice-share.h"
 #include "src/entry/entry-private.h"
-#include "turns.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
@@ -93,7 +92,7 @@
 }
 
 static void
-on_told (gpointer data, const fb_told *told)
+on_told (gpointer data, const fb_peer_reply *told)
 {
   AdviceRequest *request = data;
   fb_advice_balancer_ended (request->entry->advisor->balancer, request->daemon);
@@ -204,7 +203,7 @@
 
 /* Completes CALL with TOLD, which is NULL without an answer, and frees it. */
 static void
-end_call (AdviceCall *call, const fb_told *told)
+end_call (AdviceCall *call, const fb_peer_reply *told)
 {
   fb_advice_queue_ended (call->advisor->queue, call);
   call->done (call->user, told);
@@ -217,11 +216,11 @@
 {
   AdviceCall *call = data;
   FbAdvisor *self = call->advisor;
-  fb_told told = { .type = FB_TOLD_ADVICE };
-  gboolean answered = fb_wire_advised (reply, &told.fb_told_u.advice);
+  fb_peer_reply told = { .type = FB_REPLY_ADVICE };
+  gboolean answered = fb_wire_parse_advice (reply, &told.fb_peer_reply_u.advice);
   end_call (call, answered ? &told : NULL);
   if (answered)
-    xdr_free ((xdrproc_t) xdr_fb_told, (char *) &told);
+    xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &told);
   call_next (self);
 }
 
--- a/src/entry/advice/turns.c
+++ b/src/entry/advice/fair-share.c
@@ -1,4 +1,4 @@
-#include "turns.h"
+#include "fair-share.h"
 
 /* A waiting user asks again every 25 ms; one that has not asked for this long no longer waits. */
 #define WAIT_EXPIRY_MS 100
--- a/src/entry/front/gatherer.c
+++ b/src/entry/front/append-proxy.c
@@ -1,4 +1,4 @@
-#include "gatherer.h"
+#include "append-proxy.h"
 
 #include "front.h"
 
@@ -45,16 +45,16 @@
 }
 
 gboolean
-fb_gatherer_always (const GPtrArray *members)
+fb_append_proxy_always (const GPtrArray *members)
 {
   return members->len > DIRECT_MAX;
 }
 
 const char *
-fb_gatherer_for (const GPtrArray *members, const char *owner, const char *front,
-                 const GPtrArray *asked, uint32_t partition, uint64_t now_ms)
+fb_append_proxy_for (const GPtrArray *members, const char *owner, const char *front,
+                     const GPtrArray *asked, uint32_t partition, uint64_t now_ms)
 {
-  gboolean always = fb_gatherer_always (members);
+  gboolean always = fb_append_proxy_always (members);
   if (!always && owner != NULL && !was_asked (asked, owner))
     return owner;
   guint group = always ? (guint) (XXH64 (front, strlen (front), 0) % PROXY_N) : 0;
@@ -78,8 +78,8 @@
   if ((!fb_gatherer_is_troubled (store_health, now_ms) && !fb_gatherer_always (members))
       || record->asked->len >= ASKED_MAX || now_ms >= record->since_ms + PROXY_UNTIL_MS)
     return NULL;
-  const char *address = fb_gatherer_for (members, record->owner, record->front, record->asked,
-                                         record->partition, now_ms);
+  const char *address = fb_append_proxy_for (members, record->owner, record->front, record->asked,
+                                             record->partition, now_ms);
   return address != NULL && !g_str_equal (address, record->front) ? address : NULL;
 }
 
@@ -99,5 +99,5 @@
    * one more append in the queue for which it was refused; it shows as callers without an answer
    * for as long as the store is slow.  Guard: the caller is refused at once, and retries later. */
   gboolean give_up = slow && record->asked->len > 0;
-  return (FbGathererWay){ .step = give_up ? FB_GATHERER_GIVE_UP : FB_GATHERER_NONE };
+  return (FbAppendRoute){ .step = give_up ? FB_APPEND_ROUTE_GIVE_UP : FB_APPEND_ROUTE_LOCAL };
 }
--- a/src/entry/front/gatherer.h
+++ b/src/entry/front/append-proxy.h
@@ -13,7 +13,7 @@
 #pragma once
 
 #include "src/entry/store/daemons.h"
-#include "src/entry/store/store-pace.h"
+#include "src/entry/store/store-health.h"
 
 /* A caller's record; everything that it points to is borrowed. */
 typedef struct
--- a/src/entry/front/front-store.c
+++ b/src/entry/front/front-store.c
@@ -2,7 +2,6 @@
  * or through peers while the store rejects this daemon's calls.  The caller is told that its record
  * is not stored only if no call that may have stored it is without an answer. */
 #include "front-private.h"
-#include "gatherer.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
@@ -84,20 +83,20 @@
 /* TOLD: another daemon's reply to the request to store the record; NULL: none.
  * Returns: TRUE when the record is stored; the caller was answered then, and REQUEST freed. */
 static gboolean
-is_stored_by_other (FbFrontRequest *request, const fb_told *told)
+is_stored_by_other (FbFrontRequest *request, const fb_peer_reply *told)
 {
-  if (told != NULL && told->type == FB_TOLD_STORED)
+  if (told != NULL && told->type == FB_REPLY_STORED)
     {
       note_append (request, TRUE, FALSE);
       answer_stored (request, FB_APPEND_STORED);
       return TRUE;
     }
-  request->in_doubt = request->in_doubt || told == NULL || told->type == FB_TOLD_IN_DOUBT;
+  request->in_doubt = request->in_doubt || told == NULL || told->type == FB_REPLY_IN_DOUBT;
   return FALSE;
 }
 
 static void
-on_peer_stored (gpointer data, const fb_told *told)
+on_peer_stored (gpointer data, const fb_peer_reply *told)
 {
   FbFrontRequest *request = data;
   if (is_stored_by_other (request, told))
@@ -211,7 +210,7 @@
   request->key = talloc_asprintf (request, "%c%s", kind, request->job);
   request->value = g_bytes_ref (value);
   request->records = g_byte_array_new ();
-  fb_wire_put_record (request->records, request->key, value);
+  fb_wire_encode_record (request->records, request->key, value);
   request->stored_since_ms = fb_clock_ms ();
   /* Failure: the store accepts calls and answers none; it shows as callers who wait for 2 s and are
    * then told that the outcome is unknown.  Guard: a daemon that has received nothing from the
--- a/src/entry/front/front.c
+++ b/src/entry/front/front.c
@@ -100,7 +100,7 @@
                              BODY_MAX_BYTES);
       return FALSE;
     }
-  if (!fb_wire_job_spec (text, len, spec))
+  if (!fb_wire_parse_job_spec (text, len, spec))
     return FALSE;
   if (fb_spec_check (spec))
     return TRUE;
@@ -128,14 +128,15 @@
 /* ---- state and cancel ---------------------------------------------------------------- */
 
 static void
-on_state (gpointer data, const fb_told *told)
+on_state (gpointer data, const fb_peer_reply *told)
 {
   FbFrontRequest *request = data;
   fb_event_log (FB_EVENT_JOB_ASKED, "job=%s told=%d state=%d after_ms=%u", request->job,
                 told != NULL ? (int) told->type : 0,
-                told != NULL && told->type == FB_TOLD_STATE ? (int) told->fb_told_u.state : -1,
+                told != NULL && told->type == FB_REPLY_JOB_STATE ? (int) told->fb_peer_reply_u.state
+                                                                 : -1,
                 (guint) (fb_clock_ms () - request->since_ms));
-  if (told != NULL && told->type == FB_TOLD_NO_JOB)
+  if (told != NULL && told->type == FB_REPLY_NO_SUCH_JOB)
     fb_front_finish (request, SOUP_STATUS_GONE, "{\"error\":\"no such job\"}");
   else if (request->is_delete)
     {
@@ -143,9 +144,9 @@
       g_autoptr (GBytes) mark = g_bytes_new_static ("x", 1);
       fb_front_store (request, FB_KEY_CANCEL, mark);
     }
-  else if (told != NULL && told->type == FB_TOLD_STATE)
+  else if (told != NULL && told->type == FB_REPLY_JOB_STATE)
     {
-      g_autofree char *body = fb_wire_job_state (told->fb_told_u.state);
+      g_autofree char *body = fb_wire_format_job_state (told->fb_peer_reply_u.state);
       fb_front_finish (request, SOUP_STATUS_OK, body);
     }
   else
@@ -168,11 +169,11 @@
 /* ---- pending ---------------------------------------------------------------------------- */
 
 static void
-on_pending (gpointer data, const fb_told *told)
+on_pending (gpointer data, const fb_peer_reply *told)
 {
-  if (told != NULL && told->type == FB_TOLD_PENDING)
+  if (told != NULL && told->type == FB_REPLY_PENDING_COUNT)
     {
-      g_autofree char *body = fb_wire_pending (told->fb_told_u.pending);
+      g_autofree char *body = fb_wire_format_pending (told->fb_peer_reply_u.pending);
       fb_front_finish (data, SOUP_STATUS_OK, body);
     }
   else
--- a/src/entry/owner/owner-recall.c
+++ b/src/entry/owner/owner-recall.c
@@ -27,7 +27,7 @@
 }
 
 static void
-on_told (gpointer data, const fb_told *told)
+on_told (gpointer data, const fb_peer_reply *told)
 {
   ImportRequest *request = data;
   FbOwner *owner = fb_entry_owner (request->entry, request->partition);
--- a/src/entry/owner/owner-unstored.c
+++ b/src/entry/owner/owner-unstored.c
@@ -44,15 +44,15 @@
       fb_peers_request (self->entry, daemon->address, ask, ANSWER_MS, fb_peers_ignore_reply, NULL);
     }
   fb_event_log (FB_EVENT_SUSPECTS_HANDED, "job=%s epoch=%" G_GUINT64_FORMAT " tasks=%u daemons=%u",
-                ask->fb_ask_u.keep.job, self->epoch, ask->fb_ask_u.keep.suspects.tasks.tasks_len,
-                chosen->len);
+                ask->fb_peer_request_u.keep.job, self->epoch,
+                ask->fb_peer_request_u.keep.suspects.tasks.tasks_len, chosen->len);
 }
 
 static void
 back_up_job (const FbOwner *self, const FbPoolUnstored *unstored)
 {
-  fb_ask ask = { .type = FB_ASK_KEEP };
-  fb_kept_job *kept = &ask.fb_ask_u.keep;
+  fb_peer_request ask = { .type = FB_REQUEST_BACK_UP_SUSPECTS };
+  fb_suspects_backup *kept = &ask.fb_peer_request_u.keep;
   kept->job = unstored->job;
   kept->epoch = self->epoch;
   gsize len = 0;
@@ -81,7 +81,7 @@
   gpointer service_pool;
   for (u_int i = 0; i < told->jobs.jobs_len; i++)
     {
-      const fb_kept_job *kept = &told->jobs.jobs_val[i];
+      const fb_suspects_backup *kept = &told->jobs.jobs_val[i];
       if (kept->epoch >= self->epoch)
         continue;
       g_hash_table_iter_init (&iter, self->service_pools);
--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -51,8 +51,8 @@
   if (service_pool != NULL)
     return service_pool;
   const FbEntrySettings *settings = self->entry->settings;
-  const FbPoolLimits limits = { .hold_max_ms = (uint32_t) settings->hold_max_ms,
-                                .stop_ms = (uint32_t) settings->stop_ms,
+  const FbPoolLimits limits = { .max_lease_ms = (uint32_t) settings->max_lease_ms,
+                                .max_stop_ms = (uint32_t) settings->max_stop_ms,
                                 .gang_wait_ms = (uint32_t) settings->gang_wait_ms,
                                 .crashes_n = (uint32_t) settings->crashes_n,
                                 .shared_crashes_n = (uint32_t) settings->shared_crashes_n };
@@ -125,8 +125,8 @@
       const char *job = self->ended_jobs->pdata[i];
       g_autofree char *job_key = g_strdup_printf ("%c%s", FB_KEY_JOB, job);
       g_autofree char *cancel_key = g_strdup_printf ("%c%s", FB_KEY_CANCEL, job);
-      fb_wire_put_record (body, job_key, NULL);
-      fb_wire_put_record (body, cancel_key, NULL);
+      fb_wire_encode_record (body, job_key, NULL);
+      fb_wire_encode_record (body, cancel_key, NULL);
     }
   g_ptr_array_set_size (self->ended_jobs, 0);
   fb_appender_put (fb_entry_appender (self->entry, self->partition), body, 0, nothing_to_do, NULL);
@@ -179,8 +179,8 @@
 static void
 check_worker_list (FbOwner *self)
 {
-  const FbFollower *list = self->entry->worker_follower;
-  if (self->workers_known || fb_follower_fresh_ms (list) <= self->fenced_ms)
+  const FbTopicReader *list = self->entry->worker_reader;
+  if (self->workers_known || fb_topic_reader_fresh_ms (list) <= self->fenced_ms)
     return;
   self->workers_known = TRUE;
   fb_histogram_add (FB_HISTOGRAM_TAKE_OVER, fb_clock_ms () - self->take_over_began_ms);
@@ -335,7 +335,7 @@
 
 void
 fb_owner_advised (FbOwner *self, const char *step, const char *const *asked, guint n,
-                  const fb_told_advice *told)
+                  const fb_advice_reply *told)
 {
   GHashTableIter iter;
   gpointer service_pool;
@@ -366,8 +366,8 @@
   fb_work_state state = FB_WORK_QUEUED;
   if (service_pool != NULL && fb_pool_job_state (service_pool->pool, ask->job, &state))
     {
-      told->type = FB_TOLD_STATE;
-      told->fb_told_u.state = state;
+      told->type = FB_REPLY_JOB_STATE;
+      told->fb_peer_reply_u.state = state;
       return;
     }
   uint64_t now_ms = fb_clock_ms ();
@@ -387,7 +387,7 @@
 void
 fb_owner_answer (FbOwner *self, const fb_ask *ask, fb_told *told)
 {
-  told->type = FB_TOLD_UNSURE;
+  told->type = FB_REPLY_UNAVAILABLE;
   if (!self->loaded || self->lost)
     return;
   if (ask->type == FB_ASK_STATE)
--- a/src/entry/owner/owner.h
+++ b/src/entry/owner/owner.h
@@ -23,4 +23,4 @@
 gboolean fb_owner_is_flushed (const FbOwner *self);
 /* Passes on an answer of the advice service; TOLD is NULL when the request failed. */
 void fb_owner_advised (FbOwner *self, const char *step, const char *const *asked, guint n,
-                       const fb_told_advice *told);
+                       const fb_advice_reply *told);
--- a/src/entry/peers/peers.c
+++ b/src/entry/peers/peers.c
@@ -21,26 +21,26 @@
 /* ---- traffic accounting ------------------------------------------------------- */
 
 static FbTraffic
-traffic_of (const fb_ask *ask)
+traffic_of (const fb_peer_request *ask)
 {
   switch (ask->type)
     {
-    case FB_ASK_ADVICE:
+    case FB_REQUEST_ADVICE:
       return FB_TRAFFIC_PEER_ADVICE;
-    case FB_ASK_APPEND:
-    case FB_ASK_WRITE:
-    case FB_ASK_STORED:
+    case FB_REQUEST_APPEND_JOB_RECORD:
+    case FB_REQUEST_APPEND_PROGRESS:
+    case FB_REQUEST_NOTIFY_STORED:
       return FB_TRAFFIC_PEER_RECORDS;
-    case FB_ASK_ORDER:
-      return ask->fb_ask_u.order.kind == FB_CARRY_LOOK ? FB_TRAFFIC_CARRIED_LOOKS
-                                                       : FB_TRAFFIC_CARRIED_ORDERS;
-    case FB_ASK_STATE:
-    case FB_ASK_PENDING:
-    case FB_ASK_OWNERS:
-    case FB_ASK_STARTS:
-    case FB_ASK_KEPT:
+    case FB_REQUEST_RELAY_ORDER:
+      return ask->fb_peer_request_u.order.kind == FB_ORDER_KIND_POLL ? FB_TRAFFIC_RELAYED_POLLS
+                                                                     : FB_TRAFFIC_RELAYED_ORDERS;
+    case FB_REQUEST_JOB_STATE:
+    case FB_REQUEST_PENDING_COUNT:
+    case FB_REQUEST_PARTITION_OWNERS:
+    case FB_REQUEST_RECENT_STARTS:
+    case FB_REQUEST_SUSPECT_BACKUPS:
       return FB_TRAFFIC_PEER_QUESTIONS;
-    case FB_ASK_KEEP:
+    case FB_REQUEST_BACK_UP_SUSPECTS:
       return FB_TRAFFIC_PEER_RECORDS;
     }
   return FB_TRAFFIC_OTHER;
@@ -217,12 +217,12 @@
 static const struct
 {
   FbAppendResult result;
-  fb_told_type told;
-} append_results[] = { { FB_APPEND_STORED, FB_TOLD_STORED },
-                       { FB_APPEND_NOT_STORED, FB_TOLD_NOT_STORED },
-                       { FB_APPEND_IN_DOUBT, FB_TOLD_IN_DOUBT },
-                       { FB_APPEND_FENCED, FB_TOLD_FENCED },
-                       { FB_APPEND_SEQUENCE, FB_TOLD_SEQUENCE } };
+  fb_peer_reply_type told;
+} append_results[] = { { FB_APPEND_STORED, FB_REPLY_STORED },
+                       { FB_APPEND_NOT_STORED, FB_REPLY_NOT_STORED },
+                       { FB_APPEND_IN_DOUBT, FB_REPLY_IN_DOUBT },
+                       { FB_APPEND_FENCED, FB_REPLY_FENCED },
+                       { FB_APPEND_OUT_OF_SEQUENCE, FB_REPLY_OUT_OF_SEQUENCE } };
 
 typedef struct
 {
@@ -269,7 +269,7 @@
 
 /* Sends the reply; TOLD of NULL means that none is available.  DATA: the Answer, which is freed. */
 static void
-on_answer_ready (gpointer data, const fb_told *told)
+on_answer_ready (gpointer data, const fb_peer_reply *told)
 {
   Answer *answer = data;
   static const fb_told unsure = { .type = FB_TOLD_UNSURE };
@@ -284,7 +284,7 @@
 static void
 on_appended (gpointer data, FbAppendResult result)
 {
-  fb_told told = { .type = FB_TOLD_IN_DOUBT };
+  fb_peer_reply told = { .type = FB_REPLY_IN_DOUBT };
   for (guint i = 0; i < G_N_ELEMENTS (append_results); i++)
     {
       if (append_results[i].result == result)
@@ -296,7 +296,7 @@
 static void
 on_progress_appended (gpointer data, const FbHttpReply *reply)
 {
-  on_appended (data, fb_wire_append_result (reply));
+  on_appended (data, fb_wire_parse_append (reply));
 }
 
 /* Appends immediately, under the owner's own sequence number, so that a repeat by the owner is
@@ -319,7 +319,7 @@
 }
 
 static void
-append_for_peer (FbEntry *entry, const fb_ask_append *ask, Answer *answer)
+append_for_peer (FbEntry *entry, const fb_append_request *ask, Answer *answer)
 {
   if (ask->partition >= entry->settings->partitions)
     {
@@ -350,41 +350,42 @@
 static void
 answer_starts (FbEntry *entry, Answer *answer)
 {
-  fb_told told = { .type = FB_TOLD_STARTS };
-  fb_recent_starts_tell (entry->recent_starts, fb_clock_ms (), &told.fb_told_u.starts);
+  fb_peer_reply told = { .type = FB_REPLY_RECENT_STARTS };
+  fb_recent_starts_list (entry->recent_starts, fb_clock_ms (), &told.fb_peer_reply_u.starts);
   on_answer_ready (answer, &told);
-  g_free (told.fb_told_u.starts.starts.starts_val);
+  g_free (told.fb_peer_reply_u.starts.starts.starts_val);
 }
 
 static void
 answer_suspect_backups (FbEntry *entry, Answer *answer)
 {
-  fb_told told = { .type = FB_TOLD_KEPT };
-  fb_kept_suspects_tell (entry->kept_suspects, fb_clock_ms (), &told.fb_told_u.kept);
+  fb_peer_reply told = { .type = FB_REPLY_SUSPECT_BACKUPS };
+  fb_suspect_backups_list (entry->suspect_backups, fb_clock_ms (), &told.fb_peer_reply_u.kept);
   on_answer_ready (answer, &told);
-  xdr_free ((xdrproc_t) xdr_fb_told, (char *) &told);
+  xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &told);
 }
 
 static const char *
-service_of (const fb_ask *ask)
+service_of (const fb_peer_request *ask)
 {
-  return ask->type == FB_ASK_STATE ? ask->fb_ask_u.job.service : ask->fb_ask_u.queue.service;
+  return ask->type == FB_REQUEST_JOB_STATE ? ask->fb_peer_request_u.job.service
+                                           : ask->fb_peer_request_u.queue.service;
 }
 
 static void
 serve_request (FbEntry *entry, const fb_ask *ask, Answer *answer)
 {
-  fb_told told = { .type = FB_TOLD_UNSURE };
+  fb_peer_reply told = { .type = FB_REPLY_UNAVAILABLE };
   FbOwner *owner = NULL;
   switch (ask->type)
     {
-    case FB_ASK_ADVICE:
+    case FB_REQUEST_ADVICE:
       if (entry->settings->advice == NULL)
         break;
-      fb_advisor_call (entry, &ask->fb_ask_u.advice, on_answer_ready, answer);
+      fb_advisor_call (entry, &ask->fb_peer_request_u.advice, on_answer_ready, answer);
       return;
-    case FB_ASK_APPEND:
-      append_for_peer (entry, &ask->fb_ask_u.append, answer);
+    case FB_REQUEST_APPEND_JOB_RECORD:
+      append_for_peer (entry, &ask->fb_peer_request_u.append, answer);
       return;
     case FB_ASK_WRITE:
       append_for_owner (entry, &ask->fb_ask_u.write, answer);
@@ -392,8 +393,8 @@
     case FB_ASK_OWNERS:
       fb_group_send_owners (entry->group, on_answer_ready, answer);
       return;
-    case FB_ASK_ORDER:
-      fb_relay_serve (entry, &ask->fb_ask_u.order, on_answer_ready, answer);
+    case FB_REQUEST_RELAY_ORDER:
+      fb_relay_serve (entry, &ask->fb_peer_request_u.order, on_answer_ready, answer);
       return;
     case FB_ASK_STARTS:
       answer_starts (entry, answer);
@@ -401,14 +402,14 @@
     case FB_ASK_KEPT:
       answer_suspect_backups (entry, answer);
       return;
-    case FB_ASK_KEEP:
-      fb_kept_suspects_take (entry->kept_suspects, &ask->fb_ask_u.keep, fb_clock_ms ());
+    case FB_REQUEST_BACK_UP_SUSPECTS:
+      fb_suspect_backups_put (entry->suspect_backups, &ask->fb_peer_request_u.keep, fb_clock_ms ());
       break;
     case FB_ASK_STORED:
       apply_stored (entry, &ask->fb_ask_u.stored);
       break;
-    case FB_ASK_STATE:
-    case FB_ASK_PENDING:
+    case FB_REQUEST_JOB_STATE:
+    case FB_REQUEST_PENDING_COUNT:
       owner = fb_entry_owner (entry, fb_entry_partition_of (entry, service_of (ask)));
       if (owner != NULL)
         fb_owner_answer (owner, ask, &told);
@@ -420,11 +421,11 @@
 void
 fb_peers_serve (gpointer data, FbLinkCall *call, gconstpointer body, gsize len)
 {
-  fb_ask ask;
+  fb_peer_request ask;
   Answer *answer = g_new0 (Answer, 1);
   answer->call = call;
   answer->traffic = FB_TRAFFIC_OTHER;
-  if (!fb_codec_decode_ask (body, len, &ask))
+  if (!fb_codec_decode_peer_request (body, len, &ask))
     {
       fb_event_log (FB_EVENT_PEER_REFUSED, "bytes=%u", (guint) len);
       on_answer_ready (answer, NULL);
--- a/src/entry/peers/recent-starts.c
+++ b/src/entry/peers/recent-starts.c
@@ -135,7 +135,7 @@
 static gboolean
 is_alive (FbOrderResult result)
 {
-  return result != FB_ORDER_UNKNOWN && result != FB_ORDER_OTHER_LIFE
+  return result != FB_ORDER_UNKNOWN && result != FB_ORDER_OTHER_INCARNATION
          && result != FB_ORDER_NO_LISTENER;
 }
 
@@ -178,7 +178,7 @@
 {
   for (guint i = 0; i < running->len; i++)
     {
-      const FbRunSeen *run = &g_array_index (running, FbRunSeen, i);
+      const FbReportedRun *run = &g_array_index (running, FbReportedRun, i);
       if (start->attempt == run->attempt && g_str_equal (start->task, run->task))
         return TRUE;
     }
@@ -205,7 +205,7 @@
 }
 
 void
-fb_recent_starts_looked (FbRecentStarts *self, const char *worker, const FbLookAnswer *answer)
+fb_recent_starts_polled (FbRecentStarts *self, const char *worker, const FbPollAnswer *answer)
 {
   WorkerStarts *worker_starts = g_hash_table_lookup (self->workers, worker);
   if (worker_starts == NULL)
@@ -219,7 +219,7 @@
 }
 
 void
-fb_recent_starts_tell (const FbRecentStarts *self, uint64_t now_ms, fb_told_starts *told)
+fb_recent_starts_list (const FbRecentStarts *self, uint64_t now_ms, fb_recent_starts_reply *told)
 {
   told->starts.starts_val = g_new0 (fb_recent_start, self->starts.length);
   told->starts.starts_len = 0;
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -61,7 +61,7 @@
 }
 
 const char *
-fb_relay_for (FbEntry *entry, const fb_ask_order *order)
+fb_relay_for (FbEntry *entry, const fb_relay_request *order)
 {
   const FbListedWorker *listed = fb_worker_list_by_incarnation (entry->workers, order->worker);
   if (listed == NULL)
@@ -80,17 +80,17 @@
 /* ---- calls to workers --------------------------------------------------------------- */
 
 static uint32_t
-limit_ms (const fb_ask_order *order)
+limit_ms (const fb_relay_request *order)
 {
-  return order->kind == FB_CARRY_LOOK ? order->wait_ms + order->answer_ms : ORDER_MS;
+  return order->kind == FB_ORDER_KIND_POLL ? order->wait_ms + order->answer_ms : ORDER_MS;
 }
 
 static void
-make_call (FbHttpCall *call, const fb_ask_order *order)
+make_call (FbHttpCall *call, const fb_relay_request *order)
 {
   switch (order->kind)
     {
-    case FB_CARRY_START:
+    case FB_ORDER_KIND_START:
       {
         const FbStartOrder start = { .worker = order->worker,
                                      .address = order->address,
@@ -104,7 +104,7 @@
         fb_wire_start (call, &start);
         break;
       }
-    case FB_CARRY_STOP:
+    case FB_ORDER_KIND_STOP:
       {
         const FbStopOrder stop = { .worker = order->worker,
                                    .address = order->address,
@@ -114,16 +114,16 @@
         fb_wire_stop (call, &stop);
         break;
       }
-    case FB_CARRY_LOOK:
+    case FB_ORDER_KIND_POLL:
       {
-        const FbLookOrder look = { .worker = order->worker,
+        const FbPollOrder poll = { .worker = order->worker,
                                    .address = order->address,
                                    .epoch = order->epoch,
                                    .acknowledged = order->acknowledged,
                                    .deadline_ms = order->deadline_ms,
                                    .wait_ms = order->wait_ms,
                                    .answer_ms = order->answer_ms };
-        fb_wire_look (call, &look);
+        fb_wire_poll (call, &poll);
         break;
       }
     }
@@ -144,7 +144,7 @@
 } WorkerCall;
 
 static WorkerCall *
-worker_call_new (FbEntry *entry, const fb_ask_order *order, FbHttpReplyDone done, gpointer user)
+worker_call_new (FbEntry *entry, const fb_relay_request *order, FbHttpReplyDone done, gpointer user)
 {
   WorkerCall *call = g_new0 (WorkerCall, 1);
   call->entry = entry;
@@ -178,10 +178,10 @@
   if (reply->status != FB_HTTP_OK || reply->code != FB_HTTP_CODE_OK)
     {
       uint64_t clock_ms = 0;
-      result = fb_wire_order_result (reply, &clock_ms);
+      result = fb_wire_parse_order_result (reply, &clock_ms);
       log_not_done (call, reply, result);
     }
-  if (call->kind == FB_CARRY_START)
+  if (call->kind == FB_ORDER_KIND_START)
     fb_recent_starts_answered (call->entry->recent_starts, call->worker, call->task, call->attempt,
                                result);
   call->done (call->user, reply);
@@ -191,15 +191,15 @@
 }
 
 void
-fb_relay_call_worker (FbEntry *entry, const fb_ask_order *order, FbHttpReplyDone done,
+fb_relay_call_worker (FbEntry *entry, const fb_relay_request *order, FbHttpReplyDone done,
                       gpointer user)
 {
   FbHttpCall call;
   make_call (&call, order);
-  if (order->kind == FB_CARRY_START)
+  if (order->kind == FB_ORDER_KIND_START)
     fb_recent_starts_sent (entry->recent_starts, order->worker, order->address, order->task,
                            order->attempt, fb_clock_ms ());
-  if (order->kind == FB_CARRY_LOOK)
+  if (order->kind == FB_ORDER_KIND_POLL)
     fb_http_client_exchange (entry->worker_client, &call, limit_ms (order), done, user);
   else
     fb_http_client_exchange (entry->worker_client, &call, limit_ms (order), on_worker_reply,
@@ -209,13 +209,13 @@
 
 void
 fb_relay_worker_answer (fb_order_kind kind, const char *worker, const FbHttpReply *reply,
-                        FbLookAnswer *answer)
+                        FbPollAnswer *answer)
 {
-  *answer = (FbLookAnswer){ 0 };
-  if (kind == FB_CARRY_LOOK)
-    fb_wire_look_answer (reply, worker, answer);
+  *answer = (FbPollAnswer){ 0 };
+  if (kind == FB_ORDER_KIND_POLL)
+    fb_wire_parse_poll (reply, worker, answer);
   else
-    answer->result = fb_wire_order_result (reply, &answer->clock_ms);
+    answer->result = fb_wire_parse_order_result (reply, &answer->clock_ms);
 }
 
 /* ---- sending orders to a relay ---------------------------------------------------- */
@@ -231,7 +231,7 @@
   uint64_t until_ms;
 } RelayedOrder;
 
-static void on_told (gpointer data, const fb_told *told);
+static void on_told (gpointer data, const fb_peer_reply *told);
 
 /* Sends the order again with its payload, because the relay has restarted or evicted the payload.
  * Returns: FALSE when that is not possible any more. */
@@ -255,12 +255,12 @@
 }
 
 static void
-on_told (gpointer data, const fb_told *told)
+on_told (gpointer data, const fb_peer_reply *told)
 {
   RelayedOrder *relayed = data;
   if (told != NULL && told->type == FB_TOLD_NO_PAYLOAD && send_with_payload (relayed))
     return;
-  gboolean answered = told != NULL && told->type == FB_TOLD_ORDER;
+  gboolean answered = told != NULL && told->type == FB_REPLY_ORDER_RESULT;
   if (!answered)
     {
       fb_event_log (FB_EVENT_CALL_FAILED, "order by daemon=%s lost=%d", relayed->daemon,
@@ -295,8 +295,8 @@
 }
 
 void
-fb_relay_carry (FbEntry *entry, const char *daemon, const fb_ask_order *order, FbRelayDone done,
-                gpointer user)
+fb_relay_send (FbEntry *entry, const char *daemon, const fb_relay_request *order, FbRelayDone done,
+               gpointer user)
 {
   RelayedOrder *relayed = g_new0 (RelayedOrder, 1);
   relayed->entry = entry;
@@ -331,13 +331,14 @@
 {
   for (guint i = 0; i < answer->running->len; i++)
     {
-      const FbRunSeen *run = &g_array_index (answer->running, FbRunSeen, i);
-      rows[i] = (fb_seen_run){ run->task, run->attempt, run->checkpoint };
+      const FbReportedRun *run = &g_array_index (answer->running, FbReportedRun, i);
+      rows[i] = (fb_reported_run){ run->task, run->attempt, run->checkpoint };
     }
   for (guint i = 0; i < answer->finished->len; i++)
     {
-      const FbEndSeen *end = &g_array_index (answer->finished, FbEndSeen, i);
-      ends[i] = (fb_seen_end){ end->number, end->task, end->attempt, end->how, end->checkpoint };
+      const FbReportedEnd *end = &g_array_index (answer->finished, FbReportedEnd, i);
+      ends[i]
+          = (fb_reported_end){ end->number, end->task, end->attempt, end->how, end->checkpoint };
     }
   told->running.running_len = answer->running->len;
   told->running.running_val = rows;
@@ -349,23 +350,23 @@
 on_reply (gpointer data, const FbHttpReply *reply)
 {
   Order *order = data;
-  FbLookAnswer answer;
+  FbPollAnswer answer;
   fb_relay_worker_answer (order->kind, order->worker, reply, &answer);
-  if (order->kind == FB_CARRY_LOOK)
-    fb_recent_starts_looked (order->entry->recent_starts, order->worker, &answer);
-  fb_told told = { .type = FB_TOLD_ORDER };
-  fb_told_order *mine = &told.fb_told_u.order;
+  if (order->kind == FB_ORDER_KIND_POLL)
+    fb_recent_starts_polled (order->entry->recent_starts, order->worker, &answer);
+  fb_peer_reply told = { .type = FB_REPLY_ORDER_RESULT };
+  fb_relay_reply *mine = &told.fb_peer_reply_u.order;
   mine->result = answer.result;
   mine->clock_ms = answer.clock_ms;
-  mine->life = answer.life != NULL ? answer.life : "";
+  mine->incarnation = answer.incarnation != NULL ? answer.incarnation : "";
   guint runs_n = answer.running != NULL ? answer.running->len : 0;
   guint ends_n = answer.finished != NULL ? answer.finished->len : 0;
-  g_autofree fb_seen_run *rows = g_new0 (fb_seen_run, runs_n + 1);
-  g_autofree fb_seen_end *ends = g_new0 (fb_seen_end, ends_n + 1);
+  g_autofree fb_reported_run *rows = g_new0 (fb_reported_run, runs_n + 1);
+  g_autofree fb_reported_end *ends = g_new0 (fb_reported_end, ends_n + 1);
   if (answer.running != NULL && answer.finished != NULL)
     fill_poll_reply (&answer, mine, rows, ends);
   order->done (order->user, &told);
-  fb_look_answer_clear (&answer);
+  fb_poll_answer_clear (&answer);
   g_free (order->worker);
   g_free (order);
 }
@@ -373,7 +374,7 @@
 /* Caches the payload of ASK, or fills in the cached one that ASK names, borrowed.
  * Returns: FALSE when the named payload is not cached. */
 static gboolean
-complete_payload (FbEntry *entry, fb_ask_order *ask)
+complete_payload (FbEntry *entry, fb_relay_request *ask)
 {
   FbPayloadDigest digest;
   if (ask->payload_digest.payload_digest_len != sizeof digest.bytes)
@@ -391,10 +392,10 @@
 void
 fb_relay_serve (FbEntry *entry, const fb_ask_order *ask, FbPeerReplyDone done, gpointer user)
 {
-  fb_ask_order complete = *ask;
+  fb_relay_request complete = *ask;
   if (!complete_payload (entry, &complete))
     {
-      static const fb_told no_payload = { .type = FB_TOLD_NO_PAYLOAD };
+      static const fb_peer_reply no_payload = { .type = FB_REPLY_PAYLOAD_MISSING };
       done (user, &no_payload);
       return;
     }
@@ -408,30 +409,33 @@
 }
 
 void
-fb_relay_look_answer (const fb_told_order *told, FbLookAnswer *answer)
+fb_relay_poll_answer (const fb_relay_reply *told, FbPollAnswer *answer)
 {
-  *answer = (FbLookAnswer){ .result = (FbOrderResult) MIN (told->result, FB_ORDER_UNKNOWN),
+  *answer = (FbPollAnswer){ .result = (FbOrderResult) MIN (told->result, FB_ORDER_UNKNOWN),
                             .clock_ms = told->clock_ms,
-                            .life = *told->life != '\0' ? g_strdup (told->life) : NULL };
+                            .incarnation
+                            = *told->incarnation != '\0' ? g_strdup (told->incarnation) : NULL };
   if (answer->result != FB_ORDER_DONE)
     return;
-  answer->running = g_array_sized_new (FALSE, TRUE, sizeof (FbRunSeen), told->running.running_len);
+  answer->running
+      = g_array_sized_new (FALSE, TRUE, sizeof (FbReportedRun), told->running.running_len);
   answer->finished
-      = g_array_sized_new (FALSE, TRUE, sizeof (FbEndSeen), told->finished.finished_len);
+      = g_array_sized_new (FALSE, TRUE, sizeof (FbReportedEnd), told->finished.finished_len);
   for (u_int i = 0; i < told->running.running_len; i++)
     {
-      const fb_seen_run *row = &told->running.running_val[i];
-      FbRunSeen run = { .task = row->task, .attempt = row->attempt, .checkpoint = row->checkpoint };
+      const fb_reported_run *row = &told->running.running_val[i];
+      FbReportedRun run
+          = { .task = row->task, .attempt = row->attempt, .checkpoint = row->checkpoint };
       g_array_append_val (answer->running, run);
     }
   for (u_int i = 0; i < told->finished.finished_len; i++)
     {
-      const fb_seen_end *row = &told->finished.finished_val[i];
-      FbEndSeen end = { .number = row->number,
-                        .task = row->task,
-                        .attempt = row->attempt,
-                        .how = (FbEndHow) MIN (row->how, FB_END_ALONE),
-                        .checkpoint = row->checkpoint };
+      const fb_reported_end *row = &told->finished.finished_val[i];
+      FbReportedEnd end = { .number = row->number,
+                            .task = row->task,
+                            .attempt = row->attempt,
+                            .how = (FbEndReason) MIN (row->how, FB_END_GANG_TIMEOUT),
+                            .checkpoint = row->checkpoint };
       g_array_append_val (answer->finished, end);
     }
 }
--- a/src/entry/peers/kept-suspects.h
+++ b/src/entry/peers/suspect-backups.h
@@ -6,7 +6,7 @@
 
 #include "internal/pool.h"
 
-typedef struct _FbKeptSuspects FbKeptSuspects;
+typedef struct _FbSuspectBackups FbSuspectBackups;
 
 FbKeptSuspects *fb_kept_suspects_new (void);
 void fb_kept_suspects_free (FbKeptSuspects *self);
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -152,7 +152,7 @@
       unlist_worker (self, record->key);
       return;
     }
-  FbListedWorker *worker = fb_wire_listed_worker (record->key, record->value);
+  FbListedWorker *worker = fb_wire_parse_worker (record->key, record->value);
   if (worker == NULL)
     {
       skip_malformed_entry (self, record->key);
@@ -187,7 +187,8 @@
   g_clear_pointer (&self->listed_ids, g_hash_table_unref);
 }
 
-static const FbFollowerOps worker_ops = { on_workers_begin, on_worker_record, on_workers_listed };
+static const FbTopicReaderOps worker_ops
+    = { on_workers_begin, on_worker_record, on_workers_listed };
 
 /* ---- partitions --------------------------------------------------------------------- */
 
@@ -238,7 +239,7 @@
       "join_sent_ms_ago=%u join_answered_ms_ago=%u join_gap_ms=%u kept_ms_ago=%u loop_late_ms=%u",
       ms_ago (self->joins.sent_ms, now_ms), ms_ago (self->joins.answered_ms, now_ms),
       self->joins.gap_ms,
-      ms_ago (fb_keepalive_kept_ms (self->keepalive, FB_MEMBERSHIP_OWNERS), now_ms),
+      ms_ago (fb_keepalive_renewed_ms (self->keepalive, FB_MEMBERSHIP_OWNERS), now_ms),
       fb_loop_watch_longest_ms (self->loop, now_ms));
 }
 
@@ -277,9 +278,9 @@
       log_lost (self, partition, generation, "taken too often in one generation");
       return;
     }
-  if (self->worker_follower == NULL)
-    self->worker_follower
-        = fb_follower_new (self, FB_TOPIC_WORKERS, 0, WORKER_LIST_PAUSE_MS, &worker_ops, self);
+  if (self->worker_reader == NULL)
+    self->worker_reader
+        = fb_topic_reader_new (self, FB_TOPIC_WORKERS, 0, WORKER_LIST_PAUSE_MS, &worker_ops, self);
   uint64_t epoch = generation * EPOCHS_PER_GENERATION + take->n;
   g_hash_table_insert (self->owners, key, fb_owner_new (self, partition, epoch));
 }
@@ -367,7 +368,7 @@
   FbEntry *self = user;
   if (!g_str_equal (record->key, FB_KEY_CONFIG) || record->value == NULL)
     return;
-  FbRoutes *routes = fb_wire_routes (record->value);
+  FbRoutes *routes = fb_wire_parse_routes (record->value);
   if (routes == NULL)
     {
       fb_event_log (FB_EVENT_CONFIG_IGNORED, "why=\"%s\"", fb_status_message ());
@@ -386,7 +387,7 @@
   fb_entry_foreach_owner (self, fb_owner_routes_changed);
 }
 
-static const FbFollowerOps config_ops = { nothing, on_config_record, nothing };
+static const FbTopicReaderOps config_ops = { nothing, on_config_record, nothing };
 
 void
 fb_entry_start_watching (FbEntry *self)
--- a/src/entry/store/appender.c
+++ b/src/entry/store/appender.c
@@ -166,7 +166,7 @@
   FbAppender *self = data;
   if (!self->freed)
     fb_entry_store_answered (self->entry, reply);
-  end_call (self, fb_wire_append_result (reply), reply->code);
+  end_call (self, fb_wire_parse_append (reply), reply->code);
 }
 
 static void
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -123,7 +123,7 @@
   const char *peer = fb_group_any_peer (self, NULL);
   if (self->peer_open || peer == NULL)
     return;
-  static const fb_ask ask = { .type = FB_ASK_OWNERS };
+  static const fb_peer_request ask = { .type = FB_REQUEST_PARTITION_OWNERS };
   self->peer_open = TRUE;
   fb_peers_request (self->entry, peer, &ask, ANSWER_MS, on_peer_owners_reply, self);
 }
@@ -135,7 +135,7 @@
   self->owners_open = FALSE;
   g_autoptr (GArray) owners = g_array_new (FALSE, TRUE, sizeof (FbPartitionOwner));
   g_array_set_clear_func (owners, fb_partition_owner_clear);
-  if (fb_wire_owners_told (reply, owners))
+  if (fb_wire_parse_owners (reply, owners))
     {
       self->owners_ms = fb_clock_ms ();
       set_owners (self, owners);
@@ -178,7 +178,7 @@
 void
 fb_group_send_owners (const FbGroup *self, FbPeerReplyDone done, gpointer user)
 {
-  fb_told told = { .type = FB_TOLD_UNSURE };
+  fb_peer_reply told = { .type = FB_REPLY_UNAVAILABLE };
   if (fb_clock_ms () > self->owners_ms + OWNERS_FRESH_MS || self->owners_generation == 0)
     {
       done (user, &told);
@@ -193,9 +193,9 @@
   g_hash_table_iter_init (&iter, self->owner_of);
   while (g_hash_table_iter_next (&iter, &partition, &address))
     rows[n++] = (fb_partition_owner){ GPOINTER_TO_UINT (partition), address };
-  told.type = FB_TOLD_OWNERS;
-  told.fb_told_u.owners.owners.owners_len = n;
-  told.fb_told_u.owners.owners.owners_val = rows;
+  told.type = FB_REPLY_PARTITION_OWNERS;
+  told.fb_peer_reply_u.owners.owners.owners_len = n;
+  told.fb_peer_reply_u.owners.owners.owners_val = rows;
   done (user, &told);
 }
 
@@ -292,7 +292,7 @@
   uint64_t now_ms = fb_clock_ms ();
   if (self->leaving)
     return;
-  if (!fb_wire_joined (reply, &generation, partitions))
+  if (!fb_wire_parse_join (reply, &generation, partitions))
     {
       gboolean silent = fb_entry_store_is_silent (self->entry);
       self->timer = g_timeout_add (silent ? PROBE_PAUSE_MS : JOIN_EVERY_MS / 2, join, self);
--- a/src/entry/store/store-pace.c
+++ b/src/entry/store/store-health.c
@@ -1,4 +1,4 @@
-#include "store-pace.h"
+#include "store-health.h"
 
 /* Appends usually take 10 to 20 ms; from this latency on the store counts as slow. */
 #define SLOW_APPEND_MS 50
@@ -17,7 +17,7 @@
 #define SLOW_TIMEOUT_MS 2400
 
 void
-fb_store_pace_failed (FbStorePace *self, uint64_t now_ms)
+fb_store_health_failed (FbStoreHealth *self, uint64_t now_ms)
 {
   self->failed_until_ms = now_ms + FAILED_FOR_MS;
 }
@@ -35,25 +35,25 @@
 }
 
 void
-fb_store_pace_renewed (FbStorePace *self, uint32_t took_ms)
+fb_store_health_renewed (FbStoreHealth *self, uint32_t took_ms)
 {
   self->renewal_latency_ms = took_ms;
 }
 
 gboolean
-fb_store_pace_is_slow (const FbStorePace *self)
+fb_store_health_is_slow (const FbStoreHealth *self)
 {
   return self->append_latency_ms >= SLOW_APPEND_MS || self->renewal_latency_ms >= SLOW_RENEWAL_MS;
 }
 
 gboolean
-fb_store_pace_has_failed (const FbStorePace *self, uint64_t now_ms)
+fb_store_health_has_failed (const FbStoreHealth *self, uint64_t now_ms)
 {
   return now_ms < self->failed_until_ms;
 }
 
 uint32_t
-fb_store_pace_patience_ms (const FbStorePace *self)
+fb_store_health_timeout_ms (const FbStoreHealth *self)
 {
   return fb_store_pace_is_slow (self) ? SLOW_TIMEOUT_MS : TIMEOUT_MS;
 }
--- a/src/entry/store/follower.h
+++ b/src/entry/store/topic-reader.h
@@ -4,7 +4,7 @@
 #include "platform/wire.h"
 
 typedef struct _FbEntry FbEntry;
-typedef struct _FbFollower FbFollower;
+typedef struct _FbTopicReader FbTopicReader;
 
 typedef struct
 {
@@ -13,7 +13,7 @@
   void (*record) (gpointer user, const FbStoreRecord *record);
   /* The listing is complete; later records follow as they are stored. */
   void (*listed) (gpointer user);
-} FbFollowerOps;
+} FbTopicReaderOps;
 
 /* PAUSE_MS: pause between a page of changes and the next poll. */
 FbFollower *fb_follower_new (FbEntry *entry, const char *topic, uint32_t partition,
--- a/src/entry/store/worker-list.c
+++ b/src/entry/store/worker-list.c
@@ -31,13 +31,13 @@
 const FbListedWorker *
 fb_worker_list_by_id (const FbWorkerList *self, const char *id)
 {
-  return g_hash_table_lookup (self->lives, id);
+  return g_hash_table_lookup (self->incarnations, id);
 }
 
 const FbListedWorker *
 fb_worker_list_by_incarnation (const FbWorkerList *self, const char *life)
 {
-  return g_hash_table_lookup (self->workers, life);
+  return g_hash_table_lookup (self->workers, incarnation);
 }
 
 gboolean
@@ -70,12 +70,12 @@
   const FbListedWorker *worker = fb_worker_list_by_id (self, id);
   if (worker == NULL)
     return;
-  g_hash_table_remove (self->lives, id);
+  g_hash_table_remove (self->incarnations, id);
   g_hash_table_remove (self->workers, worker->entry.id);
 }
 
 GList *
 fb_worker_list_ids (const FbWorkerList *self)
 {
-  return g_hash_table_get_keys (self->lives);
+  return g_hash_table_get_keys (self->incarnations);
 }
--- a/tests/test-carry.c
+++ b/tests/test-relay.c
@@ -123,7 +123,7 @@
 } Served;
 
 static void
-on_served (gpointer user, const fb_told *told)
+on_served (gpointer user, const fb_peer_reply *told)
 {
   Served *served = user;
   served->relay->missing_n += told->type == FB_TOLD_NO_PAYLOAD;
@@ -145,8 +145,8 @@
   Served *served = g_new0 (Served, 1);
   served->relay = self;
   served->call = call;
-  fb_relay_serve (&self->entry, &ask.fb_ask_u.order, on_served, served);
-  xdr_free ((xdrproc_t) xdr_fb_ask, (char *) &ask);
+  fb_relay_serve (&self->entry, &ask.fb_peer_request_u.order, on_served, served);
+  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &ask);
 }
 
 typedef struct
@@ -174,13 +174,13 @@
 static void
 relay_order (FbEntry *entry, const char *address, const char *task, const char *payload, Seen *seen)
 {
-  const fb_ask_order order = { .kind = FB_CARRY_START,
-                               .worker = "i-1",
-                               .address = "127.0.0.1:1",
-                               .task = (char *) task,
-                               .payload = (char *) payload,
-                               .checkpoint = "",
-                               .ticket = "" };
+  const fb_relay_request order = { .kind = FB_ORDER_KIND_START,
+                                   .worker = "i-1",
+                                   .address = "127.0.0.1:1",
+                                   .task = (char *) task,
+                                   .payload = (char *) payload,
+                                   .checkpoint = "",
+                                   .ticket = "" };
   guint before_n = seen->done_n;
   fb_relay_carry (entry, address, &order, on_relayed, seen);
   guint tend = g_timeout_add (10, on_check_timeouts, entry->links);
@@ -239,13 +239,13 @@
   FbLinkUse sent;
   FbLinkUse received;
   totals.sent_bytes[FB_TRAFFIC_GROUP] = 1000;
-  totals.sent_bytes[FB_TRAFFIC_CARRIED_ORDERS] = 200000;
+  totals.sent_bytes[FB_TRAFFIC_RELAYED_ORDERS] = 200000;
   CU_ASSERT_FALSE (fb_link_watch_turn (watch, &totals, 3000, &sent, &received));
   totals.sent_bytes[FB_TRAFFIC_GROUP] += 1000;
-  totals.sent_bytes[FB_TRAFFIC_CARRIED_ORDERS] += 300000;
+  totals.sent_bytes[FB_TRAFFIC_RELAYED_ORDERS] += 300000;
   CU_ASSERT_TRUE (fb_link_watch_turn (watch, &totals, 5000, &sent, &received));
   CU_ASSERT_EQUAL (sent.kbit_s, 1204);
-  CU_ASSERT_EQUAL (sent.most, FB_TRAFFIC_CARRIED_ORDERS);
+  CU_ASSERT_EQUAL (sent.most, FB_TRAFFIC_RELAYED_ORDERS);
   CU_ASSERT_EQUAL (sent.most_kbit_s, 1200);
   CU_ASSERT_EQUAL (received.kbit_s, 0);
   CU_ASSERT_FALSE (fb_link_watch_turn (watch, &totals, 7000, &sent, &received));
