--- a/rpc/work.x
+++ b/rpc/work.x
@@ -28,14 +28,14 @@
   unsigned int estimate_ms;
   unsigned int max_per_worker;  /* 0: no bound */
   unsigned int max_unavailable; /* of a long-running step; 0: no bound */
-  unsigned int tail_target_ms;  /* of a step that serves requests; 0: none */
+  unsigned int tail_latency_target_ms;  /* of a step that serves requests; 0: none */
   bool gang;
   bool rack_local;
   bool checkpointing;
   bool speculative;
-  bool lasting;
-  bool fills; /* best-effort: uses only what other tasks leave; its cpu is not counted */
-  string data_rack<FB_WORK_MAX_NAME>;
+  bool long_running;
+  bool best_effort; /* best-effort: uses only what other tasks leave; its cpu is not counted */
+  string preferred_rack<FB_WORK_MAX_NAME>;
   string required_label<FB_WORK_MAX_NAME>;
   string image<FB_WORK_MAX_NAME>;
   unsigned int after<FB_WORK_MAX_STEPS>;
@@ -71,7 +71,7 @@
 };
 
 /* Progress of one task; left out while the task has neither ended nor saved a checkpoint. */
-struct fb_work_mark {
+struct fb_work_task_progress {
   unsigned int occurrence;
   unsigned int step;
   unsigned int index;
@@ -92,7 +92,7 @@
 struct fb_work_progress {
   fb_work_state state;
   unsigned hyper ended_ms; /* ms since 1970; 0 while it has not ended */
-  fb_work_mark marks<FB_WORK_MAX_MARKS>;
+  fb_work_task_progress task_progress<FB_WORK_MAX_TASK_ROWS>;
 };
 
 struct fb_work_unresolved_start {
@@ -107,9 +107,9 @@
   unsigned int occurrence;
   unsigned int step;
   unsigned int index;
-  unsigned hyper apart<FB_WORK_MAX_CRASHES>;  /* no other task could be the cause */
+  unsigned hyper isolated<FB_WORK_MAX_CRASHES>;  /* no other task could be the cause */
   unsigned hyper shared<FB_WORK_MAX_CRASHES>;
-  fb_work_tried tried<FB_WORK_MAX_CRASHES>; /* starts with unknown outcome */
+  fb_work_unresolved_start unresolved<FB_WORK_MAX_CRASHES>; /* starts with unknown outcome */
 };
 
 /* Follows the progress of a job in the job's record; left out when there are no suspects. */
@@ -136,19 +136,19 @@
 
 /* Requests between daemons, to the owner of a pool or to any peer. */
 
-enum fb_ask_type {
-  FB_ASK_STATE = 1,  /* state of a job, answered by the owner of its pool */
-  FB_ASK_PENDING = 2, /* number of pending jobs of a queue */
-  FB_ASK_ADVICE = 3, /* call the advice service from the receiving daemon */
-  FB_ASK_APPEND = 4, /* append to the log for a daemon that the log rejects */
-  FB_ASK_STORED = 5, /* notifies the owner of a record that is in the log */
-  FB_ASK_OWNERS = 6, /* owners of all partitions, according to the log's group */
-  FB_ASK_WRITE = 7,  /* append progress for an owner that the log rejects */
-  FB_ASK_STARTS = 9, /* starts that the receiving daemon sent to workers that no longer answer */
-  FB_ASK_ORDER = 10, /* relay an order to a worker; 8 was one without the worker's incarnation:
+enum fb_peer_request_type {
+  FB_REQUEST_JOB_STATE = 1,  /* state of a job, answered by the owner of its pool */
+  FB_REQUEST_PENDING_COUNT = 2, /* number of pending jobs of a queue */
+  FB_REQUEST_ADVICE = 3, /* call the advice service from the receiving daemon */
+  FB_REQUEST_APPEND_JOB_RECORD = 4, /* append to the log for a daemon that the log rejects */
+  FB_REQUEST_NOTIFY_STORED = 5, /* notifies the owner of a record that is in the log */
+  FB_REQUEST_PARTITION_OWNERS = 6, /* owners of all partitions, according to the log's group */
+  FB_REQUEST_APPEND_PROGRESS = 7,  /* append progress for an owner that the log rejects */
+  FB_REQUEST_RECENT_STARTS = 9, /* starts that the receiving daemon sent to workers that no longer answer */
+  FB_REQUEST_RELAY_ORDER = 10, /* relay an order to a worker; 8 was one without the worker's incarnation:
                       * daemons of both versions relay nothing for each other */
-  FB_ASK_KEEP = 11,  /* hold a copy of a job's crash suspects until the store has them */
-  FB_ASK_KEPT = 12   /* all copies held so */
+  FB_REQUEST_BACK_UP_SUSPECTS = 11,  /* hold a copy of a job's crash suspects until the store has them */
+  FB_REQUEST_SUSPECT_BACKUPS = 12   /* all copies held so */
 };
 
 struct fb_job_state_request {
@@ -177,7 +177,7 @@
 };
 
 /* The log accepts each SEQUENCE of a writer once, whoever sends it. */
-struct fb_ask_write {
+struct fb_progress_append_request {
   unsigned int partition;
   string writer<FB_WORK_MAX_NAME>;
   unsigned hyper epoch;
@@ -199,7 +199,7 @@
 
 /* An order of the owner of a pool that the receiving daemon relays.  Members that a kind does not
  * need are empty or 0. */
-struct fb_ask_order {
+struct fb_relay_request {
   fb_order_kind kind;
   string worker<FB_WORK_MAX_NAME>;
   string address<FB_WORK_MAX_NAME>;
@@ -218,7 +218,7 @@
 
 /* Crash suspects of a job that the owner of its pool could not store yet; none: they are stored, or
  * nothing is suspected any more. */
-struct fb_kept_job {
+struct fb_suspects_backup {
   string job<FB_WORK_MAX_NAME>;
   unsigned hyper epoch; /* epoch of the owner */
   fb_work_suspects suspects;
@@ -238,22 +238,22 @@
 case FB_REQUEST_SUSPECT_BACKUPS: void;
 };
 
-enum fb_told_type {
-  FB_TOLD_UNSURE = 1, /* not the owner, or not caught up: retry */
-  FB_TOLD_STATE = 2,
-  FB_TOLD_NO_JOB = 3,
-  FB_TOLD_PENDING = 4,
-  FB_TOLD_ADVICE = 5,
-  FB_TOLD_STORED = 6,
-  FB_TOLD_NOT_STORED = 7, /* certainly not stored */
-  FB_TOLD_IN_DOUBT = 8,
-  FB_TOLD_OWNERS = 9,
-  FB_TOLD_FENCED = 10,  /* a higher epoch writes there */
-  FB_TOLD_SEQUENCE = 11, /* another sequence number was expected */
-  FB_TOLD_ORDER = 12,    /* result of an order */
-  FB_TOLD_NO_PAYLOAD = 13, /* nothing was done: the payload that the order names is not cached */
-  FB_TOLD_STARTS = 14,
-  FB_TOLD_KEPT = 15
+enum fb_peer_reply_type {
+  FB_REPLY_UNAVAILABLE = 1, /* not the owner, or not caught up: retry */
+  FB_REPLY_JOB_STATE = 2,
+  FB_REPLY_NO_SUCH_JOB = 3,
+  FB_REPLY_PENDING_COUNT = 4,
+  FB_REPLY_ADVICE = 5,
+  FB_REPLY_STORED = 6,
+  FB_REPLY_NOT_STORED = 7, /* certainly not stored */
+  FB_REPLY_IN_DOUBT = 8,
+  FB_REPLY_PARTITION_OWNERS = 9,
+  FB_REPLY_FENCED = 10,  /* a higher epoch writes there */
+  FB_REPLY_OUT_OF_SEQUENCE = 11, /* another sequence number was expected */
+  FB_REPLY_ORDER_RESULT = 12,    /* result of an order */
+  FB_REPLY_PAYLOAD_MISSING = 13, /* nothing was done: the payload that the order names is not cached */
+  FB_REPLY_RECENT_STARTS = 14,
+  FB_REPLY_SUSPECT_BACKUPS = 15
 };
 
 struct fb_ticket {
@@ -290,12 +290,12 @@
 };
 
 /* Reply to a relayed order; the lists are only used for a poll. */
-struct fb_told_order {
+struct fb_relay_reply {
   unsigned int result;     /* FbOrderResult */
   unsigned hyper clock_ms; /* the worker's clock; 0: not known */
-  string life<FB_WORK_MAX_NAME>; /* that answered instead of the one addressed; "": not known */
-  fb_seen_run running<FB_WORK_MAX_SEEN>;
-  fb_seen_end finished<FB_WORK_MAX_SEEN>;
+  string incarnation<FB_WORK_MAX_NAME>; /* that answered instead of the one addressed; "": not known */
+  fb_reported_run running<FB_WORK_MAX_REPORTED>;
+  fb_reported_end finished<FB_WORK_MAX_REPORTED>;
 };
 
 /* A start of the last seconds whose run is not known to have ended. */
--- a/src/entry/advice/advisor.c
+++ b/src/entry/advice/advisor.c
@@ -1,13 +1,14 @@
 /* Requests to the advice service.  The service handles one call at a time for each calling daemon,
  * and a call takes up to a second.  The owner of a pool therefore spreads its requests over all
- * daemons, with one open at each, or two short ones (advice-share.h); at a daemon, requests of
- * several owners wait in one queue (advice-line.h).
+ * daemons, with one open at each, or two short ones (advice-balancer.h); at a daemon, requests of
+ * several owners wait in one queue (advice-queue.h).
  *
  * Failure: one daemon is left and owns two pools; the pool that has just got its answer always asks
  * again first, and no task of the other pool is started any more.  Guard: pools that wait for a
  * daemon take turns, by the service time that their requests have used. */
-#include "advice-line.h"
-#include "advice-share.h"
+#include "advice-balancer.h"
+#include "advice-queue.h"
+#include "fair-share.h"
 #include "src/entry/entry-private.h"
 
 #include "fb-counter.h"
@@ -64,7 +65,7 @@
 {
   for (guint i = 0; i < request->workers->len; i++)
     {
-      g_autofree char *asked = fb_wire_life_id (request->workers->pdata[i]);
+      g_autofree char *asked = fb_wire_incarnation_worker_id (request->workers->pdata[i]);
       if (g_str_equal (asked, id))
         return request->workers->pdata[i];
     }
@@ -74,18 +75,18 @@
 /* Passes the answer to OWNER.  Tickets name workers by id; they are assigned to the incarnations
  * that the request named.  TOLD: NULL without an answer. */
 static void
-pass_to_owner (FbOwner *owner, const AdviceRequest *request, const fb_told_advice *told)
+pass_to_owner (FbOwner *owner, const AdviceRequest *request, const fb_advice_reply *told)
 {
   guint n = told != NULL ? told->tickets.tickets_len : 0;
   g_autofree fb_ticket *tickets = g_new0 (fb_ticket, n + 1);
-  fb_told_advice of_incarnations = { .tickets = { 0, tickets } };
+  fb_advice_reply of_incarnations = { .tickets = { 0, tickets } };
   of_incarnations.validity_ms = told != NULL ? told->validity_ms : 0;
   for (guint i = 0; i < n; i++)
     {
       const fb_ticket *got = &told->tickets.tickets_val[i];
-      char *life = incarnation_of (request, got->worker);
-      if (life != NULL)
-        tickets[of_incarnations.tickets.tickets_len++] = (fb_ticket){ life, got->ticket };
+      char *incarnation = incarnation_of (request, got->worker);
+      if (incarnation != NULL)
+        tickets[of_incarnations.tickets.tickets_len++] = (fb_ticket){ incarnation, got->ticket };
     }
   fb_owner_advised (owner, request->step, (const char *const *) request->workers->pdata,
                     request->workers->len, told != NULL ? &of_incarnations : NULL);
@@ -98,11 +99,11 @@
   fb_advice_balancer_ended (request->entry->advisor->balancer, request->daemon);
   fb_histogram_add (FB_HISTOGRAM_ADVICE, fb_clock_ms () - request->sent_ms);
   FbOwner *owner = fb_entry_owner (request->entry, request->partition);
-  gboolean answered = told != NULL && told->type == FB_TOLD_ADVICE;
+  gboolean answered = told != NULL && told->type == FB_REPLY_ADVICE;
   if (!answered)
     fb_event_log (FB_EVENT_CALL_FAILED, "advice step=%s daemon=%s", request->step, request->daemon);
   if (owner != NULL)
-    pass_to_owner (owner, request, answered ? &told->fb_told_u.advice : NULL);
+    pass_to_owner (owner, request, answered ? &told->fb_peer_reply_u.advice : NULL);
   /* Lets the pool whose turn it is send its request. */
   fb_entry_foreach_owner (request->entry, fb_owner_schedule_tick);
   advice_request_free (request);
@@ -170,15 +171,15 @@
   for (guint i = 0; i < n; i++)
     {
       g_ptr_array_add (request->workers, g_strdup (workers[i]));
-      names[i].id = fb_wire_life_id (workers[i]);
+      names[i].id = fb_wire_incarnation_worker_id (workers[i]);
     }
-  fb_ask ask = { .type = FB_ASK_ADVICE };
-  ask.fb_ask_u.advice.step = request->step;
-  ask.fb_ask_u.advice.workers.workers_len = n;
-  ask.fb_ask_u.advice.workers.workers_val = names;
-  ask.fb_ask_u.advice.expected_ms = expected_ms;
+  fb_peer_request ask = { .type = FB_REQUEST_ADVICE };
+  ask.fb_peer_request_u.advice.step = request->step;
+  ask.fb_peer_request_u.advice.workers.workers_len = n;
+  ask.fb_peer_request_u.advice.workers.workers_val = names;
+  ask.fb_peer_request_u.advice.expected_ms = expected_ms;
   if (g_str_equal (daemon, self->entry->settings->peers))
-    fb_advisor_call (self->entry, &ask.fb_ask_u.advice, on_told, request);
+    fb_advisor_call (self->entry, &ask.fb_peer_request_u.advice, on_told, request);
   else
     fb_peers_request (self->entry, daemon, &ask, expected_ms + wait_max_ms (expected_ms), on_told,
                       request);
@@ -247,7 +248,7 @@
 }
 
 void
-fb_advisor_call (FbEntry *entry, const fb_ask_advice *ask, FbPeerReplyDone done, gpointer user)
+fb_advisor_call (FbEntry *entry, const fb_advice_request *ask, FbPeerReplyDone done, gpointer user)
 {
   FbAdvisor *self = entry->advisor;
   AdviceCall *call = g_new0 (AdviceCall, 1);
--- a/src/entry/entry-private.h
+++ b/src/entry/entry-private.h
@@ -47,8 +47,8 @@
   FbHttpClient *advice_client;
   FbLinks *links;   /* connections to the other daemons */
   FbRoutes *routes; /* NULL until the first configuration */
-  FbFollower *config_follower;
-  FbFollower *worker_follower; /* NULL until this daemon owns a partition */
+  FbTopicReader *config_reader;
+  FbTopicReader *worker_reader; /* NULL until this daemon owns a partition */
   FbWorkerList *workers;
   GHashTable *malformed_ids; /* ids of malformed worker entries that have been logged */
   GHashTable *listed_ids;    /* ids in the current listing; NULL: none in progress */
@@ -62,10 +62,10 @@
   FbTimer *timer;
   FbLoopWatch *loop;
   FbLinkWatch *link;
-  FbPayloadDedup *payload_dedup; /* payloads sent to other daemons */
-  FbPayloadCache *payload_cache; /* payloads received from other daemons */
-  FbRecentStarts *recent_starts; /* starts sent to workers from this daemon */
-  FbKeptSuspects *kept_suspects; /* held for owners that the store does not serve */
+  FbPayloadDedup *payload_dedup;     /* payloads sent to other daemons */
+  FbPayloadCache *payload_cache;     /* payloads received from other daemons */
+  FbRecentStarts *recent_starts;     /* starts sent to workers from this daemon */
+  FbSuspectBackups *suspect_backups; /* held for owners that the store does not serve */
   FbJoinWatch joins;
   gboolean stopping;
   gboolean refusing_callers; /* shutting down: new callers are refused immediately */
@@ -73,7 +73,7 @@
   uint64_t answered_ms;      /* time of the last answer to a caller */
   uint64_t store_ok_ms;      /* time of the store's last answer */
   gboolean store_lost;
-  FbStorePace store_health; /* latency and failures of this daemon's calls to the store */
+  FbStoreHealth store_health; /* latency and failures of this daemon's calls to the store */
   gboolean
       store_degraded; /* as last logged: callers' records should not be appended from this daemon */
 };
--- a/src/entry/front/append-proxy.c
+++ b/src/entry/front/append-proxy.c
@@ -65,17 +65,19 @@
 }
 
 gboolean
-fb_gatherer_is_troubled (const FbStorePace *store_health, uint64_t now_ms)
+fb_append_proxy_store_is_degraded (const FbStoreHealth *store_health, uint64_t now_ms)
 {
-  return fb_store_pace_has_failed (store_health, now_ms) || fb_store_pace_is_slow (store_health);
+  return fb_store_health_has_failed (store_health, now_ms)
+         || fb_store_health_is_slow (store_health);
 }
 
 /* Returns: (nullable): address of the daemon to ask, borrowed; NULL when none is to be asked. */
 static const char *
-next_proxy (const FbGathererRecord *record, const FbStorePace *store_health,
+next_proxy (const FbAppendProxyRecord *record, const FbStoreHealth *store_health,
             const GPtrArray *members, uint64_t now_ms)
 {
-  if ((!fb_gatherer_is_troubled (store_health, now_ms) && !fb_gatherer_always (members))
+  if ((!fb_append_proxy_store_is_degraded (store_health, now_ms)
+       && !fb_append_proxy_always (members))
       || record->asked->len >= ASKED_MAX || now_ms >= record->since_ms + PROXY_UNTIL_MS)
     return NULL;
   const char *address = fb_append_proxy_for (members, record->owner, record->front, record->asked,
@@ -83,17 +85,18 @@
   return address != NULL && !g_str_equal (address, record->front) ? address : NULL;
 }
 
-FbGathererWay
-fb_gatherer_way (const FbGathererRecord *record, const FbStorePace *store_health,
-                 const GPtrArray *members, uint64_t now_ms)
+FbAppendRoute
+fb_append_proxy_route (const FbAppendProxyRecord *record, const FbStoreHealth *store_health,
+                       const GPtrArray *members, uint64_t now_ms)
 {
   const char *address = next_proxy (record, store_health, members, now_ms);
-  gboolean slow = fb_store_pace_is_slow (store_health);
+  gboolean slow = fb_store_health_is_slow (store_health);
   if (address != NULL)
     {
-      uint64_t left_ms = record->since_ms + FB_FRONT_LONGEST_CALL_MS - now_ms;
+      uint64_t remaining_ms = record->since_ms + FB_FRONT_LONGEST_CALL_MS - now_ms;
       uint32_t timeout_ms = slow ? SLOW_TIMEOUT_MS : TIMEOUT_MS;
-      return (FbGathererWay){ FB_GATHERER_ASK, address, (uint32_t) MIN (timeout_ms, left_ms) };
+      return (FbAppendRoute){ FB_APPEND_ROUTE_PROXY, address,
+                              (uint32_t) MIN (timeout_ms, remaining_ms) };
     }
   /* Failure: a record that a slow store has refused is sent by other daemons, each attempt being
    * one more append in the queue for which it was refused; it shows as callers without an answer
--- a/src/entry/front/append-proxy.h
+++ b/src/entry/front/append-proxy.h
@@ -23,28 +23,29 @@
   const GPtrArray *asked; /* addresses of daemons that were asked to store it */
   uint32_t partition;
   uint64_t since_ms; /* when it was received */
-} FbGathererRecord;
+} FbAppendProxyRecord;
 
 typedef enum
 {
-  FB_GATHERER_NONE,   /* append from this daemon */
-  FB_GATHERER_ASK,    /* append through another daemon */
-  FB_GATHERER_GIVE_UP /* no further attempt */
-} FbGathererStep;
+  FB_APPEND_ROUTE_LOCAL,  /* append from this daemon */
+  FB_APPEND_ROUTE_PROXY,  /* append through another daemon */
+  FB_APPEND_ROUTE_GIVE_UP /* no further attempt */
+} FbAppendProxyStep;
 
 typedef struct
 {
-  FbGathererStep step;
+  FbAppendProxyStep step;
   const char *address; /* address of that daemon, borrowed; else NULL */
   uint32_t timeout_ms; /* time limit of its reply */
-} FbGathererWay;
+} FbAppendRoute;
 
 /* TRUE when PACE of a daemon shows that records should not be stored from there. */
-gboolean fb_gatherer_is_troubled (const FbStorePace *store_health, uint64_t now_ms);
+gboolean fb_append_proxy_store_is_degraded (const FbStoreHealth *store_health, uint64_t now_ms);
 /* Returns: the next step for RECORD, initially or after the daemon asked last has not stored it.
  * PACE: of the daemon that received the record.  MEMBERS: of FbDaemon. */
-FbGathererWay fb_gatherer_way (const FbGathererRecord *record, const FbStorePace *store_health,
-                               const GPtrArray *members, uint64_t now_ms);
+FbAppendRoute fb_append_proxy_route (const FbAppendProxyRecord *record,
+                                     const FbStoreHealth *store_health, const GPtrArray *members,
+                                     uint64_t now_ms);
 
 /* Chooses the daemon that stores a record of PARTITION received by the daemon at FRONT: with many
  * daemons, one of four on which all agree; otherwise the owner or, if that is not known, one on
@@ -52,7 +53,7 @@
  * known.  ASKED: addresses that are not to be chosen again.
  *
  * Returns: (nullable): its address, borrowed; NULL when there is none. */
-const char *fb_gatherer_for (const GPtrArray *members, const char *owner, const char *front,
-                             const GPtrArray *asked, uint32_t partition, uint64_t now_ms);
+const char *fb_append_proxy_for (const GPtrArray *members, const char *owner, const char *front,
+                                 const GPtrArray *asked, uint32_t partition, uint64_t now_ms);
 /* TRUE when records go through other daemons at all times, not only while the store is slow. */
-gboolean fb_gatherer_always (const GPtrArray *members);
+gboolean fb_append_proxy_always (const GPtrArray *members);
--- a/src/entry/front/front-store.c
+++ b/src/entry/front/front-store.c
@@ -1,6 +1,8 @@
-/* Stores a caller's record: from this daemon, through a daemon that appends for many (gatherer.h),
- * or through peers while the store rejects this daemon's calls.  The caller is told that its record
- * is not stored only if no call that may have stored it is without an answer. */
+/* Stores a caller's record: from this daemon, through a daemon that appends for many
+ * (append-proxy.h), or through peers while the store rejects this daemon's calls.  The caller is
+ * told that its record is not stored only if no call that may have stored it is without an answer.
+ */
+#include "append-proxy.h"
 #include "front-private.h"
 
 #include "fb-counter.h"
@@ -63,8 +65,8 @@
 {
   uint64_t now_ms = fb_clock_ms ();
   uint64_t took_ms = now_ms - request->stored_since_ms;
-  fb_store_pace_appended (&request->entry->store_health, taken, locally,
-                          (uint32_t) MIN (took_ms, G_MAXUINT32), now_ms);
+  fb_store_health_appended (&request->entry->store_health, taken, locally,
+                            (uint32_t) MIN (took_ms, G_MAXUINT32), now_ms);
 }
 
 static void store_by_peer (FbFrontRequest *request);
@@ -73,10 +75,10 @@
 request_append (FbFrontRequest *request, const char *daemon, uint32_t timeout_ms,
                 FbPeerReplyDone done)
 {
-  fb_ask ask = { .type = FB_ASK_APPEND };
-  ask.fb_ask_u.append.partition = request->partition;
-  ask.fb_ask_u.append.records.records_len = request->records->len;
-  ask.fb_ask_u.append.records.records_val = (char *) request->records->data;
+  fb_peer_request ask = { .type = FB_REQUEST_APPEND_JOB_RECORD };
+  ask.fb_peer_request_u.append.partition = request->partition;
+  ask.fb_peer_request_u.append.records.records_len = request->records->len;
+  ask.fb_peer_request_u.append.records.records_val = (char *) request->records->data;
   fb_peers_request (request->entry, daemon, &ask, timeout_ms, done, request);
 }
 
@@ -144,13 +146,13 @@
 static void
 note_store_health (FbEntry *entry, uint64_t now_ms)
 {
-  const FbStorePace *store_health = &entry->store_health;
-  gboolean store_degraded = fb_gatherer_is_troubled (store_health, now_ms);
+  const FbStoreHealth *store_health = &entry->store_health;
+  gboolean store_degraded = fb_append_proxy_store_is_degraded (store_health, now_ms);
   if (store_degraded != entry->store_degraded)
     fb_event_log (store_degraded ? FB_EVENT_STORE_SLOW : FB_EVENT_STORE_QUICK,
                   "append_ms=%u renewal_ms=%u failed=%d", store_health->append_latency_ms,
                   store_health->renewal_latency_ms,
-                  fb_store_pace_has_failed (store_health, now_ms));
+                  fb_store_health_has_failed (store_health, now_ms));
   entry->store_degraded = store_degraded;
 }
 
@@ -166,7 +168,7 @@
 }
 
 static void
-on_proxy_stored (gpointer data, const fb_told *told)
+on_proxy_stored (gpointer data, const fb_peer_reply *told)
 {
   FbFrontRequest *request = data;
   if (is_stored_by_other (request, told))
@@ -181,24 +183,25 @@
 {
   FbEntry *entry = request->entry;
   uint64_t now_ms = fb_clock_ms ();
-  const FbGathererRecord record = { .front = entry->settings->peers,
-                                    .owner = fb_group_owner_of (entry->group, request->partition),
-                                    .asked = request->asked,
-                                    .partition = request->partition,
-                                    .since_ms = request->since_ms };
+  const FbAppendProxyRecord record
+      = { .front = entry->settings->peers,
+          .owner = fb_group_owner_of (entry->group, request->partition),
+          .asked = request->asked,
+          .partition = request->partition,
+          .since_ms = request->since_ms };
   note_store_health (entry, now_ms);
-  FbGathererWay route
-      = fb_gatherer_way (&record, &entry->store_health, fb_daemons_all (entry->daemons), now_ms);
+  FbAppendRoute route = fb_append_proxy_route (&record, &entry->store_health,
+                                               fb_daemons_all (entry->daemons), now_ms);
   switch (route.step)
     {
-    case FB_GATHERER_NONE:
+    case FB_APPEND_ROUTE_LOCAL:
       store_locally (request);
       break;
-    case FB_GATHERER_ASK:
+    case FB_APPEND_ROUTE_PROXY:
       g_ptr_array_add (request->asked, g_strdup (route.address));
       request_append (request, route.address, route.timeout_ms, on_proxy_stored);
       break;
-    case FB_GATHERER_GIVE_UP:
+    case FB_APPEND_ROUTE_GIVE_UP:
       answer_not_stored (request);
       break;
     }
--- a/src/entry/front/front.c
+++ b/src/entry/front/front.c
@@ -159,9 +159,9 @@
 {
   FbFrontRequest *request = request_new (entry, message, route, job);
   request->is_delete = is_delete;
-  fb_ask ask = { .type = FB_ASK_STATE };
-  ask.fb_ask_u.job.service = request->service;
-  ask.fb_ask_u.job.job = request->job;
+  fb_peer_request ask = { .type = FB_REQUEST_JOB_STATE };
+  ask.fb_peer_request_u.job.service = request->service;
+  ask.fb_peer_request_u.job.job = request->job;
   fb_peers_request_owner (entry, request->service, &ask,
                           is_delete ? OWNER_TIMEOUT_MS / 4 : OWNER_TIMEOUT_MS, on_state, request);
 }
@@ -184,9 +184,9 @@
 request_pending (FbEntry *entry, SoupServerMessage *message, const FbRoute *route)
 {
   FbFrontRequest *request = request_new (entry, message, route, "");
-  fb_ask ask = { .type = FB_ASK_PENDING };
-  ask.fb_ask_u.queue.service = request->service;
-  ask.fb_ask_u.queue.queue = request->queue;
+  fb_peer_request ask = { .type = FB_REQUEST_PENDING_COUNT };
+  ask.fb_peer_request_u.queue.service = request->service;
+  ask.fb_peer_request_u.queue.queue = request->queue;
   fb_peers_request_owner (entry, request->service, &ask, OWNER_TIMEOUT_MS, on_pending, request);
 }
 
--- a/src/entry/owner/owner-orders.c
+++ b/src/entry/owner/owner-orders.c
@@ -51,12 +51,12 @@
 }
 
 static void
-pass_answer (FbServicePool *service_pool, const Order *order, const FbLookAnswer *answer)
+pass_answer (FbServicePool *service_pool, const Order *order, const FbPollAnswer *answer)
 {
   uint64_t now_ms = fb_clock_ms ();
-  if (order->kind == FB_CARRY_LOOK)
-    fb_pool_look_answered (service_pool->pool, order->worker, answer, now_ms, fb_clock_wall_ms ());
-  else if (order->kind == FB_CARRY_START)
+  if (order->kind == FB_ORDER_KIND_POLL)
+    fb_pool_poll_answered (service_pool->pool, order->worker, answer, now_ms, fb_clock_wall_ms ());
+  else if (order->kind == FB_ORDER_KIND_START)
     fb_pool_start_answered (service_pool->pool, order->order, answer->result, answer->clock_ms,
                             now_ms);
   else
@@ -69,7 +69,7 @@
 finish (Order *order, const FbPollAnswer *answer)
 {
   FbServicePool *service_pool = pool_of_order (order);
-  if (order->kind != FB_CARRY_LOOK)
+  if (order->kind != FB_ORDER_KIND_POLL)
     fb_histogram_add (FB_HISTOGRAM_ORDER, fb_clock_ms () - order->sent_ms);
   if (service_pool != NULL)
     {
@@ -103,7 +103,7 @@
 }
 
 static void
-on_relayed (gpointer data, FbRelayResult result, const fb_told_order *told)
+on_relayed (gpointer data, FbRelayResult result, const fb_relay_reply *told)
 {
   Order *order = data;
   FbPollAnswer answer
@@ -117,14 +117,14 @@
 }
 
 static void
-send_order (const FbServicePool *service_pool, const fb_ask_order *ask, uint64_t id)
+send_order (const FbServicePool *service_pool, const fb_relay_request *ask, uint64_t id)
 {
   FbEntry *entry = service_pool->owner->entry;
   Order *order = order_new (service_pool, ask->worker, id, ask->kind);
   const char *relay = fb_relay_for (entry, ask);
   fb_counter_add (FB_COUNTER_WORKER_SYNCS, 1);
   if (relay != NULL)
-    fb_relay_carry (entry, relay, ask, on_relayed, order);
+    fb_relay_send (entry, relay, ask, on_relayed, order);
   else
     fb_relay_call_worker (entry, ask, on_order_reply, order);
 }
--- a/src/entry/owner/owner-private.h
+++ b/src/entry/owner/owner-private.h
@@ -17,8 +17,8 @@
   uint32_t partition;
   uint64_t epoch;
   FbAppender *appender;
-  FbFollower *progress_follower;
-  FbFollower *job_follower;
+  FbTopicReader *progress_reader;
+  FbTopicReader *job_reader;
   GHashTable *progress;      /* job -> GBytes, while loading */
   GHashTable *cancelled;     /* set of cancelled jobs, while loading */
   GHashTable *loading;       /* job -> GBytes, while loading */
@@ -62,7 +62,7 @@
 /* Sends crash suspects that the store does not accept to other daemons. */
 void fb_owner_back_up_suspects (const FbServicePool *service_pool);
 /* Applies TOLD, the copies of suspects that a daemon has held for earlier owners. */
-void fb_owner_import_suspects (FbOwner *self, const fb_told_kept *told);
+void fb_owner_import_suspects (FbOwner *self, const fb_suspect_backups_reply *told);
 
 /* owner-recall.c */
 
--- a/src/entry/owner/owner-recall.c
+++ b/src/entry/owner/owner-recall.c
@@ -17,13 +17,13 @@
 } ImportRequest;
 
 static void
-import_starts (FbOwner *self, const fb_told_starts *told)
+import_starts (FbOwner *self, const fb_recent_starts_reply *told)
 {
   GHashTableIter iter;
   gpointer service_pool;
   g_hash_table_iter_init (&iter, self->service_pools);
   while (g_hash_table_iter_next (&iter, NULL, &service_pool))
-    fb_pool_recall_starts (((FbServicePool *) service_pool)->pool, told, fb_clock_ms ());
+    fb_pool_import_starts (((FbServicePool *) service_pool)->pool, told, fb_clock_ms ());
 }
 
 static void
@@ -31,19 +31,19 @@
 {
   ImportRequest *request = data;
   FbOwner *owner = fb_entry_owner (request->entry, request->partition);
-  if (told != NULL && told->type == FB_TOLD_STARTS && owner != NULL
+  if (told != NULL && told->type == FB_REPLY_RECENT_STARTS && owner != NULL
       && owner->epoch == request->epoch)
-    import_starts (owner, &told->fb_told_u.starts);
-  else if (told != NULL && told->type == FB_TOLD_KEPT && owner != NULL
+    import_starts (owner, &told->fb_peer_reply_u.starts);
+  else if (told != NULL && told->type == FB_REPLY_SUSPECT_BACKUPS && owner != NULL
            && owner->epoch == request->epoch)
-    fb_owner_import_suspects (owner, &told->fb_told_u.kept);
+    fb_owner_import_suspects (owner, &told->fb_peer_reply_u.kept);
   g_free (request);
 }
 
 static void
-request_from (const FbOwner *self, const char *address, fb_ask_type what)
+request_from (const FbOwner *self, const char *address, fb_peer_request_type what)
 {
-  const fb_ask ask = { .type = what };
+  const fb_peer_request ask = { .type = what };
   ImportRequest *request = g_new0 (ImportRequest, 1);
   request->entry = self->entry;
   request->partition = self->partition;
@@ -54,8 +54,8 @@
 static void
 import_own_starts (FbOwner *self)
 {
-  fb_told_starts told;
-  fb_recent_starts_tell (self->entry->recent_starts, fb_clock_ms (), &told);
+  fb_recent_starts_reply told;
+  fb_recent_starts_list (self->entry->recent_starts, fb_clock_ms (), &told);
   import_starts (self, &told);
   g_free (told.starts.starts_val);
 }
@@ -63,10 +63,10 @@
 static void
 import_own_suspects (FbOwner *self)
 {
-  fb_told_kept told;
-  fb_kept_suspects_tell (self->entry->kept_suspects, fb_clock_ms (), &told);
+  fb_suspect_backups_reply told;
+  fb_suspect_backups_list (self->entry->suspect_backups, fb_clock_ms (), &told);
   fb_owner_import_suspects (self, &told);
-  xdr_free ((xdrproc_t) xdr_fb_told_kept, (char *) &told);
+  xdr_free ((xdrproc_t) xdr_fb_suspect_backups_reply, (char *) &told);
 }
 
 static void
@@ -83,8 +83,8 @@
         continue;
       /* Requested only once: the owner may have cleared a task of suspicion since. */
       if (self->start_requests_n == 1)
-        request_from (self, daemon->address, FB_ASK_KEPT);
-      request_from (self, daemon->address, FB_ASK_STARTS);
+        request_from (self, daemon->address, FB_REQUEST_SUSPECT_BACKUPS);
+      request_from (self, daemon->address, FB_REQUEST_RECENT_STARTS);
     }
 }
 
--- a/src/entry/owner/owner-unstored.c
+++ b/src/entry/owner/owner-unstored.c
@@ -29,16 +29,16 @@
 /* Sends ASK to the daemons chosen for its job.  A job's copies always go to the same daemons while
  * these are alive. */
 static void
-send_backups (const FbOwner *self, const fb_ask *ask)
+send_backups (const FbOwner *self, const fb_peer_request *ask)
 {
   const GPtrArray *daemons = fb_daemons_all (self->entry->daemons);
   g_autoptr (GPtrArray) chosen = g_ptr_array_new ();
   const Choice choice = { self->entry->settings->peers, chosen };
   const FbDaemon *daemon = NULL;
-  while (
-      chosen->len < BACKUPS_N
-      && (daemon = fb_rendezvous_choose (daemons, ask->fb_ask_u.keep.job, may_hold_backup, &choice))
-             != NULL)
+  while (chosen->len < BACKUPS_N
+         && (daemon = fb_rendezvous_choose (daemons, ask->fb_peer_request_u.keep.job,
+                                            may_hold_backup, &choice))
+                != NULL)
     {
       g_ptr_array_add (chosen, daemon->address);
       fb_peers_request (self->entry, daemon->address, ask, ANSWER_MS, fb_peers_ignore_reply, NULL);
@@ -49,7 +49,7 @@
 }
 
 static void
-back_up_job (const FbOwner *self, const FbPoolUnstored *unstored)
+back_up_job (const FbOwner *self, const FbPoolUnstoredSuspects *unstored)
 {
   fb_peer_request ask = { .type = FB_REQUEST_BACK_UP_SUSPECTS };
   fb_suspects_backup *kept = &ask.fb_peer_request_u.keep;
@@ -67,7 +67,8 @@
 void
 fb_owner_back_up_suspects (const FbServicePool *service_pool)
 {
-  g_autoptr (GPtrArray) unstored = fb_pool_unstored (service_pool->pool, fb_clock_ms ());
+  g_autoptr (GPtrArray) unstored
+      = fb_pool_take_unstored_suspects (service_pool->pool, fb_clock_ms ());
   for (guint i = 0; unstored != NULL && i < unstored->len; i++)
     back_up_job (service_pool->owner, unstored->pdata[i]);
 }
@@ -75,7 +76,7 @@
 /* ---- after a take-over ------------------------------------------------------------------- */
 
 void
-fb_owner_import_suspects (FbOwner *self, const fb_told_kept *told)
+fb_owner_import_suspects (FbOwner *self, const fb_suspect_backups_reply *told)
 {
   GHashTableIter iter;
   gpointer service_pool;
@@ -86,7 +87,7 @@
         continue;
       g_hash_table_iter_init (&iter, self->service_pools);
       while (g_hash_table_iter_next (&iter, NULL, &service_pool))
-        fb_pool_recall_unstored (((FbServicePool *) service_pool)->pool, kept->job, &kept->suspects,
+        fb_pool_import_suspects (((FbServicePool *) service_pool)->pool, kept->job, &kept->suspects,
                                  fb_clock_ms ());
     }
 }
--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -54,8 +54,8 @@
   const FbPoolLimits limits = { .max_lease_ms = (uint32_t) settings->max_lease_ms,
                                 .max_stop_ms = (uint32_t) settings->max_stop_ms,
                                 .gang_wait_ms = (uint32_t) settings->gang_wait_ms,
-                                .crashes_n = (uint32_t) settings->crashes_n,
-                                .shared_crashes_n = (uint32_t) settings->shared_crashes_n };
+                                .max_isolated_crashes = (uint32_t) settings->max_isolated_crashes,
+                                .max_shared_crashes = (uint32_t) settings->max_shared_crashes };
   service_pool = g_new0 (FbServicePool, 1);
   service_pool->owner = self;
   service_pool->service = g_strdup (service);
@@ -146,7 +146,8 @@
     {
       const FbPoolRecord *record = records->pdata[i];
       g_autofree char *workers_key = g_strconcat (FB_KEY_WORKERS, service_pool->service, NULL);
-      fb_wire_put_record (body, record->job != NULL ? record->job : workers_key, record->progress);
+      fb_wire_encode_record (body, record->job != NULL ? record->job : workers_key,
+                             record->progress);
       if (record->progress == NULL || record->ended)
         g_ptr_array_add (ended, g_strdup (record->job));
     }
@@ -204,8 +205,8 @@
     {
       FbServicePool *service_pool = value;
       gboolean may_start = confirm_ownership (self, service_pool, now_ms) && !self->quiesced;
-      fb_pool_jobs_read (service_pool->pool, fb_follower_fresh_ms (self->job_follower));
-      fb_pool_step (service_pool->pool, may_start, now_ms, fb_clock_wall_ms ());
+      fb_pool_jobs_read (service_pool->pool, fb_topic_reader_fresh_ms (self->job_reader));
+      fb_pool_tick (service_pool->pool, may_start, now_ms, fb_clock_wall_ms ());
       flush_pool (service_pool);
       fb_owner_back_up_suspects (service_pool);
     }
@@ -273,8 +274,8 @@
   if (self->load_source != 0)
     g_source_remove (self->load_source);
   fb_appender_free (self->appender);
-  fb_follower_free (self->progress_follower);
-  fb_follower_free (self->job_follower);
+  fb_topic_reader_free (self->progress_reader);
+  fb_topic_reader_free (self->job_reader);
   g_ptr_array_unref (self->ended_jobs);
   g_hash_table_unref (self->service_pools);
   g_hash_table_unref (self->loading);
@@ -360,7 +361,7 @@
 /* ---- queries ------------------------------------------------------------------------------ */
 
 static void
-answer_job_state (FbOwner *self, const fb_ask_job *ask, fb_told *told)
+answer_job_state (FbOwner *self, const fb_job_state_request *ask, fb_peer_reply *told)
 {
   const FbServicePool *service_pool = g_hash_table_lookup (self->service_pools, ask->service);
   fb_work_state state = FB_WORK_QUEUED;
@@ -371,27 +372,27 @@
       return;
     }
   uint64_t now_ms = fb_clock_ms ();
-  if (now_ms < fb_follower_fresh_ms (self->job_follower) + JOBS_FRESH_MS)
-    told->type = FB_TOLD_NO_JOB;
+  if (now_ms < fb_topic_reader_fresh_ms (self->job_reader) + JOBS_FRESH_MS)
+    told->type = FB_REPLY_NO_SUCH_JOB;
 }
 
 static void
-answer_pending (FbOwner *self, const fb_ask_queue *ask, fb_told *told)
+answer_pending (FbOwner *self, const fb_pending_request *ask, fb_peer_reply *told)
 {
   const FbServicePool *service_pool = g_hash_table_lookup (self->service_pools, ask->service);
-  told->type = FB_TOLD_PENDING;
-  told->fb_told_u.pending
+  told->type = FB_REPLY_PENDING_COUNT;
+  told->fb_peer_reply_u.pending
       = service_pool != NULL ? fb_pool_pending (service_pool->pool, ask->queue) : 0;
 }
 
 void
-fb_owner_answer (FbOwner *self, const fb_ask *ask, fb_told *told)
+fb_owner_answer (FbOwner *self, const fb_peer_request *ask, fb_peer_reply *told)
 {
   told->type = FB_REPLY_UNAVAILABLE;
   if (!self->loaded || self->lost)
     return;
-  if (ask->type == FB_ASK_STATE)
-    answer_job_state (self, &ask->fb_ask_u.job, told);
-  else if (ask->type == FB_ASK_PENDING)
-    answer_pending (self, &ask->fb_ask_u.queue, told);
+  if (ask->type == FB_REQUEST_JOB_STATE)
+    answer_job_state (self, &ask->fb_peer_request_u.job, told);
+  else if (ask->type == FB_REQUEST_PENDING_COUNT)
+    answer_pending (self, &ask->fb_peer_request_u.queue, told);
 }
--- a/src/entry/owner/owner.h
+++ b/src/entry/owner/owner.h
@@ -10,7 +10,7 @@
 void fb_owner_free (FbOwner *self);
 gboolean fb_owner_lost (const FbOwner *self);
 /* Answers a request about a job or a queue. */
-void fb_owner_answer (FbOwner *self, const fb_ask *ask, fb_told *told);
+void fb_owner_answer (FbOwner *self, const fb_peer_request *ask, fb_peer_reply *told);
 /* Applies a record of FB_TOPIC_JOBS that is known to be stored, before the follower reads it. */
 void fb_owner_apply_record (FbOwner *self, const char *key, GBytes *value);
 /* Schedules a tick of the pools within some ms. */
--- a/src/entry/peers/peers.c
+++ b/src/entry/peers/peers.c
@@ -59,17 +59,17 @@
 on_reply (gpointer data, FbLinkResult result, gconstpointer body, gsize len)
 {
   OpenRequest *open = data;
-  fb_told told;
+  fb_peer_reply told;
   fb_traffic_add (open->traffic, 0, len);
-  if (result == FB_LINK_ANSWERED && fb_codec_decode_told (body, len, &told))
+  if (result == FB_LINK_ANSWERED && fb_codec_decode_peer_reply (body, len, &told))
     {
       open->done (open->user, &told);
-      xdr_free ((xdrproc_t) xdr_fb_told, (char *) &told);
+      xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &told);
     }
   else if (result == FB_LINK_NOT_SENT)
     {
       /* The peer is down, so it has done nothing. */
-      static const fb_told unsure = { .type = FB_TOLD_UNSURE };
+      static const fb_peer_reply unsure = { .type = FB_REPLY_UNAVAILABLE };
       open->done (open->user, &unsure);
     }
   else
@@ -78,14 +78,14 @@
 }
 
 void
-fb_peers_request (FbEntry *entry, const char *address, const fb_ask *ask, uint32_t timeout_ms,
-                  FbPeerReplyDone done, gpointer user)
+fb_peers_request (FbEntry *entry, const char *address, const fb_peer_request *ask,
+                  uint32_t timeout_ms, FbPeerReplyDone done, gpointer user)
 {
   OpenRequest *open = g_new0 (OpenRequest, 1);
   open->done = done;
   open->user = user;
   open->traffic = traffic_of (ask);
-  g_autoptr (GBytes) body = fb_codec_encode_ask (ask);
+  g_autoptr (GBytes) body = fb_codec_encode_peer_request (ask);
   fb_traffic_add (open->traffic, body != NULL ? g_bytes_get_size (body) : 0, 0);
   fb_links_call (entry->links, address, body, timeout_ms, on_reply, open);
 }
@@ -105,7 +105,7 @@
 static void send_to_owner (OwnerRequest *request);
 
 static void
-finish (OwnerRequest *request, const fb_told *told)
+finish (OwnerRequest *request, const fb_peer_reply *told)
 {
   request->done (request->user, told);
   g_bytes_unref (request->ask);
@@ -120,10 +120,10 @@
 }
 
 static void
-on_owner_reply (gpointer data, const fb_told *told)
+on_owner_reply (gpointer data, const fb_peer_reply *told)
 {
   OwnerRequest *request = data;
-  if (told != NULL && told->type != FB_TOLD_UNSURE)
+  if (told != NULL && told->type != FB_REPLY_UNAVAILABLE)
     {
       finish (request, told);
       return;
@@ -141,34 +141,34 @@
   uint64_t now_ms = fb_clock_ms ();
   gsize len = 0;
   gconstpointer data = g_bytes_get_data (request->ask, &len);
-  fb_ask ask;
-  if (now_ms >= request->until_ms || !fb_codec_decode_ask (data, len, &ask))
+  fb_peer_request ask;
+  if (now_ms >= request->until_ms || !fb_codec_decode_peer_request (data, len, &ask))
     {
       finish (request, NULL);
       return;
     }
   FbOwner *owner = fb_entry_owner (request->entry, request->partition);
   const char *address = fb_group_owner_of (request->entry->group, request->partition);
-  fb_told told = { .type = FB_TOLD_UNSURE };
-  uint64_t left_ms = request->until_ms - now_ms;
+  fb_peer_reply told = { .type = FB_REPLY_UNAVAILABLE };
+  uint64_t remaining_ms = request->until_ms - now_ms;
   if (owner != NULL)
     fb_owner_answer (owner, &ask, &told);
   if (owner == NULL && address != NULL && !g_str_equal (address, request->entry->settings->peers))
-    fb_peers_request (request->entry, address, &ask, (uint32_t) MIN (left_ms, 700), on_owner_reply,
-                      request);
+    fb_peers_request (request->entry, address, &ask, (uint32_t) MIN (remaining_ms, 700),
+                      on_owner_reply, request);
   else
     on_owner_reply (request, &told);
-  xdr_free ((xdrproc_t) xdr_fb_ask, (char *) &ask);
+  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &ask);
 }
 
 void
-fb_peers_request_owner (FbEntry *entry, const char *service, const fb_ask *ask, uint32_t timeout_ms,
-                        FbPeerReplyDone done, gpointer user)
+fb_peers_request_owner (FbEntry *entry, const char *service, const fb_peer_request *ask,
+                        uint32_t timeout_ms, FbPeerReplyDone done, gpointer user)
 {
   OwnerRequest *request = g_new0 (OwnerRequest, 1);
   request->entry = entry;
   request->partition = fb_entry_partition_of (entry, service);
-  request->ask = fb_codec_encode_ask (ask);
+  request->ask = fb_codec_encode_peer_request (ask);
   request->until_ms = fb_clock_ms () + timeout_ms;
   request->done = done;
   request->user = user;
@@ -178,7 +178,7 @@
 /* ---- notifying an owner ------------------------------------------------------------- */
 
 void
-fb_peers_ignore_reply (gpointer user, const fb_told *told)
+fb_peers_ignore_reply (gpointer user, const fb_peer_reply *told)
 {
   (void) user;
   (void) told;
@@ -203,11 +203,11 @@
       return;
     }
   gsize len = 0;
-  fb_ask ask = { .type = FB_ASK_STORED };
-  ask.fb_ask_u.stored.partition = partition;
-  ask.fb_ask_u.stored.key = (char *) key;
-  ask.fb_ask_u.stored.value.value_val = (char *) g_bytes_get_data (value, &len);
-  ask.fb_ask_u.stored.value.value_len = (u_int) len;
+  fb_peer_request ask = { .type = FB_REQUEST_NOTIFY_STORED };
+  ask.fb_peer_request_u.stored.partition = partition;
+  ask.fb_peer_request_u.stored.key = (char *) key;
+  ask.fb_peer_request_u.stored.value.value_val = (char *) g_bytes_get_data (value, &len);
+  ask.fb_peer_request_u.stored.value.value_len = (u_int) len;
   fb_peers_request (entry, address, &ask, NOTIFY_MS, fb_peers_ignore_reply, NULL);
 }
 
@@ -231,7 +231,7 @@
 } PeerAppend;
 
 static void
-on_peer_appended (gpointer data, const fb_told *told)
+on_peer_appended (gpointer data, const fb_peer_reply *told)
 {
   PeerAppend *write = data;
   FbAppendResult result = FB_APPEND_IN_DOUBT;
@@ -240,21 +240,21 @@
       if (told->type == append_results[i].told)
         result = append_results[i].result;
     }
-  if (told != NULL && told->type == FB_TOLD_UNSURE)
+  if (told != NULL && told->type == FB_REPLY_UNAVAILABLE)
     result = FB_APPEND_NOT_STORED; /* the peer is down, or has no such partition */
   write->done (write->user, result);
   g_free (write);
 }
 
 void
-fb_peers_append_progress (FbEntry *entry, const char *peer, const fb_ask_write *write,
+fb_peers_append_progress (FbEntry *entry, const char *peer, const fb_progress_append_request *write,
                           uint32_t timeout_ms, FbAppendDone done, gpointer user)
 {
   PeerAppend *open = g_new0 (PeerAppend, 1);
   open->done = done;
   open->user = user;
-  fb_ask ask = { .type = FB_ASK_WRITE };
-  ask.fb_ask_u.write = *write;
+  fb_peer_request ask = { .type = FB_REQUEST_APPEND_PROGRESS };
+  ask.fb_peer_request_u.write = *write;
   fb_peers_request (entry, peer, &ask, timeout_ms, on_peer_appended, open);
 }
 
@@ -272,10 +272,10 @@
 on_answer_ready (gpointer data, const fb_peer_reply *told)
 {
   Answer *answer = data;
-  static const fb_told unsure = { .type = FB_TOLD_UNSURE };
-  g_autoptr (GBytes) body = fb_codec_encode_told (told != NULL ? told : &unsure);
+  static const fb_peer_reply unsure = { .type = FB_REPLY_UNAVAILABLE };
+  g_autoptr (GBytes) body = fb_codec_encode_peer_reply (told != NULL ? told : &unsure);
   if (body == NULL) /* the reply is larger than the limit */
-    body = fb_codec_encode_told (&unsure);
+    body = fb_codec_encode_peer_reply (&unsure);
   fb_traffic_add (answer->traffic, g_bytes_get_size (body), 0);
   fb_link_call_answer (answer->call, body);
   g_free (answer);
@@ -302,7 +302,7 @@
 /* Appends immediately, under the owner's own sequence number, so that a repeat by the owner is
  * harmless. */
 static void
-append_for_owner (FbEntry *entry, const fb_ask_write *ask, Answer *answer)
+append_for_owner (FbEntry *entry, const fb_progress_append_request *ask, Answer *answer)
 {
   if (ask->partition >= entry->settings->partitions)
     {
@@ -339,7 +339,7 @@
 }
 
 static void
-apply_stored (FbEntry *entry, const fb_ask_stored *ask)
+apply_stored (FbEntry *entry, const fb_stored_notice *ask)
 {
   FbOwner *owner = fb_entry_owner (entry, ask->partition);
   g_autoptr (GBytes) value = g_bytes_new (ask->value.value_val, ask->value.value_len);
@@ -373,7 +373,7 @@
 }
 
 static void
-serve_request (FbEntry *entry, const fb_ask *ask, Answer *answer)
+serve_request (FbEntry *entry, const fb_peer_request *ask, Answer *answer)
 {
   fb_peer_reply told = { .type = FB_REPLY_UNAVAILABLE };
   FbOwner *owner = NULL;
@@ -387,26 +387,26 @@
     case FB_REQUEST_APPEND_JOB_RECORD:
       append_for_peer (entry, &ask->fb_peer_request_u.append, answer);
       return;
-    case FB_ASK_WRITE:
-      append_for_owner (entry, &ask->fb_ask_u.write, answer);
+    case FB_REQUEST_APPEND_PROGRESS:
+      append_for_owner (entry, &ask->fb_peer_request_u.write, answer);
       return;
-    case FB_ASK_OWNERS:
+    case FB_REQUEST_PARTITION_OWNERS:
       fb_group_send_owners (entry->group, on_answer_ready, answer);
       return;
     case FB_REQUEST_RELAY_ORDER:
       fb_relay_serve (entry, &ask->fb_peer_request_u.order, on_answer_ready, answer);
       return;
-    case FB_ASK_STARTS:
+    case FB_REQUEST_RECENT_STARTS:
       answer_starts (entry, answer);
       return;
-    case FB_ASK_KEPT:
+    case FB_REQUEST_SUSPECT_BACKUPS:
       answer_suspect_backups (entry, answer);
       return;
     case FB_REQUEST_BACK_UP_SUSPECTS:
       fb_suspect_backups_put (entry->suspect_backups, &ask->fb_peer_request_u.keep, fb_clock_ms ());
       break;
-    case FB_ASK_STORED:
-      apply_stored (entry, &ask->fb_ask_u.stored);
+    case FB_REQUEST_NOTIFY_STORED:
+      apply_stored (entry, &ask->fb_peer_request_u.stored);
       break;
     case FB_REQUEST_JOB_STATE:
     case FB_REQUEST_PENDING_COUNT:
@@ -434,5 +434,5 @@
   answer->traffic = traffic_of (&ask);
   fb_traffic_add (answer->traffic, 0, len);
   serve_request (data, &ask, answer);
-  xdr_free ((xdrproc_t) xdr_fb_ask, (char *) &ask);
+  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &ask);
 }
--- a/src/entry/peers/peers.h
+++ b/src/entry/peers/peers.h
@@ -5,19 +5,20 @@
 #include "relay.h"
 #include "src/entry/store/appender.h"
 
-void fb_peers_request (FbEntry *entry, const char *address, const fb_ask *ask, uint32_t timeout_ms,
-                       FbPeerReplyDone done, gpointer user);
+void fb_peers_request (FbEntry *entry, const char *address, const fb_peer_request *ask,
+                       uint32_t timeout_ms, FbPeerReplyDone done, gpointer user);
 /* Completion callback for requests whose reply does not matter. */
-void fb_peers_ignore_reply (gpointer user, const fb_told *told);
+void fb_peers_ignore_reply (gpointer user, const fb_peer_reply *told);
 /* Sends a request to the owner of the pool of SERVICE, which may be this daemon; retries until
  * TIMEOUT_MS have passed. */
-void fb_peers_request_owner (FbEntry *entry, const char *service, const fb_ask *ask,
+void fb_peers_request_owner (FbEntry *entry, const char *service, const fb_peer_request *ask,
                              uint32_t timeout_ms, FbPeerReplyDone done, gpointer user);
 /* Notifies the owner of PARTITION of a stored record.  The owner reads it from the store in any
  * case, so nothing depends on the reply. */
 void fb_peers_notify_stored (FbEntry *entry, uint32_t partition, const char *key, GBytes *value);
 /* Appends an owner's progress through PEER, as if it were sent to the store by this daemon. */
-void fb_peers_append_progress (FbEntry *entry, const char *peer, const fb_ask_write *write,
-                               uint32_t timeout_ms, FbAppendDone done, gpointer user);
+void fb_peers_append_progress (FbEntry *entry, const char *peer,
+                               const fb_progress_append_request *write, uint32_t timeout_ms,
+                               FbAppendDone done, gpointer user);
 /* Handles calls of peers; a FbLinkServe for the links of ENTRY. */
 void fb_peers_serve (gpointer entry, FbLinkCall *call, gconstpointer body, gsize len);
--- a/src/entry/peers/recent-starts.c
+++ b/src/entry/peers/recent-starts.c
@@ -162,7 +162,7 @@
 }
 
 static void
-apply_end (FbRecentStarts *self, WorkerStarts *worker_starts, const FbEndSeen *end)
+apply_end (FbRecentStarts *self, WorkerStarts *worker_starts, const FbReportedEnd *end)
 {
   for (GList *l = worker_starts->starts.head, *next = NULL; l != NULL; l = next)
     {
@@ -214,7 +214,7 @@
   if (answer->result == FB_ORDER_DONE)
     apply_running (self, worker_starts, answer->running);
   for (guint i = 0; answer->finished != NULL && i < answer->finished->len; i++)
-    apply_end (self, worker_starts, &g_array_index (answer->finished, FbEndSeen, i));
+    apply_end (self, worker_starts, &g_array_index (answer->finished, FbReportedEnd, i));
   drop_if_empty (self, worker, worker_starts);
 }
 
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -4,7 +4,7 @@
  * takes a request, parsing of the answer and several system calls.  So each worker has a daemon in
  * its own failure domain that relays the owner's orders to it, chosen by rendezvous hashing
  * weighted by processor, and the owner exchanges frames of a few hundred bytes with that daemon.
- * When the owner's link is slow, the starts of one job go through few daemons (payload-share.h).
+ * When the owner's link is slow, the starts of one job go through few daemons (payload-dedup.h).
  *
  * A relay makes no decisions and no retries.  An order that it delays is equivalent to one that the
  * network delays: it contains the owner's epoch and a deadline on the worker's clock.
@@ -68,7 +68,7 @@
     return NULL;
   uint64_t now_ms = fb_clock_ms ();
   gboolean by_job
-      = order->kind == FB_CARRY_START
+      = order->kind == FB_ORDER_KIND_START
         && fb_payload_dedup_link_is_full (entry->payload_dedup, strlen (order->payload), now_ms);
   g_autofree char *job_key = by_job ? fb_payload_dedup_relay_key (order->task) : NULL;
   const FbDaemon *member
@@ -242,15 +242,16 @@
   g_autoptr (GBytes) full_request = g_steal_pointer (&relayed->full_request);
   gsize len = 0;
   gconstpointer data = full_request != NULL ? g_bytes_get_data (full_request, &len) : NULL;
-  fb_ask ask;
+  fb_peer_request ask;
   fb_payload_dedup_forget (relayed->entry->payload_dedup, relayed->daemon, &relayed->digest);
-  if (data == NULL || now_ms >= relayed->until_ms || !fb_codec_decode_ask (data, len, &ask))
+  if (data == NULL || now_ms >= relayed->until_ms
+      || !fb_codec_decode_peer_request (data, len, &ask))
     return FALSE;
   (void) fb_payload_dedup_sent (relayed->entry->payload_dedup, relayed->daemon, &relayed->digest,
                                 now_ms);
   fb_peers_request (relayed->entry, relayed->daemon, &ask, (uint32_t) (relayed->until_ms - now_ms),
                     on_told, relayed);
-  xdr_free ((xdrproc_t) xdr_fb_ask, (char *) &ask);
+  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &ask);
   return TRUE;
 }
 
@@ -258,7 +259,7 @@
 on_told (gpointer data, const fb_peer_reply *told)
 {
   RelayedOrder *relayed = data;
-  if (told != NULL && told->type == FB_TOLD_NO_PAYLOAD && send_with_payload (relayed))
+  if (told != NULL && told->type == FB_REPLY_PAYLOAD_MISSING && send_with_payload (relayed))
     return;
   gboolean answered = told != NULL && told->type == FB_REPLY_ORDER_RESULT;
   if (!answered)
@@ -269,9 +270,9 @@
                                  fb_clock_ms () + BACKOFF_MS);
     }
   if (answered)
-    relayed->done (relayed->user, FB_RELAY_ANSWERED, &told->fb_told_u.order);
+    relayed->done (relayed->user, FB_RELAY_ANSWERED, &told->fb_peer_reply_u.order);
   else
-    relayed->done (relayed->user, told != NULL ? FB_RELAY_NOT_CARRIED : FB_RELAY_LOST, NULL);
+    relayed->done (relayed->user, told != NULL ? FB_RELAY_NOT_RELAYED : FB_RELAY_LOST, NULL);
   g_clear_pointer (&relayed->full_request, g_bytes_unref);
   g_free (relayed->daemon);
   g_free (relayed);
@@ -279,10 +280,10 @@
 
 /* If the relay has the payload of ASK, a start, replaces it by its digest. */
 static void
-omit_sent_payload (RelayedOrder *relayed, fb_ask *ask, uint64_t now_ms)
+omit_sent_payload (RelayedOrder *relayed, fb_peer_request *ask, uint64_t now_ms)
 {
-  fb_ask_order *order = &ask->fb_ask_u.order;
-  if (order->kind != FB_CARRY_START || strlen (order->payload) < NAMED_MIN_BYTES)
+  fb_relay_request *order = &ask->fb_peer_request_u.order;
+  if (order->kind != FB_ORDER_KIND_START || strlen (order->payload) < NAMED_MIN_BYTES)
     return;
   fb_payload_digest (order->payload, &relayed->digest);
   order->payload_digest.payload_digest_val = (char *) relayed->digest.bytes;
@@ -290,7 +291,7 @@
   if (!fb_payload_dedup_sent (relayed->entry->payload_dedup, relayed->daemon, &relayed->digest,
                               now_ms))
     return;
-  relayed->full_request = fb_codec_encode_ask (ask);
+  relayed->full_request = fb_codec_encode_peer_request (ask);
   order->payload = "";
 }
 
@@ -306,8 +307,8 @@
   uint64_t now_ms = fb_clock_ms ();
   uint32_t timeout_ms = limit_ms (order) + NETWORK_MS;
   relayed->until_ms = now_ms + timeout_ms;
-  fb_ask ask = { .type = FB_ASK_ORDER };
-  ask.fb_ask_u.order = *order;
+  fb_peer_request ask = { .type = FB_REQUEST_RELAY_ORDER };
+  ask.fb_peer_request_u.order = *order;
   omit_sent_payload (relayed, &ask, now_ms);
   fb_peers_request (entry, daemon, &ask, timeout_ms, on_told, relayed);
 }
@@ -326,8 +327,8 @@
 /* Fills in TOLD from ANSWER; ROWS and ENDS are its arrays, whose strings are borrowed from
  * ANSWER. */
 static void
-fill_poll_reply (const FbLookAnswer *answer, fb_told_order *told, fb_seen_run *rows,
-                 fb_seen_end *ends)
+fill_poll_reply (const FbPollAnswer *answer, fb_relay_reply *told, fb_reported_run *rows,
+                 fb_reported_end *ends)
 {
   for (guint i = 0; i < answer->running->len; i++)
     {
@@ -390,7 +391,7 @@
 }
 
 void
-fb_relay_serve (FbEntry *entry, const fb_ask_order *ask, FbPeerReplyDone done, gpointer user)
+fb_relay_serve (FbEntry *entry, const fb_relay_request *ask, FbPeerReplyDone done, gpointer user)
 {
   fb_relay_request complete = *ask;
   if (!complete_payload (entry, &complete))
--- a/src/entry/peers/relay.h
+++ b/src/entry/peers/relay.h
@@ -8,15 +8,15 @@
 typedef enum
 {
   FB_RELAY_ANSWERED,
-  FB_RELAY_NOT_CARRIED, /* the order was certainly not executed */
+  FB_RELAY_NOT_RELAYED, /* the order was certainly not executed */
   FB_RELAY_LOST         /* the order may be executed, now or later */
 } FbRelayResult;
 
 /* Completion of a relayed order.  TOLD is borrowed; NULL unless the relay answered. */
-typedef void (*FbRelayDone) (gpointer user, FbRelayResult result, const fb_told_order *told);
+typedef void (*FbRelayDone) (gpointer user, FbRelayResult result, const fb_relay_reply *told);
 /* Completion of a request to a peer.  TOLD is borrowed; NULL when no reply came; of type
- * FB_TOLD_UNSURE also when nothing was sent. */
-typedef void (*FbPeerReplyDone) (gpointer user, const fb_told *told);
+ * FB_REPLY_UNAVAILABLE also when nothing was sent. */
+typedef void (*FbPeerReplyDone) (gpointer user, const fb_peer_reply *told);
 
 /* MEMBERS: of FbDaemon.  BUT: an address that is not to be chosen.
  * Returns: (nullable): the member of DOMAIN that relays orders with KEY; borrowed. */
@@ -24,20 +24,20 @@
                                  const char *but, uint64_t now_ms);
 /* Returns: (nullable): the address of the daemon that relays ORDER to its worker, borrowed; NULL
  * when this daemon sends it itself. */
-const char *fb_relay_for (FbEntry *entry, const fb_ask_order *order);
+const char *fb_relay_for (FbEntry *entry, const fb_relay_request *order);
 /* Sends ORDER through DAEMON; everything that ORDER points to is borrowed for the call. */
-void fb_relay_carry (FbEntry *entry, const char *daemon, const fb_ask_order *order,
-                     FbRelayDone done, gpointer user);
+void fb_relay_send (FbEntry *entry, const char *daemon, const fb_relay_request *order,
+                    FbRelayDone done, gpointer user);
 /* Sends ORDER to its worker on behalf of another daemon; DONE is called once. */
-void fb_relay_serve (FbEntry *entry, const fb_ask_order *order, FbPeerReplyDone done,
+void fb_relay_serve (FbEntry *entry, const fb_relay_request *order, FbPeerReplyDone done,
                      gpointer user);
 /* Sends ORDER to its worker from this daemon. */
-void fb_relay_call_worker (FbEntry *entry, const fb_ask_order *order, FbHttpReplyDone done,
+void fb_relay_call_worker (FbEntry *entry, const fb_relay_request *order, FbHttpReplyDone done,
                            gpointer user);
 /* Parses the worker's answer to an order of KIND; only the answer to a poll has lists.  ANSWER is
- * cleared with fb_look_answer_clear(). */
+ * cleared with fb_poll_answer_clear(). */
 void fb_relay_worker_answer (fb_order_kind kind, const char *worker, const FbHttpReply *reply,
-                             FbLookAnswer *answer);
+                             FbPollAnswer *answer);
 /* Converts a relay's reply.  ANSWER borrows its strings from TOLD; it is cleared with
- * fb_look_answer_clear(). */
-void fb_relay_look_answer (const fb_told_order *told, FbLookAnswer *answer);
+ * fb_poll_answer_clear(). */
+void fb_relay_poll_answer (const fb_relay_reply *told, FbPollAnswer *answer);
--- a/src/entry/peers/suspect-backups.h
+++ b/src/entry/peers/suspect-backups.h
@@ -8,9 +8,11 @@
 
 typedef struct _FbSuspectBackups FbSuspectBackups;
 
-FbKeptSuspects *fb_kept_suspects_new (void);
-void fb_kept_suspects_free (FbKeptSuspects *self);
+FbSuspectBackups *fb_suspect_backups_new (void);
+void fb_suspect_backups_free (FbSuspectBackups *self);
 /* Replaces the copy of KEPT's job, unless the copy held is of a later owner. */
-void fb_kept_suspects_take (FbKeptSuspects *self, const fb_kept_job *kept, uint64_t now_ms);
+void fb_suspect_backups_put (FbSuspectBackups *self, const fb_suspects_backup *kept,
+                             uint64_t now_ms);
 /* Fills in TOLD with all copies; the caller frees it with xdr_free(). */
-void fb_kept_suspects_tell (const FbKeptSuspects *self, uint64_t now_ms, fb_told_kept *told);
+void fb_suspect_backups_list (const FbSuspectBackups *self, uint64_t now_ms,
+                              fb_suspect_backups_reply *told);
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -16,11 +16,12 @@
   char *advice; /* IP:PORT of the advice service; NULL: no queue has advice */
   uint64_t partitions;
   uint64_t shortest_ttl_ms; /* shortest time to live of a member of a group */
-  uint64_t hold_max_ms;
-  uint64_t stop_ms;
+  uint64_t max_lease_ms;
+  uint64_t max_stop_ms;
   uint64_t gang_wait_ms;
-  uint64_t crashes_n;        /* isolated crashes under a task before it is given up; 0: default */
-  uint64_t shared_crashes_n; /* the same if other tasks ran on the workers; 0: default */
+  uint64_t
+      max_isolated_crashes;    /* isolated crashes under a task before it is given up; 0: default */
+  uint64_t max_shared_crashes; /* the same if other tasks ran on the workers; 0: default */
   uint64_t grace_ms;
   uint64_t link_kbit_s; /* network link in each direction; Mbit/s in the file; 0: unknown */
   uint64_t cpu_milli;   /* processor, in thousandths of a core; 1000 by default */
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -63,9 +63,9 @@
 {
   uint64_t now_ms = fb_clock_ms ();
   if (reply->status == FB_HTTP_OK)
-    fb_store_pace_renewed (&self->store_health, (uint32_t) MIN (now_ms - sent_ms, G_MAXUINT32));
+    fb_store_health_renewed (&self->store_health, (uint32_t) MIN (now_ms - sent_ms, G_MAXUINT32));
   else if (reply->status == FB_HTTP_TIMEOUT)
-    fb_store_pace_failed (&self->store_health, now_ms);
+    fb_store_health_failed (&self->store_health, now_ms);
 }
 
 static void
@@ -121,7 +121,7 @@
 list_worker (FbEntry *self, FbListedWorker *worker)
 {
   const FbListedWorker *before = fb_worker_list_by_id (self->workers, worker->id);
-  if (before != NULL && before->born_ms != worker->born_ms)
+  if (before != NULL && before->incarnation_started_ms != worker->incarnation_started_ms)
     unlist_worker (self, worker->id);
   fb_worker_list_put (self->workers, worker);
   GHashTableIter iter;
@@ -392,6 +392,6 @@
 void
 fb_entry_start_watching (FbEntry *self)
 {
-  self->config_follower = fb_follower_new (self, FB_TOPIC_CONFIG, 0, 0, &config_ops, self);
+  self->config_reader = fb_topic_reader_new (self, FB_TOPIC_CONFIG, 0, 0, &config_ops, self);
   fb_timer_subscribe (self->timer, RELEASE_INTERVAL_MS, release_lost_partitions, self);
 }
--- a/src/entry/store/appender.c
+++ b/src/entry/store/appender.c
@@ -120,8 +120,8 @@
 handle_result (FbAppender *self, FbAppendResult result)
 {
   self->in_doubt = self->in_doubt || result == FB_APPEND_IN_DOUBT;
-  gboolean final
-      = result == FB_APPEND_STORED || result == FB_APPEND_FENCED || result == FB_APPEND_SEQUENCE;
+  gboolean final = result == FB_APPEND_STORED || result == FB_APPEND_FENCED
+                   || result == FB_APPEND_OUT_OF_SEQUENCE;
   if (self->writer != NULL && !final)
     {
       self->failures_n++;
@@ -203,11 +203,11 @@
     return FALSE;
   gsize len = 0;
   const char *records = g_bytes_get_data (self->body, &len);
-  const fb_ask_write write = { .partition = self->partition,
-                               .writer = self->writer,
-                               .epoch = self->epoch,
-                               .sequence = self->sequence,
-                               .records = { (u_int) len, (char *) records } };
+  const fb_progress_append_request write = { .partition = self->partition,
+                                             .writer = self->writer,
+                                             .epoch = self->epoch,
+                                             .sequence = self->sequence,
+                                             .records = { (u_int) len, (char *) records } };
   fb_peers_append_progress (self->entry, peer, &write, PEER_ANSWER_MS, on_peer_appended, self);
   return TRUE;
 }
@@ -229,7 +229,7 @@
                   self->writer, self->epoch, self->sequence);
   fb_counter_add (FB_COUNTER_LOG_APPENDS, 1);
   fb_http_client_exchange (self->entry->store_client, &call,
-                           fb_store_pace_patience_ms (&self->entry->store_health), on_reply, self);
+                           fb_store_health_timeout_ms (&self->entry->store_health), on_reply, self);
   fb_http_call_clear (&call);
 }
 
--- a/src/entry/store/daemons.c
+++ b/src/entry/store/daemons.c
@@ -264,7 +264,7 @@
   if (self->timer != 0)
     g_source_remove (self->timer);
   self->timer = 0;
-  fb_keepalive_forget (self->entry->keepalive, FB_MEMBERSHIP_DAEMONS);
+  fb_keepalive_cancel (self->entry->keepalive, FB_MEMBERSHIP_DAEMONS);
   fb_group_leave_self (self->group_leave, NULL, NULL);
 }
 
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -3,7 +3,7 @@
  * The partitions of a daemon whose joins no longer reach the store are reassigned after its time to
  * live.  A member's name contains the start time of its process: a restarted process must not be
  * taken for its predecessor, whose orders may still be in transit. */
-#include "dismissal.h"
+#include "group-leave.h"
 
 #include "src/entry/entry-private.h"
 
@@ -96,13 +96,13 @@
 /* ---- reading the owners --------------------------------------------------------- */
 
 static void
-on_peer_owners_reply (gpointer data, const fb_told *told)
+on_peer_owners_reply (gpointer data, const fb_peer_reply *told)
 {
   FbGroup *self = data;
   self->peer_open = FALSE;
-  if (told == NULL || told->type != FB_TOLD_OWNERS)
+  if (told == NULL || told->type != FB_REPLY_PARTITION_OWNERS)
     return; /* a caller that needs the owners asks again */
-  const fb_told_owners *owners = &told->fb_told_u.owners;
+  const fb_owners_reply *owners = &told->fb_peer_reply_u.owners;
   fb_event_log (FB_EVENT_OWNERS_FROM_PEER, "partitions=%u store_ok_ms_ago=%u",
                 owners->owners.owners_len, (guint) (fb_clock_ms () - self->entry->store_ok_ms));
   g_hash_table_remove_all (self->owner_of);
@@ -258,7 +258,7 @@
 {
   if (self->ok_sent_ms == 0)
     return 0;
-  uint64_t renewed_ms = fb_keepalive_kept_ms (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
+  uint64_t renewed_ms = fb_keepalive_renewed_ms (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
   return MAX (self->ok_sent_ms, renewed_ms) + self->ttl_ms;
 }
 
@@ -326,7 +326,7 @@
       self->generation = 0;
     }
   if (self->joins_sent)
-    fb_keepalive_forget (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
+    fb_keepalive_cancel (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
   self->joins_sent = FALSE;
   request_owners (self, fb_clock_ms ());
   guint again_ms = fb_daemons_is_list_complete (self->entry->daemons) ? JOIN_EVERY_MS : UNKNOWN_MS;
@@ -383,7 +383,7 @@
   if (self->timer != 0)
     g_source_remove (self->timer);
   self->timer = 0;
-  fb_keepalive_forget (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
+  fb_keepalive_cancel (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
   fb_group_leave_self (self->group_leave, on_left, self);
 }
 
--- a/src/entry/store/group.h
+++ b/src/entry/store/group.h
@@ -15,8 +15,8 @@
 /* To be called when a known owner turns out to be wrong: requests the owners, at most every
  * 0.2 s. */
 void fb_group_refresh_owners (FbGroup *self);
-/* Passes the owners of all partitions to DONE, or FB_TOLD_UNSURE while the store does not answer
- * this daemon. */
+/* Passes the owners of all partitions to DONE, or FB_REPLY_UNAVAILABLE while the store does not
+ * answer this daemon. */
 void fb_group_send_owners (const FbGroup *self, FbPeerReplyDone done, gpointer user);
 /* Returns: (transfer container): addresses of all daemons that are members or owners. */
 GPtrArray *fb_group_daemons (const FbGroup *self);
--- a/src/entry/store/keepalive.h
+++ b/src/entry/store/keepalive.h
@@ -32,7 +32,7 @@
 void fb_keepalive_set_renewal (FbKeepalive *self, FbMembership which, const FbHttpCall *call,
                                uint32_t ttl_ms, uint64_t ok_sent_ms);
 /* Stops renewing WHICH.  A call that is open may still reach the store. */
-void fb_keepalive_forget (FbKeepalive *self, FbMembership which);
+void fb_keepalive_cancel (FbKeepalive *self, FbMembership which);
 /* Returns: when the last repeat was sent of an unbroken sequence of renewals of WHICH, each within
  * the time to live of the one before; 0: none was. */
-uint64_t fb_keepalive_kept_ms (const FbKeepalive *self, FbMembership which);
+uint64_t fb_keepalive_renewed_ms (const FbKeepalive *self, FbMembership which);
--- a/src/entry/store/store-health.c
+++ b/src/entry/store/store-health.c
@@ -23,15 +23,15 @@
 }
 
 void
-fb_store_pace_appended (FbStorePace *self, gboolean taken, gboolean locally, uint32_t took_ms,
-                        uint64_t now_ms)
+fb_store_health_appended (FbStoreHealth *self, gboolean taken, gboolean locally, uint32_t took_ms,
+                          uint64_t now_ms)
 {
   if (taken)
     self->append_latency_ms = took_ms;
   if (locally && taken)
     self->failed_until_ms = 0;
   else if (locally)
-    fb_store_pace_failed (self, now_ms);
+    fb_store_health_failed (self, now_ms);
 }
 
 void
@@ -55,5 +55,5 @@
 uint32_t
 fb_store_health_timeout_ms (const FbStoreHealth *self)
 {
-  return fb_store_pace_is_slow (self) ? SLOW_TIMEOUT_MS : TIMEOUT_MS;
+  return fb_store_health_is_slow (self) ? SLOW_TIMEOUT_MS : TIMEOUT_MS;
 }
--- a/src/entry/store/store-health.h
+++ b/src/entry/store/store-health.h
@@ -16,23 +16,23 @@
   uint32_t append_latency_ms; /* latency of the last append that was stored, by any daemon */
   uint32_t renewal_latency_ms;
   uint64_t failed_until_ms; /* a failed call of this daemon counts as recent until then */
-} FbStorePace;
+} FbStoreHealth;
 
 /* To be called when an append has ended after TOOK_MS.  TAKEN: it was stored.  HERE: it was sent
  * from this daemon, not through another one. */
-void fb_store_pace_appended (FbStorePace *self, gboolean taken, gboolean locally, uint32_t took_ms,
-                             uint64_t now_ms);
+void fb_store_health_appended (FbStoreHealth *self, gboolean taken, gboolean locally,
+                               uint32_t took_ms, uint64_t now_ms);
 /* To be called when the store has answered a membership renewal after TOOK_MS. */
-void fb_store_pace_renewed (FbStorePace *self, uint32_t took_ms);
+void fb_store_health_renewed (FbStoreHealth *self, uint32_t took_ms);
 /* To be called when a call from this daemon got no answer. */
-void fb_store_pace_failed (FbStorePace *self, uint64_t now_ms);
+void fb_store_health_failed (FbStoreHealth *self, uint64_t now_ms);
 /* TRUE when the last append or renewal took long. */
-gboolean fb_store_pace_is_slow (const FbStorePace *self);
+gboolean fb_store_health_is_slow (const FbStoreHealth *self);
 /* Returns: the time limit of an append, after which it is repeated.
  *
  * Failure: an append that timed out stays in the queue of the partition, and its repeat waits
  * behind it; while the store is slow each batch is sent two or three times, and callers wait for
  * all of them.  Guard: a slow store is given nearly all the time that callers allow. */
-uint32_t fb_store_pace_patience_ms (const FbStorePace *self);
+uint32_t fb_store_health_timeout_ms (const FbStoreHealth *self);
 /* TRUE for a second after a failed call. */
-gboolean fb_store_pace_has_failed (const FbStorePace *self, uint64_t now_ms);
+gboolean fb_store_health_has_failed (const FbStoreHealth *self, uint64_t now_ms);
--- a/src/entry/store/topic-reader.c
+++ b/src/entry/store/topic-reader.c
@@ -33,7 +33,7 @@
   char *topic;
   uint32_t partition;
   uint32_t pause_ms; /* pause between a page of changes and the next poll */
-  const FbFollowerOps *ops;
+  const FbTopicReaderOps *ops;
   gpointer user;
   char *after; /* last key of the listing so far; NULL before its first page */
   gboolean listing;
@@ -53,7 +53,7 @@
 static void proceed (FbTopicReader *self);
 
 static void
-destroy (FbFollower *self)
+destroy (FbTopicReader *self)
 {
   fb_http_client_cancel (self->entry->store_client, self);
   g_free (self->after);
@@ -93,7 +93,7 @@
 }
 
 static void
-handle_listing (FbFollower *self, const FbHttpReply *reply)
+handle_listing (FbTopicReader *self, const FbHttpReply *reply)
 {
   g_autoptr (GPtrArray) records = g_ptr_array_new_with_free_func (fb_store_record_free);
   gboolean more = FALSE;
@@ -133,7 +133,7 @@
 }
 
 static void
-handle_changes (FbFollower *self, const FbHttpReply *reply)
+handle_changes (FbTopicReader *self, const FbHttpReply *reply)
 {
   g_autoptr (GPtrArray) records = g_ptr_array_new_with_free_func (fb_store_record_free);
   uint64_t end = 0;
--- a/src/entry/store/topic-reader.h
+++ b/src/entry/store/topic-reader.h
@@ -16,11 +16,11 @@
 } FbTopicReaderOps;
 
 /* PAUSE_MS: pause between a page of changes and the next poll. */
-FbFollower *fb_follower_new (FbEntry *entry, const char *topic, uint32_t partition,
-                             uint32_t pause_ms, const FbFollowerOps *ops, gpointer user);
-void fb_follower_free (FbFollower *self);
+FbTopicReader *fb_topic_reader_new (FbEntry *entry, const char *topic, uint32_t partition,
+                                    uint32_t pause_ms, const FbTopicReaderOps *ops, gpointer user);
+void fb_topic_reader_free (FbTopicReader *self);
 /* Skips the pause before the next poll. */
-void fb_follower_hurry (FbFollower *self);
+void fb_topic_reader_read_now (FbTopicReader *self);
 /* Returns: when the last answered read was sent: every record stored before that time is known; 0
  * while the first listing is incomplete. */
-uint64_t fb_follower_fresh_ms (const FbFollower *self);
+uint64_t fb_topic_reader_fresh_ms (const FbTopicReader *self);
--- a/src/entry/store/worker-list.c
+++ b/src/entry/store/worker-list.c
@@ -4,9 +4,9 @@
 
 struct _FbWorkerList
 {
-  GHashTable *workers; /* incarnation -> FbListedWorker */
-  GHashTable *lives;   /* id of a worker -> FbListedWorker, borrowed */
-  GHashTable *ignored; /* id -> uint64_t: start time in its last ignored entry */
+  GHashTable *workers;      /* incarnation -> FbListedWorker */
+  GHashTable *incarnations; /* id of a worker -> FbListedWorker, borrowed */
+  GHashTable *ignored;      /* id -> uint64_t: start time in its last ignored entry */
 };
 
 FbWorkerList *
@@ -14,7 +14,7 @@
 {
   FbWorkerList *self = g_new0 (FbWorkerList, 1);
   self->workers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, fb_listed_worker_free);
-  self->lives = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  self->incarnations = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   self->ignored = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return self;
 }
@@ -22,7 +22,7 @@
 void
 fb_worker_list_free (FbWorkerList *self)
 {
-  g_hash_table_unref (self->lives);
+  g_hash_table_unref (self->incarnations);
   g_hash_table_unref (self->ignored);
   g_hash_table_unref (self->workers);
   g_free (self);
@@ -35,7 +35,7 @@
 }
 
 const FbListedWorker *
-fb_worker_list_by_incarnation (const FbWorkerList *self, const char *life)
+fb_worker_list_by_incarnation (const FbWorkerList *self, const char *incarnation)
 {
   return g_hash_table_lookup (self->workers, incarnation);
 }
@@ -44,13 +44,15 @@
 fb_worker_list_ignores (FbWorkerList *self, const FbListedWorker *worker)
 {
   const FbListedWorker *listed = fb_worker_list_by_id (self, worker->id);
-  if (listed == NULL || worker->born_ms >= listed->born_ms)
+  if (listed == NULL || worker->incarnation_started_ms >= listed->incarnation_started_ms)
     return FALSE;
   const uint64_t *before = g_hash_table_lookup (self->ignored, worker->id);
-  if (worker->born_ms != 0 && before != NULL && *before == worker->born_ms)
+  if (worker->incarnation_started_ms != 0 && before != NULL
+      && *before == worker->incarnation_started_ms)
     return FALSE;
-  g_hash_table_replace (self->ignored, g_strdup (worker->id),
-                        g_memdup2 (&worker->born_ms, sizeof worker->born_ms));
+  g_hash_table_replace (
+      self->ignored, g_strdup (worker->id),
+      g_memdup2 (&worker->incarnation_started_ms, sizeof worker->incarnation_started_ms));
   fb_event_log (FB_EVENT_WORKER_ENTRY_LATE, "worker=%s listed=%s", worker->entry.id,
                 listed->entry.id);
   return TRUE;
@@ -60,7 +62,7 @@
 fb_worker_list_put (FbWorkerList *self, FbListedWorker *worker)
 {
   g_hash_table_remove (self->ignored, worker->id);
-  g_hash_table_replace (self->lives, g_strdup (worker->id), worker);
+  g_hash_table_replace (self->incarnations, g_strdup (worker->id), worker);
   g_hash_table_replace (self->workers, g_strdup (worker->entry.id), worker);
 }
 
--- a/src/entry/store/worker-list.h
+++ b/src/entry/store/worker-list.h
@@ -16,7 +16,8 @@
 /* Returns: (nullable): the listed incarnation of worker ID; borrowed. */
 const FbListedWorker *fb_worker_list_by_id (const FbWorkerList *self, const char *id);
 /* Returns: (nullable): the worker listed with the incarnation LIFE; borrowed. */
-const FbListedWorker *fb_worker_list_by_incarnation (const FbWorkerList *self, const char *life);
+const FbListedWorker *fb_worker_list_by_incarnation (const FbWorkerList *self,
+                                                     const char *incarnation);
 /* TRUE when WORKER, an entry that was just read, is to be ignored as one of an earlier
  * incarnation. */
 gboolean fb_worker_list_ignores (FbWorkerList *self, const FbListedWorker *worker);
--- a/tests/test-advice.c
+++ b/tests/test-advice.c
@@ -1,6 +1,6 @@
 /* Two owners that send requests to the advice service through the same daemons. */
-#include "src/entry/advice/advice-line.h"
-#include "src/entry/advice/advice-share.h"
+#include "src/entry/advice/advice-balancer.h"
+#include "src/entry/advice/advice-queue.h"
 
 #include <CUnit/Basic.h>
 #include <stdio.h>
--- a/tests/test-entry.c
+++ b/tests/test-entry.c
@@ -1,6 +1,6 @@
 /* Unit tests of components of the platform's daemon that need no network. */
-#include "src/entry/advice/advice-share.h"
-#include "src/entry/advice/turns.h"
+#include "src/entry/advice/advice-balancer.h"
+#include "src/entry/advice/fair-share.h"
 #include "src/entry/loop-watch.h"
 #include "src/entry/settings.h"
 #include "src/entry/store/join-watch.h"
--- a/tests/test-relay.c
+++ b/tests/test-relay.c
@@ -126,8 +126,8 @@
 on_served (gpointer user, const fb_peer_reply *told)
 {
   Served *served = user;
-  served->relay->missing_n += told->type == FB_TOLD_NO_PAYLOAD;
-  g_autoptr (GBytes) body = fb_codec_encode_told (told);
+  served->relay->missing_n += told->type == FB_REPLY_PAYLOAD_MISSING;
+  g_autoptr (GBytes) body = fb_codec_encode_peer_reply (told);
   fb_link_call_answer (served->call, body);
   g_free (served);
 }
@@ -136,9 +136,9 @@
 serve_relay (gpointer data, FbLinkCall *call, gconstpointer body, gsize len)
 {
   Relay *self = data;
-  fb_ask ask;
-  CU_ASSERT_TRUE_FATAL (fb_codec_decode_ask (body, len, &ask));
-  if (*ask.fb_ask_u.order.payload != '\0')
+  fb_peer_request ask;
+  CU_ASSERT_TRUE_FATAL (fb_codec_decode_peer_request (body, len, &ask));
+  if (*ask.fb_peer_request_u.order.payload != '\0')
     self->with_payload_n++;
   else
     self->by_digest_n++;
@@ -156,7 +156,7 @@
 } Seen;
 
 static void
-on_relayed (gpointer user, FbRelayResult result, const fb_told_order *told)
+on_relayed (gpointer user, FbRelayResult result, const fb_relay_reply *told)
 {
   Seen *seen = user;
   (void) told;
@@ -182,7 +182,7 @@
                                    .checkpoint = "",
                                    .ticket = "" };
   guint before_n = seen->done_n;
-  fb_relay_carry (entry, address, &order, on_relayed, seen);
+  fb_relay_send (entry, address, &order, on_relayed, seen);
   guint tend = g_timeout_add (10, on_check_timeouts, entry->links);
   while (seen->done_n == before_n)
     g_main_context_iteration (NULL, TRUE);
--- a/tests/test-slow-store.c
+++ b/tests/test-slow-store.c
@@ -382,11 +382,11 @@
 {
   g_autoptr (GPtrArray) members = make_members (7);
   g_autoptr (GPtrArray) asked = g_ptr_array_new ();
-  FbStorePace pace = { 0 };
-  fb_store_pace_renewed (&pace, 200);
-  CU_ASSERT_TRUE (fb_gatherer_is_troubled (&pace, 1000));
-  FbGathererWay way = way_of (members, &pace, asked, 1000);
-  CU_ASSERT_EQUAL (way.step, FB_GATHERER_ASK);
+  FbStoreHealth pace = { 0 };
+  fb_store_health_renewed (&pace, 200);
+  CU_ASSERT_TRUE (fb_append_proxy_store_is_degraded (&pace, 1000));
+  FbAppendRoute way = way_of (members, &pace, asked, 1000);
+  CU_ASSERT_EQUAL (way.step, FB_APPEND_ROUTE_PROXY);
   CU_ASSERT_EQUAL (way.timeout_ms, 2300);
   CU_ASSERT_EQUAL (way_of (members, &pace, asked, 2000).timeout_ms, 1600);
   g_ptr_array_add (asked, "10.0.0.0:7");
@@ -400,9 +400,9 @@
 {
   g_autoptr (GPtrArray) members = make_members (33);
   g_autoptr (GPtrArray) asked = g_ptr_array_new ();
-  FbStorePace pace = { 0 };
-  FbGathererWay way = way_of (members, &pace, asked, 1000);
-  CU_ASSERT_EQUAL (way.step, FB_GATHERER_ASK);
+  FbStoreHealth pace = { 0 };
+  FbAppendRoute way = way_of (members, &pace, asked, 1000);
+  CU_ASSERT_EQUAL (way.step, FB_APPEND_ROUTE_PROXY);
   CU_ASSERT_EQUAL (way.timeout_ms, 400);
   guint self_n = 0;
   for (uint32_t partition = 0; partition < 1000; partition++)
--- a/tests/test-worker-list.c
+++ b/tests/test-worker-list.c
@@ -20,7 +20,7 @@
 static gboolean
 take (FbWorkerList *self, uint64_t incarnation_started_ms)
 {
-  FbListedWorker *worker = entry_of (born_ms);
+  FbListedWorker *worker = entry_of (incarnation_started_ms);
   if (fb_worker_list_ignores (self, worker))
     {
       fb_listed_worker_free (worker);
