--- a/rpc/work-xdr.c
+++ b/rpc/work-xdr.c
@@ -745,7 +745,7 @@
 	case FB_REQUEST_RECENT_STARTS:
 		break;
 	case FB_REQUEST_BACK_UP_SUSPECTS:
-		 if (!xdr_fb_suspects_backup (xdrs, &objp->fb_peer_request_u.keep))
+		 if (!xdr_fb_suspects_backup (xdrs, &objp->fb_peer_request_u.backup))
 			 return FALSE;
 		break;
 	case FB_REQUEST_SUSPECT_BACKUPS:
@@ -939,7 +939,7 @@
 			 return FALSE;
 		break;
 	case FB_REPLY_SUSPECT_BACKUPS:
-		 if (!xdr_fb_suspect_backups_reply (xdrs, &objp->fb_peer_reply_u.kept))
+		 if (!xdr_fb_suspect_backups_reply (xdrs, &objp->fb_peer_reply_u.backups))
 			 return FALSE;
 		break;
 	default:
--- a/rpc/work.h
+++ b/rpc/work.h
@@ -296,7 +296,7 @@
 		fb_stored_notice stored;
 		fb_progress_append_request write;
 		fb_relay_request order;
-		fb_suspects_backup keep;
+		fb_suspects_backup backup;
 	} fb_peer_request_u;
 };
 typedef struct fb_peer_request fb_peer_request;
@@ -414,7 +414,7 @@
 		fb_owners_reply owners;
 		fb_relay_reply order;
 		fb_recent_starts_reply starts;
-		fb_suspect_backups_reply kept;
+		fb_suspect_backups_reply backups;
 	} fb_peer_reply_u;
 };
 typedef struct fb_peer_reply fb_peer_reply;
--- a/rpc/work.x
+++ b/rpc/work.x
@@ -234,7 +234,7 @@
 case FB_REQUEST_APPEND_PROGRESS: fb_progress_append_request write;
 case FB_REQUEST_RELAY_ORDER: fb_relay_request order;
 case FB_REQUEST_RECENT_STARTS: void;
-case FB_REQUEST_BACK_UP_SUSPECTS: fb_suspects_backup keep;
+case FB_REQUEST_BACK_UP_SUSPECTS: fb_suspects_backup backup;
 case FB_REQUEST_SUSPECT_BACKUPS: void;
 };
 
@@ -322,6 +322,6 @@
 case FB_REPLY_PARTITION_OWNERS: fb_owners_reply owners;
 case FB_REPLY_ORDER_RESULT: fb_relay_reply order;
 case FB_REPLY_RECENT_STARTS: fb_recent_starts_reply starts;
-case FB_REPLY_SUSPECT_BACKUPS: fb_suspect_backups_reply kept;
+case FB_REPLY_SUSPECT_BACKUPS: fb_suspect_backups_reply backups;
 default: void;
 };
--- a/src/entry/advice/advisor.c
+++ b/src/entry/advice/advisor.c
@@ -73,37 +73,37 @@
 }
 
 /* Passes the answer to OWNER.  Tickets name workers by id; they are assigned to the incarnations
- * that the request named.  TOLD: NULL without an answer. */
+ * that the request named.  PEER_REPLY: NULL without an answer. */
 static void
-pass_to_owner (FbOwner *owner, const AdviceRequest *request, const fb_advice_reply *told)
+pass_to_owner (FbOwner *owner, const AdviceRequest *request, const fb_advice_reply *peer_reply)
 {
-  guint n = told != NULL ? told->tickets.tickets_len : 0;
+  guint n = peer_reply != NULL ? peer_reply->tickets.tickets_len : 0;
   g_autofree fb_ticket *tickets = g_new0 (fb_ticket, n + 1);
   fb_advice_reply of_incarnations = { .tickets = { 0, tickets } };
-  of_incarnations.validity_ms = told != NULL ? told->validity_ms : 0;
+  of_incarnations.validity_ms = peer_reply != NULL ? peer_reply->validity_ms : 0;
   for (guint i = 0; i < n; i++)
     {
-      const fb_ticket *got = &told->tickets.tickets_val[i];
+      const fb_ticket *got = &peer_reply->tickets.tickets_val[i];
       char *incarnation = incarnation_of (request, got->worker);
       if (incarnation != NULL)
         tickets[of_incarnations.tickets.tickets_len++] = (fb_ticket){ incarnation, got->ticket };
     }
   fb_owner_advised (owner, request->step, (const char *const *) request->workers->pdata,
-                    request->workers->len, told != NULL ? &of_incarnations : NULL);
+                    request->workers->len, peer_reply != NULL ? &of_incarnations : NULL);
 }
 
 static void
-on_told (gpointer data, const fb_peer_reply *told)
+on_peer_reply (gpointer data, const fb_peer_reply *peer_reply)
 {
   AdviceRequest *request = data;
   fb_advice_balancer_ended (request->entry->advisor->balancer, request->daemon);
   fb_histogram_add (FB_HISTOGRAM_ADVICE, fb_clock_ms () - request->sent_ms);
   FbOwner *owner = fb_entry_owner (request->entry, request->partition);
-  gboolean answered = told != NULL && told->type == FB_REPLY_ADVICE;
+  gboolean answered = peer_reply != NULL && peer_reply->type == FB_REPLY_ADVICE;
   if (!answered)
     fb_event_log (FB_EVENT_CALL_FAILED, "advice step=%s daemon=%s", request->step, request->daemon);
   if (owner != NULL)
-    pass_to_owner (owner, request, answered ? &told->fb_peer_reply_u.advice : NULL);
+    pass_to_owner (owner, request, answered ? &peer_reply->fb_peer_reply_u.advice : NULL);
   /* Lets the pool whose turn it is send its request. */
   fb_entry_foreach_owner (request->entry, fb_owner_schedule_tick);
   advice_request_free (request);
@@ -173,16 +173,16 @@
       g_ptr_array_add (request->workers, g_strdup (workers[i]));
       names[i].id = fb_wire_incarnation_worker_id (workers[i]);
     }
-  fb_peer_request ask = { .type = FB_REQUEST_ADVICE };
-  ask.fb_peer_request_u.advice.step = request->step;
-  ask.fb_peer_request_u.advice.workers.workers_len = n;
-  ask.fb_peer_request_u.advice.workers.workers_val = names;
-  ask.fb_peer_request_u.advice.expected_ms = expected_ms;
+  fb_peer_request peer_request = { .type = FB_REQUEST_ADVICE };
+  peer_request.fb_peer_request_u.advice.step = request->step;
+  peer_request.fb_peer_request_u.advice.workers.workers_len = n;
+  peer_request.fb_peer_request_u.advice.workers.workers_val = names;
+  peer_request.fb_peer_request_u.advice.expected_ms = expected_ms;
   if (g_str_equal (daemon, self->entry->settings->peers))
-    fb_advisor_call (self->entry, &ask.fb_peer_request_u.advice, on_told, request);
+    fb_advisor_call (self->entry, &peer_request.fb_peer_request_u.advice, on_peer_reply, request);
   else
-    fb_peers_request (self->entry, daemon, &ask, expected_ms + wait_max_ms (expected_ms), on_told,
-                      request);
+    fb_peers_request (self->entry, daemon, &peer_request, expected_ms + wait_max_ms (expected_ms),
+                      on_peer_reply, request);
   for (guint i = 0; i < n; i++)
     g_free (names[i].id);
   return TRUE;
@@ -202,12 +202,12 @@
 
 static void call_next (FbAdvisor *self);
 
-/* Completes CALL with TOLD, which is NULL without an answer, and frees it. */
+/* Completes CALL with PEER_REPLY, which is NULL without an answer, and frees it. */
 static void
-end_call (AdviceCall *call, const fb_peer_reply *told)
+end_call (AdviceCall *call, const fb_peer_reply *peer_reply)
 {
   fb_advice_queue_ended (call->advisor->queue, call);
-  call->done (call->user, told);
+  call->done (call->user, peer_reply);
   fb_http_call_clear (&call->call);
   g_free (call);
 }
@@ -217,11 +217,11 @@
 {
   AdviceCall *call = data;
   FbAdvisor *self = call->advisor;
-  fb_peer_reply told = { .type = FB_REPLY_ADVICE };
-  gboolean answered = fb_wire_parse_advice (reply, &told.fb_peer_reply_u.advice);
-  end_call (call, answered ? &told : NULL);
+  fb_peer_reply peer_reply = { .type = FB_REPLY_ADVICE };
+  gboolean answered = fb_wire_parse_advice (reply, &peer_reply.fb_peer_reply_u.advice);
+  end_call (call, answered ? &peer_reply : NULL);
   if (answered)
-    xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &told);
+    xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &peer_reply);
   call_next (self);
 }
 
@@ -248,16 +248,17 @@
 }
 
 void
-fb_advisor_call (FbEntry *entry, const fb_advice_request *ask, FbPeerReplyDone done, gpointer user)
+fb_advisor_call (FbEntry *entry, const fb_advice_request *peer_request, FbPeerReplyDone done,
+                 gpointer user)
 {
   FbAdvisor *self = entry->advisor;
   AdviceCall *call = g_new0 (AdviceCall, 1);
   call->advisor = self;
-  call->expected_ms = MIN (ask->expected_ms, EXPECTED_MAX_MS);
+  call->expected_ms = MIN (peer_request->expected_ms, EXPECTED_MAX_MS);
   call->since_ms = fb_clock_ms ();
   call->done = done;
   call->user = user;
-  fb_wire_advise (&call->call, entry->settings->advice, ask);
+  fb_wire_advise (&call->call, entry->settings->advice, peer_request);
   fb_advice_queue_add (self->queue, call, call->expected_ms, call->since_ms);
   call_next (self);
 }
--- a/src/entry/advice/advisor.h
+++ b/src/entry/advice/advisor.h
@@ -10,5 +10,5 @@
 gboolean fb_advisor_ask (FbAdvisor *self, uint32_t partition, const char *step,
                          const char *const *workers, guint n, uint32_t expected_ms);
 /* Calls the advice service from here. */
-void fb_advisor_call (FbEntry *entry, const fb_advice_request *ask, FbPeerReplyDone done,
+void fb_advisor_call (FbEntry *entry, const fb_advice_request *peer_request, FbPeerReplyDone done,
                       gpointer user);
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -37,7 +37,7 @@
 #define STOP_SETTLE_MS 20
 /* Size of the cache of payloads received from other owners: some 700 payloads of 1.4 KB, 1 MB of a
  * daemon's 64 MB. */
-#define PAYLOADS_KEPT_BYTES (1024 * 1024)
+#define PAYLOAD_CACHE_BYTES (1024 * 1024)
 /* Limit of log lines per second; the daily peak of decisions is below it. */
 #define LOG_LINES_PER_S 2000
 
@@ -268,7 +268,7 @@
   self->timer = fb_timer_new (self->store_ok_ms);
   self->loop = fb_loop_watch_new (TIMER_MS, self->store_ok_ms);
   self->payload_dedup = fb_payload_dedup_new ((uint32_t) self->settings->link_kbit_s);
-  self->payload_cache = fb_payload_cache_new (PAYLOADS_KEPT_BYTES);
+  self->payload_cache = fb_payload_cache_new (PAYLOAD_CACHE_BYTES);
   self->recent_starts = fb_recent_starts_new ();
   self->suspect_backups = fb_suspect_backups_new ();
   self->link = fb_link_watch_new ((uint32_t) self->settings->link_kbit_s, self->store_ok_ms);
--- a/src/entry/front/front-store.c
+++ b/src/entry/front/front-store.c
@@ -75,33 +75,34 @@
 request_append (FbFrontRequest *request, const char *daemon, uint32_t timeout_ms,
                 FbPeerReplyDone done)
 {
-  fb_peer_request ask = { .type = FB_REQUEST_APPEND_JOB_RECORD };
-  ask.fb_peer_request_u.append.partition = request->partition;
-  ask.fb_peer_request_u.append.records.records_len = request->records->len;
-  ask.fb_peer_request_u.append.records.records_val = (char *) request->records->data;
-  fb_peers_request (request->entry, daemon, &ask, timeout_ms, done, request);
+  fb_peer_request peer_request = { .type = FB_REQUEST_APPEND_JOB_RECORD };
+  peer_request.fb_peer_request_u.append.partition = request->partition;
+  peer_request.fb_peer_request_u.append.records.records_len = request->records->len;
+  peer_request.fb_peer_request_u.append.records.records_val = (char *) request->records->data;
+  fb_peers_request (request->entry, daemon, &peer_request, timeout_ms, done, request);
 }
 
-/* TOLD: another daemon's reply to the request to store the record; NULL: none.
+/* PEER_REPLY: another daemon's reply to the request to store the record; NULL: none.
  * Returns: TRUE when the record is stored; the caller was answered then, and REQUEST freed. */
 static gboolean
-is_stored_by_other (FbFrontRequest *request, const fb_peer_reply *told)
+is_stored_by_other (FbFrontRequest *request, const fb_peer_reply *peer_reply)
 {
-  if (told != NULL && told->type == FB_REPLY_STORED)
+  if (peer_reply != NULL && peer_reply->type == FB_REPLY_STORED)
     {
       note_append (request, TRUE, FALSE);
       answer_stored (request, FB_APPEND_STORED);
       return TRUE;
     }
-  request->in_doubt = request->in_doubt || told == NULL || told->type == FB_REPLY_IN_DOUBT;
+  request->in_doubt
+      = request->in_doubt || peer_reply == NULL || peer_reply->type == FB_REPLY_IN_DOUBT;
   return FALSE;
 }
 
 static void
-on_peer_stored (gpointer data, const fb_peer_reply *told)
+on_peer_stored (gpointer data, const fb_peer_reply *peer_reply)
 {
   FbFrontRequest *request = data;
-  if (is_stored_by_other (request, told))
+  if (is_stored_by_other (request, peer_reply))
     return;
   store_by_peer (request);
 }
@@ -168,10 +169,10 @@
 }
 
 static void
-on_proxy_stored (gpointer data, const fb_peer_reply *told)
+on_proxy_stored (gpointer data, const fb_peer_reply *peer_reply)
 {
   FbFrontRequest *request = data;
-  if (is_stored_by_other (request, told))
+  if (is_stored_by_other (request, peer_reply))
     return;
   note_append_failure (request);
   store_by_proxy (request);
--- a/src/entry/front/front.c
+++ b/src/entry/front/front.c
@@ -128,15 +128,16 @@
 /* ---- state and cancel ---------------------------------------------------------------- */
 
 static void
-on_state (gpointer data, const fb_peer_reply *told)
+on_state (gpointer data, const fb_peer_reply *peer_reply)
 {
   FbFrontRequest *request = data;
   fb_event_log (FB_EVENT_JOB_ASKED, "job=%s told=%d state=%d after_ms=%u", request->job,
-                told != NULL ? (int) told->type : 0,
-                told != NULL && told->type == FB_REPLY_JOB_STATE ? (int) told->fb_peer_reply_u.state
-                                                                 : -1,
+                peer_reply != NULL ? (int) peer_reply->type : 0,
+                peer_reply != NULL && peer_reply->type == FB_REPLY_JOB_STATE
+                    ? (int) peer_reply->fb_peer_reply_u.state
+                    : -1,
                 (guint) (fb_clock_ms () - request->since_ms));
-  if (told != NULL && told->type == FB_REPLY_NO_SUCH_JOB)
+  if (peer_reply != NULL && peer_reply->type == FB_REPLY_NO_SUCH_JOB)
     fb_front_finish (request, SOUP_STATUS_GONE, "{\"error\":\"no such job\"}");
   else if (request->is_delete)
     {
@@ -144,9 +145,9 @@
       g_autoptr (GBytes) mark = g_bytes_new_static ("x", 1);
       fb_front_store (request, FB_KEY_CANCEL, mark);
     }
-  else if (told != NULL && told->type == FB_REPLY_JOB_STATE)
+  else if (peer_reply != NULL && peer_reply->type == FB_REPLY_JOB_STATE)
     {
-      g_autofree char *body = fb_wire_format_job_state (told->fb_peer_reply_u.state);
+      g_autofree char *body = fb_wire_format_job_state (peer_reply->fb_peer_reply_u.state);
       fb_front_finish (request, SOUP_STATUS_OK, body);
     }
   else
@@ -159,21 +160,21 @@
 {
   FbFrontRequest *request = request_new (entry, message, route, job);
   request->is_delete = is_delete;
-  fb_peer_request ask = { .type = FB_REQUEST_JOB_STATE };
-  ask.fb_peer_request_u.job.service = request->service;
-  ask.fb_peer_request_u.job.job = request->job;
-  fb_peers_request_owner (entry, request->service, &ask,
+  fb_peer_request peer_request = { .type = FB_REQUEST_JOB_STATE };
+  peer_request.fb_peer_request_u.job.service = request->service;
+  peer_request.fb_peer_request_u.job.job = request->job;
+  fb_peers_request_owner (entry, request->service, &peer_request,
                           is_delete ? OWNER_TIMEOUT_MS / 4 : OWNER_TIMEOUT_MS, on_state, request);
 }
 
 /* ---- pending ---------------------------------------------------------------------------- */
 
 static void
-on_pending (gpointer data, const fb_peer_reply *told)
+on_pending (gpointer data, const fb_peer_reply *peer_reply)
 {
-  if (told != NULL && told->type == FB_REPLY_PENDING_COUNT)
+  if (peer_reply != NULL && peer_reply->type == FB_REPLY_PENDING_COUNT)
     {
-      g_autofree char *body = fb_wire_format_pending (told->fb_peer_reply_u.pending);
+      g_autofree char *body = fb_wire_format_pending (peer_reply->fb_peer_reply_u.pending);
       fb_front_finish (data, SOUP_STATUS_OK, body);
     }
   else
@@ -184,10 +185,11 @@
 request_pending (FbEntry *entry, SoupServerMessage *message, const FbRoute *route)
 {
   FbFrontRequest *request = request_new (entry, message, route, "");
-  fb_peer_request ask = { .type = FB_REQUEST_PENDING_COUNT };
-  ask.fb_peer_request_u.queue.service = request->service;
-  ask.fb_peer_request_u.queue.queue = request->queue;
-  fb_peers_request_owner (entry, request->service, &ask, OWNER_TIMEOUT_MS, on_pending, request);
+  fb_peer_request peer_request = { .type = FB_REQUEST_PENDING_COUNT };
+  peer_request.fb_peer_request_u.queue.service = request->service;
+  peer_request.fb_peer_request_u.queue.queue = request->queue;
+  fb_peers_request_owner (entry, request->service, &peer_request, OWNER_TIMEOUT_MS, on_pending,
+                          request);
 }
 
 /* ---- dispatch ------------------------------------------------------------------------------ */
--- a/src/entry/owner/owner-orders.c
+++ b/src/entry/owner/owner-orders.c
@@ -103,13 +103,13 @@
 }
 
 static void
-on_relayed (gpointer data, FbRelayResult result, const fb_relay_reply *told)
+on_relayed (gpointer data, FbRelayResult result, const fb_relay_reply *peer_reply)
 {
   Order *order = data;
   FbPollAnswer answer
       = { .result = result == FB_RELAY_LOST ? FB_ORDER_UNKNOWN : FB_ORDER_NOT_DONE };
   if (result == FB_RELAY_ANSWERED)
-    fb_relay_poll_answer (told, &answer);
+    fb_relay_poll_answer (peer_reply, &answer);
   if (answer.result == FB_ORDER_UNKNOWN || result != FB_RELAY_ANSWERED)
     log_failed (order, (int) result, result != FB_RELAY_NOT_RELAYED);
   finish (order, &answer);
@@ -117,65 +117,66 @@
 }
 
 static void
-send_order (const FbServicePool *service_pool, const fb_relay_request *ask, uint64_t id)
+send_order (const FbServicePool *service_pool, const fb_relay_request *peer_request, uint64_t id)
 {
   FbEntry *entry = service_pool->owner->entry;
-  Order *order = order_new (service_pool, ask->worker, id, ask->kind);
-  const char *relay = fb_relay_for (entry, ask);
+  Order *order = order_new (service_pool, peer_request->worker, id, peer_request->kind);
+  const char *relay = fb_relay_for (entry, peer_request);
   fb_counter_add (FB_COUNTER_WORKER_SYNCS, 1);
   if (relay != NULL)
-    fb_relay_send (entry, relay, ask, on_relayed, order);
+    fb_relay_send (entry, relay, peer_request, on_relayed, order);
   else
-    fb_relay_call_worker (entry, ask, on_order_reply, order);
+    fb_relay_call_worker (entry, peer_request, on_order_reply, order);
 }
 
 static void
 sink_start (gpointer user, const FbStartOrder *order)
 {
-  const fb_relay_request ask = { .kind = FB_ORDER_KIND_START,
-                                 .worker = (char *) order->worker,
-                                 .address = (char *) order->address,
-                                 .epoch = order->epoch,
-                                 .task = (char *) order->task,
-                                 .attempt = order->attempt,
-                                 .payload = (char *) order->payload,
-                                 .checkpoint = (char *) order->checkpoint,
-                                 .ticket = (char *) (order->ticket != NULL ? order->ticket : ""),
-                                 .deadline_ms = order->deadline_ms };
-  send_order (user, &ask, order->order);
+  const fb_relay_request peer_request
+      = { .kind = FB_ORDER_KIND_START,
+          .worker = (char *) order->worker,
+          .address = (char *) order->address,
+          .epoch = order->epoch,
+          .task = (char *) order->task,
+          .attempt = order->attempt,
+          .payload = (char *) order->payload,
+          .checkpoint = (char *) order->checkpoint,
+          .ticket = (char *) (order->ticket != NULL ? order->ticket : ""),
+          .deadline_ms = order->deadline_ms };
+  send_order (user, &peer_request, order->order);
 }
 
 static void
 sink_stop (gpointer user, const FbStopOrder *order)
 {
-  const fb_relay_request ask = { .kind = FB_ORDER_KIND_STOP,
-                                 .worker = (char *) order->worker,
-                                 .address = (char *) order->address,
-                                 .epoch = order->epoch,
-                                 .task = (char *) order->task,
-                                 .attempt = order->attempt,
-                                 .payload = "",
-                                 .checkpoint = "",
-                                 .ticket = "" };
-  send_order (user, &ask, order->order);
+  const fb_relay_request peer_request = { .kind = FB_ORDER_KIND_STOP,
+                                          .worker = (char *) order->worker,
+                                          .address = (char *) order->address,
+                                          .epoch = order->epoch,
+                                          .task = (char *) order->task,
+                                          .attempt = order->attempt,
+                                          .payload = "",
+                                          .checkpoint = "",
+                                          .ticket = "" };
+  send_order (user, &peer_request, order->order);
 }
 
 static void
-sink_look (gpointer user, const FbPollOrder *order)
-{
-  const fb_relay_request ask = { .kind = FB_ORDER_KIND_POLL,
-                                 .worker = (char *) order->worker,
-                                 .address = (char *) order->address,
-                                 .epoch = order->epoch,
-                                 .task = "",
-                                 .payload = "",
-                                 .checkpoint = "",
-                                 .ticket = "",
-                                 .deadline_ms = order->deadline_ms,
-                                 .acknowledged = order->acknowledged,
-                                 .wait_ms = order->wait_ms,
-                                 .answer_ms = order->answer_ms };
-  send_order (user, &ask, 0);
+sink_poll (gpointer user, const FbPollOrder *order)
+{
+  const fb_relay_request peer_request = { .kind = FB_ORDER_KIND_POLL,
+                                          .worker = (char *) order->worker,
+                                          .address = (char *) order->address,
+                                          .epoch = order->epoch,
+                                          .task = "",
+                                          .payload = "",
+                                          .checkpoint = "",
+                                          .ticket = "",
+                                          .deadline_ms = order->deadline_ms,
+                                          .acknowledged = order->acknowledged,
+                                          .wait_ms = order->wait_ms,
+                                          .answer_ms = order->answer_ms };
+  send_order (user, &peer_request, 0);
 }
 
 static gboolean
@@ -205,4 +206,4 @@
 }
 
 const FbPoolSink fb_owner_sink
-    = { sink_start, sink_stop, sink_look, sink_advise, sink_fenced, fb_wire_incarnation_is_newer };
+    = { sink_start, sink_stop, sink_poll, sink_advise, sink_fenced, fb_wire_incarnation_is_newer };
--- a/src/entry/owner/owner-private.h
+++ b/src/entry/owner/owner-private.h
@@ -61,8 +61,8 @@
 
 /* Sends crash suspects that the store does not accept to other daemons. */
 void fb_owner_back_up_suspects (const FbServicePool *service_pool);
-/* Applies TOLD, the copies of suspects that a daemon has held for earlier owners. */
-void fb_owner_import_suspects (FbOwner *self, const fb_suspect_backups_reply *told);
+/* Applies PEER_REPLY, the copies of suspects that a daemon has held for earlier owners. */
+void fb_owner_import_suspects (FbOwner *self, const fb_suspect_backups_reply *peer_reply);
 
 /* owner-recall.c */
 
--- a/src/entry/owner/owner-recall.c
+++ b/src/entry/owner/owner-recall.c
@@ -17,56 +17,56 @@
 } ImportRequest;
 
 static void
-import_starts (FbOwner *self, const fb_recent_starts_reply *told)
+import_starts (FbOwner *self, const fb_recent_starts_reply *peer_reply)
 {
   GHashTableIter iter;
   gpointer service_pool;
   g_hash_table_iter_init (&iter, self->service_pools);
   while (g_hash_table_iter_next (&iter, NULL, &service_pool))
-    fb_pool_import_starts (((FbServicePool *) service_pool)->pool, told, fb_clock_ms ());
+    fb_pool_import_starts (((FbServicePool *) service_pool)->pool, peer_reply, fb_clock_ms ());
 }
 
 static void
-on_told (gpointer data, const fb_peer_reply *told)
+on_peer_reply (gpointer data, const fb_peer_reply *peer_reply)
 {
   ImportRequest *request = data;
   FbOwner *owner = fb_entry_owner (request->entry, request->partition);
-  if (told != NULL && told->type == FB_REPLY_RECENT_STARTS && owner != NULL
+  if (peer_reply != NULL && peer_reply->type == FB_REPLY_RECENT_STARTS && owner != NULL
       && owner->epoch == request->epoch)
-    import_starts (owner, &told->fb_peer_reply_u.starts);
-  else if (told != NULL && told->type == FB_REPLY_SUSPECT_BACKUPS && owner != NULL
+    import_starts (owner, &peer_reply->fb_peer_reply_u.starts);
+  else if (peer_reply != NULL && peer_reply->type == FB_REPLY_SUSPECT_BACKUPS && owner != NULL
            && owner->epoch == request->epoch)
-    fb_owner_import_suspects (owner, &told->fb_peer_reply_u.kept);
+    fb_owner_import_suspects (owner, &peer_reply->fb_peer_reply_u.backups);
   g_free (request);
 }
 
 static void
 request_from (const FbOwner *self, const char *address, fb_peer_request_type what)
 {
-  const fb_peer_request ask = { .type = what };
+  const fb_peer_request peer_request = { .type = what };
   ImportRequest *request = g_new0 (ImportRequest, 1);
   request->entry = self->entry;
   request->partition = self->partition;
   request->epoch = self->epoch;
-  fb_peers_request (self->entry, address, &ask, ANSWER_MS, on_told, request);
+  fb_peers_request (self->entry, address, &peer_request, ANSWER_MS, on_peer_reply, request);
 }
 
 static void
 import_own_starts (FbOwner *self)
 {
-  fb_recent_starts_reply told;
-  fb_recent_starts_list (self->entry->recent_starts, fb_clock_ms (), &told);
-  import_starts (self, &told);
-  g_free (told.starts.starts_val);
+  fb_recent_starts_reply peer_reply;
+  fb_recent_starts_list (self->entry->recent_starts, fb_clock_ms (), &peer_reply);
+  import_starts (self, &peer_reply);
+  g_free (peer_reply.starts.starts_val);
 }
 
 static void
 import_own_suspects (FbOwner *self)
 {
-  fb_suspect_backups_reply told;
-  fb_suspect_backups_list (self->entry->suspect_backups, fb_clock_ms (), &told);
-  fb_owner_import_suspects (self, &told);
-  xdr_free ((xdrproc_t) xdr_fb_suspect_backups_reply, (char *) &told);
+  fb_suspect_backups_reply peer_reply;
+  fb_suspect_backups_list (self->entry->suspect_backups, fb_clock_ms (), &peer_reply);
+  fb_owner_import_suspects (self, &peer_reply);
+  xdr_free ((xdrproc_t) xdr_fb_suspect_backups_reply, (char *) &peer_reply);
 }
 
 static void
--- a/src/entry/owner/owner-unstored.c
+++ b/src/entry/owner/owner-unstored.c
@@ -26,42 +26,43 @@
          && !g_ptr_array_find_with_equal_func (choice->chosen, daemon->address, g_str_equal, NULL);
 }
 
-/* Sends ASK to the daemons chosen for its job.  A job's copies always go to the same daemons while
- * these are alive. */
+/* Sends PEER_REQUEST to the daemons chosen for its job.  A job's copies always go to the same
+ * daemons while these are alive. */
 static void
-send_backups (const FbOwner *self, const fb_peer_request *ask)
+send_backups (const FbOwner *self, const fb_peer_request *peer_request)
 {
   const GPtrArray *daemons = fb_daemons_all (self->entry->daemons);
   g_autoptr (GPtrArray) chosen = g_ptr_array_new ();
   const Choice choice = { self->entry->settings->peers, chosen };
   const FbDaemon *daemon = NULL;
   while (chosen->len < BACKUPS_N
-         && (daemon = fb_rendezvous_choose (daemons, ask->fb_peer_request_u.keep.job,
+         && (daemon = fb_rendezvous_choose (daemons, peer_request->fb_peer_request_u.backup.job,
                                             may_hold_backup, &choice))
                 != NULL)
     {
       g_ptr_array_add (chosen, daemon->address);
-      fb_peers_request (self->entry, daemon->address, ask, ANSWER_MS, fb_peers_ignore_reply, NULL);
+      fb_peers_request (self->entry, daemon->address, peer_request, ANSWER_MS,
+                        fb_peers_ignore_reply, NULL);
     }
   fb_event_log (FB_EVENT_SUSPECTS_HANDED, "job=%s epoch=%" G_GUINT64_FORMAT " tasks=%u daemons=%u",
-                ask->fb_peer_request_u.keep.job, self->epoch,
-                ask->fb_peer_request_u.keep.suspects.tasks.tasks_len, chosen->len);
+                peer_request->fb_peer_request_u.backup.job, self->epoch,
+                peer_request->fb_peer_request_u.backup.suspects.tasks.tasks_len, chosen->len);
 }
 
 static void
 back_up_job (const FbOwner *self, const FbPoolUnstoredSuspects *unstored)
 {
-  fb_peer_request ask = { .type = FB_REQUEST_BACK_UP_SUSPECTS };
-  fb_suspects_backup *kept = &ask.fb_peer_request_u.keep;
-  kept->job = unstored->job;
-  kept->epoch = self->epoch;
+  fb_peer_request peer_request = { .type = FB_REQUEST_BACK_UP_SUSPECTS };
+  fb_suspects_backup *backup = &peer_request.fb_peer_request_u.backup;
+  backup->job = unstored->job;
+  backup->epoch = self->epoch;
   gsize len = 0;
   gconstpointer data
       = unstored->suspects != NULL ? g_bytes_get_data (unstored->suspects, &len) : NULL;
-  if (data != NULL && !fb_codec_decode_suspects (data, len, &kept->suspects))
+  if (data != NULL && !fb_codec_decode_suspects (data, len, &backup->suspects))
     return;
-  send_backups (self, &ask);
-  xdr_free ((xdrproc_t) xdr_fb_work_suspects, (char *) &kept->suspects);
+  send_backups (self, &peer_request);
+  xdr_free ((xdrproc_t) xdr_fb_work_suspects, (char *) &backup->suspects);
 }
 
 void
@@ -76,18 +77,18 @@
 /* ---- after a take-over ------------------------------------------------------------------- */
 
 void
-fb_owner_import_suspects (FbOwner *self, const fb_suspect_backups_reply *told)
+fb_owner_import_suspects (FbOwner *self, const fb_suspect_backups_reply *peer_reply)
 {
   GHashTableIter iter;
   gpointer service_pool;
-  for (u_int i = 0; i < told->jobs.jobs_len; i++)
+  for (u_int i = 0; i < peer_reply->jobs.jobs_len; i++)
     {
-      const fb_suspects_backup *kept = &told->jobs.jobs_val[i];
-      if (kept->epoch >= self->epoch)
+      const fb_suspects_backup *backup = &peer_reply->jobs.jobs_val[i];
+      if (backup->epoch >= self->epoch)
         continue;
       g_hash_table_iter_init (&iter, self->service_pools);
       while (g_hash_table_iter_next (&iter, NULL, &service_pool))
-        fb_pool_import_suspects (((FbServicePool *) service_pool)->pool, kept->job, &kept->suspects,
-                                 fb_clock_ms ());
+        fb_pool_import_suspects (((FbServicePool *) service_pool)->pool, backup->job,
+                                 &backup->suspects, fb_clock_ms ());
     }
 }
--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -336,13 +336,14 @@
 
 void
 fb_owner_advised (FbOwner *self, const char *step, const char *const *asked, guint n,
-                  const fb_advice_reply *told)
+                  const fb_advice_reply *peer_reply)
 {
   GHashTableIter iter;
   gpointer service_pool;
   g_hash_table_iter_init (&iter, self->service_pools);
   while (g_hash_table_iter_next (&iter, NULL, &service_pool))
-    fb_pool_advised (((FbServicePool *) service_pool)->pool, step, asked, n, told, fb_clock_ms ());
+    fb_pool_advised (((FbServicePool *) service_pool)->pool, step, asked, n, peer_reply,
+                     fb_clock_ms ());
   fb_owner_schedule_tick (self);
 }
 
@@ -361,38 +362,41 @@
 /* ---- queries ------------------------------------------------------------------------------ */
 
 static void
-answer_job_state (FbOwner *self, const fb_job_state_request *ask, fb_peer_reply *told)
+answer_job_state (FbOwner *self, const fb_job_state_request *peer_request,
+                  fb_peer_reply *peer_reply)
 {
-  const FbServicePool *service_pool = g_hash_table_lookup (self->service_pools, ask->service);
+  const FbServicePool *service_pool
+      = g_hash_table_lookup (self->service_pools, peer_request->service);
   fb_work_state state = FB_WORK_QUEUED;
-  if (service_pool != NULL && fb_pool_job_state (service_pool->pool, ask->job, &state))
+  if (service_pool != NULL && fb_pool_job_state (service_pool->pool, peer_request->job, &state))
     {
-      told->type = FB_REPLY_JOB_STATE;
-      told->fb_peer_reply_u.state = state;
+      peer_reply->type = FB_REPLY_JOB_STATE;
+      peer_reply->fb_peer_reply_u.state = state;
       return;
     }
   uint64_t now_ms = fb_clock_ms ();
   if (now_ms < fb_topic_reader_fresh_ms (self->job_reader) + JOBS_FRESH_MS)
-    told->type = FB_REPLY_NO_SUCH_JOB;
+    peer_reply->type = FB_REPLY_NO_SUCH_JOB;
 }
 
 static void
-answer_pending (FbOwner *self, const fb_pending_request *ask, fb_peer_reply *told)
+answer_pending (FbOwner *self, const fb_pending_request *peer_request, fb_peer_reply *peer_reply)
 {
-  const FbServicePool *service_pool = g_hash_table_lookup (self->service_pools, ask->service);
-  told->type = FB_REPLY_PENDING_COUNT;
-  told->fb_peer_reply_u.pending
-      = service_pool != NULL ? fb_pool_pending (service_pool->pool, ask->queue) : 0;
+  const FbServicePool *service_pool
+      = g_hash_table_lookup (self->service_pools, peer_request->service);
+  peer_reply->type = FB_REPLY_PENDING_COUNT;
+  peer_reply->fb_peer_reply_u.pending
+      = service_pool != NULL ? fb_pool_pending (service_pool->pool, peer_request->queue) : 0;
 }
 
 void
-fb_owner_answer (FbOwner *self, const fb_peer_request *ask, fb_peer_reply *told)
+fb_owner_answer (FbOwner *self, const fb_peer_request *peer_request, fb_peer_reply *peer_reply)
 {
-  told->type = FB_REPLY_UNAVAILABLE;
+  peer_reply->type = FB_REPLY_UNAVAILABLE;
   if (!self->loaded || self->lost)
     return;
-  if (ask->type == FB_REQUEST_JOB_STATE)
-    answer_job_state (self, &ask->fb_peer_request_u.job, told);
-  else if (ask->type == FB_REQUEST_PENDING_COUNT)
-    answer_pending (self, &ask->fb_peer_request_u.queue, told);
+  if (peer_request->type == FB_REQUEST_JOB_STATE)
+    answer_job_state (self, &peer_request->fb_peer_request_u.job, peer_reply);
+  else if (peer_request->type == FB_REQUEST_PENDING_COUNT)
+    answer_pending (self, &peer_request->fb_peer_request_u.queue, peer_reply);
 }
--- a/src/entry/owner/owner.h
+++ b/src/entry/owner/owner.h
@@ -10,7 +10,8 @@
 void fb_owner_free (FbOwner *self);
 gboolean fb_owner_lost (const FbOwner *self);
 /* Answers a request about a job or a queue. */
-void fb_owner_answer (FbOwner *self, const fb_peer_request *ask, fb_peer_reply *told);
+void fb_owner_answer (FbOwner *self, const fb_peer_request *peer_request,
+                      fb_peer_reply *peer_reply);
 /* Applies a record of FB_TOPIC_JOBS that is known to be stored, before the follower reads it. */
 void fb_owner_apply_record (FbOwner *self, const char *key, GBytes *value);
 /* Schedules a tick of the pools within some ms. */
@@ -21,6 +22,6 @@
 /* Stops starting tasks; progress is still stored. */
 void fb_owner_quiesce (FbOwner *self);
 gboolean fb_owner_is_flushed (const FbOwner *self);
-/* Passes on an answer of the advice service; TOLD is NULL when the request failed. */
+/* Passes on an answer of the advice service; PEER_REPLY is NULL when the request failed. */
 void fb_owner_advised (FbOwner *self, const char *step, const char *const *asked, guint n,
-                       const fb_advice_reply *told);
+                       const fb_advice_reply *peer_reply);
--- a/src/entry/peers/payload-dedup.c
+++ b/src/entry/peers/payload-dedup.c
@@ -11,7 +11,7 @@
  * core. */
 #define TASKS_PER_RELAY 20
 /* How long a payload is assumed to be cached.  A daemon caches some 700 payloads
- * (PAYLOADS_KEPT_BYTES), those of 20 s at 30 jobs a second. */
+ * (PAYLOAD_CACHE_BYTES), those of 20 s at 30 jobs a second. */
 #define SENT_FOR_MS 10000
 /* Number of payloads remembered per daemon: 66 jobs a second, each through a dozen of 147 daemons,
  * are 54 for each daemon in SENT_FOR_MS.  Beyond that number payloads are sent again. */
--- a/src/entry/peers/peers.c
+++ b/src/entry/peers/peers.c
@@ -21,9 +21,9 @@
 /* ---- traffic accounting ------------------------------------------------------- */
 
 static FbTraffic
-traffic_of (const fb_peer_request *ask)
+traffic_of (const fb_peer_request *peer_request)
 {
-  switch (ask->type)
+  switch (peer_request->type)
     {
     case FB_REQUEST_ADVICE:
       return FB_TRAFFIC_PEER_ADVICE;
@@ -32,8 +32,9 @@
     case FB_REQUEST_NOTIFY_STORED:
       return FB_TRAFFIC_PEER_RECORDS;
     case FB_REQUEST_RELAY_ORDER:
-      return ask->fb_peer_request_u.order.kind == FB_ORDER_KIND_POLL ? FB_TRAFFIC_RELAYED_POLLS
-                                                                     : FB_TRAFFIC_RELAYED_ORDERS;
+      return peer_request->fb_peer_request_u.order.kind == FB_ORDER_KIND_POLL
+                 ? FB_TRAFFIC_RELAYED_POLLS
+                 : FB_TRAFFIC_RELAYED_ORDERS;
     case FB_REQUEST_JOB_STATE:
     case FB_REQUEST_PENDING_COUNT:
     case FB_REQUEST_PARTITION_OWNERS:
@@ -59,18 +60,18 @@
 on_reply (gpointer data, FbLinkResult result, gconstpointer body, gsize len)
 {
   OpenRequest *open = data;
-  fb_peer_reply told;
+  fb_peer_reply peer_reply;
   fb_traffic_add (open->traffic, 0, len);
-  if (result == FB_LINK_ANSWERED && fb_codec_decode_peer_reply (body, len, &told))
+  if (result == FB_LINK_ANSWERED && fb_codec_decode_peer_reply (body, len, &peer_reply))
     {
-      open->done (open->user, &told);
-      xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &told);
+      open->done (open->user, &peer_reply);
+      xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &peer_reply);
     }
   else if (result == FB_LINK_NOT_SENT)
     {
       /* The peer is down, so it has done nothing. */
-      static const fb_peer_reply unsure = { .type = FB_REPLY_UNAVAILABLE };
-      open->done (open->user, &unsure);
+      static const fb_peer_reply unavailable = { .type = FB_REPLY_UNAVAILABLE };
+      open->done (open->user, &unavailable);
     }
   else
     open->done (open->user, NULL);
@@ -78,14 +79,14 @@
 }
 
 void
-fb_peers_request (FbEntry *entry, const char *address, const fb_peer_request *ask,
+fb_peers_request (FbEntry *entry, const char *address, const fb_peer_request *peer_request,
                   uint32_t timeout_ms, FbPeerReplyDone done, gpointer user)
 {
   OpenRequest *open = g_new0 (OpenRequest, 1);
   open->done = done;
   open->user = user;
-  open->traffic = traffic_of (ask);
-  g_autoptr (GBytes) body = fb_codec_encode_peer_request (ask);
+  open->traffic = traffic_of (peer_request);
+  g_autoptr (GBytes) body = fb_codec_encode_peer_request (peer_request);
   fb_traffic_add (open->traffic, body != NULL ? g_bytes_get_size (body) : 0, 0);
   fb_links_call (entry->links, address, body, timeout_ms, on_reply, open);
 }
@@ -96,7 +97,7 @@
 {
   FbEntry *entry;
   uint32_t partition;
-  GBytes *ask;
+  GBytes *peer_request;
   uint64_t until_ms;
   FbPeerReplyDone done;
   gpointer user;
@@ -105,10 +106,10 @@
 static void send_to_owner (OwnerRequest *request);
 
 static void
-finish (OwnerRequest *request, const fb_peer_reply *told)
+finish (OwnerRequest *request, const fb_peer_reply *peer_reply)
 {
-  request->done (request->user, told);
-  g_bytes_unref (request->ask);
+  request->done (request->user, peer_reply);
+  g_bytes_unref (request->peer_request);
   g_free (request);
 }
 
@@ -120,12 +121,12 @@
 }
 
 static void
-on_owner_reply (gpointer data, const fb_peer_reply *told)
+on_owner_reply (gpointer data, const fb_peer_reply *peer_reply)
 {
   OwnerRequest *request = data;
-  if (told != NULL && told->type != FB_REPLY_UNAVAILABLE)
+  if (peer_reply != NULL && peer_reply->type != FB_REPLY_UNAVAILABLE)
     {
-      finish (request, told);
+      finish (request, peer_reply);
       return;
     }
   fb_group_refresh_owners (request->entry->group);
@@ -140,35 +141,35 @@
 {
   uint64_t now_ms = fb_clock_ms ();
   gsize len = 0;
-  gconstpointer data = g_bytes_get_data (request->ask, &len);
-  fb_peer_request ask;
-  if (now_ms >= request->until_ms || !fb_codec_decode_peer_request (data, len, &ask))
+  gconstpointer data = g_bytes_get_data (request->peer_request, &len);
+  fb_peer_request peer_request;
+  if (now_ms >= request->until_ms || !fb_codec_decode_peer_request (data, len, &peer_request))
     {
       finish (request, NULL);
       return;
     }
   FbOwner *owner = fb_entry_owner (request->entry, request->partition);
   const char *address = fb_group_owner_of (request->entry->group, request->partition);
-  fb_peer_reply told = { .type = FB_REPLY_UNAVAILABLE };
+  fb_peer_reply peer_reply = { .type = FB_REPLY_UNAVAILABLE };
   uint64_t remaining_ms = request->until_ms - now_ms;
   if (owner != NULL)
-    fb_owner_answer (owner, &ask, &told);
+    fb_owner_answer (owner, &peer_request, &peer_reply);
   if (owner == NULL && address != NULL && !g_str_equal (address, request->entry->settings->peers))
-    fb_peers_request (request->entry, address, &ask, (uint32_t) MIN (remaining_ms, 700),
+    fb_peers_request (request->entry, address, &peer_request, (uint32_t) MIN (remaining_ms, 700),
                       on_owner_reply, request);
   else
-    on_owner_reply (request, &told);
-  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &ask);
+    on_owner_reply (request, &peer_reply);
+  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &peer_request);
 }
 
 void
-fb_peers_request_owner (FbEntry *entry, const char *service, const fb_peer_request *ask,
+fb_peers_request_owner (FbEntry *entry, const char *service, const fb_peer_request *peer_request,
                         uint32_t timeout_ms, FbPeerReplyDone done, gpointer user)
 {
   OwnerRequest *request = g_new0 (OwnerRequest, 1);
   request->entry = entry;
   request->partition = fb_entry_partition_of (entry, service);
-  request->ask = fb_codec_encode_peer_request (ask);
+  request->peer_request = fb_codec_encode_peer_request (peer_request);
   request->until_ms = fb_clock_ms () + timeout_ms;
   request->done = done;
   request->user = user;
@@ -178,10 +179,10 @@
 /* ---- notifying an owner ------------------------------------------------------------- */
 
 void
-fb_peers_ignore_reply (gpointer user, const fb_peer_reply *told)
+fb_peers_ignore_reply (gpointer user, const fb_peer_reply *peer_reply)
 {
   (void) user;
-  (void) told;
+  (void) peer_reply;
 }
 
 /* The owner reads the record from the store too, but later: a poll costs a call of the store (4 ms,
@@ -203,12 +204,12 @@
       return;
     }
   gsize len = 0;
-  fb_peer_request ask = { .type = FB_REQUEST_NOTIFY_STORED };
-  ask.fb_peer_request_u.stored.partition = partition;
-  ask.fb_peer_request_u.stored.key = (char *) key;
-  ask.fb_peer_request_u.stored.value.value_val = (char *) g_bytes_get_data (value, &len);
-  ask.fb_peer_request_u.stored.value.value_len = (u_int) len;
-  fb_peers_request (entry, address, &ask, NOTIFY_MS, fb_peers_ignore_reply, NULL);
+  fb_peer_request peer_request = { .type = FB_REQUEST_NOTIFY_STORED };
+  peer_request.fb_peer_request_u.stored.partition = partition;
+  peer_request.fb_peer_request_u.stored.key = (char *) key;
+  peer_request.fb_peer_request_u.stored.value.value_val = (char *) g_bytes_get_data (value, &len);
+  peer_request.fb_peer_request_u.stored.value.value_len = (u_int) len;
+  fb_peers_request (entry, address, &peer_request, NOTIFY_MS, fb_peers_ignore_reply, NULL);
 }
 
 /* ---- appending through a peer ------------------------------------------------------- */
@@ -217,7 +218,7 @@
 static const struct
 {
   FbAppendResult result;
-  fb_peer_reply_type told;
+  fb_peer_reply_type peer_reply;
 } append_results[] = { { FB_APPEND_STORED, FB_REPLY_STORED },
                        { FB_APPEND_NOT_STORED, FB_REPLY_NOT_STORED },
                        { FB_APPEND_IN_DOUBT, FB_REPLY_IN_DOUBT },
@@ -231,16 +232,16 @@
 } PeerAppend;
 
 static void
-on_peer_appended (gpointer data, const fb_peer_reply *told)
+on_peer_appended (gpointer data, const fb_peer_reply *peer_reply)
 {
   PeerAppend *write = data;
   FbAppendResult result = FB_APPEND_IN_DOUBT;
-  for (guint i = 0; told != NULL && i < G_N_ELEMENTS (append_results); i++)
+  for (guint i = 0; peer_reply != NULL && i < G_N_ELEMENTS (append_results); i++)
     {
-      if (told->type == append_results[i].told)
+      if (peer_reply->type == append_results[i].peer_reply)
         result = append_results[i].result;
     }
-  if (told != NULL && told->type == FB_REPLY_UNAVAILABLE)
+  if (peer_reply != NULL && peer_reply->type == FB_REPLY_UNAVAILABLE)
     result = FB_APPEND_NOT_STORED; /* the peer is down, or has no such partition */
   write->done (write->user, result);
   g_free (write);
@@ -253,9 +254,9 @@
   PeerAppend *open = g_new0 (PeerAppend, 1);
   open->done = done;
   open->user = user;
-  fb_peer_request ask = { .type = FB_REQUEST_APPEND_PROGRESS };
-  ask.fb_peer_request_u.write = *write;
-  fb_peers_request (entry, peer, &ask, timeout_ms, on_peer_appended, open);
+  fb_peer_request peer_request = { .type = FB_REQUEST_APPEND_PROGRESS };
+  peer_request.fb_peer_request_u.write = *write;
+  fb_peers_request (entry, peer, &peer_request, timeout_ms, on_peer_appended, open);
 }
 
 /* ---- serving requests ------------------------------------------------------------- */
@@ -267,15 +268,17 @@
   FbTraffic traffic;
 } Answer;
 
-/* Sends the reply; TOLD of NULL means that none is available.  DATA: the Answer, which is freed. */
+/* Sends the reply; PEER_REPLY of NULL means that none is available.  DATA: the Answer, which is
+ * freed. */
 static void
-on_answer_ready (gpointer data, const fb_peer_reply *told)
+on_answer_ready (gpointer data, const fb_peer_reply *peer_reply)
 {
   Answer *answer = data;
-  static const fb_peer_reply unsure = { .type = FB_REPLY_UNAVAILABLE };
-  g_autoptr (GBytes) body = fb_codec_encode_peer_reply (told != NULL ? told : &unsure);
+  static const fb_peer_reply unavailable = { .type = FB_REPLY_UNAVAILABLE };
+  g_autoptr (GBytes) body
+      = fb_codec_encode_peer_reply (peer_reply != NULL ? peer_reply : &unavailable);
   if (body == NULL) /* the reply is larger than the limit */
-    body = fb_codec_encode_peer_reply (&unsure);
+    body = fb_codec_encode_peer_reply (&unavailable);
   fb_traffic_add (answer->traffic, g_bytes_get_size (body), 0);
   fb_link_call_answer (answer->call, body);
   g_free (answer);
@@ -284,13 +287,13 @@
 static void
 on_appended (gpointer data, FbAppendResult result)
 {
-  fb_peer_reply told = { .type = FB_REPLY_IN_DOUBT };
+  fb_peer_reply peer_reply = { .type = FB_REPLY_IN_DOUBT };
   for (guint i = 0; i < G_N_ELEMENTS (append_results); i++)
     {
       if (append_results[i].result == result)
-        told.type = append_results[i].told;
+        peer_reply.type = append_results[i].peer_reply;
     }
-  on_answer_ready (data, &told);
+  on_answer_ready (data, &peer_reply);
 }
 
 static void
@@ -302,26 +305,27 @@
 /* Appends immediately, under the owner's own sequence number, so that a repeat by the owner is
  * harmless. */
 static void
-append_for_owner (FbEntry *entry, const fb_progress_append_request *ask, Answer *answer)
+append_for_owner (FbEntry *entry, const fb_progress_append_request *peer_request, Answer *answer)
 {
-  if (ask->partition >= entry->settings->partitions)
+  if (peer_request->partition >= entry->settings->partitions)
     {
       on_answer_ready (answer, NULL);
       return;
     }
-  g_autoptr (GBytes) body = g_bytes_new (ask->records.records_val, ask->records.records_len);
+  g_autoptr (GBytes) body
+      = g_bytes_new (peer_request->records.records_val, peer_request->records.records_len);
   FbHttpCall call;
-  fb_wire_append (&call, entry->settings->store, FB_TOPIC_PROGRESS, ask->partition, body,
-                  ask->writer, ask->epoch, ask->sequence);
+  fb_wire_append (&call, entry->settings->store, FB_TOPIC_PROGRESS, peer_request->partition, body,
+                  peer_request->writer, peer_request->epoch, peer_request->sequence);
   fb_http_client_exchange (entry->store_client, &call, APPEND_PROGRESS_MS, on_progress_appended,
                            answer);
   fb_http_call_clear (&call);
 }
 
 static void
-append_for_peer (FbEntry *entry, const fb_append_request *ask, Answer *answer)
+append_for_peer (FbEntry *entry, const fb_append_request *peer_request, Answer *answer)
 {
-  if (ask->partition >= entry->settings->partitions)
+  if (peer_request->partition >= entry->settings->partitions)
     {
       on_answer_ready (answer, NULL);
       return;
@@ -332,69 +336,71 @@
       return;
     }
   GByteArray *records = g_byte_array_new ();
-  g_byte_array_append (records, (const guint8 *) ask->records.records_val,
-                       ask->records.records_len);
-  fb_appender_put (fb_entry_appender (entry, ask->partition), records, fb_clock_ms () + APPEND_MS,
-                   on_appended, answer);
+  g_byte_array_append (records, (const guint8 *) peer_request->records.records_val,
+                       peer_request->records.records_len);
+  fb_appender_put (fb_entry_appender (entry, peer_request->partition), records,
+                   fb_clock_ms () + APPEND_MS, on_appended, answer);
 }
 
 static void
-apply_stored (FbEntry *entry, const fb_stored_notice *ask)
+apply_stored (FbEntry *entry, const fb_stored_notice *peer_request)
 {
-  FbOwner *owner = fb_entry_owner (entry, ask->partition);
-  g_autoptr (GBytes) value = g_bytes_new (ask->value.value_val, ask->value.value_len);
+  FbOwner *owner = fb_entry_owner (entry, peer_request->partition);
+  g_autoptr (GBytes) value
+      = g_bytes_new (peer_request->value.value_val, peer_request->value.value_len);
   if (owner != NULL)
-    fb_owner_apply_record (owner, ask->key, value);
+    fb_owner_apply_record (owner, peer_request->key, value);
 }
 
 static void
 answer_starts (FbEntry *entry, Answer *answer)
 {
-  fb_peer_reply told = { .type = FB_REPLY_RECENT_STARTS };
-  fb_recent_starts_list (entry->recent_starts, fb_clock_ms (), &told.fb_peer_reply_u.starts);
-  on_answer_ready (answer, &told);
-  g_free (told.fb_peer_reply_u.starts.starts.starts_val);
+  fb_peer_reply peer_reply = { .type = FB_REPLY_RECENT_STARTS };
+  fb_recent_starts_list (entry->recent_starts, fb_clock_ms (), &peer_reply.fb_peer_reply_u.starts);
+  on_answer_ready (answer, &peer_reply);
+  g_free (peer_reply.fb_peer_reply_u.starts.starts.starts_val);
 }
 
 static void
 answer_suspect_backups (FbEntry *entry, Answer *answer)
 {
-  fb_peer_reply told = { .type = FB_REPLY_SUSPECT_BACKUPS };
-  fb_suspect_backups_list (entry->suspect_backups, fb_clock_ms (), &told.fb_peer_reply_u.kept);
-  on_answer_ready (answer, &told);
-  xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &told);
+  fb_peer_reply peer_reply = { .type = FB_REPLY_SUSPECT_BACKUPS };
+  fb_suspect_backups_list (entry->suspect_backups, fb_clock_ms (),
+                           &peer_reply.fb_peer_reply_u.backups);
+  on_answer_ready (answer, &peer_reply);
+  xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &peer_reply);
 }
 
 static const char *
-service_of (const fb_peer_request *ask)
+service_of (const fb_peer_request *peer_request)
 {
-  return ask->type == FB_REQUEST_JOB_STATE ? ask->fb_peer_request_u.job.service
-                                           : ask->fb_peer_request_u.queue.service;
+  return peer_request->type == FB_REQUEST_JOB_STATE ? peer_request->fb_peer_request_u.job.service
+                                                    : peer_request->fb_peer_request_u.queue.service;
 }
 
 static void
-serve_request (FbEntry *entry, const fb_peer_request *ask, Answer *answer)
+serve_request (FbEntry *entry, const fb_peer_request *peer_request, Answer *answer)
 {
-  fb_peer_reply told = { .type = FB_REPLY_UNAVAILABLE };
+  fb_peer_reply peer_reply = { .type = FB_REPLY_UNAVAILABLE };
   FbOwner *owner = NULL;
-  switch (ask->type)
+  switch (peer_request->type)
     {
     case FB_REQUEST_ADVICE:
       if (entry->settings->advice == NULL)
         break;
-      fb_advisor_call (entry, &ask->fb_peer_request_u.advice, on_answer_ready, answer);
+      fb_advisor_call (entry, &peer_request->fb_peer_request_u.advice, on_answer_ready, answer);
       return;
     case FB_REQUEST_APPEND_JOB_RECORD:
-      append_for_peer (entry, &ask->fb_peer_request_u.append, answer);
+      append_for_peer (entry, &peer_request->fb_peer_request_u.append, answer);
       return;
     case FB_REQUEST_APPEND_PROGRESS:
-      append_for_owner (entry, &ask->fb_peer_request_u.write, answer);
+      append_for_owner (entry, &peer_request->fb_peer_request_u.write, answer);
       return;
     case FB_REQUEST_PARTITION_OWNERS:
       fb_group_send_owners (entry->group, on_answer_ready, answer);
       return;
     case FB_REQUEST_RELAY_ORDER:
-      fb_relay_serve (entry, &ask->fb_peer_request_u.order, on_answer_ready, answer);
+      fb_relay_serve (entry, &peer_request->fb_peer_request_u.order, on_answer_ready, answer);
       return;
     case FB_REQUEST_RECENT_STARTS:
       answer_starts (entry, answer);
@@ -403,36 +409,37 @@
       answer_suspect_backups (entry, answer);
       return;
     case FB_REQUEST_BACK_UP_SUSPECTS:
-      fb_suspect_backups_put (entry->suspect_backups, &ask->fb_peer_request_u.keep, fb_clock_ms ());
+      fb_suspect_backups_put (entry->suspect_backups, &peer_request->fb_peer_request_u.backup,
+                              fb_clock_ms ());
       break;
     case FB_REQUEST_NOTIFY_STORED:
-      apply_stored (entry, &ask->fb_peer_request_u.stored);
+      apply_stored (entry, &peer_request->fb_peer_request_u.stored);
       break;
     case FB_REQUEST_JOB_STATE:
     case FB_REQUEST_PENDING_COUNT:
-      owner = fb_entry_owner (entry, fb_entry_partition_of (entry, service_of (ask)));
+      owner = fb_entry_owner (entry, fb_entry_partition_of (entry, service_of (peer_request)));
       if (owner != NULL)
-        fb_owner_answer (owner, ask, &told);
+        fb_owner_answer (owner, peer_request, &peer_reply);
       break;
     }
-  on_answer_ready (answer, &told);
+  on_answer_ready (answer, &peer_reply);
 }
 
 void
 fb_peers_serve (gpointer data, FbLinkCall *call, gconstpointer body, gsize len)
 {
-  fb_peer_request ask;
+  fb_peer_request peer_request;
   Answer *answer = g_new0 (Answer, 1);
   answer->call = call;
   answer->traffic = FB_TRAFFIC_OTHER;
-  if (!fb_codec_decode_peer_request (body, len, &ask))
+  if (!fb_codec_decode_peer_request (body, len, &peer_request))
     {
       fb_event_log (FB_EVENT_PEER_REFUSED, "bytes=%u", (guint) len);
       on_answer_ready (answer, NULL);
       return;
     }
-  answer->traffic = traffic_of (&ask);
+  answer->traffic = traffic_of (&peer_request);
   fb_traffic_add (answer->traffic, 0, len);
-  serve_request (data, &ask, answer);
-  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &ask);
+  serve_request (data, &peer_request, answer);
+  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &peer_request);
 }
--- a/src/entry/peers/peers.h
+++ b/src/entry/peers/peers.h
@@ -5,14 +5,15 @@
 #include "relay.h"
 #include "src/entry/store/appender.h"
 
-void fb_peers_request (FbEntry *entry, const char *address, const fb_peer_request *ask,
+void fb_peers_request (FbEntry *entry, const char *address, const fb_peer_request *peer_request,
                        uint32_t timeout_ms, FbPeerReplyDone done, gpointer user);
 /* Completion callback for requests whose reply does not matter. */
-void fb_peers_ignore_reply (gpointer user, const fb_peer_reply *told);
+void fb_peers_ignore_reply (gpointer user, const fb_peer_reply *peer_reply);
 /* Sends a request to the owner of the pool of SERVICE, which may be this daemon; retries until
  * TIMEOUT_MS have passed. */
-void fb_peers_request_owner (FbEntry *entry, const char *service, const fb_peer_request *ask,
-                             uint32_t timeout_ms, FbPeerReplyDone done, gpointer user);
+void fb_peers_request_owner (FbEntry *entry, const char *service,
+                             const fb_peer_request *peer_request, uint32_t timeout_ms,
+                             FbPeerReplyDone done, gpointer user);
 /* Notifies the owner of PARTITION of a stored record.  The owner reads it from the store in any
  * case, so nothing depends on the reply. */
 void fb_peers_notify_stored (FbEntry *entry, uint32_t partition, const char *key, GBytes *value);
--- a/src/entry/peers/recent-starts.c
+++ b/src/entry/peers/recent-starts.c
@@ -2,10 +2,10 @@
 
 /* How long a start is remembered.  An owner is replaced some 2 s after its last order, and its
  * successor may take some more seconds to ask; older starts have ended or were recorded. */
-#define KEPT_MS 10000
+#define START_MAX_AGE_MS 10000
 /* The same for a start that the worker has confirmed.  While the store is unavailable nothing is
  * recorded and no daemon takes over, and a confirmed start is still sufficient evidence later. */
-#define CONFIRMED_KEPT_MS 40000
+#define CONFIRMED_MAX_AGE_MS 40000
 /* Number of consecutive run lists of a worker without the run that prove that it has ended. */
 #define MISSING_MAX 2
 
@@ -91,9 +91,9 @@
 }
 
 static gboolean
-is_kept (const Start *start, uint64_t now_ms)
+is_recent (const Start *start, uint64_t now_ms)
 {
-  return now_ms < start->sent_ms + (start->confirmed ? CONFIRMED_KEPT_MS : KEPT_MS);
+  return now_ms < start->sent_ms + (start->confirmed ? CONFIRMED_MAX_AGE_MS : START_MAX_AGE_MS);
 }
 
 void
@@ -102,7 +102,7 @@
 {
   const Start *oldest = NULL;
   while ((oldest = g_queue_peek_head (&self->starts)) != NULL
-         && (!is_kept (oldest, now_ms) || self->starts.length >= FB_WORK_MAX_STARTS))
+         && (!is_recent (oldest, now_ms) || self->starts.length >= FB_WORK_MAX_STARTS))
     drop_oldest (self);
   Start *start = g_new0 (Start, 1);
   start->worker = g_strdup (worker);
@@ -219,17 +219,18 @@
 }
 
 void
-fb_recent_starts_list (const FbRecentStarts *self, uint64_t now_ms, fb_recent_starts_reply *told)
+fb_recent_starts_list (const FbRecentStarts *self, uint64_t now_ms,
+                       fb_recent_starts_reply *peer_reply)
 {
-  told->starts.starts_val = g_new0 (fb_recent_start, self->starts.length);
-  told->starts.starts_len = 0;
+  peer_reply->starts.starts_val = g_new0 (fb_recent_start, self->starts.length);
+  peer_reply->starts.starts_len = 0;
   for (const GList *l = self->starts.head; l != NULL; l = l->next)
     {
       const Start *start = l->data;
       const WorkerStarts *worker_starts = g_hash_table_lookup (self->workers, start->worker);
-      if (!worker_starts->unresponsive || !is_kept (start, now_ms))
+      if (!worker_starts->unresponsive || !is_recent (start, now_ms))
         continue;
-      told->starts.starts_val[told->starts.starts_len++]
+      peer_reply->starts.starts_val[peer_reply->starts.starts_len++]
           = (fb_recent_start){ start->worker, start->address, start->task, start->attempt,
                                start->confirmed };
     }
--- a/src/entry/peers/recent-starts.h
+++ b/src/entry/peers/recent-starts.h
@@ -23,7 +23,7 @@
                                 uint32_t attempt, FbOrderResult result);
 /* Records the answer to a poll of WORKER. */
 void fb_recent_starts_polled (FbRecentStarts *self, const char *worker, const FbPollAnswer *answer);
-/* Fills in TOLD with the starts at workers that did not answer the last order to them.  The caller
- * frees the array; its strings are borrowed until SELF changes. */
+/* Fills in PEER_REPLY with the starts at workers that did not answer the last order to them.  The
+ * caller frees the array; its strings are borrowed until SELF changes. */
 void fb_recent_starts_list (const FbRecentStarts *self, uint64_t now_ms,
-                            fb_recent_starts_reply *told);
+                            fb_recent_starts_reply *peer_reply);
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -231,7 +231,7 @@
   uint64_t until_ms;
 } RelayedOrder;
 
-static void on_told (gpointer data, const fb_peer_reply *told);
+static void on_peer_reply (gpointer data, const fb_peer_reply *peer_reply);
 
 /* Sends the order again with its payload, because the relay has restarted or evicted the payload.
  * Returns: FALSE when that is not possible any more. */
@@ -242,47 +242,48 @@
   g_autoptr (GBytes) full_request = g_steal_pointer (&relayed->full_request);
   gsize len = 0;
   gconstpointer data = full_request != NULL ? g_bytes_get_data (full_request, &len) : NULL;
-  fb_peer_request ask;
+  fb_peer_request peer_request;
   fb_payload_dedup_forget (relayed->entry->payload_dedup, relayed->daemon, &relayed->digest);
   if (data == NULL || now_ms >= relayed->until_ms
-      || !fb_codec_decode_peer_request (data, len, &ask))
+      || !fb_codec_decode_peer_request (data, len, &peer_request))
     return FALSE;
   (void) fb_payload_dedup_sent (relayed->entry->payload_dedup, relayed->daemon, &relayed->digest,
                                 now_ms);
-  fb_peers_request (relayed->entry, relayed->daemon, &ask, (uint32_t) (relayed->until_ms - now_ms),
-                    on_told, relayed);
-  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &ask);
+  fb_peers_request (relayed->entry, relayed->daemon, &peer_request,
+                    (uint32_t) (relayed->until_ms - now_ms), on_peer_reply, relayed);
+  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &peer_request);
   return TRUE;
 }
 
 static void
-on_told (gpointer data, const fb_peer_reply *told)
+on_peer_reply (gpointer data, const fb_peer_reply *peer_reply)
 {
   RelayedOrder *relayed = data;
-  if (told != NULL && told->type == FB_REPLY_PAYLOAD_MISSING && send_with_payload (relayed))
+  if (peer_reply != NULL && peer_reply->type == FB_REPLY_PAYLOAD_MISSING
+      && send_with_payload (relayed))
     return;
-  gboolean answered = told != NULL && told->type == FB_REPLY_ORDER_RESULT;
+  gboolean answered = peer_reply != NULL && peer_reply->type == FB_REPLY_ORDER_RESULT;
   if (!answered)
     {
       fb_event_log (FB_EVENT_CALL_FAILED, "order by daemon=%s lost=%d", relayed->daemon,
-                    told == NULL);
+                    peer_reply == NULL);
       fb_daemons_back_off_relay (relayed->entry->daemons, relayed->daemon,
                                  fb_clock_ms () + BACKOFF_MS);
     }
   if (answered)
-    relayed->done (relayed->user, FB_RELAY_ANSWERED, &told->fb_peer_reply_u.order);
+    relayed->done (relayed->user, FB_RELAY_ANSWERED, &peer_reply->fb_peer_reply_u.order);
   else
-    relayed->done (relayed->user, told != NULL ? FB_RELAY_NOT_RELAYED : FB_RELAY_LOST, NULL);
+    relayed->done (relayed->user, peer_reply != NULL ? FB_RELAY_NOT_RELAYED : FB_RELAY_LOST, NULL);
   g_clear_pointer (&relayed->full_request, g_bytes_unref);
   g_free (relayed->daemon);
   g_free (relayed);
 }
 
-/* If the relay has the payload of ASK, a start, replaces it by its digest. */
+/* If the relay has the payload of PEER_REQUEST, a start, replaces it by its digest. */
 static void
-omit_sent_payload (RelayedOrder *relayed, fb_peer_request *ask, uint64_t now_ms)
+omit_sent_payload (RelayedOrder *relayed, fb_peer_request *peer_request, uint64_t now_ms)
 {
-  fb_relay_request *order = &ask->fb_peer_request_u.order;
+  fb_relay_request *order = &peer_request->fb_peer_request_u.order;
   if (order->kind != FB_ORDER_KIND_START || strlen (order->payload) < NAMED_MIN_BYTES)
     return;
   fb_payload_digest (order->payload, &relayed->digest);
@@ -291,7 +292,7 @@
   if (!fb_payload_dedup_sent (relayed->entry->payload_dedup, relayed->daemon, &relayed->digest,
                               now_ms))
     return;
-  relayed->full_request = fb_codec_encode_peer_request (ask);
+  relayed->full_request = fb_codec_encode_peer_request (peer_request);
   order->payload = "";
 }
 
@@ -307,10 +308,10 @@
   uint64_t now_ms = fb_clock_ms ();
   uint32_t timeout_ms = limit_ms (order) + NETWORK_MS;
   relayed->until_ms = now_ms + timeout_ms;
-  fb_peer_request ask = { .type = FB_REQUEST_RELAY_ORDER };
-  ask.fb_peer_request_u.order = *order;
-  omit_sent_payload (relayed, &ask, now_ms);
-  fb_peers_request (entry, daemon, &ask, timeout_ms, on_told, relayed);
+  fb_peer_request peer_request = { .type = FB_REQUEST_RELAY_ORDER };
+  peer_request.fb_peer_request_u.order = *order;
+  omit_sent_payload (relayed, &peer_request, now_ms);
+  fb_peers_request (entry, daemon, &peer_request, timeout_ms, on_peer_reply, relayed);
 }
 
 /* ---- serving as a relay ---------------------------------------------------------------- */
@@ -324,10 +325,10 @@
   char *worker;
 } Order;
 
-/* Fills in TOLD from ANSWER; ROWS and ENDS are its arrays, whose strings are borrowed from
+/* Fills in PEER_REPLY from ANSWER; ROWS and ENDS are its arrays, whose strings are borrowed from
  * ANSWER. */
 static void
-fill_poll_reply (const FbPollAnswer *answer, fb_relay_reply *told, fb_reported_run *rows,
+fill_poll_reply (const FbPollAnswer *answer, fb_relay_reply *peer_reply, fb_reported_run *rows,
                  fb_reported_end *ends)
 {
   for (guint i = 0; i < answer->running->len; i++)
@@ -341,10 +342,10 @@
       ends[i]
           = (fb_reported_end){ end->number, end->task, end->attempt, end->how, end->checkpoint };
     }
-  told->running.running_len = answer->running->len;
-  told->running.running_val = rows;
-  told->finished.finished_len = answer->finished->len;
-  told->finished.finished_val = ends;
+  peer_reply->running.running_len = answer->running->len;
+  peer_reply->running.running_val = rows;
+  peer_reply->finished.finished_len = answer->finished->len;
+  peer_reply->finished.finished_val = ends;
 }
 
 static void
@@ -355,8 +356,8 @@
   fb_relay_worker_answer (order->kind, order->worker, reply, &answer);
   if (order->kind == FB_ORDER_KIND_POLL)
     fb_recent_starts_polled (order->entry->recent_starts, order->worker, &answer);
-  fb_peer_reply told = { .type = FB_REPLY_ORDER_RESULT };
-  fb_relay_reply *mine = &told.fb_peer_reply_u.order;
+  fb_peer_reply peer_reply = { .type = FB_REPLY_ORDER_RESULT };
+  fb_relay_reply *mine = &peer_reply.fb_peer_reply_u.order;
   mine->result = answer.result;
   mine->clock_ms = answer.clock_ms;
   mine->incarnation = answer.incarnation != NULL ? answer.incarnation : "";
@@ -366,34 +367,35 @@
   g_autofree fb_reported_end *ends = g_new0 (fb_reported_end, ends_n + 1);
   if (answer.running != NULL && answer.finished != NULL)
     fill_poll_reply (&answer, mine, rows, ends);
-  order->done (order->user, &told);
+  order->done (order->user, &peer_reply);
   fb_poll_answer_clear (&answer);
   g_free (order->worker);
   g_free (order);
 }
 
-/* Caches the payload of ASK, or fills in the cached one that ASK names, borrowed.
+/* Caches the payload of PEER_REQUEST, or fills in the cached one that PEER_REQUEST names, borrowed.
  * Returns: FALSE when the named payload is not cached. */
 static gboolean
-complete_payload (FbEntry *entry, fb_relay_request *ask)
+complete_payload (FbEntry *entry, fb_relay_request *peer_request)
 {
   FbPayloadDigest digest;
-  if (ask->payload_digest.payload_digest_len != sizeof digest.bytes)
+  if (peer_request->payload_digest.payload_digest_len != sizeof digest.bytes)
     return TRUE;
-  memcpy (digest.bytes, ask->payload_digest.payload_digest_val, sizeof digest.bytes);
-  if (*ask->payload != '\0')
+  memcpy (digest.bytes, peer_request->payload_digest.payload_digest_val, sizeof digest.bytes);
+  if (*peer_request->payload != '\0')
     {
-      fb_payload_cache_put (entry->payload_cache, &digest, ask->payload);
+      fb_payload_cache_put (entry->payload_cache, &digest, peer_request->payload);
       return TRUE;
     }
-  ask->payload = (char *) fb_payload_cache_get (entry->payload_cache, &digest);
-  return ask->payload != NULL;
+  peer_request->payload = (char *) fb_payload_cache_get (entry->payload_cache, &digest);
+  return peer_request->payload != NULL;
 }
 
 void
-fb_relay_serve (FbEntry *entry, const fb_relay_request *ask, FbPeerReplyDone done, gpointer user)
+fb_relay_serve (FbEntry *entry, const fb_relay_request *peer_request, FbPeerReplyDone done,
+                gpointer user)
 {
-  fb_relay_request complete = *ask;
+  fb_relay_request complete = *peer_request;
   if (!complete_payload (entry, &complete))
     {
       static const fb_peer_reply no_payload = { .type = FB_REPLY_PAYLOAD_MISSING };
@@ -404,34 +406,35 @@
   order->entry = entry;
   order->done = done;
   order->user = user;
-  order->kind = ask->kind;
-  order->worker = g_strdup (ask->worker);
+  order->kind = peer_request->kind;
+  order->worker = g_strdup (peer_request->worker);
   fb_relay_call_worker (entry, &complete, on_reply, order);
 }
 
 void
-fb_relay_poll_answer (const fb_relay_reply *told, FbPollAnswer *answer)
+fb_relay_poll_answer (const fb_relay_reply *peer_reply, FbPollAnswer *answer)
 {
-  *answer = (FbPollAnswer){ .result = (FbOrderResult) MIN (told->result, FB_ORDER_UNKNOWN),
-                            .clock_ms = told->clock_ms,
-                            .incarnation
-                            = *told->incarnation != '\0' ? g_strdup (told->incarnation) : NULL };
+  *answer = (FbPollAnswer){ .result = (FbOrderResult) MIN (peer_reply->result, FB_ORDER_UNKNOWN),
+                            .clock_ms = peer_reply->clock_ms,
+                            .incarnation = *peer_reply->incarnation != '\0'
+                                               ? g_strdup (peer_reply->incarnation)
+                                               : NULL };
   if (answer->result != FB_ORDER_DONE)
     return;
   answer->running
-      = g_array_sized_new (FALSE, TRUE, sizeof (FbReportedRun), told->running.running_len);
+      = g_array_sized_new (FALSE, TRUE, sizeof (FbReportedRun), peer_reply->running.running_len);
   answer->finished
-      = g_array_sized_new (FALSE, TRUE, sizeof (FbReportedEnd), told->finished.finished_len);
-  for (u_int i = 0; i < told->running.running_len; i++)
+      = g_array_sized_new (FALSE, TRUE, sizeof (FbReportedEnd), peer_reply->finished.finished_len);
+  for (u_int i = 0; i < peer_reply->running.running_len; i++)
     {
-      const fb_reported_run *row = &told->running.running_val[i];
+      const fb_reported_run *row = &peer_reply->running.running_val[i];
       FbReportedRun run
           = { .task = row->task, .attempt = row->attempt, .checkpoint = row->checkpoint };
       g_array_append_val (answer->running, run);
     }
-  for (u_int i = 0; i < told->finished.finished_len; i++)
+  for (u_int i = 0; i < peer_reply->finished.finished_len; i++)
     {
-      const fb_reported_end *row = &told->finished.finished_val[i];
+      const fb_reported_end *row = &peer_reply->finished.finished_val[i];
       FbReportedEnd end = { .number = row->number,
                             .task = row->task,
                             .attempt = row->attempt,
--- a/src/entry/peers/relay.h
+++ b/src/entry/peers/relay.h
@@ -12,11 +12,11 @@
   FB_RELAY_LOST         /* the order may be executed, now or later */
 } FbRelayResult;
 
-/* Completion of a relayed order.  TOLD is borrowed; NULL unless the relay answered. */
-typedef void (*FbRelayDone) (gpointer user, FbRelayResult result, const fb_relay_reply *told);
-/* Completion of a request to a peer.  TOLD is borrowed; NULL when no reply came; of type
+/* Completion of a relayed order.  PEER_REPLY is borrowed; NULL unless the relay answered. */
+typedef void (*FbRelayDone) (gpointer user, FbRelayResult result, const fb_relay_reply *peer_reply);
+/* Completion of a request to a peer.  PEER_REPLY is borrowed; NULL when no reply came; of type
  * FB_REPLY_UNAVAILABLE also when nothing was sent. */
-typedef void (*FbPeerReplyDone) (gpointer user, const fb_peer_reply *told);
+typedef void (*FbPeerReplyDone) (gpointer user, const fb_peer_reply *peer_reply);
 
 /* MEMBERS: of FbDaemon.  BUT: an address that is not to be chosen.
  * Returns: (nullable): the member of DOMAIN that relays orders with KEY; borrowed. */
@@ -38,6 +38,6 @@
  * cleared with fb_poll_answer_clear(). */
 void fb_relay_worker_answer (fb_order_kind kind, const char *worker, const FbHttpReply *reply,
                              FbPollAnswer *answer);
-/* Converts a relay's reply.  ANSWER borrows its strings from TOLD; it is cleared with
+/* Converts a relay's reply.  ANSWER borrows its strings from PEER_REPLY; it is cleared with
  * fb_poll_answer_clear(). */
-void fb_relay_poll_answer (const fb_relay_reply *told, FbPollAnswer *answer);
+void fb_relay_poll_answer (const fb_relay_reply *peer_reply, FbPollAnswer *answer);
--- a/src/entry/peers/suspect-backups.h
+++ b/src/entry/peers/suspect-backups.h
@@ -10,9 +10,9 @@
 
 FbSuspectBackups *fb_suspect_backups_new (void);
 void fb_suspect_backups_free (FbSuspectBackups *self);
-/* Replaces the copy of KEPT's job, unless the copy held is of a later owner. */
-void fb_suspect_backups_put (FbSuspectBackups *self, const fb_suspects_backup *kept,
+/* Replaces the copy of BACKUP's job, unless the copy held is of a later owner. */
+void fb_suspect_backups_put (FbSuspectBackups *self, const fb_suspects_backup *backup,
                              uint64_t now_ms);
-/* Fills in TOLD with all copies; the caller frees it with xdr_free(). */
+/* Fills in PEER_REPLY with all copies; the caller frees it with xdr_free(). */
 void fb_suspect_backups_list (const FbSuspectBackups *self, uint64_t now_ms,
-                              fb_suspect_backups_reply *told);
+                              fb_suspect_backups_reply *peer_reply);
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -96,13 +96,13 @@
 /* ---- reading the owners --------------------------------------------------------- */
 
 static void
-on_peer_owners_reply (gpointer data, const fb_peer_reply *told)
+on_peer_owners_reply (gpointer data, const fb_peer_reply *peer_reply)
 {
   FbGroup *self = data;
   self->peer_open = FALSE;
-  if (told == NULL || told->type != FB_REPLY_PARTITION_OWNERS)
+  if (peer_reply == NULL || peer_reply->type != FB_REPLY_PARTITION_OWNERS)
     return; /* a caller that needs the owners asks again */
-  const fb_owners_reply *owners = &told->fb_peer_reply_u.owners;
+  const fb_owners_reply *owners = &peer_reply->fb_peer_reply_u.owners;
   fb_event_log (FB_EVENT_OWNERS_FROM_PEER, "partitions=%u store_ok_ms_ago=%u",
                 owners->owners.owners_len, (guint) (fb_clock_ms () - self->entry->store_ok_ms));
   g_hash_table_remove_all (self->owner_of);
@@ -123,9 +123,9 @@
   const char *peer = fb_group_any_peer (self, NULL);
   if (self->peer_open || peer == NULL)
     return;
-  static const fb_peer_request ask = { .type = FB_REQUEST_PARTITION_OWNERS };
+  static const fb_peer_request peer_request = { .type = FB_REQUEST_PARTITION_OWNERS };
   self->peer_open = TRUE;
-  fb_peers_request (self->entry, peer, &ask, ANSWER_MS, on_peer_owners_reply, self);
+  fb_peers_request (self->entry, peer, &peer_request, ANSWER_MS, on_peer_owners_reply, self);
 }
 
 static void
@@ -178,10 +178,10 @@
 void
 fb_group_send_owners (const FbGroup *self, FbPeerReplyDone done, gpointer user)
 {
-  fb_peer_reply told = { .type = FB_REPLY_UNAVAILABLE };
+  fb_peer_reply peer_reply = { .type = FB_REPLY_UNAVAILABLE };
   if (fb_clock_ms () > self->owners_ms + OWNERS_FRESH_MS || self->owners_generation == 0)
     {
-      done (user, &told);
+      done (user, &peer_reply);
       return;
     }
   guint n = 0;
@@ -193,10 +193,10 @@
   g_hash_table_iter_init (&iter, self->owner_of);
   while (g_hash_table_iter_next (&iter, &partition, &address))
     rows[n++] = (fb_partition_owner){ GPOINTER_TO_UINT (partition), address };
-  told.type = FB_REPLY_PARTITION_OWNERS;
-  told.fb_peer_reply_u.owners.owners.owners_len = n;
-  told.fb_peer_reply_u.owners.owners.owners_val = rows;
-  done (user, &told);
+  peer_reply.type = FB_REPLY_PARTITION_OWNERS;
+  peer_reply.fb_peer_reply_u.owners.owners.owners_len = n;
+  peer_reply.fb_peer_reply_u.owners.owners.owners_val = rows;
+  done (user, &peer_reply);
 }
 
 const char *
--- a/tests/test-daemons.c
+++ b/tests/test-daemons.c
@@ -147,19 +147,19 @@
 {
   fb_reported_run run = { (char *) "j.0.0.1", 3, (char *) "c1" };
   fb_reported_end end = { 7, (char *) "j.0.0.2", 2, FB_END_LEASE_EXPIRED, (char *) "" };
-  fb_peer_reply told = { .type = FB_REPLY_ORDER_RESULT };
-  told.fb_peer_reply_u.order = (fb_relay_reply){ .result = FB_ORDER_DONE,
-                                                 .clock_ms = 482113,
-                                                 .incarnation = (char *) "",
-                                                 .running = { 1, &run },
-                                                 .finished = { 1, &end } };
-  g_autoptr (GBytes) bytes = fb_codec_encode_peer_reply (&told);
+  fb_peer_reply reply = { .type = FB_REPLY_ORDER_RESULT };
+  reply.fb_peer_reply_u.order = (fb_relay_reply){ .result = FB_ORDER_DONE,
+                                                  .clock_ms = 482113,
+                                                  .incarnation = (char *) "",
+                                                  .running = { 1, &run },
+                                                  .finished = { 1, &end } };
+  g_autoptr (GBytes) bytes = fb_codec_encode_peer_reply (&reply);
   gsize len = 0;
   gconstpointer data = g_bytes_get_data (bytes, &len);
-  fb_peer_reply again;
-  CU_ASSERT_TRUE_FATAL (fb_codec_decode_peer_reply (data, len, &again));
+  fb_peer_reply decoded;
+  CU_ASSERT_TRUE_FATAL (fb_codec_decode_peer_reply (data, len, &decoded));
   FbPollAnswer answer;
-  fb_relay_poll_answer (&again.fb_peer_reply_u.order, &answer);
+  fb_relay_poll_answer (&decoded.fb_peer_reply_u.order, &answer);
   CU_ASSERT_EQUAL (answer.result, FB_ORDER_DONE);
   CU_ASSERT_EQUAL (answer.clock_ms, 482113);
   CU_ASSERT_EQUAL_FATAL (answer.running->len, 1);
@@ -167,7 +167,7 @@
   CU_ASSERT_STRING_EQUAL (g_array_index (answer.running, FbReportedRun, 0).checkpoint, "c1");
   CU_ASSERT_EQUAL (g_array_index (answer.finished, FbReportedEnd, 0).how, FB_END_LEASE_EXPIRED);
   fb_poll_answer_clear (&answer);
-  xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &again);
+  xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &decoded);
 }
 
 int
--- a/tests/test-relay.c
+++ b/tests/test-relay.c
@@ -123,11 +123,11 @@
 } Served;
 
 static void
-on_served (gpointer user, const fb_peer_reply *told)
+on_served (gpointer user, const fb_peer_reply *reply)
 {
   Served *served = user;
-  served->relay->missing_n += told->type == FB_REPLY_PAYLOAD_MISSING;
-  g_autoptr (GBytes) body = fb_codec_encode_peer_reply (told);
+  served->relay->missing_n += reply->type == FB_REPLY_PAYLOAD_MISSING;
+  g_autoptr (GBytes) body = fb_codec_encode_peer_reply (reply);
   fb_link_call_answer (served->call, body);
   g_free (served);
 }
@@ -136,17 +136,17 @@
 serve_relay (gpointer data, FbLinkCall *call, gconstpointer body, gsize len)
 {
   Relay *self = data;
-  fb_peer_request ask;
-  CU_ASSERT_TRUE_FATAL (fb_codec_decode_peer_request (body, len, &ask));
-  if (*ask.fb_peer_request_u.order.payload != '\0')
+  fb_peer_request request;
+  CU_ASSERT_TRUE_FATAL (fb_codec_decode_peer_request (body, len, &request));
+  if (*request.fb_peer_request_u.order.payload != '\0')
     self->with_payload_n++;
   else
     self->by_digest_n++;
   Served *served = g_new0 (Served, 1);
   served->relay = self;
   served->call = call;
-  fb_relay_serve (&self->entry, &ask.fb_peer_request_u.order, on_served, served);
-  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &ask);
+  fb_relay_serve (&self->entry, &request.fb_peer_request_u.order, on_served, served);
+  xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &request);
 }
 
 typedef struct
@@ -156,10 +156,10 @@
 } Seen;
 
 static void
-on_relayed (gpointer user, FbRelayResult result, const fb_relay_reply *told)
+on_relayed (gpointer user, FbRelayResult result, const fb_relay_reply *reply)
 {
   Seen *seen = user;
-  (void) told;
+  (void) reply;
   seen->done_n++;
   seen->answered_n += result == FB_RELAY_ANSWERED;
 }
