--- a/src/entry/advice/advisor.h
+++ b/src/entry/advice/advisor.h
@@ -9,6 +9,6 @@
 /* Returns: FALSE when no daemon can take the request now. */
 gboolean fb_advisor_ask (FbAdvisor *self, uint32_t partition, const char *step,
                          const char *const *workers, guint n, uint32_t expected_ms);
-/* Calls the advice service from here. */
+/* Calls the advice service from this daemon. */
 void fb_advisor_call (FbEntry *entry, const fb_advice_request *peer_request, FbPeerReplyDone done,
                       gpointer user);
--- a/src/entry/entry-private.h
+++ b/src/entry/entry-private.h
@@ -74,8 +74,7 @@
   uint64_t store_ok_ms;      /* time of the store's last answer */
   gboolean store_lost;
   FbStoreHealth store_health; /* latency and failures of this daemon's calls to the store */
-  gboolean
-      store_degraded; /* as last logged: callers' records should not be appended from this daemon */
+  gboolean store_degraded;    /* as last logged; see fb_append_proxy_store_is_degraded() */
 };
 
 uint32_t fb_entry_partition_of (const FbEntry *self, const char *service);
--- a/src/entry/front/append-proxy.h
+++ b/src/entry/front/append-proxy.h
@@ -39,10 +39,10 @@
   uint32_t timeout_ms; /* time limit of its reply */
 } FbAppendRoute;
 
-/* TRUE when PACE of a daemon shows that records should not be stored from there. */
+/* TRUE when STORE_HEALTH of a daemon shows that records should not be stored from there. */
 gboolean fb_append_proxy_store_is_degraded (const FbStoreHealth *store_health, uint64_t now_ms);
 /* Returns: the next step for RECORD, initially or after the daemon asked last has not stored it.
- * PACE: of the daemon that received the record.  MEMBERS: of FbDaemon. */
+ * STORE_HEALTH: of the daemon that received the record.  MEMBERS: of FbDaemon. */
 FbAppendRoute fb_append_proxy_route (const FbAppendProxyRecord *record,
                                      const FbStoreHealth *store_health, const GPtrArray *members,
                                      uint64_t now_ms);
--- a/src/entry/owner/owner-load.c
+++ b/src/entry/owner/owner-load.c
@@ -143,7 +143,7 @@
 
 /* Failure: a pool of hundreds of jobs is loaded in one iteration of the main loop, 0.4 s on 0.12 of
  * a core; it shows as callers, orders of other owners and membership renewals that wait for it.
- * Guard: each iteration loads a few records: all jobs before their progress, and the progress
+ * Guard: each turn loads a few records: all jobs before their progress, and the progress
  * before the cancels. */
 static gboolean
 on_load_some (gpointer data)
--- a/src/entry/owner/owner-private.h
+++ b/src/entry/owner/owner-private.h
@@ -57,14 +57,14 @@
 /* Completion of the append that fences off the previous writer. */
 void fb_owner_writer_fenced (gpointer self, FbAppendResult result);
 
-/* owner-unstored.c */
+/* owner-suspect-backups.c */
 
 /* Sends crash suspects that the store does not accept to other daemons. */
 void fb_owner_back_up_suspects (const FbServicePool *service_pool);
 /* Applies PEER_REPLY, the copies of suspects that a daemon has held for earlier owners. */
 void fb_owner_import_suspects (FbOwner *self, const fb_suspect_backups_reply *peer_reply);
 
-/* owner-recall.c */
+/* owner-import.c */
 
 /* Requests the recent starts of earlier owners from all daemons, twice.  To be called in every tick
  * once the owner has loaded. */
--- a/src/entry/peers/links-private.h
+++ b/src/entry/peers/links-private.h
@@ -8,10 +8,10 @@
 
 typedef struct
 {
-  uint32_t number;
+  uint32_t number;     /* of the call, unique on its connection */
   uint64_t frame_from; /* offset of its frame in the bytes written to the connection */
   uint64_t sent_ms;
-  uint64_t until_ms;
+  uint64_t until_ms; /* time limit */
   FbLinkDone done;
   gpointer user;
 } Pending;
@@ -24,15 +24,15 @@
   gboolean connecting;
   gboolean dirty; /* has bytes to write and is in the links' dirty list */
   gboolean closed;
-  guint refs; /* one reference of the links, one of each call being served */
+  guint refs; /* references: one of the links, one of each call being served */
   uint64_t created_ms;
-  uint64_t received_ms;
-  uint32_t last_number;
-  uint64_t written;
-  GByteArray *out;
-  gsize out_from;
-  GByteArray *in;
-  GQueue pending; /* of Pending, in the order of their numbers */
+  uint64_t received_ms; /* when data was last received, or created_ms */
+  uint32_t last_number; /* of the last call sent */
+  uint64_t written;     /* bytes written so far */
+  GByteArray *out;      /* output buffer */
+  gsize out_from;       /* offset of its first unwritten byte */
+  GByteArray *in;       /* input buffer, without complete frames */
+  GQueue pending;       /* of Pending, in the order of their numbers */
 } FbLinkConnection;
 
 struct _FbLinks
--- a/src/entry/peers/links.c
+++ b/src/entry/peers/links.c
@@ -1,6 +1,6 @@
 /* A daemon on a quarter of a core answers some hundred calls of its peers a second.  Over HTTP each
  * call cost it 0.3 ms, and each connection was one more source of the main loop, which checks every
- * source in each iteration.  Here one epoll descriptor covers all connections, and the frames for a
+ * source in each turn.  Here one epoll descriptor covers all connections, and the frames for a
  * peer from one iteration leave in one system call.
  *
  * Failure: a connection goes silent for good while new ones work; it shows as calls that get no
@@ -60,7 +60,7 @@
     }
 }
 
-/* FALSE for a connection that an earlier event of the same iteration has closed. */
+/* FALSE for a connection that an earlier event of the same turn of the main loop has closed. */
 static gboolean
 is_open (const FbLinks *self, gconstpointer connection)
 {
--- a/src/entry/peers/recent-starts.c
+++ b/src/entry/peers/recent-starts.c
@@ -114,7 +114,7 @@
   g_queue_push_tail (&worker_starts_for (self, worker)->starts, start);
 }
 
-/* Removes the start at LINK of TARGET, whose run has ended or was never created. */
+/* Removes the start at LINK of WORKER_STARTS, whose run has ended or was never created. */
 static void
 drop_start (FbRecentStarts *self, WorkerStarts *worker_starts, GList *link)
 {
--- a/src/entry/peers/suspect-backups.c
+++ b/src/entry/peers/suspect-backups.c
@@ -18,7 +18,7 @@
 
 struct _FbSuspectBackups
 {
-  GHashTable *jobs; /* id -> Kept */
+  GHashTable *jobs; /* id -> Backup */
 };
 
 static void
--- a/src/entry/store/appender.c
+++ b/src/entry/store/appender.c
@@ -43,7 +43,7 @@
   uint32_t retry_ms;
   guint timer;
   gboolean call_open;
-  gboolean in_reply; /* the callbacks below may free it */
+  gboolean in_reply; /* callbacks are running, which may free this appender */
   gboolean freed;
 };
 
--- a/src/entry/store/topic-reader.c
+++ b/src/entry/store/topic-reader.c
@@ -46,7 +46,7 @@
   guint timer;
   gboolean skip_pause; /* the next pause is skipped */
   gboolean call_open;
-  gboolean in_reply; /* callbacks are running, which may free this follower */
+  gboolean in_reply; /* callbacks are running, which may free this reader */
   gboolean freed;
 };
 
--- a/src/entry/store/topic-reader.h
+++ b/src/entry/store/topic-reader.h
@@ -1,4 +1,4 @@
-/* Follows one partition of a keyed topic: the newest record of each key, then each change. */
+/* Reads one partition of a keyed topic: the newest record of each key, then each later record. */
 #pragma once
 
 #include "platform/wire.h"
--- a/src/entry/store/worker-list.h
+++ b/src/entry/store/worker-list.h
@@ -15,7 +15,7 @@
 void fb_worker_list_free (FbWorkerList *self);
 /* Returns: (nullable): the listed incarnation of worker ID; borrowed. */
 const FbListedWorker *fb_worker_list_by_id (const FbWorkerList *self, const char *id);
-/* Returns: (nullable): the worker listed with the incarnation LIFE; borrowed. */
+/* Returns: (nullable): the worker listed with INCARNATION; borrowed. */
 const FbListedWorker *fb_worker_list_by_incarnation (const FbWorkerList *self,
                                                      const char *incarnation);
 /* TRUE when WORKER, an entry that was just read, is to be ignored as one of an earlier
