--- a/rpc/work.x
+++ b/rpc/work.x
@@ -100,7 +100,7 @@
   string address<FB_WORK_MAX_NAME>;
 };
 
-/* A task under which workers have crashed.  Workers are identified by their FbPoolWorker.rank.  A
+/* A task under which workers have crashed.  Workers are identified by their FbPoolWorker.id_hash.  A
  * worker whose crash is confirmed, or where the task was seen running, is listed twice; daemons of
  * earlier versions ignore the second entry. */
 struct fb_work_suspect {
@@ -117,8 +117,6 @@
   fb_work_suspect tasks<FB_WORK_MAX_TASK_ROWS>;
 };
 
-/* The workers of a pool that may have runs, as its owner knew them.  The platform's list loses
- * entries while the store is unavailable. */
 struct fb_step_name {
   string name<FB_WORK_MAX_NAME>;
 };
@@ -130,6 +128,8 @@
   fb_step_name steps<FB_WORK_MAX_RUNS>;
 };
 
+/* The workers of a pool that may have runs, as its owner knew them.  The platform's list loses
+ * entries while the store is unavailable. */
 struct fb_work_workers {
   fb_work_known_worker workers<FB_WORK_MAX_WORKERS>;
 };
@@ -137,17 +137,20 @@
 /* Requests between daemons, to the owner of a pool or to any peer. */
 
 enum fb_peer_request_type {
-  FB_REQUEST_JOB_STATE = 1,  /* state of a job, answered by the owner of its pool */
-  FB_REQUEST_PENDING_COUNT = 2, /* number of pending jobs of a queue */
-  FB_REQUEST_ADVICE = 3, /* call the advice service from the receiving daemon */
+  FB_REQUEST_JOB_STATE = 1,         /* state of a job, answered by the owner of its pool */
+  FB_REQUEST_PENDING_COUNT = 2,     /* number of pending jobs of a queue */
+  FB_REQUEST_ADVICE = 3,            /* call the advice service from the receiving daemon */
   FB_REQUEST_APPEND_JOB_RECORD = 4, /* append to the log for a daemon that the log rejects */
-  FB_REQUEST_NOTIFY_STORED = 5, /* notifies the owner of a record that is in the log */
-  FB_REQUEST_PARTITION_OWNERS = 6, /* owners of all partitions, according to the log's group */
-  FB_REQUEST_APPEND_PROGRESS = 7,  /* append progress for an owner that the log rejects */
-  FB_REQUEST_RECENT_STARTS = 9, /* starts that the receiving daemon sent to workers that no longer answer */
-  FB_REQUEST_RELAY_ORDER = 10, /* relay an order to a worker; 8 was one without the worker's incarnation:
-                      * daemons of both versions relay nothing for each other */
-  FB_REQUEST_BACK_UP_SUSPECTS = 11,  /* hold a copy of a job's crash suspects until the store has them */
+  FB_REQUEST_NOTIFY_STORED = 5,     /* notifies the owner of a record that is in the log */
+  FB_REQUEST_PARTITION_OWNERS = 6,  /* owners of all partitions, according to the log's group */
+  FB_REQUEST_APPEND_PROGRESS = 7,   /* append progress for an owner that the log rejects */
+  FB_REQUEST_RECENT_STARTS = 9,     /* starts that the receiving daemon sent to workers that no
+                                     * longer answer */
+  FB_REQUEST_RELAY_ORDER = 10,      /* relay an order to a worker; 8 was one without the worker's
+                                     * incarnation: daemons of both versions relay nothing for
+                                     * each other */
+  FB_REQUEST_BACK_UP_SUSPECTS = 11, /* hold a copy of a job's crash suspects until the store has
+                                     * them */
   FB_REQUEST_SUSPECT_BACKUPS = 12   /* all copies held so */
 };
 
--- a/src/entry/advice/fair-share.c
+++ b/src/entry/advice/fair-share.c
@@ -44,9 +44,10 @@
   return share;
 }
 
-/* Returns: the least time used by any waiting user other than BUT; G_MAXUINT64 when none waits. */
+/* Returns: the least time used by any waiting user other than EXCEPT; G_MAXUINT64 when none waits.
+ */
 static uint64_t
-least_used_by_waiting_ms (const FbFairShare *self, const Share *but, uint64_t now_ms)
+least_used_by_waiting_ms (const FbFairShare *self, const Share *except, uint64_t now_ms)
 {
   uint64_t least_ms = G_MAXUINT64;
   GHashTableIter iter;
@@ -55,7 +56,7 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const Share *share = value;
-      if (share != but && share->waited_ms != 0 && now_ms < share->waited_ms + WAIT_EXPIRY_MS)
+      if (share != except && share->waited_ms != 0 && now_ms < share->waited_ms + WAIT_EXPIRY_MS)
         least_ms = MIN (least_ms, share->used_ms);
     }
   return least_ms;
--- a/src/entry/owner/owner-load.c
+++ b/src/entry/owner/owner-load.c
@@ -11,7 +11,7 @@
 
 #include <string.h>
 
-/* Records applied in one iteration of the main loop: some 10 ms of processor time. */
+/* Records applied in one turn of the main loop: some 10 ms of processor time. */
 #define LOAD_PER_TURN 32
 
 static void
@@ -141,7 +141,7 @@
   fb_owner_schedule_tick (self);
 }
 
-/* Failure: a pool of hundreds of jobs is loaded in one iteration of the main loop, 0.4 s on 0.12 of
+/* Failure: a pool of hundreds of jobs is loaded in one turn of the main loop, 0.4 s on 0.12 of
  * a core; it shows as callers, orders of other owners and membership renewals that wait for it.
  * Guard: each turn loads a few records: all jobs before their progress, and the progress
  * before the cancels. */
--- a/src/entry/peers/links.c
+++ b/src/entry/peers/links.c
@@ -1,7 +1,7 @@
 /* A daemon on a quarter of a core answers some hundred calls of its peers a second.  Over HTTP each
  * call cost it 0.3 ms, and each connection was one more source of the main loop, which checks every
  * source in each turn.  Here one epoll descriptor covers all connections, and the frames for a
- * peer from one iteration leave in one system call.
+ * peer from one turn leave in one system call.
  *
  * Failure: a connection goes silent for good while new ones work; it shows as calls that get no
  * answer.  Guard: each call has a time limit.  When a call passes its limit and nothing was
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -39,7 +39,7 @@
 typedef struct
 {
   const char *domain;
-  const char *but;
+  const char *except;
   uint64_t now_ms;
 } Choice;
 
@@ -49,14 +49,14 @@
   const Choice *choice = user;
   return choice->now_ms >= member->relay_backoff_until_ms
          && g_str_equal (member->domain, choice->domain)
-         && !g_str_equal (member->address, choice->but);
+         && !g_str_equal (member->address, choice->except);
 }
 
 const FbDaemon *
-fb_relay_choose (const GPtrArray *members, const char *domain, const char *key, const char *but,
+fb_relay_choose (const GPtrArray *members, const char *domain, const char *key, const char *except,
                  uint64_t now_ms)
 {
-  const Choice choice = { domain, but, now_ms };
+  const Choice choice = { domain, except, now_ms };
   return fb_rendezvous_choose (members, key, may_relay, &choice);
 }
 
--- a/src/entry/peers/relay.h
+++ b/src/entry/peers/relay.h
@@ -18,10 +18,10 @@
  * FB_REPLY_UNAVAILABLE also when nothing was sent. */
 typedef void (*FbPeerReplyDone) (gpointer user, const fb_peer_reply *peer_reply);
 
-/* MEMBERS: of FbDaemon.  BUT: an address that is not to be chosen.
+/* MEMBERS: of FbDaemon.  EXCEPT: an address that is not to be chosen.
  * Returns: (nullable): the member of DOMAIN that relays orders with KEY; borrowed. */
 const FbDaemon *fb_relay_choose (const GPtrArray *members, const char *domain, const char *key,
-                                 const char *but, uint64_t now_ms);
+                                 const char *except, uint64_t now_ms);
 /* Returns: (nullable): the address of the daemon that relays ORDER to its worker, borrowed; NULL
  * when this daemon sends it itself. */
 const char *fb_relay_for (FbEntry *entry, const fb_relay_request *order);
--- a/src/entry/store/keepalive.c
+++ b/src/entry/store/keepalive.c
@@ -12,7 +12,7 @@
 #define OVERDUE_FRACTION 2
 #define REPEAT_FRACTION 4
 /* A main loop without a renewal for this long hangs, or is too slow for the leases of its workers,
- * which last 4 s: its pools are better owned by another daemon.  The longest iteration seen is
+ * which last 4 s: its pools are better owned by another daemon.  The longest turn seen is
  * 0.5 s, on a daemon of 0.12 of a core that took over 2,300 jobs at once. */
 #define HANG_MS 3000
 #define HTTP_OK 200
