--- a/rpc/work.x
+++ b/rpc/work.x
@@ -100,9 +100,9 @@
   string address<FB_WORK_MAX_NAME>;
 };
 
-/* A task under which workers have crashed.  Workers are identified by their FbPoolWorker.id_hash.  A
- * worker whose crash is confirmed, or where the task was seen running, is listed twice; daemons of
- * earlier versions ignore the second entry. */
+/* A task under which workers have crashed.  Workers are identified by their FbPoolWorker.id_hash.
+ * A worker whose crash is confirmed, or where the task was seen running, is listed twice; daemons
+ * of earlier versions ignore the second entry. */
 struct fb_work_suspect {
   unsigned int occurrence;
   unsigned int step;
@@ -242,19 +242,19 @@
 };
 
 enum fb_peer_reply_type {
-  FB_REPLY_UNAVAILABLE = 1, /* not the owner, or not caught up: retry */
+  FB_REPLY_UNAVAILABLE = 1,        /* not the owner, or not caught up: retry */
   FB_REPLY_JOB_STATE = 2,
   FB_REPLY_NO_SUCH_JOB = 3,
   FB_REPLY_PENDING_COUNT = 4,
   FB_REPLY_ADVICE = 5,
   FB_REPLY_STORED = 6,
-  FB_REPLY_NOT_STORED = 7, /* certainly not stored */
+  FB_REPLY_NOT_STORED = 7,         /* certainly not stored */
   FB_REPLY_IN_DOUBT = 8,
   FB_REPLY_PARTITION_OWNERS = 9,
-  FB_REPLY_FENCED = 10,  /* a higher epoch writes there */
-  FB_REPLY_OUT_OF_SEQUENCE = 11, /* another sequence number was expected */
-  FB_REPLY_ORDER_RESULT = 12,    /* result of an order */
-  FB_REPLY_PAYLOAD_MISSING = 13, /* nothing was done: the payload that the order names is not cached */
+  FB_REPLY_FENCED = 10,            /* a higher epoch writes there */
+  FB_REPLY_OUT_OF_SEQUENCE = 11,   /* another sequence number was expected */
+  FB_REPLY_ORDER_RESULT = 12,      /* result of an order */
+  FB_REPLY_PAYLOAD_MISSING = 13,   /* nothing was done: the named payload is not cached */
   FB_REPLY_RECENT_STARTS = 14,
   FB_REPLY_SUSPECT_BACKUPS = 15
 };
@@ -296,7 +296,7 @@
 struct fb_relay_reply {
   unsigned int result;     /* FbOrderResult */
   unsigned hyper clock_ms; /* the worker's clock; 0: not known */
-  string incarnation<FB_WORK_MAX_NAME>; /* that answered instead of the one addressed; "": not known */
+  string incarnation<FB_WORK_MAX_NAME>; /* that answered instead of the addressed; "": unknown */
   fb_reported_run running<FB_WORK_MAX_REPORTED>;
   fb_reported_end finished<FB_WORK_MAX_REPORTED>;
 };
