--- a/tests/test-links.c
+++ b/tests/test-links.c
@@ -10,8 +10,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define FOREVER_MS 2000
-#define SHORT_MS 100
+#define LONG_TIMEOUT_MS 2000
+#define SHORT_TIMEOUT_MS 100
 /* A few bodies of this size fill the socket buffers of a peer that does not read. */
 #define LARGE_BYTES (1024 * 1024)
 
@@ -22,10 +22,10 @@
   guint not_sent_n;
   guint lost_n;
   char last[64];
-} Seen;
+} Results;
 
 static guint served_n;
-static FbLinkCall *kept; /* the call with the body "keep", which is not answered at once */
+static FbLinkCall *held_call; /* the call with the body "keep", which is not answered at once */
 
 static void
 serve (gpointer user, FbLinkCall *call, gconstpointer body, gsize len)
@@ -34,7 +34,7 @@
   served_n++;
   if (len == 4 && memcmp (body, "keep", 4) == 0)
     {
-      kept = call;
+      held_call = call;
       return;
     }
   g_autoptr (GBytes) answer = g_bytes_new (body, len);
@@ -44,13 +44,13 @@
 static void
 on_done (gpointer user, FbLinkResult result, gconstpointer body, gsize len)
 {
-  Seen *seen = user;
-  seen->done_n++;
-  seen->answered_n += result == FB_LINK_ANSWERED;
-  seen->not_sent_n += result == FB_LINK_NOT_SENT;
-  seen->lost_n += result == FB_LINK_LOST;
+  Results *results = user;
+  results->done_n++;
+  results->answered_n += result == FB_LINK_ANSWERED;
+  results->not_sent_n += result == FB_LINK_NOT_SENT;
+  results->lost_n += result == FB_LINK_LOST;
   if (result == FB_LINK_ANSWERED)
-    g_snprintf (seen->last, sizeof seen->last, "%.*s", (int) len, (const char *) body);
+    g_snprintf (results->last, sizeof results->last, "%.*s", (int) len, (const char *) body);
 }
 
 static FbLinks *
@@ -62,10 +62,10 @@
 }
 
 static void
-call (FbLinks *links, const char *address, const char *text, uint32_t timeout_ms, Seen *seen)
+call (FbLinks *links, const char *address, const char *text, uint32_t timeout_ms, Results *results)
 {
   g_autoptr (GBytes) body = g_bytes_new (text, strlen (text));
-  fb_links_call (links, address, body, timeout_ms, on_done, seen);
+  fb_links_call (links, address, body, timeout_ms, on_done, results);
 }
 
 static uint64_t
@@ -85,11 +85,11 @@
 
 /* Runs the loop until N calls are done, or for two seconds. */
 static void
-run_until (FbLinks *links, const Seen *seen, guint n)
+run_until (FbLinks *links, const Results *results, guint n)
 {
   guint tick = g_timeout_add (5, on_check_timeouts, links);
-  uint64_t until_ms = boot_ms () + FOREVER_MS;
-  while (seen->done_n < n && boot_ms () < until_ms)
+  uint64_t until_ms = boot_ms () + LONG_TIMEOUT_MS;
+  while (results->done_n < n && boot_ms () < until_ms)
     g_main_context_iteration (NULL, TRUE);
   g_source_remove (tick);
 }
@@ -101,17 +101,17 @@
   g_autofree char *there = test_unused_address ();
   FbLinks *a = links_at (here);
   FbLinks *b = links_at (there);
-  Seen first = { 0 };
-  Seen others = { 0 };
-  call (a, there, "keep", FOREVER_MS, &first);
+  Results first = { 0 };
+  Results others = { 0 };
+  call (a, there, "keep", LONG_TIMEOUT_MS, &first);
   for (guint i = 0; i < 200; i++)
-    call (a, there, "other", FOREVER_MS, &others);
+    call (a, there, "other", LONG_TIMEOUT_MS, &others);
   run_until (a, &others, 200);
   CU_ASSERT_EQUAL (others.answered_n, 200);
   CU_ASSERT_STRING_EQUAL (others.last, "other");
   CU_ASSERT_EQUAL (first.done_n, 0);
   g_autoptr (GBytes) late = g_bytes_new_static ("late", 4);
-  fb_link_call_answer (kept, late);
+  fb_link_call_answer (held_call, late);
   run_until (a, &first, 1);
   CU_ASSERT_STRING_EQUAL (first.last, "late");
   fb_links_free (a);
@@ -126,12 +126,12 @@
   g_autofree char *here = test_unused_address ();
   g_autofree char *there = test_unused_address ();
   FbLinks *a = links_at (here);
-  Seen seen = { 0 };
+  Results results = { 0 };
   uint64_t began_ms = boot_ms ();
-  call (a, there, "x", FOREVER_MS, &seen);
-  run_until (a, &seen, 1);
-  CU_ASSERT_EQUAL (seen.not_sent_n, 1);
-  CU_ASSERT_TRUE (boot_ms () < began_ms + FOREVER_MS / 2);
+  call (a, there, "x", LONG_TIMEOUT_MS, &results);
+  run_until (a, &results, 1);
+  CU_ASSERT_EQUAL (results.not_sent_n, 1);
+  CU_ASSERT_TRUE (boot_ms () < began_ms + LONG_TIMEOUT_MS / 2);
   fb_links_free (a);
 }
 
@@ -144,21 +144,21 @@
   g_autofree char *there = test_unused_address ();
   FbLinks *a = links_at (here);
   FbLinks *b = links_at (there);
-  Seen seen = { 0 };
+  Results results = { 0 };
   served_n = 0;
-  call (a, there, "keep", FOREVER_MS, &seen);
-  uint64_t until_ms = boot_ms () + FOREVER_MS;
+  call (a, there, "keep", LONG_TIMEOUT_MS, &results);
+  uint64_t until_ms = boot_ms () + LONG_TIMEOUT_MS;
   while (served_n == 0 && boot_ms () < until_ms)
     g_main_context_iteration (NULL, TRUE);
   fb_links_free (b);
-  run_until (a, &seen, 1);
-  CU_ASSERT_EQUAL (seen.lost_n, 1);
+  run_until (a, &results, 1);
+  CU_ASSERT_EQUAL (results.lost_n, 1);
   g_autoptr (GBytes) late = g_bytes_new_static ("late", 4);
-  fb_link_call_answer (kept, late); /* its connection is closed */
+  fb_link_call_answer (held_call, late); /* its connection is closed */
   b = links_at (there);
-  call (a, there, "again", FOREVER_MS, &seen);
-  run_until (a, &seen, 2);
-  CU_ASSERT_EQUAL (seen.answered_n, 1);
+  call (a, there, "again", LONG_TIMEOUT_MS, &results);
+  run_until (a, &results, 2);
+  CU_ASSERT_EQUAL (results.answered_n, 1);
   fb_links_free (a);
   fb_links_free (b);
 }
@@ -174,13 +174,13 @@
   g_autofree char *here = test_unused_address ();
   g_autofree char *there = g_strdup_printf ("127.0.0.1:%u", port);
   FbLinks *a = links_at (here);
-  Seen seen = { 0 };
-  call (a, there, "x", SHORT_MS, &seen);
-  call (a, there, "y", FOREVER_MS, &seen);
+  Results results = { 0 };
+  call (a, there, "x", SHORT_TIMEOUT_MS, &results);
+  call (a, there, "y", LONG_TIMEOUT_MS, &results);
   int first = accept (listener, NULL, NULL);
-  run_until (a, &seen, 2);
-  CU_ASSERT_EQUAL (seen.lost_n, 2);
-  call (a, there, "z", SHORT_MS, &seen);
+  run_until (a, &results, 2);
+  CU_ASSERT_EQUAL (results.lost_n, 2);
+  call (a, there, "z", SHORT_TIMEOUT_MS, &results);
   g_main_context_iteration (NULL, FALSE);
   int second = accept (listener, NULL, NULL);
   CU_ASSERT_TRUE (second >= 0 && second != first);
@@ -212,21 +212,22 @@
   g_autofree char *there = g_strdup_printf ("127.0.0.1:%u", port);
   g_autofree char *large = g_strnfill (LARGE_BYTES, 'b');
   FbLinks *a = links_at (here);
-  Seen before = { 0 };
-  Seen seen = { 0 };
+  Results before = { 0 };
+  Results results = { 0 };
   for (guint i = 0; i < 6; i++)
-    call (a, there, large, 10 * FOREVER_MS, &before);
+    call (a, there, large, 10 * LONG_TIMEOUT_MS, &before);
   int peer = accept (listener, NULL, NULL);
   for (guint i = 0; i < 20; i++)
     g_main_context_iteration (NULL, FALSE);
-  call (a, there, "x", SHORT_MS, &seen);
-  g_usleep (SHORT_MS * 1000 / 4); /* so that the peer's answer arrives after the call was sent */
+  call (a, there, "x", SHORT_TIMEOUT_MS, &results);
+  g_usleep (SHORT_TIMEOUT_MS * 1000
+            / 4); /* so that the peer's answer arrives after the call was sent */
   answer_first_call (peer);
   run_until (a, &before, 1);
-  run_until (a, &seen, 1);
+  run_until (a, &results, 1);
   CU_ASSERT_EQUAL (before.answered_n, 1);
-  CU_ASSERT_EQUAL (seen.not_sent_n, 0);
-  CU_ASSERT_EQUAL (seen.lost_n, 1);
+  CU_ASSERT_EQUAL (results.not_sent_n, 0);
+  CU_ASSERT_EQUAL (results.lost_n, 1);
   close (peer);
   close (listener);
   fb_links_free (a);
@@ -247,10 +248,10 @@
   int fd = socket (AF_INET, SOCK_STREAM, 0);
   CU_ASSERT_EQUAL_FATAL (connect (fd, (struct sockaddr *) &address, sizeof address), 0);
   CU_ASSERT_EQUAL (send (fd, "GET / HTTP/1.1\r\n\r\n", 18, 0), 18);
-  Seen seen = { 0 };
-  call (a, there, "x", FOREVER_MS, &seen);
-  run_until (a, &seen, 1);
-  CU_ASSERT_EQUAL (seen.answered_n, 1);
+  Results results = { 0 };
+  call (a, there, "x", LONG_TIMEOUT_MS, &results);
+  run_until (a, &results, 1);
+  CU_ASSERT_EQUAL (results.answered_n, 1);
   char byte = 0;
   CU_ASSERT_TRUE (recv (fd, &byte, 1, 0) <= 0);
   close (fd);
@@ -266,17 +267,17 @@
   g_autofree char *there = test_unused_address ();
   FbLinks *a = links_at (here);
   FbLinks *b = links_at (there);
-  Seen first = { 0 };
-  Seen seen = { 0 };
-  call (a, there, "x", FOREVER_MS, &first);
+  Results first = { 0 };
+  Results results = { 0 };
+  call (a, there, "x", LONG_TIMEOUT_MS, &first);
   run_until (a, &first, 1);
   guint served_before_n = served_n;
-  call (a, there, "y", SHORT_MS, &seen);
+  call (a, there, "y", SHORT_TIMEOUT_MS, &results);
   suspended_clock_add (1);
-  run_until (a, &seen, 1);
-  CU_ASSERT_EQUAL (seen.not_sent_n, 1);
-  Seen last = { 0 };
-  call (a, there, "z", FOREVER_MS, &last);
+  run_until (a, &results, 1);
+  CU_ASSERT_EQUAL (results.not_sent_n, 1);
+  Results last = { 0 };
+  call (a, there, "z", LONG_TIMEOUT_MS, &last);
   run_until (a, &last, 1);
   CU_ASSERT_EQUAL (last.answered_n, 1);
   CU_ASSERT_EQUAL (served_n, served_before_n + 1);
--- a/tests/test-relay.c
+++ b/tests/test-relay.c
@@ -153,15 +153,15 @@
 {
   guint done_n;
   guint answered_n;
-} Seen;
+} Results;
 
 static void
 on_relayed (gpointer user, FbRelayResult result, const fb_relay_reply *reply)
 {
-  Seen *seen = user;
+  Results *results = user;
   (void) reply;
-  seen->done_n++;
-  seen->answered_n += result == FB_RELAY_ANSWERED;
+  results->done_n++;
+  results->answered_n += result == FB_RELAY_ANSWERED;
 }
 
 static gboolean
@@ -172,7 +172,8 @@
 }
 
 static void
-relay_order (FbEntry *entry, const char *address, const char *task, const char *payload, Seen *seen)
+relay_order (FbEntry *entry, const char *address, const char *task, const char *payload,
+             Results *results)
 {
   const fb_relay_request order = { .kind = FB_ORDER_KIND_START,
                                    .worker = "i-1",
@@ -181,10 +182,10 @@
                                    .payload = (char *) payload,
                                    .checkpoint = "",
                                    .ticket = "" };
-  guint before_n = seen->done_n;
-  fb_relay_send (entry, address, &order, on_relayed, seen);
+  guint before_n = results->done_n;
+  fb_relay_send (entry, address, &order, on_relayed, results);
   guint tend = g_timeout_add (10, on_check_timeouts, entry->links);
-  while (seen->done_n == before_n)
+  while (results->done_n == before_n)
     g_main_context_iteration (NULL, TRUE);
   g_source_remove (tend);
 }
@@ -202,20 +203,20 @@
   Relay relay = { .entry = { .payload_cache = fb_payload_cache_new (1 << 20),
                              .recent_starts = fb_recent_starts_new (),
                              .worker_client = fb_http_client_new () } };
-  Seen seen = { 0 };
+  Results results = { 0 };
   FbLinks *served = fb_links_new (address, serve_relay, &relay);
   FbEntry entry = { .links = fb_links_new (own_address, serve_relay, NULL),
                     .payload_dedup = fb_payload_dedup_new (2000) };
-  relay_order (&entry, address, "0000000000000001.0.0.0", payload, &seen);
-  relay_order (&entry, address, "0000000000000001.0.0.1", payload, &seen);
+  relay_order (&entry, address, "0000000000000001.0.0.0", payload, &results);
+  relay_order (&entry, address, "0000000000000001.0.0.1", payload, &results);
   CU_ASSERT_EQUAL (relay.with_payload_n, 1);
   CU_ASSERT_EQUAL (relay.by_digest_n, 1);
   fb_payload_cache_free (relay.entry.payload_cache);
   relay.entry.payload_cache = fb_payload_cache_new (1 << 20);
-  relay_order (&entry, address, "0000000000000001.0.0.2", payload, &seen);
+  relay_order (&entry, address, "0000000000000001.0.0.2", payload, &results);
   CU_ASSERT_EQUAL (relay.missing_n, 1);
   CU_ASSERT_EQUAL (relay.with_payload_n, 2);
-  CU_ASSERT_EQUAL (seen.answered_n, 3);
+  CU_ASSERT_EQUAL (results.answered_n, 3);
   FbPayloadDigest digest;
   fb_payload_digest (payload, &digest);
   CU_ASSERT_STRING_EQUAL (fb_payload_cache_get (relay.entry.payload_cache, &digest), payload);
