--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -41,7 +41,7 @@
 fb_pool_job_changed (FbPool *self, FbPoolJob *job)
 {
   g_hash_table_add (self->dirty, job);
-  self->place_due = TRUE;
+  self->round_due = TRUE;
 }
 
 /* ---- stopping runs ----------------------------------------------------------------- */
@@ -130,8 +130,8 @@
       fb_pool_job_changed (self, job);
     }
   g_hash_table_remove (self->active, job);
-  g_hash_table_remove (self->timed, job);
-  g_hash_table_remove (self->chained, job);
+  g_hash_table_remove (self->jobs_to_release, job);
+  g_hash_table_remove (self->jobs_with_dependencies, job);
   g_hash_table_add (self->ended, job);
   fb_pool_crash_forget (self, job);
   release_reservations (self, job);
@@ -196,11 +196,11 @@
 {
   FbPoolStep *step = run->step;
   uint32_t took_ms = (uint32_t) (now_ms - run->started_ms);
-  step->timed_n++;
-  step->timed_ms += took_ms;
+  step->timed_runs_n++;
+  step->timed_total_ms += took_ms;
   /* Members of a gang end together, so their times say nothing about single workers. */
   if (run->from_start && !step->shape->gang)
-    fb_pool_speed_note (&step->tasks[run->index], worker->speed, took_ms);
+    fb_pool_speed_record_run (&step->tasks[run->index], worker->speed, took_ms);
 }
 
 static void
