--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -1,4 +1,4 @@
-/* Data of a rack, shared by the files that implement it and by no one else. */
+/* Data structures of a rack, private to the files that implement it. */
 #pragma once
 
 #include "internal/lane.h"
@@ -8,44 +8,44 @@
 typedef enum
 {
   FB_TASK_QUEUED,
-  FB_TASK_RESERVED, /* holds capacity, waits for commit */
-  FB_TASK_STARTING, /* ordered, the worker has not confirmed */
+  FB_TASK_RESERVED, /* capacity is charged; waits for commit */
+  FB_TASK_STARTING, /* start ordered; the worker has not confirmed it */
   FB_TASK_RUNNING,
-  FB_TASK_STOPPING, /* told to stop, still holds its capacity */
-  FB_TASK_ENDED     /* reported until acknowledged */
+  FB_TASK_STOPPING, /* stop ordered; still charged */
+  FB_TASK_ENDED     /* reported until the range owner acknowledges it */
 } FbTaskState;
 
 struct _FbTask
 {
   fb_spec spec; /* owned */
   FbTaskState state;
-  guint worker;      /* holds its capacity, or FB_NO_WORKER */
-  guint last_worker; /* the one it was last ordered to */
+  guint worker;      /* index of the worker that is charged, or FB_NO_WORKER */
+  guint last_worker; /* index of the worker of the last start order, or FB_NO_WORKER */
   uint64_t arrived_ms;
-  uint64_t due_ms;
-  uint64_t rank_ms; /* order in its lane: earliest first */
-  uint64_t started_ms;
-  uint64_t reserved_until_ms;
-  uint64_t sent_seq;      /* first exchange that carried the start */
-  uint64_t last_sent_seq; /* and the last */
-  fb_res charge;          /* what it takes from its worker: declared or seen */
-  gboolean checkpoint_stop;
-  FbReason stop_reason;
-  FbNews news; /* when ENDED */
+  uint64_t due_ms;            /* latest start; FB_NO_DEADLINE_MS if none */
+  uint64_t rank_ms;           /* sort key in its queue, smallest first */
+  uint64_t started_ms;        /* when the worker first reported it as live; 0 if never */
+  uint64_t reserved_until_ms; /* if RESERVED */
+  uint64_t sent_seq;      /* sequence number of the first request with the start; 0 if not sent */
+  uint64_t last_sent_seq; /* sequence number of the last request with the start */
+  fb_res charge; /* amount charged to the worker: the larger of declared and measured usage */
+  gboolean checkpoint_stop; /* the worker saves a checkpoint when it stops the run */
+  FbReason stop_reason;     /* if STOPPING */
+  FbNews news;              /* if ENDED */
   FbReason reason;
-  GBytes *answer;
-  uint64_t report_at_ms;
-  gboolean acked;
-  GSequenceIter *lane_pos;
-  GSequenceIter *due_pos;
+  GBytes *answer;          /* output of an ended run, or NULL */
+  uint64_t report_at_ms;   /* when the end is reported again */
+  gboolean acked;          /* the range owner has acknowledged the end */
+  GSequenceIter *lane_pos; /* position in its queue, or NULL */
+  GSequenceIter *due_pos;  /* position in FbRack.by_due, or NULL */
 };
 
 typedef enum
 {
-  FB_WORKER_UNKNOWN, /* counts as full */
+  FB_WORKER_UNKNOWN, /* no reply yet; counts as full */
   FB_WORKER_OK,
-  FB_WORKER_SILENT, /* lease may have lapsed, not yet proved */
-  FB_WORKER_LAPSED, /* nothing we ordered can be running there */
+  FB_WORKER_SILENT, /* its lease should have lapsed, but the ownership is not confirmed yet */
+  FB_WORKER_LAPSED, /* its lease has lapsed: no run ordered by this owner can be running there */
   FB_WORKER_GONE
 } FbWorkerState;
 
@@ -53,35 +53,37 @@
 {
   char *name;
   fb_res capacity;
-  fb_res used;
+  fb_res used; /* sum of the charges of its tasks */
   FbWorkerState state;
-  gboolean leaving;
-  gboolean dirty;
-  gboolean in_flight;
-  gboolean promised; /* space is being freed here for urgent work */
+  gboolean leaving;   /* gets no new work */
+  gboolean dirty;     /* a request is due at the next flush */
+  gboolean in_flight; /* a request is not answered yet */
+  gboolean
+      promised; /* runs are being preempted here for a task; other work may not take the space */
   uint64_t incarnation;
-  uint64_t life_heard_ms;      /* first word of this incarnation */
-  uint64_t proven_incarnation; /* see fb_rack_ownership_confirmed() */
-  uint64_t clock_ms;
-  uint64_t heard_ms;
-  uint64_t sync_at_ms;
-  uint64_t sent_seq;
-  uint64_t heard_seq;
-  uint64_t known_version;
-  uint64_t gone_ms;
-  uint32_t fail_streak;
+  uint64_t life_heard_ms;      /* when its first reply of this incarnation arrived */
+  uint64_t proven_incarnation; /* incarnation for which ownership was confirmed, or 0; see
+                                  fb_rack_ownership_confirmed() */
+  uint64_t clock_ms;           /* its own clock in the last reply */
+  uint64_t heard_ms;           /* when the last reply arrived */
+  uint64_t sync_at_ms;         /* when the next periodic request is due */
+  uint64_t sent_seq;           /* of the last request */
+  uint64_t heard_seq;          /* of the request that was answered last; 0 if none */
+  uint64_t known_version;      /* of the last complete state received, or 0 */
+  uint64_t gone_ms;            /* when the host list dropped it; 0 if listed */
+  uint32_t fail_streak;        /* failures in a row, see quality.c */
   uint64_t last_failed_job;
   gboolean quarantined;
-  uint64_t probe_at_ms;
-  uint64_t probe_wait_ms;
-  GPtrArray *tasks; /* FbTask borrowed: all that hold capacity here */
+  uint64_t probe_at_ms;   /* if quarantined: earliest time of the next probe */
+  uint64_t probe_wait_ms; /* interval between probes */
+  GPtrArray *tasks;       /* FbTask borrowed: all that are charged to this worker */
 };
 
 struct _FbRack
 {
   uint32_t id;
   const char *name;
-  uint32_t home;
+  uint32_t home; /* the partner that the rack belongs to */
   uint64_t epoch;
   const FbRackSink *sink;
   gpointer user;
@@ -90,41 +92,44 @@
   GPtrArray *workers; /* FbWorker owned */
   GHashTable *tasks;  /* fb_run * in the task -> FbTask owned */
   FbLanes *lanes;
-  GSequence *by_due; /* waiting FbTask with a due time */
-  GQueue ended;      /* FbTask not yet acknowledged */
-  fb_res total;
+  GSequence *by_due; /* queued FbTask that have a due time, earliest first */
+  GQueue ended;      /* ended FbTask that the rack still has to remember */
+  fb_res total;      /* capacity of all workers */
   fb_res partner_used[FB_PARTNER_N];
-  GHashTable *team_used;    /* key -> fb_res */
-  GHashTable *range_epochs; /* range + 1 -> uint64_t, the highest heard */
-  gboolean wants_schedule;
+  GHashTable *team_used; /* partner << 32 | team -> fb_res owned */
+  GHashTable
+      *range_epochs; /* range + 1 -> uint64_t owned: highest epoch seen of the owner of the range */
+  gboolean wants_schedule; /* run a scheduling pass at the next flush */
   uint64_t starts_held_until_ms;
-  uint64_t confirm_asked_ms;
-  fb_run hold_run;
-  guint hold_worker;
+  uint64_t confirm_asked_ms; /* when sink->confirm_ownership() was called last */
+  fb_run hold_run;           /* the task that hold_worker is kept free for */
+  guint hold_worker;         /* or FB_NO_WORKER */
 };
 
 FbWorker *fb_rack_worker (const FbRack *self, guint index);
 FbTask *fb_rack_find (const FbRack *self, const fb_run *run);
 fb_res fb_worker_free_space (const FbWorker *worker);
 gboolean fb_worker_takes_work (const FbWorker *worker);
-/* Returns: TRUE when every worker has answered under this epoch or is gone. */
+/* Returns: TRUE if every worker has replied at this epoch or is gone. */
 gboolean fb_rack_is_complete (const FbRack *self);
 const fb_res *fb_rack_team_used (const FbRack *self, uint32_t partner, uint32_t team);
 
-/* ledger.c: the only writers of FbWorker.used and the shares. */
+/* ledger.c: the only functions that change FbWorker.used, FbRack.partner_used and
+ * FbRack.team_used. */
 void fb_ledger_charge (FbRack *self, FbTask *task, guint worker, const fb_res *charge);
 void fb_ledger_release (FbRack *self, FbTask *task);
 void fb_ledger_recharge (FbRack *self, FbTask *task, const fb_res *charge);
 
-/* rack.c: life of a task. */
+/* rack.c: lifecycle of a task */
 FbTask *fb_task_new (uint64_t now_ms, const fb_spec *spec);
-/* Returns: TRUE when the start was never put into an exchange, so that it cannot
- * have reached the worker. */
+/* Returns: TRUE if no request has contained the start, so that the worker cannot have
+ * received it. */
 gboolean fb_task_never_sent (const FbTask *task);
 void fb_rack_enqueue (FbRack *self, FbTask *task);
-/* Tells the owner of SPEC's range; ANSWER may be NULL. */
+/* Reports to the owner of SPEC's range. ANSWER may be NULL. */
 void fb_rack_report (FbRack *self, const fb_spec *spec, guint worker, FbNews news, FbReason reason,
                      GBytes *answer);
+/* Adds a task for a run that a worker lists and this owner does not know. */
 FbTask *fb_rack_adopt (FbRack *self, uint64_t now_ms, guint worker, const fb_spec *spec);
 void fb_rack_end_task (FbRack *self, uint64_t now_ms, FbTask *task, FbNews news, FbReason reason,
                        const char *answer, uint32_t answer_len);
@@ -134,19 +139,19 @@
 void fb_rack_stop_task (FbRack *self, FbTask *task, FbReason reason);
 void fb_rack_mark_dirty (FbRack *self, guint worker);
 
-/* rack-sync.c: sends the exchanges that are due or wanted. */
+/* rack-sync.c: sends the requests that are due or marked dirty */
 void fb_rack_exchange (FbRack *self, uint64_t now_ms);
 
-/* schedule.c: starts what can start. */
+/* schedule.c: starts the queued tasks that fit */
 void fb_rack_schedule (FbRack *self, uint64_t now_ms);
 
-/* preempt.c: see the note at the top of that file. */
+/* preempt.c: stops running work for queued tasks of PARTNER and KIND */
 void fb_preempt_for_waiting (FbRack *self, uint64_t now_ms, uint32_t partner, FbKind kind);
 
-/* quality.c: workers that fail what they start. */
+/* quality.c: quarantine of workers that fail the work they start */
 void fb_quality_note_end (FbRack *self, uint64_t now_ms, guint worker, const FbTask *task,
                           FbNews news);
-/* Returns: what to add to the cost of a placement. */
+/* Returns: the penalty to add to the cost of a placement. */
 int64_t fb_quality_cost (const FbWorker *worker, const FbTask *task);
 void fb_quality_note_start (FbWorker *worker, uint64_t now_ms);
 void fb_quality_tick (FbRack *self, uint64_t now_ms);
--- a/include/internal/rack-query.h
+++ b/include/internal/rack-query.h
@@ -1,10 +1,10 @@
-/* Questions about a rack; none of them changes it. */
+/* Read-only functions of a rack. */
 #pragma once
 
 #include "internal/rack.h"
 
-/* Fills a summary for routing: total free space, and the largest free space of
- * one worker in each resource. */
+/* Fills a summary for routing: the total free capacity, and for each resource the largest
+ * free amount on one worker. */
 void fb_rack_summary (const FbRack *self, fb_summary *summary);
 
 uint32_t fb_rack_id (const FbRack *self);
@@ -15,12 +15,13 @@
 fb_res fb_rack_worker_used (const FbRack *self, guint worker);
 fb_res fb_rack_worker_capacity (const FbRack *self, guint worker);
 const char *fb_rack_worker_name (const FbRack *self, guint worker);
-/* Returns: the incarnation on which this owner has proved itself, or 0. */
+/* Returns: the incarnation of WORKER for which this owner has confirmed its ownership, or
+ * 0. */
 uint64_t fb_rack_worker_proven (const FbRack *self, guint worker);
-/* Returns: "ok", "unknown", "silent", "lapsed", "gone", "leaving" or
- * "quarantined", static. */
+/* Returns: "ok", "unknown", "silent", "lapsed", "gone", "leaving" or "quarantined";
+ * static. */
 const char *fb_rack_worker_state (const FbRack *self, guint worker);
 
-/* Returns: (transfer full): one line on why RUN waits or where it is, or NULL
- * when the rack does not hold it. */
+/* Returns: (transfer full): one line that tells why RUN waits or where it runs, or NULL
+ * if the rack does not have it. */
 char *fb_rack_explain (const FbRack *self, uint64_t now_ms, const fb_run *run);
--- a/include/internal/rack.h
+++ b/include/internal/rack.h
@@ -1,9 +1,11 @@
-/* The owner's view of one rack: the one place that decides what runs there.
+/* State of one rack as its owner keeps it. Only this object decides what runs on the
+ * workers of the rack.
  *
- * Pure decision code.  It has no clock, no I/O and no threads: time and news
- * come in through the commands below, orders and reports go out through the
- * sink.  "No worker is given more than it can hold" is a local check of this
- * object over its own ledger.  Queries are in rack-query.h. */
+ * The code is pure: it has no clock, no I/O and no threads. The caller passes in the time
+ * and all incoming messages through the functions below; outgoing requests and reports
+ * leave through FbRackSink. Because every start is charged to the ledger of this object
+ * first, it can check locally that no worker is given more than its capacity. Read-only
+ * functions are in rack-query.h. */
 #pragma once
 
 #include "fb-types.h"
@@ -12,47 +14,48 @@
 typedef struct _FbRack FbRack;
 typedef struct _FbPlacePolicy FbPlacePolicy;
 
-/* Longer than a successor needs to take over (about 6 s), so that runs outlive
- * their owner; a lost worker's runs are started again after it. */
+/* How long a run may go on after the worker's last contact with the owner. Longer than a
+ * successor needs to take over the rack (about 6 s), so that runs outlive their owner.
+ * The runs of a lost worker are started again only after it. */
 #define FB_RACK_LEASE_MS 10000
-#define FB_RACK_START_MS 2000 /* how long a start order is valid at a worker */
-#define FB_RACK_DRIFT_PERCENT 2
-#define FB_RACK_SYNC_PERIOD_MS 2500
-#define FB_RACK_REPORT_PERIOD_MS 1000
-#define FB_RACK_RESERVE_MS 5000
-#define FB_RACK_HOLD_MS 2000
-#define FB_RACK_QUEUE_MAX 256
-#define FB_RACK_PREEMPT_MAX 3
-
-/* What a worker says of one run. */
+#define FB_RACK_START_MS 2000       /* a worker refuses a start order older than this */
+#define FB_RACK_DRIFT_PERCENT 2     /* added to the lease for clocks that run at different rates */
+#define FB_RACK_SYNC_PERIOD_MS 2500 /* period of exchanges with an idle worker */
+#define FB_RACK_REPORT_PERIOD_MS 1000 /* between repeats of an unacknowledged report */
+#define FB_RACK_RESERVE_MS 5000       /* a reservation lapses unless the range queries it */
+#define FB_RACK_HOLD_MS 2000          /* waiting time after which a task may hold a worker */
+#define FB_RACK_QUEUE_MAX 256         /* queued tasks for each partner and kind */
+#define FB_RACK_PREEMPT_MAX 3         /* preemptions of one run by its own partner */
+
+/* State of one run as a worker reports it. */
 typedef enum
 {
   FB_SYNC_LIVE,
   FB_SYNC_ENDED,
-  FB_SYNC_REFUSED /* the start order was not carried out and never will be */
+  FB_SYNC_REFUSED /* the worker did not execute the start order and never will */
 } FbSyncState;
 
 typedef struct
 {
   fb_spec spec; /* payload not set; borrowed */
   FbSyncState state;
-  FbNews news; /* when ENDED: COMPLETED, FAILED, STOPPED or LOST (lease lapsed) */
-  fb_res usage;
+  FbNews news;        /* if state is ENDED: COMPLETED, FAILED, STOPPED or LOST (lease lapsed) */
+  fb_res usage;       /* measured; raises the charge above the declared demand */
   const char *answer; /* borrowed */
   uint32_t answer_len;
 } FbSyncRun;
 
-/* Answer of a worker to one exchange: all it runs and all ends not yet
- * acknowledged.  CLOCK_MS is the worker's own monotonic clock. */
+/* Reply of a worker to one exchange: all its live runs and all ends that the owner has
+ * not acknowledged yet. */
 typedef struct
 {
   uint64_t epoch;
-  uint64_t seq;
-  gboolean fenced; /* a higher epoch is in force at the worker */
-  uint64_t clock_ms;
+  uint64_t seq;      /* of the request */
+  gboolean fenced;   /* the worker has accepted a higher epoch */
+  uint64_t clock_ms; /* the worker's own monotonic clock */
   uint64_t incarnation;
-  uint64_t version;   /* of the state; 0 for a worker that does not number it */
-  gboolean unchanged; /* the state is that of the version asked about: no RUNS */
+  uint64_t version; /* version of the worker's state; 0 if the worker does not number its states */
+  gboolean unchanged; /* the state still has the request's known_version; RUNS is empty */
   const FbSyncRun *runs;
   guint run_n;
 } FbSyncReply;
@@ -63,49 +66,51 @@
   gboolean checkpoint;
 } FbSyncStop;
 
-/* One exchange.  It names all that is wanted, so that a lost exchange is made
- * good by the next one.  A worker handles exchanges in order of (epoch, seq)
- * and refuses one that does not advance it. */
+/* One request to a worker. It lists every outstanding start, stop and acknowledgement, so
+ * that the next exchange makes up for a lost one. A worker handles requests in ascending
+ * order of (epoch, seq) and refuses any other. */
 typedef struct
 {
   uint64_t epoch;
   uint64_t seq;
-  uint64_t incarnation;    /* starts are for this life of the worker only */
-  uint64_t known_version;  /* of the last whole state that was heard, or 0 */
-  uint64_t lease_until_ms; /* on the worker's clock; 0 renews nothing */
+  uint64_t incarnation;    /* the starts are valid only for this incarnation of the worker */
+  uint64_t known_version;  /* version of the last complete state received, or 0 */
+  uint64_t lease_until_ms; /* on the worker's clock; 0 does not renew the lease */
   GPtrArray *starts;       /* const fb_spec *, borrowed */
-  GArray *start_by_ms;     /* uint64_t on the worker's clock, as starts */
-  GArray *stops;           /* FbSyncStop */
-  GArray *throttles;       /* fb_run */
-  GArray *acks;            /* fb_run: the worker may forget their ends */
+  GArray
+      *start_by_ms;  /* uint64_t on the worker's clock, one for each of starts: latest start time */
+  GArray *stops;     /* FbSyncStop */
+  GArray *throttles; /* fb_run: to be slowed down */
+  GArray *acks;      /* fb_run: ended runs that the worker may forget */
 } FbSyncRequest;
 
 typedef struct
 {
-  /* Sends one exchange; the caller answers each with fb_rack_sync_done() or
-   * fb_rack_sync_failed().  REQUEST is borrowed for the call. */
+  /* Sends one request; the caller answers it with fb_rack_sync_done() or
+   * fb_rack_sync_failed(). REQUEST is borrowed for the call. */
   void (*sync) (gpointer user, FbRack *rack, guint worker, const FbSyncRequest *request);
-  /* Sends news of a run to the owner of its range; borrowed for the call. */
+  /* Sends the status of a run to the owner of its range. REPORT is borrowed for the call. */
   void (*report) (gpointer user, FbRack *rack, const fb_report *report);
-  /* Asks for proof from the log that this daemon still owns the rack; answered
-   * with fb_rack_ownership_confirmed(), or by dropping the rack. */
+  /* Asks the caller to confirm from the log that this daemon still owns the rack. The
+   * caller answers with fb_rack_ownership_confirmed(), or frees the rack. */
   void (*confirm_ownership) (gpointer user, FbRack *rack);
+  /* Sends the reply to fb_rack_survey() to the owner of the range. */
   void (*surveyed) (gpointer user, FbRack *rack, const fb_surveyed *surveyed);
-  /* A worker holds a higher epoch: this daemon is no longer the owner. */
+  /* A worker has accepted a higher epoch: this daemon is no longer the owner. */
   void (*fenced) (gpointer user, FbRack *rack);
 } FbRackSink;
 
-/* What operators set; replaced as a whole by fb_rack_set_policy(). */
+/* Operator settings; fb_rack_set_policy() replaces all of them. */
 typedef struct
 {
-  uint32_t lend_milli;        /* share of the rack the guest may hold */
+  uint32_t lend_milli; /* share of the rack that the other partner's work may use, in thousandths */
   const FbPlacePolicy *place; /* static table, see place.h */
-  uint32_t queue_max;
-  const FbTeams *teams; /* borrowed; weights and slices of quota */
+  uint32_t queue_max;         /* queued tasks for each partner and kind */
+  const FbTeams *teams; /* borrowed; weights of the teams and this rack's part of their quotas */
 } FbRackPolicy;
 
-/* Returns: (transfer full): a rack owned at EPOCH whose workers are unknown.
- * NAME and SINK are borrowed for the life of the rack. */
+/* Returns: (transfer full): a rack owned at EPOCH; all workers are in state unknown. NAME
+ * and SINK are borrowed for the lifetime of the rack. */
 FbRack *fb_rack_new (uint32_t id, const char *name, uint32_t home_partner, uint64_t epoch,
                      const FbRackSink *sink, gpointer user);
 void fb_rack_free (FbRack *self);
@@ -114,34 +119,41 @@
 /* Adds a worker with its declared CAPACITY.  Returns: its index. */
 guint fb_rack_add_worker (FbRack *self, const char *name, const fb_res *capacity);
 
-/* Commands from range owners.  Each answers through sink->report. */
+/* Requests of range owners. The answer goes out through sink->report(). */
 void fb_rack_place (FbRack *self, uint64_t now_ms, const fb_place *place);
 void fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_word *word);
 void fb_rack_query (FbRack *self, uint64_t now_ms, const fb_word *word);
 void fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_word *word);
-/* Answers with all runs of a range, through sink->surveyed(), once complete. */
+/* Answers with all runs of a range through sink->surveyed(); does nothing until every
+ * worker has replied. */
 void fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_word *word);
 void fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_word *word);
 
-/* Commands from the workers' side. */
+/* Replies and events of the workers. */
 void fb_rack_sync_done (FbRack *self, uint64_t now_ms, guint worker, const FbSyncReply *reply);
 void fb_rack_sync_failed (FbRack *self, uint64_t now_ms, guint worker);
+/* The worker has signalled a change: exchange with it at the next flush. */
 void fb_rack_hint (FbRack *self, guint worker);
 void fb_rack_set_leaving (FbRack *self, uint64_t now_ms, guint worker, gboolean leaving);
+/* The host list does not contain the worker any more. */
 void fb_rack_set_gone (FbRack *self, uint64_t now_ms, guint worker);
+/* The log, read from ASKED_MS on, still names this daemon as the owner. */
 void fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t asked_ms);
 
-/* The owner before, who handed the rack over, had proved itself on this life. */
+/* The previous owner had confirmed its ownership after it saw this INCARNATION of the
+ * worker, before it handed the rack over. */
 void fb_rack_set_proven (FbRack *self, guint worker, uint64_t incarnation);
 
-/* Starts nothing until UNTIL_MS. */
+/* Delays all starts until UNTIL_MS. */
 void fb_rack_hold_starts (FbRack *self, uint64_t until_ms);
 
-/* Gives all waiting work back as not run; nothing new is accepted after. */
+/* Reports all waiting work as not run and refuses new work from now on. */
 void fb_rack_drain (FbRack *self, uint64_t now_ms);
 
-/* Lets time pass: due times, leases, reservations, resent reports, starts. */
+/* Handles everything that is due at NOW_MS: due times, leases, reservations, repeated
+ * reports, starts. */
 void fb_rack_tick (FbRack *self, uint64_t now_ms);
 
-/* Sends the exchanges that are wanted now.  Called after a batch of events. */
+/* Schedules and sends the pending requests to the workers. Called after a batch of
+ * events. */
 void fb_rack_flush (FbRack *self, uint64_t now_ms);
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -1,16 +1,16 @@
-/* Data of a range, shared by the files that implement it and by no one else. */
+/* Data structures of a range, private to the files that implement it. */
 #pragma once
 
 #include "internal/range.h"
 
 typedef enum
 {
-  FB_JT_WAITING,  /* no attempt is alive */
-  FB_JT_INTENT,   /* the next attempt is being written to the log */
-  FB_JT_PLACED,   /* sent to a rack; may wait, start or have been lost */
-  FB_JT_RESERVED, /* a gang's member holds its capacity */
+  FB_JT_WAITING,  /* no attempt is in progress */
+  FB_JT_INTENT,   /* the record of the next attempt is being appended to the log */
+  FB_JT_PLACED,   /* sent to a rack; may be queued, starting or lost */
+  FB_JT_RESERVED, /* member of a gang that has reserved its capacity */
   FB_JT_RUNNING,
-  FB_JT_ENDING, /* its final outcome is being written to the log */
+  FB_JT_ENDING, /* the record of its final outcome is being appended to the log */
   FB_JT_DONE
 } FbJobTaskState;
 
@@ -21,56 +21,56 @@
   FbJob *job;
   FbJobTaskState state;
   uint32_t index;
-  uint32_t attempt;
-  uint32_t rack;
-  uint32_t avoid_rack;
-  uint64_t rack_epoch;
+  uint32_t attempt;    /* number of the last attempt; 0 if none */
+  uint32_t rack;       /* of the last attempt, or FB_NO_RACK */
+  uint32_t avoid_rack; /* not chosen for the next attempt, or FB_NO_RACK */
+  uint64_t rack_epoch; /* epoch of the rack's owner that the attempt was sent to */
   FbOutcome outcome;
   FbReason reason;
-  FbOutcome ending; /* while ENDING: on its way to the log */
+  FbOutcome ending; /* if ENDING: the outcome that is being appended */
   FbReason ending_reason;
   uint32_t preempt_count;
   uint32_t fail_count;
   uint32_t lost_count;
-  uint32_t backoff_ms;
-  uint64_t placed_ms;
-  gboolean sent;          /* this attempt went to its rack, or may have */
-  gboolean recovered;     /* this attempt is known from the log only */
-  uint32_t started_count; /* earlier attempts that ran, or may have */
-  uint64_t due_ms;        /* of its timer */
-  GSequenceIter *timer;
+  uint32_t backoff_ms;    /* delay before the next attempt; 0 if the last one started */
+  uint64_t placed_ms;     /* when this attempt was sent */
+  gboolean sent;          /* this attempt was sent to its rack, or may have been */
+  gboolean recovered;     /* this attempt was read from the log, not sent by this owner */
+  uint32_t started_count; /* number of earlier attempts that ran or may have run */
+  uint64_t due_ms;        /* when its timer expires */
+  GSequenceIter *timer;   /* position in FbRange.timers, or NULL */
 } FbJobTask;
 
 struct _FbJob
 {
-  fb_job spec; /* owned */
-  gboolean admitted;
+  fb_job spec;       /* owned */
+  gboolean admitted; /* its ADMIT record is in the log */
   gboolean cancelled;
-  uint32_t doubt; /* see fb_rec_admit */
+  uint32_t doubt; /* if above 0, earlier runs may have been forgotten; see fb_rec_admit */
   uint64_t arrived_ms;
   uint64_t due_ms;
-  uint64_t due_log_ms; /* the same on the clock of the log */
-  uint64_t first_wait_ms;
-  uint64_t written_ms;     /* when its last full record was written */
-  uint64_t written_offset; /* and where */
-  gboolean rewriting;      /* the next one is on its way */
-  gboolean changing;       /* a cancellation or update is on its way */
+  uint64_t due_log_ms;     /* due time on the clock of the log; 0 if none or not known */
+  uint64_t first_wait_ms;  /* from arrival to the first start; 0 before it */
+  uint64_t written_ms;     /* when its last full record (ADMIT or STATE) was written */
+  uint64_t written_offset; /* offset of that record */
+  gboolean rewriting;      /* a STATE record is being appended */
+  gboolean changing;       /* a CANCEL record or an update of a service is being appended */
   uint64_t ended_ms;
-  uint64_t blocked_until_ms;
-  uint64_t gather_until_ms;
+  uint64_t blocked_until_ms; /* no rack was found: no task looks for one before this */
+  uint64_t gather_until_ms;  /* a gang gives up its reservations after this; 0 if none */
   FbOutcome outcome;
   FbReason reason;
-  GBytes *body;
-  GBytes *ending_body; /* on its way to the log */
+  GBytes *body;        /* output of the last task that had one, or NULL */
+  GBytes *ending_body; /* the same, being appended to the log; or NULL */
   FbJobTask *tasks;
   guint task_n;
-  guint state_n[FB_JT_DONE + 1];
-  guint outcome_n[FB_OUTCOME_N];
-  gboolean committed; /* a gang whose members were told to start */
-  guint cancel_next;
-  GPtrArray *fronts;    /* char *: daemons that wait for the answer */
-  GArray *intents;      /* uint32_t: tasks of this pass */
-  GHashTable *per_rack; /* rack -> count, for spread */
+  guint state_n[FB_JT_DONE + 1]; /* number of tasks in each state */
+  guint outcome_n[FB_OUTCOME_N]; /* number of done tasks with each outcome */
+  gboolean committed;            /* the members of the gang were told to start */
+  guint cancel_next;             /* index of the next task to cancel */
+  GPtrArray *fronts;             /* char * owned: names of the daemons that wait for the answer */
+  GArray *intents; /* uint32_t: indexes of the tasks whose INTENT record is written in this pass */
+  GHashTable *per_rack; /* rack + 1 -> number of tasks there, to spread the job */
 };
 
 struct _FbRange
@@ -83,45 +83,49 @@
   gboolean active;
   gboolean log_ok;
   uint64_t epoch;
-  gboolean *surveyed; /* one a rack while a survey is on, else NULL */
-  guint survey_n;
-  guint survey_left;
-  uint64_t survey_at_ms;
-  uint64_t next_due_ms;     /* of the timers set since the last dispatch */
-  uint64_t unsure_until_ms; /* keys used before may have been forgotten */
-  GHashTable *jobs;         /* &job->spec.id -> FbJob owned */
-  GSequence *timers[FB_KIND_N];
-  GQueue cancelling;       /* FbJob with tasks still to cancel */
-  GQueue ended;            /* FbJob in the order they ended */
-  GPtrArray *with_intents; /* FbJob, scratch of one pass */
+  gboolean *surveyed;    /* one for each rack: it has replied. NULL if no survey is in progress */
+  guint survey_n;        /* number of racks in surveyed */
+  guint survey_left;     /* number of racks that have not replied */
+  uint64_t survey_at_ms; /* when the racks are asked again */
+  uint64_t next_due_ms;  /* earliest expiry of the timers set since the last dispatch */
+  uint64_t unsure_until_ms;     /* until then, jobs and keys from before may have been forgotten */
+  GHashTable *jobs;             /* &job->spec.id -> FbJob owned */
+  GSequence *timers[FB_KIND_N]; /* FbJobTask borrowed, earliest first */
+  GQueue cancelling;            /* FbJob whose tasks are not all cancelled yet */
+  GQueue ended;                 /* FbJob in the order they ended */
+  GPtrArray *with_intents;      /* FbJob borrowed: those with intents in this pass */
 };
 
 FbJob *fb_range_find (const FbRange *self, uint64_t job);
-/* A job from its caller, or from its record. */
+/* A job as submitted, or as read from its record. */
 FbJob *fb_job_new (uint64_t now_ms, const fb_job *spec);
 FbJob *fb_job_new_recovered (uint64_t now_ms, const fb_rec_admit *admit, uint64_t age_ms,
                              const FbRecordPlace *place);
 void fb_job_free (gpointer job);
+/* Earlier runs of the job may have been forgotten: counts them as started, and numbers
+ * attempts from FIRST_ATTEMPT. */
 void fb_job_set_doubt (FbJob *job, uint32_t first_attempt);
 void fb_job_resize (FbRange *self, uint64_t now_ms, FbJob *job, guint count);
 void fb_job_set_state (FbJob *job, FbJobTask *task, FbJobTaskState state);
-/* Counts a task of the job in RACK, for the spread. */
+/* Adds CHANGE to the number of tasks in RACK, for the spread. */
 void fb_job_count_rack (FbJob *job, uint32_t rack, int change);
 gboolean fb_job_is_service (const FbJob *job);
 gboolean fb_job_is_gang (const FbJob *job);
 gboolean fb_job_is_final (const FbJob *job);
 fb_run fb_job_run (const FbJob *job, const FbJobTask *task);
 
-/* Sets or moves the one timer of a task. */
+/* Sets the timer of a task; a task has only one. */
 void fb_range_set_timer (FbRange *self, FbJobTask *task, uint64_t due_ms);
 void fb_range_clear_timer (FbRange *self, FbJobTask *task);
 
-/* The attempt is certainly over and left no outcome: wait for the next one. */
+/* The attempt is known to have ended without an outcome: schedules the next one, after a
+ * delay if BACK_OFF. */
 void fb_range_task_again (FbRange *self, uint64_t now_ms, FbJobTask *task, gboolean back_off);
-/* Writes the final outcome of a task; it takes effect in fb_range_apply(). */
+/* Appends the final outcome of a task; it takes effect in fb_range_apply(). */
 void fb_range_task_end (FbRange *self, FbJobTask *task, FbOutcome outcome, FbReason reason,
                         const char *body, uint32_t body_len);
 void fb_range_task_past_due (FbRange *self, FbJobTask *task);
+/* Ends the job if all its tasks are done. */
 void fb_range_settle (FbRange *self, uint64_t now_ms, FbJob *job);
 
 void fb_range_send_place (FbRange *self, uint64_t now_ms, FbJobTask *task);
@@ -131,7 +135,7 @@
 void fb_range_answer_one (FbRange *self, uint64_t now_ms, const FbJob *job, const char *front);
 void fb_range_dispatch (FbRange *self, uint64_t now_ms);
 
-/* gang.c: all members of a job, or none. */
+/* gang.c: all members of a job start, or none */
 void fb_gang_gather (FbRange *self, uint64_t now_ms, FbJob *job);
 void fb_gang_advance (FbRange *self, uint64_t now_ms, FbJob *job);
 void fb_gang_break (FbRange *self, uint64_t now_ms, FbJob *job);
@@ -141,6 +145,6 @@
 
 /* range-dispatch.c */
 gboolean fb_range_choose_rack (FbRange *self, uint64_t now_ms, FbJobTask *task);
-/* Returns: TRUE when another rack than the task's own seems to have room now. */
+/* Returns: TRUE if a rack other than the task's own seems to have free capacity now. */
 gboolean fb_range_room_elsewhere (FbRange *self, uint64_t now_ms, const FbJobTask *task);
 void fb_range_add_intent (FbRange *self, FbJobTask *task);
--- a/include/internal/range-query.h
+++ b/include/internal/range-query.h
@@ -1,4 +1,4 @@
-/* Questions about a range; none of them changes it. */
+/* Read-only functions of a range. */
 #pragma once
 
 #include "internal/range.h"
@@ -6,13 +6,13 @@
 uint32_t fb_range_id (const FbRange *self);
 guint fb_range_open_count (const FbRange *self);
 
-/* Returns: how long keys used before may still be unknown, and whether racks are
- * still being asked. */
+/* Returns: for how long jobs and keys used before may be unknown, in ms. */
 uint64_t fb_range_unsure_ms (const FbRange *self, uint64_t now_ms);
+/* Returns: TRUE while some rack has not replied to the survey. */
 gboolean fb_range_is_surveying (const FbRange *self);
 
-/* Returns: the offset of the oldest full record of a job that is needed, or
- * NEXT when there is none before that. */
+/* Returns: the offset of the oldest full record of a job that is still needed, or NEXT if
+ * there is none before it. */
 uint64_t fb_range_oldest_offset (const FbRange *self, uint64_t next);
 
 typedef struct
@@ -25,6 +25,6 @@
 } FbRangeTaskView;
 typedef void (*FbRangeTaskFunc) (gpointer user, const FbRangeTaskView *task);
 
-/* Calls FUNC for each task of JOB.  Returns: FALSE when there is no such job. */
+/* Calls FUNC for each task of JOB. Returns: FALSE if there is no such job. */
 gboolean fb_range_foreach_task (const FbRange *self, uint64_t job, FbRangeTaskFunc func,
                                 gpointer user);
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -1,13 +1,13 @@
-/* A range of job ids: the one place that knows what became of its jobs.
+/* A range of job ids. Its owner alone decides the outcome of the jobs in it.
  *
- * Pure.  The owner of a range admits jobs, sends each task to a rack as one
- * numbered attempt after another, and decides the final answer.  All that must
- * outlast the process goes through sink->append() and takes effect only when
- * it comes back in the order of the log through fb_range_apply(); a successor
- * that applies the same records comes to the same state.
+ * The code is pure. The owner of a range admits jobs, sends each task to a rack in
+ * numbered attempts, one at a time, and decides the final outcome. Everything that has to
+ * outlive the process goes to the log through sink->append() and takes effect only when
+ * the log returns it, in log order, through fb_range_apply(). A successor that applies
+ * the same records reaches the same state.
  *
- * A range without a log (ephemeral) is the same code whose records come back
- * at once: its jobs live as long as the daemon that has their callers. */
+ * A range without a log (ephemeral) uses the same code, but its records are applied at
+ * once: its jobs live as long as the daemon that serves their callers. */
 #pragma once
 
 #include "internal/codec.h"
@@ -15,30 +15,35 @@
 
 typedef struct _FbRange FbRange;
 
-#define FB_RANGE_QUERY_MS 2000
-#define FB_RANGE_REBALANCE_MS 3000
-#define FB_RANGE_UNSURE_GRACE_MS 2000
-#define FB_RANGE_GATHER_MS 15000
+#define FB_RANGE_QUERY_MS 2000        /* between queries about a task at a rack */
+#define FB_RANGE_REBALANCE_MS 3000    /* a task queued for longer may move to another rack */
+#define FB_RANGE_UNSURE_GRACE_MS 2000 /* wait for a rack's report after the due time */
+#define FB_RANGE_GATHER_MS 15000      /* for all members of a gang to reserve capacity */
 #define FB_RANGE_JOB_MAX 20000
 #define FB_RANGE_TASK_MAX 20000
-#define FB_RANGE_KEEP_MS (60 * 60 * 1000)
-#define FB_RANGE_FAIL_RETRIES 1
-#define FB_RANGE_LOST_RETRIES 8
+#define FB_RANGE_KEEP_MS (60 * 60 * 1000) /* how long ended jobs and their keys are remembered */
+#define FB_RANGE_FAIL_RETRIES 1           /* of a task that its target failed */
+#define FB_RANGE_LOST_RETRIES 8           /* of a task whose worker was lost */
 
 typedef struct
 {
   /* Appends BODY to the range's stream; borrowed for the call. */
   void (*append) (gpointer user, FbRange *range, const fb_rec_body *body);
-  /* Sends BODY to the owner of RACK.  Returns: FALSE when none is known; then
-   * nothing was sent. */
+  /* Sends BODY to the owner of RACK. Returns: FALSE if no owner is known; nothing was
+   * sent then. */
   gboolean (*send) (gpointer user, FbRange *range, uint32_t rack, const fb_body *body);
+  /* Chooses a rack with the router, see fb_router_choose(). */
   gboolean (*choose) (gpointer user, FbRange *range, const FbRouteAsk *ask, FbRouteChoice *choice);
+  /* Returns: TRUE if SPEC fits an empty host of some rack that it may use. */
   gboolean (*ever_fits) (gpointer user, const fb_spec *spec);
+  /* RACK has refused a task. */
   void (*refused) (gpointer user, uint32_t rack, FbReason reason);
-  /* Returns: the clock of the log, or somewhat less; 0 when not known yet. */
+  /* Returns: a lower bound of the log's current clock; 0 if not known yet. */
   uint64_t (*log_clock_ms) (gpointer user);
+  /* Returns: the failure domain of RACK. */
   uint32_t (*domain_of) (gpointer user, uint32_t rack);
-  /* Sends ANSWER to the daemon called FRONT; borrowed for the call. */
+  /* Sends ANSWER to the daemon FRONT, which serves the caller. ANSWER is borrowed for the
+   * call. */
   void (*answer) (gpointer user, FbRange *range, const char *front, const fb_answer *answer);
 } FbRangeSink;
 
@@ -47,8 +52,8 @@
                        uint32_t seed);
 void fb_range_free (FbRange *self);
 
-/* Where and when a record was written.  LOG_NOW_MS is the clock of the log now,
- * or later; all zero for a range without a log. */
+/* Position and age of a record. LOG_NOW_MS is an upper bound of the log's current clock.
+ * All members are 0 for a range without a log. */
 typedef struct
 {
   uint64_t offset;
@@ -60,38 +65,40 @@
 void fb_range_apply (FbRange *self, uint64_t now_ms, const fb_rec_body *body,
                      const FbRecordPlace *place);
 
-/* The daemon owns the range at EPOCH and has applied all before its claim. */
+/* The daemon owns the range at EPOCH and has applied all records before its claim. */
 void fb_range_activate (FbRange *self, uint64_t now_ms, uint64_t epoch);
-/* Nothing is sent or answered any more; the state is kept for nobody. */
+/* Stops sending and answering. The state remains until the range is freed. */
 void fb_range_deactivate (FbRange *self);
 
-/* Records that are still needed may be lost: see survey.c.  RACK_N racks are
- * asked for what runs; until all have answered nothing is admitted. */
+/* Records that are still needed may be missing, see survey.c. Asks RACK_N racks for the
+ * runs that they hold; until all have replied no job is admitted. */
 void fb_range_begin_survey (FbRange *self, uint64_t now_ms, guint rack_n);
-/* Takes over what is left of a predecessor's doubt. */
+/* The predecessor could not rule out forgotten jobs for another UNSURE_MS; neither can
+ * this owner. */
 void fb_range_set_unsure (FbRange *self, uint64_t now_ms, uint64_t unsure_ms);
 void fb_range_surveyed (FbRange *self, uint64_t now_ms, const fb_surveyed *surveyed);
 
-/* Whether appends are getting through; while not, new durable work is refused
- * at once instead of hanging. */
+/* Whether appends to the log succeed. While they do not, new durable jobs are refused at
+ * once instead of waiting. */
 void fb_range_set_log_ok (FbRange *self, gboolean ok);
 
-/* Commands from the daemons that hold the callers. */
-/* COPY comes back with a refusal, see fb_answer. */
+/* Requests of the daemons that serve callers; FRONT names the daemon. */
+/* A refusal carries COPY back, see fb_answer. */
 void fb_range_submit (FbRange *self, uint64_t now_ms, const fb_job *job, uint32_t copy,
                       const char *front);
 void fb_range_ask (FbRange *self, uint64_t now_ms, const fb_job_word *word, const char *front);
 void fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_word *word, const char *front);
 
-/* Ends the services of this range that are not in WANTED (a set of &job id). */
+/* Cancels the services of this range that are not in WANTED (a set of &job id). */
 void fb_range_keep_services (FbRange *self, uint64_t now_ms, GHashTable *wanted);
 
-/* Command from the owner of a rack. */
+/* Report of the owner of a rack. */
 void fb_range_report (FbRange *self, uint64_t now_ms, const fb_report *report);
 
-/* Writes the state of jobs again whose records are older than AGE_MAX_MS. */
+/* Writes the full state of each job again whose last full record is older than
+ * AGE_MAX_MS. */
 void fb_range_rewrite (FbRange *self, uint64_t now_ms, uint64_t age_max_ms);
 
 void fb_range_tick (FbRange *self, uint64_t now_ms);
-/* Sends at once what became due by a command or a record. */
+/* Sends what has become due through a request or a record since the last call. */
 void fb_range_flush (FbRange *self, uint64_t now_ms);
