--- a/include/internal/codec.h
+++ b/include/internal/codec.h
@@ -1,15 +1,14 @@
-/* XDR bytes of messages and records, with size limits. */
+/* Encoding and decoding of messages and records as XDR, with size limits. */
 #pragma once
 
 #include "fb-types.h"
 #include "rpc/record.h"
 #include "rpc/work.h"
 
-/* Returns: (transfer full): the bytes of MSG, or NULL when it breaks a limit. */
+/* Returns: (transfer full): MSG encoded, or NULL if it exceeds a limit. */
 GBytes *fb_codec_encode_msg (const fb_msg *msg);
-/* Decodes one message at *OFFSET of DATA and moves *OFFSET behind it.
- * Returns: FALSE on malformed input; else MSG is to be cleared with
- * fb_codec_clear_msg(). */
+/* Decodes one message at *OFFSET of DATA and advances *OFFSET past it. Returns: FALSE if
+ * the input is malformed; otherwise MSG is to be cleared with fb_codec_clear_msg(). */
 gboolean fb_codec_decode_msg (const void *data, gsize len, gsize *offset, fb_msg *msg);
 void fb_codec_clear_msg (fb_msg *msg);
 
@@ -21,11 +20,11 @@
 gboolean fb_codec_decode_revision (const void *data, gsize len, fb_rec_revision *revision);
 void fb_codec_clear_revision (fb_rec_revision *revision);
 
-/* Graph jobs: records of the platform's log, questions between daemons and their
- * answers.  What was decoded is cleared with xdr_free() of its type. */
+/* Graph jobs: records of the platform's log, and requests and responses between daemons.
+ * Decoded values are cleared with xdr_free() of their type. */
 GBytes *fb_codec_encode_admit (const fb_work_admit *admit);
 gboolean fb_codec_decode_admit (const void *data, gsize len, fb_work_admit *admit);
-/* The record of a job's progress and of its tasks under which workers crashed. */
+/* The record of a job's progress, and of those of its tasks under which workers crashed. */
 GBytes *fb_codec_encode_progress (const fb_work_progress *progress,
                                   const fb_work_suspects *suspects);
 /* A failed decode leaves nothing allocated. */
--- a/include/internal/lane.h
+++ b/include/internal/lane.h
@@ -1,6 +1,6 @@
-/* Waiting work of a rack: one lane for each partner, kind and team.
+/* Queues of the waiting tasks of a rack: one for each partner, kind and team.
  *
- * A lane is ordered by rank, see lane.c.  Tasks are borrowed. */
+ * A queue is sorted by rank, see fb_lane_rank(). Tasks are borrowed. */
 #pragma once
 
 #include "fb-types.h"
@@ -13,8 +13,8 @@
   uint32_t partner;
   uint32_t team;
   FbKind kind;
-  GSequence *tasks;
-  gboolean blocked; /* scratch of one scheduling pass */
+  GSequence *tasks; /* FbTask borrowed, smallest rank first */
+  gboolean blocked; /* nothing in this queue can start in this scheduling pass */
 } FbLane;
 
 FbLanes *fb_lanes_new (void);
@@ -23,13 +23,14 @@
 void fb_lanes_remove (FbLanes *self, FbTask *task);
 guint fb_lanes_count (const FbLanes *self);
 guint fb_lanes_count_of (const FbLanes *self, uint32_t partner, FbKind kind);
-/* Returns: how many tasks of PARTNER stand in line with WAITING. */
+/* Returns: the number of tasks of PARTNER in the class WAITING. */
 guint fb_lanes_waiting (const FbLanes *self, uint32_t partner, FbWaiting waiting);
-/* Returns: how many waiting tasks want accelerators. */
+/* Returns: the number of waiting tasks that need accelerators. */
 guint fb_lanes_accel_count (const FbLanes *self);
-/* Returns: the lanes of PARTNER and KIND that hold work, borrowed FbLane. */
+/* Returns: the queues of PARTNER and KIND that are not empty, borrowed FbLane. */
 const GPtrArray *fb_lanes_of (const FbLanes *self, uint32_t partner, FbKind kind);
+/* Clears FbLane.blocked of all queues. */
 void fb_lanes_unblock (FbLanes *self);
 
-/* Returns: the rank of work that arrived at ARRIVED and is due at DUE. */
+/* Returns: the sort key of a task that arrived at ARRIVED_MS and is due at DUE_MS. */
 uint64_t fb_lane_rank (FbKind kind, uint64_t arrived_ms, uint64_t due_ms);
--- a/include/internal/member.h
+++ b/include/internal/member.h
@@ -1,11 +1,12 @@
-/* Who is alive, as one daemon sees it, and who should own what.  Pure. */
+/* Membership as seen by one daemon: which members are alive, and which one should own a
+ * shard. Pure. */
 #pragma once
 
 #include "fb-types.h"
 
 #define FB_MEMBER_HEARTBEAT_MS 1000
-#define FB_MEMBER_SUSPECT_MS 3500
-#define FB_MEMBER_STABLE_MS 3000
+#define FB_MEMBER_SUSPECT_MS 3500 /* without a heartbeat */
+#define FB_MEMBER_STABLE_MS 3000  /* see fb_members_is_stable() */
 
 typedef struct _FbMembers FbMembers;
 
@@ -17,30 +18,30 @@
   FB_MEMBER_SUSPECTED
 } FbMemberState;
 
-/* SELF is the index of this daemon, added like all others. */
 FbMembers *fb_members_new (void);
 void fb_members_free (FbMembers *self);
 guint fb_members_add (FbMembers *self, const char *name, uint32_t partner, uint32_t domain);
+/* Marks the member at INDEX, added like all others, as this daemon. */
 void fb_members_set_self (FbMembers *self, guint index, uint64_t incarnation);
 
 guint fb_members_count (const FbMembers *self);
-/* Returns: the index of NAME, or -1. */
+/* Returns: the index of NAME, or -1 if there is no such member. */
 int fb_members_find (const FbMembers *self, const char *name);
 const char *fb_members_name (const FbMembers *self, guint index);
 FbMemberState fb_members_state (const FbMembers *self, guint index);
 uint64_t fb_members_incarnation (const FbMembers *self, guint index);
 
-/* A heartbeat arrived.  Returns: TRUE when it begins a new incarnation. */
+/* Records a heartbeat. Returns: TRUE if it is the first of a new incarnation. */
 gboolean fb_members_heard (FbMembers *self, uint64_t now_ms, guint index, uint64_t incarnation,
                            gboolean leaving);
-/* Suspects who has been silent. */
+/* Suspects the members that have been silent for FB_MEMBER_SUSPECT_MS. */
 void fb_members_tick (FbMembers *self, uint64_t now_ms);
 
-/* Returns: the member that should own SHARD of PARTNER: the highest random
- * weight among its members that are alive and not leaving, or -1.  WITHOUT is
- * left out; G_MAXUINT leaves out nobody. */
+/* Returns: the index of the member that should own SHARD of PARTNER: by rendezvous
+ * hashing, the one with the highest weight among the members of PARTNER that are alive
+ * and not leaving; or -1. The member WITHOUT is left out; G_MAXUINT leaves out none. */
 int fb_members_rightful (const FbMembers *self, uint32_t shard, uint32_t partner, guint without);
 
-/* Returns: TRUE when member INDEX has been alive for the stable time, so that a
- * shard moved to it will not move back at once. */
+/* Returns: TRUE if the member INDEX has been alive for FB_MEMBER_STABLE_MS, so that a
+ * shard moved to it is unlikely to move back at once. */
 gboolean fb_members_is_stable (const FbMembers *self, uint64_t now_ms, guint index);
--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -1,4 +1,4 @@
-/* Data of a node, shared by the files that implement it and by no one else. */
+/* Data structures of a node, private to the files that implement it. */
 #pragma once
 
 #include "internal/member.h"
@@ -9,11 +9,11 @@
 
 typedef enum
 {
-  FB_SHARD_FOREIGN,
-  FB_SHARD_READING,  /* reading the stream, to claim behind its end */
-  FB_SHARD_CLAIMING, /* the claim is on its way to the log */
+  FB_SHARD_FOREIGN,  /* not owned by this daemon */
+  FB_SHARD_READING,  /* reading the stream to its end before claiming */
+  FB_SHARD_CLAIMING, /* the claim is being appended to the log */
   FB_SHARD_OWNED,
-  FB_SHARD_DRAINING /* owned, being handed over */
+  FB_SHARD_DRAINING /* owned; being handed over to another daemon */
 } FbShardRole;
 
 typedef struct
@@ -22,69 +22,71 @@
   gboolean is_rack;
   uint32_t partner;
 
-  /* What is known of the owner, from heartbeats. */
+  /* The owner as known from heartbeats. */
   uint64_t known_epoch;
-  int owner; /* member, or -1 */
+  int owner; /* index of a member, or -1 */
   uint64_t owner_incarnation;
-  uint64_t announced_ms; /* the owner said so last */
+  uint64_t announced_ms; /* when the owner last announced the shard */
 
-  /* What this daemon has of it. */
+  /* The shard as held by this daemon. */
   FbShardRole role;
   uint64_t epoch;
-  FbStream *stream;
-  FbRack *rack;
-  FbRange *range;
-  gboolean lost; /* to be dropped when no call is under way in it */
-  gboolean reading;
-  uint64_t read_asked_ms;
-  uint64_t read_wanted; /* read on until this offset is behind */
-  uint64_t confirm_ms;  /* proof of ownership asked at this time, or 0 */
-  uint64_t claim_at_ms; /* not before */
-  uint64_t drain_since_ms;
-  uint64_t renewed_ms; /* 0: at the next occasion */
-  gboolean renew_read; /* the last RENEW read, if any: */
+  FbStream *stream;        /* NULL unless reading or owned */
+  FbRack *rack;            /* of an owned rack, else NULL */
+  FbRange *range;          /* of a range that is read or owned, else NULL */
+  gboolean lost;           /* given up: its objects are freed by fb_node_reap() */
+  gboolean reading;        /* a read of the stream is not answered yet */
+  uint64_t read_asked_ms;  /* when the last read was requested */
+  uint64_t read_wanted;    /* read until the next offset is at least this one */
+  uint64_t confirm_ms;     /* when the rack asked to confirm the ownership, or 0 */
+  uint64_t claim_at_ms;    /* earliest time of the next claim */
+  uint64_t drain_since_ms; /* if DRAINING */
+  uint64_t renewed_ms;     /* when the last RENEW was appended; 0: append one at the next tick */
+  gboolean renew_read;     /* a RENEW was read; its members follow */
   uint64_t renew_oldest;
   uint64_t renew_unsure_ms;
   gboolean renew_surveying;
-  int handed_to; /* member, or -1 */
-  uint64_t handed_epoch;
-  GArray *handed_lives; /* uint64_t, see fb_handover */
-  gboolean handed_here; /* the owner before gave its word to claim */
+  int handed_to;         /* index of a member, or -1 */
+  uint64_t handed_epoch; /* epoch at which it was handed over */
+  GArray *handed_lives;  /* uint64_t for each worker, see fb_handover; or NULL */
+  gboolean handed_here;  /* the previous owner has handed the shard to this daemon */
 } FbShard;
 
 typedef struct
 {
-  fb_job job; /* owned */
-  uint64_t due_ms;
-  uint64_t since_ms;
-  uint64_t resend_ms;
-  uint32_t copies; /* how often it was sent */
-  int sent_to;     /* the one member that got all copies, or -1 */
+  fb_job job;         /* owned */
+  uint64_t due_ms;    /* FB_NO_DEADLINE_MS if none */
+  uint64_t since_ms;  /* when the caller submitted the job */
+  uint64_t resend_ms; /* when the submission or query is sent again */
+  uint32_t copies;    /* how often the submission was sent */
+  int sent_to;        /* index of the member that got all copies, or -1 */
   uint64_t sent_to_incarnation;
   gboolean admitted;
-  gboolean until_admitted;
+  gboolean until_admitted; /* see fb_node_submit() */
 } FbCaller;
 
+/* Configuration of one partner. */
 typedef struct
 {
-  uint64_t serial;
+  uint64_t serial; /* of the revision in force; 0 if none */
   GBytes *revision;
   uint8_t signature[FB_REC_SIGNATURE_BYTES];
   FbPolicy *policy;
-  uint64_t written_ms;
-  gboolean behind;         /* may have missed records: see node-config.c */
-  fb_rec_config candidate; /* owned */
+  uint64_t written_ms;     /* when the revision was last seen in the log */
+  gboolean behind;         /* records may have been missed: see node-config.c */
+  fb_rec_config candidate; /* owned; empty if none */
   uint64_t candidate_serial;
 } FbConfigState;
 
+/* Connection state of one peer. */
 typedef struct
 {
-  uint64_t seq_out;
-  uint64_t seq_in;
-  uint64_t seq_in_incarnation;
-  uint64_t config_serial[FB_PARTNER_N];
-  uint64_t peer_clock_ms; /* of its last heartbeat */
-  uint64_t heartbeat_ms;  /* when that was heard */
+  uint64_t seq_out;                     /* number of the last message sent */
+  uint64_t seq_in;                      /* number of the last message accepted */
+  uint64_t seq_in_incarnation;          /* and its sender's incarnation */
+  uint64_t config_serial[FB_PARTNER_N]; /* revisions in force at the peer */
+  uint64_t peer_clock_ms;               /* the peer's clock in its last heartbeat */
+  uint64_t heartbeat_ms;                /* when that heartbeat arrived; 0 if none */
 } FbLink;
 
 struct _FbNode
@@ -97,35 +99,35 @@
   FbTimer *timer;
   uint64_t now_ms;
   uint64_t started_ms;
-  uint64_t advanced_ms;
+  uint64_t advanced_ms; /* when fb_node_advance() was called last */
   gboolean draining;
-  guint depth; /* of entry points, so that flushing is done once at the end */
+  guint depth; /* nesting depth of entry points; the outermost one flushes at its end */
 
   FbMembers *members;
-  FbLink *links; /* one a member */
+  FbLink *links; /* one for each member */
   FbRouter *router;
   FbShard *shards;
   guint shard_n;
-  FbRange *local;      /* ephemeral work of this daemon's callers */
-  FbTeams **teams;     /* one a rack */
-  FbHostState **hosts; /* [rack][worker], also of racks owned by others */
-
-  GQueue loopback;      /* GBytes: messages to this daemon itself */
-  GQueue local_records; /* GBytes: records of the ephemeral range */
-
-  gboolean log_ok;
-  gboolean appending;
-  uint64_t append_retry_ms;
-  uint64_t record_seq;
-  uint64_t log_clock_ms; /* what the log showed, at LOG_CLOCK_AT_MS or before */
+  FbRange *local;      /* the ephemeral jobs of this daemon's callers */
+  FbTeams **teams;     /* one for each rack */
+  FbHostState **hosts; /* [rack][worker], including racks owned by other daemons */
+
+  GQueue loopback;      /* GBytes owned: encoded messages to this daemon itself */
+  GQueue local_records; /* GBytes owned: encoded records of the ephemeral range */
+
+  gboolean log_ok;          /* the last append succeeded */
+  gboolean appending;       /* an append is not answered yet */
+  uint64_t append_retry_ms; /* no append before this time */
+  uint64_t record_seq;      /* number of the last record of this writer */
+  uint64_t log_clock_ms;    /* the log's clock at LOG_CLOCK_AT_MS or earlier; 0 if not known */
   uint64_t log_clock_at_ms;
-  GQueue pending; /* FbLogRecord owned; the first IN_FLIGHT are being appended */
+  GQueue pending; /* FbLogRecord owned, to be appended; the first IN_FLIGHT are being appended */
   guint in_flight;
 
   FbConfigState config[FB_PARTNER_N];
-  uint64_t config_next; /* offset in the config stream */
-  gboolean config_reading;
-  uint64_t config_read_at_ms;
+  uint64_t config_next;       /* next offset to read in the config stream */
+  gboolean config_reading;    /* a read of it is not answered yet */
+  uint64_t config_read_at_ms; /* when it is read next */
 
   GHashTable *callers; /* &job.id -> FbCaller owned */
 };
@@ -134,10 +136,10 @@
 void fb_node_enter (FbNode *self, uint64_t now_ms);
 void fb_node_leave (FbNode *self);
 void fb_node_send (FbNode *self, guint member, const fb_body *body);
-/* Returns: FALSE when no owner of SHARD is known; nothing was sent. */
+/* Returns: FALSE if no owner of SHARD is known; nothing was sent then. */
 gboolean fb_node_send_to_owner (FbNode *self, uint32_t shard, const fb_body *body);
 FbShard *fb_node_shard (FbNode *self, uint32_t shard);
-/* Tells the rack of SHARD what the host list says of its workers. */
+/* Passes the states of the hosts to the rack of SHARD. */
 void fb_node_tell_hosts (FbNode *self, FbShard *shard);
 
 /* node-shards.c: ownership */
@@ -168,7 +170,7 @@
 void fb_node_config_record (FbNode *self, uint64_t offset, GBytes *data, uint64_t age_ms);
 void fb_node_config_tick (FbNode *self);
 void fb_node_config_clear (FbNode *self);
-/* The log has dropped records of the stream before they were read. */
+/* The log has dropped records of the config stream before they were read. */
 void fb_node_config_gap (FbNode *self);
 void fb_node_config_pull (FbNode *self, const char *from, const fb_config_pull *pull);
 void fb_node_config_offer (FbNode *self, const fb_config_record *record);
--- a/include/internal/place.h
+++ b/include/internal/place.h
@@ -1,24 +1,25 @@
-/* Placement policies: which worker of a rack takes a task. */
+/* Placement policies: the choice of the worker in a rack for a task. */
 #pragma once
 
 #include "fb-types.h"
 
 typedef struct _FbWorker FbWorker;
 
-/* One candidate as a policy sees it. */
+/* One candidate worker as a policy sees it. */
 typedef struct
 {
   const fb_res *capacity;
   const fb_res *free;
   const fb_res *demand;
   guint index;
-  uint32_t guard_milli; /* how much of its even share a free accelerator keeps */
+  uint32_t guard_milli; /* part of its even share that a free accelerator keeps, in thousandths */
 } FbPlaceView;
 
 struct _FbPlacePolicy
 {
   const char *name;
-  /* Returns: the cost of a placement, the smallest wins; negative forbids. */
+  /* Returns: the cost of a placement; the smallest one is chosen, a negative one forbids
+   * the placement. */
   int64_t (*cost) (const FbPlaceView *view);
 };
 typedef struct _FbPlacePolicy FbPlacePolicy;
@@ -29,5 +30,5 @@
 extern const FbPlacePolicy fb_place_dot_product;
 extern const FbPlacePolicy fb_place_accel_guard;
 
-/* Returns: the policy called NAME, static, or NULL. */
+/* Returns: the policy named NAME, static, or NULL if there is none. */
 const FbPlacePolicy *fb_place_by_name (const char *name);
--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -58,8 +58,7 @@
   gboolean leaving;   /* gets no new work */
   gboolean dirty;     /* a request is due at the next flush */
   gboolean in_flight; /* a request is not answered yet */
-  gboolean
-      promised; /* runs are being preempted here for a task; other work may not take the space */
+  gboolean promised;  /* only the home partner's urgent work may start here */
   uint64_t incarnation;
   uint64_t life_heard_ms;      /* when its first reply of this incarnation arrived */
   uint64_t proven_incarnation; /* incarnation for which ownership was confirmed, or 0; see
--- a/include/internal/router.h
+++ b/include/internal/router.h
@@ -1,4 +1,4 @@
-/* Which rack a run is sent to, chosen from lagging summaries.  Pure. */
+/* Choice of the rack for a run, from the summaries of racks, which lag behind. Pure. */
 #pragma once
 
 #include "fb-types.h"
@@ -7,23 +7,23 @@
 
 typedef struct _FbRouter FbRouter;
 
-/* The fixed facts about a rack, from the settings. */
+/* Properties of a rack that the settings fix. */
 typedef struct
 {
   uint32_t partner;
   uint32_t domain;
-  fb_res host_capacity; /* of its largest host */
-  fb_res total;
+  fb_res host_capacity; /* capacity of its largest host */
+  fb_res total;         /* capacity of all its hosts */
 } FbRackFacts;
 
 typedef struct
 {
   const fb_spec *spec;
   uint64_t now_ms;
-  uint32_t avoid_rack; /* the last that refused, or FB_NO_RACK */
-  gboolean look_only;  /* is there room now?  Nothing is sent there */
-  /* Returns: how many tasks of the same job a rack already holds; NULL for
-   * work that need not be spread. */
+  uint32_t avoid_rack; /* the rack that refused last, or FB_NO_RACK */
+  gboolean look_only;  /* only asks whether there is room now; nothing will be sent */
+  /* Returns: the number of tasks of the same job in a rack or domain. Both NULL for work
+   * that is not spread. */
   guint (*count_in_rack) (gpointer user, uint32_t rack);
   guint (*count_in_domain) (gpointer user, uint32_t domain);
   gpointer user;
@@ -32,15 +32,15 @@
 typedef struct
 {
   uint32_t rack;
-  uint32_t runner_up;
-  uint64_t epoch; /* of the rack, to bind the order to */
+  uint32_t runner_up; /* second choice, for the log; or FB_NO_RACK */
+  uint64_t epoch;     /* epoch of the rack's owner, which the order is valid for */
 } FbRouteChoice;
 
 typedef struct
 {
   const char *name;
-  /* Returns: TRUE and fills CHOICE, or FALSE when no rack is known to have
-   * room now.  CANDIDATES are racks that fit by the summaries. */
+  /* Returns: TRUE and fills CHOICE, or FALSE if no rack is suitable. CANDIDATES has the
+   * ids of the racks that are suitable according to their summaries; it is not empty. */
   gboolean (*choose) (FbRouter *router, const FbRouteAsk *ask, const GArray *candidates,
                       FbRouteChoice *choice);
 } FbRoutePolicy;
@@ -49,23 +49,27 @@
 extern const FbRoutePolicy fb_route_two_choices;
 extern const FbRoutePolicy fb_route_best_known;
 
-/* SEED makes the choices of one daemon repeatable in tests. */
+/* Returns: (transfer full): a router without racks. SEED makes its random choices
+ * repeatable in tests. */
 FbRouter *fb_router_new (const FbRoutePolicy *policy, uint32_t seed);
 void fb_router_free (FbRouter *self);
 
-/* Adds the next rack; ids are counted from 0. */
+/* Adds a rack. Its id is the number of racks added before. */
 void fb_router_add_rack (FbRouter *self, const FbRackFacts *facts);
+/* Returns: the properties of RACK, borrowed, or NULL if there is no such rack. */
 const FbRackFacts *fb_router_rack (const FbRouter *self, uint32_t rack);
 
-/* Takes a summary, unless a newer epoch is known.  What was sent there since
- * the last one is forgotten: the owner has counted it. */
+/* Stores a summary unless a newer epoch is known, and clears what this daemon has debited
+ * since the last one: the owner has counted it. */
 void fb_router_note_summary (FbRouter *self, uint64_t now_ms, const fb_summary *summary);
-/* The rack has no owner to send to until the next summary. */
+/* The rack has no known owner: it is not chosen until the next summary. */
 void fb_router_forget (FbRouter *self, uint32_t rack);
-/* A refusal says that the picture was too good. */
+/* The rack has refused a task: it is not chosen for a while. */
 void fb_router_note_refusal (FbRouter *self, uint64_t now_ms, uint32_t rack, FbReason reason);
 
+/* Returns: TRUE and fills CHOICE, or FALSE if no rack is suitable now. Unless the request only
+ * asks for room, the demand is debited from the summary of the chosen rack. */
 gboolean fb_router_choose (FbRouter *self, const FbRouteAsk *ask, FbRouteChoice *choice);
 
-/* Returns: TRUE when SPEC fits an empty host of some rack it may use. */
+/* Returns: TRUE if SPEC fits an empty host of some rack that it may use. */
 gboolean fb_router_ever_fits (const FbRouter *self, const fb_spec *spec);
--- a/include/internal/stream.h
+++ b/include/internal/stream.h
@@ -1,43 +1,46 @@
-/* What one shard's stream in the log says: who owns the shard, and which of
- * its records count.  Pure; fed in the order of the log. */
+/* Interpretation of one shard's stream in the log: who owns the shard, and which records
+ * are valid. Pure; records are passed in log order. */
 #pragma once
 
 #include "internal/codec.h"
 
-#define FB_EPOCH_SUB_BITS 16
+#define FB_EPOCH_SUB_BITS 16 /* low bits of an epoch that count handovers */
 
 typedef struct _FbStream FbStream;
 
 typedef enum
 {
-  FB_STREAM_OK,      /* RECORD counts and is to be applied */
-  FB_STREAM_CLAIMED, /* a claim took effect */
-  FB_STREAM_DOUBLE,  /* the same append once more */
-  FB_STREAM_VOID,    /* of an epoch that a claim has ended, or a lost claim */
+  FB_STREAM_OK,      /* RECORD is valid and is to be applied */
+  FB_STREAM_CLAIMED, /* RECORD is a claim, or a RENEW that names the claim, which is in force now */
+  FB_STREAM_DOUBLE,  /* duplicate of a record from a repeated append */
+  FB_STREAM_VOID,    /* from an epoch that a later claim has ended, or a claim that lost */
   FB_STREAM_MALFORMED,
-  FB_STREAM_OLD /* before the place already read */
+  FB_STREAM_OLD /* offset before the next one to read */
 } FbStreamVerdict;
 
 FbStream *fb_stream_new (uint32_t shard);
 void fb_stream_free (FbStream *self);
 
-/* Reads one record at OFFSET.  On OK and CLAIMED, *RECORD is decoded and is to
- * be cleared by the caller; on all others there is nothing to clear. */
+/* Reads the record at OFFSET. After OK and CLAIMED, *RECORD is decoded and the caller has
+ * to clear it; after all other results there is nothing to clear. */
 FbStreamVerdict fb_stream_read (FbStream *self, uint64_t offset, const void *data, gsize len,
                                 fb_record *record);
 
-/* Notes that the log no longer holds what lies before FIRST. */
+/* The log has dropped all records before FIRST. */
 void fb_stream_note_first (FbStream *self, uint64_t first);
 
+/* Returns: the next offset to read. */
 uint64_t fb_stream_next (const FbStream *self);
+/* Returns: the epoch in force, or 0 if none is known. */
 uint64_t fb_stream_epoch (const FbStream *self);
-/* Returns: TRUE when records were dropped before they were read; then *FIRST is
- * the offset at which reading began. */
+/* Returns: TRUE if records were dropped before they were read; *FIRST is then the offset
+ * at which reading began. */
 gboolean fb_stream_has_gap (const FbStream *self, uint64_t *first);
-/* Returns: the offset from which on all records could be judged, or
- * G_MAXUINT64 when no such place was found. */
+/* Returns: the offset from which on every record could be validated; 0 if no record was
+ * missed; G_MAXUINT64 if there is no such offset. */
 uint64_t fb_stream_anchor (const FbStream *self);
 
-/* Epochs: the offset of the claim, then a count of hand-overs without log. */
+/* An epoch consists of the offset of the claim and a count of handovers that did not go
+ * through the log. */
 uint64_t fb_epoch_of_claim (uint64_t offset);
 gboolean fb_epoch_same_claim (uint64_t a, uint64_t b);
--- a/include/internal/sync-copy.h
+++ b/include/internal/sync-copy.h
@@ -1,4 +1,4 @@
-/* Deep copies of exchanges, for handing them from one task to another. */
+/* Deep copies of worker requests and replies, to pass them between threads of the daemon. */
 #pragma once
 
 #include "internal/rack.h"
--- a/include/internal/team.h
+++ b/include/internal/team.h
@@ -1,4 +1,5 @@
-/* Teams of both partners: weights and each rack's slice of their quotas. */
+/* Teams of both partners: their weights and the part of their quotas that one rack may
+ * give. */
 #pragma once
 
 #include "fb-types.h"
@@ -7,17 +8,17 @@
 {
   uint32_t partner;
   uint32_t id;
-  uint32_t weight;    /* larger gets more; default 1 */
-  fb_res quota_slice; /* for one rack; all zero means no quota */
+  uint32_t weight;    /* a larger one gets more; default 1 */
+  fb_res quota_slice; /* for one rack; all 0 means no quota */
 } FbTeam;
 
 typedef struct _FbTeams FbTeams;
 
 FbTeams *fb_teams_new (void);
 void fb_teams_free (FbTeams *self);
-/* Adds a copy of TEAM, in place of one with the same partner and id. */
+/* Adds a copy of TEAM, or replaces the one with the same partner and id. */
 void fb_teams_set (FbTeams *self, const FbTeam *team);
-/* Returns: the team, borrowed; a default of weight 1 for an unknown one. */
+/* Returns: the team, borrowed; a default team of weight 1 if it is unknown. */
 const FbTeam *fb_teams_get (const FbTeams *self, uint32_t partner, uint32_t id);
-/* Returns: the id of a team's name, equal on every daemon. */
+/* Returns: the id of the team NAME, the same on every daemon. */
 uint32_t fb_team_id (const char *name);
