--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -1,19 +1,19 @@
 /* Gangs: all members of a job start, or none.
  *
- * Members reserve room first and start only when all have it.  Two gangs that
- * each hold what the other wants would wait for ever; so a gang reserves rack
- * after rack in ascending order of their ids and asks the next rack only when
- * the one before has granted all.  A wait can then only be for a higher rack,
- * and no circle closes.  Inside a rack the gang lane is ordered by arrival and
- * served before batch work, so small work cannot starve a gang.
+ * Members first reserve capacity and start only when all of them have it. Two gangs that
+ * each hold what the other wants would deadlock. So a gang reserves on one rack after
+ * another, in ascending order of rack ids, and asks the next rack only after the one
+ * before has granted all its members. A gang can then only wait for a rack with a higher
+ * id, so no cycle of waits can form. Within a rack, gangs are queued by arrival and
+ * served before batch work, so small tasks cannot starve a gang.
  *
- * Reserved room stands idle.  The cost is bounded twice: a gang that has not
- * gathered within FB_RANGE_GATHER_MS gives all back and tries again later, and
- * a rack drops a reservation that its range has stopped asking for.
+ * Reserved capacity is idle. The cost is bounded twice: a gang that has not reserved for
+ * all members within FB_RANGE_GATHER_MS gives up its reservations and tries again later,
+ * and a rack drops a reservation that its range does not query any more.
  *
- * The commit is not atomic over racks: a rack whose owner changed between
- * reservation and commit has forgotten it.  The gang is then broken: members
- * that did start are stopped, and all try again together. */
+ * The commit is not atomic across racks: a rack whose owner changed between reservation
+ * and commit has forgotten the reservation. The gang is then broken up: members that have
+ * started are stopped, and all members try again together. */
 #include "internal/range-private.h"
 
 #define GATHER_RETRY_MS 1000
@@ -47,8 +47,8 @@
     }
 }
 
-/* Chooses a rack for each member that waits; each choice counts for the spread
- * of the next.  Returns: FALSE when some member found none. */
+/* Chooses a rack for each waiting member; each choice counts for the spread of the next.
+ * Returns: FALSE if there is none for some member. */
 static gboolean
 choose_racks (FbRange *self, uint64_t now_ms, FbJob *job)
 {
@@ -70,8 +70,8 @@
   return found;
 }
 
-/* Returns: TRUE when a member has ended otherwise than completed: the gang can
- * never have all its members any more. */
+/* Returns: TRUE if a member has ended other than completed: the gang can never have all
+ * its members again. */
 static gboolean
 has_failed (const FbJob *job)
 {
@@ -132,8 +132,8 @@
     }
 }
 
-/* Asks the lowest rack that has not been asked, once all lower ones have
- * granted; commits when all have. */
+/* Sends the members for the next rack, in order of rack ids, once all lower racks have
+ * granted their reservations; commits when all racks have. */
 void
 fb_gang_advance (FbRange *self, uint64_t now_ms, FbJob *job)
 {
@@ -164,7 +164,7 @@
       if (task->rack == rack && !task->sent)
         fb_range_send_place (self, now_ms, task);
     }
-  /* One that could not be sent holds up the rest for ever. */
+  /* A member that could not be sent would block the rest of the gang forever. */
   if (job->state_n[FB_JT_WAITING] > 0)
     fb_gang_break (self, now_ms, job);
 }
@@ -181,7 +181,8 @@
       else if (task->state == FB_JT_PLACED || task->state == FB_JT_RESERVED
                || task->state == FB_JT_RUNNING)
         {
-          /* Where it still waits the picture was too good: look elsewhere. */
+          /* The member is still queued there although the summary showed room: choose
+           * another rack next time. */
           if (task->state == FB_JT_PLACED)
             task->avoid_rack = task->rack;
           fb_range_send_word (self, task, FB_MSG_WITHDRAW, TRUE);
--- a/src/core/lane.c
+++ b/src/core/lane.c
@@ -1,26 +1,27 @@
 /* Order of waiting work.
  *
- * Inside a lane the order is earliest deadline first over a *virtual* due
- * time: min (due, arrival + patience of the kind).  Plain EDF starves work
- * without a deadline; ageing by re-sorting costs a pass over the queue.  With
- * a virtual due time fixed at arrival, work without a deadline ages simply by
- * standing still while later arrivals get later ranks, and a lane stays a
- * balanced tree: O(log n) to insert, O(log n) to cancel, O(1) for the head.
- * The cost: a deadline further away than the patience has no influence. */
+ * Within a queue the order is earliest deadline first by a *virtual* due time: min (due,
+ * arrival + patience of the kind). Plain EDF starves work without a deadline, and ageing
+ * by sorting again costs a pass over the queue. With a virtual due time that is fixed at
+ * arrival, work without a deadline moves forward because later arrivals get higher ranks,
+ * and the queue remains a balanced tree: O(log n) to insert, O(log n) to remove, O(1) for
+ * the first task. The cost: a deadline that is further away than the patience has no
+ * influence. */
 #include "internal/lane.h"
 
 #include "internal/rack-private.h"
 
 struct _FbLanes
 {
-  GHashTable *by_key;                       /* FbLane owned */
-  GPtrArray *busy[FB_PARTNER_N][FB_KIND_N]; /* FbLane borrowed */
+  GHashTable *by_key;                       /* key_of() -> FbLane owned */
+  GPtrArray *busy[FB_PARTNER_N][FB_KIND_N]; /* FbLane borrowed: those not empty */
   guint count[FB_PARTNER_N][FB_KIND_N];
   guint total;
-  guint accel;
+  guint accel; /* tasks that need accelerators */
   guint waiting[FB_PARTNER_N][FB_WAITING_N];
 };
 
+/* Waiting time after which a task without a deadline ranks like one that is due. */
 static const uint64_t patience_ms[FB_KIND_N] = {
   [FB_KIND_URGENT] = 9200,
   [FB_KIND_SERVICE] = 60 * 1000,
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -1,8 +1,8 @@
-/* The ledger: what each worker, partner and team holds.
+/* The ledger: the capacity charged to each worker, partner and team.
  *
- * Capacity is taken before a start is ordered and given back only when the
- * worker says that the run has ended, or provably cannot run any more.  A task
- * is charged the larger of what it declared and what it was seen to use. */
+ * Capacity is charged before a start is ordered and released only when the worker reports
+ * that the run has ended, or when it is proven that it cannot run any more. A task is
+ * charged the larger of its declared and its measured usage. */
 #include "internal/rack-private.h"
 
 static uint64_t
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -1,24 +1,25 @@
-/* Which worker of a rack takes a task.
+/* Choice of the worker in a rack for a task.
  *
- * A rack has a handful of workers, so every policy looks at all of them; what
- * differs is the cost.
+ * A rack has few workers, so every policy examines all of them; the policies differ in
+ * the cost.
  *
- *  first-fit    the baseline: the lowest index that fits.
- *  best-fit     the least left over, summed over the resources in thousandths
- *               of the capacity.  Keeps large holes for large tasks.
- *  worst-fit    the most left over.  Spreads, and cuts every hole small.
- *  dot-product  the best alignment of demand and free space, so that a task
- *               heavy in one resource goes where that resource is plentiful.
- *  accel-guard  best fit, but work without accelerators may not take the CPU,
- *               memory and slots that the free accelerators of a host will need.
- *               Each free accelerator keeps GUARD_MILLI of its even share.
+ *   first-fit    baseline: the lowest index that fits.
+ *   best-fit     the least capacity left over, summed over the resources in thousandths
+ *                of the worker's capacity. Keeps large gaps for large tasks.
+ *   worst-fit    the most capacity left over. Spreads the load, and fragments every gap.
+ *   dot-product  the best alignment of demand and free capacity, so that a task that
+ *                needs much of one resource goes where that resource is plentiful.
+ *   accel-guard  best fit, but work without accelerators may not use the CPU, memory and
+ *                slots that the free accelerators of a host will need. Each free
+ *                accelerator keeps GUARD_MILLI of its even share.
  *
- * How much is kept follows the demand (schedule.c): all while accelerator work
- * waits at the rack; none for gangs; for work that cannot be stopped, as much as
- * accelerators are in use; nothing for work that can be stopped when they are wanted.  A fixed
- * half was tried first: it held 59% of the accelerators where 98% were wanted,
- * since half of the slots is not enough for them, and kept gangs off idle
- * accelerator hosts.  `./run bench` compares all five on the same arrivals. */
+ * How much is kept depends on the demand (schedule.c): all of it while accelerator work
+ * is queued at the rack; nothing for gangs; for work that cannot be preempted, the share
+ * of the rack's accelerators that is in use; nothing for preemptible work, which can be
+ * stopped when accelerators are wanted. A fixed half was tried first: accelerator
+ * utilization was 59% where the demand was 98%, since half of the slots is not enough for
+ * the accelerators, and gangs were kept off idle accelerator hosts. `./run bench`
+ * compares all five on the same arrivals. */
 #include "internal/place.h"
 
 static uint64_t
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -1,22 +1,23 @@
-/* Making room for work that may not wait.
+/* Preemption.
  *
- * Three rights to stop running work:
- *  - urgent work of a partner may stop that partner's own batch work;
- *  - work that needs accelerators may stop its own partner's batch work that
- *    needs none, where that stands in the way;
- *  - any work of the home partner may stop the guest's work (what was lent).
+ * Running work may be stopped in three cases:
+ *  - urgent work of a partner may stop batch work of the same partner;
+ *  - work that needs accelerators may stop batch work of the same partner that needs none
+ *    and occupies capacity on an accelerator host;
+ *  - any work of the home partner may stop work of the guest, which runs on lent
+ *    capacity.
  *
- * For each waiting task in rank order the cheapest worker is found: the one
- * where the least run time is lost, counting nothing for runs that checkpoint.
- * Space that is already being freed is counted first, so that ten urgent tasks
- * do not stop a victim each when one victim makes room for all ten.  The space
- * is marked as promised, else batch work would take each part of it as it comes
- * free and the urgent task would chase its room for ever.
+ * For each waiting task, in rank order, the worker with the lowest cost is chosen: the
+ * one where the least run time is lost. Runs that checkpoint lose nothing. Capacity that
+ * is already being freed is counted first, so that ten urgent tasks do not stop one
+ * victim each if a single victim makes room for all ten. The worker is marked as
+ * promised; otherwise batch work would take each part of the capacity as it becomes free,
+ * and the urgent task would never fit.
  *
- * The loss is bounded: a run that was stopped FB_RACK_PREEMPT_MAX times is not
- * stopped for its own partner's urgent work again, and the exact set is found
- * greedily (youngest first), not optimally: a rack holds a few dozen runs and
- * the optimum is a knapsack. */
+ * The loss is bounded: a run that was stopped FB_RACK_PREEMPT_MAX times is not stopped
+ * for its own partner's urgent or accelerator work again. The set of victims is found
+ * greedily (youngest first), not optimally: a rack has a few dozen runs, and the optimum
+ * is a knapsack problem. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
@@ -46,8 +47,9 @@
   return (x->started_ms < y->started_ms) - (x->started_ms > y->started_ms);
 }
 
-/* Returns: (transfer full): victims on one worker that make room for DEMAND in
- * SPACE, or NULL when there are not enough.  *LOSS is the run time lost. */
+/* Returns: (transfer full): runs on one worker whose stop makes room for FOR_TASK, given
+ * that SPACE is free or being freed; NULL if there are not enough. *LOSS_MS is the run
+ * time lost. */
 static GPtrArray *
 find_victims (const FbRack *self, const FbWorker *w, const fb_res *space, const FbTask *for_task,
               uint64_t now_ms, uint64_t *loss_ms)
@@ -80,7 +82,7 @@
 }
 
 static fb_res
-space_to_come (const FbWorker *w)
+upcoming_space (const FbWorker *w)
 {
   fb_res space = fb_worker_free_space (w);
   for (guint i = 0; i < w->tasks->len; i++)
@@ -110,9 +112,10 @@
     }
 }
 
-/* Gives TASK a promise on one worker; SPACES is the space left to promise. */
+/* Chooses a worker for TASK and preempts what has to give way there. SPACES has, for each
+ * worker, the capacity that is free or being freed and not yet assigned in this pass. */
 static void
-promise_room (FbRack *self, uint64_t now_ms, const FbTask *task, fb_res *spaces)
+make_room (FbRack *self, uint64_t now_ms, const FbTask *task, fb_res *spaces)
 {
   guint best = FB_NO_WORKER;
   uint64_t best_loss_ms = G_MAXUINT64;
@@ -148,7 +151,7 @@
 }
 
 static gboolean
-has_right (const FbRack *self, uint32_t partner, FbKind kind)
+may_preempt (const FbRack *self, uint32_t partner, FbKind kind)
 {
   if (kind == FB_KIND_URGENT || fb_lanes_accel_count (self->lanes) > 0)
     return TRUE;
@@ -158,11 +161,11 @@
 void
 fb_preempt_for_waiting (FbRack *self, uint64_t now_ms, uint32_t partner, FbKind kind)
 {
-  if (!has_right (self, partner, kind))
+  if (!may_preempt (self, partner, kind))
     return;
   g_autofree fb_res *spaces = g_new (fb_res, self->workers->len);
   for (guint i = 0; i < self->workers->len; i++)
-    spaces[i] = space_to_come (fb_rack_worker (self, i));
+    spaces[i] = upcoming_space (fb_rack_worker (self, i));
   guint seen = 0;
   const GPtrArray *lanes = fb_lanes_of (self->lanes, partner, kind);
   for (guint l = 0; l < lanes->len && seen < WAITING_SEEN_MAX; l++)
@@ -171,7 +174,7 @@
       GSequenceIter *iter = g_sequence_get_begin_iter (lane->tasks);
       while (!g_sequence_iter_is_end (iter) && seen++ < WAITING_SEEN_MAX)
         {
-          promise_room (self, now_ms, g_sequence_get (iter), spaces);
+          make_room (self, now_ms, g_sequence_get (iter), spaces);
           iter = g_sequence_iter_next (iter);
         }
     }
--- a/src/core/quality.c
+++ b/src/core/quality.c
@@ -1,16 +1,18 @@
-/* Workers that fail what they start.
+/* Quarantine of workers that fail the work they start.
  *
- * Failure: a broken worker ends everything at once, so it always looks free and
- * draws all work of its rack.  It shows as a run of quick failures of unlike
- * jobs on one worker.  Guard: after FAILS_MAX failures in a row, of more than
- * one job, it gets one idempotent probe at a time, at growing intervals, until
- * one completes.  When no work came by that could probe it, it is tried again
- * with any work, one failure from being taken out again: a worker that is never
- * probed would be lost for ever.  A job that fails everywhere is not held against a worker: a
- * streak of one job does not count.  At most half of a rack is taken out, since
- * beyond that the fault is more likely in the work than in the workers, and a
- * rack with no room helps no one.  Before that a worker with failures in a row
- * is less wanted, least by the job that failed there last. */
+ * Failure: a broken worker fails every run at once, so it always looks free and attracts
+ * all work of its rack. It shows as a series of quick failures of different jobs on one
+ * worker. Guard: after FAILS_MAX failures in a row, of more than one job, the worker is
+ * quarantined: it gets one idempotent task at a time as a probe, at growing intervals,
+ * until one completes.
+ *
+ * If no task that could serve as a probe arrives for UNPROBED_MAX_MS, the worker is
+ * restored for all work, one failure short of the next quarantine; without that, a worker
+ * that is never probed would be lost forever. Failures of a single job do not count as a
+ * streak, since that job may fail everywhere. At most half of the workers of a rack are
+ * quarantined: beyond that the fault is more likely in the work, and a rack without
+ * usable workers is of no use. A worker that has failures in a row but is not quarantined
+ * yet has a higher placement cost, most of all for the job that failed there last. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
@@ -19,7 +21,7 @@
 #define FAILS_MAX 3
 #define PROBE_WAIT_MAX_MS (60 * 1000)
 #define UNPROBED_MAX_MS (10 * 1000)
-/* Against costs of a few thousand, see place.c. */
+/* Added to placement costs of a few thousand, see place.c. */
 #define FAIL_COST 1000
 #define SAME_JOB_COST 100000
 
@@ -76,7 +78,7 @@
 {
   if (worker->fail_streak == 0)
     return 0;
-  /* The next try of a job goes elsewhere if it can. */
+  /* A retry of the job prefers another worker. */
   gboolean same = worker->last_failed_job == task->spec.run.job;
   return FAIL_COST * (int64_t) worker->fail_streak + (same ? SAME_JOB_COST : 0);
 }
--- a/src/core/rack-sync.c
+++ b/src/core/rack-sync.c
@@ -1,12 +1,14 @@
-/* The exchange between the owner of a rack and its workers.
+/* Exchanges between the owner of a rack and its workers.
  *
- * Each exchange names the whole wish (leases, starts, stops, ends that may be
- * forgotten) and each answer names the whole state, so a lost one costs a
- * period and nothing else.  A worker whose state is still the one that was heard
- * last says only that: most exchanges of a quiet worker carry no runs.  Leases and starts are
- * bounded on the worker's own clock: the owner adds the lease to the last clock reading it has
- * heard, so an exchange that lay in a buffer while the worker was frozen renews nothing and starts
- * nothing when the worker wakes. */
+ * Each request lists everything that the owner wants (leases, starts, stops, ends that
+ * may be forgotten) and each reply lists the whole state of the worker, so a lost
+ * exchange costs only a delay of one period. A worker whose state has not changed since
+ * the last reply says only that: most replies of an idle worker carry no runs.
+ *
+ * Leases and starts are bounded on the worker's own clock: the owner adds the lease to
+ * the last clock reading that it received. A request that lay in a buffer while the
+ * worker was suspended therefore renews no lease and starts nothing when the worker
+ * resumes. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
@@ -15,9 +17,10 @@
 static uint64_t
 start_limit_ms (const FbWorker *w, uint64_t now_ms, const FbTask *task)
 {
-  /* At most the worker's clock now. */
+  /* Lower bound of the worker's clock now. */
   uint64_t clock_now_ms = w->clock_ms + (now_ms - w->heard_ms);
-  /* A run that began after the lease would begin after it was declared lost. */
+  /* A run that starts after the end of the lease would start after it has been declared
+   * lost. */
   uint64_t limit_ms = MIN (clock_now_ms + FB_RACK_START_MS, w->clock_ms + FB_RACK_LEASE_MS);
   uint64_t left_ms = fb_deadline_left (now_ms, task->due_ms);
   if (left_ms == FB_NO_DEADLINE_MS)
@@ -27,7 +30,7 @@
 }
 
 static void
-add_wishes (const FbRack *self, FbWorker *w, uint64_t now_ms, FbSyncRequest *request)
+add_orders (const FbRack *self, FbWorker *w, uint64_t now_ms, FbSyncRequest *request)
 {
   for (guint i = 0; i < w->tasks->len; i++)
     {
@@ -50,7 +53,7 @@
     }
   if (fb_res_fits (&w->used, &w->capacity))
     return;
-  /* Seen usage has passed the capacity: slow down what may be slowed. */
+  /* The measured usage exceeds the capacity: throttle the runs that may be slowed down. */
   for (guint i = 0; i < w->tasks->len; i++)
     {
       FbTask *task = g_ptr_array_index (w->tasks, i);
@@ -59,7 +62,7 @@
     }
 }
 
-/* Ends that are acknowledged and that the worker still remembers. */
+/* Returns: (transfer full): the acknowledged ends that the worker still remembers. */
 static GArray *
 acks_for (const FbRack *self, guint index)
 {
@@ -86,7 +89,7 @@
   request.stops = g_array_new (FALSE, FALSE, sizeof (FbSyncStop));
   request.throttles = g_array_new (FALSE, FALSE, sizeof (fb_run));
   request.acks = acks_for (self, index);
-  add_wishes (self, w, now_ms, &request);
+  add_orders (self, w, now_ms, &request);
   w->dirty = FALSE;
   w->in_flight = TRUE;
   w->sync_at_ms = now_ms + FB_RACK_SYNC_PERIOD_MS;
@@ -118,7 +121,7 @@
   FbWorker *w = fb_rack_worker (self, index);
   if (w->used.amount[FB_RES_MEM_BYTES] <= w->capacity.amount[FB_RES_MEM_BYTES])
     return;
-  /* Memory cannot be throttled: the youngest run that may be stopped goes. */
+  /* Memory cannot be throttled: stop the youngest preemptible run. */
   FbTask *youngest = NULL;
   for (guint i = 0; i < w->tasks->len; i++)
     {
@@ -181,10 +184,10 @@
                     run->answer_len);
 }
 
-/* Failure: an exchange is given up and the next one repeats the start; the
- * worker refuses it in the first (too late) and carries it out in the second.
- * The first reply would say "not run" of work that runs.  Guard: a refusal
- * counts only when no later exchange was sent that may have named the run. */
+/* Failure: a request times out and the next one repeats the start. The worker refuses the
+ * start in the first request, which came too late, and executes it in the second; the
+ * first reply would report "not run" for a run that executes. Guard: a refusal counts
+ * only if no later request, which may have contained the start, was sent. */
 static void
 note_refused (FbRack *self, uint64_t now_ms, guint index, const FbSyncReply *reply,
               const FbSyncRun *run)
@@ -209,10 +212,10 @@
   return FALSE;
 }
 
-/* Ends what the worker does not list although it has handled an exchange that
- * named it.  A run that was seen running, or that an earlier life of the worker
- * may have started, is lost; a start that was taken back before the worker ever
- * handled it has not run, nor has one that a leaving worker is not told again. */
+/* Ends the tasks that the worker does not list although it has handled a request that
+ * contained them. A run that was live, or that an earlier incarnation of the worker may
+ * have started, is lost. A start that was cancelled before the worker handled it has not
+ * run, nor has one that is not repeated to a leaving worker. */
 static void
 end_unlisted (FbRack *self, uint64_t now_ms, guint index, const FbSyncReply *reply,
               gboolean restarted)
@@ -221,8 +224,9 @@
   for (guint i = w->tasks->len; i > 0; i--)
     {
       FbTask *task = g_ptr_array_index (w->tasks, i - 1);
-      /* All that was sent before this reply named the life that is over, also in
-       * exchanges that the new life has not seen. */
+      /* After a restart, every start sent before this reply was addressed to the previous
+       * incarnation, including those in requests that the new incarnation has not
+       * received. */
       gboolean handled = restarted || task->sent_seq <= reply->seq;
       if (task->sent_seq == 0 || !handled || reply_lists (reply, &task->spec.run))
         continue;
@@ -235,7 +239,7 @@
     }
 }
 
-/* Forgets acknowledged ends once the worker does not list them any more. */
+/* Forgets acknowledged ends that the worker does not list any more. */
 static void
 forget_acked (FbRack *self, const FbSyncReply *reply, guint index)
 {
@@ -260,16 +264,16 @@
       self->sink->fenced (self->user, self);
       return;
     }
-  gboolean other_life = reply->incarnation != w->incarnation;
+  gboolean new_incarnation = reply->incarnation != w->incarnation;
   if (reply->fenced || reply->epoch != self->epoch || reply->seq <= w->heard_seq
-      || (reply->unchanged && other_life))
+      || (reply->unchanged && new_incarnation))
     return;
-  gboolean restarted = w->heard_seq > 0 && other_life;
+  gboolean restarted = w->heard_seq > 0 && new_incarnation;
   if (w->state != FB_WORKER_OK)
     fb_event_log (FB_EVENT_WORKER_HEARD, "rack=%s worker=%s runs=%u", self->name, w->name,
                   reply->run_n);
   w->state = FB_WORKER_OK;
-  if (other_life)
+  if (new_incarnation)
     w->life_heard_ms = now_ms;
   w->gone_ms = 0;
   w->heard_seq = reply->seq;
--- a/src/core/rack-words.c
+++ b/src/core/rack-words.c
@@ -1,16 +1,17 @@
-/* Commands of range owners to a rack: place, withdraw, query, commit, ack.
+/* Requests of range owners to a rack: place, withdraw, query, commit, acknowledge,
+ * survey.
  *
- * A run enters once: the range owner sends each attempt exactly once, bound to
- * the epoch of this owner, over an ordered link.  It leaves only after the
- * range owner has acknowledged its end; until then the end is reported again,
- * and the worker is asked to remember it too.  A successor that reads back the
- * workers therefore finds every end that is not yet known to its range. */
+ * A run arrives only once: the range owner sends each attempt exactly once, addressed to
+ * the epoch of this owner, over an ordered connection. A run is forgotten only after the
+ * range owner has acknowledged its end; until then the rack repeats the report of the
+ * end, and the worker remembers it too. A successor that reads the states of the workers
+ * therefore finds every end that its range does not know yet. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
-#define GUEST_LINE_MAX 4
+#define GUEST_QUEUE_MAX 4
 
 static gboolean
 fits_some_worker (const FbRack *self, const fb_res *demand)
@@ -35,10 +36,10 @@
   return TRUE;
 }
 
-/* Failure: the owner of a range is replaced while its order is under way; its
- * successor asks, hears "not here" and starts the next attempt; then the order
- * arrives.  It would show as a run in two places.  Guard: any word of an owner
- * of a range fences out its predecessors. */
+/* Failure: the owner of a range is replaced while its order is in transit. Its successor
+ * queries the rack, is told "not here" and starts the next attempt; then the order
+ * arrives, and the task runs in two places. Guard: any message of an owner of a range
+ * fences out all owners with a lower epoch. */
 static gboolean
 range_is_current (FbRack *self, uint32_t range, uint64_t epoch)
 {
@@ -68,11 +69,13 @@
   gboolean guest = spec->partner != self->home;
   if (guest && (self->policy.lend_milli == 0 || !(spec->flags & FB_FLAG_PREEMPTIBLE)))
     return FB_REASON_NOT_LENT;
-  /* A guest's work may cross with the room it saw, but not stand in line. */
+  /* Work of the other partner is sent here because capacity was free; a few tasks may
+   * queue if it was taken meanwhile, but not more. */
   if (guest
-      && fb_lanes_count_of (self->lanes, spec->partner, (FbKind) spec->kind) >= GUEST_LINE_MAX)
+      && fb_lanes_count_of (self->lanes, spec->partner, (FbKind) spec->kind) >= GUEST_QUEUE_MAX)
     return FB_REASON_QUEUE_FULL;
-  /* Bounded for each partner and kind, so that a flood fills only its own. */
+  /* The limit is for each partner and kind, so that a flood of one fills only its own
+   * queue. */
   if (fb_lanes_count_of (self->lanes, spec->partner, (FbKind) spec->kind) >= self->policy.queue_max)
     return FB_REASON_QUEUE_FULL;
   return FB_REASON_NONE;
@@ -149,7 +152,8 @@
       fb_rack_send_news (self, task, FB_NEWS_QUEUED, FB_REASON_NONE);
       break;
     case FB_TASK_RESERVED:
-      /* The range still gathers: asking keeps the reservation. */
+      /* The range is still reserving for other members; its query extends the
+       * reservation. */
       task->reserved_until_ms = now_ms + FB_RACK_RESERVE_MS;
       fb_rack_send_news (self, task, FB_NEWS_RESERVED, FB_REASON_NONE);
       break;
@@ -193,8 +197,8 @@
       fb_rack_forget (self, task);
       return;
     }
-  /* The worker may still list the end: it is forgotten here only when the
-   * worker has forgotten it, see rack-sync.c. */
+  /* The worker may still list the end; the rack forgets it only once the worker does not,
+   * see rack-sync.c. */
   task->acked = TRUE;
 }
 
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -1,4 +1,4 @@
-/* A rack: its parts, the life of a task, leases and the passing of time. */
+/* A rack: construction, the lifecycle of a task, leases and timed work. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
@@ -230,7 +230,7 @@
   fb_rack_mark_dirty (self, task->worker);
 }
 
-/* A start that was never put into an exchange cannot have reached the worker. */
+/* A start that was in no request cannot have reached the worker. */
 gboolean
 fb_task_never_sent (const FbTask *task)
 {
@@ -304,7 +304,7 @@
 }
 
 static void
-watch_leases (FbRack *self, uint64_t now_ms)
+check_leases (FbRack *self, uint64_t now_ms)
 {
   const uint64_t lapse_ms = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_DRIFT_PERCENT / 100;
   gboolean ask = FALSE;
@@ -318,8 +318,8 @@
         }
       if (w->state == FB_WORKER_UNKNOWN && w->gone_ms > 0 && now_ms - w->gone_ms >= lapse_ms)
         w->state = FB_WORKER_GONE;
-      gboolean unproven = w->state == FB_WORKER_OK && w->proven_incarnation != w->incarnation;
-      ask = ask || unproven || w->state == FB_WORKER_SILENT;
+      gboolean unconfirmed = w->state == FB_WORKER_OK && w->proven_incarnation != w->incarnation;
+      ask = ask || unconfirmed || w->state == FB_WORKER_SILENT;
     }
   if (ask && now_ms - self->confirm_asked_ms >= FB_RACK_REPORT_PERIOD_MS)
     {
@@ -328,13 +328,13 @@
     }
 }
 
-/* Failure: a worker restarts and forgets the epoch it was fenced at; an owner
- * that was replaced without hearing of it finds the new life open and starts
- * work which its successor has declared not started.  It would show as a run in
- * two places.  Guard: nothing starts on a life of a worker before the log, read
- * after that life was first heard of, still names this owner. */
+/* Failure: a worker restarts and forgets the highest epoch that it has accepted. An owner
+ * that was replaced, but does not know it yet, finds that the new incarnation accepts its
+ * requests and starts work that its successor has declared not started: a run executes in
+ * two places. Guard: nothing starts on an incarnation of a worker until the log, read
+ * after the first reply of that incarnation, has confirmed this owner. */
 static void
-prove_lives (FbRack *self, uint64_t asked_ms)
+confirm_incarnations (FbRack *self, uint64_t asked_ms)
 {
   for (guint i = 0; i < self->workers->len; i++)
     {
@@ -351,16 +351,16 @@
   fb_rack_worker (self, worker)->proven_incarnation = incarnation;
 }
 
-/* Failure: this owner is cut off from the log and its workers, a successor has
- * claimed the rack and renews the leases that this owner believes lapsed.  It
- * would show as one run in two places, when the range starts it again.  Guard:
- * a lapse counts only if the log, read after the lapse, still names this owner.
- * A claim made after that read finds the run already stopped by its worker. */
+/* Failure: this owner is cut off from the log and from its workers while a successor has
+ * claimed the rack and renews the leases that this owner believes lapsed. When the range
+ * starts such a run again, it executes in two places. Guard: a lease counts as lapsed
+ * only if the log, read after the lapse, still names this owner. If a successor claims
+ * the rack after that read, the worker has already stopped the run. */
 void
 fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t asked_ms)
 {
   const uint64_t lapse_ms = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_DRIFT_PERCENT / 100;
-  prove_lives (self, asked_ms);
+  confirm_incarnations (self, asked_ms);
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
@@ -428,7 +428,7 @@
 {
   end_past_due (self, now_ms);
   end_expired_reservations (self, now_ms);
-  watch_leases (self, now_ms);
+  check_leases (self, now_ms);
   fb_quality_tick (self, now_ms);
   resend_reports (self, now_ms);
   if (fb_lanes_count (self->lanes) > 0)
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -1,31 +1,32 @@
-/* Routing on lagging summaries.
+/* Routing by summaries, which lag behind.
  *
- * A summary is a heartbeat old when it arrives.  If every daemon sends to the
- * rack that looks best, they all send to the same one (herding).  Three ways
- * are kept; `./run bench` compares them:
+ * A summary is up to one heartbeat old when it arrives. If every daemon sends to the rack
+ * that looks best, all of them send to the same one (herding). Three policies are
+ * available; `./run bench` compares them:
  *
- *  random        any rack that fits by its summary.
- *  two-choices   the better of two random ones: nearly as even as the best of
- *                all, without the herd.
- *  best-known    the best of all, corrected by what this daemon itself has sent
- *                since the summary.
+ *   random        any rack that fits according to its summary.
+ *   two-choices   the better of two random racks: nearly as even as the best of all,
+ *                without herding.
+ *   best-known    the best of all, corrected by what this daemon itself has sent since
+ *                the summary.
  *
- * In a large cell a choice looks at SAMPLE_N racks drawn at random, and at all
- * only when none of those will do: with 1,536 racks looking at all of them was
- * four fifths of the cost of a placement.  The best of some fifty random racks is
- * in the best two percent, and spreads the herd as two choices do.
+ * In a large cell a choice examines SAMPLE_N racks drawn at random, and all racks only if
+ * none of those is suitable: with 1,536 racks, examining all of them took four fifths of
+ * the cost of a placement. The best of some fifty random racks is in the best two
+ * percent, and the sampling prevents herding as two choices do.
  *
- * All three debit what they send from the summary, so that one daemon does not
- * overrun a rack between two summaries, and all set a refusing rack aside until
- * its next summary or REFUSED_WAIT_MS.  A rack that could take the work at once
- * is preferred to one where it would queue; own racks to the other partner's;
- * and work that needs no accelerator prefers racks that have none.
+ * All three policies debit what they send from the summary, so that one daemon does not
+ * overload a rack between two summaries, and none of them uses a rack that has refused a
+ * task until REFUSED_WAIT_MS have passed. Preferred are racks that can start the work at
+ * once to racks where it would queue, the partner's own racks to those of the other
+ * partner, and for work without accelerators racks that have none.
  *
- * Work that may be lent a place queues at home rather than be a guest, and its
- * range moves it when it sees room elsewhere.  A gang holds what it has gathered
- * while it queues, and none of its members moves alone, so for a gang a free
- * place at the other partner's comes before a line at home: otherwise one whose
- * home racks had lost a host for good waited beside an empty pool. */
+ * Preemptible work, which may run on the other partner's racks, queues at its own
+ * partner's racks rather than run as a guest; its range moves it when it sees room
+ * elsewhere. A gang keeps its reservations while it queues, and none of its members can
+ * move alone; so for a gang free capacity of the other partner is preferred to queueing
+ * at its own: otherwise a gang whose own racks had permanently lost a host waited beside
+ * an empty pool. */
 #include "internal/router.h"
 
 #include <string.h>
@@ -43,12 +44,12 @@
 typedef struct
 {
   FbRackFacts facts;
-  gboolean known;
-  gboolean usable;
+  gboolean known;  /* a summary has arrived */
+  gboolean usable; /* its owner is known */
   uint64_t refused_until_ms;
   fb_summary summary;
-  fb_res debit;
-  guint queue_debit[FB_WAITING_N];
+  fb_res debit;                    /* demand sent since the summary */
+  guint queue_debit[FB_WAITING_N]; /* tasks sent since the summary that will queue */
 } Rack;
 
 struct _FbRouter
@@ -150,9 +151,9 @@
   return fb_res_fits (&spec->demand, &rack->facts.host_capacity);
 }
 
-/* The line that the work would join there. */
+/* Returns: the length of the queue that the work would join at RACK. */
 static guint
-line_at (const Rack *rack, const fb_spec *spec)
+queue_length_at (const Rack *rack, const fb_spec *spec)
 {
   FbWaiting waiting = fb_spec_waiting (spec);
   return rack->summary.waiting[waiting] + rack->queue_debit[waiting];
@@ -167,9 +168,10 @@
     return TRUE;
   if (ask->look_only)
     return FALSE;
-  /* Only the home partner's work queues: a guest's would wait behind all of
-   * it, and is better placed by its range when room is seen. */
-  return rack->facts.partner == ask->spec->partner && line_at (rack, ask->spec) < QUEUE_SOFT_MAX;
+  /* Only work of the home partner queues at a rack. Work of the guest would wait behind
+   * all of it; its range places it when it sees room. */
+  return rack->facts.partner == ask->spec->partner
+         && queue_length_at (rack, ask->spec) < QUEUE_SOFT_MAX;
 }
 
 static uint64_t
@@ -185,7 +187,7 @@
     cost += COST_GUEST;
   if (!fits_now (rack, demand))
     cost += (ask->spec->kind == FB_KIND_GANG ? COST_QUEUE_GANG : COST_QUEUE)
-            + (uint64_t) line_at (rack, ask->spec) * 1000;
+            + (uint64_t) queue_length_at (rack, ask->spec) * 1000;
   if (demand->amount[FB_RES_ACCEL_COUNT] == 0
       && rack->facts.host_capacity.amount[FB_RES_ACCEL_COUNT] > 0)
     cost += COST_ACCEL_UNUSED;
@@ -227,7 +229,7 @@
 choose_best (FbRouter *self, const FbRouteAsk *ask, const GArray *candidates, FbRouteChoice *choice)
 {
   uint64_t best_cost = G_MAXUINT64;
-  /* Start at a random place so that equal racks do not all go to the first. */
+  /* Start at a random position so that racks of equal cost share the load. */
   guint start = (guint) g_rand_int_range (self->rand, 0, (gint32) candidates->len);
   for (guint i = 0; i < candidates->len; i++)
     {
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -1,18 +1,18 @@
-/* The scheduling pass of a rack: which waiting task starts next.
+/* The scheduling pass of a rack: the order in which waiting tasks start.
  *
- * The order is partner, kind, team, rank:
- *  - the home partner first.  The rack is its own; what it does not use is
- *    lent to the guest up to LEND_MILLI.  Neither partner's kinds or priorities
- *    have a word in the other's order.
- *  - inside a partner: urgent, service, gang, batch.
- *  - inside a kind: the team with the least dominant share for its weight.
- *  - inside a team: the lane's rank (lane.c).
+ * The order is by partner, kind, team and rank:
+ *  - The home partner, which the rack belongs to, comes first. Capacity that it does not
+ *    use is lent to the other partner, the guest, up to LEND_MILLI. Kinds and priorities
+ *    of one partner have no influence on the order of the other's work.
+ *  - Within a partner: urgent, service, gang, batch.
+ *  - Within a kind: the team with the smallest dominant share in relation to its weight.
+ *  - Within a team: the rank in the queue (lane.c).
  *
- * A head that does not fit lets up to BACKFILL_MAX later tasks of its lane
- * pass.  Left at that, a large task starves behind small ones for ever; so once
- * it has waited FB_RACK_HOLD_MS it holds one worker: nothing but urgent work
- * starts there until the large task has.  One hold at a time bounds the
- * capacity that stands idle for it to one worker of the rack. */
+ * If the first task of a queue does not fit, the others among its first BACKFILL_MAX
+ * tasks may start before it. With backfill alone, small tasks could starve a large one. So once the
+ * large task has waited for FB_RACK_HOLD_MS, one worker is held for it: only urgent work starts
+ * there until the large task has started. Only one worker is held at a time, which bounds
+ * the capacity left idle for this to one worker of the rack. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
@@ -47,12 +47,12 @@
   return fb_res_fits (&task->spec.demand, &free) && fb_quality_allows (self, now_ms, w, task);
 }
 
-/* See place.c. */
+/* Returns: the GUARD_MILLI of TASK, see place.c. */
 static uint32_t
 guard_for (const FbRack *self, const FbTask *task)
 {
-  /* A member that waits for accelerator work to cease keeps its whole gang, and
-   * the room that it holds on other racks, waiting. */
+  /* A gang member that waits until no accelerator work is queued keeps its whole gang
+   * waiting, and with it the capacity that the gang has reserved on other racks. */
   if (task->spec.kind == FB_KIND_GANG)
     return 0;
   if (fb_lanes_accel_count (self->lanes) > 0)
@@ -146,7 +146,7 @@
   if (!within_shares (self, task))
     return FALSE;
   Choice choice = choose_worker (self, now_ms, task, self->policy.place);
-  /* Urgent work may take what a policy would keep back. */
+  /* Urgent work may use capacity that the policy would keep free. */
   if (choice.best == FB_NO_WORKER && task->spec.kind == FB_KIND_URGENT)
     choice = choose_worker (self, now_ms, task, &fb_place_best_fit);
   if (choice.best == FB_NO_WORKER)
@@ -161,8 +161,8 @@
   if (self->hold_worker != FB_NO_WORKER || now_ms - head->arrived_ms < FB_RACK_HOLD_MS
       || head->spec.partner != self->home || !within_shares (self, head))
     return;
-  /* Kept off a host for the sake of its accelerators, it would hold the host idle
-   * and still not start. */
+  /* Work without accelerators may not start on accelerator hosts while accelerator work
+   * waits: holding such a host would leave it idle and still not start the task. */
   gboolean guarded
       = fb_spec_waiting (&head->spec) == FB_WAITING_OTHER && fb_lanes_accel_count (self->lanes) > 0;
   uint32_t least_milli = G_MAXUINT32;
@@ -200,7 +200,8 @@
   return FALSE;
 }
 
-/* Returns: the unblocked lane whose team has the least weighted share. */
+/* Returns: the queue, not blocked in this pass, whose team has the smallest weighted
+ * share, or NULL. */
 static FbLane *
 next_lane (const FbRack *self, uint32_t partner, FbKind kind)
 {
