--- a/include/fb-cell.h
+++ b/include/fb-cell.h
@@ -1,35 +1,37 @@
 /* The cell: its members, racks and partners, the same on every daemon.
  *
- * Shards are numbered: racks first, then ranges.  Range i belongs to partner
- * i mod FB_PARTNER_N, rack and range alike have one owner at a time. */
+ * Shards are numbered, racks first, then ranges. Range i belongs to partner i mod
+ * FB_PARTNER_N. Every rack and every range has one owner at a time. */
 #pragma once
 
 #include "fb-policy.h"
 #include "fb-types.h"
 
+/* A daemon. */
 typedef struct
 {
   char *name;
   uint32_t partner;
-  uint32_t domain;
-  char *host; /* IP number */
+  uint32_t domain; /* failure domain */
+  char *host;      /* IP address */
   uint16_t rpc_port;
-  uint16_t http_port; /* callers and operators */
+  uint16_t http_port; /* for callers and operators */
 } FbCellMember;
 
+/* A host, with one worker. */
 typedef struct
 {
   char *name;
-  char *address; /* IP:port of the worker's interface */
+  char *address; /* IP:port of the worker's HTTP interface */
 } FbCellHost;
 
 typedef struct
 {
   char *name;
   uint32_t partner;
-  uint32_t domain;
-  fb_res host_capacity;
-  GPtrArray *hosts; /* FbCellHost */
+  uint32_t domain;      /* failure domain */
+  fb_res host_capacity; /* of each host */
+  GPtrArray *hosts;     /* FbCellHost owned */
 } FbCellRack;
 
 typedef struct
@@ -41,10 +43,10 @@
 typedef struct
 {
   FbCellPartner partners[FB_PARTNER_N];
-  GPtrArray *members; /* FbCellMember */
-  GPtrArray *racks;   /* FbCellRack */
-  uint32_t range_n;
-  uint64_t retention_ms; /* of the log */
+  GPtrArray *members;    /* FbCellMember owned */
+  GPtrArray *racks;      /* FbCellRack owned */
+  uint32_t range_n;      /* number of ranges */
+  uint64_t retention_ms; /* how long the log keeps records; 0 if forever */
   char *log_url;
   char *host_list_url;
   char *peer_key; /* shared by all daemons */
@@ -58,19 +60,20 @@
                               const fb_res *host_capacity);
 void fb_cell_add_host (FbCellRack *rack, const char *name, const char *address);
 
-/* Returns: TRUE when both say the same in every member, rack, host and key. */
+/* Returns: TRUE if both have the same members, racks, hosts, keys and settings. */
 gboolean fb_cell_equal (const FbCell *a, const FbCell *b);
 
 guint fb_cell_shard_count (const FbCell *self);
 gboolean fb_cell_is_rack (const FbCell *self, uint32_t shard);
 uint32_t fb_cell_shard_partner (const FbCell *self, uint32_t shard);
-/* Returns: the shard of the range that keeps JOB of PARTNER. */
+/* Returns: the shard number of the range that JOB of PARTNER belongs to. */
 uint32_t fb_cell_range_of_job (const FbCell *self, uint32_t partner, uint64_t job);
-/* Returns: the part of a team's QUOTA that RACK may give it: the rack's share of
- * its partner's hosts, so that all racks together never pass the quota. */
+/* Returns: the part of a team's QUOTA that RACK may give: in proportion to the rack's
+ * share of its partner's hosts, so that all racks together never exceed the quota. */
 fb_res fb_cell_quota_slice (const FbCell *self, const FbCellRack *rack, const fb_res *quota);
-/* Returns: the index of the partner, or -1. */
+/* Returns: the index of the partner, or -1 if there is none of that NAME. */
 int fb_cell_partner_by_name (const FbCell *self, const char *name);
 FbCellMember *fb_cell_member (const FbCell *self, guint index);
 FbCellRack *fb_cell_rack (const FbCell *self, guint index);
+/* Returns: the index of the member, or -1 if there is none of that NAME. */
 int fb_cell_member_by_name (const FbCell *self, const char *name);
--- a/include/fb-policy.h
+++ b/include/fb-policy.h
@@ -1,7 +1,7 @@
-/* A partner's policy: what its operators declare, parsed and checked.
+/* A partner's policy as declared by its operators, parsed and validated.
  *
- * Read from INI files that are applied together as one revision.  The format
- * is in flamingobarrow(5). */
+ * It is read from INI files that are applied together as one revision. The format is
+ * described in flamingobarrow(5). */
 #pragma once
 
 #include "fb-types.h"
@@ -11,9 +11,9 @@
 {
   FB_POLICY_OK,
   FB_POLICY_SYNTAX,  /* not an INI file */
-  FB_POLICY_UNKNOWN, /* a group or key that does not exist */
-  FB_POLICY_VALUE,   /* a value out of its range or set */
-  FB_POLICY_MISSING, /* a key that must be there, or a name not declared */
+  FB_POLICY_UNKNOWN, /* an unknown group or key */
+  FB_POLICY_VALUE,   /* a value that is out of range or not one of those allowed */
+  FB_POLICY_MISSING, /* a required key is missing, or a name is not declared */
   FB_POLICY_DOUBLE   /* declared twice */
 } FbPolicyStatus;
 
@@ -21,10 +21,10 @@
 {
   char *name;
   uint32_t weight;
-  fb_res quota; /* zero: no limit */
+  fb_res quota; /* 0: no limit */
 } FbPolicyTeam;
 
-/* How callers' work of one class is treated. */
+/* Settings for callers' work of one class. */
 typedef struct
 {
   char *name;
@@ -32,7 +32,7 @@
   uint32_t flags;
   char *team;
   fb_res demand;
-  uint64_t deadline_ms; /* default time to start; FB_NO_DEADLINE_MS for none */
+  uint64_t deadline_ms; /* default time until the latest start; FB_NO_DEADLINE_MS for none */
   uint64_t run_ms;      /* expected run time */
 } FbPolicyClass;
 
@@ -41,37 +41,39 @@
   char *name;
   char *team;
   fb_res demand;
-  uint32_t count;
+  uint32_t count; /* number of tasks */
 } FbPolicyService;
 
 typedef struct
 {
   uint32_t partner;
-  uint32_t lend_milli;
-  char *placement;
-  GPtrArray *teams;    /* FbPolicyTeam */
-  GPtrArray *classes;  /* FbPolicyClass */
-  GPtrArray *services; /* FbPolicyService */
-  GPtrArray *drains;   /* char *: own hosts that get nothing new */
+  uint32_t lend_milli; /* share of its racks that the other partner may use, in thousandths */
+  char *placement;     /* name of a placement policy */
+  GPtrArray *teams;    /* FbPolicyTeam owned */
+  GPtrArray *classes;  /* FbPolicyClass owned */
+  GPtrArray *services; /* FbPolicyService owned */
+  GPtrArray *drains;   /* char * owned: the partner's hosts that get no new work */
 } FbPolicy;
 
-/* Parses FILES as one revision of PARTNER.  Returns: FB_POLICY_OK and sets
- * *POLICY (transfer full); else the last message names file, group, key and
- * what was expected. */
+/* Parses FILES as one revision of PARTNER. Returns: FB_POLICY_OK and sets *POLICY
+ * (transfer full); otherwise the last message names the file, the group, the key and the
+ * expected value. */
 FbPolicyStatus fb_policy_parse (uint32_t partner, const fb_rec_file *files, guint file_n,
                                 FbPolicy **policy);
-/* Returns: (transfer full): the policy in force before the first revision. */
+/* Returns: (transfer full): the policy that is in force before the first revision. */
 FbPolicy *fb_policy_new_default (uint32_t partner);
 void fb_policy_free (FbPolicy *self);
 
+/* Returns: TRUE if the policy declares HOST as drained. */
 gboolean fb_policy_drains (const FbPolicy *self, const char *host);
+/* Returns: the class NAME, borrowed, or NULL. */
 const FbPolicyClass *fb_policy_class (const FbPolicy *self, const char *name);
 
 #define FB_SIGN_PUBLIC_BYTES 32
 #define FB_SIGN_SECRET_BYTES 64
 
-/* Ed25519 over the bytes of a revision.  A partner's key vouches for its own
- * revisions and for nothing else. */
+/* Ed25519 signatures of the encoded revision. A partner's key is valid only for its own
+ * revisions. */
 gboolean fb_policy_verify (const uint8_t *public_key, const void *data, gsize len,
                            const void *signature);
 void fb_policy_sign (const uint8_t *secret_key, const void *data, gsize len, void *signature);
--- a/include/fb-types.h
+++ b/include/fb-types.h
@@ -1,7 +1,7 @@
 /* Types shared by all layers: resources, runs, kinds, outcomes.
  *
- * Wire types (fb_run, fb_res, fb_spec, ...) come from rpc/peer.x and are used
- * as they are by the decision code, so that nothing is translated twice. */
+ * The wire types (fb_run, fb_res, fb_spec, ...) come from rpc/peer.x. The decision code
+ * uses them directly, so no conversion is needed. */
 #pragma once
 
 #include <glib.h>
@@ -10,10 +10,10 @@
 #include "rpc/peer.h"
 
 #define FB_NO_DEADLINE_MS G_MAXUINT64
-#define FB_PARTNER_N 2
+#define FB_PARTNER_N 2 /* number of partners */
 #define FB_NO_WORKER G_MAXUINT32
 
-/* Index into fb_res.amount.  The unit is part of the name. */
+/* Index into fb_res.amount. The name includes the unit. */
 typedef enum
 {
   FB_RES_CPU_MILLI,
@@ -23,7 +23,7 @@
   FB_RES_N
 } FbResource;
 
-/* What a piece of work asks of the scheduler; smaller goes first. */
+/* Kind of work; a smaller value has precedence. */
 typedef enum
 {
   FB_KIND_URGENT,
@@ -35,14 +35,14 @@
 
 typedef enum
 {
-  FB_FLAG_ONCE = 1 << 0,        /* not idempotent: runs at most once */
+  FB_FLAG_ONCE = 1 << 0,        /* not idempotent: must run at most once */
   FB_FLAG_PREEMPTIBLE = 1 << 1, /* may be stopped and run again */
-  FB_FLAG_CHECKPOINT = 1 << 2,  /* keeps its progress when stopped */
-  FB_FLAG_RESERVE = 1 << 3,     /* hold the capacity, start on commit */
-  FB_FLAG_EPHEMERAL = 1 << 4    /* no record in the log; dies with its caller */
+  FB_FLAG_CHECKPOINT = 1 << 2,  /* saves its progress when stopped */
+  FB_FLAG_RESERVE = 1 << 3,     /* reserve the capacity, start on commit */
+  FB_FLAG_EPHEMERAL = 1 << 4    /* no record in the log; ends with the daemon of its caller */
 } FbFlag;
 
-/* What waiting work stands in line with. */
+/* Class of waiting work, by what it waits for. */
 typedef enum
 {
   FB_WAITING_URGENT,
@@ -51,20 +51,20 @@
   FB_WAITING_N
 } FbWaiting;
 
-/* News of a run, from the owner of a rack to the owner of a range. */
+/* Status of a run, reported by the owner of a rack to the owner of a range. */
 typedef enum
 {
   FB_NEWS_QUEUED = 1,
   FB_NEWS_RESERVED,
   FB_NEWS_STARTED,
-  FB_NEWS_REFUSED,   /* never ran, never will under this attempt */
-  FB_NEWS_NOT_RUN,   /* was accepted, never ran, never will */
-  FB_NEWS_COMPLETED, /* whole answer attached */
-  FB_NEWS_FAILED,    /* the target's own failure, answer attached */
-  FB_NEWS_STOPPED,   /* started, was stopped, has ended */
-  FB_NEWS_LOST,      /* may have run, cannot be running any more */
-  FB_NEWS_NOT_HERE,  /* complete knowledge of the rack, and no such run */
-  FB_NEWS_UNSURE     /* some worker has not answered yet */
+  FB_NEWS_REFUSED,   /* did not run, and this attempt never will */
+  FB_NEWS_NOT_RUN,   /* was accepted, did not run, and never will */
+  FB_NEWS_COMPLETED, /* the complete answer is attached */
+  FB_NEWS_FAILED,    /* failed by the target; the answer is attached */
+  FB_NEWS_STOPPED,   /* started, was stopped, and has ended */
+  FB_NEWS_LOST,      /* may have run, and cannot be running any more */
+  FB_NEWS_NOT_HERE,  /* all workers have replied, and none has the run */
+  FB_NEWS_UNSURE     /* some worker has not replied yet */
 } FbNews;
 
 typedef enum
@@ -88,12 +88,12 @@
   FB_REASON_OVERLOAD,
   FB_REASON_KEY_MISMATCH,
   FB_REASON_LOG_DOWN,
-  FB_REASON_RETENTION,
+  FB_REASON_RETENTION, /* may have been forgotten: the log dropped records */
   FB_REASON_N
 } FbReason;
 
-/* How a job or request ended, or that it has not.  The first four are the only
- * final ones, and a caller gets exactly one of them. */
+/* Outcome of a job or request. Only the first four are final, and a caller gets exactly
+ * one of them. */
 typedef enum
 {
   FB_OUTCOME_COMPLETED,
@@ -105,30 +105,30 @@
   FB_OUTCOME_N
 } FbOutcome;
 
-/* Returns: static names for logs, JSON and the command line. */
+/* Returns: a static name for logs, JSON and the command line. */
 const char *fb_kind_name (FbKind kind);
 const char *fb_news_name (FbNews news);
 const char *fb_reason_name (FbReason reason);
 const char *fb_outcome_name (FbOutcome outcome);
 
-/* Returns: TRUE and sets *KIND when NAME is one of fb_kind_name(). */
+/* Returns: TRUE and sets *KIND if NAME is the fb_kind_name() of a kind. */
 gboolean fb_kind_parse (const char *name, FbKind *kind);
 
-/* Arithmetic on resource vectors.  fb_res_sub() stops at zero. */
+/* Arithmetic on resource vectors. fb_res_sub() does not go below 0. */
 void fb_res_add (fb_res *to, const fb_res *amount);
 void fb_res_sub (fb_res *from, const fb_res *amount);
 gboolean fb_res_fits (const fb_res *demand, const fb_res *free);
 gboolean fb_res_is_zero (const fb_res *amount);
 
-/* Returns: the largest USED/TOTAL over all resources, in thousandths; a
- * resource with no total counts only when some of it is used (1000). */
+/* Returns: the largest USED/TOTAL over all resources, in thousandths. A resource whose
+ * total is 0 counts as 1000 if some of it is used, otherwise not at all. */
 uint32_t fb_res_dominant_milli (const fb_res *used, const fb_res *total);
 
 /* GHashTable functions for fb_run keys. */
 guint fb_run_hash (gconstpointer run);
 gboolean fb_run_equal (gconstpointer a, gconstpointer b);
 
-/* Returns: the line that SPEC waits in. */
+/* Returns: the class that SPEC belongs to while it waits. */
 FbWaiting fb_spec_waiting (const fb_spec *spec);
 
 /* Deep copy and release of a wire struct with its payload. */
@@ -137,10 +137,11 @@
 void fb_spec_copy (fb_spec *to, const fb_spec *from);
 void fb_spec_clear (fb_spec *spec);
 
-/* Returns: NOW + LEFT without overflow; FB_NO_DEADLINE_MS stays itself. */
+/* Returns: NOW_MS + LEFT_MS without overflow; FB_NO_DEADLINE_MS if LEFT_MS is
+ * FB_NO_DEADLINE_MS. */
 uint64_t fb_deadline_after (uint64_t now_ms, uint64_t left_ms);
-/* Returns: what is left of DUE at NOW, 0 when it is past. */
+/* Returns: the time from NOW_MS to DUE_MS, 0 if it has passed. */
 uint64_t fb_deadline_left (uint64_t now_ms, uint64_t due_ms);
 
-/* Returns: a 64-bit hash of TEXT and SALT (xxHash, equal on every host). */
+/* Returns: a 64-bit hash of TEXT and SALT (xxHash, the same on every host). */
 uint64_t fb_hash64 (const char *text, uint64_t salt);
--- a/rpc/peer.x
+++ b/rpc/peer.x
@@ -1,8 +1,8 @@
 /* The protocol between daemons: batches of one-way messages.
  *
- * One procedure carries a batch and its reply only acknowledges receipt.
- * Answers travel as messages of their own, matched by run and attempt, so a
- * lost reply never decides anything.  All times are time left, in ms. */
+ * One procedure carries a batch; its reply only acknowledges receipt. Answers are
+ * messages of their own, matched by run and attempt, so the loss of a reply never affects
+ * a decision. Times that refer to a deadline are sent as the remaining time in ms. */
 
 const FB_MAX_PAYLOAD = 65536;
 const FB_MAX_NAME = 64;
@@ -25,6 +25,8 @@
   unsigned hyper amount[4];
 };
 
+/* One attempt as a rack gets it. LEFT_MS: remaining time to the latest start, all
+ * ones for none. WAITED_MS: time since the job arrived. RUN_MS: expected run time. */
 struct fb_spec {
   fb_run run;
   unsigned int range;
@@ -41,13 +43,15 @@
   opaque payload<FB_MAX_PAYLOAD>;
 };
 
+/* Order to run an attempt on RACK, valid for the owner at RACK_EPOCH only. */
 struct fb_place {
   unsigned int rack;
   unsigned hyper rack_epoch;
   fb_spec spec;
 };
 
-/* What a rack owner tells a range owner about a run. */
+/* Status of a run, from a rack owner to a range owner. NEWS is an FbNews, REASON an
+ * FbReason, WORKER an index or all ones for none. */
 struct fb_report {
   fb_run run;
   unsigned int range;
@@ -59,7 +63,8 @@
   opaque answer<FB_MAX_PAYLOAD>;
 };
 
-/* A range owner's word about a run: acknowledge, withdraw, query or commit. */
+/* Message of a range owner about a run: acknowledge, withdraw, query, commit or survey.
+ * FORCE: a withdrawal that also stops a started run. */
 struct fb_word {
   fb_run run;
   unsigned int rack;
@@ -69,13 +74,15 @@
   unsigned int force;
 };
 
-/* All runs of RANGE that a complete rack holds, whatever their state. */
+/* Reply to a survey: all runs of RANGE that RACK has, in any state, except ends that are
+ * acknowledged. */
 struct fb_surveyed {
   unsigned int rack;
   unsigned int range;
   fb_run runs<FB_MAX_MEMBERS>;
 };
 
+/* A job as submitted. KEY: its idempotency key, empty for none. */
 struct fb_job {
   unsigned hyper id;
   unsigned int partner;
@@ -90,13 +97,14 @@
   opaque payload<FB_MAX_PAYLOAD>;
 };
 
-/* COPY counts how often the sender has sent this submission. */
+/* COPY: number of this copy of the submission, counted by its sender from 1. */
 struct fb_submit {
   unsigned int copy;
   fb_job job;
 };
 
-/* REFUSED_COPY is set when no job came into being: the copy that was refused. */
+/* REFUSED_COPY: number of the copy that was refused, if no job was admitted; otherwise 0.
+ * WAIT_MS: time from arrival to the first start, or until now if nothing has started. */
 struct fb_answer {
   unsigned int refused_copy;
   unsigned hyper job;
@@ -109,13 +117,16 @@
   opaque body<FB_MAX_PAYLOAD>;
 };
 
+/* Query or cancellation of a job. */
 struct fb_job_word {
   unsigned hyper job;
   unsigned int partner;
 };
 
-/* A lagging picture of one rack, for routing.  WAITING: the home partner's work
- * by FbWaiting, since each kind waits for something else. */
+/* State of one rack for routing, which lags behind. FREE: total free capacity. LARGEST:
+ * for each resource the largest free amount on one worker. WAITING: number of queued
+ * tasks of the home partner, indexed by FbWaiting. COMPLETE: all workers have replied to
+ * this owner. */
 struct fb_summary {
   unsigned int rack;
   unsigned hyper epoch;
@@ -125,6 +136,7 @@
   unsigned int complete;
 };
 
+/* Announces in a heartbeat that OWNER owns SHARD. */
 struct fb_claim_view {
   unsigned int shard;
   unsigned hyper epoch;
@@ -132,6 +144,8 @@
   unsigned hyper incarnation;
 };
 
+/* CLOCK_MS: the sender's monotonic clock. CONFIG_SERIAL: serial of each partner's
+ * revision in force at the sender. */
 struct fb_heartbeat {
   unsigned hyper clock_ms;
   unsigned int leaving;
@@ -140,15 +154,15 @@
   fb_claim_view claims<FB_MAX_SUMMARIES>;
 };
 
-/* LIVES: for each worker of a rack the incarnation on which the old owner has
- * proved itself, or 0. */
+/* Hands SHARD over to the receiver. LIVES: for each worker of a rack, the incarnation for
+ * which the old owner has confirmed its ownership, or 0. */
 struct fb_handover {
   unsigned int shard;
   unsigned hyper epoch;
   unsigned hyper lives<FB_MAX_SUMMARIES>;
 };
 
-/* Asks for the revision of PARTNER behind SERIAL. */
+/* Requests the revision of PARTNER if its serial is above SERIAL. */
 struct fb_config_pull {
   unsigned int partner;
   unsigned hyper serial;
@@ -198,11 +212,13 @@
 case FB_MSG_SURVEYED: fb_surveyed surveyed;
 };
 
-/* SEQ orders the messages of one sender incarnation to one receiver; a
- * receiver drops what does not advance it.  TO_INCARNATION 0 means any.
- * ECHO_MS is the receiver's own clock as the sender knows it: the clock of its
- * last heartbeat plus the time since.  The receiver's clock less ECHO_MS is at
- * least the time that the message was under way; 0 when not known. */
+/* SEQ numbers the messages of one sender incarnation to one receiver; a receiver drops a
+ * message whose number is not above the last one. TO_INCARNATION 0 means any.
+ *
+ * ECHO_MS is a lower bound of the receiver's own clock when the message was sent: the
+ * clock in its last heartbeat plus the time since that arrived; 0 if not known. The
+ * receiver's clock on arrival minus ECHO_MS is therefore an upper bound of the transit
+ * time. */
 struct fb_msg {
   string from<FB_MAX_NAME>;
   unsigned hyper from_incarnation;
--- a/rpc/record.x
+++ b/rpc/record.x
@@ -1,7 +1,7 @@
-/* Records of the streams that the system keeps in the platform's log.
+/* Records of the streams in the platform's log.
  *
- * A shard's stream holds the claims that govern it and, for a range, the
- * records of its jobs.  The stream named "config" holds revisions. */
+ * A shard's stream contains the claims that determine its owner and, for a range, the
+ * records of its jobs. The stream "config" contains revisions. */
 
 const FB_REC_MAX_TASKS = 65536;
 const FB_REC_MAX_FILES = 64;
@@ -9,10 +9,10 @@
 const FB_REC_SIGNATURE_BYTES = 64;
 const FB_REC_VERSION = 1;
 
-/* Takes over a shard.  Valid only when PREVIOUS is the epoch in force at this
- * place of the stream; its own offset then becomes the epoch.  A claimant that
- * found no epoch because the log has dropped it names the offset FIRST at which
- * its reading began.  READ_TO: up to where it had read. */
+/* Claims a shard. Valid only if PREVIOUS is the epoch in force at this position of the
+ * stream; the offset of the claim then becomes the epoch. A claimant that found no epoch
+ * because the log has dropped it sets FIRST to the offset at which its reading began,
+ * otherwise to 0. READ_TO: the offset up to which it had read. */
 struct fb_rec_claim {
   unsigned int shard;
   unsigned hyper previous;
@@ -22,7 +22,7 @@
   unsigned hyper incarnation;
 };
 
-/* One task of a job as far as the log must know it. */
+/* State of one task of a job. */
 struct fb_rec_task {
   unsigned int index;
   unsigned int attempt;
@@ -34,9 +34,11 @@
   unsigned int started_count;
 };
 
-/* An owner's sign of life.  READ_TO: its epoch was in force up to this offset.  OLDEST: no job that is still needed has its full
- * record before this offset of the stream.  UNSURE_MS and SURVEYING:
- * what is left of the guards against forgotten jobs. */
+/* Renewal of a claim, which an owner writes periodically. READ_TO: the epoch was in force
+ * up to this offset. OLDEST: no job that is still needed has its full record before this
+ * offset of the stream. UNSURE_MS, SURVEYING: for how long jobs may still be forgotten
+ * (in ms), and whether a survey of the racks is in progress; both are 0 if no record was
+ * lost. */
 struct fb_rec_renew {
   fb_rec_claim claim;
   unsigned hyper read_to;
@@ -45,22 +47,25 @@
   unsigned int surveying;
 };
 
-/* DUE_LOG_MS is on the clock of the log, which all daemons can read, and no
- * later than the true due time; 0 for none.  The time left in JOB would be too
- * much for a reader when the append was held up. */
+/* DUE_LOG_MS: due time on the clock of the log, which all daemons can read, and not later
+ * than the true due time; 0 for none. The remaining time in JOB would be too long for a
+ * reader if the append was delayed. */
 struct fb_rec_admit {
   fb_job job;
-  unsigned int update; /* of a service that its readers know from before */
-  unsigned int doubt;  /* above 0: may have run and been forgotten; attempts
-                        * are counted from here, as lower ones may be in use */
+  unsigned int update; /* changes a service that readers already know */
+  unsigned int doubt;  /* if above 0, the job may have run before and been forgotten;
+                        * attempts are numbered from this value, as lower ones may
+                        * be in use */
   unsigned hyper due_log_ms;
 };
 
+/* The attempts that are about to be sent to racks. */
 struct fb_rec_intent {
   unsigned hyper job;
   fb_rec_task tasks<FB_REC_MAX_TASKS>;
 };
 
+/* Final outcomes of tasks. BODY: output of the last task, or empty. */
 struct fb_rec_end {
   unsigned hyper job;
   fb_rec_task tasks<FB_REC_MAX_TASKS>;
@@ -71,8 +76,8 @@
   unsigned hyper job;
 };
 
-/* The whole state of a job, written again before the log drops its records.
- * AGE_MS is the time since admission, for what is left of its deadline. */
+/* The full state of a job, written again before the log drops its records. AGE_MS: time
+ * since admission, from which the rest of its deadline follows. */
 struct fb_rec_state {
   fb_rec_admit admit;
   unsigned hyper age_ms;
@@ -86,14 +91,14 @@
   opaque text<FB_REC_MAX_FILE>;
 };
 
-/* What a partner signs: its files as one revision. */
+/* The data that a partner signs: its files as one revision. */
 struct fb_rec_revision {
   unsigned int partner;
   unsigned hyper serial;
   fb_rec_file files<FB_REC_MAX_FILES>;
 };
 
-/* RESTATED: written again by a daemon where the revision is in force. */
+/* RESTATED: written again by a daemon where the revision is in force, not by an operator. */
 struct fb_rec_config {
   unsigned int restated;
   opaque revision<FB_MAX_CONFIG>;
@@ -122,8 +127,9 @@
 case FB_REC_RENEW: fb_rec_renew renew;
 };
 
-/* WRITER and SEQ let readers drop the doubles of an append whose answer was
- * lost.  EPOCH is that of the writer: a record behind a later claim is void. */
+/* WRITER and SEQ let readers drop the duplicates of an append that was repeated because
+ * its answer was lost. EPOCH: the writer's epoch; a record after a later claim is
+ * superseded. */
 struct fb_record {
   unsigned int format;
   unsigned hyper epoch;
--- a/src/core/cell.c
+++ b/src/core/cell.c
@@ -182,7 +182,7 @@
       if (all > 0)
         slice.amount[r] = (uint64_t) ((double) quota->amount[r] * (double) here / (double) all);
       if (quota->amount[r] > 0 && slice.amount[r] == 0)
-        slice.amount[r] = 1; /* zero would mean no limit */
+        slice.amount[r] = 1; /* 0 would mean no limit */
     }
   return slice;
 }
--- a/src/core/codec.c
+++ b/src/core/codec.c
@@ -24,7 +24,7 @@
   return g_bytes_new_take (buffer, size);
 }
 
-/* VALUE must be zeroed.  A failed decode leaves nothing allocated. */
+/* VALUE must be zeroed. After a failed decode nothing is allocated. */
 static gboolean
 decode (xdrproc_t proc, const void *data, gsize len, gsize *offset, void *value)
 {
@@ -109,7 +109,7 @@
   xdr_free ((xdrproc_t) xdr_fb_rec_revision, (char *) revision);
 }
 
-/* Decodes one value that takes up all of DATA. */
+/* Decodes one value that occupies all of DATA. */
 static gboolean
 decode_whole (xdrproc_t proc, const void *data, gsize len, gsize size, void *value)
 {
@@ -157,7 +157,8 @@
   memset (suspects, 0, sizeof *suspects);
   if (!decode ((xdrproc_t) xdr_fb_work_progress, data, len, &offset, progress))
     return FALSE;
-  /* Records from before suspects were kept, and of jobs without one, end here. */
+  /* Records written before suspects were introduced, and those of jobs without one, end
+   * here. */
   if (offset == len)
     return TRUE;
   if (decode ((xdrproc_t) xdr_fb_work_suspects, data, len, &offset, suspects) && offset == len)
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -75,7 +75,8 @@
   job->due_log_ms = admit->due_log_ms;
   if (admit->doubt)
     fb_job_set_doubt (job, admit->doubt);
-  /* Without a clock of the log the due time cannot be known: nothing starts. */
+  /* If the log's clock was not known at admission, due_log_ms is 0 and the job counts as
+   * past due, so that nothing starts too late. */
   if (admit->job.left_ms != FB_NO_DEADLINE_MS)
     job->due_ms = now_ms + fb_deadline_left (place->log_now_ms, admit->due_log_ms);
   return job;
@@ -100,7 +101,7 @@
   g_free (job);
 }
 
-/* Nothing of this job may be called "not run" any more. */
+/* Counts every task as started, so that no outcome of this job is "not run". */
 void
 fb_job_set_doubt (FbJob *job, uint32_t first_attempt)
 {
@@ -112,8 +113,8 @@
     }
 }
 
-/* Grows a service.  A service shrinks by ending the tasks beyond its count and
- * keeps their places, since a late report may still name them. */
+/* Sets the number of tasks of a service. A service shrinks by ending the tasks beyond its
+ * count and keeps their entries, since a late report may still name them. */
 void
 fb_job_resize (FbRange *self, uint64_t now_ms, FbJob *job, guint count)
 {
--- a/src/core/member.c
+++ b/src/core/member.c
@@ -1,10 +1,10 @@
-/* Membership by heartbeats, ownership wish by rendezvous hashing.
+/* Membership by heartbeats, and preferred owners by rendezvous hashing.
  *
- * Membership is only a wish: it decides who tries to own a shard, never who
- * does.  Two daemons with different pictures both claim, and the log lets one
- * win.  So plain heartbeats with a fixed suspicion time are enough, and a wrong
- * suspicion costs a move, not a safety rule.  With rendezvous hashing a member
- * that leaves moves only its own shards. */
+ * Membership only decides which daemon tries to own a shard, never which one does: if two
+ * daemons with different views both claim, the log lets one of them win. So plain
+ * heartbeats with a fixed suspicion time are sufficient; a wrong suspicion costs a move
+ * of a shard, but not safety. With rendezvous hashing, a member that leaves moves only
+ * its own shards. */
 #include "internal/member.h"
 
 #include "fb-event.h"
@@ -14,8 +14,8 @@
   char *name;
   uint32_t partner;
   uint32_t domain;
-  uint64_t incarnation;
-  uint64_t heard_ms;
+  uint64_t incarnation; /* 0 if no heartbeat has arrived */
+  uint64_t heard_ms;    /* when the last heartbeat arrived */
   uint64_t alive_since_ms;
   FbMemberState state;
 } Member;
--- a/src/core/node-config.c
+++ b/src/core/node-config.c
@@ -1,14 +1,14 @@
 /* Revisions of the partners' configuration.
  *
- * A revision is all files of one partner with a serial number, signed with the
- * partner's key.  In the log the first revision with the next serial wins, so
- * of two operators who race one is told of the conflict.  A daemon never goes
- * back to a lower serial, whatever it reads later: a restart reads the stream
- * again, and a daemon that starts while the log is down takes the revision from
- * a peer, signature and all.
+ * A revision consists of all files of one partner and a serial number, signed with the
+ * partner's key. In the log, the first revision with the next serial wins, so of two
+ * operators who apply at the same time one is told of the conflict. A daemon never
+ * returns to a lower serial, whatever it reads later: after a restart it reads the stream
+ * again, and a daemon that starts while the log is unavailable takes the signed revision
+ * from a peer.
  *
- * Heartbeats carry the serials in force; whoever is behind pulls.  That is a
- * lazy push of a number and costs 16 bytes a heartbeat. */
+ * Heartbeats carry the serials in force, which costs 16 bytes for each heartbeat; a
+ * daemon that is behind pulls the revision. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
@@ -23,7 +23,7 @@
 #define CONFIG_READ_MS 3000
 #define CANDIDATE_WAIT_MS 10000
 
-/* ---- effect ----------------------------------------------------------- */
+/* ---- application -------------------------------------------------------- */
 
 static void
 add_teams (const FbNode *self, FbTeams *teams, const FbCellRack *rack, uint32_t partner)
@@ -132,8 +132,8 @@
 static void
 note_ignored (FbNodeConfigStatus status, const char *source)
 {
-  /* A revision that is already in force comes back from every peer and every
-   * rewrite: nothing to report. */
+  /* Every peer and every rewrite sends the revision that is already in force: this is not
+   * reported. */
   if (status == FB_NODE_CONFIG_OK || status == FB_NODE_CONFIG_CONFLICT)
     return;
   fb_counter_add (FB_COUNTER_CONFIG_REJECTED, 1);
@@ -143,12 +143,12 @@
 
 /* ---- candidates -------------------------------------------------------- */
 
-/* Failure: two operators race, the log drops the winner's record and still has
- * the loser's, and a daemon that starts then takes the loser's revision.  Guard:
- * a daemon that has missed records takes only what a daemon where it is in force
- * has written again, or hands over, until it has caught up: until all daemons
- * are heard and none has a higher serial than its own.  If a revision is in the
- * log that none of them has, the first of the highest serial is then taken. */
+/* Failure: two operators apply at the same time, the log drops the winner's record but
+ * still has the loser's, and a daemon that starts then takes the loser's revision. Guard:
+ * a daemon that has missed records takes a revision only if a daemon where it is in force
+ * has written it again or sends it, until it has caught up: until all daemons are alive
+ * and none has a higher serial than its own. If the log then has a revision that none of
+ * them has, the first one of the highest serial is taken. */
 static void
 clear_candidate (FbConfigState *state)
 {
@@ -164,9 +164,9 @@
     self->config[p].behind = TRUE;
 }
 
-/* A record that is not its partner's own must not push out a candidate: it is
- * checked before it is kept, not only when its turn comes.
- * Returns: TRUE when its partner's state is behind, so that it is not taken now. */
+/* A record that the partner has not signed must not replace a candidate, so it is checked
+ * before it is kept, not only when it is applied. Returns: TRUE if the state of the
+ * partner is behind, so that the record is not applied now. */
 static gboolean
 keep_if_behind (FbNode *self, const fb_rec_config *config)
 {
@@ -193,9 +193,9 @@
   return behind;
 }
 
-/* Returns: TRUE when all daemons are heard and none has a revision of PARTNER
- * with SERIAL, so that nobody is left who knows better.  One that is cut off may
- * have it in force, and would never agree again. */
+/* Returns: TRUE if all daemons are alive and none has a revision of PARTNER with SERIAL
+ * or above, so that no daemon knows better. A daemon that is cut off may have it in
+ * force, and would never agree with the others again. */
 static gboolean
 nobody_knows (const FbNode *self, uint32_t partner, uint64_t serial)
 {
@@ -333,8 +333,6 @@
       "peer");
 }
 
-/* ---- time ------------------------------------------------------------- */
-
 static void
 pull_from_peers (FbNode *self, uint32_t partner)
 {
@@ -386,7 +384,7 @@
   self->sink->log_read (self->user, FB_STREAM_CONFIG, self->config_next);
 }
 
-/* ---- standing services ------------------------------------------------ */
+/* ---- services ----------------------------------------------------------- */
 
 static uint64_t
 service_job_id (uint32_t partner, const char *name)
@@ -422,8 +420,8 @@
   fb_range_keep_services (shard->range, self->now_ms, wanted);
 }
 
-/* Only a daemon that has the partner's revision may touch its services: a
- * newcomer without one would take them all for removed. */
+/* Only a daemon that has the partner's revision may change its services: one that has
+ * just started without a revision would end all of them as removed. */
 void
 fb_node_services_tick (FbNode *self)
 {
--- a/src/core/node-front.c
+++ b/src/core/node-front.c
@@ -1,15 +1,15 @@
-/* Callers held by this daemon: each gets one final answer.
+/* Callers of this daemon: each gets one final answer.
  *
- * A submission is repeated until the owner of its range answers; the job's id
- * makes it the same job every time.
+ * A submission is repeated until the owner of its range answers; the id of the job makes
+ * every copy the same job.
  *
- * Failure: one copy is refused while another is still under way, the caller is
- * told "not run", and the other copy is admitted.  Guard: a refusal counts only
- * when it is that of the last copy and all copies went to one daemon; links keep
- * their order, so the earlier ones have been refused too.
+ * Failure: one copy is refused while another is still in transit; the caller is told "not
+ * run", and the other copy is admitted. Guard: a refusal counts only if it refers to the
+ * last copy and all copies were sent to one daemon. Connections keep the order of
+ * messages, so the earlier copies have been refused too.
  *
- * Without any answer "not run" is certain only when no copy was ever sent and
- * the id is this daemon's own; the same key may have been sent elsewhere. */
+ * Without an answer, "not run" is certain only if no copy was ever sent and the job has
+ * no key; a job with the same key may have been submitted to another daemon. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
--- a/src/core/node-log.c
+++ b/src/core/node-log.c
@@ -1,13 +1,13 @@
-/* The one writer of a daemon, and the reading of streams.
+/* Appending to the log and reading of streams.
  *
- * Records of all streams are gathered while one append is under way and go out
- * together with the next (group commit): the log takes some hundred appends a
- * second for the whole cell, so the number of calls counts, not of records.
+ * Records of all streams are collected while an append is in progress and are written
+ * together by the next one (group commit): the log handles some hundred appends a second
+ * for the whole cell, so the number of calls matters, not the number of records.
  *
- * An append that failed, or whose answer was lost, is sent again as it was.  It
- * may then stand in the log twice; readers drop the second (stream.c).  A record
- * takes effect here only when it is read in its place: directly, when nothing
- * came between, else by reading the gap, which may hold a successor's claim. */
+ * An append that failed, or whose answer was lost, is repeated unchanged. Its records may
+ * then be in the log twice; readers drop the duplicate (stream.c). A record takes effect
+ * here only when it is read at its position: directly if no other record precedes it,
+ * otherwise by reading the gap, which may contain a successor's claim. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
@@ -58,8 +58,8 @@
   g_free (entry);
 }
 
-/* Records of a shard that was given up would be void; those already under way
- * stay, so that the answer to the call still matches. */
+/* Drops the records of a shard that was given up, which would be superseded. Those being
+ * appended are kept, so that they still match the answer to the call. */
 void
 fb_node_drop_pending (FbNode *self, uint32_t stream)
 {
@@ -92,7 +92,7 @@
         break;
       g_array_append_val (batch, *entry);
     }
-  /* A failed call is repeated with the very same records. */
+  /* A failed call is repeated with exactly the same records. */
   if (self->in_flight > 0)
     g_array_set_size (batch, self->in_flight);
   self->in_flight = batch->len;
@@ -130,7 +130,8 @@
     return;
   if (!shard->reading && offset == fb_stream_next (shard->stream))
     {
-      /* Jobs of this owner are known with their true times already. */
+      /* No age and no clock are needed: this owner already has the jobs with their exact
+       * times. */
       FbRecordPlace place = { .offset = offset };
       fb_node_shard_record (self, shard, entry->data, &place);
       return;
@@ -189,12 +190,13 @@
 static void
 read_shard (FbNode *self, FbShard *shard, const FbLogPage *page)
 {
-  /* The log's clock now is at most what it showed plus the time the read took. */
+  /* Upper bound of the log's clock now: its last reading plus the time that the read
+   * took. */
   uint64_t log_now_ms = page->log_now_ms + (self->now_ms - shard->read_asked_ms);
-  /* Failure: an owner that was paused for longer than the log keeps records does
-   * not see that another owned the shard meanwhile, and goes on without what that
-   * one admitted.  Guard: an owner that has missed records gives up, and claims
-   * anew like anyone else. */
+  /* Failure: an owner that was suspended for longer than the log keeps records does not
+   * see that another daemon owned the shard in the meantime, and continues without the
+   * jobs that it admitted. Guard: an owner that has missed records gives up the shard and
+   * claims it again like any other daemon. */
   if (page->first_kept > fb_stream_next (shard->stream) && fb_stream_next (shard->stream) > 0
       && fb_shard_is_mine (shard))
     {
@@ -249,7 +251,7 @@
   fb_node_leave (self);
 }
 
-/* Writes again what the log will drop: see docs/design/retention.md. */
+/* Rewrites records before the log drops them: see docs/design/retention.md. */
 void
 fb_node_renew_tick (FbNode *self)
 {
@@ -266,7 +268,7 @@
       if (self->now_ms - shard->renewed_ms < age_max_ms)
         continue;
       shard->renewed_ms = self->now_ms;
-      /* The owner of a rack has no other reason to read on. */
+      /* The owner of a rack does not read its stream otherwise. */
       if (shard->is_rack)
         fb_node_read_shard (self, shard);
       fb_rec_body body = { .type = FB_REC_RENEW };
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -1,15 +1,14 @@
-/* Who owns what: claims through the log, hand-over without it, stepping down.
+/* Ownership of shards: claims through the log, handover without it, and stepping down.
  *
- * A daemon that should own a shard by rendezvous, and hears of no living owner,
- * reads the shard's stream to its end and appends a claim behind it.  It owns
- * the shard when it has read its own claim back as the valid one.  Authority
- * does not run out with time: only a later claim, or a hand-over, ends it, so
- * an outage of the log disturbs no owner.
+ * A daemon that should own a shard by rendezvous hashing, and knows of no live owner,
+ * reads the shard's stream to its end and appends a claim. It owns the shard once it has
+ * read its own claim back as the one in force. Ownership does not expire: only a later
+ * claim or a handover ends it, so owners are not affected by an outage of the log.
  *
- * A rack is handed over directly: the old owner gives back what waits, stops,
- * and lets the new one go on at the next sub-epoch; the workers fence the old
- * one.  A range is handed over by permission to claim: its successor has to
- * read the stream in any case. */
+ * A rack is handed over directly: the old owner returns the waiting work, stops, and the
+ * new one continues at the next sub-epoch; the workers fence the old one. A range is
+ * handed over as a permission to claim it, because its successor has to read the stream
+ * anyway. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
@@ -25,7 +24,7 @@
   return !shard->lost && (shard->role == FB_SHARD_OWNED || shard->role == FB_SHARD_DRAINING);
 }
 
-/* ---- becoming and ceasing to be the owner ----------------------------- */
+/* ---- taking and giving up ownership ------------------------------------- */
 
 static void
 set_owner (FbNode *self, FbShard *shard, int owner, uint64_t incarnation, uint64_t epoch)
@@ -52,8 +51,9 @@
   fb_node_tell_hosts (self, shard);
 }
 
-/* Every job that was needed at the last RENEW has its full record at or behind
- * the offset that it names.  See survey.c. */
+/* Returns: TRUE if the stream may lack records that are still needed. Every job that was
+ * needed at the last RENEW has its full record at or after the offset that the RENEW
+ * names. See survey.c. */
 static gboolean
 lost_records (const FbShard *shard)
 {
@@ -91,8 +91,8 @@
     }
 }
 
-/* The shard's objects may be in use further up the stack: they are dropped by
- * fb_node_reap(). */
+/* The shard's objects may be in use by a caller of this function, so fb_node_reap() frees
+ * them. */
 void
 fb_node_step_down (FbNode *self, FbShard *shard)
 {
@@ -132,7 +132,7 @@
     }
 }
 
-/* ---- what peers say --------------------------------------------------- */
+/* ---- messages of peers -------------------------------------------------- */
 
 void
 fb_node_note_claim (FbNode *self, guint member, const fb_claim_view *claim)
@@ -261,7 +261,7 @@
   fb_node_append (self, shard->id, previous, &body);
 }
 
-/* The stream has been read to its end, from a read that began at READ_ASKED. */
+/* The stream has been read to its end, by a read that was requested at READ_ASKED_MS. */
 void
 fb_node_shard_read_end (FbNode *self, FbShard *shard)
 {
@@ -274,7 +274,7 @@
     }
   if (shard->role == FB_SHARD_CLAIMING && !fb_node_has_pending (self, shard->id))
     {
-      /* Our claim is in the log and did not take effect. */
+      /* This daemon's claim is in the log and has lost. */
       fb_node_step_down (self, shard);
       return;
     }
@@ -286,11 +286,10 @@
     fb_rack_ownership_confirmed (shard->rack, self->now_ms, asked_ms);
 }
 
-/* ---- wishes ----------------------------------------------------------- */
+/* ---- claims and handovers ----------------------------------------------- */
 
-/* An owner names its shards in every heartbeat: one that is heard and does not
- * name this shard any more has given it up, perhaps to a daemon that never got
- * the word. */
+/* An owner lists its shards in every heartbeat. One that sends heartbeats without this
+ * shard has given it up, perhaps by a handover that never reached its receiver. */
 static gboolean
 owner_is_living (const FbNode *self, const FbShard *shard)
 {
@@ -388,7 +387,7 @@
 {
   if (shard->handed_to >= 0)
     {
-      /* Say it again until the successor is heard of as the owner. */
+      /* Repeat the handover until the successor announces the shard. */
       FbMemberState state = fb_members_state (self->members, (guint) shard->handed_to);
       if (state != FB_MEMBER_ALIVE)
         shard->handed_to = -1;
--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -1,10 +1,11 @@
-/* Between racks, ranges and peers: the sinks of both, and their messages. */
+/* Sinks of racks and ranges, and dispatch of their messages. */
 #include "internal/node-private.h"
 
 #include "internal/rack-query.h"
 #include "internal/range-query.h"
 
-/* Ids behind the shards name the ephemeral range of each member. */
+/* Returns: the id of this daemon's ephemeral range. Ids after those of the shards are the
+ * ephemeral ranges of the members. */
 uint32_t
 fb_node_local_range_id (const FbNode *self)
 {
@@ -119,8 +120,7 @@
   fb_router_note_refusal (self->router, self->now_ms, rack, reason);
 }
 
-/* What the log showed at its last answer, plus the time since that arrived: at
- * most its clock now. */
+/* Lower bound of the log's clock now: its last reading plus the time since that arrived. */
 static uint64_t
 range_log_clock_ms (gpointer user)
 {
@@ -156,8 +156,8 @@
 
 /* ---- messages --------------------------------------------------------- */
 
-/* An order is sent once, to one daemon; whoever gets it and does not own the
- * rack knows that it will never be carried out. */
+/* An order is sent once, to one daemon. A daemon that receives it and does not own the
+ * rack knows that it will never be executed. */
 static void
 refuse_place (FbNode *self, const fb_place *place)
 {
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -1,9 +1,9 @@
-/* A node: creation, links to peers, and the passing on of messages.
+/* A node: construction, connections to peers, and dispatch of messages.
  *
- * Every entry point is bracketed by fb_node_enter() and fb_node_leave(); the
- * outermost leave() delivers what the node sent to itself, lets racks start and
- * exchange, and hands records to the log.  So no part is called from inside
- * another part's call on the same object. */
+ * Every entry point is enclosed in fb_node_enter() and fb_node_leave(). The outermost
+ * fb_node_leave() delivers the messages that the node sent to itself, lets racks start
+ * work and exchange with workers, and passes records to the log. So no part is called
+ * from inside another call on the same object. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
@@ -28,12 +28,12 @@
   return shard < self->shard_n ? &self->shards[shard] : NULL;
 }
 
-/* ---- links ------------------------------------------------------------ */
+/* ---- connections to peers ---------------------------------------------- */
 
-/* Failure: a message that lay in a buffer, or came twice, is handled after
- * newer ones.  It would show as an order carried out after it was taken back.
- * Guard: messages of one incarnation to another are numbered and only ever
- * move forward; loss is left to the questions that ranges ask. */
+/* Failure: a message that was buffered, or is a duplicate, is handled after newer ones:
+ * an order is executed after it was withdrawn. Guard: messages from one incarnation to
+ * another are numbered, and a message is accepted only if its number is higher than the
+ * last one. Lost messages are made up for by the queries of ranges. */
 static gboolean
 link_accepts (FbNode *self, guint member, const fb_msg *msg)
 {
@@ -143,12 +143,12 @@
 
 /* ---- messages --------------------------------------------------------- */
 
-/* Failure: a message with a time left lies in a buffer for seconds, and the
- * work it carries starts after its due time.  Guard: the time it was under way
- * is bounded by the echo of the receiver's own clock and taken off.  Without an
- * echo nothing with a due time is accepted. */
+/* Failure: a message with a remaining time is buffered for seconds, and the work in it
+ * starts after its due time. Guard: the echo of the receiver's own clock gives an upper
+ * bound of the transit time, which is subtracted. Without an echo, a message with a due
+ * time counts as past due. */
 static void
-take_off_transit (const FbNode *self, fb_msg *msg)
+subtract_transit_time (const FbNode *self, fb_msg *msg)
 {
   uint64_t *left_ms = NULL;
   if (msg->body.type == FB_MSG_PLACE)
@@ -201,7 +201,7 @@
   fb_node_enter (self, now_ms);
   if (link_accepts (self, (guint) member, msg))
     {
-      take_off_transit (self, msg);
+      subtract_transit_time (self, msg);
       handle (self, (guint) member, msg);
     }
   else
@@ -209,8 +209,6 @@
   fb_node_leave (self);
 }
 
-/* ---- entry and exit --------------------------------------------------- */
-
 void
 fb_node_enter (FbNode *self, uint64_t now_ms)
 {
@@ -287,8 +285,6 @@
   self->depth--;
 }
 
-/* ---- time ------------------------------------------------------------- */
-
 static void
 tick_racks (gpointer user, uint64_t now_ms)
 {
@@ -343,9 +339,9 @@
   fb_node_pump_log (user);
 }
 
-/* Failure: the process was paused and goes on with an old picture; it orders
- * work to a host that began to leave meanwhile.  Guard: after a gap it looks at
- * the host list once before it starts anything. */
+/* Failure: the process was suspended and resumes with outdated state; it starts work on a
+ * host that began to leave in the meantime. Guard: after a gap, nothing starts until the
+ * host list has been read again. */
 static void
 hold_starts (FbNode *self)
 {
@@ -412,9 +408,10 @@
   fb_node_leave (self);
 }
 
-/* A host leaves when the platform says so, or its own partner's operators. */
+/* A host is leaving if the host list says so, or if the operators of its own partner
+ * drain it. */
 static void
-tell_rack (FbNode *self, FbRack *rack, guint worker, FbHostState state)
+apply_host_state (FbNode *self, FbRack *rack, guint worker, FbHostState state)
 {
   const FbPolicy *home = self->config[fb_cell_rack (self->cell, fb_rack_id (rack))->partner].policy;
   if (state == FB_HOST_LIVE && fb_policy_drains (home, fb_rack_worker_name (rack, worker)))
@@ -428,7 +425,7 @@
 fb_node_tell_hosts (FbNode *self, FbShard *shard)
 {
   for (guint i = 0; i < fb_rack_worker_count (shard->rack); i++)
-    tell_rack (self, shard->rack, i, self->hosts[shard->id][i]);
+    apply_host_state (self, shard->rack, i, self->hosts[shard->id][i]);
 }
 
 void
@@ -441,11 +438,11 @@
   if (shard->rack == NULL || shard->lost)
     return;
   fb_node_enter (self, now_ms);
-  tell_rack (self, shard->rack, worker, state);
+  apply_host_state (self, shard->rack, worker, state);
   fb_node_leave (self);
 }
 
-/* ---- life ------------------------------------------------------------- */
+/* ---- construction ------------------------------------------------------- */
 
 static void
 add_shards (FbNode *self)
--- a/src/core/range-apply.c
+++ b/src/core/range-apply.c
@@ -1,7 +1,7 @@
-/* Records of a range's stream, applied in the order of the log.
+/* Application of the records of a range's stream, in log order.
  *
- * The same code runs for the owner's own records as they come back and for a
- * successor that reads them; only sending and answering need an active range. */
+ * The same code applies the owner's own records when the log returns them, and the
+ * records that a successor reads; only an active range sends and answers. */
 #include "internal/range-private.h"
 
 #include "fb-counter.h"
@@ -21,7 +21,7 @@
 {
   const fb_job *spec = &admit->job;
   FbJob *job = fb_range_find (self, spec->id);
-  /* Without the records before it, an update would pass for the whole. */
+  /* Without the records before it, the update would be taken for the complete job. */
   if (job == NULL && admit->update)
     return;
   if (job == NULL)
@@ -104,7 +104,7 @@
     fb_gang_advance (self, now_ms, job);
 }
 
-/* A certain outcome may replace "unknown", never the other way round. */
+/* A known outcome may replace "unknown", never the other way round. */
 static gboolean
 may_replace (const FbJobTask *task, FbOutcome outcome)
 {
@@ -169,7 +169,7 @@
   fb_range_settle (self, now_ms, job);
 }
 
-/* A service that has shrunk may still have tasks beyond its count. */
+/* Restores the entries of tasks beyond the count of a service that has shrunk. */
 static void
 restore_places (FbRange *self, uint64_t now_ms, FbJob *job, const fb_rec_state *state)
 {
@@ -183,7 +183,7 @@
   job->spec.count = count;
 }
 
-/* A rewritten state counts only for a reader that does not know the job. */
+/* A rewritten state has an effect only for a reader that does not know the job yet. */
 static void
 apply_state (FbRange *self, uint64_t now_ms, const fb_rec_state *state, const FbRecordPlace *place)
 {
@@ -252,8 +252,8 @@
 static fb_rec_task
 record_of (const FbJobTask *task)
 {
-  /* An end on its way to the log counts already: its own record stands before
-   * this one, where a reader may have to skip it. */
+  /* An end that is being appended already counts: its own record precedes this one, and a
+   * reader that begins after it never sees it. */
   gboolean ending = task->state == FB_JT_ENDING;
   return (fb_rec_task){ .index = task->index,
                         .attempt = task->attempt,
@@ -275,7 +275,7 @@
   guint n = 0;
   for (guint i = 0; i < job->task_n; i++)
     {
-      /* A used attempt number is kept even when nothing is open, since a late
+      /* The last attempt number is kept even if no attempt is in progress, since a late
        * report may still carry it. */
       if (job->tasks[i].state != FB_JT_WAITING || job->tasks[i].attempt > 0)
         tasks[n++] = record_of (&job->tasks[i]);
@@ -318,8 +318,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbJob *job = value;
-      /* A change that stands before the new state in the log would be skipped by
-       * a reader who begins between the two. */
+      /* A reader that begins between a change and the new state in the log would miss the
+       * change. */
       if (job->admitted && !job->rewriting && !job->changing
           && now_ms - job->written_ms >= age_max_ms)
         rewrite_job (self, now_ms, job);
--- a/src/core/range-dispatch.c
+++ b/src/core/range-dispatch.c
@@ -1,9 +1,9 @@
-/* What a range does as time passes: routing, asking, giving up.
+/* Timed work of a range: routing, queries and giving up.
  *
- * Each task has one timer.  A waiting task's timer is its next try; that of a
- * task at a rack is the next question about it, which makes good whatever news
- * was lost.  Kinds are served in their order with a budget each, so that ten
- * thousand batch tasks that become due together delay no urgent one. */
+ * Each task has one timer. The timer of a waiting task is its next attempt; the timer of
+ * a task at a rack is the next query about it, which makes up for lost reports. Kinds are
+ * served in order, each with a budget for one pass, so that ten thousand batch tasks that
+ * become due together do not delay an urgent one. */
 #include "internal/range-private.h"
 
 #include "fb-event.h"
@@ -128,10 +128,11 @@
   g_array_append_val (job->intents, task->index);
 }
 
-/* Failure: the owner dies between sending a task and knowing what became of it,
- * and its successor sends it again: a doubled reminder.  Guard: the attempt is
- * in the log, with the rack and its epoch, before it is sent; a successor asks
- * that rack, and starts no second attempt of a once-only task without proof. */
+/* Failure: the owner dies after sending a task and before knowing its result, and its
+ * successor sends the task again: a reminder is sent twice. Guard: the attempt is in the
+ * log, with the rack and its epoch, before it is sent. A successor queries that rack, and
+ * starts no second attempt of an at-most-once task without proof that the first did not
+ * run. */
 static void
 write_intents (FbRange *self, FbJob *job)
 {
@@ -167,7 +168,7 @@
   FbJob *job = task->job;
   if (job->cancelled || job->due_ms <= now_ms)
     {
-      /* Not sent, so certainly not run. */
+      /* It was not sent, so it has certainly not run. */
       fb_range_task_again (self, now_ms, task, FALSE);
       return;
     }
@@ -197,7 +198,8 @@
                    .range = self->id,
                    .range_epoch = self->epoch,
                    .force = force };
-  /* All words share one layout, so any arm of the union will do. */
+  /* All members of the union that are an fb_run_command share one layout, so any of them
+   * can be used. */
   body.fb_body_u.query = word;
   return self->sink->send (self->user, self, task->rack, &body);
 }
@@ -237,8 +239,8 @@
       fb_range_add_intent (self, task);
       return;
     }
-  /* Tasks of one job are alike: when one finds no rack, the rest of the pass
-   * does not look either. */
+  /* The tasks of one job have the same demand: if one finds no rack, the others do not
+   * search in this pass. */
   if (!blocked)
     job->blocked_until_ms
         = now_ms + NO_RACK_WAIT_MS + (uint64_t) g_rand_int_range (self->rand, 0, NO_RACK_WAIT_MS);
@@ -253,7 +255,8 @@
   if (unheard && job->due_ms != FB_NO_DEADLINE_MS
       && now_ms >= job->due_ms + FB_RANGE_UNSURE_GRACE_MS)
     {
-      /* The rack should have ended it; it does not answer.  It may have run. */
+      /* The rack should have ended the task by now but does not answer. The task may have
+       * run. */
       fb_range_task_end (self, task, FB_OUTCOME_UNKNOWN, FB_REASON_WORKER_LOST, NULL, 0);
       if (fb_job_is_gang (job))
         fb_gang_break (self, now_ms, job);
--- a/src/core/range-report.c
+++ b/src/core/range-report.c
@@ -1,8 +1,8 @@
-/* News of runs from the owners of racks.
+/* Reports of rack owners about runs.
  *
- * A run is matched by job, task and attempt; the order of arrival means nothing.
- * Only evidence moves a task on to its next attempt: a rack's word that the
- * attempt did not and will not run, or that it has ended. */
+ * A report is matched by job, task and attempt; the order of arrival has no meaning. A
+ * task moves on to its next attempt only on evidence: a rack's report that the attempt
+ * did not and will not run, or that it has ended. */
 #include "internal/range-private.h"
 
 #include "fb-event.h"
@@ -66,8 +66,8 @@
         fb_gang_break (self, now_ms, job);
       return;
     }
-  /* It still waits where it was sent: take it back, to look for room elsewhere.
-   * The rack's answer is the proof that it has not started. */
+  /* The task is still queued at its rack: withdraw it to move it to a rack with free
+   * capacity. The rack's reply proves that it has not started. */
   if (now_ms - task->placed_ms < FB_RANGE_REBALANCE_MS
       || !fb_range_room_elsewhere (self, now_ms, task))
     return;
@@ -114,7 +114,7 @@
     fb_gang_break (self, now_ms, job);
 }
 
-/* It may have run, and cannot be running any more. */
+/* Handles a run that may have run and cannot be running any more. */
 static void
 note_lost (FbRange *self, uint64_t now_ms, FbJobTask *task)
 {
@@ -134,13 +134,13 @@
     fb_gang_break (self, now_ms, job);
 }
 
-/* Failure: a stale owner, or the owner after next, says "not here" of a run that
- * did start; it would show as a second run.  Guard: a word from before the epoch
- * the run was sent to proves nothing.  The same epoch proves that the order was
- * never handled.  A later epoch proves that it is not running and never will,
- * but not that it never did, so a once-only run stays unknown.  Nor does the
- * same epoch prove it to a successor of the range, for work that may run again:
- * its predecessor may have acknowledged an end that it did not write down. */
+/* Failure: an outdated owner of the rack, or the owner after next, reports "not here" for
+ * a run that did start; a second run starts. Guard: a report with an epoch below the one
+ * that the run was sent to proves nothing. A report at the same epoch proves that the
+ * order was never handled. A report at a later epoch proves that the run is not running
+ * and never will, but not that it never ran, so an at-most-once run remains unknown. To a
+ * successor of the range, the same epoch does not prove that repeatable work has not run:
+ * its predecessor may have acknowledged an end that it did not write to the log. */
 static void
 note_not_here (FbRange *self, uint64_t now_ms, FbJobTask *task, const fb_report *report)
 {
@@ -228,7 +228,8 @@
     }
 }
 
-/* Better knowledge of a task whose outcome is unknown. */
+/* Returns: TRUE and sets *OUTCOME if REPORT determines the outcome of a task that was
+ * unknown. */
 static gboolean
 improves_unknown (const FbJobTask *task, const fb_report *report, FbOutcome *outcome)
 {
@@ -252,8 +253,8 @@
     }
 }
 
-/* An end may be forgotten by the rack when the log has it, or when it left no
- * outcome that the log would have to hold. */
+/* The rack may forget an end once the log has it, or if it left no outcome that the log
+ * would have to keep. */
 static gboolean
 may_ack (const FbJobTask *task)
 {
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -1,4 +1,4 @@
-/* A range: commands from callers' daemons, and the end of tasks and jobs. */
+/* A range: requests of callers' daemons, and the end of tasks and jobs. */
 #include "internal/range-private.h"
 #include "internal/stream.h"
 
@@ -126,7 +126,7 @@
   self->sink->answer (self->user, self, front, &answer);
 }
 
-/* A job that this range does not know, and may have forgotten. */
+/* Answers about a job that this range does not know and may have forgotten. */
 static void
 answer_unknown_job (FbRange *self, uint64_t now_ms, uint64_t job, const char *front)
 {
@@ -210,21 +210,22 @@
     fb_range_answer_one (self, now_ms, job, front);
 }
 
-/* Failure: a job is forgotten with its attempts, admitted again, and a late
- * report of an old attempt is taken for news of a new one with the same number.
- * Guard: after a loss attempts are counted from a number of this claim alone. */
+/* Failure: a job is forgotten together with its attempts and admitted again, and a late
+ * report of an old attempt is taken for a report of a new attempt with the same number.
+ * Guard: after a loss of records, attempts are numbered from a value that only this claim
+ * uses. */
 static uint32_t
 first_attempt_of (uint64_t epoch)
 {
   return (uint32_t) ((epoch >> FB_EPOCH_SUB_BITS) << ATTEMPTS_PER_CLAIM_BITS) | 1;
 }
 
-/* Failure: an owner that was replaced without hearing of it refuses a key that
- * its successor has admitted; the caller is told "not run" of work that runs.
- * Guard: only a job that no key makes the same as another is refused with "not
- * run"; for a key, what this owner knows is not proof while it is not read back
- * from the log, and the answer is "unknown": the caller may repeat it under the
- * same key.  What never fits is the same for every owner. */
+/* Failure: an owner that was replaced, but does not know it yet, refuses a key that its
+ * successor has admitted; the caller is told "not run" of work that runs. Guard: only a
+ * job without a key, which cannot be the same as another job, is refused with "not run".
+ * For a job with a key, what this owner knows is no proof until it has been read back
+ * from the log, so the answer is "unknown" and the caller may repeat the job under the
+ * same key. A job that never fits is refused by every owner. */
 static FbOutcome
 refusal_outcome (const fb_job *spec, FbReason reason)
 {
@@ -302,7 +303,7 @@
       body.fb_rec_body_u.cancel.job = word->job;
       self->sink->append (self->user, self, &body);
     }
-  /* An answer would say that the job is accepted. */
+  /* An answer would tell the caller that the job has been admitted. */
   if (job->admitted)
     fb_range_answer_one (self, now_ms, job, front);
 }
@@ -344,7 +345,8 @@
       wait_ms = task->backoff_ms / 2
                 + (uint32_t) g_rand_int_range (self->rand, 0, (gint32) task->backoff_ms);
     }
-  /* What the members gave back is seen by routing only with the next summary. */
+  /* The router sees the capacity that the members have released only with the next
+   * summary. */
   if (fb_job_is_gang (job))
     wait_ms
         = MAX (wait_ms, GANG_AGAIN_MS + (uint32_t) g_rand_int_range (self->rand, 0, GANG_AGAIN_MS));
@@ -383,8 +385,8 @@
   self->sink->append (self->user, self, &record);
 }
 
-/* Past its due time and not running.  When an earlier attempt ran, or may have,
- * "not run" would be untrue. */
+/* Ends a task that is past its due time and not running. If an earlier attempt ran or may
+ * have run, "not run" would be wrong. */
 void
 fb_range_task_past_due (FbRange *self, FbJobTask *task)
 {
@@ -392,8 +394,8 @@
   fb_range_task_end (self, task, outcome, FB_REASON_PAST_DUE, NULL, 0);
 }
 
-/* "Not run" is said of a job only when no task of it ever ran; one that ran in
- * doubt makes the whole job unknown. */
+/* Returns: the outcome of a job whose tasks are all done: NOT_RUN only if no task ever
+ * ran, UNKNOWN if it is not known of some task whether it ran. */
 static FbOutcome
 outcome_of (const FbJob *job)
 {
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -16,8 +16,9 @@
  * percent, and the sampling prevents herding as two choices do.
  *
  * All three policies debit what they send from the summary, so that one daemon does not
- * overload a rack between two summaries, and none of them uses a rack that has refused a
- * task until REFUSED_WAIT_MS have passed. Preferred are racks that can start the work at
+ * overload a rack between two summaries, and none of them uses a rack for REFUSED_WAIT_MS
+ * after it has refused a task, or until its next summary if its owner has changed or is
+ * leaving. Preferred are racks that can start the work at
  * once to racks where it would queue, the partner's own racks to those of the other
  * partner, and for work without accelerators racks that have none.
  *
--- a/src/core/stream.c
+++ b/src/core/stream.c
@@ -1,29 +1,27 @@
 /* Ownership by the order of the log.
  *
- * A claim names the claim it follows.  The first claim in the stream that names
- * the one in force wins; a second one, from a race, names a predecessor that is
- * no longer in force and is void.  Every reader comes to the same result
- * without a vote, and because the claim stands in the very stream that it
- * governs, a record that the old owner appends behind it is void for all.
+ * A claim names the claim that it follows. The first claim in the stream that names the
+ * one in force wins; a second one, from a race, names a predecessor that is no longer in
+ * force and is superseded. All readers reach the same result without a vote. Because the
+ * claim is in the stream that it governs, a record that the old owner appends after it is
+ * superseded for all readers.
  *
- * The epoch is the offset of the claim (plus one, so that 0 means none), moved
- * left by FB_EPOCH_SUB_BITS; the low bits count hand-overs that did not need
- * the log.  A claim ends the whole family.
+ * The epoch is the offset of the claim (plus one, so that 0 means none), shifted left by
+ * FB_EPOCH_SUB_BITS; the low bits count handovers that did not go through the log. A
+ * claim ends all of these epochs of its predecessor.
  *
- * A reader that starts where the log has already dropped records does not know
- * the claim in force.  It skips what it cannot judge until a RENEW anchors it:
- * only an owner writes those, in every third of the retention time.  An owner
- * that was replaced may write one late, so a RENEW counts only if its writer had
- * read up to where this reader began, and past any claim that this reader met.
- * A claim met before that is taken for the time being, if its writer had read as
- * far too: a second copy of an old claim (its answer was lost) had not.  If it
- * lost its race it does no harm, since a claimant that lost writes nothing under
- * it.
+ * A reader that begins where the log has already dropped records does not know the claim
+ * in force. It skips what it cannot validate until a RENEW anchors it: only owners write
+ * RENEW records, once in every third of the retention time. An owner that was replaced
+ * may write one late, so a RENEW counts only if its writer had read up to where this
+ * reader began, and past every claim that this reader has met. A claim that comes before
+ * such a RENEW is accepted provisionally if its writer had read as far too; a duplicate
+ * of an old claim (repeated because its answer was lost) had not. If that claim lost its
+ * race, it does no harm, since a claimant that lost writes nothing under it.
  *
- * Where nothing is left to anchor on, a claim names the offset at which its
- * writer began to read.  A reader who remembers the whole stream takes it exactly
- * when a reader who began there had nothing to go by: no claim and no RENEW whose
- * writer had read as far. */
+ * If no record is left to anchor on, a claim names the offset at which its writer began
+ * to read. A reader that knows the whole stream accepts it exactly if a reader that began
+ * there had nothing to go by: no claim and no RENEW whose writer had read as far. */
 #include "internal/stream.h"
 
 #include <string.h>
@@ -31,16 +29,16 @@
 struct _FbStream
 {
   uint32_t shard;
-  uint64_t next;
-  uint64_t epoch;
-  uint64_t first; /* where reading began, or began again */
-  uint64_t anchor;
-  uint64_t last_claim;    /* offset of the claim taken last */
-  uint64_t claim_read_to; /* and what its writer had read up to */
-  uint64_t renewed_to;    /* what the last RENEW in force had read up to */
-  gboolean gap;
-  gboolean anchored;    /* the chain of claims is known */
-  GHashTable *last_seq; /* writer -> last sequence number */
+  uint64_t next;  /* next offset to read */
+  uint64_t epoch; /* in force, or 0 if none is known */
+  uint64_t first; /* offset at which reading began, or began again after a gap; 0 if at the start */
+  uint64_t anchor;        /* see fb_stream_validated_from() */
+  uint64_t last_claim;    /* offset of the last accepted claim */
+  uint64_t claim_read_to; /* offset up to which its writer had read */
+  uint64_t renewed_to;    /* offset up to which the writer of the last valid RENEW had read */
+  gboolean gap;           /* records were dropped before they were read */
+  gboolean anchored;      /* the claim in force is known, or that there is none */
+  GHashTable *last_seq;   /* writer -> last sequence number, uint64_t owned */
 };
 
 uint64_t
@@ -72,11 +70,11 @@
   g_free (self);
 }
 
-/* Failure: the answer to an append is lost, the writer appends again, and the
- * record stands twice.  It would show as a job admitted or ended twice.  Guard:
- * a writer numbers its records, and only the first of a number counts. */
+/* Failure: the answer to an append is lost, the writer repeats it, and the record is in
+ * the log twice: a job is admitted or ended twice. Guard: a writer numbers its records,
+ * and only the first record with a number counts. */
 static gboolean
-is_double (FbStream *self, const fb_record *record)
+is_duplicate (FbStream *self, const fb_record *record)
 {
   uint64_t *last = g_hash_table_lookup (self->last_seq, &record->writer);
   if (last != NULL && record->seq <= *last)
@@ -87,7 +85,7 @@
 }
 
 static FbStreamVerdict
-judge_claim (FbStream *self, uint64_t offset, const fb_rec_claim *claim)
+validate_claim (FbStream *self, uint64_t offset, const fb_rec_claim *claim)
 {
   if (claim->shard != self->shard)
     return FB_STREAM_VOID;
@@ -105,7 +103,7 @@
 }
 
 static FbStreamVerdict
-judge_renew (FbStream *self, uint64_t offset, const fb_record *record)
+validate_renew (FbStream *self, uint64_t offset, const fb_record *record)
 {
   uint64_t read_to = record->body.fb_rec_body_u.renew.read_to;
   gboolean knows_more = read_to >= self->first && read_to > self->last_claim;
@@ -126,14 +124,14 @@
 }
 
 static FbStreamVerdict
-judge (FbStream *self, uint64_t offset, const fb_record *record)
+validate (FbStream *self, uint64_t offset, const fb_record *record)
 {
-  if (is_double (self, record))
+  if (is_duplicate (self, record))
     return FB_STREAM_DOUBLE;
   if (record->body.type == FB_REC_CLAIM)
-    return judge_claim (self, offset, &record->body.fb_rec_body_u.claim);
+    return validate_claim (self, offset, &record->body.fb_rec_body_u.claim);
   if (record->body.type == FB_REC_RENEW)
-    return judge_renew (self, offset, record);
+    return validate_renew (self, offset, record);
   if (!fb_epoch_same_claim (record->epoch, self->epoch) || record->epoch < self->epoch)
     return FB_STREAM_VOID;
   self->epoch = record->epoch;
@@ -148,7 +146,7 @@
   self->next = offset + 1;
   if (!fb_codec_decode_record (data, len, record))
     return FB_STREAM_MALFORMED;
-  FbStreamVerdict verdict = judge (self, offset, record);
+  FbStreamVerdict verdict = validate (self, offset, record);
   if (verdict != FB_STREAM_OK && verdict != FB_STREAM_CLAIMED)
     fb_codec_clear_record (record);
   return verdict;
--- a/src/core/survey.c
+++ b/src/core/survey.c
@@ -1,17 +1,17 @@
-/* When the log has dropped records that were still needed.
+/* Survey of the racks after the log has dropped records that were still needed.
  *
- * Failure: the owner of a range is gone, the log is down for longer than it
- * keeps records, and a successor finds the stream without some of its jobs.  It
- * would show as a service started beside its forgotten tasks, or as a reminder
- * sent again under a key that was used.  What is lost cannot be brought back;
- * the guard is to claim nothing about it:
- *  - before anything is admitted or sent, every rack is asked what it holds of
- *    this range, and runs that nobody knows are stopped;
- *  - for as long as keys are kept, a once-only job whose id is not known is
- *    answered "unknown", and so is a question about one.
+ * Failure: the owner of a range is gone, the log is unavailable for longer than it keeps
+ * records, and a successor finds the stream without some of its jobs. A service is
+ * started beside its forgotten tasks, or a reminder is sent again under a key that was
+ * used. Guard: lost records cannot be recovered, so the successor assumes nothing about
+ * them:
+ *  - before it admits or sends anything, it asks every rack for the runs of this range,
+ *    and stops the runs that it does not know;
+ *  - for as long as keys are kept, it answers "unknown" to an at-most-once job whose id
+ *    it does not know, and to a query about one.
  *
- * Whether records were lost is seen from the last RENEW: it tells how old the
- * oldest record was that was still needed then. */
+ * The last RENEW tells whether records were lost: it has the offset of the oldest record
+ * that was still needed when it was written. */
 #include "internal/range-private.h"
 #include "internal/range-query.h"
 
@@ -78,8 +78,8 @@
   (void) self->sink->send (self->user, self, rack, &ack);
 }
 
-/* A job may be known from a late record while its earlier ones are gone, so the
- * very run has to be known.  Its number is not used again in any case. */
+/* The job may be known from a late record although its earlier ones are gone, so the run
+ * itself has to be known. Its attempt number is not used again in either case. */
 static gboolean
 is_known_run (const FbRange *self, uint32_t rack, const fb_run *run)
 {
