--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -46,10 +46,10 @@
   uint64_t renew_oldest;
   uint64_t renew_unsure_ms;
   gboolean renew_surveying;
-  int handed_to;         /* index of a member, or -1 */
-  uint64_t handed_epoch; /* epoch at which it was handed over */
-  GArray *handed_lives;  /* uint64_t for each worker, see fb_handover; or NULL */
-  gboolean handed_here;  /* the previous owner has handed the shard to this daemon */
+  int handed_to;              /* index of a member, or -1 */
+  uint64_t handed_epoch;      /* epoch at which it was handed over */
+  GArray *handed_lives;       /* uint64_t for each worker, see fb_handover; or NULL */
+  gboolean handover_received; /* the previous owner has handed the shard to this daemon */
 } FbShard;
 
 typedef struct
@@ -157,7 +157,7 @@
 gboolean fb_node_has_pending (const FbNode *self, uint32_t stream);
 void fb_node_drop_pending (FbNode *self, uint32_t stream);
 void fb_node_read_shard (FbNode *self, FbShard *shard);
-void fb_node_pump_log (FbNode *self);
+void fb_node_flush_log (FbNode *self);
 void fb_node_renew_tick (FbNode *self);
 
 /* node-work.c: sinks of racks and ranges */
--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -33,11 +33,11 @@
   FbReason stop_reason;     /* if STOPPING */
   FbNews news;              /* if ENDED */
   FbReason reason;
-  GBytes *answer;          /* output of an ended run, or NULL */
-  uint64_t report_at_ms;   /* when the end is reported again */
-  gboolean acked;          /* the range owner has acknowledged the end */
-  GSequenceIter *lane_pos; /* position in its queue, or NULL */
-  GSequenceIter *due_pos;  /* position in FbRack.by_due, or NULL */
+  GBytes *answer;           /* output of an ended run, or NULL */
+  uint64_t report_at_ms;    /* when the end is reported again */
+  gboolean acked;           /* the range owner has acknowledged the end */
+  GSequenceIter *queue_pos; /* position in its queue, or NULL */
+  GSequenceIter *due_pos;   /* position in FbRack.by_due, or NULL */
 };
 
 typedef enum
@@ -55,22 +55,22 @@
   fb_res capacity;
   fb_res used; /* sum of the charges of its tasks */
   FbWorkerState state;
-  gboolean leaving;   /* gets no new work */
-  gboolean dirty;     /* a request is due at the next flush */
-  gboolean in_flight; /* a request is not answered yet */
-  gboolean promised;  /* only the home partner's urgent work may start here */
+  gboolean leaving;     /* gets no new work */
+  gboolean dirty;       /* a request is due at the next flush */
+  gboolean in_flight;   /* a request is not answered yet */
+  gboolean urgent_only; /* only the home partner's urgent work may start here */
   uint64_t incarnation;
-  uint64_t life_heard_ms;      /* when its first reply of this incarnation arrived */
-  uint64_t proven_incarnation; /* incarnation for which ownership was confirmed, or 0; see
-                                  fb_rack_ownership_confirmed() */
-  uint64_t clock_ms;           /* its own clock in the last reply */
-  uint64_t heard_ms;           /* when the last reply arrived */
-  uint64_t sync_at_ms;         /* when the next periodic request is due */
-  uint64_t sent_seq;           /* of the last request */
-  uint64_t heard_seq;          /* of the request that was answered last; 0 if none */
-  uint64_t known_version;      /* of the last complete state received, or 0 */
-  uint64_t gone_ms;            /* when the host list dropped it; 0 if listed */
-  uint32_t fail_streak;        /* failures in a row, see quality.c */
+  uint64_t incarnation_seen_ms; /* when its first reply of this incarnation arrived */
+  uint64_t proven_incarnation;  /* incarnation for which ownership was confirmed, or 0; see
+                                   fb_rack_ownership_confirmed() */
+  uint64_t clock_ms;            /* its own clock in the last reply */
+  uint64_t last_reply_ms;       /* when the last reply arrived */
+  uint64_t sync_at_ms;          /* when the next periodic request is due */
+  uint64_t sent_seq;            /* of the last request */
+  uint64_t last_reply_seq;      /* of the request that was answered last; 0 if none */
+  uint64_t known_version;       /* of the last complete state received, or 0 */
+  uint64_t gone_ms;             /* when the host list dropped it; 0 if listed */
+  uint32_t fail_streak;         /* failures in a row, see quality.c */
   uint64_t last_failed_job;
   gboolean quarantined;
   uint64_t probe_at_ms;   /* if quarantined: earliest time of the next probe */
@@ -90,7 +90,7 @@
   gboolean draining;
   GPtrArray *workers; /* FbWorker owned */
   GHashTable *tasks;  /* fb_run * in the task -> FbTask owned */
-  FbLanes *lanes;
+  FbLanes *queues;
   GSequence *by_due; /* queued FbTask that have a due time, earliest first */
   GQueue ended;      /* ended FbTask that the rack still has to remember */
   fb_res total;      /* capacity of all workers */
@@ -99,7 +99,7 @@
   GHashTable
       *range_epochs; /* range + 1 -> uint64_t owned: highest epoch seen of the owner of the range */
   gboolean wants_schedule; /* run a scheduling pass at the next flush */
-  uint64_t starts_held_until_ms;
+  uint64_t starts_paused_until_ms;
   uint64_t confirm_asked_ms; /* when sink->confirm_ownership() was called last */
   fb_run hold_run;           /* the task that hold_worker is kept free for */
   guint hold_worker;         /* or FB_NO_WORKER */
@@ -132,7 +132,7 @@
 FbTask *fb_rack_adopt (FbRack *self, uint64_t now_ms, guint worker, const fb_spec *spec);
 void fb_rack_end_task (FbRack *self, uint64_t now_ms, FbTask *task, FbNews news, FbReason reason,
                        const char *answer, uint32_t answer_len);
-void fb_rack_send_news (FbRack *self, const FbTask *task, FbNews news, FbReason reason);
+void fb_rack_send_run_status (FbRack *self, const FbTask *task, FbNews news, FbReason reason);
 void fb_rack_dequeue (FbRack *self, FbTask *task);
 void fb_rack_forget (FbRack *self, FbTask *task);
 void fb_rack_stop_task (FbRack *self, FbTask *task, FbReason reason);
--- a/include/internal/rack.h
+++ b/include/internal/rack.h
@@ -121,13 +121,13 @@
 
 /* Requests of range owners. The answer goes out through sink->report(). */
 void fb_rack_place (FbRack *self, uint64_t now_ms, const fb_place *place);
-void fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_word *word);
-void fb_rack_query (FbRack *self, uint64_t now_ms, const fb_word *word);
-void fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_word *word);
+void fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_word *command);
+void fb_rack_query (FbRack *self, uint64_t now_ms, const fb_word *command);
+void fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_word *command);
 /* Answers with all runs of a range through sink->surveyed(); does nothing until every
  * worker has replied. */
-void fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_word *word);
-void fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_word *word);
+void fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_word *command);
+void fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_word *command);
 
 /* Replies and events of the workers. */
 void fb_rack_sync_done (FbRack *self, uint64_t now_ms, guint worker, const FbSyncReply *reply);
@@ -145,7 +145,7 @@
 void fb_rack_set_proven (FbRack *self, guint worker, uint64_t incarnation);
 
 /* Delays all starts until UNTIL_MS. */
-void fb_rack_hold_starts (FbRack *self, uint64_t until_ms);
+void fb_rack_pause_starts (FbRack *self, uint64_t until_ms);
 
 /* Reports all waiting work as not run and refuses new work from now on. */
 void fb_rack_drain (FbRack *self, uint64_t now_ms);
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -57,7 +57,7 @@
   gboolean changing;       /* a CANCEL record or an update of a service is being appended */
   uint64_t ended_ms;
   uint64_t blocked_until_ms; /* no rack was found: no task looks for one before this */
-  uint64_t gather_until_ms;  /* a gang gives up its reservations after this; 0 if none */
+  uint64_t reserve_until_ms; /* a gang gives up its reservations after this; 0 if none */
   FbOutcome outcome;
   FbReason reason;
   GBytes *body;        /* output of the last task that had one, or NULL */
@@ -126,10 +126,10 @@
                         const char *body, uint32_t body_len);
 void fb_range_task_past_due (FbRange *self, FbJobTask *task);
 /* Ends the job if all its tasks are done. */
-void fb_range_settle (FbRange *self, uint64_t now_ms, FbJob *job);
+void fb_range_finish_if_done (FbRange *self, uint64_t now_ms, FbJob *job);
 
 void fb_range_send_place (FbRange *self, uint64_t now_ms, FbJobTask *task);
-gboolean fb_range_send_word (FbRange *self, FbJobTask *task, fb_msg_type type, gboolean force);
+gboolean fb_range_send_command (FbRange *self, FbJobTask *task, fb_msg_type type, gboolean force);
 void fb_range_send_ack (FbRange *self, const fb_report *report);
 void fb_range_answer_fronts (FbRange *self, uint64_t now_ms, FbJob *job);
 void fb_range_answer_one (FbRange *self, uint64_t now_ms, const FbJob *job, const char *front);
@@ -146,5 +146,5 @@
 /* range-dispatch.c */
 gboolean fb_range_choose_rack (FbRange *self, uint64_t now_ms, FbJobTask *task);
 /* Returns: TRUE if a rack other than the task's own seems to have free capacity now. */
-gboolean fb_range_room_elsewhere (FbRange *self, uint64_t now_ms, const FbJobTask *task);
+gboolean fb_range_has_other_rack (FbRange *self, uint64_t now_ms, const FbJobTask *task);
 void fb_range_add_intent (FbRange *self, FbJobTask *task);
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -86,11 +86,12 @@
 /* A refusal carries COPY back, see fb_answer. */
 void fb_range_submit (FbRange *self, uint64_t now_ms, const fb_job *job, uint32_t copy,
                       const char *front);
-void fb_range_ask (FbRange *self, uint64_t now_ms, const fb_job_word *word, const char *front);
-void fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_word *word, const char *front);
+void fb_range_ask (FbRange *self, uint64_t now_ms, const fb_job_word *command, const char *front);
+void fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_word *command,
+                      const char *front);
 
 /* Cancels the services of this range that are not in WANTED (a set of &job id). */
-void fb_range_keep_services (FbRange *self, uint64_t now_ms, GHashTable *wanted);
+void fb_range_cancel_unlisted_services (FbRange *self, uint64_t now_ms, GHashTable *wanted);
 
 /* Report of the owner of a rack. */
 void fb_range_report (FbRange *self, uint64_t now_ms, const fb_report *report);
--- a/include/internal/router.h
+++ b/include/internal/router.h
@@ -41,7 +41,7 @@
   const char *name;
   /* Returns: TRUE and fills CHOICE, or FALSE if no rack is suitable. CANDIDATES has the
    * ids of the racks that are suitable according to their summaries; it is not empty. */
-  gboolean (*choose) (FbRouter *router, const FbRouteAsk *ask, const GArray *candidates,
+  gboolean (*choose) (FbRouter *router, const FbRouteAsk *request, const GArray *candidates,
                       FbRouteChoice *choice);
 } FbRoutePolicy;
 
@@ -55,7 +55,7 @@
 void fb_router_free (FbRouter *self);
 
 /* Adds a rack. Its id is the number of racks added before. */
-void fb_router_add_rack (FbRouter *self, const FbRackFacts *facts);
+void fb_router_add_rack (FbRouter *self, const FbRackFacts *info);
 /* Returns: the properties of RACK, borrowed, or NULL if there is no such rack. */
 const FbRackFacts *fb_router_rack (const FbRouter *self, uint32_t rack);
 
@@ -69,7 +69,7 @@
 
 /* Returns: TRUE and fills CHOICE, or FALSE if no rack is suitable now. Unless the request only
  * asks for room, the demand is debited from the summary of the chosen rack. */
-gboolean fb_router_choose (FbRouter *self, const FbRouteAsk *ask, FbRouteChoice *choice);
+gboolean fb_router_choose (FbRouter *self, const FbRouteAsk *request, FbRouteChoice *choice);
 
 /* Returns: TRUE if SPEC fits an empty host of some rack that it may use. */
 gboolean fb_router_ever_fits (const FbRouter *self, const fb_spec *spec);
--- a/rpc/peer-xdr.c
+++ b/rpc/peer-xdr.c
@@ -702,7 +702,7 @@
 			 return FALSE;
 		break;
 	case FB_MSG_ASK:
-		 if (!xdr_fb_job_word (xdrs, &objp->fb_body_u.ask))
+		 if (!xdr_fb_job_word (xdrs, &objp->fb_body_u.job_query))
 			 return FALSE;
 		break;
 	case FB_MSG_CANCEL:
--- a/rpc/peer.h
+++ b/rpc/peer.h
@@ -234,7 +234,7 @@
 		fb_word commit;
 		fb_submit submit;
 		fb_answer answer;
-		fb_job_word ask;
+		fb_job_word job_query;
 		fb_job_word cancel;
 		fb_handover handover;
 		fb_config_pull pull;
--- a/rpc/peer.x
+++ b/rpc/peer.x
@@ -203,7 +203,7 @@
 case FB_MSG_COMMIT: fb_word commit;
 case FB_MSG_SUBMIT: fb_submit submit;
 case FB_MSG_ANSWER: fb_answer answer;
-case FB_MSG_ASK: fb_job_word ask;
+case FB_MSG_ASK: fb_job_word job_query;
 case FB_MSG_CANCEL: fb_job_word cancel;
 case FB_MSG_HANDOVER: fb_handover handover;
 case FB_MSG_CONFIG_PULL: fb_config_pull pull;
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -16,7 +16,7 @@
  * started are stopped, and all members try again together. */
 #include "internal/range-private.h"
 
-#define GATHER_RETRY_MS 1000
+#define RESERVE_RETRY_MS 1000
 
 static int
 compare_rack (gconstpointer a, gconstpointer b)
@@ -29,7 +29,7 @@
 }
 
 static guint
-alive_members (const FbJob *job)
+active_members (const FbJob *job)
 {
   return job->state_n[FB_JT_INTENT] + job->state_n[FB_JT_PLACED] + job->state_n[FB_JT_RESERVED]
          + job->state_n[FB_JT_RUNNING] + job->state_n[FB_JT_ENDING];
@@ -38,8 +38,8 @@
 static void
 retry_later (FbRange *self, uint64_t now_ms, FbJob *job)
 {
-  uint64_t at_ms
-      = now_ms + GATHER_RETRY_MS / 2 + (uint64_t) g_rand_int_range (self->rand, 0, GATHER_RETRY_MS);
+  uint64_t at_ms = now_ms + RESERVE_RETRY_MS / 2
+                   + (uint64_t) g_rand_int_range (self->rand, 0, RESERVE_RETRY_MS);
   for (guint i = 0; i < job->task_n; i++)
     {
       if (job->tasks[i].state == FB_JT_WAITING)
@@ -99,7 +99,7 @@
       end_waiting (self, job);
       return;
     }
-  if (alive_members (job) > 0)
+  if (active_members (job) > 0)
     {
       retry_later (self, now_ms, job);
       return;
@@ -115,7 +115,7 @@
       if (job->tasks[i].state == FB_JT_WAITING)
         fb_range_add_intent (self, &job->tasks[i]);
     }
-  job->gather_until_ms = now_ms + FB_RANGE_GATHER_MS;
+  job->reserve_until_ms = now_ms + FB_RANGE_GATHER_MS;
 }
 
 static void
@@ -127,7 +127,7 @@
       FbJobTask *task = &job->tasks[i];
       if (task->state != FB_JT_RESERVED)
         continue;
-      fb_range_send_word (self, task, FB_MSG_COMMIT, FALSE);
+      fb_range_send_command (self, task, FB_MSG_COMMIT, FALSE);
       fb_range_set_timer (self, task, now_ms + FB_RANGE_QUERY_MS / 4);
     }
 }
@@ -185,7 +185,7 @@
            * another rack next time. */
           if (task->state == FB_JT_PLACED)
             task->avoid_rack = task->rack;
-          fb_range_send_word (self, task, FB_MSG_WITHDRAW, TRUE);
+          fb_range_send_command (self, task, FB_MSG_WITHDRAW, TRUE);
           fb_range_set_timer (self, task, now_ms + FB_RANGE_QUERY_MS);
         }
     }
--- a/src/core/lane.c
+++ b/src/core/lane.c
@@ -13,8 +13,8 @@
 
 struct _FbLanes
 {
-  GHashTable *by_key;                       /* key_of() -> FbLane owned */
-  GPtrArray *busy[FB_PARTNER_N][FB_KIND_N]; /* FbLane borrowed: those not empty */
+  GHashTable *by_key;                            /* key_of() -> FbLane owned */
+  GPtrArray *non_empty[FB_PARTNER_N][FB_KIND_N]; /* FbLane borrowed: those not empty */
   guint count[FB_PARTNER_N][FB_KIND_N];
   guint total;
   guint accel; /* tasks that need accelerators */
@@ -43,11 +43,11 @@
 }
 
 static void
-lane_free (gpointer data)
+queue_free (gpointer data)
 {
-  FbLane *lane = data;
-  g_sequence_free (lane->tasks);
-  g_free (lane);
+  FbLane *queue = data;
+  g_sequence_free (queue->tasks);
+  g_free (queue);
 }
 
 static uint64_t
@@ -60,11 +60,11 @@
 fb_lanes_new (void)
 {
   FbLanes *self = g_new0 (FbLanes, 1);
-  self->by_key = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, lane_free);
+  self->by_key = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, queue_free);
   for (guint p = 0; p < FB_PARTNER_N; p++)
     {
       for (guint k = 0; k < FB_KIND_N; k++)
-        self->busy[p][k] = g_ptr_array_new ();
+        self->non_empty[p][k] = g_ptr_array_new ();
     }
   return self;
 }
@@ -75,27 +75,27 @@
   for (guint p = 0; p < FB_PARTNER_N; p++)
     {
       for (guint k = 0; k < FB_KIND_N; k++)
-        g_ptr_array_free (self->busy[p][k], TRUE);
+        g_ptr_array_free (self->non_empty[p][k], TRUE);
     }
   g_hash_table_destroy (self->by_key);
   g_free (self);
 }
 
 static FbLane *
-lane_for (FbLanes *self, const fb_spec *spec)
+queue_for (FbLanes *self, const fb_spec *spec)
 {
   uint64_t key = key_of (spec);
-  FbLane *lane = g_hash_table_lookup (self->by_key, &key);
-  if (lane == NULL)
+  FbLane *queue = g_hash_table_lookup (self->by_key, &key);
+  if (queue == NULL)
     {
-      lane = g_new0 (FbLane, 1);
-      lane->partner = spec->partner;
-      lane->team = spec->team;
-      lane->kind = (FbKind) spec->kind;
-      lane->tasks = g_sequence_new (NULL);
-      g_hash_table_insert (self->by_key, g_memdup2 (&key, sizeof key), lane);
+      queue = g_new0 (FbLane, 1);
+      queue->partner = spec->partner;
+      queue->team = spec->team;
+      queue->kind = (FbKind) spec->kind;
+      queue->tasks = g_sequence_new (NULL);
+      g_hash_table_insert (self->by_key, g_memdup2 (&key, sizeof key), queue);
     }
-  return lane;
+  return queue;
 }
 
 static gboolean
@@ -119,30 +119,30 @@
 void
 fb_lanes_insert (FbLanes *self, FbTask *task)
 {
-  FbLane *lane = lane_for (self, &task->spec);
-  if (g_sequence_is_empty (lane->tasks))
-    g_ptr_array_add (self->busy[lane->partner][lane->kind], lane);
-  task->lane_pos = g_sequence_insert_sorted (lane->tasks, task, compare_rank, NULL);
-  self->count[lane->partner][lane->kind]++;
+  FbLane *queue = queue_for (self, &task->spec);
+  if (g_sequence_is_empty (queue->tasks))
+    g_ptr_array_add (self->non_empty[queue->partner][queue->kind], queue);
+  task->queue_pos = g_sequence_insert_sorted (queue->tasks, task, compare_rank, NULL);
+  self->count[queue->partner][queue->kind]++;
   self->total++;
   self->accel += wants_accel (task) ? 1 : 0;
-  self->waiting[lane->partner][fb_spec_waiting (&task->spec)]++;
+  self->waiting[queue->partner][fb_spec_waiting (&task->spec)]++;
 }
 
 void
 fb_lanes_remove (FbLanes *self, FbTask *task)
 {
-  FbLane *lane = lane_for (self, &task->spec);
-  g_sequence_remove (task->lane_pos);
-  task->lane_pos = NULL;
-  self->count[lane->partner][lane->kind]--;
+  FbLane *queue = queue_for (self, &task->spec);
+  g_sequence_remove (task->queue_pos);
+  task->queue_pos = NULL;
+  self->count[queue->partner][queue->kind]--;
   self->total--;
   self->accel -= wants_accel (task) ? 1 : 0;
-  self->waiting[lane->partner][fb_spec_waiting (&task->spec)]--;
-  if (g_sequence_is_empty (lane->tasks))
+  self->waiting[queue->partner][fb_spec_waiting (&task->spec)]--;
+  if (g_sequence_is_empty (queue->tasks))
     {
       uint64_t key = key_of (&task->spec);
-      g_ptr_array_remove_fast (self->busy[lane->partner][lane->kind], lane);
+      g_ptr_array_remove_fast (self->non_empty[queue->partner][queue->kind], queue);
       g_hash_table_remove (self->by_key, &key);
     }
 }
@@ -162,17 +162,17 @@
 const GPtrArray *
 fb_lanes_of (const FbLanes *self, uint32_t partner, FbKind kind)
 {
-  return self->busy[partner][kind];
+  return self->non_empty[partner][kind];
 }
 
 void
 fb_lanes_unblock (FbLanes *self)
 {
   GHashTableIter iter;
-  gpointer lane;
+  gpointer queue;
   g_hash_table_iter_init (&iter, self->by_key);
-  while (g_hash_table_iter_next (&iter, NULL, &lane))
-    ((FbLane *) lane)->blocked = FALSE;
+  while (g_hash_table_iter_next (&iter, NULL, &queue))
+    ((FbLane *) queue)->blocked = FALSE;
 }
 
 uint64_t
--- a/src/core/member.c
+++ b/src/core/member.c
@@ -14,8 +14,8 @@
   char *name;
   uint32_t partner;
   uint32_t domain;
-  uint64_t incarnation; /* 0 if no heartbeat has arrived */
-  uint64_t heard_ms;    /* when the last heartbeat arrived */
+  uint64_t incarnation;       /* 0 if no heartbeat has arrived */
+  uint64_t last_heartbeat_ms; /* when the last heartbeat arrived */
   uint64_t alive_since_ms;
   FbMemberState state;
 } Member;
@@ -65,7 +65,7 @@
 }
 
 static Member *
-at (const FbMembers *self, guint index)
+member_at (const FbMembers *self, guint index)
 {
   return g_ptr_array_index (self->all, index);
 }
@@ -74,8 +74,8 @@
 fb_members_set_self (FbMembers *self, guint index, uint64_t incarnation)
 {
   self->self_index = index;
-  at (self, index)->incarnation = incarnation;
-  at (self, index)->state = FB_MEMBER_ALIVE;
+  member_at (self, index)->incarnation = incarnation;
+  member_at (self, index)->state = FB_MEMBER_ALIVE;
 }
 
 guint
@@ -93,26 +93,26 @@
 const char *
 fb_members_name (const FbMembers *self, guint index)
 {
-  return at (self, index)->name;
+  return member_at (self, index)->name;
 }
 
 FbMemberState
 fb_members_state (const FbMembers *self, guint index)
 {
-  return at (self, index)->state;
+  return member_at (self, index)->state;
 }
 
 uint64_t
 fb_members_incarnation (const FbMembers *self, guint index)
 {
-  return at (self, index)->incarnation;
+  return member_at (self, index)->incarnation;
 }
 
 gboolean
 fb_members_heard (FbMembers *self, uint64_t now_ms, guint index, uint64_t incarnation,
                   gboolean leaving)
 {
-  Member *member = at (self, index);
+  Member *member = member_at (self, index);
   gboolean fresh = incarnation != member->incarnation;
   FbMemberState state = leaving ? FB_MEMBER_LEAVING : FB_MEMBER_ALIVE;
   if (member->state != state || fresh)
@@ -123,7 +123,7 @@
                     member->name);
     }
   member->incarnation = incarnation;
-  member->heard_ms = now_ms;
+  member->last_heartbeat_ms = now_ms;
   member->state = state;
   return fresh;
 }
@@ -133,13 +133,14 @@
 {
   for (guint i = 0; i < self->all->len; i++)
     {
-      Member *member = at (self, i);
+      Member *member = member_at (self, i);
       gboolean counted = member->state == FB_MEMBER_ALIVE || member->state == FB_MEMBER_LEAVING;
-      if (i == self->self_index || !counted || now_ms - member->heard_ms < FB_MEMBER_SUSPECT_MS)
+      if (i == self->self_index || !counted
+          || now_ms - member->last_heartbeat_ms < FB_MEMBER_SUSPECT_MS)
         continue;
       member->state = FB_MEMBER_SUSPECTED;
       fb_event_log (FB_EVENT_MEMBER_SUSPECTED, "member=%s silent_ms=%" G_GUINT64_FORMAT,
-                    member->name, now_ms - member->heard_ms);
+                    member->name, now_ms - member->last_heartbeat_ms);
     }
 }
 
@@ -150,7 +151,7 @@
   uint64_t best_weight = 0;
   for (guint i = 0; i < self->all->len; i++)
     {
-      const Member *member = at (self, i);
+      const Member *member = member_at (self, i);
       if (i == without || member->partner != partner || member->state != FB_MEMBER_ALIVE)
         continue;
       uint64_t weight = fb_hash64 (member->name, shard);
@@ -166,7 +167,7 @@
 gboolean
 fb_members_is_stable (const FbMembers *self, uint64_t now_ms, guint index)
 {
-  const Member *member = at (self, index);
+  const Member *member = member_at (self, index);
   return member->state == FB_MEMBER_ALIVE
          && (index == self->self_index || now_ms - member->alive_since_ms >= FB_MEMBER_STABLE_MS);
 }
--- a/src/core/node-config.c
+++ b/src/core/node-config.c
@@ -42,11 +42,11 @@
 void
 fb_node_apply_policy (FbNode *self, FbShard *shard)
 {
-  const FbCellRack *facts = fb_cell_rack (self->cell, shard->id);
+  const FbCellRack *info = fb_cell_rack (self->cell, shard->id);
   FbTeams *teams = fb_teams_new ();
   for (guint p = 0; p < FB_PARTNER_N; p++)
-    add_teams (self, teams, facts, p);
-  const FbPolicy *home = self->config[facts->partner].policy;
+    add_teams (self, teams, info, p);
+  const FbPolicy *home = self->config[info->partner].policy;
   FbRackPolicy policy = { .lend_milli = home->lend_milli,
                           .place = fb_place_by_name (home->placement),
                           .queue_max = FB_RACK_QUEUE_MAX,
@@ -85,8 +85,8 @@
 /* ---- checking --------------------------------------------------------- */
 
 static FbNodeConfigStatus
-check (FbNode *self, const fb_rec_revision *revision, const void *bytes, gsize len,
-       const void *signature)
+check_revision (FbNode *self, const fb_rec_revision *revision, const void *bytes, gsize len,
+                const void *signature)
 {
   if (revision->partner >= FB_PARTNER_N)
     return FB_NODE_CONFIG_MALFORMED;
@@ -108,13 +108,13 @@
 }
 
 static FbNodeConfigStatus
-take (FbNode *self, const void *bytes, gsize len, const void *signature)
+apply_revision (FbNode *self, const void *bytes, gsize len, const void *signature)
 {
   fb_rec_revision revision;
   if (!fb_codec_decode_revision (bytes, len, &revision))
     return FB_NODE_CONFIG_MALFORMED;
   FbPolicy *policy = NULL;
-  FbNodeConfigStatus status = check (self, &revision, bytes, len, signature);
+  FbNodeConfigStatus status = check_revision (self, &revision, bytes, len, signature);
   if (status == FB_NODE_CONFIG_OK
       && fb_policy_parse (revision.partner, revision.files.files_val, revision.files.files_len,
                           &policy)
@@ -130,7 +130,7 @@
 }
 
 static void
-note_ignored (FbNodeConfigStatus status, const char *source)
+log_ignored_revision (FbNodeConfigStatus status, const char *source)
 {
   /* Every peer and every rewrite sends the revision that is already in force: this is not
    * reported. */
@@ -168,7 +168,7 @@
  * before it is kept, not only when it is applied. Returns: TRUE if the state of the
  * partner is behind, so that the record is not applied now. */
 static gboolean
-keep_if_behind (FbNode *self, const fb_rec_config *config)
+keep_candidate_if_behind (FbNode *self, const fb_rec_config *config)
 {
   const char *bytes = config->revision.revision_val;
   gsize len = config->revision.revision_len;
@@ -179,8 +179,8 @@
   gboolean behind = state != NULL && state->behind;
   if (behind)
     {
-      FbNodeConfigStatus status = check (self, &revision, bytes, len, config->signature);
-      note_ignored (status, "log");
+      FbNodeConfigStatus status = check_revision (self, &revision, bytes, len, config->signature);
+      log_ignored_revision (status, "log");
       if (status == FB_NODE_CONFIG_OK && revision.serial > state->candidate_serial)
         {
           clear_candidate (state);
@@ -197,18 +197,18 @@
  * or above, so that no daemon knows better. A daemon that is cut off may have it in
  * force, and would never agree with the others again. */
 static gboolean
-nobody_knows (const FbNode *self, uint32_t partner, uint64_t serial)
+no_member_has (const FbNode *self, uint32_t partner, uint64_t serial)
 {
-  guint heard = 1;
+  guint alive = 1;
   for (guint m = 0; m < fb_members_count (self->members); m++)
     {
       if (m == self->self_index || fb_members_state (self->members, m) != FB_MEMBER_ALIVE)
         continue;
       if (self->links[m].config_serial[partner] >= serial)
         return FALSE;
-      heard++;
+      alive++;
     }
-  return heard == fb_members_count (self->members);
+  return alive == fb_members_count (self->members);
 }
 
 static void
@@ -218,14 +218,15 @@
     {
       FbConfigState *state = &self->config[p];
       if (!state->behind || self->now_ms - self->started_ms < CANDIDATE_WAIT_MS
-          || !nobody_knows (self, p, state->serial + 1))
+          || !no_member_has (self, p, state->serial + 1))
         continue;
       state->behind = FALSE;
       if (state->candidate.revision.revision_len == 0)
         continue;
-      note_ignored (take (self, state->candidate.revision.revision_val,
-                          state->candidate.revision.revision_len, state->candidate.signature),
-                    "candidate");
+      log_ignored_revision (apply_revision (self, state->candidate.revision.revision_val,
+                                            state->candidate.revision.revision_len,
+                                            state->candidate.signature),
+                            "candidate");
       clear_candidate (state);
     }
 }
@@ -253,16 +254,16 @@
   const void *bytes = g_bytes_get_data (data, &len);
   if (!fb_codec_decode_record (bytes, len, &record))
     {
-      note_ignored (FB_NODE_CONFIG_MALFORMED, "log");
+      log_ignored_revision (FB_NODE_CONFIG_MALFORMED, "log");
       return;
     }
   const fb_rec_config *config = &record.body.fb_rec_body_u.config;
-  gboolean kept
-      = record.body.type == FB_REC_CONFIG && !config->restated && keep_if_behind (self, config);
+  gboolean kept = record.body.type == FB_REC_CONFIG && !config->restated
+                  && keep_candidate_if_behind (self, config);
   if (record.body.type == FB_REC_CONFIG && !kept)
-    note_ignored (take (self, config->revision.revision_val, config->revision.revision_len,
-                        config->signature),
-                  "log");
+    log_ignored_revision (apply_revision (self, config->revision.revision_val,
+                                          config->revision.revision_len, config->signature),
+                          "log");
   fb_codec_clear_record (&record);
 }
 
@@ -278,8 +279,8 @@
     }
   fb_node_enter (self, now_ms);
   FbPolicy *policy = NULL;
-  FbNodeConfigStatus status = check (self, &revision, config->revision.revision_val,
-                                     config->revision.revision_len, config->signature);
+  FbNodeConfigStatus status = check_revision (self, &revision, config->revision.revision_val,
+                                              config->revision.revision_len, config->signature);
   if (status == FB_NODE_CONFIG_OK
       && fb_policy_parse (revision.partner, revision.files.files_val, revision.files.files_len,
                           &policy)
@@ -328,9 +329,9 @@
 void
 fb_node_config_offer (FbNode *self, const fb_config_record *record)
 {
-  note_ignored (
-      take (self, record->revision.revision_val, record->revision.revision_len, record->signature),
-      "peer");
+  log_ignored_revision (apply_revision (self, record->revision.revision_val,
+                                        record->revision.revision_len, record->signature),
+                        "peer");
 }
 
 static void
@@ -394,7 +395,7 @@
 }
 
 static void
-keep_services (FbNode *self, FbShard *shard)
+submit_services (FbNode *self, FbShard *shard)
 {
   const FbPolicy *policy = self->config[shard->partner].policy;
   g_autoptr (GHashTable) wanted = g_hash_table_new (g_int64_hash, g_int64_equal);
@@ -417,7 +418,7 @@
                      .key = service->name };
       fb_range_submit (shard->range, self->now_ms, &job, 0, "");
     }
-  fb_range_keep_services (shard->range, self->now_ms, wanted);
+  fb_range_cancel_unlisted_services (shard->range, self->now_ms, wanted);
 }
 
 /* Only a daemon that has the partner's revision may change its services: one that has
@@ -430,6 +431,6 @@
       FbShard *shard = &self->shards[i];
       if (shard->range != NULL && shard->role == FB_SHARD_OWNED && !shard->lost
           && self->config[shard->partner].serial > 0)
-        keep_services (self, shard);
+        submit_services (self, shard);
     }
 }
--- a/src/core/node-front.c
+++ b/src/core/node-front.c
@@ -16,7 +16,7 @@
 #include "fb-event.h"
 
 #define RESEND_MS 1000
-#define ASK_MS 2000
+#define JOB_QUERY_MS 2000
 #define NO_OWNER_MS 3000
 #define ANSWER_GRACE_MS 4000
 #define UNADMITTED_MS 30000
@@ -64,10 +64,10 @@
 }
 
 static gboolean
-send_word (FbNode *self, fb_msg_type type, uint32_t partner, uint64_t job)
+send_job_command (FbNode *self, fb_msg_type type, uint32_t partner, uint64_t job)
 {
   fb_body body = { .type = type };
-  body.fb_body_u.ask = (fb_job_word){ job, partner };
+  body.fb_body_u.job_query = (fb_job_word){ job, partner };
   return fb_node_send_to_owner (self, fb_cell_range_of_job (self->cell, partner, job), &body);
 }
 
@@ -96,7 +96,7 @@
 fb_node_ask (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job)
 {
   fb_node_enter (self, now_ms);
-  gboolean sent = send_word (self, FB_MSG_ASK, partner, job);
+  gboolean sent = send_job_command (self, FB_MSG_ASK, partner, job);
   fb_node_leave (self);
   return sent;
 }
@@ -105,7 +105,7 @@
 fb_node_cancel (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job)
 {
   fb_node_enter (self, now_ms);
-  gboolean sent = send_word (self, FB_MSG_CANCEL, partner, job);
+  gboolean sent = send_job_command (self, FB_MSG_CANCEL, partner, job);
   fb_node_leave (self);
   return sent;
 }
@@ -120,7 +120,7 @@
   if (caller != NULL)
     {
       caller->admitted = TRUE;
-      caller->resend_ms = self->now_ms + ASK_MS;
+      caller->resend_ms = self->now_ms + JOB_QUERY_MS;
       if (answer->outcome < FB_OUTCOME_PENDING || caller->until_admitted)
         g_hash_table_remove (self->callers, &answer->job);
     }
@@ -142,7 +142,7 @@
 }
 
 static gboolean
-is_hopeless (const FbNode *self, const FbCaller *caller)
+has_timed_out (const FbNode *self, const FbCaller *caller)
 {
   uint64_t waited_ms = self->now_ms - caller->since_ms;
   if (caller->copies == 0)
@@ -161,7 +161,7 @@
   for (GList *link = all; link != NULL; link = link->next)
     {
       FbCaller *caller = link->data;
-      if (is_hopeless (self, caller))
+      if (has_timed_out (self, caller))
         {
           give_up (self, caller);
           continue;
@@ -172,8 +172,8 @@
         send_submit (self, caller);
       else if (!(caller->job.flags & FB_FLAG_EPHEMERAL))
         {
-          caller->resend_ms = self->now_ms + ASK_MS;
-          (void) send_word (self, FB_MSG_ASK, caller->job.partner, caller->job.id);
+          caller->resend_ms = self->now_ms + JOB_QUERY_MS;
+          (void) send_job_command (self, FB_MSG_ASK, caller->job.partner, caller->job.id);
         }
     }
 }
--- a/src/core/node-log.c
+++ b/src/core/node-log.c
@@ -78,7 +78,7 @@
 }
 
 void
-fb_node_pump_log (FbNode *self)
+fb_node_flush_log (FbNode *self)
 {
   if (self->appending || g_queue_is_empty (&self->pending) || self->now_ms < self->append_retry_ms)
     return;
@@ -117,7 +117,7 @@
 }
 
 static void
-note_in_log (FbNode *self, FbLogRecord *entry, uint64_t offset)
+apply_appended_record (FbNode *self, FbLogRecord *entry, uint64_t offset)
 {
   if (entry->stream == FB_STREAM_CONFIG)
     {
@@ -159,7 +159,7 @@
   for (guint i = 0; i < n; i++)
     g_ptr_array_add (done, g_queue_pop_head (&self->pending));
   for (guint i = 0; i < n; i++)
-    note_in_log (self, g_ptr_array_index (done, i), offsets[i]);
+    apply_appended_record (self, g_ptr_array_index (done, i), offsets[i]);
   fb_node_leave (self);
 }
 
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -39,13 +39,13 @@
 static void
 begin_rack (FbNode *self, FbShard *shard)
 {
-  const FbCellRack *facts = fb_cell_rack (self->cell, shard->id);
-  shard->rack = fb_rack_new (shard->id, facts->name, facts->partner, shard->epoch,
-                             &fb_node_rack_sink, self);
-  for (guint i = 0; i < facts->hosts->len; i++)
+  const FbCellRack *info = fb_cell_rack (self->cell, shard->id);
+  shard->rack
+      = fb_rack_new (shard->id, info->name, info->partner, shard->epoch, &fb_node_rack_sink, self);
+  for (guint i = 0; i < info->hosts->len; i++)
     {
-      const FbCellHost *host = g_ptr_array_index (facts->hosts, i);
-      fb_rack_add_worker (shard->rack, host->name, &facts->host_capacity);
+      const FbCellHost *host = g_ptr_array_index (info->hosts, i);
+      fb_rack_add_worker (shard->rack, host->name, &info->host_capacity);
     }
   fb_node_apply_policy (self, shard);
   fb_node_tell_hosts (self, shard);
@@ -69,7 +69,7 @@
   shard->role = FB_SHARD_OWNED;
   shard->epoch = epoch;
   shard->handed_to = -1;
-  shard->handed_here = FALSE;
+  shard->handover_received = FALSE;
   shard->renewed_ms = 0;
   set_owner (self, shard, (int) self->self_index, self->incarnation, epoch);
   fb_event_log (FB_EVENT_SHARD_OWNED, "shard=%u kind=%s epoch=%" G_GUINT64_FORMAT, shard->id,
@@ -161,7 +161,7 @@
   if (shard == NULL || shard->role != FB_SHARD_FOREIGN || shard->lost || self->draining
       || handover->epoch < shard->known_epoch)
     return;
-  shard->handed_here = TRUE;
+  shard->handover_received = TRUE;
   shard->claim_at_ms = 0;
   if (!shard->is_rack)
     {
@@ -206,8 +206,8 @@
   fb_record record;
   gsize len = 0;
   const void *bytes = g_bytes_get_data (data, &len);
-  FbStreamVerdict verdict = fb_stream_read (shard->stream, place->offset, bytes, len, &record);
-  gboolean read = verdict == FB_STREAM_OK || verdict == FB_STREAM_CLAIMED;
+  FbStreamVerdict result = fb_stream_read (shard->stream, place->offset, bytes, len, &record);
+  gboolean read = result == FB_STREAM_OK || result == FB_STREAM_CLAIMED;
   if (read && record.body.type == FB_REC_RENEW)
     {
       shard->renew_read = TRUE;
@@ -215,7 +215,7 @@
       shard->renew_unsure_ms = record.body.fb_rec_body_u.renew.unsure_ms;
       shard->renew_surveying = record.body.fb_rec_body_u.renew.surveying;
     }
-  switch (verdict)
+  switch (result)
     {
     case FB_STREAM_OK:
       if (shard->range != NULL)
@@ -230,7 +230,7 @@
     case FB_STREAM_MALFORMED:
       fb_counter_add (FB_COUNTER_LOG_SKIPPED, 1);
       fb_event_log (FB_EVENT_LOG_RECORD_SKIPPED, "shard=%u offset=%" G_GUINT64_FORMAT " reason=%s",
-                    shard->id, place->offset, verdict == FB_STREAM_VOID ? "void" : "malformed");
+                    shard->id, place->offset, result == FB_STREAM_VOID ? "void" : "malformed");
       return;
     case FB_STREAM_DOUBLE:
     case FB_STREAM_OLD:
@@ -291,7 +291,7 @@
 /* An owner lists its shards in every heartbeat. One that sends heartbeats without this
  * shard has given it up, perhaps by a handover that never reached its receiver. */
 static gboolean
-owner_is_living (const FbNode *self, const FbShard *shard)
+owner_is_alive (const FbNode *self, const FbShard *shard)
 {
   if (shard->owner < 0 || self->now_ms - shard->announced_ms >= FB_MEMBER_SUSPECT_MS)
     return FALSE;
@@ -330,7 +330,7 @@
 }
 
 static void
-note_lives (FbShard *shard)
+save_confirmed_incarnations (FbShard *shard)
 {
   g_clear_pointer (&shard->handed_lives, g_array_unref);
   if (shard->rack == NULL)
@@ -351,7 +351,7 @@
                 fb_members_name (self->members, (guint) to), shard->epoch);
   shard->handed_to = to;
   shard->handed_epoch = shard->epoch;
-  note_lives (shard);
+  save_confirmed_incarnations (shard);
   fb_node_step_down (self, shard);
   send_handover (self, shard);
 }
@@ -366,24 +366,24 @@
 }
 
 static void
-tick_mine (FbNode *self, FbShard *shard, int rightful)
+tick_mine (FbNode *self, FbShard *shard, int preferred)
 {
   if (shard->role == FB_SHARD_OWNED)
     {
-      if (rightful < 0 || rightful == (int) self->self_index
-          || !fb_members_is_stable (self->members, self->now_ms, (guint) rightful))
+      if (preferred < 0 || preferred == (int) self->self_index
+          || !fb_members_is_stable (self->members, self->now_ms, (guint) preferred))
         return;
       shard->role = FB_SHARD_DRAINING;
       shard->drain_since_ms = self->now_ms;
       if (shard->rack != NULL)
         fb_rack_drain (shard->rack, self->now_ms);
     }
-  if (rightful >= 0 && rightful != (int) self->self_index && ready_to_hand_over (self, shard))
-    finish_handover (self, shard, rightful);
+  if (preferred >= 0 && preferred != (int) self->self_index && ready_to_hand_over (self, shard))
+    finish_handover (self, shard, preferred);
 }
 
 static void
-tick_foreign (FbNode *self, FbShard *shard, int rightful)
+tick_foreign (FbNode *self, FbShard *shard, int preferred)
 {
   if (shard->handed_to >= 0)
     {
@@ -398,9 +398,9 @@
         }
     }
   gboolean settled = self->now_ms - self->started_ms >= FB_MEMBER_SUSPECT_MS;
-  if (self->draining || rightful != (int) self->self_index || self->now_ms < shard->claim_at_ms)
+  if (self->draining || preferred != (int) self->self_index || self->now_ms < shard->claim_at_ms)
     return;
-  if (shard->handed_here || (settled && !owner_is_living (self, shard)))
+  if (shard->handover_received || (settled && !owner_is_alive (self, shard)))
     begin_claim (self, shard);
 }
 
@@ -412,12 +412,12 @@
       FbShard *shard = &self->shards[i];
       if (shard->lost)
         continue;
-      int rightful = fb_members_rightful (self->members, i, shard->partner,
-                                          self->draining ? self->self_index : G_MAXUINT);
+      int preferred = fb_members_rightful (self->members, i, shard->partner,
+                                           self->draining ? self->self_index : G_MAXUINT);
       if (fb_shard_is_mine (shard))
-        tick_mine (self, shard, rightful);
+        tick_mine (self, shard, preferred);
       else if (shard->role == FB_SHARD_FOREIGN)
-        tick_foreign (self, shard, rightful);
+        tick_foreign (self, shard, preferred);
       else if (!shard->reading)
         fb_node_read_shard (self, shard);
     }
--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -195,27 +195,27 @@
 }
 
 static void
-rack_word (FbNode *self, fb_msg_type type, const fb_word *word)
+dispatch_run_command (FbNode *self, fb_msg_type type, const fb_word *command)
 {
-  FbRack *rack = my_rack (self, word->rack);
+  FbRack *rack = my_rack (self, command->rack);
   if (rack == NULL)
     return;
   switch (type)
     {
     case FB_MSG_ACK:
-      fb_rack_ack (rack, self->now_ms, word);
+      fb_rack_ack (rack, self->now_ms, command);
       break;
     case FB_MSG_WITHDRAW:
-      fb_rack_withdraw (rack, self->now_ms, word);
+      fb_rack_withdraw (rack, self->now_ms, command);
       break;
     case FB_MSG_QUERY:
-      fb_rack_query (rack, self->now_ms, word);
+      fb_rack_query (rack, self->now_ms, command);
       break;
     case FB_MSG_COMMIT:
-      fb_rack_commit (rack, self->now_ms, word);
+      fb_rack_commit (rack, self->now_ms, command);
       break;
     case FB_MSG_SURVEY:
-      fb_rack_survey (rack, self->now_ms, word);
+      fb_rack_survey (rack, self->now_ms, command);
       break;
     default:
       break;
@@ -223,16 +223,16 @@
 }
 
 static void
-job_word (FbNode *self, const char *from, const fb_body *body)
+dispatch_job_command (FbNode *self, const char *from, const fb_body *body)
 {
-  const fb_job_word *word = &body->fb_body_u.ask;
-  FbRange *range = range_of_job (self, word->partner, word->job);
+  const fb_job_word *command = &body->fb_body_u.job_query;
+  FbRange *range = range_of_job (self, command->partner, command->job);
   if (range == NULL)
     return;
   if (body->type == FB_MSG_CANCEL)
-    fb_range_cancel (range, self->now_ms, word, from);
+    fb_range_cancel (range, self->now_ms, command, from);
   else
-    fb_range_ask (range, self->now_ms, word, from);
+    fb_range_ask (range, self->now_ms, command, from);
 }
 
 void
@@ -276,10 +276,10 @@
       }
     case FB_MSG_ASK:
     case FB_MSG_CANCEL:
-      job_word (self, from, body);
+      dispatch_job_command (self, from, body);
       break;
     default:
-      rack_word (self, body->type, &body->fb_body_u.query);
+      dispatch_run_command (self, body->type, &body->fb_body_u.query);
       break;
     }
 }
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -281,7 +281,7 @@
       fb_node_reap (self);
     }
   while (!g_queue_is_empty (&self->loopback) || !g_queue_is_empty (&self->local_records));
-  fb_node_pump_log (self);
+  fb_node_flush_log (self);
   self->depth--;
 }
 
@@ -336,19 +336,19 @@
 tick_log (gpointer user, uint64_t now_ms)
 {
   (void) now_ms;
-  fb_node_pump_log (user);
+  fb_node_flush_log (user);
 }
 
 /* Failure: the process was suspended and resumes with outdated state; it starts work on a
  * host that began to leave in the meantime. Guard: after a gap, nothing starts until the
  * host list has been read again. */
 static void
-hold_starts (FbNode *self)
+pause_starts (FbNode *self)
 {
   for (guint i = 0; i < self->shard_n; i++)
     {
       if (self->shards[i].rack != NULL)
-        fb_rack_hold_starts (self->shards[i].rack, self->now_ms + HOST_LIST_FRESH_MS);
+        fb_rack_pause_starts (self->shards[i].rack, self->now_ms + HOST_LIST_FRESH_MS);
     }
 }
 
@@ -359,7 +359,7 @@
   self->advanced_ms = now_ms;
   fb_node_enter (self, now_ms);
   if (gap_ms >= PAUSE_NOTICED_MS)
-    hold_starts (self);
+    pause_starts (self);
   fb_timer_advance (self->timer, self->now_ms);
   fb_node_leave (self);
 }
@@ -462,10 +462,10 @@
       if (!shard->is_rack)
         continue;
       const FbCellRack *rack = fb_cell_rack (self->cell, i);
-      FbRackFacts facts = { rack->partner, rack->domain, rack->host_capacity, { { 0 } } };
+      FbRackFacts info = { rack->partner, rack->domain, rack->host_capacity, { { 0 } } };
       for (guint h = 0; h < rack->hosts->len; h++)
-        fb_res_add (&facts.total, &rack->host_capacity);
-      fb_router_add_rack (self->router, &facts);
+        fb_res_add (&info.total, &rack->host_capacity);
+      fb_router_add_rack (self->router, &info);
       self->hosts[i] = g_new0 (FbHostState, MAX (rack->hosts->len, 1));
     }
 }
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -147,13 +147,13 @@
     fb_res_add (&spaces[best], &((FbTask *) g_ptr_array_index (best_victims, i))->charge);
   fb_res_sub (&spaces[best], &task->spec.demand);
   if (task->spec.partner == self->home)
-    fb_rack_worker (self, best)->promised = TRUE;
+    fb_rack_worker (self, best)->urgent_only = TRUE;
 }
 
 static gboolean
 may_preempt (const FbRack *self, uint32_t partner, FbKind kind)
 {
-  if (kind == FB_KIND_URGENT || fb_lanes_accel_count (self->lanes) > 0)
+  if (kind == FB_KIND_URGENT || fb_lanes_accel_count (self->queues) > 0)
     return TRUE;
   return partner == self->home && !fb_res_is_zero (&self->partner_used[1 - self->home]);
 }
@@ -167,11 +167,11 @@
   for (guint i = 0; i < self->workers->len; i++)
     spaces[i] = upcoming_space (fb_rack_worker (self, i));
   guint seen = 0;
-  const GPtrArray *lanes = fb_lanes_of (self->lanes, partner, kind);
-  for (guint l = 0; l < lanes->len && seen < WAITING_SEEN_MAX; l++)
+  const GPtrArray *queues = fb_lanes_of (self->queues, partner, kind);
+  for (guint l = 0; l < queues->len && seen < WAITING_SEEN_MAX; l++)
     {
-      FbLane *lane = g_ptr_array_index (lanes, l);
-      GSequenceIter *iter = g_sequence_get_begin_iter (lane->tasks);
+      FbLane *queue = g_ptr_array_index (queues, l);
+      GSequenceIter *iter = g_sequence_get_begin_iter (queue->tasks);
       while (!g_sequence_iter_is_end (iter) && seen++ < WAITING_SEEN_MAX)
         {
           make_room (self, now_ms, g_sequence_get (iter), spaces);
--- a/src/core/rack-query.c
+++ b/src/core/rack-query.c
@@ -7,7 +7,7 @@
 {
   *summary = (fb_summary){ .rack = self->id, .epoch = self->epoch };
   for (guint i = 0; i < FB_WAITING_N; i++)
-    summary->waiting[i] = fb_lanes_waiting (self->lanes, self->home, (FbWaiting) i);
+    summary->waiting[i] = fb_lanes_waiting (self->queues, self->home, (FbWaiting) i);
   summary->complete = fb_rack_is_complete (self);
   if (self->draining)
     return;
@@ -44,7 +44,7 @@
 guint
 fb_rack_queue_count (const FbRack *self)
 {
-  return fb_lanes_count (self->lanes);
+  return fb_lanes_count (self->queues);
 }
 
 guint
--- a/src/core/rack-sync.c
+++ b/src/core/rack-sync.c
@@ -18,7 +18,7 @@
 start_limit_ms (const FbWorker *w, uint64_t now_ms, const FbTask *task)
 {
   /* Lower bound of the worker's clock now. */
-  uint64_t clock_now_ms = w->clock_ms + (now_ms - w->heard_ms);
+  uint64_t clock_now_ms = w->clock_ms + (now_ms - w->last_reply_ms);
   /* A run that starts after the end of the lease would start after it has been declared
    * lost. */
   uint64_t limit_ms = MIN (clock_now_ms + FB_RACK_START_MS, w->clock_ms + FB_RACK_LEASE_MS);
@@ -36,7 +36,7 @@
     {
       FbTask *task = g_ptr_array_index (w->tasks, i);
       if (task->state == FB_TASK_STARTING && w->state == FB_WORKER_OK && !w->leaving
-          && now_ms >= self->starts_held_until_ms)
+          && now_ms >= self->starts_paused_until_ms)
         {
           uint64_t limit_ms = start_limit_ms (w, now_ms, task);
           if (task->sent_seq == 0)
@@ -149,7 +149,7 @@
     {
       task->state = FB_TASK_RUNNING;
       task->started_ms = now_ms;
-      fb_rack_send_news (self, task, FB_NEWS_STARTED, FB_REASON_NONE);
+      fb_rack_send_run_status (self, task, FB_NEWS_STARTED, FB_REASON_NONE);
     }
   if (task->state != FB_TASK_RUNNING && task->state != FB_TASK_STOPPING)
     return;
@@ -265,19 +265,19 @@
       return;
     }
   gboolean new_incarnation = reply->incarnation != w->incarnation;
-  if (reply->fenced || reply->epoch != self->epoch || reply->seq <= w->heard_seq
+  if (reply->fenced || reply->epoch != self->epoch || reply->seq <= w->last_reply_seq
       || (reply->unchanged && new_incarnation))
     return;
-  gboolean restarted = w->heard_seq > 0 && new_incarnation;
+  gboolean restarted = w->last_reply_seq > 0 && new_incarnation;
   if (w->state != FB_WORKER_OK)
     fb_event_log (FB_EVENT_WORKER_HEARD, "rack=%s worker=%s runs=%u", self->name, w->name,
                   reply->run_n);
   w->state = FB_WORKER_OK;
   if (new_incarnation)
-    w->life_heard_ms = now_ms;
+    w->incarnation_seen_ms = now_ms;
   w->gone_ms = 0;
-  w->heard_seq = reply->seq;
-  w->heard_ms = now_ms;
+  w->last_reply_seq = reply->seq;
+  w->last_reply_ms = now_ms;
   w->clock_ms = reply->clock_ms;
   w->incarnation = reply->incarnation;
   self->wants_schedule = TRUE;
--- a/src/core/rack-words.c
+++ b/src/core/rack-words.c
@@ -72,11 +72,12 @@
   /* Work of the other partner is sent here because capacity was free; a few tasks may
    * queue if it was taken meanwhile, but not more. */
   if (guest
-      && fb_lanes_count_of (self->lanes, spec->partner, (FbKind) spec->kind) >= GUEST_QUEUE_MAX)
+      && fb_lanes_count_of (self->queues, spec->partner, (FbKind) spec->kind) >= GUEST_QUEUE_MAX)
     return FB_REASON_QUEUE_FULL;
   /* The limit is for each partner and kind, so that a flood of one fills only its own
    * queue. */
-  if (fb_lanes_count_of (self->lanes, spec->partner, (FbKind) spec->kind) >= self->policy.queue_max)
+  if (fb_lanes_count_of (self->queues, spec->partner, (FbKind) spec->kind)
+      >= self->policy.queue_max)
     return FB_REASON_QUEUE_FULL;
   return FB_REASON_NONE;
 }
@@ -105,39 +106,39 @@
 }
 
 void
-fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_word *word)
+fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_word *command)
 {
-  if (!range_is_current (self, word->range, word->range_epoch))
+  if (!range_is_current (self, command->range, command->range_epoch))
     return;
-  FbTask *task = fb_rack_find (self, &word->run);
+  FbTask *task = fb_rack_find (self, &command->run);
   if (task == NULL)
     {
-      fb_rack_query (self, now_ms, word);
+      fb_rack_query (self, now_ms, command);
       return;
     }
   if (task->state == FB_TASK_ENDED)
     {
-      fb_rack_send_news (self, task, task->news, task->reason);
+      fb_rack_send_run_status (self, task, task->news, task->reason);
       return;
     }
   if (fb_task_never_sent (task))
     fb_rack_end_task (self, now_ms, task, FB_NEWS_NOT_RUN, FB_REASON_WITHDRAWN, NULL, 0);
-  else if (word->force && task->state != FB_TASK_STOPPING)
+  else if (command->force && task->state != FB_TASK_STOPPING)
     fb_rack_stop_task (self, task, FB_REASON_CANCELLED);
   else
-    fb_rack_send_news (self, task, FB_NEWS_STARTED, FB_REASON_NONE);
+    fb_rack_send_run_status (self, task, FB_NEWS_STARTED, FB_REASON_NONE);
 }
 
 void
-fb_rack_query (FbRack *self, uint64_t now_ms, const fb_word *word)
+fb_rack_query (FbRack *self, uint64_t now_ms, const fb_word *command)
 {
-  if (!range_is_current (self, word->range, word->range_epoch))
+  if (!range_is_current (self, command->range, command->range_epoch))
     return;
-  FbTask *task = fb_rack_find (self, &word->run);
+  FbTask *task = fb_rack_find (self, &command->run);
   if (task == NULL)
     {
       FbNews news = fb_rack_is_complete (self) ? FB_NEWS_NOT_HERE : FB_NEWS_UNSURE;
-      fb_spec asked = { .run = word->run, .range = word->range };
+      fb_spec asked = { .run = command->run, .range = command->range };
       fb_rack_report (self, &asked, FB_NO_WORKER, news, FB_REASON_NONE, NULL);
       return;
     }
@@ -149,34 +150,34 @@
                     "x task=%u attempt=%u rack=%s waited_ms=%" G_GUINT64_FORMAT,
                     task->spec.run.job, task->spec.run.index, task->spec.run.attempt, self->name,
                     now_ms - task->arrived_ms);
-      fb_rack_send_news (self, task, FB_NEWS_QUEUED, FB_REASON_NONE);
+      fb_rack_send_run_status (self, task, FB_NEWS_QUEUED, FB_REASON_NONE);
       break;
     case FB_TASK_RESERVED:
       /* The range is still reserving for other members; its query extends the
        * reservation. */
       task->reserved_until_ms = now_ms + FB_RACK_RESERVE_MS;
-      fb_rack_send_news (self, task, FB_NEWS_RESERVED, FB_REASON_NONE);
+      fb_rack_send_run_status (self, task, FB_NEWS_RESERVED, FB_REASON_NONE);
       break;
     case FB_TASK_STARTING:
     case FB_TASK_RUNNING:
     case FB_TASK_STOPPING:
-      fb_rack_send_news (self, task, FB_NEWS_STARTED, FB_REASON_NONE);
+      fb_rack_send_run_status (self, task, FB_NEWS_STARTED, FB_REASON_NONE);
       break;
     case FB_TASK_ENDED:
-      fb_rack_send_news (self, task, task->news, task->reason);
+      fb_rack_send_run_status (self, task, task->news, task->reason);
       break;
     }
 }
 
 void
-fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_word *word)
+fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_word *command)
 {
-  if (!range_is_current (self, word->range, word->range_epoch))
+  if (!range_is_current (self, command->range, command->range_epoch))
     return;
-  FbTask *task = fb_rack_find (self, &word->run);
+  FbTask *task = fb_rack_find (self, &command->run);
   if (task == NULL || task->state != FB_TASK_RESERVED)
     {
-      fb_rack_query (self, now_ms, word);
+      fb_rack_query (self, now_ms, command);
       return;
     }
   task->state = FB_TASK_STARTING;
@@ -184,12 +185,12 @@
 }
 
 void
-fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_word *word)
+fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_word *command)
 {
   (void) now_ms;
-  if (!range_is_current (self, word->range, word->range_epoch))
+  if (!range_is_current (self, command->range, command->range_epoch))
     return;
-  FbTask *task = fb_rack_find (self, &word->run);
+  FbTask *task = fb_rack_find (self, &command->run);
   if (task == NULL || task->state != FB_TASK_ENDED || task->acked)
     return;
   if (task->sent_seq == 0)
@@ -203,10 +204,10 @@
 }
 
 void
-fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_word *word)
+fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_word *command)
 {
   (void) now_ms;
-  if (!range_is_current (self, word->range, word->range_epoch) || !fb_rack_is_complete (self))
+  if (!range_is_current (self, command->range, command->range_epoch) || !fb_rack_is_complete (self))
     return;
   g_autoptr (GArray) runs = g_array_new (FALSE, FALSE, sizeof (fb_run));
   GHashTableIter iter;
@@ -216,10 +217,10 @@
     {
       const FbTask *task = value;
       gboolean done = task->state == FB_TASK_ENDED && task->acked;
-      if (task->spec.range == word->range && !done)
+      if (task->spec.range == command->range && !done)
         g_array_append_val (runs, task->spec.run);
     }
-  fb_surveyed surveyed = { .rack = self->id, .range = word->range };
+  fb_surveyed surveyed = { .rack = self->id, .range = command->range };
   surveyed.runs.runs_len = runs->len;
   surveyed.runs.runs_val = (fb_run *) (void *) runs->data;
   self->sink->surveyed (self->user, self, &surveyed);
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -51,7 +51,7 @@
   self->policy = (FbRackPolicy){ 1000, &fb_place_accel_guard, FB_RACK_QUEUE_MAX, NULL };
   self->workers = g_ptr_array_new_with_free_func (worker_free);
   self->tasks = g_hash_table_new_full (fb_run_hash, fb_run_equal, NULL, task_free);
-  self->lanes = fb_lanes_new ();
+  self->queues = fb_lanes_new ();
   self->by_due = g_sequence_new (NULL);
   self->team_used = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   self->range_epochs = g_hash_table_new_full (NULL, NULL, NULL, g_free);
@@ -65,7 +65,7 @@
 {
   g_queue_clear (&self->ended);
   g_sequence_free (self->by_due);
-  fb_lanes_free (self->lanes);
+  fb_lanes_free (self->queues);
   g_hash_table_destroy (self->tasks);
   g_hash_table_destroy (self->team_used);
   g_hash_table_destroy (self->range_epochs);
@@ -143,7 +143,7 @@
 }
 
 void
-fb_rack_send_news (FbRack *self, const FbTask *task, FbNews news, FbReason reason)
+fb_rack_send_run_status (FbRack *self, const FbTask *task, FbNews news, FbReason reason)
 {
   fb_rack_report (self, &task->spec, task->worker, news, reason, task->answer);
 }
@@ -161,7 +161,7 @@
 fb_rack_enqueue (FbRack *self, FbTask *task)
 {
   task->state = FB_TASK_QUEUED;
-  fb_lanes_insert (self->lanes, task);
+  fb_lanes_insert (self->queues, task);
   if (task->due_ms != FB_NO_DEADLINE_MS)
     task->due_pos = g_sequence_insert_sorted (self->by_due, task, compare_due, NULL);
   self->wants_schedule = TRUE;
@@ -170,8 +170,8 @@
 void
 fb_rack_dequeue (FbRack *self, FbTask *task)
 {
-  if (task->lane_pos != NULL)
-    fb_lanes_remove (self->lanes, task);
+  if (task->queue_pos != NULL)
+    fb_lanes_remove (self->queues, task);
   if (task->due_pos != NULL)
     g_sequence_remove (task->due_pos);
   task->due_pos = NULL;
@@ -281,7 +281,7 @@
       if (task->acked || task->report_at_ms > now_ms)
         continue;
       task->report_at_ms = now_ms + FB_RACK_REPORT_PERIOD_MS;
-      fb_rack_send_news (self, task, task->news, task->reason);
+      fb_rack_send_run_status (self, task, task->news, task->reason);
     }
 }
 
@@ -311,7 +311,7 @@
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state == FB_WORKER_OK && now_ms - w->heard_ms >= lapse_ms)
+      if (w->state == FB_WORKER_OK && now_ms - w->last_reply_ms >= lapse_ms)
         {
           w->state = FB_WORKER_SILENT;
           fb_event_log (FB_EVENT_WORKER_SILENT, "rack=%s worker=%s", self->name, w->name);
@@ -339,7 +339,7 @@
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state == FB_WORKER_OK && w->life_heard_ms <= asked_ms)
+      if (w->state == FB_WORKER_OK && w->incarnation_seen_ms <= asked_ms)
         w->proven_incarnation = w->incarnation;
     }
   self->wants_schedule = TRUE;
@@ -364,7 +364,7 @@
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state != FB_WORKER_SILENT || w->heard_ms + lapse_ms > asked_ms)
+      if (w->state != FB_WORKER_SILENT || w->last_reply_ms + lapse_ms > asked_ms)
         continue;
       w->state = FB_WORKER_LAPSED;
       while (w->tasks->len > 0)
@@ -431,20 +431,20 @@
   check_leases (self, now_ms);
   fb_quality_tick (self, now_ms);
   resend_reports (self, now_ms);
-  if (fb_lanes_count (self->lanes) > 0)
+  if (fb_lanes_count (self->queues) > 0)
     self->wants_schedule = TRUE;
 }
 
 void
-fb_rack_hold_starts (FbRack *self, uint64_t until_ms)
+fb_rack_pause_starts (FbRack *self, uint64_t until_ms)
 {
-  self->starts_held_until_ms = until_ms;
+  self->starts_paused_until_ms = until_ms;
 }
 
 void
 fb_rack_flush (FbRack *self, uint64_t now_ms)
 {
-  if (self->wants_schedule && now_ms >= self->starts_held_until_ms)
+  if (self->wants_schedule && now_ms >= self->starts_paused_until_ms)
     {
       self->wants_schedule = FALSE;
       fb_rack_schedule (self, now_ms);
--- a/src/core/range-apply.c
+++ b/src/core/range-apply.c
@@ -87,7 +87,7 @@
   task->placed_ms = now_ms;
   task->sent = TRUE;
   task->recovered = TRUE;
-  job->gather_until_ms = now_ms + FB_RANGE_GATHER_MS;
+  job->reserve_until_ms = now_ms + FB_RANGE_GATHER_MS;
   fb_job_set_state (job, task, FB_JT_PLACED);
   fb_range_set_timer (self, task, now_ms);
 }
@@ -151,7 +151,7 @@
     return;
   for (guint i = 0; i < end->tasks.tasks_len; i++)
     apply_end_task (self, job, &end->tasks.tasks_val[i], end);
-  fb_range_settle (self, now_ms, job);
+  fb_range_finish_if_done (self, now_ms, job);
 }
 
 static void
@@ -166,20 +166,20 @@
   job->cancelled = TRUE;
   job->cancel_next = 0;
   g_queue_push_tail (&self->cancelling, job);
-  fb_range_settle (self, now_ms, job);
+  fb_range_finish_if_done (self, now_ms, job);
 }
 
 /* Restores the entries of tasks beyond the count of a service that has shrunk. */
 static void
-restore_places (FbRange *self, uint64_t now_ms, FbJob *job, const fb_rec_state *state)
+restore_entries (FbRange *self, uint64_t now_ms, FbJob *job, const fb_rec_state *state)
 {
-  guint places = job->task_n;
+  guint entries = job->task_n;
   for (guint i = 0; i < state->tasks.tasks_len; i++)
-    places = MAX (places, state->tasks.tasks_val[i].index + 1);
-  if (!fb_job_is_service (job) || places == job->task_n || places > FB_RANGE_TASK_MAX)
+    entries = MAX (entries, state->tasks.tasks_val[i].index + 1);
+  if (!fb_job_is_service (job) || entries == job->task_n || entries > FB_RANGE_TASK_MAX)
     return;
   guint count = job->spec.count;
-  fb_job_resize (self, now_ms, job, places);
+  fb_job_resize (self, now_ms, job, entries);
   job->spec.count = count;
 }
 
@@ -197,7 +197,7 @@
   job = fb_range_find (self, state->admit.job.id);
   if (job == NULL)
     return;
-  restore_places (self, now_ms, job, state);
+  restore_entries (self, now_ms, job, state);
   if (state->body.body_len > 0)
     job->body = g_bytes_new (state->body.body_val, state->body.body_len);
   for (guint i = 0; i < state->tasks.tasks_len; i++)
@@ -219,7 +219,7 @@
       fb_rec_cancel cancel = { state->admit.job.id };
       apply_cancel (self, now_ms, &cancel);
     }
-  fb_range_settle (self, now_ms, job);
+  fb_range_finish_if_done (self, now_ms, job);
 }
 
 void
--- a/src/core/range-dispatch.c
+++ b/src/core/range-dispatch.c
@@ -24,18 +24,18 @@
 {
   FbRange *range;
   FbJob *job;
-} SpreadView;
+} SpreadContext;
 
 static guint
 spread_in_rack (gpointer user, uint32_t rack)
 {
-  return count_in_rack (((SpreadView *) user)->job, rack);
+  return count_in_rack (((SpreadContext *) user)->job, rack);
 }
 
 static guint
 spread_in_domain (gpointer user, uint32_t domain)
 {
-  SpreadView *view = user;
+  SpreadContext *view = user;
   GHashTableIter iter;
   gpointer key;
   gpointer count;
@@ -78,16 +78,16 @@
   FbJob *job = task->job;
   fb_spec spec;
   fill_spec (self, now_ms, task, &spec);
-  SpreadView view = { self, job };
+  SpreadContext view = { self, job };
   gboolean spread = fb_job_is_service (job) || fb_job_is_gang (job);
-  FbRouteAsk ask = { .spec = &spec,
-                     .now_ms = now_ms,
-                     .avoid_rack = task->avoid_rack,
-                     .count_in_rack = spread ? spread_in_rack : NULL,
-                     .count_in_domain = spread ? spread_in_domain : NULL,
-                     .user = &view };
+  FbRouteAsk request = { .spec = &spec,
+                         .now_ms = now_ms,
+                         .avoid_rack = task->avoid_rack,
+                         .count_in_rack = spread ? spread_in_rack : NULL,
+                         .count_in_domain = spread ? spread_in_domain : NULL,
+                         .user = &view };
   FbRouteChoice choice;
-  if (!self->sink->choose (self->user, self, &ask, &choice))
+  if (!self->sink->choose (self->user, self, &request, &choice))
     {
       fb_event_log (FB_EVENT_ROUTE_NONE, "job=%016" G_GINT64_MODIFIER "x task=%u", job->spec.id,
                     task->index);
@@ -104,13 +104,14 @@
 }
 
 gboolean
-fb_range_room_elsewhere (FbRange *self, uint64_t now_ms, const FbJobTask *task)
+fb_range_has_other_rack (FbRange *self, uint64_t now_ms, const FbJobTask *task)
 {
   fb_spec spec;
   FbRouteChoice choice;
   fill_spec (self, now_ms, task, &spec);
-  FbRouteAsk ask = { .spec = &spec, .now_ms = now_ms, .avoid_rack = task->rack, .look_only = TRUE };
-  return self->sink->choose (self->user, self, &ask, &choice);
+  FbRouteAsk request
+      = { .spec = &spec, .now_ms = now_ms, .avoid_rack = task->rack, .look_only = TRUE };
+  return self->sink->choose (self->user, self, &request, &choice);
 }
 
 void
@@ -189,18 +190,18 @@
 }
 
 gboolean
-fb_range_send_word (FbRange *self, FbJobTask *task, fb_msg_type type, gboolean force)
+fb_range_send_command (FbRange *self, FbJobTask *task, fb_msg_type type, gboolean force)
 {
   fb_body body = { .type = type };
-  fb_word word = { .run = fb_job_run (task->job, task),
-                   .rack = task->rack,
-                   .rack_epoch = task->rack_epoch,
-                   .range = self->id,
-                   .range_epoch = self->epoch,
-                   .force = force };
+  fb_word command = { .run = fb_job_run (task->job, task),
+                      .rack = task->rack,
+                      .rack_epoch = task->rack_epoch,
+                      .range = self->id,
+                      .range_epoch = self->epoch,
+                      .force = force };
   /* All members of the union that are an fb_run_command share one layout, so any of them
    * can be used. */
-  body.fb_body_u.query = word;
+  body.fb_body_u.query = command;
   return self->sink->send (self->user, self, task->rack, &body);
 }
 
@@ -215,7 +216,7 @@
 }
 
 static void
-try_waiting (FbRange *self, uint64_t now_ms, FbJobTask *task)
+place_waiting_task (FbRange *self, uint64_t now_ms, FbJobTask *task)
 {
   FbJob *job = task->job;
   if (job->cancelled || task->index >= job->spec.count)
@@ -248,11 +249,11 @@
 }
 
 static void
-ask_about (FbRange *self, uint64_t now_ms, FbJobTask *task)
+query_rack (FbRange *self, uint64_t now_ms, FbJobTask *task)
 {
   FbJob *job = task->job;
-  gboolean unheard = task->state == FB_JT_PLACED || task->state == FB_JT_RESERVED;
-  if (unheard && job->due_ms != FB_NO_DEADLINE_MS
+  gboolean unconfirmed = task->state == FB_JT_PLACED || task->state == FB_JT_RESERVED;
+  if (unconfirmed && job->due_ms != FB_NO_DEADLINE_MS
       && now_ms >= job->due_ms + FB_RANGE_UNSURE_GRACE_MS)
     {
       /* The rack should have ended the task by now but does not answer. The task may have
@@ -264,11 +265,11 @@
     }
   gboolean unwanted = job->cancelled || task->index >= job->spec.count;
   if (unwanted)
-    fb_range_send_word (self, task, FB_MSG_WITHDRAW, TRUE);
+    fb_range_send_command (self, task, FB_MSG_WITHDRAW, TRUE);
   else if (task->state == FB_JT_RESERVED && job->committed)
-    fb_range_send_word (self, task, FB_MSG_COMMIT, FALSE);
+    fb_range_send_command (self, task, FB_MSG_COMMIT, FALSE);
   else
-    fb_range_send_word (self, task, FB_MSG_QUERY, FALSE);
+    fb_range_send_command (self, task, FB_MSG_QUERY, FALSE);
   uint64_t wait_ms
       = task->state == FB_JT_RUNNING && !unwanted ? RUNNING_QUERY_MS : FB_RANGE_QUERY_MS;
   fb_range_set_timer (self, task, now_ms + wait_ms);
@@ -283,13 +284,13 @@
   switch (task->state)
     {
     case FB_JT_WAITING:
-      try_waiting (self, now_ms, task);
+      place_waiting_task (self, now_ms, task);
       break;
     case FB_JT_PLACED:
     case FB_JT_RESERVED:
     case FB_JT_RUNNING:
       if (task->sent)
-        ask_about (self, now_ms, task);
+        query_rack (self, now_ms, task);
       break;
     case FB_JT_INTENT:
     case FB_JT_ENDING:
--- a/src/core/range-report.c
+++ b/src/core/range-report.c
@@ -50,7 +50,7 @@
       fb_job_set_state (job, task, FB_JT_RESERVED);
       fb_range_set_timer (self, task, now_ms + FB_RANGE_QUERY_MS);
     }
-  if (!job->committed && job->gather_until_ms > 0 && now_ms >= job->gather_until_ms)
+  if (!job->committed && job->reserve_until_ms > 0 && now_ms >= job->reserve_until_ms)
     fb_gang_break (self, now_ms, job);
   else
     fb_gang_advance (self, now_ms, job);
@@ -62,17 +62,17 @@
   FbJob *job = task->job;
   if (fb_job_is_gang (job))
     {
-      if (job->gather_until_ms > 0 && now_ms >= job->gather_until_ms)
+      if (job->reserve_until_ms > 0 && now_ms >= job->reserve_until_ms)
         fb_gang_break (self, now_ms, job);
       return;
     }
   /* The task is still queued at its rack: withdraw it to move it to a rack with free
    * capacity. The rack's reply proves that it has not started. */
   if (now_ms - task->placed_ms < FB_RANGE_REBALANCE_MS
-      || !fb_range_room_elsewhere (self, now_ms, task))
+      || !fb_range_has_other_rack (self, now_ms, task))
     return;
   task->avoid_rack = task->rack;
-  fb_range_send_word (self, task, FB_MSG_WITHDRAW, FALSE);
+  fb_range_send_command (self, task, FB_MSG_WITHDRAW, FALSE);
 }
 
 static void
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -11,7 +11,7 @@
 #define BACKOFF_FIRST_MS 100
 #define BACKOFF_MAX_MS 5000
 #define FORGET_CHUNK 64
-#define GANG_AGAIN_MS 1500
+#define GANG_RETRY_MS 1500
 #define ATTEMPTS_PER_CLAIM_BITS 8
 
 FbRange *
@@ -179,8 +179,8 @@
 }
 
 static void
-submit_again (FbRange *self, uint64_t now_ms, FbJob *job, const fb_job *spec, uint32_t copy,
-              const char *front)
+submit_duplicate (FbRange *self, uint64_t now_ms, FbJob *job, const fb_job *spec, uint32_t copy,
+                  const char *front)
 {
   if (fb_job_is_service (job))
     {
@@ -243,7 +243,7 @@
   FbJob *job = fb_range_find (self, spec->id);
   if (job != NULL)
     {
-      submit_again (self, now_ms, job, spec, copy, front);
+      submit_duplicate (self, now_ms, job, spec, copy, front);
       return;
     }
   if (now_ms < self->unsure_until_ms && (spec->flags & FB_FLAG_ONCE))
@@ -274,33 +274,33 @@
 }
 
 void
-fb_range_ask (FbRange *self, uint64_t now_ms, const fb_job_word *word, const char *front)
+fb_range_ask (FbRange *self, uint64_t now_ms, const fb_job_word *command, const char *front)
 {
   if (!self->active)
     return;
-  FbJob *job = fb_range_find (self, word->job);
-  if (job == NULL || job->spec.partner != word->partner)
-    answer_unknown_job (self, now_ms, word->job, front);
+  FbJob *job = fb_range_find (self, command->job);
+  if (job == NULL || job->spec.partner != command->partner)
+    answer_unknown_job (self, now_ms, command->job, front);
   else if (job->admitted)
     fb_range_answer_one (self, now_ms, job, front);
 }
 
 void
-fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_word *word, const char *front)
+fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_word *command, const char *front)
 {
   if (!self->active)
     return;
-  FbJob *job = fb_range_find (self, word->job);
-  if (job == NULL || job->spec.partner != word->partner)
+  FbJob *job = fb_range_find (self, command->job);
+  if (job == NULL || job->spec.partner != command->partner)
     {
-      answer_unknown_job (self, now_ms, word->job, front);
+      answer_unknown_job (self, now_ms, command->job, front);
       return;
     }
   if (!job->cancelled && !fb_job_is_final (job))
     {
       job->changing = TRUE;
       fb_rec_body body = { .type = FB_REC_CANCEL };
-      body.fb_rec_body_u.cancel.job = word->job;
+      body.fb_rec_body_u.cancel.job = command->job;
       self->sink->append (self->user, self, &body);
     }
   /* An answer would tell the caller that the job has been admitted. */
@@ -309,7 +309,7 @@
 }
 
 void
-fb_range_keep_services (FbRange *self, uint64_t now_ms, GHashTable *wanted)
+fb_range_cancel_unlisted_services (FbRange *self, uint64_t now_ms, GHashTable *wanted)
 {
   g_autoptr (GList) all = g_hash_table_get_values (self->jobs);
   for (GList *link = all; link != NULL; link = link->next)
@@ -318,8 +318,8 @@
       if (!fb_job_is_service (job) || job->cancelled || !job->admitted
           || g_hash_table_contains (wanted, &job->spec.id))
         continue;
-      fb_job_word word = { job->spec.id, job->spec.partner };
-      fb_range_cancel (self, now_ms, &word, "");
+      fb_job_word command = { job->spec.id, job->spec.partner };
+      fb_range_cancel (self, now_ms, &command, "");
     }
 }
 
@@ -349,7 +349,7 @@
    * summary. */
   if (fb_job_is_gang (job))
     wait_ms
-        = MAX (wait_ms, GANG_AGAIN_MS + (uint32_t) g_rand_int_range (self->rand, 0, GANG_AGAIN_MS));
+        = MAX (wait_ms, GANG_RETRY_MS + (uint32_t) g_rand_int_range (self->rand, 0, GANG_RETRY_MS));
   fb_range_set_timer (self, task, now_ms + wait_ms);
 }
 
@@ -429,7 +429,7 @@
 }
 
 void
-fb_range_settle (FbRange *self, uint64_t now_ms, FbJob *job)
+fb_range_finish_if_done (FbRange *self, uint64_t now_ms, FbJob *job)
 {
   if (job->state_n[FB_JT_DONE] < job->task_n || (fb_job_is_service (job) && !job->cancelled))
     return;
@@ -451,7 +451,7 @@
 /* ---- time ------------------------------------------------------------- */
 
 static void
-cancel_some (FbRange *self, uint64_t now_ms)
+cancel_next_tasks (FbRange *self, uint64_t now_ms)
 {
   guint budget = CANCEL_CHUNK;
   FbJob *job;
@@ -465,7 +465,7 @@
           if (task->state == FB_JT_WAITING || unsent)
             fb_range_task_again (self, now_ms, task, FALSE);
           else if (task->state < FB_JT_ENDING)
-            fb_range_send_word (self, task, FB_MSG_WITHDRAW, TRUE);
+            fb_range_send_command (self, task, FB_MSG_WITHDRAW, TRUE);
         }
       if (job->cancel_next >= job->task_n)
         g_queue_pop_head (&self->cancelling);
@@ -473,7 +473,7 @@
 }
 
 static void
-forget_old (FbRange *self, uint64_t now_ms)
+forget_expired_jobs (FbRange *self, uint64_t now_ms)
 {
   const uint64_t keep_ms = self->durable ? FB_RANGE_KEEP_MS : 2 * FB_RANGE_UNSURE_GRACE_MS;
   for (guint i = 0; i < FORGET_CHUNK; i++)
@@ -534,6 +534,6 @@
   fb_range_survey_tick (self, now_ms);
   if (self->surveyed == NULL)
     fb_range_dispatch (self, now_ms);
-  cancel_some (self, now_ms);
-  forget_old (self, now_ms);
+  cancel_next_tasks (self, now_ms);
+  forget_expired_jobs (self, now_ms);
 }
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -44,7 +44,7 @@
 
 typedef struct
 {
-  FbRackFacts facts;
+  FbRackFacts info;
   gboolean known;  /* a summary has arrived */
   gboolean usable; /* its owner is known */
   uint64_t refused_until_ms;
@@ -79,10 +79,10 @@
 }
 
 void
-fb_router_add_rack (FbRouter *self, const FbRackFacts *facts)
+fb_router_add_rack (FbRouter *self, const FbRackFacts *info)
 {
   Rack *rack = g_new0 (Rack, 1);
-  rack->facts = *facts;
+  rack->info = *info;
   g_ptr_array_add (self->racks, rack);
 }
 
@@ -95,7 +95,7 @@
 const FbRackFacts *
 fb_router_rack (const FbRouter *self, uint32_t rack)
 {
-  return rack < self->racks->len ? &rack_at (self, rack)->facts : NULL;
+  return rack < self->racks->len ? &rack_at (self, rack)->info : NULL;
 }
 
 void
@@ -142,14 +142,14 @@
 }
 
 static gboolean
-may_use (const Rack *rack, const FbRouteAsk *ask)
+may_use (const Rack *rack, const FbRouteAsk *request)
 {
-  const fb_spec *spec = ask->spec;
-  if (!rack->known || !rack->usable || rack->refused_until_ms > ask->now_ms)
+  const fb_spec *spec = request->spec;
+  if (!rack->known || !rack->usable || rack->refused_until_ms > request->now_ms)
     return FALSE;
-  if (rack->facts.partner != spec->partner && !(spec->flags & FB_FLAG_PREEMPTIBLE))
+  if (rack->info.partner != spec->partner && !(spec->flags & FB_FLAG_PREEMPTIBLE))
     return FALSE;
-  return fb_res_fits (&spec->demand, &rack->facts.host_capacity);
+  return fb_res_fits (&spec->demand, &rack->info.host_capacity);
 }
 
 /* Returns: the length of the queue that the work would join at RACK. */
@@ -161,41 +161,42 @@
 }
 
 static gboolean
-is_candidate (const Rack *rack, const FbRouteAsk *ask)
+is_candidate (const Rack *rack, const FbRouteAsk *request)
 {
-  if (!may_use (rack, ask))
+  if (!may_use (rack, request))
     return FALSE;
-  if (fits_now (rack, &ask->spec->demand))
+  if (fits_now (rack, &request->spec->demand))
     return TRUE;
-  if (ask->look_only)
+  if (request->look_only)
     return FALSE;
   /* Only work of the home partner queues at a rack. Work of the guest would wait behind
    * all of it; its range places it when it sees room. */
-  return rack->facts.partner == ask->spec->partner
-         && queue_length_at (rack, ask->spec) < QUEUE_SOFT_MAX;
+  return rack->info.partner == request->spec->partner
+         && queue_length_at (rack, request->spec) < QUEUE_SOFT_MAX;
 }
 
 static uint64_t
-cost_of (const FbRouter *self, const FbRouteAsk *ask, uint32_t id)
+cost_of (const FbRouter *self, const FbRouteAsk *request, uint32_t id)
 {
   const Rack *rack = rack_at (self, id);
-  const fb_res *demand = &ask->spec->demand;
-  fb_res used = rack->facts.total;
+  const fb_res *demand = &request->spec->demand;
+  fb_res used = rack->info.total;
   fb_res_sub (&used, &rack->summary.free);
   fb_res_add (&used, &rack->debit);
-  uint64_t cost = fb_res_dominant_milli (&used, &rack->facts.total);
-  if (rack->facts.partner != ask->spec->partner)
+  uint64_t cost = fb_res_dominant_milli (&used, &rack->info.total);
+  if (rack->info.partner != request->spec->partner)
     cost += COST_GUEST;
   if (!fits_now (rack, demand))
-    cost += (ask->spec->kind == FB_KIND_GANG ? COST_QUEUE_GANG : COST_QUEUE)
-            + (uint64_t) queue_length_at (rack, ask->spec) * 1000;
+    cost += (request->spec->kind == FB_KIND_GANG ? COST_QUEUE_GANG : COST_QUEUE)
+            + (uint64_t) queue_length_at (rack, request->spec) * 1000;
   if (demand->amount[FB_RES_ACCEL_COUNT] == 0
-      && rack->facts.host_capacity.amount[FB_RES_ACCEL_COUNT] > 0)
+      && rack->info.host_capacity.amount[FB_RES_ACCEL_COUNT] > 0)
     cost += COST_ACCEL_UNUSED;
-  if (ask->count_in_rack != NULL)
-    cost += (uint64_t) ask->count_in_rack (ask->user, id) * COST_SPREAD_RACK;
-  if (ask->count_in_domain != NULL)
-    cost += (uint64_t) ask->count_in_domain (ask->user, rack->facts.domain) * COST_SPREAD_DOMAIN;
+  if (request->count_in_rack != NULL)
+    cost += (uint64_t) request->count_in_rack (request->user, id) * COST_SPREAD_RACK;
+  if (request->count_in_domain != NULL)
+    cost += (uint64_t) request->count_in_domain (request->user, rack->info.domain)
+            * COST_SPREAD_DOMAIN;
   return cost;
 }
 
@@ -207,27 +208,29 @@
 }
 
 static gboolean
-choose_random (FbRouter *self, const FbRouteAsk *ask, const GArray *candidates,
+choose_random (FbRouter *self, const FbRouteAsk *request, const GArray *candidates,
                FbRouteChoice *choice)
 {
-  (void) ask;
+  (void) request;
   choice->rack = pick (self, candidates);
   return TRUE;
 }
 
 static gboolean
-choose_two (FbRouter *self, const FbRouteAsk *ask, const GArray *candidates, FbRouteChoice *choice)
+choose_two (FbRouter *self, const FbRouteAsk *request, const GArray *candidates,
+            FbRouteChoice *choice)
 {
   uint32_t a = pick (self, candidates);
   uint32_t b = pick (self, candidates);
-  gboolean a_wins = cost_of (self, ask, a) <= cost_of (self, ask, b);
+  gboolean a_wins = cost_of (self, request, a) <= cost_of (self, request, b);
   choice->rack = a_wins ? a : b;
   choice->runner_up = a_wins ? b : a;
   return TRUE;
 }
 
 static gboolean
-choose_best (FbRouter *self, const FbRouteAsk *ask, const GArray *candidates, FbRouteChoice *choice)
+choose_best (FbRouter *self, const FbRouteAsk *request, const GArray *candidates,
+             FbRouteChoice *choice)
 {
   uint64_t best_cost = G_MAXUINT64;
   /* Start at a random position so that racks of equal cost share the load. */
@@ -235,7 +238,7 @@
   for (guint i = 0; i < candidates->len; i++)
     {
       uint32_t id = g_array_index (candidates, uint32_t, (start + i) % candidates->len);
-      uint64_t cost = cost_of (self, ask, id);
+      uint64_t cost = cost_of (self, request, id);
       if (cost < best_cost)
         {
           best_cost = cost;
@@ -253,39 +256,40 @@
 const FbRoutePolicy fb_route_best_known = { "best-known", choose_best };
 
 static void
-add_candidate (const FbRouter *self, const FbRouteAsk *ask, uint32_t id, GArray *candidates)
+add_candidate (const FbRouter *self, const FbRouteAsk *request, uint32_t id, GArray *candidates)
 {
-  if (id != ask->avoid_rack && is_candidate (rack_at (self, id), ask))
+  if (id != request->avoid_rack && is_candidate (rack_at (self, id), request))
     g_array_append_val (candidates, id);
 }
 
 static void
-find_candidates (FbRouter *self, const FbRouteAsk *ask, GArray *candidates)
+find_candidates (FbRouter *self, const FbRouteAsk *request, GArray *candidates)
 {
   guint n = self->racks->len;
   for (guint i = 0; i < SAMPLE_N && n > SAMPLE_N; i++)
-    add_candidate (self, ask, (uint32_t) g_rand_int_range (self->rand, 0, (gint32) n), candidates);
+    add_candidate (self, request, (uint32_t) g_rand_int_range (self->rand, 0, (gint32) n),
+                   candidates);
   if (candidates->len > 0)
     return;
   for (uint32_t id = 0; id < n; id++)
-    add_candidate (self, ask, id, candidates);
+    add_candidate (self, request, id, candidates);
 }
 
 gboolean
-fb_router_choose (FbRouter *self, const FbRouteAsk *ask, FbRouteChoice *choice)
+fb_router_choose (FbRouter *self, const FbRouteAsk *request, FbRouteChoice *choice)
 {
   g_autoptr (GArray) candidates = g_array_sized_new (FALSE, FALSE, sizeof (uint32_t), SAMPLE_N);
-  find_candidates (self, ask, candidates);
+  find_candidates (self, request, candidates);
   *choice = (FbRouteChoice){ FB_NO_RACK, FB_NO_RACK, 0 };
-  if (candidates->len == 0 || !self->policy->choose (self, ask, candidates, choice))
+  if (candidates->len == 0 || !self->policy->choose (self, request, candidates, choice))
     return FALSE;
-  if (ask->look_only)
+  if (request->look_only)
     return TRUE;
   Rack *rack = rack_at (self, choice->rack);
   choice->epoch = rack->summary.epoch;
-  if (!fits_now (rack, &ask->spec->demand))
-    rack->queue_debit[fb_spec_waiting (ask->spec)]++;
-  fb_res_add (&rack->debit, &ask->spec->demand);
+  if (!fits_now (rack, &request->spec->demand))
+    rack->queue_debit[fb_spec_waiting (request->spec)]++;
+  fb_res_add (&rack->debit, &request->spec->demand);
   return TRUE;
 }
 
@@ -294,9 +298,9 @@
 {
   for (uint32_t id = 0; id < self->racks->len; id++)
     {
-      const FbRackFacts *facts = &rack_at (self, id)->facts;
-      gboolean allowed = facts->partner == spec->partner || (spec->flags & FB_FLAG_PREEMPTIBLE);
-      if (allowed && fb_res_fits (&spec->demand, &facts->host_capacity))
+      const FbRackFacts *info = &rack_at (self, id)->info;
+      gboolean allowed = info->partner == spec->partner || (spec->flags & FB_FLAG_PREEMPTIBLE);
+      if (allowed && fb_res_fits (&spec->demand, &info->host_capacity))
         return TRUE;
     }
   return FALSE;
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -41,7 +41,7 @@
   const FbWorker *w = fb_rack_worker (self, index);
   if (!fb_worker_takes_work (w) || is_held (self, index, task))
     return FALSE;
-  if (w->promised && (task->spec.kind != FB_KIND_URGENT || task->spec.partner != self->home))
+  if (w->urgent_only && (task->spec.kind != FB_KIND_URGENT || task->spec.partner != self->home))
     return FALSE;
   fb_res free = fb_worker_free_space (w);
   return fb_res_fits (&task->spec.demand, &free) && fb_quality_allows (self, now_ms, w, task);
@@ -55,7 +55,7 @@
    * waiting, and with it the capacity that the gang has reserved on other racks. */
   if (task->spec.kind == FB_KIND_GANG)
     return 0;
-  if (fb_lanes_accel_count (self->lanes) > 0)
+  if (fb_lanes_accel_count (self->queues) > 0)
     return 1000;
   if (task->spec.flags & FB_FLAG_PREEMPTIBLE)
     return 0;
@@ -133,7 +133,7 @@
     {
       task->state = FB_TASK_RESERVED;
       task->reserved_until_ms = now_ms + FB_RACK_RESERVE_MS;
-      fb_rack_send_news (self, task, FB_NEWS_RESERVED, FB_REASON_NONE);
+      fb_rack_send_run_status (self, task, FB_NEWS_RESERVED, FB_REASON_NONE);
       return;
     }
   task->state = FB_TASK_STARTING;
@@ -163,8 +163,8 @@
     return;
   /* Work without accelerators may not start on accelerator hosts while accelerator work
    * waits: holding such a host would leave it idle and still not start the task. */
-  gboolean guarded
-      = fb_spec_waiting (&head->spec) == FB_WAITING_OTHER && fb_lanes_accel_count (self->lanes) > 0;
+  gboolean guarded = fb_spec_waiting (&head->spec) == FB_WAITING_OTHER
+                     && fb_lanes_accel_count (self->queues) > 0;
   uint32_t least_milli = G_MAXUINT32;
   for (guint i = 0; i < self->workers->len; i++)
     {
@@ -184,9 +184,9 @@
 }
 
 static gboolean
-start_from_lane (FbRack *self, uint64_t now_ms, FbLane *lane)
+start_from_queue (FbRack *self, uint64_t now_ms, FbLane *queue)
 {
-  GSequenceIter *iter = g_sequence_get_begin_iter (lane->tasks);
+  GSequenceIter *iter = g_sequence_get_begin_iter (queue->tasks);
   FbTask *head = g_sequence_get (iter);
   for (guint i = 0; i < BACKFILL_MAX && !g_sequence_iter_is_end (iter); i++)
     {
@@ -195,7 +195,7 @@
       if (try_start (self, now_ms, task))
         return TRUE;
     }
-  if (lane->kind != FB_KIND_URGENT)
+  if (queue->kind != FB_KIND_URGENT)
     hold_worker_for (self, now_ms, head);
   return FALSE;
 }
@@ -203,23 +203,23 @@
 /* Returns: the queue, not blocked in this pass, whose team has the smallest weighted
  * share, or NULL. */
 static FbLane *
-next_lane (const FbRack *self, uint32_t partner, FbKind kind)
+next_queue (const FbRack *self, uint32_t partner, FbKind kind)
 {
-  const GPtrArray *lanes = fb_lanes_of (self->lanes, partner, kind);
+  const GPtrArray *queues = fb_lanes_of (self->queues, partner, kind);
   FbLane *best = NULL;
   uint64_t best_share = G_MAXUINT64;
-  for (guint i = 0; i < lanes->len; i++)
+  for (guint i = 0; i < queues->len; i++)
     {
-      FbLane *lane = g_ptr_array_index (lanes, i);
-      if (lane->blocked)
+      FbLane *queue = g_ptr_array_index (queues, i);
+      if (queue->blocked)
         continue;
-      const FbTeam *team = fb_teams_get (self->policy.teams, partner, lane->team);
-      const fb_res *used = fb_rack_team_used (self, partner, lane->team);
+      const FbTeam *team = fb_teams_get (self->policy.teams, partner, queue->team);
+      const fb_res *used = fb_rack_team_used (self, partner, queue->team);
       uint64_t share
           = (uint64_t) fb_res_dominant_milli (used, &self->total) * 1000 / MAX (team->weight, 1);
-      if (best == NULL || share < best_share || (share == best_share && lane->team < best->team))
+      if (best == NULL || share < best_share || (share == best_share && queue->team < best->team))
         {
-          best = lane;
+          best = queue;
           best_share = share;
         }
     }
@@ -229,29 +229,29 @@
 static void
 start_kind (FbRack *self, uint64_t now_ms, uint32_t partner, FbKind kind)
 {
-  FbLane *lane;
-  while ((lane = next_lane (self, partner, kind)) != NULL)
+  FbLane *queue;
+  while ((queue = next_queue (self, partner, kind)) != NULL)
     {
-      if (!start_from_lane (self, now_ms, lane))
-        lane->blocked = TRUE;
+      if (!start_from_queue (self, now_ms, queue))
+        queue->blocked = TRUE;
     }
 }
 
 void
 fb_rack_schedule (FbRack *self, uint64_t now_ms)
 {
-  if (fb_lanes_count (self->lanes) == 0)
+  if (fb_lanes_count (self->queues) == 0)
     return;
-  fb_lanes_unblock (self->lanes);
+  fb_lanes_unblock (self->queues);
   for (guint i = 0; i < self->workers->len; i++)
-    fb_rack_worker (self, i)->promised = FALSE;
+    fb_rack_worker (self, i)->urgent_only = FALSE;
   const uint32_t order[FB_PARTNER_N] = { self->home, 1 - self->home };
   for (guint p = 0; p < FB_PARTNER_N; p++)
     {
       for (guint kind = 0; kind < FB_KIND_N; kind++)
         {
           start_kind (self, now_ms, order[p], (FbKind) kind);
-          if (fb_lanes_count_of (self->lanes, order[p], (FbKind) kind) > 0)
+          if (fb_lanes_count_of (self->queues, order[p], (FbKind) kind) > 0)
             fb_preempt_for_waiting (self, now_ms, order[p], (FbKind) kind);
         }
     }
--- a/src/core/stream.c
+++ b/src/core/stream.c
@@ -92,9 +92,10 @@
   gboolean follows = (claim->previous >> FB_EPOCH_SUB_BITS) == (self->epoch >> FB_EPOCH_SUB_BITS);
   gboolean nothing_known = self->epoch == 0 && !self->anchored;
   gboolean first_after_gap = nothing_known && claim->read_to >= self->first;
-  gboolean outlived = !nothing_known && claim->previous == 0 && claim->first > self->renewed_to
-                      && claim->first > self->claim_read_to;
-  if ((!follows || nothing_known) && !first_after_gap && !outlived)
+  gboolean claims_after_loss = !nothing_known && claim->previous == 0
+                               && claim->first > self->renewed_to
+                               && claim->first > self->claim_read_to;
+  if ((!follows || nothing_known) && !first_after_gap && !claims_after_loss)
     return FB_STREAM_VOID;
   self->epoch = fb_epoch_of_claim (offset);
   self->last_claim = offset;
@@ -146,10 +147,10 @@
   self->next = offset + 1;
   if (!fb_codec_decode_record (data, len, record))
     return FB_STREAM_MALFORMED;
-  FbStreamVerdict verdict = validate (self, offset, record);
-  if (verdict != FB_STREAM_OK && verdict != FB_STREAM_CLAIMED)
+  FbStreamVerdict result = validate (self, offset, record);
+  if (result != FB_STREAM_OK && result != FB_STREAM_CLAIMED)
     fb_codec_clear_record (record);
-  return verdict;
+  return result;
 }
 
 void
--- a/src/core/survey.c
+++ b/src/core/survey.c
@@ -66,15 +66,15 @@
 }
 
 static void
-stop_unknown (FbRange *self, uint32_t rack, const fb_run *run)
+stop_unknown_run (FbRange *self, uint32_t rack, const fb_run *run)
 {
-  fb_word word
+  fb_word command
       = { .run = *run, .rack = rack, .range = self->id, .range_epoch = self->epoch, .force = TRUE };
   fb_body stop = { .type = FB_MSG_WITHDRAW };
-  stop.fb_body_u.withdraw = word;
+  stop.fb_body_u.withdraw = command;
   (void) self->sink->send (self->user, self, rack, &stop);
   fb_body ack = { .type = FB_MSG_ACK };
-  ack.fb_body_u.ack = word;
+  ack.fb_body_u.ack = command;
   (void) self->sink->send (self->user, self, rack, &ack);
 }
 
@@ -107,7 +107,7 @@
       if (is_known_run (self, surveyed->rack, run))
         continue;
       unknown++;
-      stop_unknown (self, surveyed->rack, run);
+      stop_unknown_run (self, surveyed->rack, run);
     }
   if (unknown > 0)
     return;
