--- a/include/fb-policy.h
+++ b/include/fb-policy.h
@@ -10,11 +10,11 @@
 typedef enum
 {
   FB_POLICY_OK,
-  FB_POLICY_SYNTAX,  /* not an INI file */
-  FB_POLICY_UNKNOWN, /* an unknown group or key */
-  FB_POLICY_VALUE,   /* a value that is out of range or not one of those allowed */
-  FB_POLICY_MISSING, /* a required key is missing, or a name is not declared */
-  FB_POLICY_DOUBLE   /* declared twice */
+  FB_POLICY_SYNTAX,   /* not an INI file */
+  FB_POLICY_UNKNOWN,  /* an unknown group or key */
+  FB_POLICY_VALUE,    /* a value that is out of range or not one of those allowed */
+  FB_POLICY_MISSING,  /* a required key is missing, or a name is not declared */
+  FB_POLICY_DUPLICATE /* declared twice */
 } FbPolicyStatus;
 
 typedef struct
--- a/include/internal/node.h
+++ b/include/internal/node.h
@@ -48,7 +48,7 @@
 
 typedef struct
 {
-  const FbCell *cell; /* borrowed for the life of the node */
+  const FbCell *cell; /* borrowed for the lifetime of the node */
   guint self_index;
   uint64_t incarnation; /* larger at each start of the process */
   uint32_t seed;
@@ -72,7 +72,7 @@
 void fb_node_sync_failed (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker,
                           uint64_t request_epoch);
 /* A worker has signalled a change: requests its state soon. */
-void fb_node_hint (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker);
+void fb_node_worker_changed (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker);
 typedef enum
 {
   FB_HOST_LIVE,
@@ -80,18 +80,19 @@
   FB_HOST_GONE
 } FbHostState;
 /* Sets the state of a host from the host list. */
-void fb_node_host (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker, FbHostState state);
+void fb_node_set_host_state (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker,
+                             FbHostState state);
 
 /* Result of an append. OFFSETS has one entry for each record of the call; NULL means that
  * the append failed or that its result is unknown. */
 void fb_node_log_appended (FbNode *self, uint64_t now_ms, const uint64_t *offsets, guint n);
-/* Result of a read: RECORDS from the requested offset on, or from FIRST_KEPT, the oldest
+/* Result of a read: RECORDS from the requested offset on, or from FIRST_RETAINED, the oldest
  * offset that the log still has, if that is later. AT_END: the stream ended after them
  * when the log answered. LOG_NOW_MS: the log's clock at that time; 0 if not known. */
 typedef struct
 {
   uint64_t log_now_ms;
-  uint64_t first_kept;
+  uint64_t first_retained;
   gboolean at_end;
   const FbLogRecord *records; /* borrowed */
   guint record_n;
@@ -104,7 +105,7 @@
 void fb_node_submit (FbNode *self, uint64_t now_ms, const fb_job *job, gboolean until_admitted);
 /* Returns: FALSE if the owner of the job's range is not known; nothing was sent then.
  * Otherwise an answer comes through the sink, unless a message is lost. */
-gboolean fb_node_ask (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job);
+gboolean fb_node_query_job (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job);
 gboolean fb_node_cancel (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job);
 
 /* Publishes CONFIG, a signed revision of an operator. Whether it comes into force is
--- a/include/internal/place.h
+++ b/include/internal/place.h
@@ -13,14 +13,14 @@
   const fb_res *demand;
   guint index;
   uint32_t guard_milli; /* part of its even share that a free accelerator keeps, in thousandths */
-} FbPlaceView;
+} FbPlaceCandidate;
 
 struct _FbPlacePolicy
 {
   const char *name;
   /* Returns: the cost of a placement; the smallest one is chosen, a negative one forbids
    * the placement. */
-  int64_t (*cost) (const FbPlaceView *view);
+  int64_t (*cost) (const FbPlaceCandidate *view);
 };
 typedef struct _FbPlacePolicy FbPlacePolicy;
 
--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -1,9 +1,9 @@
 /* Data structures of a rack, private to the files that implement it. */
 #pragma once
 
-#include "internal/lane.h"
 #include "internal/place.h"
 #include "internal/rack.h"
+#include "internal/task-queue.h"
 
 typedef enum
 {
@@ -31,7 +31,7 @@
   fb_res charge; /* amount charged to the worker: the larger of declared and measured usage */
   gboolean checkpoint_stop; /* the worker saves a checkpoint when it stops the run */
   FbReason stop_reason;     /* if STOPPING */
-  FbNews news;              /* if ENDED */
+  FbRunStatus run_status;   /* if ENDED */
   FbReason reason;
   GBytes *answer;           /* output of an ended run, or NULL */
   uint64_t report_at_ms;    /* when the end is reported again */
@@ -60,17 +60,17 @@
   gboolean in_flight;   /* a request is not answered yet */
   gboolean urgent_only; /* only the home partner's urgent work may start here */
   uint64_t incarnation;
-  uint64_t incarnation_seen_ms; /* when its first reply of this incarnation arrived */
-  uint64_t proven_incarnation;  /* incarnation for which ownership was confirmed, or 0; see
-                                   fb_rack_ownership_confirmed() */
-  uint64_t clock_ms;            /* its own clock in the last reply */
-  uint64_t last_reply_ms;       /* when the last reply arrived */
-  uint64_t sync_at_ms;          /* when the next periodic request is due */
-  uint64_t sent_seq;            /* of the last request */
-  uint64_t last_reply_seq;      /* of the request that was answered last; 0 if none */
-  uint64_t known_version;       /* of the last complete state received, or 0 */
-  uint64_t gone_ms;             /* when the host list dropped it; 0 if listed */
-  uint32_t fail_streak;         /* failures in a row, see quality.c */
+  uint64_t incarnation_seen_ms;   /* when its first reply of this incarnation arrived */
+  uint64_t confirmed_incarnation; /* incarnation for which ownership was confirmed, or 0; see
+                                  fb_rack_ownership_confirmed() */
+  uint64_t clock_ms;              /* its own clock in the last reply */
+  uint64_t last_reply_ms;         /* when the last reply arrived */
+  uint64_t sync_at_ms;            /* when the next periodic request is due */
+  uint64_t sent_seq;              /* of the last request */
+  uint64_t last_reply_seq;        /* of the request that was answered last; 0 if none */
+  uint64_t known_version;         /* of the last complete state received, or 0 */
+  uint64_t gone_ms;               /* when the host list dropped it; 0 if listed */
+  uint32_t fail_streak;           /* failures in a row, see worker-health.c */
   uint64_t last_failed_job;
   gboolean quarantined;
   uint64_t probe_at_ms;   /* if quarantined: earliest time of the next probe */
@@ -90,7 +90,7 @@
   gboolean draining;
   GPtrArray *workers; /* FbWorker owned */
   GHashTable *tasks;  /* fb_run * in the task -> FbTask owned */
-  FbLanes *queues;
+  FbTaskQueues *queues;
   GSequence *by_due; /* queued FbTask that have a due time, earliest first */
   GQueue ended;      /* ended FbTask that the rack still has to remember */
   fb_res total;      /* capacity of all workers */
@@ -126,13 +126,14 @@
 gboolean fb_task_never_sent (const FbTask *task);
 void fb_rack_enqueue (FbRack *self, FbTask *task);
 /* Reports to the owner of SPEC's range. ANSWER may be NULL. */
-void fb_rack_report (FbRack *self, const fb_spec *spec, guint worker, FbNews news, FbReason reason,
-                     GBytes *answer);
+void fb_rack_report (FbRack *self, const fb_spec *spec, guint worker, FbRunStatus run_status,
+                     FbReason reason, GBytes *answer);
 /* Adds a task for a run that a worker lists and this owner does not know. */
 FbTask *fb_rack_adopt (FbRack *self, uint64_t now_ms, guint worker, const fb_spec *spec);
-void fb_rack_end_task (FbRack *self, uint64_t now_ms, FbTask *task, FbNews news, FbReason reason,
-                       const char *answer, uint32_t answer_len);
-void fb_rack_send_run_status (FbRack *self, const FbTask *task, FbNews news, FbReason reason);
+void fb_rack_end_task (FbRack *self, uint64_t now_ms, FbTask *task, FbRunStatus run_status,
+                       FbReason reason, const char *answer, uint32_t answer_len);
+void fb_rack_send_run_status (FbRack *self, const FbTask *task, FbRunStatus run_status,
+                              FbReason reason);
 void fb_rack_dequeue (FbRack *self, FbTask *task);
 void fb_rack_forget (FbRack *self, FbTask *task);
 void fb_rack_stop_task (FbRack *self, FbTask *task, FbReason reason);
@@ -147,12 +148,12 @@
 /* preempt.c: stops running work for queued tasks of PARTNER and KIND */
 void fb_preempt_for_waiting (FbRack *self, uint64_t now_ms, uint32_t partner, FbKind kind);
 
-/* quality.c: quarantine of workers that fail the work they start */
-void fb_quality_note_end (FbRack *self, uint64_t now_ms, guint worker, const FbTask *task,
-                          FbNews news);
+/* worker-health.c: quarantine of workers that fail the work they start */
+void fb_worker_health_note_end (FbRack *self, uint64_t now_ms, guint worker, const FbTask *task,
+                                FbRunStatus run_status);
 /* Returns: the penalty to add to the cost of a placement. */
-int64_t fb_quality_cost (const FbWorker *worker, const FbTask *task);
-void fb_quality_note_start (FbWorker *worker, uint64_t now_ms);
-void fb_quality_tick (FbRack *self, uint64_t now_ms);
-gboolean fb_quality_allows (const FbRack *self, uint64_t now_ms, const FbWorker *worker,
-                            const FbTask *task);
+int64_t fb_worker_health_cost (const FbWorker *worker, const FbTask *task);
+void fb_worker_health_note_start (FbWorker *worker, uint64_t now_ms);
+void fb_worker_health_tick (FbRack *self, uint64_t now_ms);
+gboolean fb_worker_health_allows (const FbRack *self, uint64_t now_ms, const FbWorker *worker,
+                                  const FbTask *task);
--- a/include/internal/rack.h
+++ b/include/internal/rack.h
@@ -18,8 +18,9 @@
  * successor needs to take over the rack (about 6 s), so that runs outlive their owner.
  * The runs of a lost worker are started again only after it. */
 #define FB_RACK_LEASE_MS 10000
-#define FB_RACK_START_MS 2000       /* a worker refuses a start order older than this */
-#define FB_RACK_DRIFT_PERCENT 2     /* added to the lease for clocks that run at different rates */
+#define FB_RACK_START_MS 2000 /* a worker refuses a start order older than this */
+#define FB_RACK_CLOCK_DRIFT_PERCENT                                                                \
+  2                                 /* added to the lease for clocks that run at different rates */
 #define FB_RACK_SYNC_PERIOD_MS 2500 /* period of exchanges with an idle worker */
 #define FB_RACK_REPORT_PERIOD_MS 1000 /* between repeats of an unacknowledged report */
 #define FB_RACK_RESERVE_MS 5000       /* a reservation lapses unless the range queries it */
@@ -39,9 +40,9 @@
 {
   fb_spec spec; /* payload not set; borrowed */
   FbSyncState state;
-  FbNews news;        /* if state is ENDED: COMPLETED, FAILED, STOPPED or LOST (lease lapsed) */
-  fb_res usage;       /* measured; raises the charge above the declared demand */
-  const char *answer; /* borrowed */
+  FbRunStatus run_status; /* if state is ENDED: COMPLETED, FAILED, STOPPED or LOST (lease lapsed) */
+  fb_res usage;           /* measured; raises the charge above the declared demand */
+  const char *answer;     /* borrowed */
   uint32_t answer_len;
 } FbSyncRun;
 
@@ -95,7 +96,7 @@
    * caller answers with fb_rack_ownership_confirmed(), or frees the rack. */
   void (*confirm_ownership) (gpointer user, FbRack *rack);
   /* Sends the reply to fb_rack_survey() to the owner of the range. */
-  void (*surveyed) (gpointer user, FbRack *rack, const fb_surveyed *surveyed);
+  void (*surveyed) (gpointer user, FbRack *rack, const fb_survey_reply *surveyed);
   /* A worker has accepted a higher epoch: this daemon is no longer the owner. */
   void (*fenced) (gpointer user, FbRack *rack);
 } FbRackSink;
@@ -121,19 +122,19 @@
 
 /* Requests of range owners. The answer goes out through sink->report(). */
 void fb_rack_place (FbRack *self, uint64_t now_ms, const fb_place *place);
-void fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_word *command);
-void fb_rack_query (FbRack *self, uint64_t now_ms, const fb_word *command);
-void fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_word *command);
+void fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_run_command *command);
+void fb_rack_query (FbRack *self, uint64_t now_ms, const fb_run_command *command);
+void fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_run_command *command);
 /* Answers with all runs of a range through sink->surveyed(); does nothing until every
  * worker has replied. */
-void fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_word *command);
-void fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_word *command);
+void fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_run_command *command);
+void fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_run_command *command);
 
 /* Replies and events of the workers. */
 void fb_rack_sync_done (FbRack *self, uint64_t now_ms, guint worker, const FbSyncReply *reply);
 void fb_rack_sync_failed (FbRack *self, uint64_t now_ms, guint worker);
 /* The worker has signalled a change: exchange with it at the next flush. */
-void fb_rack_hint (FbRack *self, guint worker);
+void fb_rack_worker_changed (FbRack *self, guint worker);
 void fb_rack_set_leaving (FbRack *self, uint64_t now_ms, guint worker, gboolean leaving);
 /* The host list does not contain the worker any more. */
 void fb_rack_set_gone (FbRack *self, uint64_t now_ms, guint worker);
@@ -142,7 +143,7 @@
 
 /* The previous owner had confirmed its ownership after it saw this INCARNATION of the
  * worker, before it handed the rack over. */
-void fb_rack_set_proven (FbRack *self, guint worker, uint64_t incarnation);
+void fb_rack_set_confirmed_incarnation (FbRack *self, guint worker, uint64_t incarnation);
 
 /* Delays all starts until UNTIL_MS. */
 void fb_rack_pause_starts (FbRack *self, uint64_t until_ms);
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -5,13 +5,13 @@
 
 typedef enum
 {
-  FB_JT_WAITING,  /* no attempt is in progress */
-  FB_JT_INTENT,   /* the record of the next attempt is being appended to the log */
-  FB_JT_PLACED,   /* sent to a rack; may be queued, starting or lost */
-  FB_JT_RESERVED, /* member of a gang that has reserved its capacity */
-  FB_JT_RUNNING,
-  FB_JT_ENDING, /* the record of its final outcome is being appended to the log */
-  FB_JT_DONE
+  FB_JOB_TASK_WAITING,  /* no attempt is in progress */
+  FB_JOB_TASK_INTENT,   /* the record of the next attempt is being appended to the log */
+  FB_JOB_TASK_PLACED,   /* sent to a rack; may be queued, starting or lost */
+  FB_JOB_TASK_RESERVED, /* member of a gang that has reserved its capacity */
+  FB_JOB_TASK_RUNNING,
+  FB_JOB_TASK_ENDING, /* the record of its final outcome is being appended to the log */
+  FB_JOB_TASK_DONE
 } FbJobTaskState;
 
 typedef struct _FbJob FbJob;
@@ -64,11 +64,11 @@
   GBytes *ending_body; /* the same, being appended to the log; or NULL */
   FbJobTask *tasks;
   guint task_n;
-  guint state_n[FB_JT_DONE + 1]; /* number of tasks in each state */
-  guint outcome_n[FB_OUTCOME_N]; /* number of done tasks with each outcome */
-  gboolean committed;            /* the members of the gang were told to start */
-  guint cancel_next;             /* index of the next task to cancel */
-  GPtrArray *fronts;             /* char * owned: names of the daemons that wait for the answer */
+  guint state_n[FB_JOB_TASK_DONE + 1]; /* number of tasks in each state */
+  guint outcome_n[FB_OUTCOME_N];       /* number of done tasks with each outcome */
+  gboolean committed;                  /* the members of the gang were told to start */
+  guint cancel_next;                   /* index of the next task to cancel */
+  GPtrArray *fronts; /* char * owned: names of the daemons that wait for the answer */
   GArray *intents; /* uint32_t: indexes of the tasks whose INTENT record is written in this pass */
   GHashTable *per_rack; /* rack + 1 -> number of tasks there, to spread the job */
 };
@@ -88,19 +88,19 @@
   guint survey_left;     /* number of racks that have not replied */
   uint64_t survey_at_ms; /* when the racks are asked again */
   uint64_t next_due_ms;  /* earliest expiry of the timers set since the last dispatch */
-  uint64_t unsure_until_ms;     /* until then, jobs and keys from before may have been forgotten */
-  GHashTable *jobs;             /* &job->spec.id -> FbJob owned */
-  GSequence *timers[FB_KIND_N]; /* FbJobTask borrowed, earliest first */
-  GQueue cancelling;            /* FbJob whose tasks are not all cancelled yet */
-  GQueue ended;                 /* FbJob in the order they ended */
-  GPtrArray *with_intents;      /* FbJob borrowed: those with intents in this pass */
+  uint64_t history_gap_until_ms; /* until then, jobs and keys from before may have been forgotten */
+  GHashTable *jobs;              /* &job->spec.id -> FbJob owned */
+  GSequence *timers[FB_KIND_N];  /* FbJobTask borrowed, earliest first */
+  GQueue cancelling;             /* FbJob whose tasks are not all cancelled yet */
+  GQueue ended;                  /* FbJob in the order they ended */
+  GPtrArray *with_intents;       /* FbJob borrowed: those with intents in this pass */
 };
 
 FbJob *fb_range_find (const FbRange *self, uint64_t job);
 /* A job as submitted, or as read from its record. */
 FbJob *fb_job_new (uint64_t now_ms, const fb_job *spec);
 FbJob *fb_job_new_recovered (uint64_t now_ms, const fb_rec_admit *admit, uint64_t age_ms,
-                             const FbRecordPlace *place);
+                             const FbRecordPosition *place);
 void fb_job_free (gpointer job);
 /* Earlier runs of the job may have been forgotten: counts them as started, and numbers
  * attempts from FIRST_ATTEMPT. */
@@ -120,9 +120,9 @@
 
 /* The attempt is known to have ended without an outcome: schedules the next one, after a
  * delay if BACK_OFF. */
-void fb_range_task_again (FbRange *self, uint64_t now_ms, FbJobTask *task, gboolean back_off);
+void fb_range_retry_task (FbRange *self, uint64_t now_ms, FbJobTask *task, gboolean back_off);
 /* Appends the final outcome of a task; it takes effect in fb_range_apply(). */
-void fb_range_task_end (FbRange *self, FbJobTask *task, FbOutcome outcome, FbReason reason,
+void fb_range_end_task (FbRange *self, FbJobTask *task, FbOutcome outcome, FbReason reason,
                         const char *body, uint32_t body_len);
 void fb_range_task_past_due (FbRange *self, FbJobTask *task);
 /* Ends the job if all its tasks are done. */
@@ -136,7 +136,7 @@
 void fb_range_dispatch (FbRange *self, uint64_t now_ms);
 
 /* gang.c: all members of a job start, or none */
-void fb_gang_gather (FbRange *self, uint64_t now_ms, FbJob *job);
+void fb_gang_reserve (FbRange *self, uint64_t now_ms, FbJob *job);
 void fb_gang_advance (FbRange *self, uint64_t now_ms, FbJob *job);
 void fb_gang_break (FbRange *self, uint64_t now_ms, FbJob *job);
 
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -15,10 +15,10 @@
 
 typedef struct _FbRange FbRange;
 
-#define FB_RANGE_QUERY_MS 2000        /* between queries about a task at a rack */
-#define FB_RANGE_REBALANCE_MS 3000    /* a task queued for longer may move to another rack */
-#define FB_RANGE_UNSURE_GRACE_MS 2000 /* wait for a rack's report after the due time */
-#define FB_RANGE_GATHER_MS 15000      /* for all members of a gang to reserve capacity */
+#define FB_RANGE_QUERY_MS 2000         /* between queries about a task at a rack */
+#define FB_RANGE_REBALANCE_MS 3000     /* a task queued for longer may move to another rack */
+#define FB_RANGE_DUE_GRACE_MS 2000     /* wait for a rack's report after the due time */
+#define FB_RANGE_GANG_RESERVE_MS 15000 /* for all members of a gang to reserve capacity */
 #define FB_RANGE_JOB_MAX 20000
 #define FB_RANGE_TASK_MAX 20000
 #define FB_RANGE_KEEP_MS (60 * 60 * 1000) /* how long ended jobs and their keys are remembered */
@@ -33,7 +33,8 @@
    * sent then. */
   gboolean (*send) (gpointer user, FbRange *range, uint32_t rack, const fb_body *body);
   /* Chooses a rack with the router, see fb_router_choose(). */
-  gboolean (*choose) (gpointer user, FbRange *range, const FbRouteAsk *ask, FbRouteChoice *choice);
+  gboolean (*choose) (gpointer user, FbRange *range, const FbRouteRequest *ask,
+                      FbRouteChoice *choice);
   /* Returns: TRUE if SPEC fits an empty host of some rack that it may use. */
   gboolean (*ever_fits) (gpointer user, const fb_spec *spec);
   /* RACK has refused a task. */
@@ -59,11 +60,11 @@
   uint64_t offset;
   uint64_t age_ms;
   uint64_t log_now_ms;
-} FbRecordPlace;
+} FbRecordPosition;
 
 /* Applies one record of the range's stream. */
 void fb_range_apply (FbRange *self, uint64_t now_ms, const fb_rec_body *body,
-                     const FbRecordPlace *place);
+                     const FbRecordPosition *place);
 
 /* The daemon owns the range at EPOCH and has applied all records before its claim. */
 void fb_range_activate (FbRange *self, uint64_t now_ms, uint64_t epoch);
@@ -73,10 +74,10 @@
 /* Records that are still needed may be missing, see survey.c. Asks RACK_N racks for the
  * runs that they hold; until all have replied no job is admitted. */
 void fb_range_begin_survey (FbRange *self, uint64_t now_ms, guint rack_n);
-/* The predecessor could not rule out forgotten jobs for another UNSURE_MS; neither can
+/* The predecessor could not rule out forgotten jobs for another HISTORY_GAP_MS; neither can
  * this owner. */
-void fb_range_set_unsure (FbRange *self, uint64_t now_ms, uint64_t unsure_ms);
-void fb_range_surveyed (FbRange *self, uint64_t now_ms, const fb_surveyed *surveyed);
+void fb_range_set_history_gap (FbRange *self, uint64_t now_ms, uint64_t history_gap_ms);
+void fb_range_surveyed (FbRange *self, uint64_t now_ms, const fb_survey_reply *surveyed);
 
 /* Whether appends to the log succeed. While they do not, new durable jobs are refused at
  * once instead of waiting. */
@@ -86,8 +87,9 @@
 /* A refusal carries COPY back, see fb_answer. */
 void fb_range_submit (FbRange *self, uint64_t now_ms, const fb_job *job, uint32_t copy,
                       const char *front);
-void fb_range_ask (FbRange *self, uint64_t now_ms, const fb_job_word *command, const char *front);
-void fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_word *command,
+void fb_range_query_job (FbRange *self, uint64_t now_ms, const fb_job_command *command,
+                         const char *front);
+void fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_command *command,
                       const char *front);
 
 /* Cancels the services of this range that are not in WANTED (a set of &job id). */
--- a/include/internal/router.h
+++ b/include/internal/router.h
@@ -14,20 +14,20 @@
   uint32_t domain;
   fb_res host_capacity; /* capacity of its largest host */
   fb_res total;         /* capacity of all its hosts */
-} FbRackFacts;
+} FbRackInfo;
 
 typedef struct
 {
   const fb_spec *spec;
   uint64_t now_ms;
   uint32_t avoid_rack; /* the rack that refused last, or FB_NO_RACK */
-  gboolean look_only;  /* only asks whether there is room now; nothing will be sent */
+  gboolean probe_only; /* only asks whether there is room now; nothing will be sent */
   /* Returns: the number of tasks of the same job in a rack or domain. Both NULL for work
    * that is not spread. */
   guint (*count_in_rack) (gpointer user, uint32_t rack);
   guint (*count_in_domain) (gpointer user, uint32_t domain);
   gpointer user;
-} FbRouteAsk;
+} FbRouteRequest;
 
 typedef struct
 {
@@ -41,7 +41,7 @@
   const char *name;
   /* Returns: TRUE and fills CHOICE, or FALSE if no rack is suitable. CANDIDATES has the
    * ids of the racks that are suitable according to their summaries; it is not empty. */
-  gboolean (*choose) (FbRouter *router, const FbRouteAsk *request, const GArray *candidates,
+  gboolean (*choose) (FbRouter *router, const FbRouteRequest *request, const GArray *candidates,
                       FbRouteChoice *choice);
 } FbRoutePolicy;
 
@@ -55,9 +55,9 @@
 void fb_router_free (FbRouter *self);
 
 /* Adds a rack. Its id is the number of racks added before. */
-void fb_router_add_rack (FbRouter *self, const FbRackFacts *info);
+void fb_router_add_rack (FbRouter *self, const FbRackInfo *info);
 /* Returns: the properties of RACK, borrowed, or NULL if there is no such rack. */
-const FbRackFacts *fb_router_rack (const FbRouter *self, uint32_t rack);
+const FbRackInfo *fb_router_rack (const FbRouter *self, uint32_t rack);
 
 /* Stores a summary unless a newer epoch is known, and clears what this daemon has debited
  * since the last one: the owner has counted it. */
@@ -69,7 +69,7 @@
 
 /* Returns: TRUE and fills CHOICE, or FALSE if no rack is suitable now. Unless the request only
  * asks for room, the demand is debited from the summary of the chosen rack. */
-gboolean fb_router_choose (FbRouter *self, const FbRouteAsk *request, FbRouteChoice *choice);
+gboolean fb_router_choose (FbRouter *self, const FbRouteRequest *request, FbRouteChoice *choice);
 
 /* Returns: TRUE if SPEC fits an empty host of some rack that it may use. */
 gboolean fb_router_ever_fits (const FbRouter *self, const fb_spec *spec);
--- a/include/internal/stream.h
+++ b/include/internal/stream.h
@@ -12,22 +12,22 @@
 {
   FB_STREAM_OK,      /* RECORD is valid and is to be applied */
   FB_STREAM_CLAIMED, /* RECORD is a claim, or a RENEW that names the claim, which is in force now */
-  FB_STREAM_DOUBLE,  /* duplicate of a record from a repeated append */
-  FB_STREAM_VOID,    /* from an epoch that a later claim has ended, or a claim that lost */
+  FB_STREAM_DUPLICATE,  /* duplicate of a record from a repeated append */
+  FB_STREAM_SUPERSEDED, /* from an epoch that a later claim has ended, or a claim that lost */
   FB_STREAM_MALFORMED,
   FB_STREAM_OLD /* offset before the next one to read */
-} FbStreamVerdict;
+} FbStreamResult;
 
 FbStream *fb_stream_new (uint32_t shard);
 void fb_stream_free (FbStream *self);
 
 /* Reads the record at OFFSET. After OK and CLAIMED, *RECORD is decoded and the caller has
  * to clear it; after all other results there is nothing to clear. */
-FbStreamVerdict fb_stream_read (FbStream *self, uint64_t offset, const void *data, gsize len,
-                                fb_record *record);
+FbStreamResult fb_stream_read (FbStream *self, uint64_t offset, const void *data, gsize len,
+                               fb_record *record);
 
 /* The log has dropped all records before FIRST. */
-void fb_stream_note_first (FbStream *self, uint64_t first);
+void fb_stream_note_first_retained (FbStream *self, uint64_t first);
 
 /* Returns: the next offset to read. */
 uint64_t fb_stream_next (const FbStream *self);
@@ -38,7 +38,7 @@
 gboolean fb_stream_has_gap (const FbStream *self, uint64_t *first);
 /* Returns: the offset from which on every record could be validated; 0 if no record was
  * missed; G_MAXUINT64 if there is no such offset. */
-uint64_t fb_stream_anchor (const FbStream *self);
+uint64_t fb_stream_validated_from (const FbStream *self);
 
 /* An epoch consists of the offset of the claim and a count of handovers that did not go
  * through the log. */
--- a/rpc/peer.x
+++ b/rpc/peer.x
@@ -25,7 +25,7 @@
   unsigned hyper amount[4];
 };
 
-/* One attempt as a rack gets it. LEFT_MS: remaining time to the latest start, all
+/* One attempt as a rack gets it. REMAINING_MS: remaining time to the latest start, all
  * ones for none. WAITED_MS: time since the job arrived. RUN_MS: expected run time. */
 struct fb_spec {
   fb_run run;
@@ -37,7 +37,7 @@
   unsigned int flags;
   unsigned int preempt_count;
   fb_res demand;
-  unsigned hyper left_ms;
+  unsigned hyper remaining_ms;
   unsigned hyper waited_ms;
   unsigned hyper run_ms;
   opaque payload<FB_MAX_PAYLOAD>;
@@ -50,14 +50,14 @@
   fb_spec spec;
 };
 
-/* Status of a run, from a rack owner to a range owner. NEWS is an FbNews, REASON an
+/* Status of a run, from a rack owner to a range owner. RUN_STATUS is an FbRunStatus, REASON an
  * FbReason, WORKER an index or all ones for none. */
 struct fb_report {
   fb_run run;
   unsigned int range;
   unsigned int rack;
   unsigned hyper rack_epoch;
-  unsigned int news;
+  unsigned int run_status;
   unsigned int reason;
   unsigned int worker;
   opaque answer<FB_MAX_PAYLOAD>;
@@ -65,7 +65,7 @@
 
 /* Message of a range owner about a run: acknowledge, withdraw, query, commit or survey.
  * FORCE: a withdrawal that also stops a started run. */
-struct fb_word {
+struct fb_run_command {
   fb_run run;
   unsigned int rack;
   unsigned hyper rack_epoch;
@@ -76,7 +76,7 @@
 
 /* Reply to a survey: all runs of RANGE that RACK has, in any state, except ends that are
  * acknowledged. */
-struct fb_surveyed {
+struct fb_survey_reply {
   unsigned int rack;
   unsigned int range;
   fb_run runs<FB_MAX_MEMBERS>;
@@ -91,7 +91,7 @@
   unsigned int flags;
   unsigned int count;
   fb_res demand;
-  unsigned hyper left_ms;
+  unsigned hyper remaining_ms;
   unsigned hyper run_ms;
   string key<FB_MAX_KEY>;
   opaque payload<FB_MAX_PAYLOAD>;
@@ -118,14 +118,14 @@
 };
 
 /* Query or cancellation of a job. */
-struct fb_job_word {
+struct fb_job_command {
   unsigned hyper job;
   unsigned int partner;
 };
 
 /* State of one rack for routing, which lags behind. FREE: total free capacity. LARGEST:
  * for each resource the largest free amount on one worker. WAITING: number of queued
- * tasks of the home partner, indexed by FbWaiting. COMPLETE: all workers have replied to
+ * tasks of the home partner, indexed by FbWaitClass. COMPLETE: all workers have replied to
  * this owner. */
 struct fb_summary {
   unsigned int rack;
@@ -137,7 +137,7 @@
 };
 
 /* Announces in a heartbeat that OWNER owns SHARD. */
-struct fb_claim_view {
+struct fb_claim_notice {
   unsigned int shard;
   unsigned hyper epoch;
   string owner<FB_MAX_NAME>;
@@ -151,15 +151,15 @@
   unsigned int leaving;
   unsigned hyper config_serial[2];
   fb_summary summaries<FB_MAX_SUMMARIES>;
-  fb_claim_view claims<FB_MAX_SUMMARIES>;
+  fb_claim_notice claims<FB_MAX_SUMMARIES>;
 };
 
-/* Hands SHARD over to the receiver. LIVES: for each worker of a rack, the incarnation for
+/* Hands SHARD over to the receiver. INCARNATIONS: for each worker of a rack, the incarnation for
  * which the old owner has confirmed its ownership, or 0. */
 struct fb_handover {
   unsigned int shard;
   unsigned hyper epoch;
-  unsigned hyper lives<FB_MAX_SUMMARIES>;
+  unsigned hyper incarnations<FB_MAX_SUMMARIES>;
 };
 
 /* Requests the revision of PARTNER if its serial is above SERIAL. */
@@ -184,32 +184,32 @@
   FB_MSG_COMMIT = 7,
   FB_MSG_SUBMIT = 8,
   FB_MSG_ANSWER = 9,
-  FB_MSG_ASK = 10,
+  FB_MSG_JOB_QUERY = 10,
   FB_MSG_CANCEL = 11,
   FB_MSG_HANDOVER = 12,
   FB_MSG_CONFIG_PULL = 13,
   FB_MSG_CONFIG_RECORD = 14,
   FB_MSG_SURVEY = 15,
-  FB_MSG_SURVEYED = 16
+  FB_MSG_SURVEY_REPLY = 16
 };
 
 union fb_body switch (fb_msg_type type) {
 case FB_MSG_HEARTBEAT: fb_heartbeat heartbeat;
 case FB_MSG_PLACE: fb_place place;
 case FB_MSG_REPORT: fb_report report;
-case FB_MSG_ACK: fb_word ack;
-case FB_MSG_WITHDRAW: fb_word withdraw;
-case FB_MSG_QUERY: fb_word query;
-case FB_MSG_COMMIT: fb_word commit;
+case FB_MSG_ACK: fb_run_command ack;
+case FB_MSG_WITHDRAW: fb_run_command withdraw;
+case FB_MSG_QUERY: fb_run_command query;
+case FB_MSG_COMMIT: fb_run_command commit;
 case FB_MSG_SUBMIT: fb_submit submit;
 case FB_MSG_ANSWER: fb_answer answer;
-case FB_MSG_ASK: fb_job_word job_query;
-case FB_MSG_CANCEL: fb_job_word cancel;
+case FB_MSG_JOB_QUERY: fb_job_command job_query;
+case FB_MSG_CANCEL: fb_job_command cancel;
 case FB_MSG_HANDOVER: fb_handover handover;
 case FB_MSG_CONFIG_PULL: fb_config_pull pull;
 case FB_MSG_CONFIG_RECORD: fb_config_record config;
-case FB_MSG_SURVEY: fb_word survey;
-case FB_MSG_SURVEYED: fb_surveyed surveyed;
+case FB_MSG_SURVEY: fb_run_command survey;
+case FB_MSG_SURVEY_REPLY: fb_survey_reply surveyed;
 };
 
 /* SEQ numbers the messages of one sender incarnation to one receiver; a receiver drops a
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -8,7 +8,7 @@
  * served before batch work, so small tasks cannot starve a gang.
  *
  * Reserved capacity is idle. The cost is bounded twice: a gang that has not reserved for
- * all members within FB_RANGE_GATHER_MS gives up its reservations and tries again later,
+ * all members within FB_RANGE_GANG_RESERVE_MS gives up its reservations and tries again later,
  * and a rack drops a reservation that its range does not query any more.
  *
  * The commit is not atomic across racks: a rack whose owner changed between reservation
@@ -31,8 +31,9 @@
 static guint
 active_members (const FbJob *job)
 {
-  return job->state_n[FB_JT_INTENT] + job->state_n[FB_JT_PLACED] + job->state_n[FB_JT_RESERVED]
-         + job->state_n[FB_JT_RUNNING] + job->state_n[FB_JT_ENDING];
+  return job->state_n[FB_JOB_TASK_INTENT] + job->state_n[FB_JOB_TASK_PLACED]
+         + job->state_n[FB_JOB_TASK_RESERVED] + job->state_n[FB_JOB_TASK_RUNNING]
+         + job->state_n[FB_JOB_TASK_ENDING];
 }
 
 static void
@@ -42,7 +43,7 @@
                    + (uint64_t) g_rand_int_range (self->rand, 0, RESERVE_RETRY_MS);
   for (guint i = 0; i < job->task_n; i++)
     {
-      if (job->tasks[i].state == FB_JT_WAITING)
+      if (job->tasks[i].state == FB_JOB_TASK_WAITING)
         fb_range_set_timer (self, &job->tasks[i], MIN (at_ms, job->due_ms));
     }
 }
@@ -57,7 +58,7 @@
   for (guint i = 0; i < job->task_n && found; i++)
     {
       FbJobTask *task = &job->tasks[i];
-      if (task->state != FB_JT_WAITING)
+      if (task->state != FB_JOB_TASK_WAITING)
         continue;
       found = fb_range_choose_rack (self, now_ms, task);
       if (!found)
@@ -75,7 +76,7 @@
 static gboolean
 has_failed (const FbJob *job)
 {
-  return job->state_n[FB_JT_DONE] > job->outcome_n[FB_OUTCOME_COMPLETED];
+  return job->state_n[FB_JOB_TASK_DONE] > job->outcome_n[FB_OUTCOME_COMPLETED];
 }
 
 static void
@@ -84,15 +85,15 @@
   for (guint i = 0; i < job->task_n; i++)
     {
       FbJobTask *task = &job->tasks[i];
-      if (task->state == FB_JT_WAITING)
-        fb_range_task_end (self, task,
+      if (task->state == FB_JOB_TASK_WAITING)
+        fb_range_end_task (self, task,
                            task->started_count > 0 ? FB_OUTCOME_UNKNOWN : FB_OUTCOME_NOT_RUN,
                            FB_REASON_CANCELLED, NULL, 0);
     }
 }
 
 void
-fb_gang_gather (FbRange *self, uint64_t now_ms, FbJob *job)
+fb_gang_reserve (FbRange *self, uint64_t now_ms, FbJob *job)
 {
   if (has_failed (job))
     {
@@ -112,10 +113,10 @@
     }
   for (guint i = 0; i < job->task_n; i++)
     {
-      if (job->tasks[i].state == FB_JT_WAITING)
+      if (job->tasks[i].state == FB_JOB_TASK_WAITING)
         fb_range_add_intent (self, &job->tasks[i]);
     }
-  job->reserve_until_ms = now_ms + FB_RANGE_GATHER_MS;
+  job->reserve_until_ms = now_ms + FB_RANGE_GANG_RESERVE_MS;
 }
 
 static void
@@ -125,7 +126,7 @@
   for (guint i = 0; i < job->task_n; i++)
     {
       FbJobTask *task = &job->tasks[i];
-      if (task->state != FB_JT_RESERVED)
+      if (task->state != FB_JOB_TASK_RESERVED)
         continue;
       fb_range_send_command (self, task, FB_MSG_COMMIT, FALSE);
       fb_range_set_timer (self, task, now_ms + FB_RANGE_QUERY_MS / 4);
@@ -142,17 +143,17 @@
       fb_gang_break (self, now_ms, job);
       return;
     }
-  if (job->state_n[FB_JT_WAITING] + job->state_n[FB_JT_INTENT] > 0)
+  if (job->state_n[FB_JOB_TASK_WAITING] + job->state_n[FB_JOB_TASK_INTENT] > 0)
     return;
   g_autoptr (GPtrArray) members = g_ptr_array_new ();
   for (guint i = 0; i < job->task_n; i++)
     {
-      if (job->tasks[i].state == FB_JT_PLACED)
+      if (job->tasks[i].state == FB_JOB_TASK_PLACED)
         g_ptr_array_add (members, &job->tasks[i]);
     }
   if (members->len == 0)
     {
-      if (job->state_n[FB_JT_RESERVED] > 0)
+      if (job->state_n[FB_JOB_TASK_RESERVED] > 0)
         commit (self, now_ms, job);
       return;
     }
@@ -165,7 +166,7 @@
         fb_range_send_place (self, now_ms, task);
     }
   /* A member that could not be sent would block the rest of the gang forever. */
-  if (job->state_n[FB_JT_WAITING] > 0)
+  if (job->state_n[FB_JOB_TASK_WAITING] > 0)
     fb_gang_break (self, now_ms, job);
 }
 
@@ -176,14 +177,14 @@
   for (guint i = 0; i < job->task_n; i++)
     {
       FbJobTask *task = &job->tasks[i];
-      if (task->state == FB_JT_PLACED && !task->sent)
-        fb_range_task_again (self, now_ms, task, TRUE);
-      else if (task->state == FB_JT_PLACED || task->state == FB_JT_RESERVED
-               || task->state == FB_JT_RUNNING)
+      if (task->state == FB_JOB_TASK_PLACED && !task->sent)
+        fb_range_retry_task (self, now_ms, task, TRUE);
+      else if (task->state == FB_JOB_TASK_PLACED || task->state == FB_JOB_TASK_RESERVED
+               || task->state == FB_JOB_TASK_RUNNING)
         {
           /* The member is still queued there although the summary showed room: choose
            * another rack next time. */
-          if (task->state == FB_JT_PLACED)
+          if (task->state == FB_JOB_TASK_PLACED)
             task->avoid_rack = task->rack;
           fb_range_send_command (self, task, FB_MSG_WITHDRAW, TRUE);
           fb_range_set_timer (self, task, now_ms + FB_RANGE_QUERY_MS);
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -44,13 +44,13 @@
 
 typedef struct
 {
-  FbRackFacts info;
+  FbRackInfo info;
   gboolean known;  /* a summary has arrived */
   gboolean usable; /* its owner is known */
   uint64_t refused_until_ms;
   fb_summary summary;
-  fb_res debit;                    /* demand sent since the summary */
-  guint queue_debit[FB_WAITING_N]; /* tasks sent since the summary that will queue */
+  fb_res debit;                       /* demand sent since the summary */
+  guint queue_debit[FB_WAIT_CLASS_N]; /* tasks sent since the summary that will queue */
 } Rack;
 
 struct _FbRouter
@@ -79,7 +79,7 @@
 }
 
 void
-fb_router_add_rack (FbRouter *self, const FbRackFacts *info)
+fb_router_add_rack (FbRouter *self, const FbRackInfo *info)
 {
   Rack *rack = g_new0 (Rack, 1);
   rack->info = *info;
@@ -92,7 +92,7 @@
   return g_ptr_array_index (self->racks, rack);
 }
 
-const FbRackFacts *
+const FbRackInfo *
 fb_router_rack (const FbRouter *self, uint32_t rack)
 {
   return rack < self->racks->len ? &rack_at (self, rack)->info : NULL;
@@ -142,7 +142,7 @@
 }
 
 static gboolean
-may_use (const Rack *rack, const FbRouteAsk *request)
+may_use (const Rack *rack, const FbRouteRequest *request)
 {
   const fb_spec *spec = request->spec;
   if (!rack->known || !rack->usable || rack->refused_until_ms > request->now_ms)
@@ -156,18 +156,18 @@
 static guint
 queue_length_at (const Rack *rack, const fb_spec *spec)
 {
-  FbWaiting waiting = fb_spec_waiting (spec);
+  FbWaitClass waiting = fb_spec_wait_class (spec);
   return rack->summary.waiting[waiting] + rack->queue_debit[waiting];
 }
 
 static gboolean
-is_candidate (const Rack *rack, const FbRouteAsk *request)
+is_candidate (const Rack *rack, const FbRouteRequest *request)
 {
   if (!may_use (rack, request))
     return FALSE;
   if (fits_now (rack, &request->spec->demand))
     return TRUE;
-  if (request->look_only)
+  if (request->probe_only)
     return FALSE;
   /* Only work of the home partner queues at a rack. Work of the guest would wait behind
    * all of it; its range places it when it sees room. */
@@ -176,7 +176,7 @@
 }
 
 static uint64_t
-cost_of (const FbRouter *self, const FbRouteAsk *request, uint32_t id)
+cost_of (const FbRouter *self, const FbRouteRequest *request, uint32_t id)
 {
   const Rack *rack = rack_at (self, id);
   const fb_res *demand = &request->spec->demand;
@@ -208,7 +208,7 @@
 }
 
 static gboolean
-choose_random (FbRouter *self, const FbRouteAsk *request, const GArray *candidates,
+choose_random (FbRouter *self, const FbRouteRequest *request, const GArray *candidates,
                FbRouteChoice *choice)
 {
   (void) request;
@@ -217,7 +217,7 @@
 }
 
 static gboolean
-choose_two (FbRouter *self, const FbRouteAsk *request, const GArray *candidates,
+choose_two (FbRouter *self, const FbRouteRequest *request, const GArray *candidates,
             FbRouteChoice *choice)
 {
   uint32_t a = pick (self, candidates);
@@ -229,7 +229,7 @@
 }
 
 static gboolean
-choose_best (FbRouter *self, const FbRouteAsk *request, const GArray *candidates,
+choose_best (FbRouter *self, const FbRouteRequest *request, const GArray *candidates,
              FbRouteChoice *choice)
 {
   uint64_t best_cost = G_MAXUINT64;
@@ -256,14 +256,14 @@
 const FbRoutePolicy fb_route_best_known = { "best-known", choose_best };
 
 static void
-add_candidate (const FbRouter *self, const FbRouteAsk *request, uint32_t id, GArray *candidates)
+add_candidate (const FbRouter *self, const FbRouteRequest *request, uint32_t id, GArray *candidates)
 {
   if (id != request->avoid_rack && is_candidate (rack_at (self, id), request))
     g_array_append_val (candidates, id);
 }
 
 static void
-find_candidates (FbRouter *self, const FbRouteAsk *request, GArray *candidates)
+find_candidates (FbRouter *self, const FbRouteRequest *request, GArray *candidates)
 {
   guint n = self->racks->len;
   for (guint i = 0; i < SAMPLE_N && n > SAMPLE_N; i++)
@@ -276,19 +276,19 @@
 }
 
 gboolean
-fb_router_choose (FbRouter *self, const FbRouteAsk *request, FbRouteChoice *choice)
+fb_router_choose (FbRouter *self, const FbRouteRequest *request, FbRouteChoice *choice)
 {
   g_autoptr (GArray) candidates = g_array_sized_new (FALSE, FALSE, sizeof (uint32_t), SAMPLE_N);
   find_candidates (self, request, candidates);
   *choice = (FbRouteChoice){ FB_NO_RACK, FB_NO_RACK, 0 };
   if (candidates->len == 0 || !self->policy->choose (self, request, candidates, choice))
     return FALSE;
-  if (request->look_only)
+  if (request->probe_only)
     return TRUE;
   Rack *rack = rack_at (self, choice->rack);
   choice->epoch = rack->summary.epoch;
   if (!fits_now (rack, &request->spec->demand))
-    rack->queue_debit[fb_spec_waiting (request->spec)]++;
+    rack->queue_debit[fb_spec_wait_class (request->spec)]++;
   fb_res_add (&rack->debit, &request->spec->demand);
   return TRUE;
 }
@@ -298,7 +298,7 @@
 {
   for (uint32_t id = 0; id < self->racks->len; id++)
     {
-      const FbRackFacts *info = &rack_at (self, id)->info;
+      const FbRackInfo *info = &rack_at (self, id)->info;
       gboolean allowed = info->partner == spec->partner || (spec->flags & FB_FLAG_PREEMPTIBLE);
       if (allowed && fb_res_fits (&spec->demand, &info->host_capacity))
         return TRUE;
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -6,7 +6,7 @@
  *    of one partner have no influence on the order of the other's work.
  *  - Within a partner: urgent, service, gang, batch.
  *  - Within a kind: the team with the smallest dominant share in relation to its weight.
- *  - Within a team: the rank in the queue (lane.c).
+ *  - Within a team: the rank in the queue (task-queue.c).
  *
  * If the first task of a queue does not fit, the others among its first BACKFILL_MAX
  * tasks may start before it. With backfill alone, small tasks could starve a large one. So once the
@@ -44,7 +44,7 @@
   if (w->urgent_only && (task->spec.kind != FB_KIND_URGENT || task->spec.partner != self->home))
     return FALSE;
   fb_res free = fb_worker_free_space (w);
-  return fb_res_fits (&task->spec.demand, &free) && fb_quality_allows (self, now_ms, w, task);
+  return fb_res_fits (&task->spec.demand, &free) && fb_worker_health_allows (self, now_ms, w, task);
 }
 
 /* Returns: the GUARD_MILLI of TASK, see place.c. */
@@ -55,7 +55,7 @@
    * waiting, and with it the capacity that the gang has reserved on other racks. */
   if (task->spec.kind == FB_KIND_GANG)
     return 0;
-  if (fb_lanes_accel_count (self->queues) > 0)
+  if (fb_task_queues_accel_count (self->queues) > 0)
     return 1000;
   if (task->spec.flags & FB_FLAG_PREEMPTIBLE)
     return 0;
@@ -77,11 +77,11 @@
         continue;
       const FbWorker *w = fb_rack_worker (self, i);
       fb_res free = fb_worker_free_space (w);
-      FbPlaceView view = { &w->capacity, &free, &task->spec.demand, i, guard_milli };
+      FbPlaceCandidate view = { &w->capacity, &free, &task->spec.demand, i, guard_milli };
       int64_t cost = policy->cost (&view);
       if (cost < 0)
         continue;
-      cost += fb_quality_cost (w, task);
+      cost += fb_worker_health_cost (w, task);
       if (cost < choice.best_cost)
         {
           choice.runner_up = choice.best;
@@ -118,7 +118,7 @@
   fb_rack_dequeue (self, task);
   fb_ledger_charge (self, task, choice->best, &task->spec.demand);
   task->last_worker = choice->best;
-  fb_quality_note_start (fb_rack_worker (self, choice->best), now_ms);
+  fb_worker_health_note_start (fb_rack_worker (self, choice->best), now_ms);
   fb_counter_add (FB_COUNTER_PLACEMENTS, 1);
   fb_event_log (
       FB_EVENT_PLACED,
@@ -133,7 +133,7 @@
     {
       task->state = FB_TASK_RESERVED;
       task->reserved_until_ms = now_ms + FB_RACK_RESERVE_MS;
-      fb_rack_send_run_status (self, task, FB_NEWS_RESERVED, FB_REASON_NONE);
+      fb_rack_send_run_status (self, task, FB_RUN_STATUS_RESERVED, FB_REASON_NONE);
       return;
     }
   task->state = FB_TASK_STARTING;
@@ -163,8 +163,8 @@
     return;
   /* Work without accelerators may not start on accelerator hosts while accelerator work
    * waits: holding such a host would leave it idle and still not start the task. */
-  gboolean guarded = fb_spec_waiting (&head->spec) == FB_WAITING_OTHER
-                     && fb_lanes_accel_count (self->queues) > 0;
+  gboolean guarded = fb_spec_wait_class (&head->spec) == FB_WAIT_CLASS_OTHER
+                     && fb_task_queues_accel_count (self->queues) > 0;
   uint32_t least_milli = G_MAXUINT32;
   for (guint i = 0; i < self->workers->len; i++)
     {
@@ -184,7 +184,7 @@
 }
 
 static gboolean
-start_from_queue (FbRack *self, uint64_t now_ms, FbLane *queue)
+start_from_queue (FbRack *self, uint64_t now_ms, FbTaskQueue *queue)
 {
   GSequenceIter *iter = g_sequence_get_begin_iter (queue->tasks);
   FbTask *head = g_sequence_get (iter);
@@ -202,15 +202,15 @@
 
 /* Returns: the queue, not blocked in this pass, whose team has the smallest weighted
  * share, or NULL. */
-static FbLane *
+static FbTaskQueue *
 next_queue (const FbRack *self, uint32_t partner, FbKind kind)
 {
-  const GPtrArray *queues = fb_lanes_of (self->queues, partner, kind);
-  FbLane *best = NULL;
+  const GPtrArray *queues = fb_task_queues_of (self->queues, partner, kind);
+  FbTaskQueue *best = NULL;
   uint64_t best_share = G_MAXUINT64;
   for (guint i = 0; i < queues->len; i++)
     {
-      FbLane *queue = g_ptr_array_index (queues, i);
+      FbTaskQueue *queue = g_ptr_array_index (queues, i);
       if (queue->blocked)
         continue;
       const FbTeam *team = fb_teams_get (self->policy.teams, partner, queue->team);
@@ -229,7 +229,7 @@
 static void
 start_kind (FbRack *self, uint64_t now_ms, uint32_t partner, FbKind kind)
 {
-  FbLane *queue;
+  FbTaskQueue *queue;
   while ((queue = next_queue (self, partner, kind)) != NULL)
     {
       if (!start_from_queue (self, now_ms, queue))
@@ -240,9 +240,9 @@
 void
 fb_rack_schedule (FbRack *self, uint64_t now_ms)
 {
-  if (fb_lanes_count (self->queues) == 0)
+  if (fb_task_queues_count (self->queues) == 0)
     return;
-  fb_lanes_unblock (self->queues);
+  fb_task_queues_unblock (self->queues);
   for (guint i = 0; i < self->workers->len; i++)
     fb_rack_worker (self, i)->urgent_only = FALSE;
   const uint32_t order[FB_PARTNER_N] = { self->home, 1 - self->home };
@@ -251,7 +251,7 @@
       for (guint kind = 0; kind < FB_KIND_N; kind++)
         {
           start_kind (self, now_ms, order[p], (FbKind) kind);
-          if (fb_lanes_count_of (self->queues, order[p], (FbKind) kind) > 0)
+          if (fb_task_queues_count_of (self->queues, order[p], (FbKind) kind) > 0)
             fb_preempt_for_waiting (self, now_ms, order[p], (FbKind) kind);
         }
     }
--- a/src/core/lane.c
+++ b/src/core/task-queue.c
@@ -7,18 +7,18 @@
  * and the queue remains a balanced tree: O(log n) to insert, O(log n) to remove, O(1) for
  * the first task. The cost: a deadline that is further away than the patience has no
  * influence. */
-#include "internal/lane.h"
+#include "internal/task-queue.h"
 
 #include "internal/rack-private.h"
 
-struct _FbLanes
+struct _FbTaskQueues
 {
-  GHashTable *by_key;                            /* key_of() -> FbLane owned */
-  GPtrArray *non_empty[FB_PARTNER_N][FB_KIND_N]; /* FbLane borrowed: those not empty */
+  GHashTable *by_key;                            /* key_of() -> FbTaskQueue owned */
+  GPtrArray *non_empty[FB_PARTNER_N][FB_KIND_N]; /* FbTaskQueue borrowed: those not empty */
   guint count[FB_PARTNER_N][FB_KIND_N];
   guint total;
   guint accel; /* tasks that need accelerators */
-  guint waiting[FB_PARTNER_N][FB_WAITING_N];
+  guint waiting[FB_PARTNER_N][FB_WAIT_CLASS_N];
 };
 
 /* Waiting time after which a task without a deadline ranks like one that is due. */
@@ -45,7 +45,7 @@
 static void
 queue_free (gpointer data)
 {
-  FbLane *queue = data;
+  FbTaskQueue *queue = data;
   g_sequence_free (queue->tasks);
   g_free (queue);
 }
@@ -56,10 +56,10 @@
   return ((uint64_t) spec->partner << 40) | ((uint64_t) spec->kind << 32) | spec->team;
 }
 
-FbLanes *
-fb_lanes_new (void)
+FbTaskQueues *
+fb_task_queues_new (void)
 {
-  FbLanes *self = g_new0 (FbLanes, 1);
+  FbTaskQueues *self = g_new0 (FbTaskQueues, 1);
   self->by_key = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, queue_free);
   for (guint p = 0; p < FB_PARTNER_N; p++)
     {
@@ -70,7 +70,7 @@
 }
 
 void
-fb_lanes_free (FbLanes *self)
+fb_task_queues_free (FbTaskQueues *self)
 {
   for (guint p = 0; p < FB_PARTNER_N; p++)
     {
@@ -81,14 +81,14 @@
   g_free (self);
 }
 
-static FbLane *
-queue_for (FbLanes *self, const fb_spec *spec)
+static FbTaskQueue *
+queue_for (FbTaskQueues *self, const fb_spec *spec)
 {
   uint64_t key = key_of (spec);
-  FbLane *queue = g_hash_table_lookup (self->by_key, &key);
+  FbTaskQueue *queue = g_hash_table_lookup (self->by_key, &key);
   if (queue == NULL)
     {
-      queue = g_new0 (FbLane, 1);
+      queue = g_new0 (FbTaskQueue, 1);
       queue->partner = spec->partner;
       queue->team = spec->team;
       queue->kind = (FbKind) spec->kind;
@@ -105,40 +105,40 @@
 }
 
 guint
-fb_lanes_waiting (const FbLanes *self, uint32_t partner, FbWaiting waiting)
+fb_task_queues_waiting (const FbTaskQueues *self, uint32_t partner, FbWaitClass waiting)
 {
   return self->waiting[partner][waiting];
 }
 
 guint
-fb_lanes_accel_count (const FbLanes *self)
+fb_task_queues_accel_count (const FbTaskQueues *self)
 {
   return self->accel;
 }
 
 void
-fb_lanes_insert (FbLanes *self, FbTask *task)
+fb_task_queues_insert (FbTaskQueues *self, FbTask *task)
 {
-  FbLane *queue = queue_for (self, &task->spec);
+  FbTaskQueue *queue = queue_for (self, &task->spec);
   if (g_sequence_is_empty (queue->tasks))
     g_ptr_array_add (self->non_empty[queue->partner][queue->kind], queue);
   task->queue_pos = g_sequence_insert_sorted (queue->tasks, task, compare_rank, NULL);
   self->count[queue->partner][queue->kind]++;
   self->total++;
   self->accel += wants_accel (task) ? 1 : 0;
-  self->waiting[queue->partner][fb_spec_waiting (&task->spec)]++;
+  self->waiting[queue->partner][fb_spec_wait_class (&task->spec)]++;
 }
 
 void
-fb_lanes_remove (FbLanes *self, FbTask *task)
+fb_task_queues_remove (FbTaskQueues *self, FbTask *task)
 {
-  FbLane *queue = queue_for (self, &task->spec);
+  FbTaskQueue *queue = queue_for (self, &task->spec);
   g_sequence_remove (task->queue_pos);
   task->queue_pos = NULL;
   self->count[queue->partner][queue->kind]--;
   self->total--;
   self->accel -= wants_accel (task) ? 1 : 0;
-  self->waiting[queue->partner][fb_spec_waiting (&task->spec)]--;
+  self->waiting[queue->partner][fb_spec_wait_class (&task->spec)]--;
   if (g_sequence_is_empty (queue->tasks))
     {
       uint64_t key = key_of (&task->spec);
@@ -148,35 +148,35 @@
 }
 
 guint
-fb_lanes_count (const FbLanes *self)
+fb_task_queues_count (const FbTaskQueues *self)
 {
   return self->total;
 }
 
 guint
-fb_lanes_count_of (const FbLanes *self, uint32_t partner, FbKind kind)
+fb_task_queues_count_of (const FbTaskQueues *self, uint32_t partner, FbKind kind)
 {
   return self->count[partner][kind];
 }
 
 const GPtrArray *
-fb_lanes_of (const FbLanes *self, uint32_t partner, FbKind kind)
+fb_task_queues_of (const FbTaskQueues *self, uint32_t partner, FbKind kind)
 {
   return self->non_empty[partner][kind];
 }
 
 void
-fb_lanes_unblock (FbLanes *self)
+fb_task_queues_unblock (FbTaskQueues *self)
 {
   GHashTableIter iter;
   gpointer queue;
   g_hash_table_iter_init (&iter, self->by_key);
   while (g_hash_table_iter_next (&iter, NULL, &queue))
-    ((FbLane *) queue)->blocked = FALSE;
+    ((FbTaskQueue *) queue)->blocked = FALSE;
 }
 
 uint64_t
-fb_lane_rank (FbKind kind, uint64_t arrived_ms, uint64_t due_ms)
+fb_task_queue_rank (FbKind kind, uint64_t arrived_ms, uint64_t due_ms)
 {
   return MIN (due_ms, arrived_ms + patience_ms[kind]);
 }
