--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -9,9 +9,9 @@
 
 typedef enum
 {
-  FB_SHARD_FOREIGN,  /* not owned by this daemon */
-  FB_SHARD_READING,  /* reading the stream to its end before claiming */
-  FB_SHARD_CLAIMING, /* the claim is being appended to the log */
+  FB_SHARD_NOT_OWNED, /* not owned by this daemon */
+  FB_SHARD_READING,   /* reading the stream to its end before claiming */
+  FB_SHARD_CLAIMING,  /* the claim is being appended to the log */
   FB_SHARD_OWNED,
   FB_SHARD_DRAINING /* owned; being handed over to another daemon */
 } FbShardRole;
@@ -31,18 +31,18 @@
   /* The shard as held by this daemon. */
   FbShardRole role;
   uint64_t epoch;
-  FbStream *stream;        /* NULL unless reading or owned */
-  FbRack *rack;            /* of an owned rack, else NULL */
-  FbRange *range;          /* of a range that is read or owned, else NULL */
-  gboolean lost;           /* given up: its objects are freed by fb_node_reap() */
-  gboolean reading;        /* a read of the stream is not answered yet */
-  uint64_t read_asked_ms;  /* when the last read was requested */
-  uint64_t read_wanted;    /* read until the next offset is at least this one */
-  uint64_t confirm_ms;     /* when the rack asked to confirm the ownership, or 0 */
-  uint64_t claim_at_ms;    /* earliest time of the next claim */
-  uint64_t drain_since_ms; /* if DRAINING */
-  uint64_t renewed_ms;     /* when the last RENEW was appended; 0: append one at the next tick */
-  gboolean renew_read;     /* a RENEW was read; its members follow */
+  FbStream *stream;              /* NULL unless reading or owned */
+  FbRack *rack;                  /* of an owned rack, else NULL */
+  FbRange *range;                /* of a range that is read or owned, else NULL */
+  gboolean lost;                 /* given up: its objects are freed by fb_node_reap() */
+  gboolean reading;              /* a read of the stream is not answered yet */
+  uint64_t read_requested_ms;    /* when the last read was requested */
+  uint64_t read_until;           /* read until the next offset is at least this one */
+  uint64_t confirm_requested_ms; /* when the rack asked to confirm the ownership, or 0 */
+  uint64_t claim_at_ms;          /* earliest time of the next claim */
+  uint64_t drain_since_ms;       /* if DRAINING */
+  uint64_t renewed_ms; /* when the last RENEW was appended; 0: append one at the next tick */
+  gboolean renew_read; /* a RENEW was read; its members follow */
   uint64_t renew_oldest;
   uint64_t renew_history_gap_ms;
   gboolean renew_surveying;
@@ -54,12 +54,12 @@
 
 typedef struct
 {
-  fb_job job;         /* owned */
-  uint64_t due_ms;    /* FB_NO_DEADLINE_MS if none */
-  uint64_t since_ms;  /* when the caller submitted the job */
-  uint64_t resend_ms; /* when the submission or query is sent again */
-  uint32_t copies;    /* how often the submission was sent */
-  int sent_to;        /* index of the member that got all copies, or -1 */
+  fb_job job;            /* owned */
+  uint64_t due_ms;       /* FB_NO_DEADLINE_MS if none */
+  uint64_t submitted_ms; /* when the caller submitted the job */
+  uint64_t resend_ms;    /* when the submission or query is sent again */
+  uint32_t copies;       /* how often the submission was sent */
+  int sent_to;           /* index of the member that got all copies, or -1 */
   uint64_t sent_to_incarnation;
   gboolean admitted;
   gboolean until_admitted; /* see fb_node_submit() */
@@ -151,7 +151,7 @@
 void fb_node_shard_read_end (FbNode *self, FbShard *shard);
 void fb_node_step_down (FbNode *self, FbShard *shard);
 void fb_node_reap (FbNode *self);
-gboolean fb_shard_is_mine (const FbShard *shard);
+gboolean fb_shard_is_owned (const FbShard *shard);
 
 /* node-log.c */
 void fb_node_append (FbNode *self, uint32_t stream, uint64_t epoch, const fb_rec_body *body);
--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -69,7 +69,7 @@
   uint64_t sent_seq;              /* of the last request */
   uint64_t last_reply_seq;        /* of the request that was answered last; 0 if none */
   uint64_t known_version;         /* of the last complete state received, or 0 */
-  uint64_t gone_ms;               /* when the host list dropped it; 0 if listed */
+  uint64_t unlisted_since_ms;     /* when the host list dropped it; 0 if listed */
   uint32_t fail_streak;           /* failures in a row, see worker-health.c */
   uint64_t last_failed_job;
   gboolean quarantined;
@@ -100,9 +100,9 @@
       *range_epochs; /* range + 1 -> uint64_t owned: highest epoch seen of the owner of the range */
   gboolean wants_schedule; /* run a scheduling pass at the next flush */
   uint64_t starts_paused_until_ms;
-  uint64_t confirm_asked_ms; /* when sink->confirm_ownership() was called last */
-  fb_run hold_run;           /* the task that hold_worker is kept free for */
-  guint hold_worker;         /* or FB_NO_WORKER */
+  uint64_t confirm_requested_ms; /* when sink->confirm_ownership() was called last */
+  fb_run hold_run;               /* the task that hold_worker is kept free for */
+  guint hold_worker;             /* or FB_NO_WORKER */
 };
 
 FbWorker *fb_rack_worker (const FbRack *self, guint index);
--- a/include/internal/rack.h
+++ b/include/internal/rack.h
@@ -139,7 +139,7 @@
 /* The host list does not contain the worker any more. */
 void fb_rack_set_gone (FbRack *self, uint64_t now_ms, guint worker);
 /* The log, read from ASKED_MS on, still names this daemon as the owner. */
-void fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t asked_ms);
+void fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t requested_ms);
 
 /* The previous owner had confirmed its ownership after it saw this INCARNATION of the
  * worker, before it handed the rack over. */
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -46,7 +46,8 @@
   fb_job spec;       /* owned */
   gboolean admitted; /* its ADMIT record is in the log */
   gboolean cancelled;
-  uint32_t doubt; /* if above 0, earlier runs may have been forgotten; see fb_rec_admit */
+  uint32_t first_attempt_after_gap; /* if above 0, earlier runs may have been forgotten; see
+                                       fb_rec_admit */
   uint64_t arrived_ms;
   uint64_t due_ms;
   uint64_t due_log_ms;     /* due time on the clock of the log; 0 if none or not known */
@@ -83,11 +84,11 @@
   gboolean active;
   gboolean log_ok;
   uint64_t epoch;
-  gboolean *surveyed;    /* one for each rack: it has replied. NULL if no survey is in progress */
-  guint survey_n;        /* number of racks in surveyed */
-  guint survey_left;     /* number of racks that have not replied */
-  uint64_t survey_at_ms; /* when the racks are asked again */
-  uint64_t next_due_ms;  /* earliest expiry of the timers set since the last dispatch */
+  gboolean *surveyed;     /* one for each rack: it has replied. NULL if no survey is in progress */
+  guint survey_n;         /* number of racks in surveyed */
+  guint survey_remaining; /* number of racks that have not replied */
+  uint64_t survey_at_ms;  /* when the racks are asked again */
+  uint64_t next_due_ms;   /* earliest expiry of the timers set since the last dispatch */
   uint64_t history_gap_until_ms; /* until then, jobs and keys from before may have been forgotten */
   GHashTable *jobs;              /* &job->spec.id -> FbJob owned */
   GSequence *timers[FB_KIND_N];  /* FbJobTask borrowed, earliest first */
@@ -102,9 +103,9 @@
 FbJob *fb_job_new_recovered (uint64_t now_ms, const fb_rec_admit *admit, uint64_t age_ms,
                              const FbRecordPosition *place);
 void fb_job_free (gpointer job);
-/* Earlier runs of the job may have been forgotten: counts them as started, and numbers
- * attempts from FIRST_ATTEMPT. */
-void fb_job_set_doubt (FbJob *job, uint32_t first_attempt);
+/* Earlier runs of the job may have been forgotten: counts all its tasks as started, and
+ * numbers their attempts from FIRST_ATTEMPT. */
+void fb_job_set_history_gap (FbJob *job, uint32_t first_attempt);
 void fb_job_resize (FbRange *self, uint64_t now_ms, FbJob *job, guint count);
 void fb_job_set_state (FbJob *job, FbJobTask *task, FbJobTaskState state);
 /* Adds CHANGE to the number of tasks in RACK, for the spread. */
--- a/rpc/record-xdr.c
+++ b/rpc/record-xdr.c
@@ -147,7 +147,7 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->update))
 		 return FALSE;
-	 if (!xdr_u_int (xdrs, &objp->doubt))
+	 if (!xdr_u_int (xdrs, &objp->first_attempt_after_gap))
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->due_log_ms))
 		 return FALSE;
--- a/rpc/record.h
+++ b/rpc/record.h
@@ -55,7 +55,7 @@
 struct fb_rec_admit {
 	fb_job job;
 	u_int update;
-	u_int doubt;
+	u_int first_attempt_after_gap;
 	u_quad_t due_log_ms;
 };
 typedef struct fb_rec_admit fb_rec_admit;
--- a/rpc/record.x
+++ b/rpc/record.x
@@ -47,15 +47,14 @@
   unsigned int surveying;
 };
 
-/* DUE_LOG_MS: due time on the clock of the log, which all daemons can read, and not later
- * than the true due time; 0 for none. The remaining time in JOB would be too long for a
- * reader if the append was delayed. */
+/* DUE_LOG_MS: due time on the clock of the log, which all daemons can read, and not later than
+ * the true due time; 0 for none. The remaining time in JOB would be too long for a reader if the
+ * append was delayed. FIRST_ATTEMPT_AFTER_GAP: if above 0, the job may have run before and been
+ * forgotten; attempts are numbered from this value, as lower ones may be in use. */
 struct fb_rec_admit {
   fb_job job;
   unsigned int update; /* changes a service that readers already know */
-  unsigned int doubt;  /* if above 0, the job may have run before and been forgotten;
-                        * attempts are numbered from this value, as lower ones may
-                        * be in use */
+  unsigned int first_attempt_after_gap;
   unsigned hyper due_log_ms;
 };
 
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -73,8 +73,8 @@
   FbJob *job = fb_job_new (now_ms, &admit->job);
   job->arrived_ms = now_ms - MIN (now_ms, age_ms);
   job->due_log_ms = admit->due_log_ms;
-  if (admit->doubt)
-    fb_job_set_doubt (job, admit->doubt);
+  if (admit->first_attempt_after_gap)
+    fb_job_set_history_gap (job, admit->first_attempt_after_gap);
   /* If the log's clock was not known at admission, due_log_ms is 0 and the job counts as
    * past due, so that nothing starts too late. */
   if (admit->job.remaining_ms != FB_NO_DEADLINE_MS)
@@ -103,9 +103,9 @@
 
 /* Counts every task as started, so that no outcome of this job is "not run". */
 void
-fb_job_set_doubt (FbJob *job, uint32_t first_attempt)
+fb_job_set_history_gap (FbJob *job, uint32_t first_attempt)
 {
-  job->doubt = first_attempt;
+  job->first_attempt_after_gap = first_attempt;
   for (guint i = 0; i < job->task_n; i++)
     {
       job->tasks[i].started_count = MAX (job->tasks[i].started_count, 1);
@@ -125,8 +125,8 @@
       job->tasks = g_renew (FbJobTask, job->tasks, count);
       init_tasks (job, job->task_n, count);
       job->task_n = count;
-      if (job->doubt > 0)
-        fb_job_set_doubt (job, job->doubt);
+      if (job->first_attempt_after_gap > 0)
+        fb_job_set_history_gap (job, job->first_attempt_after_gap);
     }
   job->spec.count = count;
   for (guint i = 0; i < job->task_n; i++)
--- a/src/core/node-config.c
+++ b/src/core/node-config.c
@@ -57,8 +57,8 @@
 }
 
 static void
-put_in_force (FbNode *self, const fb_rec_revision *revision, FbPolicy *policy, const void *bytes,
-              gsize len, const void *signature)
+activate_revision (FbNode *self, const fb_rec_revision *revision, FbPolicy *policy,
+                   const void *bytes, gsize len, const void *signature)
 {
   FbConfigState *state = &self->config[revision->partner];
   fb_policy_free (state->policy);
@@ -99,8 +99,8 @@
   const FbConfigState *state = &self->config[revision->partner];
   if (revision->serial <= state->serial)
     {
-      fb_status_set_message ("revision %" G_GUINT64_FORMAT " of partner %s is in force already; "
-                             "look at it with diff and apply on top of it",
+      fb_status_set_message ("revision %" G_GUINT64_FORMAT " of partner %s is already in force; "
+                             "review it with diff and apply on top of it",
                              state->serial, self->cell->partners[revision->partner].name);
       return FB_NODE_CONFIG_CONFLICT;
     }
@@ -121,7 +121,7 @@
              != FB_POLICY_OK)
     status = FB_NODE_CONFIG_INVALID;
   if (status == FB_NODE_CONFIG_OK)
-    put_in_force (self, &revision, policy, bytes, len, signature);
+    activate_revision (self, &revision, policy, bytes, len, signature);
   else if (status == FB_NODE_CONFIG_CONFLICT
            && revision.serial == self->config[revision.partner].serial)
     self->config[revision.partner].written_ms = self->now_ms;
--- a/src/core/node-front.c
+++ b/src/core/node-front.c
@@ -81,7 +81,7 @@
     {
       caller = g_new0 (FbCaller, 1);
       fb_job_copy (&caller->job, job);
-      caller->since_ms = self->now_ms;
+      caller->submitted_ms = self->now_ms;
       caller->sent_to = -1;
       caller->until_admitted = TRUE;
       caller->due_ms = fb_deadline_after (self->now_ms, job->remaining_ms);
@@ -144,7 +144,7 @@
 static gboolean
 has_timed_out (const FbNode *self, const FbCaller *caller)
 {
-  uint64_t waited_ms = self->now_ms - caller->since_ms;
+  uint64_t waited_ms = self->now_ms - caller->submitted_ms;
   if (caller->copies == 0)
     return waited_ms >= NO_OWNER_MS || self->now_ms >= caller->due_ms;
   if (!caller->admitted && waited_ms >= UNADMITTED_MS)
--- a/src/core/node-log.c
+++ b/src/core/node-log.c
@@ -136,7 +136,7 @@
       fb_node_shard_record (self, shard, entry->data, &place);
       return;
     }
-  shard->read_wanted = MAX (shard->read_wanted, offset + 1);
+  shard->read_until = MAX (shard->read_until, offset + 1);
   fb_node_read_shard (self, shard);
 }
 
@@ -169,7 +169,7 @@
   if (shard->reading || shard->stream == NULL)
     return;
   shard->reading = TRUE;
-  shard->read_asked_ms = self->now_ms;
+  shard->read_requested_ms = self->now_ms;
   self->sink->log_read (self->user, shard->id, fb_stream_next (shard->stream));
 }
 
@@ -192,13 +192,13 @@
 {
   /* Upper bound of the log's clock now: its last reading plus the time that the read
    * took. */
-  uint64_t log_now_ms = page->log_now_ms + (self->now_ms - shard->read_asked_ms);
+  uint64_t log_now_ms = page->log_now_ms + (self->now_ms - shard->read_requested_ms);
   /* Failure: an owner that was suspended for longer than the log keeps records does not
    * see that another daemon owned the shard in the meantime, and continues without the
    * jobs that it admitted. Guard: an owner that has missed records gives up the shard and
    * claims it again like any other daemon. */
   if (page->first_retained > fb_stream_next (shard->stream) && fb_stream_next (shard->stream) > 0
-      && fb_shard_is_mine (shard))
+      && fb_shard_is_owned (shard))
     {
       fb_node_step_down (self, shard);
       return;
@@ -212,7 +212,7 @@
     }
   if (shard->lost)
     return;
-  if (!page->at_end || fb_stream_next (shard->stream) < shard->read_wanted)
+  if (!page->at_end || fb_stream_next (shard->stream) < shard->read_until)
     fb_node_read_shard (self, shard);
   else
     fb_node_shard_read_end (self, shard);
@@ -261,7 +261,7 @@
   for (guint i = 0; i < self->shard_n; i++)
     {
       FbShard *shard = &self->shards[i];
-      if (!fb_shard_is_mine (shard))
+      if (!fb_shard_is_owned (shard))
         continue;
       if (shard->range != NULL)
         fb_range_rewrite (shard->range, self->now_ms, age_max_ms);
--- a/src/core/node-query.c
+++ b/src/core/node-query.c
@@ -11,7 +11,7 @@
 {
   for (guint i = 0; i < self->shard_n; i++)
     {
-      if (self->shards[i].role != FB_SHARD_FOREIGN)
+      if (self->shards[i].role != FB_SHARD_NOT_OWNED)
         return FALSE;
     }
   return g_hash_table_size (self->callers) == 0 && fb_range_open_count (self->local) == 0;
@@ -44,14 +44,14 @@
 const FbRack *
 fb_node_rack (const FbNode *self, uint32_t rack)
 {
-  return rack < self->shard_n && fb_shard_is_mine (&self->shards[rack]) ? self->shards[rack].rack
-                                                                        : NULL;
+  return rack < self->shard_n && fb_shard_is_owned (&self->shards[rack]) ? self->shards[rack].rack
+                                                                         : NULL;
 }
 
 uint64_t
 fb_node_owned_epoch (const FbNode *self, uint32_t shard)
 {
-  return shard < self->shard_n && fb_shard_is_mine (&self->shards[shard])
+  return shard < self->shard_n && fb_shard_is_owned (&self->shards[shard])
              ? self->shards[shard].epoch
              : 0;
 }
@@ -110,7 +110,7 @@
   gboolean found = fb_range_foreach_task (self->local, job, explain_task, &explain);
   for (guint i = 0; i < self->shard_n && !found; i++)
     {
-      if (self->shards[i].range != NULL && fb_shard_is_mine (&self->shards[i]))
+      if (self->shards[i].range != NULL && fb_shard_is_owned (&self->shards[i]))
         found = fb_range_foreach_task (self->shards[i].range, job, explain_task, &explain);
     }
   if (explain.seen > EXPLAIN_TASKS_MAX)
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -19,7 +19,7 @@
 #define CLAIM_RETRY_MS 2000
 
 gboolean
-fb_shard_is_mine (const FbShard *shard)
+fb_shard_is_owned (const FbShard *shard)
 {
   return !shard->lost && (shard->role == FB_SHARD_OWNED || shard->role == FB_SHARD_DRAINING);
 }
@@ -37,7 +37,7 @@
 }
 
 static void
-begin_rack (FbNode *self, FbShard *shard)
+create_rack (FbNode *self, FbShard *shard)
 {
   const FbCellRack *info = fb_cell_rack (self->cell, shard->id);
   shard->rack
@@ -75,7 +75,7 @@
   fb_event_log (FB_EVENT_SHARD_OWNED, "shard=%u kind=%s epoch=%" G_GUINT64_FORMAT, shard->id,
                 shard->is_rack ? "rack" : "range", epoch);
   if (shard->is_rack)
-    begin_rack (self, shard);
+    create_rack (self, shard);
   else
     {
       fb_range_set_log_ok (shard->range, self->log_ok);
@@ -96,9 +96,9 @@
 void
 fb_node_step_down (FbNode *self, FbShard *shard)
 {
-  if (shard->role == FB_SHARD_FOREIGN)
+  if (shard->role == FB_SHARD_NOT_OWNED)
     return;
-  if (fb_shard_is_mine (shard))
+  if (fb_shard_is_owned (shard))
     {
       fb_counter_add (FB_COUNTER_STEP_DOWNS, 1);
       fb_event_log (FB_EVENT_SHARD_LOST, "shard=%u epoch=%" G_GUINT64_FORMAT, shard->id,
@@ -123,11 +123,11 @@
       g_clear_pointer (&shard->rack, fb_rack_free);
       g_clear_pointer (&shard->range, fb_range_free);
       g_clear_pointer (&shard->stream, fb_stream_free);
-      shard->role = FB_SHARD_FOREIGN;
+      shard->role = FB_SHARD_NOT_OWNED;
       shard->lost = FALSE;
       shard->reading = FALSE;
-      shard->confirm_ms = 0;
-      shard->read_wanted = 0;
+      shard->confirm_requested_ms = 0;
+      shard->read_until = 0;
       shard->claim_at_ms = self->now_ms + CLAIM_RETRY_MS;
     }
 }
@@ -142,7 +142,7 @@
     return;
   if (claim->epoch == shard->known_epoch && shard->owner >= 0 && (guint) shard->owner != member)
     return;
-  if (fb_shard_is_mine (shard))
+  if (fb_shard_is_owned (shard))
     {
       if (claim->epoch <= shard->epoch)
         return;
@@ -158,7 +158,7 @@
 fb_node_note_handover (FbNode *self, const fb_handover *handover)
 {
   FbShard *shard = fb_node_shard (self, handover->shard);
-  if (shard == NULL || shard->role != FB_SHARD_FOREIGN || shard->lost || self->draining
+  if (shard == NULL || shard->role != FB_SHARD_NOT_OWNED || shard->lost || self->draining
       || handover->epoch < shard->known_epoch)
     return;
   shard->handover_received = TRUE;
@@ -181,15 +181,15 @@
 note_claim_in_force (FbNode *self, FbShard *shard, const fb_rec_claim *claim)
 {
   uint64_t epoch = fb_stream_epoch (shard->stream);
-  gboolean mine = claim->incarnation == self->incarnation
-                  && fb_members_find (self->members, claim->owner) == (int) self->self_index;
-  if (fb_shard_is_mine (shard))
+  gboolean own = claim->incarnation == self->incarnation
+                 && fb_members_find (self->members, claim->owner) == (int) self->self_index;
+  if (fb_shard_is_owned (shard))
     {
       if (!fb_epoch_same_claim (epoch, shard->epoch) && epoch > shard->epoch)
         fb_node_step_down (self, shard);
       return;
     }
-  if (mine && shard->role == FB_SHARD_CLAIMING)
+  if (own && shard->role == FB_SHARD_CLAIMING)
     {
       become_owner (self, shard, epoch);
       return;
@@ -279,12 +279,13 @@
       fb_node_step_down (self, shard);
       return;
     }
-  if (shard->confirm_ms == 0 || shard->read_asked_ms < shard->confirm_ms || shard->rack == NULL)
+  if (shard->confirm_requested_ms == 0 || shard->read_requested_ms < shard->confirm_requested_ms
+      || shard->rack == NULL)
     return;
-  uint64_t asked_ms = shard->confirm_ms;
-  shard->confirm_ms = 0;
+  uint64_t requested_ms = shard->confirm_requested_ms;
+  shard->confirm_requested_ms = 0;
   if (fb_epoch_same_claim (fb_stream_epoch (shard->stream), shard->epoch))
-    fb_rack_ownership_confirmed (shard->rack, self->now_ms, asked_ms);
+    fb_rack_ownership_confirmed (shard->rack, self->now_ms, requested_ms);
 }
 
 /* ---- claims and handovers ----------------------------------------------- */
@@ -368,7 +369,7 @@
 }
 
 static void
-tick_mine (FbNode *self, FbShard *shard, int preferred)
+tick_owned (FbNode *self, FbShard *shard, int preferred)
 {
   if (shard->role == FB_SHARD_OWNED)
     {
@@ -385,7 +386,7 @@
 }
 
 static void
-tick_foreign (FbNode *self, FbShard *shard, int preferred)
+tick_not_owned (FbNode *self, FbShard *shard, int preferred)
 {
   if (shard->handed_to >= 0)
     {
@@ -416,10 +417,10 @@
         continue;
       int preferred = fb_members_preferred_owner (self->members, i, shard->partner,
                                                   self->draining ? self->self_index : G_MAXUINT);
-      if (fb_shard_is_mine (shard))
-        tick_mine (self, shard, preferred);
-      else if (shard->role == FB_SHARD_FOREIGN)
-        tick_foreign (self, shard, preferred);
+      if (fb_shard_is_owned (shard))
+        tick_owned (self, shard, preferred);
+      else if (shard->role == FB_SHARD_NOT_OWNED)
+        tick_not_owned (self, shard, preferred);
       else if (!shard->reading)
         fb_node_read_shard (self, shard);
     }
--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -48,7 +48,7 @@
 {
   FbNode *self = user;
   FbShard *shard = fb_node_shard (self, fb_rack_id (rack));
-  shard->confirm_ms = self->now_ms;
+  shard->confirm_requested_ms = self->now_ms;
   fb_node_read_shard (self, shard);
 }
 
@@ -80,7 +80,7 @@
   if (range != self->local)
     {
       FbShard *shard = fb_node_shard (self, fb_range_id (range));
-      if (fb_shard_is_mine (shard))
+      if (fb_shard_is_owned (shard))
         fb_node_append (self, shard->id, shard->epoch, body);
       return;
     }
@@ -171,14 +171,14 @@
 }
 
 static FbRack *
-my_rack (FbNode *self, uint32_t rack)
+owned_rack (FbNode *self, uint32_t rack)
 {
   FbShard *shard = fb_node_shard (self, rack);
-  return shard != NULL && fb_shard_is_mine (shard) ? shard->rack : NULL;
+  return shard != NULL && fb_shard_is_owned (shard) ? shard->rack : NULL;
 }
 
 static FbRange *
-my_range (FbNode *self, uint32_t range)
+owned_range (FbNode *self, uint32_t range)
 {
   if (range == fb_node_local_range_id (self))
     return self->local;
@@ -191,13 +191,13 @@
 {
   if (partner >= FB_PARTNER_N)
     return NULL;
-  return my_range (self, fb_cell_range_of_job (self->cell, partner, job));
+  return owned_range (self, fb_cell_range_of_job (self->cell, partner, job));
 }
 
 static void
 dispatch_run_command (FbNode *self, fb_msg_type type, const fb_run_command *command)
 {
-  FbRack *rack = my_rack (self, command->rack);
+  FbRack *rack = owned_rack (self, command->rack);
   if (rack == NULL)
     return;
   switch (type)
@@ -243,7 +243,7 @@
     case FB_MSG_PLACE:
       {
         const fb_place *place = &body->fb_body_u.place;
-        FbRack *rack = my_rack (self, place->rack);
+        FbRack *rack = owned_rack (self, place->rack);
         if (rack != NULL)
           fb_rack_place (rack, self->now_ms, place);
         else
@@ -253,7 +253,7 @@
     case FB_MSG_REPORT:
       {
         const fb_report *report = &body->fb_body_u.report;
-        FbRange *range = my_range (self, report->range);
+        FbRange *range = owned_range (self, report->range);
         if (range != NULL)
           fb_range_report (range, self->now_ms, report);
         break;
@@ -269,7 +269,7 @@
     case FB_MSG_SURVEY_REPLY:
       {
         const fb_survey_reply *surveyed = &body->fb_body_u.surveyed;
-        FbRange *range = my_range (self, surveyed->range);
+        FbRange *range = owned_range (self, surveyed->range);
         if (range != NULL)
           fb_range_surveyed (range, self->now_ms, surveyed);
         break;
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -109,7 +109,7 @@
   for (guint i = 0; i < self->shard_n; i++)
     {
       FbShard *shard = &self->shards[i];
-      if (!fb_shard_is_mine (shard))
+      if (!fb_shard_is_owned (shard))
         continue;
       claims[beat->claims.claims_len++]
           = (fb_claim_notice){ shard->id, shard->epoch, name, self->incarnation };
@@ -263,7 +263,7 @@
       FbShard *shard = &self->shards[i];
       if (shard->rack != NULL)
         fb_rack_flush (shard->rack, self->now_ms);
-      else if (shard->range != NULL && fb_shard_is_mine (shard))
+      else if (shard->range != NULL && fb_shard_is_owned (shard))
         fb_range_flush (shard->range, self->now_ms);
     }
 }
@@ -304,7 +304,7 @@
   fb_range_tick (self->local, now_ms);
   for (guint i = 0; i < self->shard_n; i++)
     {
-      if (self->shards[i].range != NULL && fb_shard_is_mine (&self->shards[i]))
+      if (self->shards[i].range != NULL && fb_shard_is_owned (&self->shards[i]))
         fb_range_tick (self->shards[i].range, now_ms);
     }
 }
--- a/src/core/rack-sync.c
+++ b/src/core/rack-sync.c
@@ -275,7 +275,7 @@
   w->state = FB_WORKER_OK;
   if (new_incarnation)
     w->incarnation_seen_ms = now_ms;
-  w->gone_ms = 0;
+  w->unlisted_since_ms = 0;
   w->last_reply_seq = reply->seq;
   w->last_reply_ms = now_ms;
   w->clock_ms = reply->clock_ms;
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -317,14 +317,15 @@
           w->state = FB_WORKER_SILENT;
           fb_event_log (FB_EVENT_WORKER_SILENT, "rack=%s worker=%s", self->name, w->name);
         }
-      if (w->state == FB_WORKER_UNKNOWN && w->gone_ms > 0 && now_ms - w->gone_ms >= lapse_ms)
+      if (w->state == FB_WORKER_UNKNOWN && w->unlisted_since_ms > 0
+          && now_ms - w->unlisted_since_ms >= lapse_ms)
         w->state = FB_WORKER_GONE;
       gboolean unconfirmed = w->state == FB_WORKER_OK && w->confirmed_incarnation != w->incarnation;
       ask = ask || unconfirmed || w->state == FB_WORKER_SILENT;
     }
-  if (ask && now_ms - self->confirm_asked_ms >= FB_RACK_REPORT_PERIOD_MS)
+  if (ask && now_ms - self->confirm_requested_ms >= FB_RACK_REPORT_PERIOD_MS)
     {
-      self->confirm_asked_ms = now_ms;
+      self->confirm_requested_ms = now_ms;
       self->sink->confirm_ownership (self->user, self);
     }
 }
@@ -335,12 +336,12 @@
  * two places. Guard: nothing starts on an incarnation of a worker until the log, read
  * after the first reply of that incarnation, has confirmed this owner. */
 static void
-confirm_incarnations (FbRack *self, uint64_t asked_ms)
+confirm_incarnations (FbRack *self, uint64_t requested_ms)
 {
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state == FB_WORKER_OK && w->incarnation_seen_ms <= asked_ms)
+      if (w->state == FB_WORKER_OK && w->incarnation_seen_ms <= requested_ms)
         w->confirmed_incarnation = w->incarnation;
     }
   self->wants_schedule = TRUE;
@@ -358,14 +359,14 @@
  * only if the log, read after the lapse, still names this owner. If a successor claims
  * the rack after that read, the worker has already stopped the run. */
 void
-fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t asked_ms)
+fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t requested_ms)
 {
   const uint64_t lapse_ms = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
-  confirm_incarnations (self, asked_ms);
+  confirm_incarnations (self, requested_ms);
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state != FB_WORKER_SILENT || w->last_reply_ms + lapse_ms > asked_ms)
+      if (w->state != FB_WORKER_SILENT || w->last_reply_ms + lapse_ms > requested_ms)
         continue;
       w->state = FB_WORKER_LAPSED;
       while (w->tasks->len > 0)
@@ -420,8 +421,8 @@
 fb_rack_set_gone (FbRack *self, uint64_t now_ms, guint worker)
 {
   FbWorker *w = fb_rack_worker (self, worker);
-  if (w->gone_ms == 0)
-    w->gone_ms = MAX (now_ms, 1);
+  if (w->unlisted_since_ms == 0)
+    w->unlisted_since_ms = MAX (now_ms, 1);
 }
 
 void
--- a/src/core/range-apply.c
+++ b/src/core/range-apply.c
@@ -66,17 +66,17 @@
   FbJobTask *task = task_of (job, record);
   if (task == NULL || task->state == FB_JOB_TASK_DONE || task->state == FB_JOB_TASK_ENDING)
     return;
-  gboolean mine
+  gboolean own
       = self->active && task->state == FB_JOB_TASK_INTENT && task->attempt == record->attempt;
   task->attempt = record->attempt;
   task->preempt_count = record->preempt_count;
   task->started_count = record->started_count;
-  if (mine && fb_job_is_gang (job))
+  if (own && fb_job_is_gang (job))
     {
       fb_job_set_state (job, task, FB_JOB_TASK_PLACED);
       return;
     }
-  if (mine)
+  if (own)
     {
       fb_range_send_place (self, now_ms, task);
       return;
@@ -285,7 +285,7 @@
     }
   fb_rec_body body = { .type = FB_REC_STATE };
   fb_rec_state *state = &body.fb_rec_body_u.state;
-  state->admit = (fb_rec_admit){ job->spec, FALSE, job->doubt, job->due_log_ms };
+  state->admit = (fb_rec_admit){ job->spec, FALSE, job->first_attempt_after_gap, job->due_log_ms };
   state->age_ms = now_ms - job->arrived_ms;
   state->cancelled = job->cancelled;
   state->tasks.tasks_len = n;
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -262,14 +262,15 @@
     }
   job = fb_job_new (now_ms, spec);
   if (now_ms < self->history_gap_until_ms)
-    fb_job_set_doubt (job, first_attempt_of (self->epoch));
+    fb_job_set_history_gap (job, first_attempt_of (self->epoch));
   uint64_t log_now_ms = self->sink->log_clock_ms (self->user);
   if (log_now_ms > 0 && spec->remaining_ms != FB_NO_DEADLINE_MS)
     job->due_log_ms = fb_deadline_after (log_now_ms, spec->remaining_ms);
   g_hash_table_insert (self->jobs, &job->spec.id, job);
   add_front (job, front);
   fb_rec_body body = { .type = FB_REC_ADMIT };
-  body.fb_rec_body_u.admit = (fb_rec_admit){ job->spec, FALSE, job->doubt, job->due_log_ms };
+  body.fb_rec_body_u.admit
+      = (fb_rec_admit){ job->spec, FALSE, job->first_attempt_after_gap, job->due_log_ms };
   self->sink->append (self->user, self, &body);
 }
 
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -170,7 +170,7 @@
   if (request->probe_only)
     return FALSE;
   /* Only work of the home partner queues at a rack. Work of the guest would wait behind
-   * all of it; its range places it when it sees room. */
+   * all of it; its range places it when it sees free capacity. */
   return rack->info.partner == request->spec->partner
          && queue_length_at (rack, request->spec) < QUEUE_SOFT_MAX;
 }
--- a/src/core/stream.c
+++ b/src/core/stream.c
@@ -107,8 +107,8 @@
 validate_renew (FbStream *self, uint64_t offset, const fb_record *record)
 {
   uint64_t read_to = record->body.fb_rec_body_u.renew.read_to;
-  gboolean knows_more = read_to >= self->first && read_to > self->last_claim;
-  if (!self->anchored && knows_more)
+  gboolean read_far_enough = read_to >= self->first && read_to > self->last_claim;
+  if (!self->anchored && read_far_enough)
     {
       gboolean same = fb_epoch_same_claim (record->epoch, self->epoch);
       self->epoch = MAX (record->epoch, same ? self->epoch : 0);
--- a/src/core/survey.c
+++ b/src/core/survey.c
@@ -25,7 +25,7 @@
   g_free (self->surveyed);
   self->surveyed = g_new0 (gboolean, rack_n);
   self->survey_n = rack_n;
-  self->survey_left = rack_n;
+  self->survey_remaining = rack_n;
   self->survey_at_ms = now_ms;
   self->history_gap_until_ms = now_ms + FB_RANGE_KEEP_MS;
 }
@@ -112,6 +112,6 @@
   if (unknown > 0)
     return;
   self->surveyed[surveyed->rack] = TRUE;
-  if (--self->survey_left == 0)
+  if (--self->survey_remaining == 0)
     g_clear_pointer (&self->surveyed, g_free);
 }
--- a/src/core/task-queue.c
+++ b/src/core/task-queue.c
@@ -99,7 +99,7 @@
 }
 
 static gboolean
-wants_accel (const FbTask *task)
+needs_accel (const FbTask *task)
 {
   return task->spec.demand.amount[FB_RES_ACCEL_COUNT] > 0;
 }
@@ -125,7 +125,7 @@
   task->queue_pos = g_sequence_insert_sorted (queue->tasks, task, compare_rank, NULL);
   self->count[queue->partner][queue->kind]++;
   self->total++;
-  self->accel += wants_accel (task) ? 1 : 0;
+  self->accel += needs_accel (task) ? 1 : 0;
   self->waiting[queue->partner][fb_spec_wait_class (&task->spec)]++;
 }
 
@@ -137,7 +137,7 @@
   task->queue_pos = NULL;
   self->count[queue->partner][queue->kind]--;
   self->total--;
-  self->accel -= wants_accel (task) ? 1 : 0;
+  self->accel -= needs_accel (task) ? 1 : 0;
   self->waiting[queue->partner][fb_spec_wait_class (&task->spec)]--;
   if (g_sequence_is_empty (queue->tasks))
     {
--- a/src/core/worker-health.c
+++ b/src/core/worker-health.c
@@ -2,7 +2,7 @@
  *
  * Failure: a broken worker fails every run at once, so it always looks free and attracts
  * all work of its rack. It shows as a series of quick failures of different jobs on one
- * worker. Guard: after FAILS_MAX failures in a row, of more than one job, the worker is
+ * worker. Guard: after FAILURES_MAX failures in a row, of more than one job, the worker is
  * quarantined: it gets one idempotent task at a time as a probe, at growing intervals,
  * until one completes.
  *
@@ -18,7 +18,7 @@
 #include "fb-counter.h"
 #include "fb-event.h"
 
-#define FAILS_MAX 3
+#define FAILURES_MAX 3
 #define PROBE_WAIT_MAX_MS (60 * 1000)
 #define UNPROBED_MAX_MS (10 * 1000)
 /* Added to placement costs of a few thousand, see place.c. */
@@ -46,7 +46,7 @@
   if (w->fail_streak == 0 || w->last_failed_job != job)
     w->fail_streak++;
   w->last_failed_job = job;
-  if (w->fail_streak < FAILS_MAX || (count_quarantined (self) + 1) * 2 > self->workers->len)
+  if (w->fail_streak < FAILURES_MAX || (count_quarantined (self) + 1) * 2 > self->workers->len)
     return;
   w->quarantined = TRUE;
   w->probe_at_ms = now_ms + w->probe_wait_ms;
@@ -100,7 +100,7 @@
       if (!w->quarantined || now_ms < w->probe_at_ms + UNPROBED_MAX_MS)
         continue;
       w->quarantined = FALSE;
-      w->fail_streak = FAILS_MAX - 1;
+      w->fail_streak = FAILURES_MAX - 1;
       fb_event_log (FB_EVENT_WORKER_RESTORED, "rack=%s worker=%s unprobed", self->name, w->name);
     }
 }
