--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -147,7 +147,7 @@
 void fb_node_note_claim (FbNode *self, guint member, const fb_claim_notice *claim);
 void fb_node_note_handover (FbNode *self, const fb_handover *handover);
 void fb_node_shard_record (FbNode *self, FbShard *shard, GBytes *data,
-                           const FbRecordPosition *place);
+                           const FbRecordPosition *position);
 void fb_node_shard_read_end (FbNode *self, FbShard *shard);
 void fb_node_step_down (FbNode *self, FbShard *shard);
 void fb_node_reap (FbNode *self);
--- a/include/internal/rack.h
+++ b/include/internal/rack.h
@@ -78,11 +78,10 @@
   uint64_t known_version;  /* version of the last complete state received, or 0 */
   uint64_t lease_until_ms; /* on the worker's clock; 0 does not renew the lease */
   GPtrArray *starts;       /* const fb_spec *, borrowed */
-  GArray
-      *start_by_ms;  /* uint64_t on the worker's clock, one for each of starts: latest start time */
-  GArray *stops;     /* FbSyncStop */
-  GArray *throttles; /* fb_run: to be slowed down */
-  GArray *acks;      /* fb_run: ended runs that the worker may forget */
+  GArray *start_by_ms;     /* uint64_t, for each of starts: latest time on the worker's clock */
+  GArray *stops;           /* FbSyncStop */
+  GArray *throttles;       /* fb_run: to be slowed down */
+  GArray *acks;            /* fb_run: ended runs that the worker may forget */
 } FbSyncRequest;
 
 typedef struct
@@ -117,7 +116,7 @@
 void fb_rack_free (FbRack *self);
 void fb_rack_set_policy (FbRack *self, const FbRackPolicy *policy);
 
-/* Adds a worker with its declared CAPACITY.  Returns: its index. */
+/* Adds a worker with its declared CAPACITY. Returns: its index. */
 guint fb_rack_add_worker (FbRack *self, const char *name, const fb_res *capacity);
 
 /* Requests of range owners. The answer goes out through sink->report(). */
@@ -138,7 +137,7 @@
 void fb_rack_set_leaving (FbRack *self, uint64_t now_ms, guint worker, gboolean leaving);
 /* The host list does not contain the worker any more. */
 void fb_rack_set_gone (FbRack *self, uint64_t now_ms, guint worker);
-/* The log, read from ASKED_MS on, still names this daemon as the owner. */
+/* The log, read from REQUESTED_MS on, still names this daemon as the owner. */
 void fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t requested_ms);
 
 /* The previous owner had confirmed its ownership after it saw this INCARNATION of the
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -101,7 +101,7 @@
 /* A job as submitted, or as read from its record. */
 FbJob *fb_job_new (uint64_t now_ms, const fb_job *spec);
 FbJob *fb_job_new_recovered (uint64_t now_ms, const fb_rec_admit *admit, uint64_t age_ms,
-                             const FbRecordPosition *place);
+                             const FbRecordPosition *position);
 void fb_job_free (gpointer job);
 /* Earlier runs of the job may have been forgotten: counts all its tasks as started, and
  * numbers their attempts from FIRST_ATTEMPT. */
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -33,7 +33,7 @@
    * sent then. */
   gboolean (*send) (gpointer user, FbRange *range, uint32_t rack, const fb_body *body);
   /* Chooses a rack with the router, see fb_router_choose(). */
-  gboolean (*choose) (gpointer user, FbRange *range, const FbRouteRequest *ask,
+  gboolean (*choose) (gpointer user, FbRange *range, const FbRouteRequest *request,
                       FbRouteChoice *choice);
   /* Returns: TRUE if SPEC fits an empty host of some rack that it may use. */
   gboolean (*ever_fits) (gpointer user, const fb_spec *spec);
@@ -64,7 +64,7 @@
 
 /* Applies one record of the range's stream. */
 void fb_range_apply (FbRange *self, uint64_t now_ms, const fb_rec_body *body,
-                     const FbRecordPosition *place);
+                     const FbRecordPosition *position);
 
 /* The daemon owns the range at EPOCH and has applied all records before its claim. */
 void fb_range_activate (FbRange *self, uint64_t now_ms, uint64_t epoch);
@@ -83,8 +83,8 @@
  * once instead of waiting. */
 void fb_range_set_log_ok (FbRange *self, gboolean ok);
 
-/* Requests of the daemons that serve callers; FRONT names the daemon. */
-/* A refusal carries COPY back, see fb_answer. */
+/* Requests of the daemons that serve callers; FRONT names the daemon. A refusal of a
+ * submission carries COPY back, see fb_answer. */
 void fb_range_submit (FbRange *self, uint64_t now_ms, const fb_job *job, uint32_t copy,
                       const char *front);
 void fb_range_query_job (FbRange *self, uint64_t now_ms, const fb_job_command *command,
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -68,7 +68,7 @@
 
 FbJob *
 fb_job_new_recovered (uint64_t now_ms, const fb_rec_admit *admit, uint64_t age_ms,
-                      const FbRecordPosition *place)
+                      const FbRecordPosition *position)
 {
   FbJob *job = fb_job_new (now_ms, &admit->job);
   job->arrived_ms = now_ms - MIN (now_ms, age_ms);
@@ -78,7 +78,7 @@
   /* If the log's clock was not known at admission, due_log_ms is 0 and the job counts as
    * past due, so that nothing starts too late. */
   if (admit->job.remaining_ms != FB_NO_DEADLINE_MS)
-    job->due_ms = now_ms + fb_deadline_remaining (place->log_now_ms, admit->due_log_ms);
+    job->due_ms = now_ms + fb_deadline_remaining (position->log_now_ms, admit->due_log_ms);
   return job;
 }
 
--- a/src/core/node-log.c
+++ b/src/core/node-log.c
@@ -132,8 +132,8 @@
     {
       /* No age and no clock are needed: this owner already has the jobs with their exact
        * times. */
-      FbRecordPosition place = { .offset = offset };
-      fb_node_shard_record (self, shard, entry->data, &place);
+      FbRecordPosition position = { .offset = offset };
+      fb_node_shard_record (self, shard, entry->data, &position);
       return;
     }
   shard->read_until = MAX (shard->read_until, offset + 1);
@@ -207,8 +207,8 @@
   for (guint i = 0; i < page->record_n && !shard->lost; i++)
     {
       const FbLogRecord *record = &page->records[i];
-      FbRecordPosition place = { record->offset, record->age_ms, log_now_ms };
-      fb_node_shard_record (self, shard, record->data, &place);
+      FbRecordPosition position = { record->offset, record->age_ms, log_now_ms };
+      fb_node_shard_record (self, shard, record->data, &position);
     }
   if (shard->lost)
     return;
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -201,12 +201,12 @@
 }
 
 void
-fb_node_shard_record (FbNode *self, FbShard *shard, GBytes *data, const FbRecordPosition *place)
+fb_node_shard_record (FbNode *self, FbShard *shard, GBytes *data, const FbRecordPosition *position)
 {
   fb_record record;
   gsize len = 0;
   const void *bytes = g_bytes_get_data (data, &len);
-  FbStreamResult result = fb_stream_read (shard->stream, place->offset, bytes, len, &record);
+  FbStreamResult result = fb_stream_read (shard->stream, position->offset, bytes, len, &record);
   gboolean read = result == FB_STREAM_OK || result == FB_STREAM_CLAIMED;
   if (read && record.body.type == FB_REC_RENEW)
     {
@@ -219,7 +219,7 @@
     {
     case FB_STREAM_OK:
       if (shard->range != NULL)
-        fb_range_apply (shard->range, self->now_ms, &record.body, place);
+        fb_range_apply (shard->range, self->now_ms, &record.body, position);
       break;
     case FB_STREAM_CLAIMED:
       note_claim_in_force (self, shard,
@@ -230,7 +230,7 @@
     case FB_STREAM_MALFORMED:
       fb_counter_add (FB_COUNTER_LOG_SKIPPED, 1);
       fb_event_log (FB_EVENT_LOG_RECORD_SKIPPED, "shard=%u offset=%" G_GUINT64_FORMAT " reason=%s",
-                    shard->id, place->offset,
+                    shard->id, position->offset,
                     result == FB_STREAM_SUPERSEDED ? "void" : "malformed");
       return;
     case FB_STREAM_DUPLICATE:
@@ -262,7 +262,7 @@
   fb_node_append (self, shard->id, previous, &body);
 }
 
-/* The stream has been read to its end, by a read that was requested at READ_ASKED_MS. */
+/* The stream has been read to its end, by a read that was requested at READ_REQUESTED_MS. */
 void
 fb_node_shard_read_end (FbNode *self, FbShard *shard)
 {
--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -99,11 +99,11 @@
 }
 
 static gboolean
-range_choose (gpointer user, FbRange *range, const FbRouteRequest *ask, FbRouteChoice *choice)
+range_choose (gpointer user, FbRange *range, const FbRouteRequest *request, FbRouteChoice *choice)
 {
   (void) range;
   FbNode *self = user;
-  return fb_router_choose (self->router, ask, choice);
+  return fb_router_choose (self->router, request, choice);
 }
 
 static gboolean
--- a/src/core/range-apply.c
+++ b/src/core/range-apply.c
@@ -8,16 +8,16 @@
 #include "fb-event.h"
 
 static void
-note_written (FbJob *job, uint64_t now_ms, const FbRecordPosition *place)
+note_written (FbJob *job, uint64_t now_ms, const FbRecordPosition *position)
 {
-  job->written_ms = now_ms - MIN (now_ms, place->age_ms);
-  job->written_offset = place->offset;
+  job->written_ms = now_ms - MIN (now_ms, position->age_ms);
+  job->written_offset = position->offset;
   job->rewriting = FALSE;
 }
 
 static void
 apply_admit (FbRange *self, uint64_t now_ms, const fb_rec_admit *admit, uint64_t age_ms,
-             const FbRecordPosition *place)
+             const FbRecordPosition *position)
 {
   const fb_job *spec = &admit->job;
   FbJob *job = fb_range_find (self, spec->id);
@@ -31,7 +31,7 @@
           fb_counter_add (FB_COUNTER_LOG_SKIPPED, 1);
           return;
         }
-      job = fb_job_new_recovered (now_ms, admit, age_ms, place);
+      job = fb_job_new_recovered (now_ms, admit, age_ms, position);
       g_hash_table_insert (self->jobs, &job->spec.id, job);
     }
   else if (job->admitted && fb_job_is_service (job))
@@ -46,7 +46,7 @@
   if (job->admitted)
     return;
   job->admitted = TRUE;
-  note_written (job, now_ms, place);
+  note_written (job, now_ms, position);
   for (guint i = 0; i < job->task_n; i++)
     fb_range_set_timer (self, &job->tasks[i], now_ms);
   fb_event_log (FB_EVENT_JOB_ADMITTED, "job=%016" G_GINT64_MODIFIER "x kind=%s tasks=%u range=%u",
@@ -187,15 +187,15 @@
 /* A rewritten state has an effect only for a reader that does not know the job yet. */
 static void
 apply_state (FbRange *self, uint64_t now_ms, const fb_rec_state *state,
-             const FbRecordPosition *place)
+             const FbRecordPosition *position)
 {
   FbJob *job = fb_range_find (self, state->admit.job.id);
   if (job != NULL && job->admitted)
     {
-      note_written (job, now_ms, place);
+      note_written (job, now_ms, position);
       return;
     }
-  apply_admit (self, now_ms, &state->admit, place->age_ms + state->age_ms, place);
+  apply_admit (self, now_ms, &state->admit, position->age_ms + state->age_ms, position);
   job = fb_range_find (self, state->admit.job.id);
   if (job == NULL)
     return;
@@ -226,12 +226,12 @@
 
 void
 fb_range_apply (FbRange *self, uint64_t now_ms, const fb_rec_body *body,
-                const FbRecordPosition *place)
+                const FbRecordPosition *position)
 {
   switch (body->type)
     {
     case FB_REC_ADMIT:
-      apply_admit (self, now_ms, &body->fb_rec_body_u.admit, place->age_ms, place);
+      apply_admit (self, now_ms, &body->fb_rec_body_u.admit, position->age_ms, position);
       break;
     case FB_REC_INTENT:
       apply_intent (self, now_ms, &body->fb_rec_body_u.intent);
@@ -243,7 +243,7 @@
       apply_cancel (self, now_ms, &body->fb_rec_body_u.cancel);
       break;
     case FB_REC_STATE:
-      apply_state (self, now_ms, &body->fb_rec_body_u.state, place);
+      apply_state (self, now_ms, &body->fb_rec_body_u.state, position);
       break;
     case FB_REC_CLAIM:
     case FB_REC_RENEW:
