--- a/rpc/peer-xdr.c
+++ b/rpc/peer-xdr.c
@@ -702,7 +702,7 @@
 			 return FALSE;
 		break;
 	case FB_MSG_JOB_QUERY:
-		 if (!xdr_fb_job_command (xdrs, &objp->fb_body_u.ask))
+		 if (!xdr_fb_job_command (xdrs, &objp->fb_body_u.job_query))
 			 return FALSE;
 		break;
 	case FB_MSG_CANCEL:
--- a/rpc/peer.h
+++ b/rpc/peer.h
@@ -234,7 +234,7 @@
 		fb_run_command commit;
 		fb_submit submit;
 		fb_answer answer;
-		fb_job_command ask;
+		fb_job_command job_query;
 		fb_job_command cancel;
 		fb_handover handover;
 		fb_config_pull pull;
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -1,22 +1,22 @@
 /* Gangs: all members of a job start, or none.
  *
- * Members reserve room first and start only when all have it.  Two gangs that
- * each hold what the other wants would wait for ever; so a gang reserves rack
- * after rack in ascending order of their ids and asks the next rack only when
- * the one before has granted all.  A wait can then only be for a higher rack,
- * and no circle closes.  Inside a rack the gang lane is ordered by arrival and
- * served before batch work, so small work cannot starve a gang.
+ * Members first reserve capacity and start only when all of them have it. Two gangs that
+ * each hold what the other wants would deadlock. So a gang reserves on one rack after
+ * another, in ascending order of rack ids, and asks the next rack only after the one
+ * before has granted all its members. A gang can then only wait for a rack with a higher
+ * id, so no cycle of waits can form. Within a rack, gangs are queued by arrival and
+ * served before batch work, so small tasks cannot starve a gang.
  *
- * Reserved room stands idle.  The cost is bounded twice: a gang that has not
- * gathered within FB_RANGE_GANG_RESERVE_MS gives all back and tries again later, and
- * a rack drops a reservation that its range has stopped asking for.
+ * Reserved capacity is idle. The cost is bounded twice: a gang that has not reserved for
+ * all members within FB_RANGE_GANG_RESERVE_MS gives up its reservations and tries again later,
+ * and a rack drops a reservation that its range does not query any more.
  *
- * The commit is not atomic over racks: a rack whose owner changed between
- * reservation and commit has forgotten it.  The gang is then broken: members
- * that did start are stopped, and all try again together. */
+ * The commit is not atomic across racks: a rack whose owner changed between reservation
+ * and commit has forgotten the reservation. The gang is then broken up: members that have
+ * started are stopped, and all members try again together. */
 #include "internal/range-private.h"
 
-#define GATHER_RETRY_MS 1000
+#define RESERVE_RETRY_MS 1000
 
 static int
 compare_rack (gconstpointer a, gconstpointer b)
@@ -29,7 +29,7 @@
 }
 
 static guint
-alive_members (const FbJob *job)
+active_members (const FbJob *job)
 {
   return job->state_n[FB_JOB_TASK_INTENT] + job->state_n[FB_JOB_TASK_PLACED]
          + job->state_n[FB_JOB_TASK_RESERVED] + job->state_n[FB_JOB_TASK_RUNNING]
@@ -39,8 +39,8 @@
 static void
 retry_later (FbRange *self, uint64_t now_ms, FbJob *job)
 {
-  uint64_t at_ms
-      = now_ms + GATHER_RETRY_MS / 2 + (uint64_t) g_rand_int_range (self->rand, 0, GATHER_RETRY_MS);
+  uint64_t at_ms = now_ms + RESERVE_RETRY_MS / 2
+                   + (uint64_t) g_rand_int_range (self->rand, 0, RESERVE_RETRY_MS);
   for (guint i = 0; i < job->task_n; i++)
     {
       if (job->tasks[i].state == FB_JOB_TASK_WAITING)
@@ -48,8 +48,8 @@
     }
 }
 
-/* Chooses a rack for each member that waits; each choice counts for the spread
- * of the next.  Returns: FALSE when some member found none. */
+/* Chooses a rack for each waiting member; each choice counts for the spread of the next.
+ * Returns: FALSE if there is none for some member. */
 static gboolean
 choose_racks (FbRange *self, uint64_t now_ms, FbJob *job)
 {
@@ -71,8 +71,8 @@
   return found;
 }
 
-/* Returns: TRUE when a member has ended otherwise than completed: the gang can
- * never have all its members any more. */
+/* Returns: TRUE if a member has ended other than completed: the gang can never have all
+ * its members again. */
 static gboolean
 has_failed (const FbJob *job)
 {
@@ -100,7 +100,7 @@
       end_waiting (self, job);
       return;
     }
-  if (alive_members (job) > 0)
+  if (active_members (job) > 0)
     {
       retry_later (self, now_ms, job);
       return;
@@ -116,7 +116,7 @@
       if (job->tasks[i].state == FB_JOB_TASK_WAITING)
         fb_range_add_intent (self, &job->tasks[i]);
     }
-  job->gather_until_ms = now_ms + FB_RANGE_GANG_RESERVE_MS;
+  job->reserve_until_ms = now_ms + FB_RANGE_GANG_RESERVE_MS;
 }
 
 static void
@@ -128,13 +128,13 @@
       FbJobTask *task = &job->tasks[i];
       if (task->state != FB_JOB_TASK_RESERVED)
         continue;
-      fb_range_send_word (self, task, FB_MSG_COMMIT, FALSE);
+      fb_range_send_command (self, task, FB_MSG_COMMIT, FALSE);
       fb_range_set_timer (self, task, now_ms + FB_RANGE_QUERY_MS / 4);
     }
 }
 
-/* Asks the lowest rack that has not been asked, once all lower ones have
- * granted; commits when all have. */
+/* Sends the members for the next rack, in order of rack ids, once all lower racks have
+ * granted their reservations; commits when all racks have. */
 void
 fb_gang_advance (FbRange *self, uint64_t now_ms, FbJob *job)
 {
@@ -165,7 +165,7 @@
       if (task->rack == rack && !task->sent)
         fb_range_send_place (self, now_ms, task);
     }
-  /* One that could not be sent holds up the rest for ever. */
+  /* A member that could not be sent would block the rest of the gang forever. */
   if (job->state_n[FB_JOB_TASK_WAITING] > 0)
     fb_gang_break (self, now_ms, job);
 }
@@ -182,10 +182,11 @@
       else if (task->state == FB_JOB_TASK_PLACED || task->state == FB_JOB_TASK_RESERVED
                || task->state == FB_JOB_TASK_RUNNING)
         {
-          /* Where it still waits the picture was too good: look elsewhere. */
+          /* The member is still queued there although the summary showed room: choose
+           * another rack next time. */
           if (task->state == FB_JOB_TASK_PLACED)
             task->avoid_rack = task->rack;
-          fb_range_send_word (self, task, FB_MSG_WITHDRAW, TRUE);
+          fb_range_send_command (self, task, FB_MSG_WITHDRAW, TRUE);
           fb_range_set_timer (self, task, now_ms + FB_RANGE_QUERY_MS);
         }
     }
--- a/src/core/node-front.c
+++ b/src/core/node-front.c
@@ -1,22 +1,22 @@
-/* Callers held by this daemon: each gets one final answer.
+/* Callers of this daemon: each gets one final answer.
  *
- * A submission is repeated until the owner of its range answers; the job's id
- * makes it the same job every time.
+ * A submission is repeated until the owner of its range answers; the id of the job makes
+ * every copy the same job.
  *
- * Failure: one copy is refused while another is still under way, the caller is
- * told "not run", and the other copy is admitted.  Guard: a refusal counts only
- * when it is that of the last copy and all copies went to one daemon; links keep
- * their order, so the earlier ones have been refused too.
+ * Failure: one copy is refused while another is still in transit; the caller is told "not
+ * run", and the other copy is admitted. Guard: a refusal counts only if it refers to the
+ * last copy and all copies were sent to one daemon. Connections keep the order of
+ * messages, so the earlier copies have been refused too.
  *
- * Without any answer "not run" is certain only when no copy was ever sent and
- * the id is this daemon's own; the same key may have been sent elsewhere. */
+ * Without an answer, "not run" is certain only if no copy was ever sent and the job has
+ * no key; a job with the same key may have been submitted to another daemon. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
 #define RESEND_MS 1000
-#define ASK_MS 2000
+#define JOB_QUERY_MS 2000
 #define NO_OWNER_MS 3000
 #define ANSWER_GRACE_MS 4000
 #define UNADMITTED_MS 30000
@@ -64,10 +64,10 @@
 }
 
 static gboolean
-send_word (FbNode *self, fb_msg_type type, uint32_t partner, uint64_t job)
+send_job_command (FbNode *self, fb_msg_type type, uint32_t partner, uint64_t job)
 {
   fb_body body = { .type = type };
-  body.fb_body_u.ask = (fb_job_command){ job, partner };
+  body.fb_body_u.job_query = (fb_job_command){ job, partner };
   return fb_node_send_to_owner (self, fb_cell_range_of_job (self->cell, partner, job), &body);
 }
 
@@ -81,7 +81,7 @@
     {
       caller = g_new0 (FbCaller, 1);
       fb_job_copy (&caller->job, job);
-      caller->since_ms = self->now_ms;
+      caller->submitted_ms = self->now_ms;
       caller->sent_to = -1;
       caller->until_admitted = TRUE;
       caller->due_ms = fb_deadline_after (self->now_ms, job->remaining_ms);
@@ -96,7 +96,7 @@
 fb_node_query_job (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job)
 {
   fb_node_enter (self, now_ms);
-  gboolean sent = send_word (self, FB_MSG_JOB_QUERY, partner, job);
+  gboolean sent = send_job_command (self, FB_MSG_JOB_QUERY, partner, job);
   fb_node_leave (self);
   return sent;
 }
@@ -105,7 +105,7 @@
 fb_node_cancel (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job)
 {
   fb_node_enter (self, now_ms);
-  gboolean sent = send_word (self, FB_MSG_CANCEL, partner, job);
+  gboolean sent = send_job_command (self, FB_MSG_CANCEL, partner, job);
   fb_node_leave (self);
   return sent;
 }
@@ -120,7 +120,7 @@
   if (caller != NULL)
     {
       caller->admitted = TRUE;
-      caller->resend_ms = self->now_ms + ASK_MS;
+      caller->resend_ms = self->now_ms + JOB_QUERY_MS;
       if (answer->outcome < FB_OUTCOME_PENDING || caller->until_admitted)
         g_hash_table_remove (self->callers, &answer->job);
     }
@@ -142,9 +142,9 @@
 }
 
 static gboolean
-is_hopeless (const FbNode *self, const FbCaller *caller)
+has_timed_out (const FbNode *self, const FbCaller *caller)
 {
-  uint64_t waited_ms = self->now_ms - caller->since_ms;
+  uint64_t waited_ms = self->now_ms - caller->submitted_ms;
   if (caller->copies == 0)
     return waited_ms >= NO_OWNER_MS || self->now_ms >= caller->due_ms;
   if (!caller->admitted && waited_ms >= UNADMITTED_MS)
@@ -161,7 +161,7 @@
   for (GList *link = all; link != NULL; link = link->next)
     {
       FbCaller *caller = link->data;
-      if (is_hopeless (self, caller))
+      if (has_timed_out (self, caller))
         {
           give_up (self, caller);
           continue;
@@ -172,8 +172,8 @@
         send_submit (self, caller);
       else if (!(caller->job.flags & FB_FLAG_EPHEMERAL))
         {
-          caller->resend_ms = self->now_ms + ASK_MS;
-          (void) send_word (self, FB_MSG_JOB_QUERY, caller->job.partner, caller->job.id);
+          caller->resend_ms = self->now_ms + JOB_QUERY_MS;
+          (void) send_job_command (self, FB_MSG_JOB_QUERY, caller->job.partner, caller->job.id);
         }
     }
 }
--- a/src/core/node-log.c
+++ b/src/core/node-log.c
@@ -1,13 +1,13 @@
-/* The one writer of a daemon, and the reading of streams.
+/* Appending to the log and reading of streams.
  *
- * Records of all streams are gathered while one append is under way and go out
- * together with the next (group commit): the log takes some hundred appends a
- * second for the whole cell, so the number of calls counts, not of records.
+ * Records of all streams are collected while an append is in progress and are written
+ * together by the next one (group commit): the log handles some hundred appends a second
+ * for the whole cell, so the number of calls matters, not the number of records.
  *
- * An append that failed, or whose answer was lost, is sent again as it was.  It
- * may then stand in the log twice; readers drop the second (stream.c).  A record
- * takes effect here only when it is read in its place: directly, when nothing
- * came between, else by reading the gap, which may hold a successor's claim. */
+ * An append that failed, or whose answer was lost, is repeated unchanged. Its records may
+ * then be in the log twice; readers drop the duplicate (stream.c). A record takes effect
+ * here only when it is read at its position: directly if no other record precedes it,
+ * otherwise by reading the gap, which may contain a successor's claim. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
@@ -58,8 +58,8 @@
   g_free (entry);
 }
 
-/* Records of a shard that was given up would be void; those already under way
- * stay, so that the answer to the call still matches. */
+/* Drops the records of a shard that was given up, which would be superseded. Those being
+ * appended are kept, so that they still match the answer to the call. */
 void
 fb_node_drop_pending (FbNode *self, uint32_t stream)
 {
@@ -78,7 +78,7 @@
 }
 
 void
-fb_node_pump_log (FbNode *self)
+fb_node_flush_log (FbNode *self)
 {
   if (self->appending || g_queue_is_empty (&self->pending) || self->now_ms < self->append_retry_ms)
     return;
@@ -92,7 +92,7 @@
         break;
       g_array_append_val (batch, *entry);
     }
-  /* A failed call is repeated with the very same records. */
+  /* A failed call is repeated with exactly the same records. */
   if (self->in_flight > 0)
     g_array_set_size (batch, self->in_flight);
   self->in_flight = batch->len;
@@ -117,7 +117,7 @@
 }
 
 static void
-note_in_log (FbNode *self, FbLogRecord *entry, uint64_t offset)
+apply_appended_record (FbNode *self, FbLogRecord *entry, uint64_t offset)
 {
   if (entry->stream == FB_STREAM_CONFIG)
     {
@@ -130,12 +130,13 @@
     return;
   if (!shard->reading && offset == fb_stream_next (shard->stream))
     {
-      /* Jobs of this owner are known with their true times already. */
-      FbRecordPosition place = { .offset = offset };
-      fb_node_shard_record (self, shard, entry->data, &place);
+      /* No age and no clock are needed: this owner already has the jobs with their exact
+       * times. */
+      FbRecordPosition position = { .offset = offset };
+      fb_node_shard_record (self, shard, entry->data, &position);
       return;
     }
-  shard->read_wanted = MAX (shard->read_wanted, offset + 1);
+  shard->read_until = MAX (shard->read_until, offset + 1);
   fb_node_read_shard (self, shard);
 }
 
@@ -158,7 +159,7 @@
   for (guint i = 0; i < n; i++)
     g_ptr_array_add (done, g_queue_pop_head (&self->pending));
   for (guint i = 0; i < n; i++)
-    note_in_log (self, g_ptr_array_index (done, i), offsets[i]);
+    apply_appended_record (self, g_ptr_array_index (done, i), offsets[i]);
   fb_node_leave (self);
 }
 
@@ -168,7 +169,7 @@
   if (shard->reading || shard->stream == NULL)
     return;
   shard->reading = TRUE;
-  shard->read_asked_ms = self->now_ms;
+  shard->read_requested_ms = self->now_ms;
   self->sink->log_read (self->user, shard->id, fb_stream_next (shard->stream));
 }
 
@@ -189,14 +190,15 @@
 static void
 read_shard (FbNode *self, FbShard *shard, const FbLogPage *page)
 {
-  /* The log's clock now is at most what it showed plus the time the read took. */
-  uint64_t log_now_ms = page->log_now_ms + (self->now_ms - shard->read_asked_ms);
-  /* Failure: an owner that was paused for longer than the log keeps records does
-   * not see that another owned the shard meanwhile, and goes on without what that
-   * one admitted.  Guard: an owner that has missed records gives up, and claims
-   * anew like anyone else. */
+  /* Upper bound of the log's clock now: its last reading plus the time that the read
+   * took. */
+  uint64_t log_now_ms = page->log_now_ms + (self->now_ms - shard->read_requested_ms);
+  /* Failure: an owner that was suspended for longer than the log keeps records does not
+   * see that another daemon owned the shard in the meantime, and continues without the
+   * jobs that it admitted. Guard: an owner that has missed records gives up the shard and
+   * claims it again like any other daemon. */
   if (page->first_retained > fb_stream_next (shard->stream) && fb_stream_next (shard->stream) > 0
-      && fb_shard_is_mine (shard))
+      && fb_shard_is_owned (shard))
     {
       fb_node_step_down (self, shard);
       return;
@@ -205,12 +207,12 @@
   for (guint i = 0; i < page->record_n && !shard->lost; i++)
     {
       const FbLogRecord *record = &page->records[i];
-      FbRecordPosition place = { record->offset, record->age_ms, log_now_ms };
-      fb_node_shard_record (self, shard, record->data, &place);
+      FbRecordPosition position = { record->offset, record->age_ms, log_now_ms };
+      fb_node_shard_record (self, shard, record->data, &position);
     }
   if (shard->lost)
     return;
-  if (!page->at_end || fb_stream_next (shard->stream) < shard->read_wanted)
+  if (!page->at_end || fb_stream_next (shard->stream) < shard->read_until)
     fb_node_read_shard (self, shard);
   else
     fb_node_shard_read_end (self, shard);
@@ -249,7 +251,7 @@
   fb_node_leave (self);
 }
 
-/* Writes again what the log will drop: see docs/design/retention.md. */
+/* Rewrites records before the log drops them: see docs/design/retention.md. */
 void
 fb_node_renew_tick (FbNode *self)
 {
@@ -259,14 +261,14 @@
   for (guint i = 0; i < self->shard_n; i++)
     {
       FbShard *shard = &self->shards[i];
-      if (!fb_shard_is_mine (shard))
+      if (!fb_shard_is_owned (shard))
         continue;
       if (shard->range != NULL)
         fb_range_rewrite (shard->range, self->now_ms, age_max_ms);
       if (self->now_ms - shard->renewed_ms < age_max_ms)
         continue;
       shard->renewed_ms = self->now_ms;
-      /* The owner of a rack has no other reason to read on. */
+      /* The owner of a rack does not read its stream otherwise. */
       if (shard->is_rack)
         fb_node_read_shard (self, shard);
       fb_rec_body body = { .type = FB_REC_RENEW };
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -1,15 +1,14 @@
-/* Who owns what: claims through the log, hand-over without it, stepping down.
+/* Ownership of shards: claims through the log, handover without it, and stepping down.
  *
- * A daemon that should own a shard by rendezvous, and hears of no living owner,
- * reads the shard's stream to its end and appends a claim behind it.  It owns
- * the shard when it has read its own claim back as the valid one.  Authority
- * does not run out with time: only a later claim, or a hand-over, ends it, so
- * an outage of the log disturbs no owner.
+ * A daemon that should own a shard by rendezvous hashing, and knows of no live owner,
+ * reads the shard's stream to its end and appends a claim. It owns the shard once it has
+ * read its own claim back as the one in force. Ownership does not expire: only a later
+ * claim or a handover ends it, so owners are not affected by an outage of the log.
  *
- * A rack is handed over directly: the old owner gives back what waits, stops,
- * and lets the new one go on at the next sub-epoch; the workers fence the old
- * one.  A range is handed over by permission to claim: its successor has to
- * read the stream in any case. */
+ * A rack is handed over directly: the old owner returns the waiting work, stops, and the
+ * new one continues at the next sub-epoch; the workers fence the old one. A range is
+ * handed over as a permission to claim it, because its successor has to read the stream
+ * anyway. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
@@ -20,12 +19,12 @@
 #define CLAIM_RETRY_MS 2000
 
 gboolean
-fb_shard_is_mine (const FbShard *shard)
+fb_shard_is_owned (const FbShard *shard)
 {
   return !shard->lost && (shard->role == FB_SHARD_OWNED || shard->role == FB_SHARD_DRAINING);
 }
 
-/* ---- becoming and ceasing to be the owner ----------------------------- */
+/* ---- taking and giving up ownership ------------------------------------- */
 
 static void
 set_owner (FbNode *self, FbShard *shard, int owner, uint64_t incarnation, uint64_t epoch)
@@ -38,22 +37,23 @@
 }
 
 static void
-begin_rack (FbNode *self, FbShard *shard)
+create_rack (FbNode *self, FbShard *shard)
 {
-  const FbCellRack *facts = fb_cell_rack (self->cell, shard->id);
-  shard->rack = fb_rack_new (shard->id, facts->name, facts->partner, shard->epoch,
-                             &fb_node_rack_sink, self);
-  for (guint i = 0; i < facts->hosts->len; i++)
+  const FbCellRack *info = fb_cell_rack (self->cell, shard->id);
+  shard->rack
+      = fb_rack_new (shard->id, info->name, info->partner, shard->epoch, &fb_node_rack_sink, self);
+  for (guint i = 0; i < info->hosts->len; i++)
     {
-      const FbCellHost *host = g_ptr_array_index (facts->hosts, i);
-      fb_rack_add_worker (shard->rack, host->name, &facts->host_capacity);
+      const FbCellHost *host = g_ptr_array_index (info->hosts, i);
+      fb_rack_add_worker (shard->rack, host->name, &info->host_capacity);
     }
   fb_node_apply_policy (self, shard);
   fb_node_apply_host_states (self, shard);
 }
 
-/* Every job that was needed at the last RENEW has its full record at or behind
- * the offset that it names.  See survey.c. */
+/* Returns: TRUE if the stream may lack records that are still needed. Every job that was
+ * needed at the last RENEW has its full record at or after the offset that the RENEW
+ * names. See survey.c. */
 static gboolean
 lost_records (const FbShard *shard)
 {
@@ -69,13 +69,13 @@
   shard->role = FB_SHARD_OWNED;
   shard->epoch = epoch;
   shard->handed_to = -1;
-  shard->handed_here = FALSE;
+  shard->handover_received = FALSE;
   shard->renewed_ms = 0;
   set_owner (self, shard, (int) self->self_index, self->incarnation, epoch);
   fb_event_log (FB_EVENT_SHARD_OWNED, "shard=%u kind=%s epoch=%" G_GUINT64_FORMAT, shard->id,
                 shard->is_rack ? "rack" : "range", epoch);
   if (shard->is_rack)
-    begin_rack (self, shard);
+    create_rack (self, shard);
   else
     {
       fb_range_set_log_ok (shard->range, self->log_ok);
@@ -91,14 +91,14 @@
     }
 }
 
-/* The shard's objects may be in use further up the stack: they are dropped by
- * fb_node_reap(). */
+/* The shard's objects may be in use by a caller of this function, so fb_node_reap() frees
+ * them. */
 void
 fb_node_step_down (FbNode *self, FbShard *shard)
 {
-  if (shard->role == FB_SHARD_FOREIGN)
+  if (shard->role == FB_SHARD_NOT_OWNED)
     return;
-  if (fb_shard_is_mine (shard))
+  if (fb_shard_is_owned (shard))
     {
       fb_counter_add (FB_COUNTER_STEP_DOWNS, 1);
       fb_event_log (FB_EVENT_SHARD_LOST, "shard=%u epoch=%" G_GUINT64_FORMAT, shard->id,
@@ -123,16 +123,16 @@
       g_clear_pointer (&shard->rack, fb_rack_free);
       g_clear_pointer (&shard->range, fb_range_free);
       g_clear_pointer (&shard->stream, fb_stream_free);
-      shard->role = FB_SHARD_FOREIGN;
+      shard->role = FB_SHARD_NOT_OWNED;
       shard->lost = FALSE;
       shard->reading = FALSE;
-      shard->confirm_ms = 0;
-      shard->read_wanted = 0;
+      shard->confirm_requested_ms = 0;
+      shard->read_until = 0;
       shard->claim_at_ms = self->now_ms + CLAIM_RETRY_MS;
     }
 }
 
-/* ---- what peers say --------------------------------------------------- */
+/* ---- messages of peers -------------------------------------------------- */
 
 void
 fb_node_note_claim (FbNode *self, guint member, const fb_claim_notice *claim)
@@ -142,7 +142,7 @@
     return;
   if (claim->epoch == shard->known_epoch && shard->owner >= 0 && (guint) shard->owner != member)
     return;
-  if (fb_shard_is_mine (shard))
+  if (fb_shard_is_owned (shard))
     {
       if (claim->epoch <= shard->epoch)
         return;
@@ -158,10 +158,10 @@
 fb_node_note_handover (FbNode *self, const fb_handover *handover)
 {
   FbShard *shard = fb_node_shard (self, handover->shard);
-  if (shard == NULL || shard->role != FB_SHARD_FOREIGN || shard->lost || self->draining
+  if (shard == NULL || shard->role != FB_SHARD_NOT_OWNED || shard->lost || self->draining
       || handover->epoch < shard->known_epoch)
     return;
-  shard->handed_here = TRUE;
+  shard->handover_received = TRUE;
   shard->claim_at_ms = 0;
   if (!shard->is_rack)
     {
@@ -181,15 +181,15 @@
 note_claim_in_force (FbNode *self, FbShard *shard, const fb_rec_claim *claim)
 {
   uint64_t epoch = fb_stream_epoch (shard->stream);
-  gboolean mine = claim->incarnation == self->incarnation
-                  && fb_members_find (self->members, claim->owner) == (int) self->self_index;
-  if (fb_shard_is_mine (shard))
+  gboolean own = claim->incarnation == self->incarnation
+                 && fb_members_find (self->members, claim->owner) == (int) self->self_index;
+  if (fb_shard_is_owned (shard))
     {
       if (!fb_epoch_same_claim (epoch, shard->epoch) && epoch > shard->epoch)
         fb_node_step_down (self, shard);
       return;
     }
-  if (mine && shard->role == FB_SHARD_CLAIMING)
+  if (own && shard->role == FB_SHARD_CLAIMING)
     {
       become_owner (self, shard, epoch);
       return;
@@ -201,13 +201,13 @@
 }
 
 void
-fb_node_shard_record (FbNode *self, FbShard *shard, GBytes *data, const FbRecordPosition *place)
+fb_node_shard_record (FbNode *self, FbShard *shard, GBytes *data, const FbRecordPosition *position)
 {
   fb_record record;
   gsize len = 0;
   const void *bytes = g_bytes_get_data (data, &len);
-  FbStreamResult verdict = fb_stream_read (shard->stream, place->offset, bytes, len, &record);
-  gboolean read = verdict == FB_STREAM_OK || verdict == FB_STREAM_CLAIMED;
+  FbStreamResult result = fb_stream_read (shard->stream, position->offset, bytes, len, &record);
+  gboolean read = result == FB_STREAM_OK || result == FB_STREAM_CLAIMED;
   if (read && record.body.type == FB_REC_RENEW)
     {
       shard->renew_read = TRUE;
@@ -215,11 +215,11 @@
       shard->renew_history_gap_ms = record.body.fb_rec_body_u.renew.history_gap_ms;
       shard->renew_surveying = record.body.fb_rec_body_u.renew.surveying;
     }
-  switch (verdict)
+  switch (result)
     {
     case FB_STREAM_OK:
       if (shard->range != NULL)
-        fb_range_apply (shard->range, self->now_ms, &record.body, place);
+        fb_range_apply (shard->range, self->now_ms, &record.body, position);
       break;
     case FB_STREAM_CLAIMED:
       note_claim_in_force (self, shard,
@@ -230,8 +230,8 @@
     case FB_STREAM_MALFORMED:
       fb_counter_add (FB_COUNTER_LOG_SKIPPED, 1);
       fb_event_log (FB_EVENT_LOG_RECORD_SKIPPED, "shard=%u offset=%" G_GUINT64_FORMAT " reason=%s",
-                    shard->id, place->offset,
-                    verdict == FB_STREAM_SUPERSEDED ? "void" : "malformed");
+                    shard->id, position->offset,
+                    result == FB_STREAM_SUPERSEDED ? "void" : "malformed");
       return;
     case FB_STREAM_DUPLICATE:
     case FB_STREAM_OLD:
@@ -262,7 +262,7 @@
   fb_node_append (self, shard->id, previous, &body);
 }
 
-/* The stream has been read to its end, from a read that began at READ_ASKED. */
+/* The stream has been read to its end, by a read that was requested at READ_REQUESTED_MS. */
 void
 fb_node_shard_read_end (FbNode *self, FbShard *shard)
 {
@@ -275,25 +275,25 @@
     }
   if (shard->role == FB_SHARD_CLAIMING && !fb_node_has_pending (self, shard->id))
     {
-      /* Our claim is in the log and did not take effect. */
+      /* This daemon's claim is in the log and has lost. */
       fb_node_step_down (self, shard);
       return;
     }
-  if (shard->confirm_ms == 0 || shard->read_asked_ms < shard->confirm_ms || shard->rack == NULL)
+  if (shard->confirm_requested_ms == 0 || shard->read_requested_ms < shard->confirm_requested_ms
+      || shard->rack == NULL)
     return;
-  uint64_t asked_ms = shard->confirm_ms;
-  shard->confirm_ms = 0;
+  uint64_t requested_ms = shard->confirm_requested_ms;
+  shard->confirm_requested_ms = 0;
   if (fb_epoch_same_claim (fb_stream_epoch (shard->stream), shard->epoch))
-    fb_rack_ownership_confirmed (shard->rack, self->now_ms, asked_ms);
+    fb_rack_ownership_confirmed (shard->rack, self->now_ms, requested_ms);
 }
 
-/* ---- wishes ----------------------------------------------------------- */
+/* ---- claims and handovers ----------------------------------------------- */
 
-/* An owner names its shards in every heartbeat: one that is heard and does not
- * name this shard any more has given it up, perhaps to a daemon that never got
- * the word. */
+/* An owner lists its shards in every heartbeat. One that sends heartbeats without this
+ * shard has given it up, perhaps by a handover that never reached its receiver. */
 static gboolean
-owner_is_living (const FbNode *self, const FbShard *shard)
+owner_is_alive (const FbNode *self, const FbShard *shard)
 {
   if (shard->owner < 0 || self->now_ms - shard->announced_ms >= FB_MEMBER_SUSPECT_MS)
     return FALSE;
@@ -333,7 +333,7 @@
 }
 
 static void
-note_lives (FbShard *shard)
+save_confirmed_incarnations (FbShard *shard)
 {
   g_clear_pointer (&shard->handed_incarnations, g_array_unref);
   if (shard->rack == NULL)
@@ -354,7 +354,7 @@
                 fb_members_name (self->members, (guint) to), shard->epoch);
   shard->handed_to = to;
   shard->handed_epoch = shard->epoch;
-  note_lives (shard);
+  save_confirmed_incarnations (shard);
   fb_node_step_down (self, shard);
   send_handover (self, shard);
 }
@@ -369,28 +369,28 @@
 }
 
 static void
-tick_mine (FbNode *self, FbShard *shard, int rightful)
+tick_owned (FbNode *self, FbShard *shard, int preferred)
 {
   if (shard->role == FB_SHARD_OWNED)
     {
-      if (rightful < 0 || rightful == (int) self->self_index
-          || !fb_members_is_stable (self->members, self->now_ms, (guint) rightful))
+      if (preferred < 0 || preferred == (int) self->self_index
+          || !fb_members_is_stable (self->members, self->now_ms, (guint) preferred))
         return;
       shard->role = FB_SHARD_DRAINING;
       shard->drain_since_ms = self->now_ms;
       if (shard->rack != NULL)
         fb_rack_drain (shard->rack, self->now_ms);
     }
-  if (rightful >= 0 && rightful != (int) self->self_index && ready_to_hand_over (self, shard))
-    finish_handover (self, shard, rightful);
+  if (preferred >= 0 && preferred != (int) self->self_index && ready_to_hand_over (self, shard))
+    finish_handover (self, shard, preferred);
 }
 
 static void
-tick_foreign (FbNode *self, FbShard *shard, int rightful)
+tick_not_owned (FbNode *self, FbShard *shard, int preferred)
 {
   if (shard->handed_to >= 0)
     {
-      /* Say it again until the successor is heard of as the owner. */
+      /* Repeat the handover until the successor announces the shard. */
       FbMemberState state = fb_members_state (self->members, (guint) shard->handed_to);
       if (state != FB_MEMBER_ALIVE)
         shard->handed_to = -1;
@@ -401,9 +401,9 @@
         }
     }
   gboolean settled = self->now_ms - self->started_ms >= FB_MEMBER_SUSPECT_MS;
-  if (self->draining || rightful != (int) self->self_index || self->now_ms < shard->claim_at_ms)
+  if (self->draining || preferred != (int) self->self_index || self->now_ms < shard->claim_at_ms)
     return;
-  if (shard->handed_here || (settled && !owner_is_living (self, shard)))
+  if (shard->handover_received || (settled && !owner_is_alive (self, shard)))
     begin_claim (self, shard);
 }
 
@@ -415,12 +415,12 @@
       FbShard *shard = &self->shards[i];
       if (shard->lost)
         continue;
-      int rightful = fb_members_preferred_owner (self->members, i, shard->partner,
-                                                 self->draining ? self->self_index : G_MAXUINT);
-      if (fb_shard_is_mine (shard))
-        tick_mine (self, shard, rightful);
-      else if (shard->role == FB_SHARD_FOREIGN)
-        tick_foreign (self, shard, rightful);
+      int preferred = fb_members_preferred_owner (self->members, i, shard->partner,
+                                                  self->draining ? self->self_index : G_MAXUINT);
+      if (fb_shard_is_owned (shard))
+        tick_owned (self, shard, preferred);
+      else if (shard->role == FB_SHARD_NOT_OWNED)
+        tick_not_owned (self, shard, preferred);
       else if (!shard->reading)
         fb_node_read_shard (self, shard);
     }
--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -1,10 +1,11 @@
-/* Between racks, ranges and peers: the sinks of both, and their messages. */
+/* Sinks of racks and ranges, and dispatch of their messages. */
 #include "internal/node-private.h"
 
 #include "internal/rack-query.h"
 #include "internal/range-query.h"
 
-/* Ids behind the shards name the ephemeral range of each member. */
+/* Returns: the id of this daemon's ephemeral range. Ids after those of the shards are the
+ * ephemeral ranges of the members. */
 uint32_t
 fb_node_local_range_id (const FbNode *self)
 {
@@ -47,7 +48,7 @@
 {
   FbNode *self = user;
   FbShard *shard = fb_node_shard (self, fb_rack_id (rack));
-  shard->confirm_ms = self->now_ms;
+  shard->confirm_requested_ms = self->now_ms;
   fb_node_read_shard (self, shard);
 }
 
@@ -79,7 +80,7 @@
   if (range != self->local)
     {
       FbShard *shard = fb_node_shard (self, fb_range_id (range));
-      if (fb_shard_is_mine (shard))
+      if (fb_shard_is_owned (shard))
         fb_node_append (self, shard->id, shard->epoch, body);
       return;
     }
@@ -98,11 +99,11 @@
 }
 
 static gboolean
-range_choose (gpointer user, FbRange *range, const FbRouteRequest *ask, FbRouteChoice *choice)
+range_choose (gpointer user, FbRange *range, const FbRouteRequest *request, FbRouteChoice *choice)
 {
   (void) range;
   FbNode *self = user;
-  return fb_router_choose (self->router, ask, choice);
+  return fb_router_choose (self->router, request, choice);
 }
 
 static gboolean
@@ -119,8 +120,7 @@
   fb_router_note_refusal (self->router, self->now_ms, rack, reason);
 }
 
-/* What the log showed at its last answer, plus the time since that arrived: at
- * most its clock now. */
+/* Lower bound of the log's clock now: its last reading plus the time since that arrived. */
 static uint64_t
 range_log_clock_ms (gpointer user)
 {
@@ -156,8 +156,8 @@
 
 /* ---- messages --------------------------------------------------------- */
 
-/* An order is sent once, to one daemon; whoever gets it and does not own the
- * rack knows that it will never be carried out. */
+/* An order is sent once, to one daemon. A daemon that receives it and does not own the
+ * rack knows that it will never be executed. */
 static void
 refuse_place (FbNode *self, const fb_place *place)
 {
@@ -171,14 +171,14 @@
 }
 
 static FbRack *
-my_rack (FbNode *self, uint32_t rack)
+owned_rack (FbNode *self, uint32_t rack)
 {
   FbShard *shard = fb_node_shard (self, rack);
-  return shard != NULL && fb_shard_is_mine (shard) ? shard->rack : NULL;
+  return shard != NULL && fb_shard_is_owned (shard) ? shard->rack : NULL;
 }
 
 static FbRange *
-my_range (FbNode *self, uint32_t range)
+owned_range (FbNode *self, uint32_t range)
 {
   if (range == fb_node_local_range_id (self))
     return self->local;
@@ -191,31 +191,31 @@
 {
   if (partner >= FB_PARTNER_N)
     return NULL;
-  return my_range (self, fb_cell_range_of_job (self->cell, partner, job));
+  return owned_range (self, fb_cell_range_of_job (self->cell, partner, job));
 }
 
 static void
-rack_word (FbNode *self, fb_msg_type type, const fb_run_command *word)
+dispatch_run_command (FbNode *self, fb_msg_type type, const fb_run_command *command)
 {
-  FbRack *rack = my_rack (self, word->rack);
+  FbRack *rack = owned_rack (self, command->rack);
   if (rack == NULL)
     return;
   switch (type)
     {
     case FB_MSG_ACK:
-      fb_rack_ack (rack, self->now_ms, word);
+      fb_rack_ack (rack, self->now_ms, command);
       break;
     case FB_MSG_WITHDRAW:
-      fb_rack_withdraw (rack, self->now_ms, word);
+      fb_rack_withdraw (rack, self->now_ms, command);
       break;
     case FB_MSG_QUERY:
-      fb_rack_query (rack, self->now_ms, word);
+      fb_rack_query (rack, self->now_ms, command);
       break;
     case FB_MSG_COMMIT:
-      fb_rack_commit (rack, self->now_ms, word);
+      fb_rack_commit (rack, self->now_ms, command);
       break;
     case FB_MSG_SURVEY:
-      fb_rack_survey (rack, self->now_ms, word);
+      fb_rack_survey (rack, self->now_ms, command);
       break;
     default:
       break;
@@ -223,16 +223,16 @@
 }
 
 static void
-job_word (FbNode *self, const char *from, const fb_body *body)
+dispatch_job_command (FbNode *self, const char *from, const fb_body *body)
 {
-  const fb_job_command *word = &body->fb_body_u.ask;
-  FbRange *range = range_of_job (self, word->partner, word->job);
+  const fb_job_command *command = &body->fb_body_u.job_query;
+  FbRange *range = range_of_job (self, command->partner, command->job);
   if (range == NULL)
     return;
   if (body->type == FB_MSG_CANCEL)
-    fb_range_cancel (range, self->now_ms, word, from);
+    fb_range_cancel (range, self->now_ms, command, from);
   else
-    fb_range_query_job (range, self->now_ms, word, from);
+    fb_range_query_job (range, self->now_ms, command, from);
 }
 
 void
@@ -243,7 +243,7 @@
     case FB_MSG_PLACE:
       {
         const fb_place *place = &body->fb_body_u.place;
-        FbRack *rack = my_rack (self, place->rack);
+        FbRack *rack = owned_rack (self, place->rack);
         if (rack != NULL)
           fb_rack_place (rack, self->now_ms, place);
         else
@@ -253,7 +253,7 @@
     case FB_MSG_REPORT:
       {
         const fb_report *report = &body->fb_body_u.report;
-        FbRange *range = my_range (self, report->range);
+        FbRange *range = owned_range (self, report->range);
         if (range != NULL)
           fb_range_report (range, self->now_ms, report);
         break;
@@ -269,17 +269,17 @@
     case FB_MSG_SURVEY_REPLY:
       {
         const fb_survey_reply *surveyed = &body->fb_body_u.surveyed;
-        FbRange *range = my_range (self, surveyed->range);
+        FbRange *range = owned_range (self, surveyed->range);
         if (range != NULL)
           fb_range_surveyed (range, self->now_ms, surveyed);
         break;
       }
     case FB_MSG_JOB_QUERY:
     case FB_MSG_CANCEL:
-      job_word (self, from, body);
+      dispatch_job_command (self, from, body);
       break;
     default:
-      rack_word (self, body->type, &body->fb_body_u.query);
+      dispatch_run_command (self, body->type, &body->fb_body_u.query);
       break;
     }
 }
--- a/src/core/rack-commands.c
+++ b/src/core/rack-commands.c
@@ -1,16 +1,17 @@
-/* Commands of range owners to a rack: place, withdraw, query, commit, ack.
+/* Requests of range owners to a rack: place, withdraw, query, commit, acknowledge,
+ * survey.
  *
- * A run enters once: the range owner sends each attempt exactly once, bound to
- * the epoch of this owner, over an ordered link.  It leaves only after the
- * range owner has acknowledged its end; until then the end is reported again,
- * and the worker is asked to remember it too.  A successor that reads back the
- * workers therefore finds every end that is not yet known to its range. */
+ * A run arrives only once: the range owner sends each attempt exactly once, addressed to
+ * the epoch of this owner, over an ordered connection. A run is forgotten only after the
+ * range owner has acknowledged its end; until then the rack repeats the report of the
+ * end, and the worker remembers it too. A successor that reads the states of the workers
+ * therefore finds every end that its range does not know yet. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
-#define GUEST_LINE_MAX 4
+#define GUEST_QUEUE_MAX 4
 
 static gboolean
 fits_some_worker (const FbRack *self, const fb_res *demand)
@@ -35,10 +36,10 @@
   return TRUE;
 }
 
-/* Failure: the owner of a range is replaced while its order is under way; its
- * successor asks, hears "not here" and starts the next attempt; then the order
- * arrives.  It would show as a run in two places.  Guard: any word of an owner
- * of a range fences out its predecessors. */
+/* Failure: the owner of a range is replaced while its order is in transit. Its successor
+ * queries the rack, is told "not here" and starts the next attempt; then the order
+ * arrives, and the task runs in two places. Guard: any message of an owner of a range
+ * fences out all owners with a lower epoch. */
 static gboolean
 range_is_current (FbRack *self, uint32_t range, uint64_t epoch)
 {
@@ -68,13 +69,15 @@
   gboolean guest = spec->partner != self->home;
   if (guest && (self->policy.lend_milli == 0 || !(spec->flags & FB_FLAG_PREEMPTIBLE)))
     return FB_REASON_NOT_LENT;
-  /* A guest's work may cross with the room it saw, but not stand in line. */
+  /* Work of the other partner is sent here because capacity was free; a few tasks may
+   * queue if it was taken meanwhile, but not more. */
   if (guest
-      && fb_task_queues_count_of (self->lanes, spec->partner, (FbKind) spec->kind)
-             >= GUEST_LINE_MAX)
+      && fb_task_queues_count_of (self->queues, spec->partner, (FbKind) spec->kind)
+             >= GUEST_QUEUE_MAX)
     return FB_REASON_QUEUE_FULL;
-  /* Bounded for each partner and kind, so that a flood fills only its own. */
-  if (fb_task_queues_count_of (self->lanes, spec->partner, (FbKind) spec->kind)
+  /* The limit is for each partner and kind, so that a flood of one fills only its own
+   * queue. */
+  if (fb_task_queues_count_of (self->queues, spec->partner, (FbKind) spec->kind)
       >= self->policy.queue_max)
     return FB_REASON_QUEUE_FULL;
   return FB_REASON_NONE;
@@ -104,14 +107,14 @@
 }
 
 void
-fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_run_command *word)
+fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_run_command *command)
 {
-  if (!range_is_current (self, word->range, word->range_epoch))
+  if (!range_is_current (self, command->range, command->range_epoch))
     return;
-  FbTask *task = fb_rack_find (self, &word->run);
+  FbTask *task = fb_rack_find (self, &command->run);
   if (task == NULL)
     {
-      fb_rack_query (self, now_ms, word);
+      fb_rack_query (self, now_ms, command);
       return;
     }
   if (task->state == FB_TASK_ENDED)
@@ -121,23 +124,23 @@
     }
   if (fb_task_never_sent (task))
     fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN, FB_REASON_WITHDRAWN, NULL, 0);
-  else if (word->force && task->state != FB_TASK_STOPPING)
+  else if (command->force && task->state != FB_TASK_STOPPING)
     fb_rack_stop_task (self, task, FB_REASON_CANCELLED);
   else
     fb_rack_send_run_status (self, task, FB_RUN_STATUS_STARTED, FB_REASON_NONE);
 }
 
 void
-fb_rack_query (FbRack *self, uint64_t now_ms, const fb_run_command *word)
+fb_rack_query (FbRack *self, uint64_t now_ms, const fb_run_command *command)
 {
-  if (!range_is_current (self, word->range, word->range_epoch))
+  if (!range_is_current (self, command->range, command->range_epoch))
     return;
-  FbTask *task = fb_rack_find (self, &word->run);
+  FbTask *task = fb_rack_find (self, &command->run);
   if (task == NULL)
     {
       FbRunStatus run_status
           = fb_rack_is_complete (self) ? FB_RUN_STATUS_NOT_FOUND : FB_RUN_STATUS_UNDETERMINED;
-      fb_spec asked = { .run = word->run, .range = word->range };
+      fb_spec asked = { .run = command->run, .range = command->range };
       fb_rack_report (self, &asked, FB_NO_WORKER, run_status, FB_REASON_NONE, NULL);
       return;
     }
@@ -152,7 +155,8 @@
       fb_rack_send_run_status (self, task, FB_RUN_STATUS_QUEUED, FB_REASON_NONE);
       break;
     case FB_TASK_RESERVED:
-      /* The range still gathers: asking keeps the reservation. */
+      /* The range is still reserving for other members; its query extends the
+       * reservation. */
       task->reserved_until_ms = now_ms + FB_RACK_RESERVE_MS;
       fb_rack_send_run_status (self, task, FB_RUN_STATUS_RESERVED, FB_REASON_NONE);
       break;
@@ -168,14 +172,14 @@
 }
 
 void
-fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_run_command *word)
+fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_run_command *command)
 {
-  if (!range_is_current (self, word->range, word->range_epoch))
+  if (!range_is_current (self, command->range, command->range_epoch))
     return;
-  FbTask *task = fb_rack_find (self, &word->run);
+  FbTask *task = fb_rack_find (self, &command->run);
   if (task == NULL || task->state != FB_TASK_RESERVED)
     {
-      fb_rack_query (self, now_ms, word);
+      fb_rack_query (self, now_ms, command);
       return;
     }
   task->state = FB_TASK_STARTING;
@@ -183,12 +187,12 @@
 }
 
 void
-fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_run_command *word)
+fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_run_command *command)
 {
   (void) now_ms;
-  if (!range_is_current (self, word->range, word->range_epoch))
+  if (!range_is_current (self, command->range, command->range_epoch))
     return;
-  FbTask *task = fb_rack_find (self, &word->run);
+  FbTask *task = fb_rack_find (self, &command->run);
   if (task == NULL || task->state != FB_TASK_ENDED || task->acked)
     return;
   if (task->sent_seq == 0)
@@ -196,16 +200,16 @@
       fb_rack_forget (self, task);
       return;
     }
-  /* The worker may still list the end: it is forgotten here only when the
-   * worker has forgotten it, see rack-sync.c. */
+  /* The worker may still list the end; the rack forgets it only once the worker does not,
+   * see rack-sync.c. */
   task->acked = TRUE;
 }
 
 void
-fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_run_command *word)
+fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_run_command *command)
 {
   (void) now_ms;
-  if (!range_is_current (self, word->range, word->range_epoch) || !fb_rack_is_complete (self))
+  if (!range_is_current (self, command->range, command->range_epoch) || !fb_rack_is_complete (self))
     return;
   g_autoptr (GArray) runs = g_array_new (FALSE, FALSE, sizeof (fb_run));
   GHashTableIter iter;
@@ -215,10 +219,10 @@
     {
       const FbTask *task = value;
       gboolean done = task->state == FB_TASK_ENDED && task->acked;
-      if (task->spec.range == word->range && !done)
+      if (task->spec.range == command->range && !done)
         g_array_append_val (runs, task->spec.run);
     }
-  fb_survey_reply surveyed = { .rack = self->id, .range = word->range };
+  fb_survey_reply surveyed = { .rack = self->id, .range = command->range };
   surveyed.runs.runs_len = runs->len;
   surveyed.runs.runs_val = (fb_run *) (void *) runs->data;
   self->sink->surveyed (self->user, self, &surveyed);
--- a/src/core/rack-query.c
+++ b/src/core/rack-query.c
@@ -7,7 +7,7 @@
 {
   *summary = (fb_summary){ .rack = self->id, .epoch = self->epoch };
   for (guint i = 0; i < FB_WAIT_CLASS_N; i++)
-    summary->waiting[i] = fb_task_queues_waiting (self->lanes, self->home, (FbWaitClass) i);
+    summary->waiting[i] = fb_task_queues_waiting (self->queues, self->home, (FbWaitClass) i);
   summary->complete = fb_rack_is_complete (self);
   if (self->draining)
     return;
@@ -44,7 +44,7 @@
 guint
 fb_rack_queue_count (const FbRack *self)
 {
-  return fb_task_queues_count (self->lanes);
+  return fb_task_queues_count (self->queues);
 }
 
 guint
@@ -103,10 +103,11 @@
       fits = fits || (fb_worker_takes_work (w) && fb_res_fits (&task->spec.demand, &free));
     }
   if (!fits)
-    return "no worker has the room";
+    return "no worker has enough free capacity";
   if (task->spec.partner != self->home)
-    return "the rack lends no more, or its own partner's work goes first";
-  return "its team's quota is used, or the room is kept for urgent, older or accelerator work";
+    return "the rack's lending limit is reached, or work of its own partner has precedence";
+  return "its team's quota is exhausted, or the capacity is reserved for urgent, older or "
+         "accelerator work";
 }
 
 char *
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -1,4 +1,4 @@
-/* A rack: its parts, the life of a task, leases and the passing of time. */
+/* A rack: construction, the lifecycle of a task, leases and timed work. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
@@ -51,7 +51,7 @@
   self->policy = (FbRackPolicy){ 1000, &fb_place_accel_guard, FB_RACK_QUEUE_MAX, NULL };
   self->workers = g_ptr_array_new_with_free_func (worker_free);
   self->tasks = g_hash_table_new_full (fb_run_hash, fb_run_equal, NULL, task_free);
-  self->lanes = fb_task_queues_new ();
+  self->queues = fb_task_queues_new ();
   self->by_due = g_sequence_new (NULL);
   self->team_used = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   self->range_epochs = g_hash_table_new_full (NULL, NULL, NULL, g_free);
@@ -65,7 +65,7 @@
 {
   g_queue_clear (&self->ended);
   g_sequence_free (self->by_due);
-  fb_task_queues_free (self->lanes);
+  fb_task_queues_free (self->queues);
   g_hash_table_destroy (self->tasks);
   g_hash_table_destroy (self->team_used);
   g_hash_table_destroy (self->range_epochs);
@@ -161,7 +161,7 @@
 fb_rack_enqueue (FbRack *self, FbTask *task)
 {
   task->state = FB_TASK_QUEUED;
-  fb_task_queues_insert (self->lanes, task);
+  fb_task_queues_insert (self->queues, task);
   if (task->due_ms != FB_NO_DEADLINE_MS)
     task->due_pos = g_sequence_insert_sorted (self->by_due, task, compare_due, NULL);
   self->wants_schedule = TRUE;
@@ -170,8 +170,8 @@
 void
 fb_rack_dequeue (FbRack *self, FbTask *task)
 {
-  if (task->lane_pos != NULL)
-    fb_task_queues_remove (self->lanes, task);
+  if (task->queue_pos != NULL)
+    fb_task_queues_remove (self->queues, task);
   if (task->due_pos != NULL)
     g_sequence_remove (task->due_pos);
   task->due_pos = NULL;
@@ -230,7 +230,7 @@
   fb_rack_mark_dirty (self, task->worker);
 }
 
-/* A start that was never put into an exchange cannot have reached the worker. */
+/* A start that was in no request cannot have reached the worker. */
 gboolean
 fb_task_never_sent (const FbTask *task)
 {
@@ -305,42 +305,43 @@
 }
 
 static void
-watch_leases (FbRack *self, uint64_t now_ms)
+check_leases (FbRack *self, uint64_t now_ms)
 {
   const uint64_t lapse_ms = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
   gboolean ask = FALSE;
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state == FB_WORKER_OK && now_ms - w->heard_ms >= lapse_ms)
+      if (w->state == FB_WORKER_OK && now_ms - w->last_reply_ms >= lapse_ms)
         {
           w->state = FB_WORKER_SILENT;
           fb_event_log (FB_EVENT_WORKER_SILENT, "rack=%s worker=%s", self->name, w->name);
         }
-      if (w->state == FB_WORKER_UNKNOWN && w->gone_ms > 0 && now_ms - w->gone_ms >= lapse_ms)
+      if (w->state == FB_WORKER_UNKNOWN && w->unlisted_since_ms > 0
+          && now_ms - w->unlisted_since_ms >= lapse_ms)
         w->state = FB_WORKER_GONE;
-      gboolean unproven = w->state == FB_WORKER_OK && w->confirmed_incarnation != w->incarnation;
-      ask = ask || unproven || w->state == FB_WORKER_SILENT;
+      gboolean unconfirmed = w->state == FB_WORKER_OK && w->confirmed_incarnation != w->incarnation;
+      ask = ask || unconfirmed || w->state == FB_WORKER_SILENT;
     }
-  if (ask && now_ms - self->confirm_asked_ms >= FB_RACK_REPORT_PERIOD_MS)
+  if (ask && now_ms - self->confirm_requested_ms >= FB_RACK_REPORT_PERIOD_MS)
     {
-      self->confirm_asked_ms = now_ms;
+      self->confirm_requested_ms = now_ms;
       self->sink->confirm_ownership (self->user, self);
     }
 }
 
-/* Failure: a worker restarts and forgets the epoch it was fenced at; an owner
- * that was replaced without hearing of it finds the new life open and starts
- * work which its successor has declared not started.  It would show as a run in
- * two places.  Guard: nothing starts on a life of a worker before the log, read
- * after that life was first heard of, still names this owner. */
+/* Failure: a worker restarts and forgets the highest epoch that it has accepted. An owner
+ * that was replaced, but does not know it yet, finds that the new incarnation accepts its
+ * requests and starts work that its successor has declared not started: a run executes in
+ * two places. Guard: nothing starts on an incarnation of a worker until the log, read
+ * after the first reply of that incarnation, has confirmed this owner. */
 static void
-prove_lives (FbRack *self, uint64_t asked_ms)
+confirm_incarnations (FbRack *self, uint64_t requested_ms)
 {
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state == FB_WORKER_OK && w->incarnation_heard_ms <= asked_ms)
+      if (w->state == FB_WORKER_OK && w->incarnation_seen_ms <= requested_ms)
         w->confirmed_incarnation = w->incarnation;
     }
   self->wants_schedule = TRUE;
@@ -352,20 +353,20 @@
   fb_rack_worker (self, worker)->confirmed_incarnation = incarnation;
 }
 
-/* Failure: this owner is cut off from the log and its workers, a successor has
- * claimed the rack and renews the leases that this owner believes lapsed.  It
- * would show as one run in two places, when the range starts it again.  Guard:
- * a lapse counts only if the log, read after the lapse, still names this owner.
- * A claim made after that read finds the run already stopped by its worker. */
+/* Failure: this owner is cut off from the log and from its workers while a successor has
+ * claimed the rack and renews the leases that this owner believes lapsed. When the range
+ * starts such a run again, it executes in two places. Guard: a lease counts as lapsed
+ * only if the log, read after the lapse, still names this owner. If a successor claims
+ * the rack after that read, the worker has already stopped the run. */
 void
-fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t asked_ms)
+fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t requested_ms)
 {
   const uint64_t lapse_ms = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
-  prove_lives (self, asked_ms);
+  confirm_incarnations (self, requested_ms);
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state != FB_WORKER_SILENT || w->heard_ms + lapse_ms > asked_ms)
+      if (w->state != FB_WORKER_SILENT || w->last_reply_ms + lapse_ms > requested_ms)
         continue;
       w->state = FB_WORKER_LAPSED;
       while (w->tasks->len > 0)
@@ -420,8 +421,8 @@
 fb_rack_set_gone (FbRack *self, uint64_t now_ms, guint worker)
 {
   FbWorker *w = fb_rack_worker (self, worker);
-  if (w->gone_ms == 0)
-    w->gone_ms = MAX (now_ms, 1);
+  if (w->unlisted_since_ms == 0)
+    w->unlisted_since_ms = MAX (now_ms, 1);
 }
 
 void
@@ -429,23 +430,23 @@
 {
   end_past_due (self, now_ms);
   end_expired_reservations (self, now_ms);
-  watch_leases (self, now_ms);
+  check_leases (self, now_ms);
   fb_worker_health_tick (self, now_ms);
   resend_reports (self, now_ms);
-  if (fb_task_queues_count (self->lanes) > 0)
+  if (fb_task_queues_count (self->queues) > 0)
     self->wants_schedule = TRUE;
 }
 
 void
-fb_rack_hold_starts (FbRack *self, uint64_t until_ms)
+fb_rack_pause_starts (FbRack *self, uint64_t until_ms)
 {
-  self->starts_held_until_ms = until_ms;
+  self->starts_paused_until_ms = until_ms;
 }
 
 void
 fb_rack_flush (FbRack *self, uint64_t now_ms)
 {
-  if (self->wants_schedule && now_ms >= self->starts_held_until_ms)
+  if (self->wants_schedule && now_ms >= self->starts_paused_until_ms)
     {
       self->wants_schedule = FALSE;
       fb_rack_schedule (self, now_ms);
--- a/src/core/range-apply.c
+++ b/src/core/range-apply.c
@@ -1,27 +1,27 @@
-/* Records of a range's stream, applied in the order of the log.
+/* Application of the records of a range's stream, in log order.
  *
- * The same code runs for the owner's own records as they come back and for a
- * successor that reads them; only sending and answering need an active range. */
+ * The same code applies the owner's own records when the log returns them, and the
+ * records that a successor reads; only an active range sends and answers. */
 #include "internal/range-private.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
 static void
-note_written (FbJob *job, uint64_t now_ms, const FbRecordPosition *place)
+note_written (FbJob *job, uint64_t now_ms, const FbRecordPosition *position)
 {
-  job->written_ms = now_ms - MIN (now_ms, place->age_ms);
-  job->written_offset = place->offset;
+  job->written_ms = now_ms - MIN (now_ms, position->age_ms);
+  job->written_offset = position->offset;
   job->rewriting = FALSE;
 }
 
 static void
 apply_admit (FbRange *self, uint64_t now_ms, const fb_rec_admit *admit, uint64_t age_ms,
-             const FbRecordPosition *place)
+             const FbRecordPosition *position)
 {
   const fb_job *spec = &admit->job;
   FbJob *job = fb_range_find (self, spec->id);
-  /* Without the records before it, an update would pass for the whole. */
+  /* Without the records before it, the update would be taken for the complete job. */
   if (job == NULL && admit->update)
     return;
   if (job == NULL)
@@ -31,7 +31,7 @@
           fb_counter_add (FB_COUNTER_LOG_SKIPPED, 1);
           return;
         }
-      job = fb_job_new_recovered (now_ms, admit, age_ms, place);
+      job = fb_job_new_recovered (now_ms, admit, age_ms, position);
       g_hash_table_insert (self->jobs, &job->spec.id, job);
     }
   else if (job->admitted && fb_job_is_service (job))
@@ -46,7 +46,7 @@
   if (job->admitted)
     return;
   job->admitted = TRUE;
-  note_written (job, now_ms, place);
+  note_written (job, now_ms, position);
   for (guint i = 0; i < job->task_n; i++)
     fb_range_set_timer (self, &job->tasks[i], now_ms);
   fb_event_log (FB_EVENT_JOB_ADMITTED, "job=%016" G_GINT64_MODIFIER "x kind=%s tasks=%u range=%u",
@@ -66,17 +66,17 @@
   FbJobTask *task = task_of (job, record);
   if (task == NULL || task->state == FB_JOB_TASK_DONE || task->state == FB_JOB_TASK_ENDING)
     return;
-  gboolean mine
+  gboolean own
       = self->active && task->state == FB_JOB_TASK_INTENT && task->attempt == record->attempt;
   task->attempt = record->attempt;
   task->preempt_count = record->preempt_count;
   task->started_count = record->started_count;
-  if (mine && fb_job_is_gang (job))
+  if (own && fb_job_is_gang (job))
     {
       fb_job_set_state (job, task, FB_JOB_TASK_PLACED);
       return;
     }
-  if (mine)
+  if (own)
     {
       fb_range_send_place (self, now_ms, task);
       return;
@@ -88,7 +88,7 @@
   task->placed_ms = now_ms;
   task->sent = TRUE;
   task->recovered = TRUE;
-  job->gather_until_ms = now_ms + FB_RANGE_GANG_RESERVE_MS;
+  job->reserve_until_ms = now_ms + FB_RANGE_GANG_RESERVE_MS;
   fb_job_set_state (job, task, FB_JOB_TASK_PLACED);
   fb_range_set_timer (self, task, now_ms);
 }
@@ -105,7 +105,7 @@
     fb_gang_advance (self, now_ms, job);
 }
 
-/* A certain outcome may replace "unknown", never the other way round. */
+/* A known outcome may replace "unknown", never the other way round. */
 static gboolean
 may_replace (const FbJobTask *task, FbOutcome outcome)
 {
@@ -152,7 +152,7 @@
     return;
   for (guint i = 0; i < end->tasks.tasks_len; i++)
     apply_end_task (self, job, &end->tasks.tasks_val[i], end);
-  fb_range_settle (self, now_ms, job);
+  fb_range_finish_if_done (self, now_ms, job);
 }
 
 static void
@@ -167,39 +167,39 @@
   job->cancelled = TRUE;
   job->cancel_next = 0;
   g_queue_push_tail (&self->cancelling, job);
-  fb_range_settle (self, now_ms, job);
+  fb_range_finish_if_done (self, now_ms, job);
 }
 
-/* A service that has shrunk may still have tasks beyond its count. */
+/* Restores the entries of tasks beyond the count of a service that has shrunk. */
 static void
-restore_places (FbRange *self, uint64_t now_ms, FbJob *job, const fb_rec_state *state)
+restore_entries (FbRange *self, uint64_t now_ms, FbJob *job, const fb_rec_state *state)
 {
-  guint places = job->task_n;
+  guint entries = job->task_n;
   for (guint i = 0; i < state->tasks.tasks_len; i++)
-    places = MAX (places, state->tasks.tasks_val[i].index + 1);
-  if (!fb_job_is_service (job) || places == job->task_n || places > FB_RANGE_TASK_MAX)
+    entries = MAX (entries, state->tasks.tasks_val[i].index + 1);
+  if (!fb_job_is_service (job) || entries == job->task_n || entries > FB_RANGE_TASK_MAX)
     return;
   guint count = job->spec.count;
-  fb_job_resize (self, now_ms, job, places);
+  fb_job_resize (self, now_ms, job, entries);
   job->spec.count = count;
 }
 
-/* A rewritten state counts only for a reader that does not know the job. */
+/* A rewritten state has an effect only for a reader that does not know the job yet. */
 static void
 apply_state (FbRange *self, uint64_t now_ms, const fb_rec_state *state,
-             const FbRecordPosition *place)
+             const FbRecordPosition *position)
 {
   FbJob *job = fb_range_find (self, state->admit.job.id);
   if (job != NULL && job->admitted)
     {
-      note_written (job, now_ms, place);
+      note_written (job, now_ms, position);
       return;
     }
-  apply_admit (self, now_ms, &state->admit, place->age_ms + state->age_ms, place);
+  apply_admit (self, now_ms, &state->admit, position->age_ms + state->age_ms, position);
   job = fb_range_find (self, state->admit.job.id);
   if (job == NULL)
     return;
-  restore_places (self, now_ms, job, state);
+  restore_entries (self, now_ms, job, state);
   if (state->body.body_len > 0)
     job->body = g_bytes_new (state->body.body_val, state->body.body_len);
   for (guint i = 0; i < state->tasks.tasks_len; i++)
@@ -221,17 +221,17 @@
       fb_rec_cancel cancel = { state->admit.job.id };
       apply_cancel (self, now_ms, &cancel);
     }
-  fb_range_settle (self, now_ms, job);
+  fb_range_finish_if_done (self, now_ms, job);
 }
 
 void
 fb_range_apply (FbRange *self, uint64_t now_ms, const fb_rec_body *body,
-                const FbRecordPosition *place)
+                const FbRecordPosition *position)
 {
   switch (body->type)
     {
     case FB_REC_ADMIT:
-      apply_admit (self, now_ms, &body->fb_rec_body_u.admit, place->age_ms, place);
+      apply_admit (self, now_ms, &body->fb_rec_body_u.admit, position->age_ms, position);
       break;
     case FB_REC_INTENT:
       apply_intent (self, now_ms, &body->fb_rec_body_u.intent);
@@ -243,7 +243,7 @@
       apply_cancel (self, now_ms, &body->fb_rec_body_u.cancel);
       break;
     case FB_REC_STATE:
-      apply_state (self, now_ms, &body->fb_rec_body_u.state, place);
+      apply_state (self, now_ms, &body->fb_rec_body_u.state, position);
       break;
     case FB_REC_CLAIM:
     case FB_REC_RENEW:
@@ -255,8 +255,8 @@
 static fb_rec_task
 record_of (const FbJobTask *task)
 {
-  /* An end on its way to the log counts already: its own record stands before
-   * this one, where a reader may have to skip it. */
+  /* An end that is being appended already counts: its own record precedes this one, and a
+   * reader that begins after it never sees it. */
   gboolean ending = task->state == FB_JOB_TASK_ENDING;
   return (fb_rec_task){ .index = task->index,
                         .attempt = task->attempt,
@@ -278,14 +278,14 @@
   guint n = 0;
   for (guint i = 0; i < job->task_n; i++)
     {
-      /* A used attempt number is kept even when nothing is open, since a late
+      /* The last attempt number is kept even if no attempt is in progress, since a late
        * report may still carry it. */
       if (job->tasks[i].state != FB_JOB_TASK_WAITING || job->tasks[i].attempt > 0)
         tasks[n++] = record_of (&job->tasks[i]);
     }
   fb_rec_body body = { .type = FB_REC_STATE };
   fb_rec_state *state = &body.fb_rec_body_u.state;
-  state->admit = (fb_rec_admit){ job->spec, FALSE, job->doubt, job->due_log_ms };
+  state->admit = (fb_rec_admit){ job->spec, FALSE, job->first_attempt_after_gap, job->due_log_ms };
   state->age_ms = now_ms - job->arrived_ms;
   state->cancelled = job->cancelled;
   state->tasks.tasks_len = n;
@@ -321,8 +321,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbJob *job = value;
-      /* A change that stands before the new state in the log would be skipped by
-       * a reader who begins between the two. */
+      /* A reader that begins between a change and the new state in the log would miss the
+       * change. */
       if (job->admitted && !job->rewriting && !job->changing
           && now_ms - job->written_ms >= age_max_ms)
         rewrite_job (self, now_ms, job);
--- a/src/core/range-dispatch.c
+++ b/src/core/range-dispatch.c
@@ -1,9 +1,9 @@
-/* What a range does as time passes: routing, asking, giving up.
+/* Timed work of a range: routing, queries and giving up.
  *
- * Each task has one timer.  A waiting task's timer is its next try; that of a
- * task at a rack is the next question about it, which makes good whatever news
- * was lost.  Kinds are served in their order with a budget each, so that ten
- * thousand batch tasks that become due together delay no urgent one. */
+ * Each task has one timer. The timer of a waiting task is its next attempt; the timer of
+ * a task at a rack is the next query about it, which makes up for lost reports. Kinds are
+ * served in order, each with a budget for one pass, so that ten thousand batch tasks that
+ * become due together do not delay an urgent one. */
 #include "internal/range-private.h"
 
 #include "fb-event.h"
@@ -24,18 +24,18 @@
 {
   FbRange *range;
   FbJob *job;
-} SpreadView;
+} SpreadContext;
 
 static guint
 spread_in_rack (gpointer user, uint32_t rack)
 {
-  return count_in_rack (((SpreadView *) user)->job, rack);
+  return count_in_rack (((SpreadContext *) user)->job, rack);
 }
 
 static guint
 spread_in_domain (gpointer user, uint32_t domain)
 {
-  SpreadView *view = user;
+  SpreadContext *view = user;
   GHashTableIter iter;
   gpointer key;
   gpointer count;
@@ -78,16 +78,16 @@
   FbJob *job = task->job;
   fb_spec spec;
   fill_spec (self, now_ms, task, &spec);
-  SpreadView view = { self, job };
+  SpreadContext view = { self, job };
   gboolean spread = fb_job_is_service (job) || fb_job_is_gang (job);
-  FbRouteRequest ask = { .spec = &spec,
-                         .now_ms = now_ms,
-                         .avoid_rack = task->avoid_rack,
-                         .count_in_rack = spread ? spread_in_rack : NULL,
-                         .count_in_domain = spread ? spread_in_domain : NULL,
-                         .user = &view };
+  FbRouteRequest request = { .spec = &spec,
+                             .now_ms = now_ms,
+                             .avoid_rack = task->avoid_rack,
+                             .count_in_rack = spread ? spread_in_rack : NULL,
+                             .count_in_domain = spread ? spread_in_domain : NULL,
+                             .user = &view };
   FbRouteChoice choice;
-  if (!self->sink->choose (self->user, self, &ask, &choice))
+  if (!self->sink->choose (self->user, self, &request, &choice))
     {
       fb_event_log (FB_EVENT_ROUTE_NONE, "job=%016" G_GINT64_MODIFIER "x task=%u", job->spec.id,
                     task->index);
@@ -104,14 +104,14 @@
 }
 
 gboolean
-fb_range_room_elsewhere (FbRange *self, uint64_t now_ms, const FbJobTask *task)
+fb_range_has_other_rack (FbRange *self, uint64_t now_ms, const FbJobTask *task)
 {
   fb_spec spec;
   FbRouteChoice choice;
   fill_spec (self, now_ms, task, &spec);
-  FbRouteRequest ask
+  FbRouteRequest request
       = { .spec = &spec, .now_ms = now_ms, .avoid_rack = task->rack, .probe_only = TRUE };
-  return self->sink->choose (self->user, self, &ask, &choice);
+  return self->sink->choose (self->user, self, &request, &choice);
 }
 
 void
@@ -129,10 +129,11 @@
   g_array_append_val (job->intents, task->index);
 }
 
-/* Failure: the owner dies between sending a task and knowing what became of it,
- * and its successor sends it again: a doubled reminder.  Guard: the attempt is
- * in the log, with the rack and its epoch, before it is sent; a successor asks
- * that rack, and starts no second attempt of a once-only task without proof. */
+/* Failure: the owner dies after sending a task and before knowing its result, and its
+ * successor sends the task again: a reminder is sent twice. Guard: the attempt is in the
+ * log, with the rack and its epoch, before it is sent. A successor queries that rack, and
+ * starts no second attempt of an at-most-once task without proof that the first did not
+ * run. */
 static void
 write_intents (FbRange *self, FbJob *job)
 {
@@ -168,7 +169,7 @@
   FbJob *job = task->job;
   if (job->cancelled || job->due_ms <= now_ms)
     {
-      /* Not sent, so certainly not run. */
+      /* It was not sent, so it has certainly not run. */
       fb_range_retry_task (self, now_ms, task, FALSE);
       return;
     }
@@ -189,17 +190,18 @@
 }
 
 gboolean
-fb_range_send_word (FbRange *self, FbJobTask *task, fb_msg_type type, gboolean force)
+fb_range_send_command (FbRange *self, FbJobTask *task, fb_msg_type type, gboolean force)
 {
   fb_body body = { .type = type };
-  fb_run_command word = { .run = fb_job_run (task->job, task),
-                          .rack = task->rack,
-                          .rack_epoch = task->rack_epoch,
-                          .range = self->id,
-                          .range_epoch = self->epoch,
-                          .force = force };
-  /* All words share one layout, so any arm of the union will do. */
-  body.fb_body_u.query = word;
+  fb_run_command command = { .run = fb_job_run (task->job, task),
+                             .rack = task->rack,
+                             .rack_epoch = task->rack_epoch,
+                             .range = self->id,
+                             .range_epoch = self->epoch,
+                             .force = force };
+  /* All members of the union that are an fb_run_command share one layout, so any of them
+   * can be used. */
+  body.fb_body_u.query = command;
   return self->sink->send (self->user, self, task->rack, &body);
 }
 
@@ -214,7 +216,7 @@
 }
 
 static void
-try_waiting (FbRange *self, uint64_t now_ms, FbJobTask *task)
+place_waiting_task (FbRange *self, uint64_t now_ms, FbJobTask *task)
 {
   FbJob *job = task->job;
   if (job->cancelled || task->index >= job->spec.count)
@@ -238,8 +240,8 @@
       fb_range_add_intent (self, task);
       return;
     }
-  /* Tasks of one job are alike: when one finds no rack, the rest of the pass
-   * does not look either. */
+  /* The tasks of one job have the same demand: if one finds no rack, the others do not
+   * search in this pass. */
   if (!blocked)
     job->blocked_until_ms
         = now_ms + NO_RACK_WAIT_MS + (uint64_t) g_rand_int_range (self->rand, 0, NO_RACK_WAIT_MS);
@@ -247,13 +249,15 @@
 }
 
 static void
-ask_about (FbRange *self, uint64_t now_ms, FbJobTask *task)
+query_rack (FbRange *self, uint64_t now_ms, FbJobTask *task)
 {
   FbJob *job = task->job;
-  gboolean unheard = task->state == FB_JOB_TASK_PLACED || task->state == FB_JOB_TASK_RESERVED;
-  if (unheard && job->due_ms != FB_NO_DEADLINE_MS && now_ms >= job->due_ms + FB_RANGE_DUE_GRACE_MS)
+  gboolean unconfirmed = task->state == FB_JOB_TASK_PLACED || task->state == FB_JOB_TASK_RESERVED;
+  if (unconfirmed && job->due_ms != FB_NO_DEADLINE_MS
+      && now_ms >= job->due_ms + FB_RANGE_DUE_GRACE_MS)
     {
-      /* The rack should have ended it; it does not answer.  It may have run. */
+      /* The rack should have ended the task by now but does not answer. The task may have
+       * run. */
       fb_range_end_task (self, task, FB_OUTCOME_UNKNOWN, FB_REASON_WORKER_LOST, NULL, 0);
       if (fb_job_is_gang (job))
         fb_gang_break (self, now_ms, job);
@@ -261,11 +265,11 @@
     }
   gboolean unwanted = job->cancelled || task->index >= job->spec.count;
   if (unwanted)
-    fb_range_send_word (self, task, FB_MSG_WITHDRAW, TRUE);
+    fb_range_send_command (self, task, FB_MSG_WITHDRAW, TRUE);
   else if (task->state == FB_JOB_TASK_RESERVED && job->committed)
-    fb_range_send_word (self, task, FB_MSG_COMMIT, FALSE);
+    fb_range_send_command (self, task, FB_MSG_COMMIT, FALSE);
   else
-    fb_range_send_word (self, task, FB_MSG_QUERY, FALSE);
+    fb_range_send_command (self, task, FB_MSG_QUERY, FALSE);
   uint64_t wait_ms
       = task->state == FB_JOB_TASK_RUNNING && !unwanted ? RUNNING_QUERY_MS : FB_RANGE_QUERY_MS;
   fb_range_set_timer (self, task, now_ms + wait_ms);
@@ -280,13 +284,13 @@
   switch (task->state)
     {
     case FB_JOB_TASK_WAITING:
-      try_waiting (self, now_ms, task);
+      place_waiting_task (self, now_ms, task);
       break;
     case FB_JOB_TASK_PLACED:
     case FB_JOB_TASK_RESERVED:
     case FB_JOB_TASK_RUNNING:
       if (task->sent)
-        ask_about (self, now_ms, task);
+        query_rack (self, now_ms, task);
       break;
     case FB_JOB_TASK_INTENT:
     case FB_JOB_TASK_ENDING:
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -1,4 +1,4 @@
-/* A range: commands from callers' daemons, and the end of tasks and jobs. */
+/* A range: requests of callers' daemons, and the end of tasks and jobs. */
 #include "internal/range-private.h"
 #include "internal/stream.h"
 
@@ -11,7 +11,7 @@
 #define BACKOFF_FIRST_MS 100
 #define BACKOFF_MAX_MS 5000
 #define FORGET_CHUNK 64
-#define GANG_AGAIN_MS 1500
+#define GANG_RETRY_MS 1500
 #define ATTEMPTS_PER_CLAIM_BITS 8
 
 FbRange *
@@ -126,7 +126,7 @@
   self->sink->answer (self->user, self, front, &answer);
 }
 
-/* A job that this range does not know, and may have forgotten. */
+/* Answers about a job that this range does not know and may have forgotten. */
 static void
 answer_unknown_job (FbRange *self, uint64_t now_ms, uint64_t job, const char *front)
 {
@@ -179,8 +179,8 @@
 }
 
 static void
-submit_again (FbRange *self, uint64_t now_ms, FbJob *job, const fb_job *spec, uint32_t copy,
-              const char *front)
+submit_duplicate (FbRange *self, uint64_t now_ms, FbJob *job, const fb_job *spec, uint32_t copy,
+                  const char *front)
 {
   if (fb_job_is_service (job))
     {
@@ -210,21 +210,22 @@
     fb_range_answer_one (self, now_ms, job, front);
 }
 
-/* Failure: a job is forgotten with its attempts, admitted again, and a late
- * report of an old attempt is taken for news of a new one with the same number.
- * Guard: after a loss attempts are counted from a number of this claim alone. */
+/* Failure: a job is forgotten together with its attempts and admitted again, and a late
+ * report of an old attempt is taken for a report of a new attempt with the same number.
+ * Guard: after a loss of records, attempts are numbered from a value that only this claim
+ * uses. */
 static uint32_t
 first_attempt_of (uint64_t epoch)
 {
   return (uint32_t) ((epoch >> FB_EPOCH_SUB_BITS) << ATTEMPTS_PER_CLAIM_BITS) | 1;
 }
 
-/* Failure: an owner that was replaced without hearing of it refuses a key that
- * its successor has admitted; the caller is told "not run" of work that runs.
- * Guard: only a job that no key makes the same as another is refused with "not
- * run"; for a key, what this owner knows is not proof while it is not read back
- * from the log, and the answer is "unknown": the caller may repeat it under the
- * same key.  What never fits is the same for every owner. */
+/* Failure: an owner that was replaced, but does not know it yet, refuses a key that its
+ * successor has admitted; the caller is told "not run" of work that runs. Guard: only a
+ * job without a key, which cannot be the same as another job, is refused with "not run".
+ * For a job with a key, what this owner knows is no proof until it has been read back
+ * from the log, so the answer is "unknown" and the caller may repeat the job under the
+ * same key. A job that never fits is refused by every owner. */
 static FbOutcome
 refusal_outcome (const fb_job *spec, FbReason reason)
 {
@@ -242,7 +243,7 @@
   FbJob *job = fb_range_find (self, spec->id);
   if (job != NULL)
     {
-      submit_again (self, now_ms, job, spec, copy, front);
+      submit_duplicate (self, now_ms, job, spec, copy, front);
       return;
     }
   if (now_ms < self->history_gap_until_ms && (spec->flags & FB_FLAG_AT_MOST_ONCE))
@@ -261,54 +262,56 @@
     }
   job = fb_job_new (now_ms, spec);
   if (now_ms < self->history_gap_until_ms)
-    fb_job_set_doubt (job, first_attempt_of (self->epoch));
+    fb_job_set_history_gap (job, first_attempt_of (self->epoch));
   uint64_t log_now_ms = self->sink->log_clock_ms (self->user);
   if (log_now_ms > 0 && spec->remaining_ms != FB_NO_DEADLINE_MS)
     job->due_log_ms = fb_deadline_after (log_now_ms, spec->remaining_ms);
   g_hash_table_insert (self->jobs, &job->spec.id, job);
   add_front (job, front);
   fb_rec_body body = { .type = FB_REC_ADMIT };
-  body.fb_rec_body_u.admit = (fb_rec_admit){ job->spec, FALSE, job->doubt, job->due_log_ms };
+  body.fb_rec_body_u.admit
+      = (fb_rec_admit){ job->spec, FALSE, job->first_attempt_after_gap, job->due_log_ms };
   self->sink->append (self->user, self, &body);
 }
 
 void
-fb_range_query_job (FbRange *self, uint64_t now_ms, const fb_job_command *word, const char *front)
+fb_range_query_job (FbRange *self, uint64_t now_ms, const fb_job_command *command,
+                    const char *front)
 {
   if (!self->active)
     return;
-  FbJob *job = fb_range_find (self, word->job);
-  if (job == NULL || job->spec.partner != word->partner)
-    answer_unknown_job (self, now_ms, word->job, front);
+  FbJob *job = fb_range_find (self, command->job);
+  if (job == NULL || job->spec.partner != command->partner)
+    answer_unknown_job (self, now_ms, command->job, front);
   else if (job->admitted)
     fb_range_answer_one (self, now_ms, job, front);
 }
 
 void
-fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_command *word, const char *front)
+fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_command *command, const char *front)
 {
   if (!self->active)
     return;
-  FbJob *job = fb_range_find (self, word->job);
-  if (job == NULL || job->spec.partner != word->partner)
+  FbJob *job = fb_range_find (self, command->job);
+  if (job == NULL || job->spec.partner != command->partner)
     {
-      answer_unknown_job (self, now_ms, word->job, front);
+      answer_unknown_job (self, now_ms, command->job, front);
       return;
     }
   if (!job->cancelled && !fb_job_is_final (job))
     {
       job->changing = TRUE;
       fb_rec_body body = { .type = FB_REC_CANCEL };
-      body.fb_rec_body_u.cancel.job = word->job;
+      body.fb_rec_body_u.cancel.job = command->job;
       self->sink->append (self->user, self, &body);
     }
-  /* An answer would say that the job is accepted. */
+  /* An answer would tell the caller that the job has been admitted. */
   if (job->admitted)
     fb_range_answer_one (self, now_ms, job, front);
 }
 
 void
-fb_range_keep_services (FbRange *self, uint64_t now_ms, GHashTable *wanted)
+fb_range_cancel_unlisted_services (FbRange *self, uint64_t now_ms, GHashTable *wanted)
 {
   g_autoptr (GList) all = g_hash_table_get_values (self->jobs);
   for (GList *link = all; link != NULL; link = link->next)
@@ -317,8 +320,8 @@
       if (!fb_job_is_service (job) || job->cancelled || !job->admitted
           || g_hash_table_contains (wanted, &job->spec.id))
         continue;
-      fb_job_command word = { job->spec.id, job->spec.partner };
-      fb_range_cancel (self, now_ms, &word, "");
+      fb_job_command command = { job->spec.id, job->spec.partner };
+      fb_range_cancel (self, now_ms, &command, "");
     }
 }
 
@@ -344,10 +347,11 @@
       wait_ms = task->backoff_ms / 2
                 + (uint32_t) g_rand_int_range (self->rand, 0, (gint32) task->backoff_ms);
     }
-  /* What the members gave back is seen by routing only with the next summary. */
+  /* The router sees the capacity that the members have released only with the next
+   * summary. */
   if (fb_job_is_gang (job))
     wait_ms
-        = MAX (wait_ms, GANG_AGAIN_MS + (uint32_t) g_rand_int_range (self->rand, 0, GANG_AGAIN_MS));
+        = MAX (wait_ms, GANG_RETRY_MS + (uint32_t) g_rand_int_range (self->rand, 0, GANG_RETRY_MS));
   fb_range_set_timer (self, task, now_ms + wait_ms);
 }
 
@@ -383,8 +387,8 @@
   self->sink->append (self->user, self, &record);
 }
 
-/* Past its due time and not running.  When an earlier attempt ran, or may have,
- * "not run" would be untrue. */
+/* Ends a task that is past its due time and not running. If an earlier attempt ran or may
+ * have run, "not run" would be wrong. */
 void
 fb_range_task_past_due (FbRange *self, FbJobTask *task)
 {
@@ -392,8 +396,8 @@
   fb_range_end_task (self, task, outcome, FB_REASON_PAST_DUE, NULL, 0);
 }
 
-/* "Not run" is said of a job only when no task of it ever ran; one that ran in
- * doubt makes the whole job unknown. */
+/* Returns: the outcome of a job whose tasks are all done: NOT_RUN only if no task ever
+ * ran, UNKNOWN if it is not known of some task whether it ran. */
 static FbOutcome
 outcome_of (const FbJob *job)
 {
@@ -427,7 +431,7 @@
 }
 
 void
-fb_range_settle (FbRange *self, uint64_t now_ms, FbJob *job)
+fb_range_finish_if_done (FbRange *self, uint64_t now_ms, FbJob *job)
 {
   if (job->state_n[FB_JOB_TASK_DONE] < job->task_n || (fb_job_is_service (job) && !job->cancelled))
     return;
@@ -449,7 +453,7 @@
 /* ---- time ------------------------------------------------------------- */
 
 static void
-cancel_some (FbRange *self, uint64_t now_ms)
+cancel_next_tasks (FbRange *self, uint64_t now_ms)
 {
   guint budget = CANCEL_CHUNK;
   FbJob *job;
@@ -463,7 +467,7 @@
           if (task->state == FB_JOB_TASK_WAITING || unsent)
             fb_range_retry_task (self, now_ms, task, FALSE);
           else if (task->state < FB_JOB_TASK_ENDING)
-            fb_range_send_word (self, task, FB_MSG_WITHDRAW, TRUE);
+            fb_range_send_command (self, task, FB_MSG_WITHDRAW, TRUE);
         }
       if (job->cancel_next >= job->task_n)
         g_queue_pop_head (&self->cancelling);
@@ -471,7 +475,7 @@
 }
 
 static void
-forget_old (FbRange *self, uint64_t now_ms)
+forget_expired_jobs (FbRange *self, uint64_t now_ms)
 {
   const uint64_t keep_ms = self->durable ? FB_RANGE_KEEP_MS : 2 * FB_RANGE_DUE_GRACE_MS;
   for (guint i = 0; i < FORGET_CHUNK; i++)
@@ -532,6 +536,6 @@
   fb_range_survey_tick (self, now_ms);
   if (self->surveyed == NULL)
     fb_range_dispatch (self, now_ms);
-  cancel_some (self, now_ms);
-  forget_old (self, now_ms);
+  cancel_next_tasks (self, now_ms);
+  forget_expired_jobs (self, now_ms);
 }
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -1,31 +1,33 @@
-/* Routing on lagging summaries.
+/* Routing by summaries, which lag behind.
  *
- * A summary is a heartbeat old when it arrives.  If every daemon sends to the
- * rack that looks best, they all send to the same one (herding).  Three ways
- * are kept; `./run bench` compares them:
+ * A summary is up to one heartbeat old when it arrives. If every daemon sends to the rack
+ * that looks best, all of them send to the same one (herding). Three policies are
+ * available; `./run bench` compares them:
  *
- *  random        any rack that fits by its summary.
- *  two-choices   the better of two random ones: nearly as even as the best of
- *                all, without the herd.
- *  best-known    the best of all, corrected by what this daemon itself has sent
- *                since the summary.
+ *   random        any rack that fits according to its summary.
+ *   two-choices   the better of two random racks: nearly as even as the best of all,
+ *                without herding.
+ *   best-known    the best of all, corrected by what this daemon itself has sent since
+ *                the summary.
  *
- * In a large cell a choice looks at SAMPLE_N racks drawn at random, and at all
- * only when none of those will do: with 1,536 racks looking at all of them was
- * four fifths of the cost of a placement.  The best of some fifty random racks is
- * in the best two percent, and spreads the herd as two choices do.
+ * In a large cell a choice examines SAMPLE_N racks drawn at random, and all racks only if
+ * none of those is suitable: with 1,536 racks, examining all of them took four fifths of
+ * the cost of a placement. The best of some fifty random racks is in the best two
+ * percent, and the sampling prevents herding as two choices do.
  *
- * All three debit what they send from the summary, so that one daemon does not
- * overrun a rack between two summaries, and all set a refusing rack aside until
- * its next summary or REFUSED_WAIT_MS.  A rack that could take the work at once
- * is preferred to one where it would queue; own racks to the other partner's;
- * and work that needs no accelerator prefers racks that have none.
+ * All three policies debit what they send from the summary, so that one daemon does not
+ * overload a rack between two summaries, and none of them uses a rack for REFUSED_WAIT_MS
+ * after it has refused a task, or until its next summary if its owner has changed or is
+ * leaving. Preferred are racks that can start the work at
+ * once to racks where it would queue, the partner's own racks to those of the other
+ * partner, and for work without accelerators racks that have none.
  *
- * Work that may be lent a place queues at home rather than be a guest, and its
- * range moves it when it sees room elsewhere.  A gang holds what it has gathered
- * while it queues, and none of its members moves alone, so for a gang a free
- * place at the other partner's comes before a line at home: otherwise one whose
- * home racks had lost a host for good waited beside an empty pool. */
+ * Preemptible work, which may run on the other partner's racks, queues at its own
+ * partner's racks rather than run as a guest; its range moves it when it sees room
+ * elsewhere. A gang keeps its reservations while it queues, and none of its members can
+ * move alone; so for a gang free capacity of the other partner is preferred to queueing
+ * at its own: otherwise a gang whose own racks had permanently lost a host waited beside
+ * an empty pool. */
 #include "internal/router.h"
 
 #include <string.h>
@@ -42,13 +44,13 @@
 
 typedef struct
 {
-  FbRackInfo facts;
-  gboolean known;
-  gboolean usable;
+  FbRackInfo info;
+  gboolean known;  /* a summary has arrived */
+  gboolean usable; /* its owner is known */
   uint64_t refused_until_ms;
   fb_summary summary;
-  fb_res debit;
-  guint queue_debit[FB_WAIT_CLASS_N];
+  fb_res debit;                       /* demand sent since the summary */
+  guint queue_debit[FB_WAIT_CLASS_N]; /* tasks sent since the summary that will queue */
 } Rack;
 
 struct _FbRouter
@@ -77,10 +79,10 @@
 }
 
 void
-fb_router_add_rack (FbRouter *self, const FbRackInfo *facts)
+fb_router_add_rack (FbRouter *self, const FbRackInfo *info)
 {
   Rack *rack = g_new0 (Rack, 1);
-  rack->facts = *facts;
+  rack->info = *info;
   g_ptr_array_add (self->racks, rack);
 }
 
@@ -93,7 +95,7 @@
 const FbRackInfo *
 fb_router_rack (const FbRouter *self, uint32_t rack)
 {
-  return rack < self->racks->len ? &rack_at (self, rack)->facts : NULL;
+  return rack < self->racks->len ? &rack_at (self, rack)->info : NULL;
 }
 
 void
@@ -140,59 +142,61 @@
 }
 
 static gboolean
-may_use (const Rack *rack, const FbRouteRequest *ask)
+may_use (const Rack *rack, const FbRouteRequest *request)
 {
-  const fb_spec *spec = ask->spec;
-  if (!rack->known || !rack->usable || rack->refused_until_ms > ask->now_ms)
+  const fb_spec *spec = request->spec;
+  if (!rack->known || !rack->usable || rack->refused_until_ms > request->now_ms)
     return FALSE;
-  if (rack->facts.partner != spec->partner && !(spec->flags & FB_FLAG_PREEMPTIBLE))
+  if (rack->info.partner != spec->partner && !(spec->flags & FB_FLAG_PREEMPTIBLE))
     return FALSE;
-  return fb_res_fits (&spec->demand, &rack->facts.host_capacity);
+  return fb_res_fits (&spec->demand, &rack->info.host_capacity);
 }
 
-/* The line that the work would join there. */
+/* Returns: the length of the queue that the work would join at RACK. */
 static guint
-line_at (const Rack *rack, const fb_spec *spec)
+queue_length_at (const Rack *rack, const fb_spec *spec)
 {
   FbWaitClass waiting = fb_spec_wait_class (spec);
   return rack->summary.waiting[waiting] + rack->queue_debit[waiting];
 }
 
 static gboolean
-is_candidate (const Rack *rack, const FbRouteRequest *ask)
+is_candidate (const Rack *rack, const FbRouteRequest *request)
 {
-  if (!may_use (rack, ask))
+  if (!may_use (rack, request))
     return FALSE;
-  if (fits_now (rack, &ask->spec->demand))
+  if (fits_now (rack, &request->spec->demand))
     return TRUE;
-  if (ask->probe_only)
+  if (request->probe_only)
     return FALSE;
-  /* Only the home partner's work queues: a guest's would wait behind all of
-   * it, and is better placed by its range when room is seen. */
-  return rack->facts.partner == ask->spec->partner && line_at (rack, ask->spec) < QUEUE_SOFT_MAX;
+  /* Only work of the home partner queues at a rack. Work of the guest would wait behind
+   * all of it; its range places it when it sees free capacity. */
+  return rack->info.partner == request->spec->partner
+         && queue_length_at (rack, request->spec) < QUEUE_SOFT_MAX;
 }
 
 static uint64_t
-cost_of (const FbRouter *self, const FbRouteRequest *ask, uint32_t id)
+cost_of (const FbRouter *self, const FbRouteRequest *request, uint32_t id)
 {
   const Rack *rack = rack_at (self, id);
-  const fb_res *demand = &ask->spec->demand;
-  fb_res used = rack->facts.total;
+  const fb_res *demand = &request->spec->demand;
+  fb_res used = rack->info.total;
   fb_res_sub (&used, &rack->summary.free);
   fb_res_add (&used, &rack->debit);
-  uint64_t cost = fb_res_dominant_milli (&used, &rack->facts.total);
-  if (rack->facts.partner != ask->spec->partner)
+  uint64_t cost = fb_res_dominant_milli (&used, &rack->info.total);
+  if (rack->info.partner != request->spec->partner)
     cost += COST_GUEST;
   if (!fits_now (rack, demand))
-    cost += (ask->spec->kind == FB_KIND_GANG ? COST_QUEUE_GANG : COST_QUEUE)
-            + (uint64_t) line_at (rack, ask->spec) * 1000;
+    cost += (request->spec->kind == FB_KIND_GANG ? COST_QUEUE_GANG : COST_QUEUE)
+            + (uint64_t) queue_length_at (rack, request->spec) * 1000;
   if (demand->amount[FB_RES_ACCEL_COUNT] == 0
-      && rack->facts.host_capacity.amount[FB_RES_ACCEL_COUNT] > 0)
+      && rack->info.host_capacity.amount[FB_RES_ACCEL_COUNT] > 0)
     cost += COST_ACCEL_UNUSED;
-  if (ask->count_in_rack != NULL)
-    cost += (uint64_t) ask->count_in_rack (ask->user, id) * COST_SPREAD_RACK;
-  if (ask->count_in_domain != NULL)
-    cost += (uint64_t) ask->count_in_domain (ask->user, rack->facts.domain) * COST_SPREAD_DOMAIN;
+  if (request->count_in_rack != NULL)
+    cost += (uint64_t) request->count_in_rack (request->user, id) * COST_SPREAD_RACK;
+  if (request->count_in_domain != NULL)
+    cost += (uint64_t) request->count_in_domain (request->user, rack->info.domain)
+            * COST_SPREAD_DOMAIN;
   return cost;
 }
 
@@ -204,37 +208,37 @@
 }
 
 static gboolean
-choose_random (FbRouter *self, const FbRouteRequest *ask, const GArray *candidates,
+choose_random (FbRouter *self, const FbRouteRequest *request, const GArray *candidates,
                FbRouteChoice *choice)
 {
-  (void) ask;
+  (void) request;
   choice->rack = pick (self, candidates);
   return TRUE;
 }
 
 static gboolean
-choose_two (FbRouter *self, const FbRouteRequest *ask, const GArray *candidates,
+choose_two (FbRouter *self, const FbRouteRequest *request, const GArray *candidates,
             FbRouteChoice *choice)
 {
   uint32_t a = pick (self, candidates);
   uint32_t b = pick (self, candidates);
-  gboolean a_wins = cost_of (self, ask, a) <= cost_of (self, ask, b);
+  gboolean a_wins = cost_of (self, request, a) <= cost_of (self, request, b);
   choice->rack = a_wins ? a : b;
   choice->runner_up = a_wins ? b : a;
   return TRUE;
 }
 
 static gboolean
-choose_best (FbRouter *self, const FbRouteRequest *ask, const GArray *candidates,
+choose_best (FbRouter *self, const FbRouteRequest *request, const GArray *candidates,
              FbRouteChoice *choice)
 {
   uint64_t best_cost = G_MAXUINT64;
-  /* Start at a random place so that equal racks do not all go to the first. */
+  /* Start at a random position so that racks of equal cost share the load. */
   guint start = (guint) g_rand_int_range (self->rand, 0, (gint32) candidates->len);
   for (guint i = 0; i < candidates->len; i++)
     {
       uint32_t id = g_array_index (candidates, uint32_t, (start + i) % candidates->len);
-      uint64_t cost = cost_of (self, ask, id);
+      uint64_t cost = cost_of (self, request, id);
       if (cost < best_cost)
         {
           best_cost = cost;
@@ -252,39 +256,40 @@
 const FbRoutePolicy fb_route_best_known = { "best-known", choose_best };
 
 static void
-add_candidate (const FbRouter *self, const FbRouteRequest *ask, uint32_t id, GArray *candidates)
+add_candidate (const FbRouter *self, const FbRouteRequest *request, uint32_t id, GArray *candidates)
 {
-  if (id != ask->avoid_rack && is_candidate (rack_at (self, id), ask))
+  if (id != request->avoid_rack && is_candidate (rack_at (self, id), request))
     g_array_append_val (candidates, id);
 }
 
 static void
-find_candidates (FbRouter *self, const FbRouteRequest *ask, GArray *candidates)
+find_candidates (FbRouter *self, const FbRouteRequest *request, GArray *candidates)
 {
   guint n = self->racks->len;
   for (guint i = 0; i < SAMPLE_N && n > SAMPLE_N; i++)
-    add_candidate (self, ask, (uint32_t) g_rand_int_range (self->rand, 0, (gint32) n), candidates);
+    add_candidate (self, request, (uint32_t) g_rand_int_range (self->rand, 0, (gint32) n),
+                   candidates);
   if (candidates->len > 0)
     return;
   for (uint32_t id = 0; id < n; id++)
-    add_candidate (self, ask, id, candidates);
+    add_candidate (self, request, id, candidates);
 }
 
 gboolean
-fb_router_choose (FbRouter *self, const FbRouteRequest *ask, FbRouteChoice *choice)
+fb_router_choose (FbRouter *self, const FbRouteRequest *request, FbRouteChoice *choice)
 {
   g_autoptr (GArray) candidates = g_array_sized_new (FALSE, FALSE, sizeof (uint32_t), SAMPLE_N);
-  find_candidates (self, ask, candidates);
+  find_candidates (self, request, candidates);
   *choice = (FbRouteChoice){ FB_NO_RACK, FB_NO_RACK, 0 };
-  if (candidates->len == 0 || !self->policy->choose (self, ask, candidates, choice))
+  if (candidates->len == 0 || !self->policy->choose (self, request, candidates, choice))
     return FALSE;
-  if (ask->probe_only)
+  if (request->probe_only)
     return TRUE;
   Rack *rack = rack_at (self, choice->rack);
   choice->epoch = rack->summary.epoch;
-  if (!fits_now (rack, &ask->spec->demand))
-    rack->queue_debit[fb_spec_wait_class (ask->spec)]++;
-  fb_res_add (&rack->debit, &ask->spec->demand);
+  if (!fits_now (rack, &request->spec->demand))
+    rack->queue_debit[fb_spec_wait_class (request->spec)]++;
+  fb_res_add (&rack->debit, &request->spec->demand);
   return TRUE;
 }
 
@@ -293,9 +298,9 @@
 {
   for (uint32_t id = 0; id < self->racks->len; id++)
     {
-      const FbRackInfo *facts = &rack_at (self, id)->facts;
-      gboolean allowed = facts->partner == spec->partner || (spec->flags & FB_FLAG_PREEMPTIBLE);
-      if (allowed && fb_res_fits (&spec->demand, &facts->host_capacity))
+      const FbRackInfo *info = &rack_at (self, id)->info;
+      gboolean allowed = info->partner == spec->partner || (spec->flags & FB_FLAG_PREEMPTIBLE);
+      if (allowed && fb_res_fits (&spec->demand, &info->host_capacity))
         return TRUE;
     }
   return FALSE;
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -1,18 +1,18 @@
-/* The scheduling pass of a rack: which waiting task starts next.
+/* The scheduling pass of a rack: the order in which waiting tasks start.
  *
- * The order is partner, kind, team, rank:
- *  - the home partner first.  The rack is its own; what it does not use is
- *    lent to the guest up to LEND_MILLI.  Neither partner's kinds or priorities
- *    have a word in the other's order.
- *  - inside a partner: urgent, service, gang, batch.
- *  - inside a kind: the team with the least dominant share for its weight.
- *  - inside a team: the lane's rank (task-queue.c).
+ * The order is by partner, kind, team and rank:
+ *  - The home partner, which the rack belongs to, comes first. Capacity that it does not
+ *    use is lent to the other partner, the guest, up to LEND_MILLI. Kinds and priorities
+ *    of one partner have no influence on the order of the other's work.
+ *  - Within a partner: urgent, service, gang, batch.
+ *  - Within a kind: the team with the smallest dominant share in relation to its weight.
+ *  - Within a team: the rank in the queue (task-queue.c).
  *
- * A head that does not fit lets up to BACKFILL_MAX later tasks of its lane
- * pass.  Left at that, a large task starves behind small ones for ever; so once
- * it has waited FB_RACK_HOLD_MS it holds one worker: nothing but urgent work
- * starts there until the large task has.  One hold at a time bounds the
- * capacity that stands idle for it to one worker of the rack. */
+ * If the first task of a queue does not fit, the others among its first BACKFILL_MAX
+ * tasks may start before it. With backfill alone, small tasks could starve a large one. So once the
+ * large task has waited for FB_RACK_HOLD_MS, one worker is held for it: only urgent work starts
+ * there until the large task has started. Only one worker is held at a time, which bounds
+ * the capacity left idle for this to one worker of the rack. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
@@ -41,21 +41,21 @@
   const FbWorker *w = fb_rack_worker (self, index);
   if (!fb_worker_takes_work (w) || is_held (self, index, task))
     return FALSE;
-  if (w->promised && (task->spec.kind != FB_KIND_URGENT || task->spec.partner != self->home))
+  if (w->urgent_only && (task->spec.kind != FB_KIND_URGENT || task->spec.partner != self->home))
     return FALSE;
   fb_res free = fb_worker_free_space (w);
   return fb_res_fits (&task->spec.demand, &free) && fb_worker_health_allows (self, now_ms, w, task);
 }
 
-/* See place.c. */
+/* Returns: the GUARD_MILLI of TASK, see place.c. */
 static uint32_t
 guard_for (const FbRack *self, const FbTask *task)
 {
-  /* A member that waits for accelerator work to cease keeps its whole gang, and
-   * the room that it holds on other racks, waiting. */
+  /* A gang member that waits until no accelerator work is queued keeps its whole gang
+   * waiting, and with it the capacity that the gang has reserved on other racks. */
   if (task->spec.kind == FB_KIND_GANG)
     return 0;
-  if (fb_task_queues_accel_count (self->lanes) > 0)
+  if (fb_task_queues_accel_count (self->queues) > 0)
     return 1000;
   if (task->spec.flags & FB_FLAG_PREEMPTIBLE)
     return 0;
@@ -146,7 +146,7 @@
   if (!within_shares (self, task))
     return FALSE;
   Choice choice = choose_worker (self, now_ms, task, self->policy.place);
-  /* Urgent work may take what a policy would keep back. */
+  /* Urgent work may use capacity that the policy would keep free. */
   if (choice.best == FB_NO_WORKER && task->spec.kind == FB_KIND_URGENT)
     choice = choose_worker (self, now_ms, task, &fb_place_best_fit);
   if (choice.best == FB_NO_WORKER)
@@ -161,10 +161,10 @@
   if (self->hold_worker != FB_NO_WORKER || now_ms - head->arrived_ms < FB_RACK_HOLD_MS
       || head->spec.partner != self->home || !within_shares (self, head))
     return;
-  /* Kept off a host for the sake of its accelerators, it would hold the host idle
-   * and still not start. */
+  /* Work without accelerators may not start on accelerator hosts while accelerator work
+   * waits: holding such a host would leave it idle and still not start the task. */
   gboolean guarded = fb_spec_wait_class (&head->spec) == FB_WAIT_CLASS_OTHER
-                     && fb_task_queues_accel_count (self->lanes) > 0;
+                     && fb_task_queues_accel_count (self->queues) > 0;
   uint32_t least_milli = G_MAXUINT32;
   for (guint i = 0; i < self->workers->len; i++)
     {
@@ -184,9 +184,9 @@
 }
 
 static gboolean
-start_from_lane (FbRack *self, uint64_t now_ms, FbTaskQueue *lane)
+start_from_queue (FbRack *self, uint64_t now_ms, FbTaskQueue *queue)
 {
-  GSequenceIter *iter = g_sequence_get_begin_iter (lane->tasks);
+  GSequenceIter *iter = g_sequence_get_begin_iter (queue->tasks);
   FbTask *head = g_sequence_get (iter);
   for (guint i = 0; i < BACKFILL_MAX && !g_sequence_iter_is_end (iter); i++)
     {
@@ -195,30 +195,31 @@
       if (try_start (self, now_ms, task))
         return TRUE;
     }
-  if (lane->kind != FB_KIND_URGENT)
+  if (queue->kind != FB_KIND_URGENT)
     hold_worker_for (self, now_ms, head);
   return FALSE;
 }
 
-/* Returns: the unblocked lane whose team has the least weighted share. */
+/* Returns: the queue, not blocked in this pass, whose team has the smallest weighted
+ * share, or NULL. */
 static FbTaskQueue *
-next_lane (const FbRack *self, uint32_t partner, FbKind kind)
+next_queue (const FbRack *self, uint32_t partner, FbKind kind)
 {
-  const GPtrArray *lanes = fb_task_queues_of (self->lanes, partner, kind);
+  const GPtrArray *queues = fb_task_queues_of (self->queues, partner, kind);
   FbTaskQueue *best = NULL;
   uint64_t best_share = G_MAXUINT64;
-  for (guint i = 0; i < lanes->len; i++)
+  for (guint i = 0; i < queues->len; i++)
     {
-      FbTaskQueue *lane = g_ptr_array_index (lanes, i);
-      if (lane->blocked)
+      FbTaskQueue *queue = g_ptr_array_index (queues, i);
+      if (queue->blocked)
         continue;
-      const FbTeam *team = fb_teams_get (self->policy.teams, partner, lane->team);
-      const fb_res *used = fb_rack_team_used (self, partner, lane->team);
+      const FbTeam *team = fb_teams_get (self->policy.teams, partner, queue->team);
+      const fb_res *used = fb_rack_team_used (self, partner, queue->team);
       uint64_t share
           = (uint64_t) fb_res_dominant_milli (used, &self->total) * 1000 / MAX (team->weight, 1);
-      if (best == NULL || share < best_share || (share == best_share && lane->team < best->team))
+      if (best == NULL || share < best_share || (share == best_share && queue->team < best->team))
         {
-          best = lane;
+          best = queue;
           best_share = share;
         }
     }
@@ -228,29 +229,29 @@
 static void
 start_kind (FbRack *self, uint64_t now_ms, uint32_t partner, FbKind kind)
 {
-  FbTaskQueue *lane;
-  while ((lane = next_lane (self, partner, kind)) != NULL)
+  FbTaskQueue *queue;
+  while ((queue = next_queue (self, partner, kind)) != NULL)
     {
-      if (!start_from_lane (self, now_ms, lane))
-        lane->blocked = TRUE;
+      if (!start_from_queue (self, now_ms, queue))
+        queue->blocked = TRUE;
     }
 }
 
 void
 fb_rack_schedule (FbRack *self, uint64_t now_ms)
 {
-  if (fb_task_queues_count (self->lanes) == 0)
+  if (fb_task_queues_count (self->queues) == 0)
     return;
-  fb_task_queues_unblock (self->lanes);
+  fb_task_queues_unblock (self->queues);
   for (guint i = 0; i < self->workers->len; i++)
-    fb_rack_worker (self, i)->promised = FALSE;
+    fb_rack_worker (self, i)->urgent_only = FALSE;
   const uint32_t order[FB_PARTNER_N] = { self->home, 1 - self->home };
   for (guint p = 0; p < FB_PARTNER_N; p++)
     {
       for (guint kind = 0; kind < FB_KIND_N; kind++)
         {
           start_kind (self, now_ms, order[p], (FbKind) kind);
-          if (fb_task_queues_count_of (self->lanes, order[p], (FbKind) kind) > 0)
+          if (fb_task_queues_count_of (self->queues, order[p], (FbKind) kind) > 0)
             fb_preempt_for_waiting (self, now_ms, order[p], (FbKind) kind);
         }
     }
--- a/src/core/survey.c
+++ b/src/core/survey.c
@@ -1,17 +1,17 @@
-/* When the log has dropped records that were still needed.
+/* Survey of the racks after the log has dropped records that were still needed.
  *
- * Failure: the owner of a range is gone, the log is down for longer than it
- * keeps records, and a successor finds the stream without some of its jobs.  It
- * would show as a service started beside its forgotten tasks, or as a reminder
- * sent again under a key that was used.  What is lost cannot be brought back;
- * the guard is to claim nothing about it:
- *  - before anything is admitted or sent, every rack is asked what it holds of
- *    this range, and runs that nobody knows are stopped;
- *  - for as long as keys are kept, a once-only job whose id is not known is
- *    answered "unknown", and so is a question about one.
+ * Failure: the owner of a range is gone, the log is unavailable for longer than it keeps
+ * records, and a successor finds the stream without some of its jobs. A service is
+ * started beside its forgotten tasks, or a reminder is sent again under a key that was
+ * used. Guard: lost records cannot be recovered, so the successor assumes nothing about
+ * them:
+ *  - before it admits or sends anything, it asks every rack for the runs of this range,
+ *    and stops the runs that it does not know;
+ *  - for as long as keys are kept, it answers "unknown" to an at-most-once job whose id
+ *    it does not know, and to a query about one.
  *
- * Whether records were lost is seen from the last RENEW: it tells how old the
- * oldest record was that was still needed then. */
+ * The last RENEW tells whether records were lost: it has the offset of the oldest record
+ * that was still needed when it was written. */
 #include "internal/range-private.h"
 #include "internal/range-query.h"
 
@@ -25,7 +25,7 @@
   g_free (self->surveyed);
   self->surveyed = g_new0 (gboolean, rack_n);
   self->survey_n = rack_n;
-  self->survey_left = rack_n;
+  self->survey_remaining = rack_n;
   self->survey_at_ms = now_ms;
   self->history_gap_until_ms = now_ms + FB_RANGE_KEEP_MS;
 }
@@ -66,20 +66,20 @@
 }
 
 static void
-stop_unknown (FbRange *self, uint32_t rack, const fb_run *run)
+stop_unknown_run (FbRange *self, uint32_t rack, const fb_run *run)
 {
-  fb_run_command word
+  fb_run_command command
       = { .run = *run, .rack = rack, .range = self->id, .range_epoch = self->epoch, .force = TRUE };
   fb_body stop = { .type = FB_MSG_WITHDRAW };
-  stop.fb_body_u.withdraw = word;
+  stop.fb_body_u.withdraw = command;
   (void) self->sink->send (self->user, self, rack, &stop);
   fb_body ack = { .type = FB_MSG_ACK };
-  ack.fb_body_u.ack = word;
+  ack.fb_body_u.ack = command;
   (void) self->sink->send (self->user, self, rack, &ack);
 }
 
-/* A job may be known from a late record while its earlier ones are gone, so the
- * very run has to be known.  Its number is not used again in any case. */
+/* The job may be known from a late record although its earlier ones are gone, so the run
+ * itself has to be known. Its attempt number is not used again in either case. */
 static gboolean
 is_known_run (const FbRange *self, uint32_t rack, const fb_run *run)
 {
@@ -107,11 +107,11 @@
       if (is_known_run (self, surveyed->rack, run))
         continue;
       unknown++;
-      stop_unknown (self, surveyed->rack, run);
+      stop_unknown_run (self, surveyed->rack, run);
     }
   if (unknown > 0)
     return;
   self->surveyed[surveyed->rack] = TRUE;
-  if (--self->survey_left == 0)
+  if (--self->survey_remaining == 0)
     g_clear_pointer (&self->surveyed, g_free);
 }
--- a/src/core/task-queue.c
+++ b/src/core/task-queue.c
@@ -1,26 +1,27 @@
 /* Order of waiting work.
  *
- * Inside a lane the order is earliest deadline first over a *virtual* due
- * time: min (due, arrival + patience of the kind).  Plain EDF starves work
- * without a deadline; ageing by re-sorting costs a pass over the queue.  With
- * a virtual due time fixed at arrival, work without a deadline ages simply by
- * standing still while later arrivals get later ranks, and a lane stays a
- * balanced tree: O(log n) to insert, O(log n) to cancel, O(1) for the head.
- * The cost: a deadline further away than the patience has no influence. */
+ * Within a queue the order is earliest deadline first by a *virtual* due time: min (due,
+ * arrival + patience of the kind). Plain EDF starves work without a deadline, and ageing
+ * by sorting again costs a pass over the queue. With a virtual due time that is fixed at
+ * arrival, work without a deadline moves forward because later arrivals get higher ranks,
+ * and the queue remains a balanced tree: O(log n) to insert, O(log n) to remove, O(1) for
+ * the first task. The cost: a deadline that is further away than the patience has no
+ * influence. */
 #include "internal/task-queue.h"
 
 #include "internal/rack-private.h"
 
 struct _FbTaskQueues
 {
-  GHashTable *by_key;                       /* FbTaskQueue owned */
-  GPtrArray *busy[FB_PARTNER_N][FB_KIND_N]; /* FbTaskQueue borrowed */
+  GHashTable *by_key;                            /* key_of() -> FbTaskQueue owned */
+  GPtrArray *non_empty[FB_PARTNER_N][FB_KIND_N]; /* FbTaskQueue borrowed: those not empty */
   guint count[FB_PARTNER_N][FB_KIND_N];
   guint total;
-  guint accel;
+  guint accel; /* tasks that need accelerators */
   guint waiting[FB_PARTNER_N][FB_WAIT_CLASS_N];
 };
 
+/* Waiting time after which a task without a deadline ranks like one that is due. */
 static const uint64_t patience_ms[FB_KIND_N] = {
   [FB_KIND_URGENT] = 9200,
   [FB_KIND_SERVICE] = 60 * 1000,
@@ -42,11 +43,11 @@
 }
 
 static void
-lane_free (gpointer data)
+queue_free (gpointer data)
 {
-  FbTaskQueue *lane = data;
-  g_sequence_free (lane->tasks);
-  g_free (lane);
+  FbTaskQueue *queue = data;
+  g_sequence_free (queue->tasks);
+  g_free (queue);
 }
 
 static uint64_t
@@ -59,11 +60,11 @@
 fb_task_queues_new (void)
 {
   FbTaskQueues *self = g_new0 (FbTaskQueues, 1);
-  self->by_key = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, lane_free);
+  self->by_key = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, queue_free);
   for (guint p = 0; p < FB_PARTNER_N; p++)
     {
       for (guint k = 0; k < FB_KIND_N; k++)
-        self->busy[p][k] = g_ptr_array_new ();
+        self->non_empty[p][k] = g_ptr_array_new ();
     }
   return self;
 }
@@ -74,31 +75,31 @@
   for (guint p = 0; p < FB_PARTNER_N; p++)
     {
       for (guint k = 0; k < FB_KIND_N; k++)
-        g_ptr_array_free (self->busy[p][k], TRUE);
+        g_ptr_array_free (self->non_empty[p][k], TRUE);
     }
   g_hash_table_destroy (self->by_key);
   g_free (self);
 }
 
 static FbTaskQueue *
-lane_for (FbTaskQueues *self, const fb_spec *spec)
+queue_for (FbTaskQueues *self, const fb_spec *spec)
 {
   uint64_t key = key_of (spec);
-  FbTaskQueue *lane = g_hash_table_lookup (self->by_key, &key);
-  if (lane == NULL)
+  FbTaskQueue *queue = g_hash_table_lookup (self->by_key, &key);
+  if (queue == NULL)
     {
-      lane = g_new0 (FbTaskQueue, 1);
-      lane->partner = spec->partner;
-      lane->team = spec->team;
-      lane->kind = (FbKind) spec->kind;
-      lane->tasks = g_sequence_new (NULL);
-      g_hash_table_insert (self->by_key, g_memdup2 (&key, sizeof key), lane);
+      queue = g_new0 (FbTaskQueue, 1);
+      queue->partner = spec->partner;
+      queue->team = spec->team;
+      queue->kind = (FbKind) spec->kind;
+      queue->tasks = g_sequence_new (NULL);
+      g_hash_table_insert (self->by_key, g_memdup2 (&key, sizeof key), queue);
     }
-  return lane;
+  return queue;
 }
 
 static gboolean
-wants_accel (const FbTask *task)
+needs_accel (const FbTask *task)
 {
   return task->spec.demand.amount[FB_RES_ACCEL_COUNT] > 0;
 }
@@ -118,30 +119,30 @@
 void
 fb_task_queues_insert (FbTaskQueues *self, FbTask *task)
 {
-  FbTaskQueue *lane = lane_for (self, &task->spec);
-  if (g_sequence_is_empty (lane->tasks))
-    g_ptr_array_add (self->busy[lane->partner][lane->kind], lane);
-  task->lane_pos = g_sequence_insert_sorted (lane->tasks, task, compare_rank, NULL);
-  self->count[lane->partner][lane->kind]++;
+  FbTaskQueue *queue = queue_for (self, &task->spec);
+  if (g_sequence_is_empty (queue->tasks))
+    g_ptr_array_add (self->non_empty[queue->partner][queue->kind], queue);
+  task->queue_pos = g_sequence_insert_sorted (queue->tasks, task, compare_rank, NULL);
+  self->count[queue->partner][queue->kind]++;
   self->total++;
-  self->accel += wants_accel (task) ? 1 : 0;
-  self->waiting[lane->partner][fb_spec_wait_class (&task->spec)]++;
+  self->accel += needs_accel (task) ? 1 : 0;
+  self->waiting[queue->partner][fb_spec_wait_class (&task->spec)]++;
 }
 
 void
 fb_task_queues_remove (FbTaskQueues *self, FbTask *task)
 {
-  FbTaskQueue *lane = lane_for (self, &task->spec);
-  g_sequence_remove (task->lane_pos);
-  task->lane_pos = NULL;
-  self->count[lane->partner][lane->kind]--;
+  FbTaskQueue *queue = queue_for (self, &task->spec);
+  g_sequence_remove (task->queue_pos);
+  task->queue_pos = NULL;
+  self->count[queue->partner][queue->kind]--;
   self->total--;
-  self->accel -= wants_accel (task) ? 1 : 0;
-  self->waiting[lane->partner][fb_spec_wait_class (&task->spec)]--;
-  if (g_sequence_is_empty (lane->tasks))
+  self->accel -= needs_accel (task) ? 1 : 0;
+  self->waiting[queue->partner][fb_spec_wait_class (&task->spec)]--;
+  if (g_sequence_is_empty (queue->tasks))
     {
       uint64_t key = key_of (&task->spec);
-      g_ptr_array_remove_fast (self->busy[lane->partner][lane->kind], lane);
+      g_ptr_array_remove_fast (self->non_empty[queue->partner][queue->kind], queue);
       g_hash_table_remove (self->by_key, &key);
     }
 }
@@ -161,17 +162,17 @@
 const GPtrArray *
 fb_task_queues_of (const FbTaskQueues *self, uint32_t partner, FbKind kind)
 {
-  return self->busy[partner][kind];
+  return self->non_empty[partner][kind];
 }
 
 void
 fb_task_queues_unblock (FbTaskQueues *self)
 {
   GHashTableIter iter;
-  gpointer lane;
+  gpointer queue;
   g_hash_table_iter_init (&iter, self->by_key);
-  while (g_hash_table_iter_next (&iter, NULL, &lane))
-    ((FbTaskQueue *) lane)->blocked = FALSE;
+  while (g_hash_table_iter_next (&iter, NULL, &queue))
+    ((FbTaskQueue *) queue)->blocked = FALSE;
 }
 
 uint64_t
--- a/src/core/worker-health.c
+++ b/src/core/worker-health.c
@@ -1,25 +1,27 @@
-/* Workers that fail what they start.
+/* Quarantine of workers that fail the work they start.
  *
- * Failure: a broken worker ends everything at once, so it always looks free and
- * draws all work of its rack.  It shows as a run of quick failures of unlike
- * jobs on one worker.  Guard: after FAILS_MAX failures in a row, of more than
- * one job, it gets one idempotent probe at a time, at growing intervals, until
- * one completes.  When no work came by that could probe it, it is tried again
- * with any work, one failure from being taken out again: a worker that is never
- * probed would be lost for ever.  A job that fails everywhere is not held against a worker: a
- * streak of one job does not count.  At most half of a rack is taken out, since
- * beyond that the fault is more likely in the work than in the workers, and a
- * rack with no room helps no one.  Before that a worker with failures in a row
- * is less wanted, least by the job that failed there last. */
+ * Failure: a broken worker fails every run at once, so it always looks free and attracts
+ * all work of its rack. It shows as a series of quick failures of different jobs on one
+ * worker. Guard: after FAILURES_MAX failures in a row, of more than one job, the worker is
+ * quarantined: it gets one idempotent task at a time as a probe, at growing intervals,
+ * until one completes.
+ *
+ * If no task that could serve as a probe arrives for UNPROBED_MAX_MS, the worker is
+ * restored for all work, one failure short of the next quarantine; without that, a worker
+ * that is never probed would be lost forever. Failures of a single job do not count as a
+ * streak, since that job may fail everywhere. At most half of the workers of a rack are
+ * quarantined: beyond that the fault is more likely in the work, and a rack without
+ * usable workers is of no use. A worker that has failures in a row but is not quarantined
+ * yet has a higher placement cost, most of all for the job that failed there last. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
-#define FAILS_MAX 3
+#define FAILURES_MAX 3
 #define PROBE_WAIT_MAX_MS (60 * 1000)
 #define UNPROBED_MAX_MS (10 * 1000)
-/* Against costs of a few thousand, see place.c. */
+/* Added to placement costs of a few thousand, see place.c. */
 #define FAIL_COST 1000
 #define SAME_JOB_COST 100000
 
@@ -44,7 +46,7 @@
   if (w->fail_streak == 0 || w->last_failed_job != job)
     w->fail_streak++;
   w->last_failed_job = job;
-  if (w->fail_streak < FAILS_MAX || (count_quarantined (self) + 1) * 2 > self->workers->len)
+  if (w->fail_streak < FAILURES_MAX || (count_quarantined (self) + 1) * 2 > self->workers->len)
     return;
   w->quarantined = TRUE;
   w->probe_at_ms = now_ms + w->probe_wait_ms;
@@ -77,7 +79,7 @@
 {
   if (worker->fail_streak == 0)
     return 0;
-  /* The next try of a job goes elsewhere if it can. */
+  /* A retry of the job prefers another worker. */
   gboolean same = worker->last_failed_job == task->spec.run.job;
   return FAIL_COST * (int64_t) worker->fail_streak + (same ? SAME_JOB_COST : 0);
 }
@@ -98,7 +100,7 @@
       if (!w->quarantined || now_ms < w->probe_at_ms + UNPROBED_MAX_MS)
         continue;
       w->quarantined = FALSE;
-      w->fail_streak = FAILS_MAX - 1;
+      w->fail_streak = FAILURES_MAX - 1;
       fb_event_log (FB_EVENT_WORKER_RESTORED, "rack=%s worker=%s unprobed", self->name, w->name);
     }
 }
