--- a/include/fb-counter.h
+++ b/include/fb-counter.h
@@ -1,7 +1,7 @@
-/* Counters of the process, shown at /metrics in the usual text form.
+/* Counters of the process, exported at /metrics in the Prometheus text format.
  *
- * The list is fixed at build time (counters.def), so that the counters page
- * can be checked against it.  Values are atomic: any task may add. */
+ * The list is fixed at build time (counters.def), so that the documentation of the counters can be
+ * checked against it. Values are atomic: any thread may add. */
 #pragma once
 
 #include <glib.h>
@@ -17,5 +17,5 @@
 
 void fb_counter_add (FbCounter counter, uint64_t amount);
 uint64_t fb_counter_get (FbCounter counter);
-/* Returns: (transfer full): all counters as text exposition lines. */
+/* Returns: (transfer full): all counters in the text exposition format. */
 char *fb_counter_render (void);
--- a/include/fb-event.h
+++ b/include/fb-event.h
@@ -1,7 +1,7 @@
 /* Numbered log events, written through GLib's structured logging.
  *
- * The list is events.def; docs/EVENTS.md is checked against it.  One line is
- * written for each routing or placement decision. */
+ * The list is events.def; docs/EVENTS.md is checked against it. Each routing or placement decision
+ * is logged as one line. */
 #pragma once
 
 #include <glib.h>
@@ -13,15 +13,15 @@
 #undef FB_EVENT
 } FbEvent;
 
-/* Writes one line "FBnnnn SYMBOL text" with the fields FB_EVENT and
- * FB_EVENT_NAME beside the usual ones. */
+/* Writes one line "FBnnnn SYMBOL text", with the fields FB_EVENT and FB_EVENT_NAME in addition to
+ * the usual ones. */
 void fb_event_log (FbEvent event, const char *format, ...) G_GNUC_PRINTF (2, 3);
 
-/* Sends the lines of this process to stderr, one line an event.  QUIET leaves
- * out the decisions (level debug), which fuzzing and benches do not want. */
+/* Writes the log of this process to stderr, one line per event. QUIET turns event lines off, which
+ * fuzzers and benchmarks need. */
 void fb_event_init (const char *process_name, gboolean quiet);
-/* Sends the lines to stdout instead, at most LINES_PER_S of them: a line beyond
- * that, or one that would have to wait for the reader, is left out and counted. */
+/* Writes the log to stdout instead, at most LINES_PER_S lines a second. A line above that limit, or
+ * one for which the write would block, is dropped and counted. */
 void fb_event_init_stdout (const char *process_name, guint lines_per_s);
-/* Changes whether decisions are left out.  Any thread. */
+/* Turns event lines off or on. May be called on any thread. */
 void fb_event_set_quiet (gboolean quiet);
--- a/include/fb-histogram.h
+++ b/include/fb-histogram.h
@@ -1,7 +1,7 @@
-/* Histograms of times, shown at /metrics beside the counters.
+/* Histograms of durations, exported at /metrics beside the counters.
  *
- * The list is fixed at build time (histograms.def).  Buckets are the same for all:
- * callers' patience is 3 s, most steps take some milliseconds.  Any task may add. */
+ * The list is fixed at build time (histograms.def). All have the same buckets: callers wait up to 3
+ * s, and most steps take a few milliseconds. Any thread may add. */
 #pragma once
 
 #include <glib.h>
@@ -15,7 +15,7 @@
   FB_HISTOGRAM_N
 } FbHistogram;
 
-/* Counts one time of MS. */
+/* Adds one duration of MS milliseconds. */
 void fb_histogram_add (FbHistogram histogram, uint64_t ms);
-/* Appends all histograms to OUT as text exposition lines. */
+/* Appends all histograms to OUT in the text exposition format. */
 void fb_histogram_render (GString *out);
--- a/include/fb-reload-signal.h
+++ b/include/fb-reload-signal.h
@@ -1,9 +1,9 @@
-/* SIGHUP, which asks a process to load its settings again. */
+/* SIGHUP, which makes a process reload its settings. */
 #pragma once
 
-/* From here on the signal stays pending instead of ending the process.  Called before threads are
- * started: they inherit it. */
+/* Blocks the signal, so that it stays pending instead of ending the process. To be called before
+ * threads are started, which inherit the mask. */
 void fb_reload_signal_block (void);
 
-/* Called once a handler is installed; a pending signal reaches it. */
+/* Unblocks the signal, once a handler is installed; the handler then receives a pending signal. */
 void fb_reload_signal_unblock (void);
--- a/include/fb-settings.h
+++ b/include/fb-settings.h
@@ -1,7 +1,7 @@
 /* Settings of one daemon and of its cell, from INI files.
  *
- * The daemon's own file names it, its log level and its cell file; the cell
- * file is the same everywhere.  The formats are in flamingobarrow(5). */
+ * The daemon's own file gives its name, its log level and the path of its cell file; the cell file
+ * is the same on all daemons. The formats are described in flamingobarrow(5). */
 #pragma once
 
 #include "fb-cell.h"
@@ -16,19 +16,19 @@
 
 typedef struct
 {
-  char *name; /* of this daemon, a member of the cell */
+  char *name; /* name of this daemon, a member of the cell */
   char *cell_path;
-  gboolean quiet;    /* leaves out the decision lines */
-  uint64_t drain_ms; /* how long a planned stop may take */
+  gboolean quiet;    /* writes no event lines */
+  uint64_t drain_ms; /* time limit of a planned stop */
 } FbSettings;
 
-/* Returns: FB_SETTINGS_OK and sets *SETTINGS and *CELL (both transfer full);
- * else the last message names file, group, key and what was expected. */
+/* Returns: FB_SETTINGS_OK and sets *SETTINGS and *CELL (both transfer full); else the last message
+ * names the file, the group, the key and the expected value. */
 FbSettingsStatus fb_settings_load (const char *path, FbSettings **settings, FbCell **cell);
-/* Loads the cell file alone, for tools. */
+/* Loads only the cell file, for tools. */
 FbSettingsStatus fb_settings_load_cell (const char *path, FbCell **cell);
 void fb_settings_free (FbSettings *self);
 
-/* Hexadecimal keys.  Returns: FALSE unless TEXT is exactly LEN bytes. */
+/* Converts keys from and to hexadecimal. Returns: FALSE unless TEXT encodes exactly LEN bytes. */
 gboolean fb_settings_parse_hex (const char *text, uint8_t *bytes, gsize len);
 char *fb_settings_format_hex (const uint8_t *bytes, gsize len);
--- a/include/fb-traffic.h
+++ b/include/fb-traffic.h
@@ -1,7 +1,7 @@
-/* Bytes of bodies and headers that the daemon sends and receives, by what they are for, shown at
- * /metrics.  Calls of callers are not among them.
+/* Bytes of headers and bodies that the daemon sends and receives as an HTTP client, by purpose,
+ * exported at /metrics. Requests of callers are not included.
  *
- * The list is fixed at build time (traffic.def).  Values are atomic: any task may add. */
+ * The list is fixed at build time (traffic.def). Values are atomic: any thread may add. */
 #pragma once
 
 #include <glib.h>
@@ -15,7 +15,7 @@
   FB_TRAFFIC_N
 } FbTraffic;
 
-/* Bytes since the start of the process, by FbTraffic. */
+/* Bytes since the start of the process, indexed by FbTraffic. */
 typedef struct
 {
   uint64_t sent_bytes[FB_TRAFFIC_N];
@@ -25,5 +25,5 @@
 void fb_traffic_add (FbTraffic kind, uint64_t sent_bytes, uint64_t received_bytes);
 void fb_traffic_totals (FbTrafficTotals *totals);
 const char *fb_traffic_name (FbTraffic kind);
-/* Appends both counters of each kind as text exposition lines. */
+/* Appends both counters of each kind in the text exposition format. */
 void fb_traffic_render (GString *out);
--- a/include/internal/ini.h
+++ b/include/internal/ini.h
@@ -1,7 +1,7 @@
-/* Checked reading of INI files.
+/* Validated reading of INI files.
  *
- * A table of fields says which keys a group may have and what each expects.
- * The first error names file, line or group and key, and what was expected. */
+ * A table of fields lists the keys of a group and the values that each accepts. The first error
+ * names the file, the line or the group and key, and the expected value. */
 #pragma once
 
 #include "fb-types.h"
@@ -38,14 +38,14 @@
   gsize offset;        /* of a char * or uint64_t in the target struct */
 } FbIniField;
 
-/* Loads TEXT.  Returns: (transfer full), or NULL with the last message set. */
+/* Loads TEXT. Returns: (transfer full): NULL with the last message set when it is malformed. */
 GKeyFile *fb_ini_load (const char *file, const char *text, gsize len);
 
-/* Reads GROUP into TARGET by FIELDS (ended by a NULL key).  Strings are newly
- * allocated.  Keys that are not there keep what TARGET holds. */
+/* Reads GROUP into TARGET as described by FIELDS (ended by a NULL key). Strings are newly
+ * allocated. Fields whose keys are absent keep their value in TARGET. */
 FbIniStatus fb_ini_read_group (GKeyFile *keys, const char *file, const char *group,
                                const FbIniField *fields, gpointer target);
 
-/* Splits "kind name" of a group header.  Returns: NAME, borrowed from GROUP, or
- * NULL when GROUP does not start with KIND and a space. */
+/* Splits a group header "KIND NAME". Returns: NAME, borrowed from GROUP; NULL when GROUP does not
+ * start with KIND and a space. */
 const char *fb_ini_group_name (const char *group, const char *kind);
--- a/src/base/event.c
+++ b/src/base/event.c
@@ -16,7 +16,7 @@
   FbEvent event;
   const char *name;
   GLogLevelFlags level;
-} catalogue[] = {
+} event_table[] = {
 #define FB_EVENT(number, symbol, level, meaning) { number, #symbol, G_LOG_LEVEL_##level },
 #include "events.def"
 #undef FB_EVENT
@@ -25,9 +25,9 @@
 static gsize
 find_event (FbEvent event)
 {
-  for (gsize i = 0; i < G_N_ELEMENTS (catalogue); i++)
+  for (gsize i = 0; i < G_N_ELEMENTS (event_table); i++)
     {
-      if (catalogue[i].event == event)
+      if (event_table[i].event == event)
         return i;
     }
   g_assert_not_reached ();
@@ -35,76 +35,77 @@
 
 /* ---- time of day ----------------------------------------------------------- */
 
-#define STAMP_BYTES 40
+#define TIMESTAMP_BYTES 40
 
-/* Writes the time of day, as ISO 8601 has it, to STAMP_BYTES at STAMP.  The text of the last
- * second is kept: a date is worked out once a second, not once a line. */
+/* Writes the time of day in ISO 8601 format to TIMESTAMP_BYTES at TIMESTAMP. The text of the
+ * current second is cached, so a date is formatted once a second and not for each line. */
 static void
-write_stamp (char *stamp)
+write_timestamp (char *timestamp)
 {
-  static _Thread_local gint64 kept_s = -1;
-  static _Thread_local char kept[STAMP_BYTES / 2];
+  static _Thread_local gint64 cached_s = -1;
+  static _Thread_local char cached[TIMESTAMP_BYTES / 2];
   gint64 now_us = g_get_real_time ();
   time_t now_s = (time_t) (now_us / G_USEC_PER_SEC);
-  if (now_s != kept_s)
+  if (now_s != cached_s)
     {
       struct tm parts;
       gmtime_r (&now_s, &parts);
-      strftime (kept, sizeof kept, "%FT%T", &parts);
-      kept_s = now_s;
+      strftime (cached, sizeof cached, "%FT%T", &parts);
+      cached_s = now_s;
     }
-  g_snprintf (stamp, STAMP_BYTES, "%s.%06dZ", kept, (int) (now_us % G_USEC_PER_SEC));
+  g_snprintf (timestamp, TIMESTAMP_BYTES, "%s.%06dZ", cached, (int) (now_us % G_USEC_PER_SEC));
 }
 
 /* ---- bounded output ------------------------------------------------------ */
 
-/* Failure: a daemon takes over a pool of 2,000 jobs, a line each fills the bound of that second,
- * and the line that the pool is settled, or lost, is left out; it shows as a pool that seems to
- * stand still.  Guard: decisions on jobs and workers leave this part of the bound to what is rarer.
- */
-#define RARE_PERCENT 20
+/* Failure: a daemon takes over a pool of 2,000 jobs and logs a line for each. They use up the limit
+ * of that second, and the line that reports the pool as settled or lost is dropped, so the pool
+ * seems to make no progress. Guard: decisions on jobs and workers (levels info and debug) may not
+ * use this part of the limit, which is left to rarer lines. */
+#define RESERVED_PERCENT 20
 
 static guint lines_per_s;
-static gint64 second;
-static guint lines_in_second;
+static gint64 current_s;
+static guint lines_this_s;
 static guint dropped;
 
-/* Returns: FALSE when the line is over the bound of this second. */
+/* Returns: FALSE when the limit of this second is reached. MAY_USE_RESERVE: the line may use the
+ * reserved part of the limit. */
 static gboolean
-take_line (gboolean rare)
+count_line (gboolean may_use_reserve)
 {
   gint64 now_s = g_get_monotonic_time () / G_USEC_PER_SEC;
-  if (now_s != second)
+  if (now_s != current_s)
     {
-      second = now_s;
-      lines_in_second = 0;
+      current_s = now_s;
+      lines_this_s = 0;
     }
-  guint most = rare ? lines_per_s : lines_per_s * (100 - RARE_PERCENT) / 100;
-  if (lines_in_second >= most)
+  guint limit = may_use_reserve ? lines_per_s : lines_per_s * (100 - RESERVED_PERCENT) / 100;
+  if (lines_this_s >= limit)
     return FALSE;
-  lines_in_second++;
+  lines_this_s++;
   return TRUE;
 }
 
 static void
-write_bounded (const char *line, gsize len, gboolean rare)
+write_bounded (const char *line, gsize len, gboolean may_use_reserve)
 {
-  if (!take_line (rare) || write (STDOUT_FILENO, line, len) < 0)
+  if (!count_line (may_use_reserve) || write (STDOUT_FILENO, line, len) < 0)
     {
       dropped++;
       fb_counter_add (FB_COUNTER_LINES_DROPPED, 1);
     }
 }
 
-/* Once a second, or it would take the room of what it tells about. */
+/* At most once a second, so that the report itself does not use up the limit. */
 static void
-tell_dropped (const char *when)
+report_dropped (const char *when)
 {
-  static gint64 told_s;
+  static gint64 reported_s;
   gint64 now_s = g_get_monotonic_time () / G_USEC_PER_SEC;
-  if (dropped == 0 || now_s == told_s || !take_line (TRUE))
+  if (dropped == 0 || now_s == reported_s || !count_line (TRUE))
     return;
-  told_s = now_s;
+  reported_s = now_s;
   char line[160];
   int len = g_snprintf (line, sizeof line, "%s %s FB%d LINES_DROPPED n=%u\n", when, process_label,
                         FB_EVENT_LINES_DROPPED, dropped);
@@ -124,14 +125,14 @@
         message = fields[i].value;
       is_event = is_event || g_str_equal (fields[i].key, "FB_EVENT");
     }
-  /* Libraries narrate each connection at the lower levels. */
+  /* Libraries log each connection at the lower levels. */
   if (!is_event && (level & (G_LOG_LEVEL_INFO | G_LOG_LEVEL_DEBUG)))
     return G_LOG_WRITER_HANDLED;
-  char when[STAMP_BYTES];
-  write_stamp (when);
+  char when[TIMESTAMP_BYTES];
+  write_timestamp (when);
   if (lines_per_s > 0)
     {
-      tell_dropped (when);
+      report_dropped (when);
       g_autofree char *line = g_strdup_printf ("%s %s %s\n", when, process_label, message);
       write_bounded (line, strlen (line), (level & (G_LOG_LEVEL_INFO | G_LOG_LEVEL_DEBUG)) == 0);
       return G_LOG_WRITER_HANDLED;
@@ -177,6 +178,6 @@
   va_end (args);
   char number[16];
   g_snprintf (number, sizeof number, "%d", event);
-  g_log_structured ("flamingobarrow", catalogue[i].level, "FB_EVENT", number, "FB_EVENT_NAME",
-                    catalogue[i].name, "MESSAGE", "FB%d %s %s", event, catalogue[i].name, text);
+  g_log_structured ("flamingobarrow", event_table[i].level, "FB_EVENT", number, "FB_EVENT_NAME",
+                    event_table[i].name, "MESSAGE", "FB%d %s %s", event, event_table[i].name, text);
 }
--- a/src/base/histogram.c
+++ b/src/base/histogram.c
@@ -2,7 +2,7 @@
 
 #include <stdatomic.h>
 
-/* Upper bounds in ms; the last bucket is open. */
+/* Upper bounds in ms; the last bucket has none. */
 static const uint64_t bounds_ms[] = { 5, 10, 25, 50, 100, 250, 500, 1000, 2500, 5000, 10000 };
 
 #define BUCKET_N (G_N_ELEMENTS (bounds_ms) + 1)
--- a/src/base/ini.c
+++ b/src/base/ini.c
@@ -4,10 +4,10 @@
 
 #include <string.h>
 
-/* GKeyFile merges a group that stands twice, and the first half would be
- * overruled without a word. */
+/* GKeyFile merges a group that occurs twice, and later keys would silently override earlier
+ * ones. */
 static gboolean
-has_double_group (const char *file, const char *text, gsize len)
+has_duplicate_group (const char *file, const char *text, gsize len)
 {
   g_autofree char *copy = g_strndup (text, len);
   g_auto (GStrv) lines = g_strsplit (copy, "\n", -1);
@@ -17,8 +17,8 @@
       char *line = g_strstrip (lines[i]);
       if (line[0] != '[' || g_hash_table_add (seen, line))
         continue;
-      fb_status_set_message ("%s: line %u: %s stands twice, expected each group once", file, i + 1,
-                             line);
+      fb_status_set_message ("%s: line %u: %s is declared twice, expected each group once", file,
+                             i + 1, line);
       return TRUE;
     }
   return FALSE;
@@ -29,12 +29,12 @@
 {
   GKeyFile *keys = g_key_file_new ();
   g_autoptr (GError) error = NULL;
-  /* An empty file that travelled in a record has no text at all. */
+  /* An empty file has a NULL text when it was decoded from a record. */
   if (text == NULL)
     text = "";
   if (memchr (text, '\0', len) != NULL || !g_utf8_validate (text, (gssize) len, NULL))
     fb_status_set_message ("%s: expected UTF-8 text", file);
-  else if (has_double_group (file, text, len))
+  else if (has_duplicate_group (file, text, len))
     ;
   else if (g_key_file_load_from_data (keys, text, len, G_KEY_FILE_NONE, &error))
     return keys;
@@ -133,7 +133,7 @@
 }
 
 static char *
-describe (const FbIniField *field)
+describe_expected (const FbIniField *field)
 {
   switch (field->type)
     {
@@ -155,7 +155,7 @@
     case FB_INI_CHOICE:
       return g_strdup_printf ("one of %s", field->choices);
     }
-  return g_strdup ("something else");
+  return g_strdup ("another value");
 }
 
 static FbIniStatus
@@ -183,7 +183,7 @@
           return FB_INI_OK;
         }
     }
-  g_autofree char *expected = describe (field);
+  g_autofree char *expected = describe_expected (field);
   fb_status_set_message ("%s: [%s] %s: expected %s, got \"%.60s\"", file, group, field->key,
                          expected, text);
   return FB_INI_BAD_VALUE;
@@ -234,7 +234,7 @@
     {
       if (fields->required && !g_key_file_has_key (keys, group, fields->key, NULL))
         {
-          g_autofree char *expected = describe (fields);
+          g_autofree char *expected = describe_expected (fields);
           fb_status_set_message ("%s: [%s] %s: missing, expected %s", file, group, fields->key,
                                  expected);
           return FB_INI_MISSING_KEY;
--- a/src/cli/cli-commands.c
+++ b/src/cli/cli-commands.c
@@ -1,4 +1,4 @@
-/* Verbs that change state. */
+/* Commands that change state. */
 #include "cli-private.h"
 
 #include "fb-settings.h"
@@ -72,63 +72,64 @@
   guint behind;
   guint alive;
   GString *names;
-} Spread;
+} RolloutState;
 
-/* Counts the members that have not got SERIAL of PARTNER. */
+/* Counts the live members, and those of them that do not have revision SERIAL of PARTNER yet. */
 static gboolean
-look_at_spread (const FbCliOptions *options, const char *partner, gint64 serial, Spread *spread)
+read_rollout (const FbCliOptions *options, const char *partner, gint64 serial,
+              RolloutState *rollout)
 {
   g_autoptr (JsonParser) parser = NULL;
   JsonObject *root = fb_cli_get (options, "/v1/status", &parser);
   if (root == NULL)
     return FALSE;
   JsonArray *members = json_object_get_array_member (root, "members");
-  spread->behind = 0;
-  spread->alive = 0;
-  g_string_truncate (spread->names, 0);
+  rollout->behind = 0;
+  rollout->alive = 0;
+  g_string_truncate (rollout->names, 0);
   for (guint i = 0; i < json_array_get_length (members); i++)
     {
       JsonObject *member = json_array_get_object_element (members, i);
       const char *state = json_object_get_string_member_with_default (member, "state", "");
       if (!g_str_equal (state, "alive"))
         continue;
-      spread->alive++;
+      rollout->alive++;
       if (json_object_get_int_member_with_default (member, partner, 0) >= serial)
         continue;
-      spread->behind++;
-      g_string_append_printf (spread->names, " %s",
+      rollout->behind++;
+      g_string_append_printf (rollout->names, " %s",
                               json_object_get_string_member_with_default (member, "name", "?"));
     }
   return TRUE;
 }
 
 static FbCliExit
-wait_in_force (const FbCliOptions *options, const char *partner, gint64 serial)
+wait_for_rollout (const FbCliOptions *options, const char *partner, gint64 serial)
 {
-  Spread spread = { 0, 0, g_string_new (NULL) };
+  RolloutState rollout = { 0, 0, g_string_new (NULL) };
   gint64 until_us = g_get_monotonic_time () + (gint64) options->wait_s * 1000000;
   FbCliExit code = FB_CLI_LAGGING;
   while (code == FB_CLI_LAGGING && g_get_monotonic_time () < until_us)
     {
-      if (look_at_spread (options, partner, serial, &spread) && spread.behind == 0
-          && spread.alive > 0)
+      if (read_rollout (options, partner, serial, &rollout) && rollout.behind == 0
+          && rollout.alive > 0)
         code = FB_CLI_OK;
       else
         g_usleep (POLL_US);
     }
   if (code == FB_CLI_OK)
     printf ("revision %" G_GINT64_FORMAT " of %s is in force on all %u daemons\n", serial, partner,
-            spread.alive);
+            rollout.alive);
   else
-    fprintf (stderr, "revision %" G_GINT64_FORMAT " is accepted, not yet seen on:%s\n", serial,
-             spread.names->str);
-  g_string_free (spread.names, TRUE);
+    fprintf (stderr, "revision %" G_GINT64_FORMAT " is accepted, but not yet in force on:%s\n",
+             serial, rollout.names->str);
+  g_string_free (rollout.names, TRUE);
   return code;
 }
 
-/* Returns: TRUE when the files in force are FILES. */
+/* Returns: TRUE when the files in force are FILES, or cannot be read. */
 static gboolean
-is_ours (const FbCliOptions *options, const fb_rec_file *files, guint n)
+is_in_force (const FbCliOptions *options, const fb_rec_file *files, guint n)
 {
   g_autoptr (JsonParser) parser = NULL;
   JsonObject *root = fb_cli_get (options, "/v1/config", &parser);
@@ -147,9 +148,9 @@
   return TRUE;
 }
 
-/* Puts FILES in force on top of BASE, the configuration that they were made
- * from; NULL: on top of whatever is in force now.  The daemon refuses them when
- * another revision has come after BASE. */
+/* Publishes FILES as the revision after BASE, the configuration that they were derived from; NULL:
+ * after the revision that is in force now. The daemon refuses them when another revision follows
+ * BASE already. */
 static FbCliExit
 publish (const FbCliOptions *options, JsonObject *base, const fb_rec_file *files, guint n)
 {
@@ -174,7 +175,7 @@
   g_autoptr (GBytes) request = signed_revision (&revision, secret);
   if (request == NULL)
     {
-      fprintf (stderr, "the files are over %d bytes together\n", FB_MAX_CONFIG);
+      fprintf (stderr, "the files exceed the limit of %d bytes in total\n", FB_MAX_CONFIG);
       return FB_CLI_INVALID;
     }
   g_autoptr (GBytes) body = NULL;
@@ -188,8 +189,8 @@
     }
   if (status != 202)
     return fb_cli_report_error (status, body);
-  FbCliExit code = wait_in_force (options, partner, serial);
-  if (code == FB_CLI_OK && !is_ours (options, files, n))
+  FbCliExit code = wait_for_rollout (options, partner, serial);
+  if (code == FB_CLI_OK && !is_in_force (options, files, n))
     {
       fprintf (stderr,
                "conflict: another operator's revision %" G_GINT64_FORMAT
@@ -200,7 +201,7 @@
   return code;
 }
 
-/* FILES are taken over. */
+/* Takes ownership of FILES. */
 static FbCliExit
 check_and_publish (const FbCliOptions *options, JsonObject *base, fb_rec_file *files, guint n)
 {
@@ -225,8 +226,8 @@
 
 #define DRAIN_FILE "drain.ini"
 
-/* Returns: (transfer full): TEXT without the group of HOST, and with it at the
- * end when it is to be drained. */
+/* Returns: (transfer full): TEXT without the drain group of HOST, plus that group at the end when
+ * DRAINED. */
 static char *
 drain_text (const char *text, const char *host, gboolean drained)
 {
@@ -308,7 +309,7 @@
 const FbCliVerb fb_cli_commands[] = {
   { "keygen", "FILE", "make a partner's key pair; FILE gets the secret", 1, 1, keygen },
   { "apply", "FILE...", "put the partner's files in force as one revision", 1, 64, apply },
-  { "drain", "HOST [off]", "give one of the partner's hosts nothing new", 1, 2, drain },
+  { "drain", "HOST [off]", "start no new work on one of the partner's hosts", 1, 2, drain },
   { "submit", "CLASS [TASKS]", "submit a job", 1, 2, submit },
   { "cancel", "JOB", "cancel a job", 1, 1, cancel },
   { NULL, NULL, NULL, 0, 0, NULL },
--- a/src/cli/cli-files.c
+++ b/src/cli/cli-files.c
@@ -28,7 +28,8 @@
       if (!g_file_get_contents (paths[i], &files[i].text.text_val, &len, &error)
           || len > FB_REC_MAX_FILE)
         {
-          fprintf (stderr, "%s\n", error != NULL ? error->message : "a file is over 128 KiB");
+          fprintf (stderr, "%s\n",
+                   error != NULL ? error->message : "a file exceeds the limit of 128 KiB");
           fb_cli_free_files (files, *n);
           return NULL;
         }
--- a/src/cli/cli-private.h
+++ b/src/cli/cli-private.h
@@ -1,4 +1,4 @@
-/* Parts of the tool that its files share. */
+/* Declarations shared by the files of the command line tool. */
 #pragma once
 
 #include "fb-policy.h"
@@ -9,11 +9,11 @@
 typedef enum
 {
   FB_CLI_OK = 0,
-  FB_CLI_FAILED = 1, /* the daemon refused */
+  FB_CLI_FAILED = 1, /* the daemon refused the request */
   FB_CLI_USAGE = 2,
-  FB_CLI_INVALID = 3, /* a file is wrong */
+  FB_CLI_INVALID = 3, /* a file is invalid */
   FB_CLI_UNREACHABLE = 4,
-  FB_CLI_CONFLICT = 5, /* another revision came first */
+  FB_CLI_CONFLICT = 5, /* another revision was published first */
   FB_CLI_LAGGING = 6,  /* accepted, not yet in force everywhere */
   FB_CLI_DIFFERENT = 7 /* diff found differences */
 } FbCliExit;
@@ -38,28 +38,28 @@
   FbCliFunc func;
 } FbCliVerb;
 
-/* Tables that end with a NULL name. */
+/* Tables, ended by a NULL name. */
 extern const FbCliVerb fb_cli_commands[];
 extern const FbCliVerb fb_cli_queries[];
 
-/* cli-http.c.  One call to the daemon.  Returns: the HTTP status, 0 when it
- * cannot be reached; *BODY (transfer full) is never NULL. */
+/* cli-http.c. Sends one request to the daemon. Returns: the HTTP status, 0 when the daemon cannot
+ * be reached; *BODY (transfer full) is never NULL. */
 guint fb_cli_call (const FbCliOptions *options, const char *method, const char *path,
                    GBytes *request, GBytes **body);
-/* Returns: the JSON object at PATH, owned by *PARSER (transfer full), or NULL
- * when none came. */
+/* Returns: the JSON object at PATH, owned by *PARSER (transfer full); NULL when the daemon sent
+ * none. */
 JsonObject *fb_cli_get (const FbCliOptions *options, const char *path, JsonParser **parser);
-/* Calls and prints what comes back.  An answer with an "error" is reported and
- * FB_CLI_FAILED; a job's outcome, whatever it is, is FB_CLI_OK. */
+/* Sends a request and prints the response. A response with an "error" member is reported on stderr
+ * and gives FB_CLI_FAILED; any outcome of a job gives FB_CLI_OK. */
 FbCliExit fb_cli_call_and_print (const FbCliOptions *options, const char *method, const char *path,
                                  GBytes *request);
 FbCliExit fb_cli_unreachable (const FbCliOptions *options);
 FbCliExit fb_cli_report_error (guint status, GBytes *body);
 
-/* cli-files.c.  Reads PATHS into files of a revision; exits with a message on
- * the first that cannot be read.  (transfer full), freed with the next. */
+/* cli-files.c. Reads PATHS into the files of a revision. Returns: (transfer full): to be freed with
+ * fb_cli_free_files(); NULL, after a message on stderr, when one cannot be read. */
 fb_rec_file *fb_cli_read_files (char **paths, guint *n);
 void fb_cli_free_files (fb_rec_file *files, guint n);
-/* Returns: FB_CLI_OK, or FB_CLI_INVALID after a message. */
+/* Returns: FB_CLI_OK, or FB_CLI_INVALID after a message on stderr. */
 FbCliExit fb_cli_check_files (const fb_rec_file *files, guint n);
 gboolean fb_cli_is_json (const FbCliOptions *options);
--- a/src/cli/cli-queries.c
+++ b/src/cli/cli-queries.c
@@ -1,4 +1,4 @@
-/* Verbs that read state. */
+/* Queries, which read state. */
 #include "cli-private.h"
 
 #include "fb-event.h"
@@ -23,7 +23,7 @@
   return code;
 }
 
-/* Prints the lines of one text that the other does not have. */
+/* Prints the LINES that OTHERS lacks. Returns: their number. */
 static guint
 print_missing (const char *sign, const char *name, char **lines, char **others)
 {
@@ -164,7 +164,7 @@
   return print_body (options, path);
 }
 
-/* A daemon that does not own the job's range names the one that does. */
+/* A daemon that does not own the job's range replies with the name and address of the owner. */
 static FbCliExit
 explain (const FbCliOptions *options, char **args)
 {
--- a/src/cli/cli.c
+++ b/src/cli/cli.c
@@ -9,7 +9,7 @@
 #define DEFAULT_WAIT_S 20
 
 static FbCliOptions options = { .wait_s = DEFAULT_WAIT_S };
-static char **words;
+static char **arguments;
 
 static const GOptionEntry entries[]
     = { { "daemon", 'd', 0, G_OPTION_ARG_STRING, &options.daemon, "Daemon to talk to", "IP:PORT" },
@@ -17,7 +17,7 @@
           "FILE" },
         { "format", 'f', 0, G_OPTION_ARG_STRING, &options.format, "text or json", "FORMAT" },
         { "wait", 'w', 0, G_OPTION_ARG_INT, &options.wait_s, "How long apply waits", "SECONDS" },
-        { G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &words, NULL, NULL },
+        { G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &arguments, NULL, NULL },
         { NULL, 0, 0, 0, NULL, NULL, NULL } };
 
 static void
@@ -55,28 +55,29 @@
 static FbCliExit
 run_verb (void)
 {
-  const FbCliVerb *verb = words != NULL ? find_verb (words[0]) : NULL;
+  const FbCliVerb *verb = arguments != NULL ? find_verb (arguments[0]) : NULL;
   if (verb == NULL)
     {
       g_autofree char *text = summary ();
-      fprintf (stderr, "%s%s%s", words != NULL ? "unknown word: " : "expected one of these.\n",
-               words != NULL ? words[0] : "", words != NULL ? "\n" : "");
+      fprintf (stderr, "%s%s%s",
+               arguments != NULL ? "unknown command: " : "expected one of these commands.\n",
+               arguments != NULL ? arguments[0] : "", arguments != NULL ? "\n" : "");
       fputs (text, stderr);
       return FB_CLI_USAGE;
     }
-  guint n = g_strv_length (words) - 1;
+  guint n = g_strv_length (arguments) - 1;
   if (n < verb->min_args || n > verb->max_args)
     {
       fprintf (stderr, "expected: flamingobarrow %s %s\n", verb->name, verb->args);
       return FB_CLI_USAGE;
     }
-  return verb->func (&options, words + 1);
+  return verb->func (&options, arguments + 1);
 }
 
 int
 fb_cli_main (int argc, char **argv)
 {
-  g_autoptr (GOptionContext) context = g_option_context_new ("WORD [ARGUMENT...]");
+  g_autoptr (GOptionContext) context = g_option_context_new ("COMMAND [ARGUMENT...]");
   g_autofree char *text = summary ();
   g_option_context_set_summary (context, text);
   g_option_context_add_main_entries (context, entries, NULL);
@@ -97,6 +98,6 @@
   if (sodium_init () < 0)
     return FB_CLI_FAILED;
   int code = (int) run_verb ();
-  g_strfreev (words);
+  g_strfreev (arguments);
   return code;
 }
--- a/src/daemon/core.c
+++ b/src/daemon/core.c
@@ -10,7 +10,7 @@
 #define HOST_LIST_MS 1000
 #define RECEIVE_MAX 20000
 
-/* A watch on one worker of a rack that this daemon owns. */
+/* A long poll of one worker of a rack that this daemon owns. */
 typedef struct
 {
   FbCore *core;
@@ -35,7 +35,7 @@
   const FbCoreListener *listener;
   gpointer listener_user;
   Watch **watches;           /* [rack][host] */
-  GHashTable *hosts_by_name; /* HostNews: the last state passed on */
+  GHashTable *hosts_by_name; /* name -> HostState with the last state passed to the node */
   _Atomic guint receiving;
   uint64_t drain_until_ms;
   FbLoopFunc drained;
@@ -199,8 +199,8 @@
 static const char *
 host_address (const FbCore *self, uint32_t rack, guint host)
 {
-  const FbCellRack *facts = fb_cell_rack (self->cell, rack);
-  return ((FbCellHost *) g_ptr_array_index (facts->hosts, host))->address;
+  const FbCellRack *cell_rack = fb_cell_rack (self->cell, rack);
+  return ((FbCellHost *) g_ptr_array_index (cell_rack->hosts, host))->address;
 }
 
 static void
@@ -232,17 +232,17 @@
   Watch *watch;
   gboolean ok;
   uint64_t version;
-} WatchNews;
+} WatchResult;
 
 static void
-watched_on_core (gpointer data)
+apply_watch_on_core (gpointer data)
 {
-  WatchNews *news = data;
-  Watch *watch = news->watch;
+  WatchResult *message = data;
+  Watch *watch = message->watch;
   watch->waiting = FALSE;
-  if (!news->ok || news->version == watch->version)
+  if (!message->ok || message->version == watch->version)
     return;
-  watch->version = news->version;
+  watch->version = message->version;
   fb_node_hint (watch->core->node, fb_loop_now_ms (), watch->rack, watch->host);
 }
 
@@ -250,23 +250,23 @@
 watch_done (gpointer user, gboolean ok, uint64_t version)
 {
   Watch *watch = user;
-  WatchNews *news = g_new (WatchNews, 1);
-  *news = (WatchNews){ watch, ok, version };
-  fb_loop_post (watch->core->loop, watched_on_core, news, g_free);
+  WatchResult *message = g_new (WatchResult, 1);
+  *message = (WatchResult){ watch, ok, version };
+  fb_loop_post (watch->core->loop, apply_watch_on_core, message, g_free);
 }
 
 static void
 watch_on_workers (gpointer data)
 {
-  WatchNews *news = data;
-  Watch *watch = news->watch;
+  WatchResult *message = data;
+  Watch *watch = message->watch;
   FbCore *self = watch->core;
   self->workers->ops->watch (self->workers, host_address (self, watch->rack, watch->host),
-                             news->version, watch_done, watch);
+                             message->version, watch_done, watch);
 }
 
 static void
-watch_owned (FbCore *self)
+watch_owned_workers (FbCore *self)
 {
   if (self->workers->ops->watch == NULL)
     return;
@@ -281,9 +281,9 @@
           if (watch->waiting)
             continue;
           watch->waiting = TRUE;
-          WatchNews *news = g_new (WatchNews, 1);
-          *news = (WatchNews){ watch, TRUE, watch->version };
-          fb_loop_post (self->worker_loop, watch_on_workers, news, g_free);
+          WatchResult *message = g_new (WatchResult, 1);
+          *message = (WatchResult){ watch, TRUE, watch->version };
+          fb_loop_post (self->worker_loop, watch_on_workers, message, g_free);
         }
     }
 }
@@ -303,15 +303,15 @@
 
 /* ---- host list -------------------------------------------------------- */
 
-/* The list is of the whole cell and changes rarely: only changes are passed on.
- * One entry a host, kept on the task that polls. */
+/* The host list covers the whole cell and changes rarely, so only changes are posted to the core.
+ * One entry per host, used only on the thread that polls. */
 typedef struct
 {
   FbCore *core;
   uint32_t rack;
   guint host;
   FbHostState state;
-} HostNews;
+} HostState;
 
 static GHashTable *
 index_hosts (FbCore *self)
@@ -323,8 +323,8 @@
       for (guint h = 0; h < rack->hosts->len; h++)
         {
           const FbCellHost *host = g_ptr_array_index (rack->hosts, h);
-          HostNews *entry = g_new (HostNews, 1);
-          *entry = (HostNews){ self, r, h, FB_HOST_LIVE };
+          HostState *entry = g_new (HostState, 1);
+          *entry = (HostState){ self, r, h, FB_HOST_LIVE };
           g_hash_table_insert (by_name, host->name, entry);
         }
     }
@@ -332,27 +332,28 @@
 }
 
 static void
-host_on_core (gpointer data)
+apply_host_on_core (gpointer data)
 {
-  HostNews *news = data;
-  fb_node_host (news->core->node, fb_loop_now_ms (), news->rack, news->host, news->state);
+  HostState *message = data;
+  fb_node_host (message->core->node, fb_loop_now_ms (), message->rack, message->host,
+                message->state);
 }
 
 static void
-tell_host (FbCore *self, const FbHostEntry *entry)
+update_host (FbCore *self, const FbHostEntry *entry)
 {
-  HostNews *known = g_hash_table_lookup (self->hosts_by_name, entry->name);
+  HostState *known = g_hash_table_lookup (self->hosts_by_name, entry->name);
   if (known == NULL || known->state == entry->state)
     return;
   known->state = entry->state;
-  fb_loop_post (self->loop, host_on_core, g_memdup2 (known, sizeof *known), g_free);
+  fb_loop_post (self->loop, apply_host_on_core, g_memdup2 (known, sizeof *known), g_free);
 }
 
 static void
 hosts_polled (gpointer user, const FbHostEntry *entries, guint n)
 {
   for (guint i = 0; i < n; i++)
-    tell_host (user, &entries[i]);
+    update_host (user, &entries[i]);
 }
 
 static void
@@ -436,49 +437,49 @@
   FbCoreQuery query;
   gpointer data;
   GDestroyNotify free;
-} Ask;
+} NodeCall;
 
 static void
-ask_free (gpointer data)
+node_call_free (gpointer data)
 {
-  Ask *ask = data;
-  if (ask->free != NULL)
-    ask->free (ask->data);
-  g_free (ask);
+  NodeCall *call = data;
+  if (call->free != NULL)
+    call->free (call->data);
+  g_free (call);
 }
 
 static void
-ask_on_core (gpointer data)
+run_node_call (gpointer data)
 {
-  Ask *ask = data;
-  if (ask->command != NULL)
-    ask->command (ask->core->node, fb_loop_now_ms (), ask->data);
+  NodeCall *call = data;
+  if (call->command != NULL)
+    call->command (call->core->node, fb_loop_now_ms (), call->data);
   else
-    ask->query (ask->core->node, ask->data);
+    call->query (call->core->node, call->data);
 }
 
 static void
-post_ask (FbCore *self, FbCoreCommand command, FbCoreQuery query, gpointer data,
-          GDestroyNotify free)
+post_node_call (FbCore *self, FbCoreCommand command, FbCoreQuery query, gpointer data,
+                GDestroyNotify free)
 {
-  Ask *ask = g_new (Ask, 1);
-  *ask = (Ask){ self, command, query, data, free };
-  fb_loop_post (self->loop, ask_on_core, ask, ask_free);
+  NodeCall *call = g_new (NodeCall, 1);
+  *call = (NodeCall){ self, command, query, data, free };
+  fb_loop_post (self->loop, run_node_call, call, node_call_free);
 }
 
 void
 fb_core_command (FbCore *self, FbCoreCommand func, gpointer data, GDestroyNotify free)
 {
-  post_ask (self, func, NULL, data, free);
+  post_node_call (self, func, NULL, data, free);
 }
 
 void
 fb_core_query (FbCore *self, FbCoreQuery func, gpointer data, GDestroyNotify free)
 {
-  post_ask (self, NULL, func, data, free);
+  post_node_call (self, NULL, func, data, free);
 }
 
-/* ---- life ------------------------------------------------------------- */
+/* ---- construction, start and stop ------------------------------------- */
 
 static void
 check_drained (FbCore *self)
@@ -496,7 +497,7 @@
 {
   FbCore *self = data;
   fb_node_advance (self->node, fb_loop_now_ms ());
-  watch_owned (self);
+  watch_owned_workers (self);
   check_drained (self);
 }
 
@@ -551,12 +552,12 @@
   uint64_t limit_ms;
   FbLoopFunc done;
   gpointer user;
-} Drain;
+} DrainRequest;
 
 static void
 drain_on_core (gpointer data)
 {
-  Drain *drain = data;
+  DrainRequest *drain = data;
   FbCore *self = drain->core;
   self->drain_until_ms = fb_loop_now_ms () + drain->limit_ms;
   self->drained = drain->done;
@@ -567,8 +568,8 @@
 void
 fb_core_drain (FbCore *self, uint64_t limit_ms, FbLoopFunc done, gpointer user)
 {
-  Drain *drain = g_new (Drain, 1);
-  *drain = (Drain){ self, limit_ms, done, user };
+  DrainRequest *drain = g_new (DrainRequest, 1);
+  *drain = (DrainRequest){ self, limit_ms, done, user };
   fb_loop_post (self->loop, drain_on_core, drain, g_free);
 }
 
--- a/src/daemon/core.h
+++ b/src/daemon/core.h
@@ -1,7 +1,7 @@
-/* The core task: owns the node and is the only one that decides.
+/* The core thread: owns the node and makes all decisions.
  *
- * Everything reaches it as a message; what it wants done goes to the tasks of
- * the log, the workers, the peers and the front as messages. */
+ * All input reaches it as messages. It posts messages to the threads of the log, the workers and
+ * the HTTP front end, and queues messages for peers. */
 #pragma once
 
 #include "fb-settings.h"
@@ -12,34 +12,35 @@
 
 typedef struct _FbCore FbCore;
 
-/* What the front wants to hear; called on the core task. */
+/* Callbacks of the HTTP front end, run on the core thread. */
 typedef struct
 {
   void (*answer) (gpointer user, const fb_answer *answer);
 } FbCoreListener;
 
-/* CELL and the services are borrowed for the life of the core. */
+/* CELL and the services are borrowed and must outlive the core. */
 FbCore *fb_core_new (const FbCell *cell, guint self_index, FbLogService *log,
                      FbWorkerService *workers, FbHostList *hosts);
-/* Ends its tasks: from then on it calls nobody, and what it is sent is kept and
- * not handled. */
+/* Joins the threads of the core. Afterwards it makes no calls, and messages posted to it are kept
+ * and never handled. */
 void fb_core_stop (FbCore *self);
 void fb_core_free (FbCore *self);
 void fb_core_set_peers (FbCore *self, FbPeers *peers);
 void fb_core_set_listener (FbCore *self, const FbCoreListener *listener, gpointer user);
-/* Begins the regular work; after the peers and the listener are set. */
+/* Starts the periodic work. To be called after the peers and the listener are set. */
 void fb_core_start (FbCore *self);
 
-/* Runs FUNC on the core task with the node: commands change it, queries do not.
- * DATA is freed with FREE. */
+/* Runs FUNC on the core thread with the node: commands change it, queries do not. DATA is freed
+ * with FREE. */
 typedef void (*FbCoreCommand) (FbNode *node, uint64_t now_ms, gpointer data);
 typedef void (*FbCoreQuery) (const FbNode *node, gpointer data);
 void fb_core_command (FbCore *self, FbCoreCommand func, gpointer data, GDestroyNotify free);
 void fb_core_query (FbCore *self, FbCoreQuery func, gpointer data, GDestroyNotify free);
 
-/* For the peers: takes MSG over.  Returns: FALSE when too much is waiting. */
+/* Called by the peers; takes ownership of MSG. Returns: FALSE when too many messages are
+ * pending. */
 gboolean fb_core_receive (gpointer core, fb_msg *msg);
 
-/* Begins a planned stop and calls DONE on the core task when nothing is owned
- * or owed any more, or after LIMIT_MS. */
+/* Starts a planned stop. Calls DONE on the core thread when this daemon owns no shard and has no
+ * work pending, or after LIMIT_MS. */
 void fb_core_drain (FbCore *self, uint64_t limit_ms, FbLoopFunc done, gpointer user);
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -56,7 +56,7 @@
   g_main_context_invoke (NULL, quit, data);
 }
 
-/* A planned stop: no new callers, shards handed over, answers given. */
+/* A planned stop: refuses new callers, hands shards over and answers open calls. */
 static gboolean
 on_stop_signal (gpointer data)
 {
@@ -70,7 +70,7 @@
   return G_SOURCE_CONTINUE;
 }
 
-/* Returns: NULL, or what differs that cannot change while the daemon runs. */
+/* Returns: the name of a changed setting that takes effect only after a restart, or NULL. */
 static const char *
 needs_restart (const Daemon *self, const FbSettings *settings, const FbCell *cell)
 {
@@ -83,7 +83,7 @@
   return NULL;
 }
 
-/* Reload: all that changed can change now, or nothing does. */
+/* A reload applies all changes, or none if one of them needs a restart. */
 static gboolean
 on_reload_signal (gpointer data)
 {
@@ -95,11 +95,11 @@
       fb_event_log (FB_EVENT_RELOAD_REFUSED, "%s", fb_status_message ());
       return G_SOURCE_CONTINUE;
     }
-  const char *fixed = needs_restart (self, settings, cell);
+  const char *restart_only = needs_restart (self, settings, cell);
   fb_cell_free (cell);
-  if (fixed != NULL)
+  if (restart_only != NULL)
     {
-      fb_event_log (FB_EVENT_RELOAD_REFUSED, "%s: needs a restart", fixed);
+      fb_event_log (FB_EVENT_RELOAD_REFUSED, "%s: needs a restart", restart_only);
       fb_settings_free (settings);
       return G_SOURCE_CONTINUE;
     }
@@ -141,9 +141,9 @@
   return EXIT_OK;
 }
 
-/* Failure: a peer's batch or an answer arrives while the parts are freed; it shows
- * as a crash at the end of a planned stop.  Guard: first the core's tasks end, so
- * that it calls nobody; then those go that call it; the core itself goes last. */
+/* Failure: a peer's batch or an answer arrives while the parts are freed, and the process crashes
+ * at the end of a planned stop. Guard: the core's threads are joined first, so that the core makes
+ * no more calls; then the parts that call the core are freed; the core is freed last. */
 static void
 stop (Daemon *self)
 {
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,4 @@
-/* The daemon: joins the tasks and runs until it is told to stop. */
+/* The daemon: starts its parts and runs until it is told to stop. */
 #pragma once
 
 /* Returns: the exit code of the process. */
--- a/src/daemon/front-commands.c
+++ b/src/daemon/front-commands.c
@@ -1,4 +1,4 @@
-/* HTTP requests that change state: requests, jobs, cancellation, configuration. */
+/* HTTP requests that change state: submission, cancellation, configuration. */
 #include "front-private.h"
 
 #include "fb-status.h"
@@ -15,8 +15,8 @@
   char *key;
   GBytes *payload;
   guint64 tasks;
-  guint64 deadline_ms; /* 0: that of the class */
-  guint64 run_ms;      /* 0: that of the class */
+  guint64 deadline_ms; /* 0: the default of the class */
+  guint64 run_ms;      /* 0: the default of the class */
 } Submit;
 
 static void
@@ -31,8 +31,8 @@
 
 /* ---- requests and jobs ------------------------------------------------ */
 
-/* A key makes the same id wherever it arrives, so that the owner of its range
- * sees every copy; without one the id is random. */
+/* The same key gives the same id on every daemon, so that the owner of the job's range sees every
+ * duplicate. Without a key the id is random. */
 static uint64_t
 job_id (const Submit *submit, uint32_t partner)
 {
@@ -52,7 +52,7 @@
   job->team = fb_team_id (class->team);
   job->kind = class->kind;
   job->flags = class->flags;
-  /* Nothing is kept of a request without a key: only its caller could ask. */
+  /* A request without a key is not recorded: nobody but its caller could ask for it again. */
   if (submit->mode == FB_CALL_REQUEST && submit->key == NULL)
     job->flags |= FB_FLAG_EPHEMERAL;
   job->count = (uint32_t) submit->tasks;
@@ -142,18 +142,18 @@
 static void
 cancel_on_core (FbNode *node, uint64_t now_ms, gpointer data)
 {
-  const FbFrontAsk *word = data;
-  if (!fb_node_cancel (node, now_ms, word->front->partner, word->job))
-    fb_front_post_error (word->front, word->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
+  const FbFrontRequest *command = data;
+  if (!fb_node_cancel (node, now_ms, command->front->partner, command->job))
+    fb_front_post_error (command->front, command->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
                          "the range of this job has no owner now");
 }
 
 static void
 cancel (FbFront *self, SoupServerMessage *message, const char *text)
 {
-  FbCall *call = fb_front_job_call_new (self, message, FB_CALL_ASK, text);
+  FbCall *call = fb_front_job_call_new (self, message, FB_CALL_JOB_QUERY, text);
   if (call != NULL)
-    fb_core_command (self->core, cancel_on_core, fb_front_ask_new (call), g_free);
+    fb_core_command (self->core, cancel_on_core, fb_front_request_new (call), g_free);
 }
 
 /* ---- configuration ---------------------------------------------------- */
@@ -189,7 +189,7 @@
     }
 }
 
-/* The body is an encoded record that holds the signed revision. */
+/* The body is an encoded record with the signed revision. */
 static void
 publish_on_core (FbNode *node, uint64_t now_ms, gpointer data)
 {
--- a/src/daemon/front-private.h
+++ b/src/daemon/front-private.h
@@ -1,4 +1,4 @@
-/* Parts of the front that its files share. */
+/* Declarations shared by the files of the HTTP front end. */
 #pragma once
 
 #include "front.h"
@@ -13,14 +13,14 @@
 
 typedef enum
 {
-  FB_CALL_REQUEST, /* answered with the final answer of its job */
-  FB_CALL_JOB,     /* answered when its job is in force */
-  FB_CALL_ASK,     /* answered with whatever is known */
-  FB_CALL_PLAIN    /* a query, answered once */
+  FB_CALL_REQUEST,   /* answered with the final outcome of its job */
+  FB_CALL_JOB,       /* answered when its job is admitted */
+  FB_CALL_JOB_QUERY, /* answered with the current state of its job */
+  FB_CALL_PLAIN      /* a query without a job */
 } FbCallMode;
 
-/* One HTTP request.  It is the arena (talloc) of all that it needs, and lives
- * on the front task until it is answered. */
+/* One HTTP request. It is the talloc context of what it needs, and lives on the front thread until
+ * it is answered. */
 typedef struct
 {
   FbFront *front;
@@ -32,13 +32,13 @@
   uint64_t since_ms;
 } FbCall;
 
-/* What a question or a word about a job takes along to the core task. */
+/* Data of a query or command that is posted to the core thread. */
 typedef struct
 {
   FbFront *front;
   guint64 call_id;
-  uint64_t job; /* 0: about no job */
-} FbFrontAsk;
+  uint64_t job; /* 0: not about a job */
+} FbFrontRequest;
 
 struct _FbFront
 {
@@ -51,31 +51,33 @@
   gboolean closed;
   gint64 started_us;
   guint64 last_id;
-  GHashTable *calls; /* &id -> FbCall owned */
+  GHashTable *calls; /* &FbCall.id -> FbCall, owned */
 };
 
 /* front.c */
 FbCall *fb_front_call_new (FbFront *self, SoupServerMessage *message, FbCallMode mode);
-/* The same for the job that TEXT names; NULL when it was refused. */
+/* The same for the job whose id is TEXT; NULL when TEXT is malformed, after a reply with the
+ * error. */
 FbCall *fb_front_job_call_new (FbFront *self, SoupServerMessage *message, FbCallMode mode,
                                const char *text);
-/* Returns: (transfer full): freed with g_free(). */
-FbFrontAsk *fb_front_ask_new (const FbCall *call);
-/* Returns: (transfer full): the text of BODY, which is taken over. */
+/* Returns: (transfer full): to be freed with g_free(). */
+FbFrontRequest *fb_front_request_new (const FbCall *call);
+/* Returns: (transfer full): the text of BODY, which is unreferenced. */
 char *fb_front_json_text (JsonBuilder *body);
 /* Answers and frees the call. */
 void fb_front_respond (FbCall *call, guint status, const char *type, const char *body, gsize len);
 void fb_front_respond_json (FbCall *call, guint status, JsonBuilder *body);
 void fb_front_refuse (FbCall *call, guint status, const char *reason);
 
-/* From the core task: these reach the call on the front task, if it is still
- * there.  TEXT is taken over. */
+/* Called on the core thread: they reach the call on the front thread if it is still open. TEXT is
+ * freed. */
 void fb_front_post_text (FbFront *self, guint64 call_id, guint status, const char *type,
                          char *text);
 void fb_front_post_error (FbFront *self, guint64 call_id, guint status, const char *reason);
 void fb_front_post_job (FbFront *self, guint64 call_id, uint64_t job);
 
-/* front-commands.c, front-queries.c: TRUE when they took the request. */
+/* front-commands.c, front-queries.c. Return: TRUE when PATH is theirs and the request was
+ * handled. */
 gboolean fb_front_command (FbFront *self, SoupServerMessage *message, const char *path,
                            GHashTable *query);
 gboolean fb_front_query (FbFront *self, SoupServerMessage *message, const char *path);
--- a/src/daemon/front-queries.c
+++ b/src/daemon/front-queries.c
@@ -1,4 +1,4 @@
-/* HTTP requests that read state: jobs, status, configuration, counters. */
+/* HTTP requests that read state: jobs, status, configuration, metrics. */
 #include "front-private.h"
 
 #include "fb-counter.h"
@@ -12,49 +12,52 @@
 /* ---- jobs ------------------------------------------------------------- */
 
 static void
-ask_on_core (FbNode *node, uint64_t now_ms, gpointer data)
+query_job_on_core (FbNode *node, uint64_t now_ms, gpointer data)
 {
-  const FbFrontAsk *ask = data;
-  if (!fb_node_ask (node, now_ms, ask->front->partner, ask->job))
-    fb_front_post_error (ask->front, ask->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
+  const FbFrontRequest *request = data;
+  if (!fb_node_ask (node, now_ms, request->front->partner, request->job))
+    fb_front_post_error (request->front, request->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
                          "the range of this job has no owner now");
 }
 
 static void
 explain_on_core (const FbNode *node, gpointer data)
 {
-  const FbFrontAsk *ask = data;
-  char *text = fb_node_explain (node, ask->job);
+  const FbFrontRequest *request = data;
+  char *text = fb_node_explain (node, request->job);
   if (text != NULL)
     {
-      fb_front_post_text (ask->front, ask->call_id, SOUP_STATUS_OK, "text/plain", text);
+      fb_front_post_text (request->front, request->call_id, SOUP_STATUS_OK, "text/plain", text);
       return;
     }
-  uint32_t range = fb_cell_range_of_job (ask->front->cell, ask->front->partner, ask->job);
+  uint32_t range
+      = fb_cell_range_of_job (request->front->cell, request->front->partner, request->job);
   int owner = fb_node_owner_of (node, range);
-  const FbCellMember *member = owner >= 0 ? fb_cell_member (ask->front->cell, (guint) owner) : NULL;
-  if (member == NULL || (guint) owner == ask->front->self_index)
-    fb_front_post_text (ask->front, ask->call_id, SOUP_STATUS_NOT_FOUND, "text/plain",
+  const FbCellMember *member
+      = owner >= 0 ? fb_cell_member (request->front->cell, (guint) owner) : NULL;
+  if (member == NULL || (guint) owner == request->front->self_index)
+    fb_front_post_text (request->front, request->call_id, SOUP_STATUS_NOT_FOUND, "text/plain",
                         g_strdup ("no such job, or its range has no owner now\n"));
   else
     fb_front_post_text (
-        ask->front, ask->call_id, SOUP_STATUS_MISDIRECTED_REQUEST, "text/plain",
+        request->front, request->call_id, SOUP_STATUS_MISDIRECTED_REQUEST, "text/plain",
         g_strdup_printf ("%s %s:%u\n", member->name, member->host, member->http_port));
 }
 
 static void
-ask_job (FbFront *self, SoupServerMessage *message, const char *text, gboolean explain)
+query_job (FbFront *self, SoupServerMessage *message, const char *text, gboolean explain)
 {
-  FbCall *call = fb_front_job_call_new (self, message, explain ? FB_CALL_PLAIN : FB_CALL_ASK, text);
+  FbCall *call
+      = fb_front_job_call_new (self, message, explain ? FB_CALL_PLAIN : FB_CALL_JOB_QUERY, text);
   if (call == NULL)
     return;
-  FbFrontAsk *ask = fb_front_ask_new (call);
+  FbFrontRequest *request = fb_front_request_new (call);
   if (explain)
-    fb_core_query (self->core, explain_on_core, ask, g_free);
+    fb_core_query (self->core, explain_on_core, request, g_free);
   else
-    /* A question to the owner of the range: it changes nothing here, but needs
-     * the node's links. */
-    fb_core_command (self->core, ask_on_core, ask, g_free);
+    /* The query is sent to the owner of the range: it changes nothing here, but needs the node's
+     * links to send it. */
+    fb_core_command (self->core, query_job_on_core, request, g_free);
 }
 
 /* ---- status ----------------------------------------------------------- */
@@ -137,8 +140,8 @@
 static void
 status_on_core (const FbNode *node, gpointer data)
 {
-  const FbFrontAsk *ask = data;
-  const FbFront *front = ask->front;
+  const FbFrontRequest *request = data;
+  const FbFront *front = request->front;
   JsonBuilder *out = json_builder_new ();
   json_builder_begin_object (out);
   add_text (out, "name", fb_cell_member (front->cell, front->self_index)->name);
@@ -148,7 +151,7 @@
   add_members (out, front, node);
   add_shards (out, front, node);
   json_builder_end_object (out);
-  fb_front_post_text (ask->front, ask->call_id, SOUP_STATUS_OK, "application/json",
+  fb_front_post_text (request->front, request->call_id, SOUP_STATUS_OK, "application/json",
                       fb_front_json_text (out));
 }
 
@@ -178,14 +181,14 @@
 static void
 config_on_core (const FbNode *node, gpointer data)
 {
-  const FbFrontAsk *ask = data;
-  uint32_t partner = ask->front->partner;
+  const FbFrontRequest *request = data;
+  uint32_t partner = request->front->partner;
   JsonBuilder *out = json_builder_new ();
   json_builder_begin_object (out);
   add_number (out, "serial", fb_node_config_serial (node, partner));
   add_files (out, fb_node_config_revision (node, partner));
   json_builder_end_object (out);
-  fb_front_post_text (ask->front, ask->call_id, SOUP_STATUS_OK, "application/json",
+  fb_front_post_text (request->front, request->call_id, SOUP_STATUS_OK, "application/json",
                       fb_front_json_text (out));
 }
 
@@ -193,10 +196,10 @@
 query_core (FbFront *self, SoupServerMessage *message, FbCoreQuery func)
 {
   FbCall *call = fb_front_call_new (self, message, FB_CALL_PLAIN);
-  fb_core_query (self->core, func, fb_front_ask_new (call), g_free);
+  fb_core_query (self->core, func, fb_front_request_new (call), g_free);
 }
 
-/* What the process costs: usual names, read from the kernel. */
+/* Resource usage of the process under the customary metric names, read from the kernel. */
 static char *
 process_metrics (gint64 started_us)
 {
@@ -236,9 +239,9 @@
 fb_front_query (FbFront *self, SoupServerMessage *message, const char *path)
 {
   if (g_str_has_prefix (path, "/v1/jobs/"))
-    ask_job (self, message, path + strlen ("/v1/jobs/"), FALSE);
+    query_job (self, message, path + strlen ("/v1/jobs/"), FALSE);
   else if (g_str_has_prefix (path, "/v1/explain/"))
-    ask_job (self, message, path + strlen ("/v1/explain/"), TRUE);
+    query_job (self, message, path + strlen ("/v1/explain/"), TRUE);
   else if (g_str_equal (path, "/v1/status"))
     query_core (self, message, status_on_core);
   else if (g_str_equal (path, "/v1/config"))
--- a/src/daemon/front.c
+++ b/src/daemon/front.c
@@ -5,8 +5,8 @@
 
 #include <string.h>
 
-#define SWEEP_MS 500
-#define ASK_LIMIT_MS 3000
+#define EXPIRY_PERIOD_MS 500
+#define QUERY_TIMEOUT_MS 3000
 
 /* ---- calls ------------------------------------------------------------ */
 
@@ -19,7 +19,7 @@
   talloc_free (call);
 }
 
-/* The caller hung up: its job goes on, nobody waits for the answer here. */
+/* The caller closed the connection: its job goes on without a caller to answer. */
 static void
 on_disconnected (SoupServerMessage *message, gpointer data)
 {
@@ -110,18 +110,18 @@
   return call;
 }
 
-FbFrontAsk *
-fb_front_ask_new (const FbCall *call)
+FbFrontRequest *
+fb_front_request_new (const FbCall *call)
 {
-  FbFrontAsk *ask = g_new (FbFrontAsk, 1);
-  *ask = (FbFrontAsk){ call->front, call->id, call->job };
-  return ask;
+  FbFrontRequest *request = g_new (FbFrontRequest, 1);
+  *request = (FbFrontRequest){ call->front, call->id, call->job };
+  return request;
 }
 
 /* ---- answers ---------------------------------------------------------- */
 
 static guint
-status_of (const fb_answer *answer)
+http_status_of (const fb_answer *answer)
 {
   switch ((FbOutcome) answer->outcome)
     {
@@ -189,38 +189,38 @@
   if (call->mode == FB_CALL_REQUEST && !final)
     return;
   add_answer_headers (call, answer);
-  gboolean whole = call->mode == FB_CALL_REQUEST && answer->outcome <= FB_OUTCOME_FAILED;
-  if (whole)
-    fb_front_respond (call, status_of (answer), "application/octet-stream", answer->body.body_val,
-                      answer->body.body_len);
+  gboolean send_body = call->mode == FB_CALL_REQUEST && answer->outcome <= FB_OUTCOME_FAILED;
+  if (send_body)
+    fb_front_respond (call, http_status_of (answer), "application/octet-stream",
+                      answer->body.body_val, answer->body.body_len);
   else
-    fb_front_respond_json (call, status_of (answer), answer_json (answer));
+    fb_front_respond_json (call, http_status_of (answer), answer_json (answer));
 }
 
 typedef struct
 {
   FbFront *front;
   fb_answer answer;
-} AnswerNews;
+} AnswerMessage;
 
 static void
-answer_news_free (gpointer data)
+answer_message_free (gpointer data)
 {
-  AnswerNews *news = data;
-  g_free (news->answer.body.body_val);
-  g_free (news);
+  AnswerMessage *message = data;
+  g_free (message->answer.body.body_val);
+  g_free (message);
 }
 
 static void
-answer_on_front (gpointer data)
+answer_calls_on_front (gpointer data)
 {
-  AnswerNews *news = data;
-  g_autoptr (GList) calls = g_hash_table_get_values (news->front->calls);
+  AnswerMessage *message = data;
+  g_autoptr (GList) calls = g_hash_table_get_values (message->front->calls);
   for (GList *link = calls; link != NULL; link = link->next)
     {
       FbCall *call = link->data;
-      if (call->job == news->answer.job && call->mode != FB_CALL_PLAIN)
-        answer_call (call, &news->answer);
+      if (call->job == message->answer.job && call->mode != FB_CALL_PLAIN)
+        answer_call (call, &message->answer);
     }
 }
 
@@ -228,11 +228,11 @@
 on_core_answer (gpointer user, const fb_answer *answer)
 {
   FbFront *self = user;
-  AnswerNews *news = g_new (AnswerNews, 1);
-  news->front = self;
-  news->answer = *answer;
-  news->answer.body.body_val = g_memdup2 (answer->body.body_val, answer->body.body_len);
-  fb_loop_post (self->loop, answer_on_front, news, answer_news_free);
+  AnswerMessage *message = g_new (AnswerMessage, 1);
+  message->front = self;
+  message->answer = *answer;
+  message->answer.body.body_val = g_memdup2 (answer->body.body_val, answer->body.body_len);
+  fb_loop_post (self->loop, answer_calls_on_front, message, answer_message_free);
 }
 
 static const FbCoreListener core_listener = { on_core_answer };
@@ -245,35 +245,35 @@
   guint status;
   const char *type;
   char *text;
-} CallNews;
+} CallMessage;
 
 static void
-call_news_free (gpointer data)
+call_message_free (gpointer data)
 {
-  CallNews *news = data;
-  g_free (news->text);
-  g_free (news);
+  CallMessage *message = data;
+  g_free (message->text);
+  g_free (message);
 }
 
 static void
-call_news_on_front (gpointer data)
+update_call_on_front (gpointer data)
 {
-  CallNews *news = data;
-  FbCall *call = g_hash_table_lookup (news->front->calls, &news->call_id);
+  CallMessage *message = data;
+  FbCall *call = g_hash_table_lookup (message->front->calls, &message->call_id);
   if (call == NULL)
     return;
-  if (news->text != NULL)
-    fb_front_respond (call, news->status, news->type, news->text, strlen (news->text));
+  if (message->text != NULL)
+    fb_front_respond (call, message->status, message->type, message->text, strlen (message->text));
   else
-    call->job = news->job;
+    call->job = message->job;
 }
 
 void
 fb_front_post_text (FbFront *self, guint64 call_id, guint status, const char *type, char *text)
 {
-  CallNews *news = g_new0 (CallNews, 1);
-  *news = (CallNews){ self, call_id, 0, status, type, text };
-  fb_loop_post (self->loop, call_news_on_front, news, call_news_free);
+  CallMessage *message = g_new0 (CallMessage, 1);
+  *message = (CallMessage){ self, call_id, 0, status, type, text };
+  fb_loop_post (self->loop, update_call_on_front, message, call_message_free);
 }
 
 void
@@ -286,15 +286,15 @@
 void
 fb_front_post_job (FbFront *self, guint64 call_id, uint64_t job)
 {
-  CallNews *news = g_new0 (CallNews, 1);
-  *news = (CallNews){ self, call_id, job, 0, NULL, NULL };
-  fb_loop_post (self->loop, call_news_on_front, news, call_news_free);
+  CallMessage *message = g_new0 (CallMessage, 1);
+  *message = (CallMessage){ self, call_id, job, 0, NULL, NULL };
+  fb_loop_post (self->loop, update_call_on_front, message, call_message_free);
 }
 
 /* ---- requests --------------------------------------------------------- */
 
-/* Limits are checked before the body is read.  A body without a length would
- * have to be read to know its size, so it is refused. */
+/* Limits are checked before the body is read. A chunked body is refused, because its size is not
+ * known before it is read. */
 static void
 on_early (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
           gpointer data)
@@ -319,24 +319,24 @@
   if (soup_server_message_get_status (message) != 0)
     return;
   const char *method = soup_server_message_get_method (message);
-  gboolean reads = g_str_equal (method, "GET");
-  gboolean taken = reads ? fb_front_query (self, message, path)
-                         : fb_front_command (self, message, path, query);
-  if (!taken)
+  gboolean is_query = g_str_equal (method, "GET");
+  gboolean handled = is_query ? fb_front_query (self, message, path)
+                              : fb_front_command (self, message, path, query);
+  if (!handled)
     fb_front_refuse (fb_front_call_new (self, message, FB_CALL_PLAIN), SOUP_STATUS_NOT_FOUND,
                      "no such path or method; see docs/HTTP.md");
 }
 
-/* A question whose answer was lost is not left hanging. */
+/* Fails job queries whose answer was lost after QUERY_TIMEOUT_MS. */
 static void
-sweep (gpointer data)
+expire_queries (gpointer data)
 {
   FbFront *self = data;
   g_autoptr (GList) calls = g_hash_table_get_values (self->calls);
   for (GList *link = calls; link != NULL; link = link->next)
     {
       FbCall *call = link->data;
-      if (call->mode == FB_CALL_ASK && fb_loop_now_ms () - call->since_ms >= ASK_LIMIT_MS)
+      if (call->mode == FB_CALL_JOB_QUERY && fb_loop_now_ms () - call->since_ms >= QUERY_TIMEOUT_MS)
         fb_front_refuse (call, SOUP_STATUS_SERVICE_UNAVAILABLE,
                          "the owner of this job's range did not answer");
     }
@@ -365,7 +365,7 @@
       return FB_FRONT_ADDRESS_IN_USE;
     }
   fb_core_set_listener (core, &core_listener, self);
-  fb_loop_every (loop, SWEEP_MS, sweep, self);
+  fb_loop_every (loop, EXPIRY_PERIOD_MS, expire_queries, self);
   *front = self;
   return FB_FRONT_OK;
 }
--- a/src/daemon/host-list-http.c
+++ b/src/daemon/host-list-http.c
@@ -1,4 +1,4 @@
-/* The host list over HTTP and JSON: see docs/PLATFORM.md. */
+/* Adapter for the host list over HTTP and JSON; see docs/PLATFORM.md. */
 #include "platform.h"
 #include "src/net/http-client.h"
 
--- a/src/daemon/log-http.c
+++ b/src/daemon/log-http.c
@@ -1,4 +1,4 @@
-/* The log over HTTP and JSON: see docs/PLATFORM.md. */
+/* Adapter for the log service over HTTP and JSON; see docs/PLATFORM.md. */
 #include "platform.h"
 #include "src/net/http-client.h"
 
--- a/src/daemon/peer-link.c
+++ b/src/daemon/peer-link.c
@@ -1,10 +1,9 @@
 /* The link to one peer: a queue, a thread and one connection.
  *
- * Failure: the connection goes silent for good (something between has lost
- * track of it) while new ones would work.  It shows as calls without replies.
- * Guard: each call has a time limit, after which the connection is closed and
- * the next batch opens another; heartbeats see to it that there is a batch every
- * second. */
+ * Failure: a connection stops passing data while new ones would work, for example because a
+ * firewall between the hosts has lost its state; calls get no replies. Guard: each call has a time
+ * limit, after which the connection is closed and the next batch opens another one. Heartbeats make
+ * sure that there is a batch every second. */
 #include "peers-private.h"
 
 #include "fb-counter.h"
@@ -29,16 +28,16 @@
 {
   const FbCellMember *member;
   const uint8_t *key;
-  GAsyncQueue *queue; /* GBytes, or STOP */
+  GAsyncQueue *queue; /* of GBytes; STOP_MARKER ends the thread */
   GThread *thread;
   CLIENT *client;
 };
 
-static const char stop_mark[1];
-#define STOP ((gpointer) stop_mark)
+static const char stop_marker[1];
+#define STOP_MARKER ((gpointer) stop_marker)
 
 static gboolean
-wait_connected (int fd)
+wait_until_connected (int fd)
 {
   struct pollfd poll_fd = { .fd = fd, .events = POLLOUT };
   int error = 0;
@@ -48,12 +47,12 @@
 }
 
 static gboolean
-connect_in_time (int fd, const struct sockaddr_in *address)
+connect_with_timeout (int fd, const struct sockaddr_in *address)
 {
   int flags = fcntl (fd, F_GETFL, 0);
   fcntl (fd, F_SETFL, flags | O_NONBLOCK);
   gboolean ok = connect (fd, (const struct sockaddr *) address, sizeof *address) == 0
-                || (errno == EINPROGRESS && wait_connected (fd));
+                || (errno == EINPROGRESS && wait_until_connected (fd));
   fcntl (fd, F_SETFL, flags);
   return ok;
 }
@@ -72,7 +71,7 @@
   struct timeval limit = { .tv_sec = CALL_TIMEOUT_S };
   setsockopt (fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
   setsockopt (fd, SOL_SOCKET, SO_SNDTIMEO, &limit, sizeof limit);
-  if (connect_in_time (fd, &address))
+  if (connect_with_timeout (fd, &address))
     {
       struct netbuf peer = { .maxlen = sizeof address, .len = sizeof address, .buf = &address };
       self->client = clnt_vc_create (fd, &peer, FB_PEER_PROGRAM, FB_PEER_VERSION, 0, 0);
@@ -95,7 +94,7 @@
 }
 
 static void
-deliver (FbPeerLink *self, GByteArray *messages)
+send_batch (FbPeerLink *self, GByteArray *messages)
 {
   if (self->client == NULL && !open_client (self))
     {
@@ -121,12 +120,13 @@
                   self->member->name, (int) receipt);
 }
 
-/* Returns: FALSE when the link is to stop. */
+/* Appends queued messages to MESSAGES, waiting for the first. Returns: FALSE when the link is to
+ * stop. */
 static gboolean
-gather (FbPeerLink *self, GByteArray *messages)
+collect_batch (FbPeerLink *self, GByteArray *messages)
 {
   gpointer item = g_async_queue_pop (self->queue);
-  while (item != NULL && item != STOP)
+  while (item != NULL && item != STOP_MARKER)
     {
       GBytes *bytes = item;
       gsize len = 0;
@@ -137,20 +137,20 @@
         return TRUE;
       item = g_async_queue_try_pop (self->queue);
     }
-  return item != STOP;
+  return item != STOP_MARKER;
 }
 
 static gpointer
 link_main (gpointer data)
 {
   FbPeerLink *self = data;
-  gboolean going_on = TRUE;
-  while (going_on)
+  gboolean running = TRUE;
+  while (running)
     {
       g_autoptr (GByteArray) messages = g_byte_array_new ();
-      going_on = gather (self, messages);
+      running = collect_batch (self, messages);
       if (messages->len > 0)
-        deliver (self, messages);
+        send_batch (self, messages);
     }
   close_client (self);
   return NULL;
@@ -170,12 +170,12 @@
 void
 fb_peer_link_free (FbPeerLink *self)
 {
-  g_async_queue_push (self->queue, STOP);
+  g_async_queue_push (self->queue, STOP_MARKER);
   g_thread_join (self->thread);
   gpointer item;
   while ((item = g_async_queue_try_pop (self->queue)) != NULL)
     {
-      if (item != STOP)
+      if (item != STOP_MARKER)
         g_bytes_unref (item);
     }
   g_async_queue_unref (self->queue);
--- a/src/daemon/peers-private.h
+++ b/src/daemon/peers-private.h
@@ -1,4 +1,4 @@
-/* Parts of the peers that both directions use. */
+/* Declarations shared by the outgoing and the incoming side of the peers. */
 #pragma once
 
 #include "peers.h"
--- a/src/daemon/peers.h
+++ b/src/daemon/peers.h
@@ -1,16 +1,16 @@
 /* Batches of messages to and from peers over ONC RPC.
  *
- * Outwards each peer has a task of its own with a bounded queue; a blocked or
- * silent peer holds up nobody else.  Inwards one task serves all connections.
- * A batch that fails is dropped: the decisions ask again, links do not. */
+ * Each peer has a sender thread with a bounded queue, so that a blocked or silent peer delays no
+ * other. One thread serves all incoming connections. A batch that fails is dropped: links do not
+ * retry, the decision logic repeats its requests. */
 #pragma once
 
 #include "fb-cell.h"
 
 typedef struct _FbPeers FbPeers;
 
-/* Called on the serving task with one decoded message; takes MSG over, to be
- * cleared and freed.  Returns: FALSE when the receiver is too busy. */
+/* Called on the server thread with one decoded message; takes ownership of MSG, to be cleared and
+ * freed. Returns: FALSE when the receiver is too busy. */
 typedef gboolean (*FbPeersReceive) (gpointer user, fb_msg *msg);
 
 typedef enum
@@ -20,11 +20,11 @@
   FB_PEERS_RPC_FAILED
 } FbPeersStatus;
 
-/* Listens for SELF_INDEX of CELL (borrowed) and opens links as needed.  One in
- * each process, since the RPC library's server is. */
+/* Listens on the RPC address of member SELF_INDEX of CELL (borrowed) and starts the links to the
+ * other members. At most one per process, because the server state of the RPC library is global. */
 FbPeersStatus fb_peers_new (const FbCell *cell, guint self_index, FbPeersReceive receive,
                             gpointer user, FbPeers **peers);
 void fb_peers_free (FbPeers *self);
 
-/* Queues MSG for MEMBER, or drops it when its queue is full.  Any thread. */
+/* Queues MSG for MEMBER, or drops it when the queue is full. May be called on any thread. */
 void fb_peers_send (FbPeers *self, guint member, const fb_msg *msg);
--- a/src/daemon/platform.h
+++ b/src/daemon/platform.h
@@ -1,8 +1,7 @@
-/* The platform as the daemon sees it: tables of functions.
+/* The platform's services as tables of functions.
  *
- * The real interfaces are learnt later; an adapter fills these tables and
- * nothing outside it knows a URL.  Each service belongs to one task, and calls
- * back on it, never from inside the call. */
+ * Adapters implement these tables, and only they know URLs and encodings. Each service belongs to
+ * one thread and calls back on that thread, never from inside a call. */
 #pragma once
 
 #include "internal/node.h"
@@ -11,10 +10,9 @@
 
 typedef struct _FbLogService FbLogService;
 
-/* OFFSETS has N entries, or is NULL when the call failed or its fate is not
- * known. */
+/* OFFSETS has N entries. It is NULL when the call failed or its outcome is unknown. */
 typedef void (*FbLogAppendDone) (gpointer user, const uint64_t *offsets, guint n);
-/* PAGE is borrowed, NULL when the call failed. */
+/* PAGE is borrowed. It is NULL when the call failed. */
 typedef void (*FbLogReadDone) (gpointer user, const FbLogPage *page);
 
 typedef struct
@@ -35,7 +33,7 @@
 
 typedef struct _FbWorkerService FbWorkerService;
 
-/* REPLY is borrowed, NULL when the exchange failed. */
+/* REPLY is borrowed. It is NULL when the exchange failed. */
 typedef void (*FbWorkerExchangeDone) (gpointer user, const FbSyncReply *reply);
 typedef void (*FbWorkerWatchDone) (gpointer user, gboolean ok, uint64_t version);
 
@@ -44,8 +42,8 @@
   /* Sends one exchange to the worker at ADDRESS. */
   void (*exchange) (FbWorkerService *self, const char *address, const FbSyncRequest *request,
                     FbWorkerExchangeDone done, gpointer user);
-  /* Waits until a run has ended since VERSION; NULL for a worker that cannot:
-   * then only the regular exchanges tell. */
+  /* Waits until a run has ended since VERSION. NULL when workers do not support this: then ends are
+   * seen only in the periodic exchanges. */
   void (*watch) (FbWorkerService *self, const char *address, uint64_t version,
                  FbWorkerWatchDone done, gpointer user);
   void (*free) (FbWorkerService *self);
@@ -65,7 +63,7 @@
   const char *name;
   FbHostState state;
 } FbHostEntry;
-/* ENTRIES is borrowed, NULL when the call failed. */
+/* ENTRIES is borrowed. It is NULL when the call failed. */
 typedef void (*FbHostListDone) (gpointer user, const FbHostEntry *entries, guint n);
 
 typedef struct
@@ -79,7 +77,7 @@
   const FbHostListOps *ops;
 };
 
-/* Adapters for the HTTP and JSON interfaces of the stand-ins. */
+/* Adapters for the HTTP and JSON interfaces of the test servers in standins/. */
 FbLogService *fb_log_http_new (const char *url);
 FbWorkerService *fb_worker_http_new (void);
 FbHostList *fb_host_list_http_new (const char *url);
--- a/src/daemon/worker-http.c
+++ b/src/daemon/worker-http.c
@@ -1,4 +1,4 @@
-/* Workers over HTTP and JSON: see docs/PLATFORM.md. */
+/* Adapter for workers over HTTP and JSON; see docs/PLATFORM.md. */
 #include "platform.h"
 #include "src/net/http-client.h"
 #include "worker-json.h"
--- a/src/daemon/worker-json.c
+++ b/src/daemon/worker-json.c
@@ -42,7 +42,7 @@
   fb_json_add_string (out, "run", text);
 }
 
-/* The specification without its payload, as bytes that only daemons read. */
+/* The specification without its payload, as XDR bytes that only daemons interpret. */
 static char *
 format_tag (const fb_spec *spec)
 {
--- a/src/daemon/worker-json.h
+++ b/src/daemon/worker-json.h
@@ -1,27 +1,29 @@
-/* The exchange with a worker as JSON; used by the daemon and by the stand-in.
+/* JSON encoding of the exchange with a worker, used by the daemon and by the test worker in
+ * standins/.
  *
- * What a worker has to know of a run stands in plain members; the rest of its
- * specification travels as an opaque "tag" that the worker gives back. */
+ * The parts of a run's specification that a worker needs are plain members. The rest is an opaque
+ * "tag" that the worker returns unchanged. */
 #pragma once
 
 #include "internal/rack.h"
 
 #include <json-glib/json-glib.h>
 
-/* Returns: (transfer full): REQUEST as one object. */
+/* Returns: (transfer full): REQUEST as a JSON object. */
 JsonBuilder *fb_worker_json_request (const FbSyncRequest *request);
 
 typedef struct
 {
   FbSyncReply reply;
-  GArray *runs;       /* FbSyncRun */
-  GPtrArray *answers; /* owned texts */
+  GArray *runs;       /* of FbSyncRun */
+  GPtrArray *answers; /* decoded answers, owned */
 } FbWorkerJsonReply;
 
-/* Returns: FALSE when ROOT is not a reply.  On TRUE, OUT is to be cleared. */
+/* Returns: FALSE when ROOT is not a reply. On TRUE, OUT is released with
+ * fb_worker_json_clear_reply(). */
 gboolean fb_worker_json_parse_reply (JsonObject *root, FbWorkerJsonReply *out);
 void fb_worker_json_clear_reply (FbWorkerJsonReply *out);
 
-/* "job/index/attempt" with the job in hexadecimal. */
+/* Format: "job/index/attempt", with the job in hexadecimal. */
 char *fb_worker_json_format_run (const fb_run *run);
 gboolean fb_worker_json_parse_run (const char *text, fb_run *run);
--- a/src/net/http-client.c
+++ b/src/net/http-client.c
@@ -1,15 +1,14 @@
-/* HTTP calls by libcurl's multi interface, on the main loop of the task.
+/* HTTP client on libcurl's multi interface, run by the GLib main loop of the calling thread.
  *
- * libcurl reports its sockets to one epoll descriptor, which is the only thing that
- * the main loop watches.  A client that gives the main loop a source for each of its
- * connections lets every turn of the loop visit all of them: with a hundred
- * connections at 500 calls a second that was two fifths of a daemon's processor
- * time (perf, 35 workers on loopback).
+ * libcurl's sockets are registered with one epoll descriptor, which is all that the main loop
+ * polls. With one GSource per connection every iteration of the loop visits all of them: with a
+ * hundred connections at 500 calls a second, that was two fifths of a daemon's processor time
+ * (perf, 35 workers on loopback).
  *
- * Failure: a connection goes silent for good while new ones work.  It shows as
- * calls that never end.  Guard: every call has a time limit of its own; when it
- * passes, its connection is closed and the next call opens another.  What the call
- * did is not concluded from silence: callers repeat it under the same number. */
+ * Failure: a connection stops passing data while new ones work; its calls never end. Guard: every
+ * call has its own time limit, after which its connection is closed and the next call opens another
+ * one. A timeout does not tell whether the call was carried out: callers repeat it under the same
+ * number. */
 #include "http-client.h"
 
 #include "json.h"
@@ -22,13 +21,13 @@
 #include <unistd.h>
 
 #define ANSWER_MAX_BYTES (8 * 1024 * 1024)
-/* Idle connections that are kept for reuse, over all hosts. */
-#define IDLE_CONNECTIONS 512
-/* Handles of ended calls that are kept for the next ones. */
-#define SPARE_HANDLES 64
-#define EVENTS_AT_ONCE 64
-/* Of the above in one turn: other sources have their turn then. */
-#define READS_PER_TURN 8
+/* Idle connections kept for reuse, over all hosts. */
+#define IDLE_CONNECTIONS_MAX 512
+/* Handles of finished calls kept for reuse. */
+#define SPARE_HANDLES_MAX 64
+#define EPOLL_BATCH 64
+/* Batches of EPOLL_BATCH events handled per iteration, before other sources are dispatched. */
+#define BATCHES_PER_ITERATION 8
 
 typedef struct
 {
@@ -38,11 +37,11 @@
 
 struct _FbHttpClient
 {
-  CURLM *multi; /* made by the first call, on the task that owns it */
-  int epoll;
-  GSource *source;     /* watches the epoll descriptor and libcurl's next time limit */
-  GPtrArray *spare;    /* of CURL */
-  GHashTable *watched; /* open calls that are given up after a silence */
+  CURLM *multi; /* created by the first call, on the thread that owns the client */
+  int epoll_fd;
+  GSource *source;          /* polls the epoll descriptor and holds libcurl's next timeout */
+  GPtrArray *spare_handles; /* of CURL *, for reuse */
+  GHashTable *idle_timed;   /* Call: open calls with an idle timeout */
 };
 
 typedef struct
@@ -56,19 +55,19 @@
   FbHttpClient *client;
   FbTraffic traffic;
   guint copies;
-  uint64_t until_ms; /* its time limit, by a clock that goes on while the host is suspended */
+  uint64_t deadline_ms; /* in ms of a clock that also counts while the host is suspended */
   guint silence_ms;
-  GSource *silence; /* NULL without such a limit */
+  GSource *idle_timer; /* NULL: no idle timeout */
 } Call;
 
-/* A call whose answer is one JSON object. */
+/* A call whose answer is a JSON object. */
 typedef struct
 {
   FbHttpDone done;
   gpointer user;
 } JsonCall;
 
-/* ---- sockets and time limits -------------------------------------------------- */
+/* ---- sockets and timeouts ------------------------------------------------------- */
 
 static int
 on_socket_change (CURL *easy, curl_socket_t socket, int what, void *user, void *known)
@@ -79,21 +78,21 @@
   struct epoll_event event = { .data.fd = socket };
   if (what == CURL_POLL_REMOVE)
     {
-      (void) epoll_ctl (self->epoll, EPOLL_CTL_DEL, socket, NULL);
+      (void) epoll_ctl (self->epoll_fd, EPOLL_CTL_DEL, socket, NULL);
       return 0;
     }
   if (what & CURL_POLL_IN)
     event.events |= EPOLLIN;
   if (what & CURL_POLL_OUT)
     event.events |= EPOLLOUT;
-  /* A socket that was closed has left the set by itself; its number may be in use again. */
-  if (epoll_ctl (self->epoll, EPOLL_CTL_MOD, socket, &event) < 0)
-    (void) epoll_ctl (self->epoll, EPOLL_CTL_ADD, socket, &event);
+  /* A closed socket has already left the epoll set, and its number may have been reused. */
+  if (epoll_ctl (self->epoll_fd, EPOLL_CTL_MOD, socket, &event) < 0)
+    (void) epoll_ctl (self->epoll_fd, EPOLL_CTL_ADD, socket, &event);
   return 0;
 }
 
 static int
-on_time_limit (CURLM *multi, long timeout_ms, void *user)
+on_timer_change (CURLM *multi, long timeout_ms, void *user)
 {
   (void) multi;
   FbHttpClient *self = user;
@@ -103,19 +102,19 @@
 }
 
 static void
-unwatch (Call *call)
+cancel_idle_timer (Call *call)
 {
-  if (call->silence == NULL)
+  if (call->idle_timer == NULL)
     return;
-  g_hash_table_remove (call->client->watched, call);
-  g_source_destroy (call->silence);
-  g_clear_pointer (&call->silence, g_source_unref);
+  g_hash_table_remove (call->client->idle_timed, call);
+  g_source_destroy (call->idle_timer);
+  g_clear_pointer (&call->idle_timer, g_source_unref);
 }
 
 static void
 call_free (Call *call)
 {
-  unwatch (call);
+  cancel_idle_timer (call);
   curl_slist_free_all (call->headers);
   g_clear_pointer (&call->body, g_bytes_unref);
   g_byte_array_unref (call->answer);
@@ -123,17 +122,17 @@
 }
 
 static void
-keep_handle (FbHttpClient *self, CURL *easy)
+release_handle (FbHttpClient *self, CURL *easy)
 {
   curl_multi_remove_handle (self->multi, easy);
-  if (self->spare->len < SPARE_HANDLES)
-    g_ptr_array_add (self->spare, easy);
+  if (self->spare_handles->len < SPARE_HANDLES_MAX)
+    g_ptr_array_add (self->spare_handles, easy);
   else
     curl_easy_cleanup (easy);
 }
 
 static void
-count_bytes (const Call *call, long sent_bytes)
+count_traffic (const Call *call, long sent_bytes)
 {
   long header_bytes = 0;
   curl_easy_getinfo (call->easy, CURLINFO_HEADER_SIZE, &header_bytes);
@@ -142,9 +141,9 @@
 }
 
 static void
-end_call (FbHttpClient *self, Call *call, CURLcode result)
+finish_call (FbHttpClient *self, Call *call, CURLcode result)
 {
-  unwatch (call); /* who is told may drop its calls */
+  cancel_idle_timer (call); /* DONE may call fb_http_client_drop() */
   FbHttpReply reply = { .status = FB_HTTP_OK };
   long sent_bytes = 0;
   long code = 0;
@@ -154,7 +153,7 @@
   curl_easy_getinfo (call->easy, CURLINFO_OS_ERRNO, &connect_errno);
   reply.sent = sent_bytes > 0;
   reply.copies = call->copies;
-  count_bytes (call, sent_bytes);
+  count_traffic (call, sent_bytes);
   reply.refused = result == CURLE_COULDNT_CONNECT && connect_errno == ECONNREFUSED;
   if (result == CURLE_OPERATION_TIMEDOUT)
     reply.status = FB_HTTP_TIMEOUT;
@@ -164,7 +163,7 @@
     reply.status = FB_HTTP_UNREACHABLE;
   else
     reply.code = (guint) code;
-  keep_handle (self, call->easy);
+  release_handle (self, call->easy);
   fb_counter_add (FB_COUNTER_PLATFORM_BYTES, call->answer->len);
   g_autoptr (GBytes) body = g_byte_array_free_to_bytes (g_byte_array_ref (call->answer));
   reply.body = reply.status == FB_HTTP_OK ? body : NULL;
@@ -172,43 +171,43 @@
   call_free (call);
 }
 
-/* Failure: an answer is large and the link thin, 0.7 MB at 10 Mbit/s take 0.6 s; a limit on the
- * whole that finds a dead connection soon ends each try, and the bytes of the try fill the link
- * for nothing.  It shows as a listing that needs 2.2 s, of which 1 s is thrown away.  Guard: what
- * is limited is the silence, so that an answer that comes may take its time. */
+/* Failure: an answer is large and the link slow: 0.7 MB at 10 Mbit/s takes 0.6 s. A limit on the
+ * whole call that is short enough to detect a dead connection then aborts every attempt, after its
+ * bytes have used the link: a listing took 2.2 s, of which 1 s was thrown away. Guard: the limit is
+ * on the time without received data, so that an answer that keeps arriving may take longer. */
 static gboolean
-on_silence (gpointer data)
+on_idle_timeout (gpointer data)
 {
   Call *call = data;
-  /* What came in this same turn of the loop has put it off. */
-  if (g_source_get_ready_time (call->silence) > g_get_monotonic_time ())
+  /* Data received in this iteration of the loop has moved the ready time. */
+  if (g_source_get_ready_time (call->idle_timer) > g_get_monotonic_time ())
     return G_SOURCE_CONTINUE;
-  end_call (call->client, call, CURLE_OPERATION_TIMEDOUT);
+  finish_call (call->client, call, CURLE_OPERATION_TIMEDOUT);
   return G_SOURCE_REMOVE;
 }
 
 static void
-put_off_silence (Call *call)
+restart_idle_timer (Call *call)
 {
-  if (call->silence != NULL)
-    g_source_set_ready_time (call->silence,
+  if (call->idle_timer != NULL)
+    g_source_set_ready_time (call->idle_timer,
                              g_get_monotonic_time () + (gint64) call->silence_ms * 1000);
 }
 
 static void
-watch_silence (FbHttpClient *self, Call *call, guint silence_ms)
+start_idle_timer (FbHttpClient *self, Call *call, guint silence_ms)
 {
   if (silence_ms == 0)
     return;
   call->silence_ms = silence_ms;
-  call->silence = g_timeout_source_new (silence_ms);
-  g_source_set_callback (call->silence, on_silence, call, NULL);
-  g_source_attach (call->silence, g_main_context_get_thread_default ());
-  g_hash_table_add (self->watched, call);
+  call->idle_timer = g_timeout_source_new (silence_ms);
+  g_source_set_callback (call->idle_timer, on_idle_timeout, call, NULL);
+  g_source_attach (call->idle_timer, g_main_context_get_thread_default ());
+  g_hash_table_add (self->idle_timed, call);
 }
 
 static void
-end_calls (FbHttpClient *self)
+finish_calls (FbHttpClient *self)
 {
   CURLMsg *message = NULL;
   int left = 0;
@@ -219,17 +218,17 @@
       char *call = NULL;
       CURLcode result = message->data.result;
       curl_easy_getinfo (message->easy_handle, CURLINFO_PRIVATE, &call);
-      end_call (self, (Call *) (gpointer) call, result);
+      finish_call (self, (Call *) (gpointer) call, result);
     }
 }
 
-/* Returns: FALSE when nothing more has come. */
+/* Returns: FALSE when no more events are pending. */
 static gboolean
 handle_sockets (FbHttpClient *self)
 {
-  struct epoll_event events[EVENTS_AT_ONCE];
+  struct epoll_event events[EPOLL_BATCH];
   int running = 0;
-  int n = epoll_wait (self->epoll, events, EVENTS_AT_ONCE, 0);
+  int n = epoll_wait (self->epoll_fd, events, EPOLL_BATCH, 0);
   for (int i = 0; i < n; i++)
     {
       int action = 0;
@@ -241,21 +240,22 @@
         action |= CURL_CSELECT_ERR;
       curl_multi_socket_action (self->multi, events[i].data.fd, action, &running);
     }
-  return n == EVENTS_AT_ONCE;
+  return n == EPOLL_BATCH;
 }
 
-/* What has come is read before any time limit is looked at, and all of it in one turn: with 64
- * sockets a turn a loop of five turns a second read less than came, and gave up the rest.  It does
- * not help a call whose own limit has passed: libcurl looks at that before it reads. */
+/* Received data is read before any timeout is checked, and all of it in one iteration: with 64
+ * sockets per iteration, a loop that ran five times a second read less than was received and let
+ * the other calls time out. A call whose own limit has already passed still fails, because libcurl
+ * checks that limit before it reads. */
 static gboolean
 dispatch (GSource *source, GSourceFunc callback, gpointer user)
 {
   (void) callback;
   (void) user;
   FbHttpClient *self = ((ClientSource *) source)->client;
-  for (guint i = 0; i < READS_PER_TURN && handle_sockets (self); i++)
+  for (guint i = 0; i < BATCHES_PER_ITERATION && handle_sockets (self); i++)
     ;
-  end_calls (self);
+  finish_calls (self);
   gint64 ready_us = g_source_get_ready_time (source);
   if (ready_us >= 0 && ready_us <= g_source_get_time (source))
     {
@@ -263,69 +263,69 @@
       g_source_set_ready_time (source, -1);
       curl_multi_socket_action (self->multi, CURL_SOCKET_TIMEOUT, 0, &running);
     }
-  end_calls (self);
+  finish_calls (self);
   return G_SOURCE_CONTINUE;
 }
 
 static GSourceFuncs source_funcs = { .dispatch = dispatch };
 
-/* ---- life ------------------------------------------------------------------------ */
+/* ---- construction ---------------------------------------------------------------- */
 
 FbHttpClient *
 fb_http_client_new (void)
 {
   FbHttpClient *self = g_new0 (FbHttpClient, 1);
-  self->spare = g_ptr_array_new ();
-  self->watched = g_hash_table_new (NULL, NULL);
+  self->spare_handles = g_ptr_array_new ();
+  self->idle_timed = g_hash_table_new (NULL, NULL);
   return self;
 }
 
 static void
-start (FbHttpClient *self)
+init_multi (FbHttpClient *self)
 {
   static gsize once;
   if (g_once_init_enter (&once))
     {
-      /* No TLS: the interfaces are plain HTTP. */
+      /* The platform's interfaces use plain HTTP, without TLS. */
       curl_global_init (CURL_GLOBAL_NOTHING);
       g_once_init_leave (&once, 1);
     }
-  self->epoll = epoll_create1 (EPOLL_CLOEXEC);
+  self->epoll_fd = epoll_create1 (EPOLL_CLOEXEC);
   self->multi = curl_multi_init ();
-  g_assert (self->epoll >= 0 && self->multi != NULL);
+  g_assert (self->epoll_fd >= 0 && self->multi != NULL);
   self->source = g_source_new (&source_funcs, sizeof (ClientSource));
   ((ClientSource *) self->source)->client = self;
-  g_source_add_unix_fd (self->source, self->epoll, G_IO_IN);
+  g_source_add_unix_fd (self->source, self->epoll_fd, G_IO_IN);
   g_source_attach (self->source, g_main_context_get_thread_default ());
   curl_multi_setopt (self->multi, CURLMOPT_SOCKETFUNCTION, on_socket_change);
   curl_multi_setopt (self->multi, CURLMOPT_SOCKETDATA, self);
-  curl_multi_setopt (self->multi, CURLMOPT_TIMERFUNCTION, on_time_limit);
+  curl_multi_setopt (self->multi, CURLMOPT_TIMERFUNCTION, on_timer_change);
   curl_multi_setopt (self->multi, CURLMOPT_TIMERDATA, self);
-  curl_multi_setopt (self->multi, CURLMOPT_MAXCONNECTS, (long) IDLE_CONNECTIONS);
+  curl_multi_setopt (self->multi, CURLMOPT_MAXCONNECTS, (long) IDLE_CONNECTIONS_MAX);
 }
 
-/* Calls that are open are forgotten without an answer. */
+/* Open calls end without a callback. */
 void
 fb_http_client_free (FbHttpClient *self)
 {
   GHashTableIter iter;
   gpointer call;
-  g_hash_table_iter_init (&iter, self->watched);
+  g_hash_table_iter_init (&iter, self->idle_timed);
   while (g_hash_table_iter_next (&iter, &call, NULL))
     {
-      g_source_destroy (((Call *) call)->silence);
-      g_clear_pointer (&((Call *) call)->silence, g_source_unref);
+      g_source_destroy (((Call *) call)->idle_timer);
+      g_clear_pointer (&((Call *) call)->idle_timer, g_source_unref);
     }
-  g_hash_table_unref (self->watched);
-  for (guint i = 0; i < self->spare->len; i++)
-    curl_easy_cleanup (self->spare->pdata[i]);
-  g_ptr_array_unref (self->spare);
+  g_hash_table_unref (self->idle_timed);
+  for (guint i = 0; i < self->spare_handles->len; i++)
+    curl_easy_cleanup (self->spare_handles->pdata[i]);
+  g_ptr_array_unref (self->spare_handles);
   if (self->multi != NULL)
     {
       curl_multi_cleanup (self->multi);
       g_source_destroy (self->source);
       g_source_unref (self->source);
-      close (self->epoll);
+      close (self->epoll_fd);
     }
   g_free (self);
 }
@@ -363,7 +363,7 @@
   Call *call = user;
   if (call->answer->len + size * n > ANSWER_MAX_BYTES)
     return 0;
-  put_off_silence (call);
+  restart_idle_timer (call);
   g_byte_array_append (call->answer, (const guint8 *) data, (guint) (size * n));
   return size * n;
 }
@@ -376,20 +376,20 @@
   return (uint64_t) now.tv_sec * 1000 + (uint64_t) now.tv_nsec / 1000000;
 }
 
-/* Called with a connection in hand, before the call is written to it: once a copy.
+/* Called once per transmission, with the connection open and before the request is written.
  *
- * Failure: a daemon is suspended as it makes a connection, which libcurl's time limits do not see,
- * and sends an order when it wakes that its caller had given up; it shows as a second run of a
- * task.  Guard: a call is not sent once its time limit has passed. */
+ * Failure: a daemon is suspended while it opens a connection, a time that libcurl's timeouts do not
+ * count; on resume it sends an order that its caller had given up, and a task runs twice. Guard: a
+ * request is not sent after its deadline. */
 static int
-on_copy (void *user, char *peer_ip, char *own_ip, int peer_port, int own_port)
+on_transmission (void *user, char *peer_ip, char *own_ip, int peer_port, int own_port)
 {
   (void) peer_ip;
   (void) own_ip;
   (void) peer_port;
   (void) own_port;
   Call *call = user;
-  if (clock_ms () >= call->until_ms)
+  if (clock_ms () >= call->deadline_ms)
     return CURL_PREREQFUNC_ABORT;
   call->copies++;
   return CURL_PREREQFUNC_OK;
@@ -410,19 +410,19 @@
   const char *data = g_bytes_get_data (call->body, &len);
   fb_counter_add (FB_COUNTER_PLATFORM_BYTES, len);
   curl_easy_setopt (call->easy, CURLOPT_POSTFIELDSIZE, (long) len);
-  /* An empty body is still a body. */
+  /* An empty body is sent as a body of length 0. */
   curl_easy_setopt (call->easy, CURLOPT_POSTFIELDS, data != NULL ? data : "");
   call->headers = add_header (call->headers, "Content-Type", request->content_type);
-  /* No pause for "100 Continue" before large bodies. */
+  /* Sends large bodies at once instead of waiting for "100 Continue". */
   call->headers = curl_slist_append (call->headers, "Expect:");
 }
 
 static CURL *
-take_handle (FbHttpClient *self)
+acquire_handle (FbHttpClient *self)
 {
-  if (self->spare->len == 0)
+  if (self->spare_handles->len == 0)
     return curl_easy_init ();
-  CURL *easy = g_ptr_array_remove_index_fast (self->spare, self->spare->len - 1);
+  CURL *easy = g_ptr_array_remove_index_fast (self->spare_handles, self->spare_handles->len - 1);
   curl_easy_reset (easy);
   return easy;
 }
@@ -439,7 +439,7 @@
   curl_easy_setopt (easy, CURLOPT_TIMEOUT_MS, (long) timeout_ms);
   curl_easy_setopt (easy, CURLOPT_WRITEFUNCTION, on_data);
   curl_easy_setopt (easy, CURLOPT_WRITEDATA, call);
-  curl_easy_setopt (easy, CURLOPT_PREREQFUNCTION, on_copy);
+  curl_easy_setopt (easy, CURLOPT_PREREQFUNCTION, on_transmission);
   curl_easy_setopt (easy, CURLOPT_PREREQDATA, call);
   if (!request->idempotent)
     {
@@ -462,30 +462,30 @@
                          FbHttpReplyDone done, gpointer user)
 {
   if (self->multi == NULL)
-    start (self);
+    init_multi (self);
   Call *call = g_new0 (Call, 1);
-  call->easy = take_handle (self);
+  call->easy = acquire_handle (self);
   call->answer = g_byte_array_new ();
   call->done = done;
   call->user = user;
   call->client = self;
   call->traffic = request->traffic;
-  call->until_ms = clock_ms () + timeout_ms;
-  watch_silence (self, call, request->silence_ms);
+  call->deadline_ms = clock_ms () + timeout_ms;
+  start_idle_timer (self, call, request->silence_ms);
   set_options (call, request, timeout_ms);
   curl_multi_add_handle (self->multi, call->easy);
 }
 
 static gboolean
-drop_if_of (gpointer data, gpointer unused, gpointer user)
+cancel_if_of_user (gpointer data, gpointer unused, gpointer user)
 {
   (void) unused;
   Call *call = data;
   if (call->user != user)
     return FALSE;
-  g_source_destroy (call->silence);
-  g_clear_pointer (&call->silence, g_source_unref);
-  keep_handle (call->client, call->easy);
+  g_source_destroy (call->idle_timer);
+  g_clear_pointer (&call->idle_timer, g_source_unref);
+  release_handle (call->client, call->easy);
   call_free (call);
   return TRUE;
 }
@@ -493,7 +493,7 @@
 void
 fb_http_client_drop (FbHttpClient *self, gconstpointer user)
 {
-  g_hash_table_foreach_steal (self->watched, drop_if_of, (gpointer) user);
+  g_hash_table_foreach_steal (self->idle_timed, cancel_if_of_user, (gpointer) user);
 }
 
 static void
--- a/src/net/http-client.h
+++ b/src/net/http-client.h
@@ -1,5 +1,5 @@
-/* JSON over HTTP to the platform, with a time limit and a size limit on every
- * call.  Belongs to one task. */
+/* HTTP calls to the platform, with a time limit on every call and a size limit on every answer. A
+ * client belongs to one thread. */
 #pragma once
 
 #include "fb-traffic.h"
@@ -13,66 +13,67 @@
 typedef enum
 {
   FB_HTTP_OK,
-  FB_HTTP_UNREACHABLE, /* nothing answered, or the connection broke */
-  FB_HTTP_TIMEOUT,     /* silence; the connection is not used again */
-  FB_HTTP_STATUS,      /* another status than 200 */
-  FB_HTTP_MALFORMED    /* too large, or not the JSON object expected */
+  FB_HTTP_UNREACHABLE, /* no connection, or it broke */
+  FB_HTTP_TIMEOUT,     /* no answer in time; the connection is not reused */
+  FB_HTTP_STATUS,      /* a status other than 200 */
+  FB_HTTP_MALFORMED    /* too large, or not a JSON object */
 } FbHttpStatus;
 
-/* ROOT is borrowed for the call and NULL unless STATUS is OK. */
+/* ROOT is borrowed for the callback and NULL unless STATUS is FB_HTTP_OK. */
 typedef void (*FbHttpDone) (gpointer user, FbHttpStatus status, JsonObject *root);
 
 FbHttpClient *fb_http_client_new (void);
 void fb_http_client_free (FbHttpClient *self);
 
-/* One call, whatever its body is. */
+/* One HTTP request, with any kind of body. */
 typedef struct
 {
-  const char *method; /* static */
-  /* Sent twice it does what it does once.  Only such a call may use a connection that
-   * was used before: the other end may close it just then, and the call is sent again
-   * on a new one.  The answer is that to the last copy: a refusal of it does not prove that
-   * no copy was carried out (fb_http_reply_leaves_doubt()). */
+  const char *method; /* static string */
+  /* TRUE when sending the request twice has the same effect as sending it once. Only such a request
+   * may use an idle connection: the server may close that connection at the same moment, and
+   * libcurl then sends the request again on a new one. The answer belongs to the last transmission,
+   * so a refusal does not prove that no transmission was carried out
+   * (fb_http_reply_leaves_doubt()). */
   gboolean idempotent;
   char *url;
-  const char *content_type; /* static; NULL without a body */
+  const char *content_type; /* static string; NULL without a body */
   GBytes *body;             /* may be NULL */
-  FbTraffic traffic;        /* what its bytes are counted as */
-  guint silence_ms;         /* given up once nothing has come for so long; 0: no such limit */
+  FbTraffic traffic;        /* kind under which its bytes are counted */
+  guint silence_ms; /* the call fails when nothing was received for this time; 0: no such limit */
   const char *header_names[2];
   char *header_values[2];
 } FbHttpCall;
 
 typedef struct
 {
-  FbHttpStatus status; /* OK: an answer came, with CODE, whatever it says */
-  gboolean sent;       /* FALSE: nothing was sent, so nothing was done */
-  guint copies;        /* how often the call was begun on a connection; see FbHttpCall.idempotent */
-  gboolean refused;    /* the host answered that nothing listens there */
+  FbHttpStatus status; /* FB_HTTP_OK: an answer was received, with any status CODE */
+  gboolean sent;       /* FALSE: nothing was sent, so nothing was carried out */
+  guint copies;        /* transmissions, each on a connection; see FbHttpCall.idempotent */
+  gboolean refused;    /* the host refused the connection: nothing listens on the port */
   guint code;
-  GBytes *body; /* borrowed for the callback; NULL unless OK */
+  GBytes *body; /* borrowed for the callback; NULL unless FB_HTTP_OK */
 } FbHttpReply;
 
-/* TRUE when a copy of the call before the one that was answered may have been carried out: what the
- * host says of the last copy is no word on that one. */
+/* TRUE when a transmission other than the answered one may have been carried out: the answer says
+ * nothing about that one. */
 gboolean fb_http_reply_leaves_doubt (const FbHttpReply *reply);
 
 typedef void (*FbHttpReplyDone) (gpointer user, const FbHttpReply *reply);
 
 void fb_http_call_clear (FbHttpCall *call);
-/* COPY shares no memory with CALL that is not reference counted. */
+/* COPY shares only reference-counted memory with CALL. */
 void fb_http_call_copy (FbHttpCall *copy, const FbHttpCall *call);
 
-/* Sends CALL (borrowed) and calls DONE once, never from inside this call.  DONE must
- * not free the client.  TIMEOUT_MS is for the whole of the answer. */
+/* Sends CALL (borrowed) and calls DONE once, never from inside this function. DONE must not free
+ * the client. TIMEOUT_MS limits the whole call, up to the end of the answer. */
 void fb_http_client_exchange (FbHttpClient *self, const FbHttpCall *call, guint timeout_ms,
                               FbHttpReplyDone done, gpointer user);
 
-/* Ends the calls of USER that name a silence; DONE is not called.  What of their answers is on the
- * way fills no link any more. */
+/* Cancels the calls of USER that have a silence_ms, without calling DONE. The rest of their answers
+ * is not received, and so takes no bandwidth. */
 void fb_http_client_drop (FbHttpClient *self, gconstpointer user);
 
-/* Sends BODY (consumed; NULL for GET) and calls DONE once, on this task, never
- * from inside this call. */
+/* Sends BODY (consumed; NULL for a GET request) and calls DONE once, on this thread and never from
+ * inside this function. */
 void fb_http_client_call (FbHttpClient *self, const char *url, JsonBuilder *body, guint timeout_ms,
                           FbHttpDone done, gpointer user);
--- a/src/net/json.c
+++ b/src/net/json.c
@@ -8,7 +8,7 @@
 }
 
 static void
-flag (gboolean *malformed)
+set_malformed (gboolean *malformed)
 {
   if (malformed != NULL)
     *malformed = TRUE;
@@ -37,7 +37,7 @@
     return fallback;
   if (holds_number (node) && json_node_get_double (node) >= 0)
     return json_node_get_double (node);
-  flag (malformed);
+  set_malformed (malformed);
   return fallback;
 }
 
@@ -49,7 +49,7 @@
     return fallback;
   if (holds_number (node) && json_node_get_double (node) >= 0 && json_node_get_double (node) < 9e18)
     return (uint64_t) json_node_get_int (node);
-  flag (malformed);
+  set_malformed (malformed);
   return fallback;
 }
 
@@ -61,7 +61,7 @@
     return FALSE;
   if (JSON_NODE_HOLDS_VALUE (node) && json_node_get_value_type (node) == G_TYPE_BOOLEAN)
     return json_node_get_boolean (node);
-  flag (malformed);
+  set_malformed (malformed);
   return FALSE;
 }
 
@@ -73,7 +73,7 @@
     return "";
   if (holds_string (node))
     return json_node_get_string (node);
-  flag (malformed);
+  set_malformed (malformed);
   return "";
 }
 
@@ -85,7 +85,7 @@
     return NULL;
   if (JSON_NODE_HOLDS_ARRAY (node))
     return json_node_get_array (node);
-  flag (malformed);
+  set_malformed (malformed);
   return NULL;
 }
 
--- a/src/net/json.h
+++ b/src/net/json.h
@@ -1,11 +1,11 @@
-/* Reading JSON members that may be missing or of another type, and writing some. */
+/* Helpers that read JSON members, which may be missing or of another type, and write JSON. */
 #pragma once
 
 #include <json-glib/json-glib.h>
 #include <stdint.h>
 
-/* Each returns FALLBACK when the member is missing; MALFORMED, which may be NULL,
- * is set when it is there with another type, or negative. */
+/* Each returns FALLBACK (FALSE for fb_json_bool()) when the member is missing. *MALFORMED is set to
+ * TRUE when the member has another type, or is negative; MALFORMED may be NULL. */
 uint64_t fb_json_uint (JsonObject *object, const char *name, uint64_t fallback,
                        gboolean *malformed);
 double fb_json_double (JsonObject *object, const char *name, double fallback, gboolean *malformed);
@@ -15,17 +15,17 @@
 /* Returns: borrowed; NULL when missing. */
 JsonArray *fb_json_array (JsonObject *object, const char *name, gboolean *malformed);
 
-/* Elements of rows. */
+/* Element I of an array; 0 or "" when it is missing or of another type. */
 uint64_t fb_json_row_uint (JsonArray *row, guint i);
 const char *fb_json_row_string (JsonArray *row, guint i);
 /* Returns: borrowed; NULL unless element I is an array. */
 JsonArray *fb_json_row (JsonArray *rows, guint i);
 
-/* Returns: (transfer full): a parser that holds one object, in *ROOT; NULL when
- * DATA is anything else. */
+/* Returns: (transfer full): a parser that owns the object *ROOT; NULL when DATA is not a JSON
+ * object. */
 JsonParser *fb_json_parse (const char *data, gsize len, JsonObject **root);
 JsonParser *fb_json_parse_bytes (GBytes *bytes, JsonObject **root);
 void fb_json_add_string (JsonBuilder *builder, const char *name, const char *value);
 void fb_json_add_uint (JsonBuilder *builder, const char *name, uint64_t value);
-/* Returns: (transfer full): the text of what BUILDER holds; it is unreferenced. */
+/* Returns: (transfer full): the generated text. BUILDER is unreferenced. */
 GBytes *fb_json_finish (JsonBuilder *builder);
--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -88,7 +88,7 @@
 }
 
 static gboolean
-run_again (gpointer data)
+run_periodic (gpointer data)
 {
   Message *message = data;
   message->func (message->data);
@@ -101,7 +101,7 @@
   Message *message = g_new (Message, 1);
   *message = (Message){ func, data, NULL };
   GSource *source = g_timeout_source_new (period_ms);
-  g_source_set_callback (source, run_again, message, message_free);
+  g_source_set_callback (source, run_periodic, message, message_free);
   g_source_attach (source, self->context);
   g_source_unref (source);
 }
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,7 +1,7 @@
-/* A task: a thread with its own main context that others send messages to.
+/* An event loop: a thread with its own GMainContext, to which other threads post messages.
  *
- * A task owns its sockets and its state; no other thread touches them.  A
- * message is a function with its data, run on the task's thread in order. */
+ * Sockets and state belong to one loop and are used by its thread only. A message is a function
+ * with its data; messages run on the loop's thread in the order in which they were posted. */
 #pragma once
 
 #include <glib.h>
@@ -10,27 +10,28 @@
 typedef struct _FbLoop FbLoop;
 typedef void (*FbLoopFunc) (gpointer data);
 
-/* Starts a thread called NAME.  (transfer full) */
+/* Starts a loop in a new thread called NAME. (transfer full) */
 FbLoop *fb_loop_new (const char *name);
-/* A task that runs on the calling thread, in fb_loop_run(). */
+/* A loop that runs on the calling thread, in fb_loop_run(). */
 FbLoop *fb_loop_new_here (void);
 void fb_loop_run (FbLoop *self);
 
-/* Returns: the monotonic clock that all tasks of the process share. */
+/* Returns: the time in ms of the monotonic clock, which all threads share. */
 uint64_t fb_loop_now_ms (void);
 
-/* Sends a message.  DATA is freed with FREE after FUNC, or unrun at the end. */
+/* Posts a message. DATA is freed with FREE after FUNC has run, or when the loop ends without
+ * running it. */
 void fb_loop_post (FbLoop *self, FbLoopFunc func, gpointer data, GDestroyNotify free);
 
-/* Calls FUNC on the task every PERIOD_MS; from the task's own thread, or before
- * others send to it. */
+/* Calls FUNC on the loop's thread every PERIOD_MS. To be called from that thread, or before other
+ * threads post to the loop. */
 void fb_loop_every (FbLoop *self, guint period_ms, FbLoopFunc func, gpointer data);
 
-/* Returns: the context, borrowed, for sockets of the task. */
+/* Returns: the context, borrowed, to attach the loop's sockets to. */
 GMainContext *fb_loop_context (FbLoop *self);
 
-/* Ends the task after the messages already sent, and joins its thread.  What is
- * sent later is kept and never run, so others may still hold the task. */
+/* Ends the loop after the messages already posted, and joins its thread. Messages that are posted
+ * later are kept and never run, so other threads may still hold the loop. */
 void fb_loop_join (FbLoop *self);
-/* Joins and frees the task. */
+/* Joins the thread and frees the loop. */
 void fb_loop_free (FbLoop *self);
--- a/src/policy/policy.c
+++ b/src/policy/policy.c
@@ -12,7 +12,7 @@
 #define SERVICE_COUNT_MAX 20000
 #define WEIGHT_MAX 1000
 
-/* What the INI reader fills; turned into the public structs after. */
+/* Values as the INI reader stores them, before they are converted to the public structs. */
 typedef struct
 {
   char *team;
@@ -30,42 +30,44 @@
   uint64_t deadline_ms;
   uint64_t run_ms;
   uint64_t count;
-} Raw;
+} RawGroup;
 
 #define DEMAND_FIELDS                                                                              \
-  { "cpu", FB_INI_MILLI, FALSE, 0, 0, NULL, offsetof (Raw, cpu_milli) },                           \
-      { "memory", FB_INI_BYTES, FALSE, 0, 0, NULL, offsetof (Raw, mem_bytes) },                    \
+  { "cpu", FB_INI_MILLI, FALSE, 0, 0, NULL, offsetof (RawGroup, cpu_milli) },                      \
+      { "memory", FB_INI_BYTES, FALSE, 0, 0, NULL, offsetof (RawGroup, mem_bytes) },               \
   {                                                                                                \
-    "accelerators", FB_INI_UINT, FALSE, 0, 1000000, NULL, offsetof (Raw, accel_count)              \
+    "accelerators", FB_INI_UINT, FALSE, 0, 1000000, NULL, offsetof (RawGroup, accel_count)         \
   }
 
 static const FbIniField partner_fields[]
-    = { { "lend", FB_INI_PERCENT, FALSE, 0, 0, NULL, offsetof (Raw, lend_milli) },
-        { "placement", FB_INI_STRING, FALSE, 0, NAME_MAX_LEN, NULL, offsetof (Raw, placement) },
+    = { { "lend", FB_INI_PERCENT, FALSE, 0, 0, NULL, offsetof (RawGroup, lend_milli) },
+        { "placement", FB_INI_STRING, FALSE, 0, NAME_MAX_LEN, NULL,
+          offsetof (RawGroup, placement) },
         { NULL, 0, FALSE, 0, 0, NULL, 0 } };
 
 static const FbIniField team_fields[]
-    = { { "weight", FB_INI_UINT, FALSE, 1, WEIGHT_MAX, NULL, offsetof (Raw, weight) },
+    = { { "weight", FB_INI_UINT, FALSE, 1, WEIGHT_MAX, NULL, offsetof (RawGroup, weight) },
         DEMAND_FIELDS,
         { NULL, 0, FALSE, 0, 0, NULL, 0 } };
 
 static const FbIniField class_fields[]
-    = { { "kind", FB_INI_CHOICE, TRUE, 0, 0, "urgent|service|gang|batch", offsetof (Raw, kind) },
-        { "team", FB_INI_STRING, TRUE, 0, NAME_MAX_LEN, NULL, offsetof (Raw, team) },
+    = { { "kind", FB_INI_CHOICE, TRUE, 0, 0, "urgent|service|gang|batch",
+          offsetof (RawGroup, kind) },
+        { "team", FB_INI_STRING, TRUE, 0, NAME_MAX_LEN, NULL, offsetof (RawGroup, team) },
         DEMAND_FIELDS,
-        { "slots", FB_INI_UINT, FALSE, 1, 1000, NULL, offsetof (Raw, slot_count) },
-        { "idempotent", FB_INI_BOOLEAN, FALSE, 0, 0, NULL, offsetof (Raw, idempotent) },
-        { "preemptible", FB_INI_BOOLEAN, FALSE, 0, 0, NULL, offsetof (Raw, preemptible) },
-        { "checkpoint", FB_INI_BOOLEAN, FALSE, 0, 0, NULL, offsetof (Raw, checkpoint) },
-        { "deadline", FB_INI_DURATION, FALSE, 0, 0, NULL, offsetof (Raw, deadline_ms) },
-        { "run-time", FB_INI_DURATION, FALSE, 0, 0, NULL, offsetof (Raw, run_ms) },
+        { "slots", FB_INI_UINT, FALSE, 1, 1000, NULL, offsetof (RawGroup, slot_count) },
+        { "idempotent", FB_INI_BOOLEAN, FALSE, 0, 0, NULL, offsetof (RawGroup, idempotent) },
+        { "preemptible", FB_INI_BOOLEAN, FALSE, 0, 0, NULL, offsetof (RawGroup, preemptible) },
+        { "checkpoint", FB_INI_BOOLEAN, FALSE, 0, 0, NULL, offsetof (RawGroup, checkpoint) },
+        { "deadline", FB_INI_DURATION, FALSE, 0, 0, NULL, offsetof (RawGroup, deadline_ms) },
+        { "run-time", FB_INI_DURATION, FALSE, 0, 0, NULL, offsetof (RawGroup, run_ms) },
         { NULL, 0, FALSE, 0, 0, NULL, 0 } };
 
 static const FbIniField service_fields[]
-    = { { "team", FB_INI_STRING, TRUE, 0, NAME_MAX_LEN, NULL, offsetof (Raw, team) },
-        { "count", FB_INI_UINT, TRUE, 0, SERVICE_COUNT_MAX, NULL, offsetof (Raw, count) },
+    = { { "team", FB_INI_STRING, TRUE, 0, NAME_MAX_LEN, NULL, offsetof (RawGroup, team) },
+        { "count", FB_INI_UINT, TRUE, 0, SERVICE_COUNT_MAX, NULL, offsetof (RawGroup, count) },
         DEMAND_FIELDS,
-        { "slots", FB_INI_UINT, FALSE, 1, 1000, NULL, offsetof (Raw, slot_count) },
+        { "slots", FB_INI_UINT, FALSE, 1, 1000, NULL, offsetof (RawGroup, slot_count) },
         { NULL, 0, FALSE, 0, 0, NULL, 0 } };
 
 static void
@@ -119,13 +121,13 @@
 }
 
 static fb_res
-demand_of (const Raw *raw)
+demand_of (const RawGroup *raw)
 {
   return (fb_res){ { raw->cpu_milli, raw->mem_bytes, raw->accel_count, raw->slot_count } };
 }
 
 static FbPolicyStatus
-from_ini (FbIniStatus status)
+status_of_ini (FbIniStatus status)
 {
   switch (status)
     {
@@ -189,8 +191,9 @@
 static FbPolicyStatus
 add_partner (FbPolicy *self, GKeyFile *keys, const char *file, const char *group)
 {
-  Raw raw = { .lend_milli = self->lend_milli };
-  FbPolicyStatus status = from_ini (fb_ini_read_group (keys, file, group, partner_fields, &raw));
+  RawGroup raw = { .lend_milli = self->lend_milli };
+  FbPolicyStatus status
+      = status_of_ini (fb_ini_read_group (keys, file, group, partner_fields, &raw));
   g_autofree char *placement = raw.placement;
   if (status != FB_POLICY_OK)
     return status;
@@ -214,8 +217,8 @@
 {
   if (find_team (self, name) != NULL)
     return declared_twice (file, group);
-  Raw raw = { .weight = 1 };
-  FbPolicyStatus status = from_ini (fb_ini_read_group (keys, file, group, team_fields, &raw));
+  RawGroup raw = { .weight = 1 };
+  FbPolicyStatus status = status_of_ini (fb_ini_read_group (keys, file, group, team_fields, &raw));
   if (status != FB_POLICY_OK)
     return status;
   FbPolicyTeam *team = g_new0 (FbPolicyTeam, 1);
@@ -227,7 +230,7 @@
 }
 
 static FbPolicyStatus
-check_class (const Raw *raw, const char *file, const char *group)
+check_class (const RawGroup *raw, const char *file, const char *group)
 {
   if (raw->preemptible && !raw->idempotent)
     {
@@ -244,8 +247,9 @@
 {
   if (fb_policy_class (self, name) != NULL)
     return declared_twice (file, group);
-  Raw raw = { .slot_count = 1, .idempotent = 1, .deadline_ms = FB_NO_DEADLINE_MS, .run_ms = 1000 };
-  FbPolicyStatus status = from_ini (fb_ini_read_group (keys, file, group, class_fields, &raw));
+  RawGroup raw
+      = { .slot_count = 1, .idempotent = 1, .deadline_ms = FB_NO_DEADLINE_MS, .run_ms = 1000 };
+  FbPolicyStatus status = status_of_ini (fb_ini_read_group (keys, file, group, class_fields, &raw));
   if (status == FB_POLICY_OK)
     status = check_class (&raw, file, group);
   if (status != FB_POLICY_OK)
@@ -271,8 +275,9 @@
 {
   if (has_service (self, name))
     return declared_twice (file, group);
-  Raw raw = { .slot_count = 1 };
-  FbPolicyStatus status = from_ini (fb_ini_read_group (keys, file, group, service_fields, &raw));
+  RawGroup raw = { .slot_count = 1 };
+  FbPolicyStatus status
+      = status_of_ini (fb_ini_read_group (keys, file, group, service_fields, &raw));
   if (status != FB_POLICY_OK)
     {
       g_free (raw.team);
@@ -299,7 +304,7 @@
   static const FbIniField no_fields[] = { { NULL, 0, FALSE, 0, 0, NULL, 0 } };
   if (fb_policy_drains (self, name))
     return declared_twice (file, group);
-  FbPolicyStatus status = from_ini (fb_ini_read_group (keys, file, group, no_fields, NULL));
+  FbPolicyStatus status = status_of_ini (fb_ini_read_group (keys, file, group, no_fields, NULL));
   if (status == FB_POLICY_OK)
     g_ptr_array_add (self->drains, g_strdup (name));
   return status;
--- a/src/policy/settings.c
+++ b/src/policy/settings.c
@@ -90,7 +90,8 @@
 }
 
 static gboolean
-expected (const char *file, const char *group, const char *key, const char *what, const char *got)
+report_expected (const char *file, const char *group, const char *key, const char *what,
+                 const char *got)
 {
   fb_status_set_message ("%s: [%s] %s: expected %s, got \"%.60s\"", file, group, key, what, got);
   return FALSE;
@@ -146,9 +147,9 @@
   while (i < FB_PARTNER_N && cell->partners[i].name != NULL)
     i++;
   if (i == FB_PARTNER_N)
-    return expected (file, group, "name", "two partners in all", name);
+    return report_expected (file, group, "name", "two partners in all", name);
   if (!fb_settings_parse_hex (raw->text, cell->partners[i].public_key, FB_SIGN_PUBLIC_BYTES))
-    return expected (file, group, "public-key", "64 hexadecimal digits", raw->text);
+    return report_expected (file, group, "public-key", "64 hexadecimal digits", raw->text);
   cell->partners[i].name = g_strdup (name);
   return TRUE;
 }
@@ -158,7 +159,7 @@
 {
   int partner = fb_cell_partner_by_name (cell, raw->partner);
   if (partner < 0)
-    expected (file, group, "partner", "a partner declared above", raw->partner);
+    report_expected (file, group, "partner", "a partner declared above", raw->partner);
   return partner;
 }
 
@@ -170,7 +171,7 @@
     return FALSE;
   g_autoptr (GInetAddress) address = g_inet_address_new_from_string (raw->host);
   if (address == NULL)
-    return expected (file, group, "address", "an IP number", raw->host);
+    return report_expected (file, group, "address", "an IP number", raw->host);
   FbCellMember *member
       = fb_cell_add_member (cell, name, (uint32_t) partner, (uint32_t) raw->domain);
   member->host = g_steal_pointer (&raw->host);
@@ -190,11 +191,11 @@
         continue;
       char *at = strchr (items[i], '@');
       if (at == NULL || at == items[i] || strrchr (at, ':') == NULL)
-        return expected (file, group, "hosts", "NAME@IP:PORT ...", items[i]);
+        return report_expected (file, group, "hosts", "NAME@IP:PORT ...", items[i]);
       *at = '\0';
       fb_cell_add_host (rack, items[i], at + 1);
     }
-  return rack->hosts->len > 0 || expected (file, group, "hosts", "at least one host", hosts);
+  return rack->hosts->len > 0 || report_expected (file, group, "hosts", "at least one host", hosts);
 }
 
 static gboolean
@@ -367,7 +368,7 @@
   status = fb_settings_load_cell (self->cell_path, cell);
   if (status == FB_SETTINGS_OK && fb_cell_member_by_name (*cell, self->name) < 0)
     {
-      expected (path, "daemon", "name", "a member of the cell", self->name);
+      report_expected (path, "daemon", "name", "a member of the cell", self->name);
       fb_cell_free (*cell);
       status = FB_SETTINGS_INVALID;
     }
