--- a/src/net/http-client.c
+++ b/src/net/http-client.c
@@ -197,7 +197,7 @@
 static void
 start_idle_timer (FbHttpClient *self, Call *call, guint silence_ms)
 {
-  if (silence_ms == 0)
+  if (idle_timeout_ms == 0)
     return;
   call->silence_ms = silence_ms;
   call->idle_timer = g_timeout_source_new (silence_ms);
@@ -342,7 +342,7 @@
 }
 
 gboolean
-fb_http_reply_leaves_doubt (const FbHttpReply *reply)
+fb_http_reply_is_ambiguous (const FbHttpReply *reply)
 {
   return reply->status == FB_HTTP_OK ? reply->copies != 1 : reply->sent;
 }
@@ -491,7 +491,7 @@
 }
 
 void
-fb_http_client_drop (FbHttpClient *self, gconstpointer user)
+fb_http_client_cancel (FbHttpClient *self, gconstpointer user)
 {
   g_hash_table_foreach_steal (self->idle_timed, cancel_if_of_user, (gpointer) user);
 }
