--- a/fuzz/pool-world-calls.c
+++ b/fuzz/pool-world-calls.c
@@ -47,7 +47,7 @@
 make_reply (const Order *order, FbOrderResult result, const Worker *worker, guint ends_most,
             gboolean says_birth, uint64_t clock_ms)
 {
-  FbHttpReply reply = { .status = FB_HTTP_OK, .sent = TRUE, .copies = order->copies };
+  FbHttpReply reply = { .status = FB_HTTP_OK, .sent = TRUE, .transmissions = order->copies };
   if (result == FB_ORDER_UNKNOWN)
     {
       reply.status = FB_HTTP_TIMEOUT;
--- a/src/daemon/core.c
+++ b/src/daemon/core.c
@@ -243,7 +243,7 @@
   if (!message->ok || message->version == watch->version)
     return;
   watch->version = message->version;
-  fb_node_hint (watch->core->node, fb_loop_now_ms (), watch->rack, watch->host);
+  fb_node_worker_changed (watch->core->node, fb_loop_now_ms (), watch->rack, watch->host);
 }
 
 static void
@@ -335,8 +335,8 @@
 apply_host_on_core (gpointer data)
 {
   HostState *message = data;
-  fb_node_host (message->core->node, fb_loop_now_ms (), message->rack, message->host,
-                message->state);
+  fb_node_set_host_state (message->core->node, fb_loop_now_ms (), message->rack, message->host,
+                          message->state);
 }
 
 static void
--- a/src/daemon/front-queries.c
+++ b/src/daemon/front-queries.c
@@ -15,7 +15,7 @@
 query_job_on_core (FbNode *node, uint64_t now_ms, gpointer data)
 {
   const FbFrontRequest *request = data;
-  if (!fb_node_ask (node, now_ms, request->front->partner, request->job))
+  if (!fb_node_query_job (node, now_ms, request->front->partner, request->job))
     fb_front_post_error (request->front, request->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
                          "the range of this job has no owner now");
 }
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -164,7 +164,7 @@
                 "task=%s attempt=%u worker=%s kind=%d epoch=%" G_GUINT64_FORMAT
                 " code=%u status=%d copies=%u result=%s after_ms=%u",
                 call->task, call->attempt, call->worker, call->kind, call->epoch, reply->code,
-                reply->status, reply->copies, fb_order_result_name (result),
+                reply->status, reply->transmissions, fb_order_result_name (result),
                 (guint) (fb_clock_ms () - call->sent_ms));
 }
 
--- a/src/net/http-client.c
+++ b/src/net/http-client.c
@@ -54,9 +54,9 @@
   gpointer user;
   FbHttpClient *client;
   FbTraffic traffic;
-  guint copies;
+  guint transmissions;
   uint64_t deadline_ms; /* in ms of a clock that also counts while the host is suspended */
-  guint silence_ms;
+  guint idle_timeout_ms;
   GSource *idle_timer; /* NULL: no idle timeout */
 } Call;
 
@@ -143,7 +143,7 @@
 static void
 finish_call (FbHttpClient *self, Call *call, CURLcode result)
 {
-  cancel_idle_timer (call); /* DONE may call fb_http_client_drop() */
+  cancel_idle_timer (call); /* DONE may call fb_http_client_cancel() */
   FbHttpReply reply = { .status = FB_HTTP_OK };
   long sent_bytes = 0;
   long code = 0;
@@ -152,7 +152,7 @@
   curl_easy_getinfo (call->easy, CURLINFO_RESPONSE_CODE, &code);
   curl_easy_getinfo (call->easy, CURLINFO_OS_ERRNO, &connect_errno);
   reply.sent = sent_bytes > 0;
-  reply.copies = call->copies;
+  reply.transmissions = call->transmissions;
   count_traffic (call, sent_bytes);
   reply.refused = result == CURLE_COULDNT_CONNECT && connect_errno == ECONNREFUSED;
   if (result == CURLE_OPERATION_TIMEDOUT)
@@ -191,16 +191,16 @@
 {
   if (call->idle_timer != NULL)
     g_source_set_ready_time (call->idle_timer,
-                             g_get_monotonic_time () + (gint64) call->silence_ms * 1000);
+                             g_get_monotonic_time () + (gint64) call->idle_timeout_ms * 1000);
 }
 
 static void
-start_idle_timer (FbHttpClient *self, Call *call, guint silence_ms)
+start_idle_timer (FbHttpClient *self, Call *call, guint idle_timeout_ms)
 {
   if (idle_timeout_ms == 0)
     return;
-  call->silence_ms = silence_ms;
-  call->idle_timer = g_timeout_source_new (silence_ms);
+  call->idle_timeout_ms = idle_timeout_ms;
+  call->idle_timer = g_timeout_source_new (idle_timeout_ms);
   g_source_set_callback (call->idle_timer, on_idle_timeout, call, NULL);
   g_source_attach (call->idle_timer, g_main_context_get_thread_default ());
   g_hash_table_add (self->idle_timed, call);
@@ -344,7 +344,7 @@
 gboolean
 fb_http_reply_is_ambiguous (const FbHttpReply *reply)
 {
-  return reply->status == FB_HTTP_OK ? reply->copies != 1 : reply->sent;
+  return reply->status == FB_HTTP_OK ? reply->transmissions != 1 : reply->sent;
 }
 
 void
@@ -391,7 +391,7 @@
   Call *call = user;
   if (clock_ms () >= call->deadline_ms)
     return CURL_PREREQFUNC_ABORT;
-  call->copies++;
+  call->transmissions++;
   return CURL_PREREQFUNC_OK;
 }
 
@@ -471,7 +471,7 @@
   call->client = self;
   call->traffic = request->traffic;
   call->deadline_ms = clock_ms () + timeout_ms;
-  start_idle_timer (self, call, request->silence_ms);
+  start_idle_timer (self, call, request->idle_timeout_ms);
   set_options (call, request, timeout_ms);
   curl_multi_add_handle (self->multi, call->easy);
 }
--- a/src/net/http-client.h
+++ b/src/net/http-client.h
@@ -33,13 +33,13 @@
    * may use an idle connection: the server may close that connection at the same moment, and
    * libcurl then sends the request again on a new one. The answer belongs to the last transmission,
    * so a refusal does not prove that no transmission was carried out
-   * (fb_http_reply_leaves_doubt()). */
+   * (fb_http_reply_is_ambiguous()). */
   gboolean idempotent;
   char *url;
   const char *content_type; /* static string; NULL without a body */
   GBytes *body;             /* may be NULL */
   FbTraffic traffic;        /* kind under which its bytes are counted */
-  guint silence_ms; /* the call fails when nothing was received for this time; 0: no such limit */
+  guint idle_timeout_ms;    /* fails the call when nothing was received for this time; 0: none */
   const char *header_names[2];
   char *header_values[2];
 } FbHttpCall;
@@ -48,7 +48,7 @@
 {
   FbHttpStatus status; /* FB_HTTP_OK: an answer was received, with any status CODE */
   gboolean sent;       /* FALSE: nothing was sent, so nothing was carried out */
-  guint copies;        /* transmissions, each on a connection; see FbHttpCall.idempotent */
+  guint transmissions; /* each on a connection; see FbHttpCall.idempotent */
   gboolean refused;    /* the host refused the connection: nothing listens on the port */
   guint code;
   GBytes *body; /* borrowed for the callback; NULL unless FB_HTTP_OK */
@@ -56,7 +56,7 @@
 
 /* TRUE when a transmission other than the answered one may have been carried out: the answer says
  * nothing about that one. */
-gboolean fb_http_reply_leaves_doubt (const FbHttpReply *reply);
+gboolean fb_http_reply_is_ambiguous (const FbHttpReply *reply);
 
 typedef void (*FbHttpReplyDone) (gpointer user, const FbHttpReply *reply);
 
@@ -69,9 +69,9 @@
 void fb_http_client_exchange (FbHttpClient *self, const FbHttpCall *call, guint timeout_ms,
                               FbHttpReplyDone done, gpointer user);
 
-/* Cancels the calls of USER that have a silence_ms, without calling DONE. The rest of their answers
- * is not received, and so takes no bandwidth. */
-void fb_http_client_drop (FbHttpClient *self, gconstpointer user);
+/* Cancels the calls of USER that have an idle timeout, without calling DONE. The rest of their
+ * answers is not received, and so takes no bandwidth. */
+void fb_http_client_cancel (FbHttpClient *self, gconstpointer user);
 
 /* Sends BODY (consumed; NULL for a GET request) and calls DONE once, on this thread and never from
  * inside this function. */
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -152,8 +152,9 @@
 static FbHttpReply
 reply_of (guint code, GBytes *body)
 {
-  return (
-      FbHttpReply){ .status = FB_HTTP_OK, .sent = TRUE, .copies = 1, .code = code, .body = body };
+  return (FbHttpReply){
+    .status = FB_HTTP_OK, .sent = TRUE, .transmissions = 1, .code = code, .body = body
+  };
 }
 
 /* What tells a caller that its job certainly is not stored, and what does not. */
@@ -196,7 +197,7 @@
       g_autoptr (GBytes) body = g_bytes_new (text, strlen (text));
       FbHttpReply reply = { .status = cases[i].status,
                             .sent = cases[i].sent,
-                            .copies = cases[i].sent,
+                            .transmissions = cases[i].sent,
                             .code = cases[i].code,
                             .body = body };
       CU_ASSERT_EQUAL (fb_wire_parse_append (&reply), cases[i].result);
@@ -244,7 +245,7 @@
 {
   g_autoptr (GBytes) body = g_bytes_new (text, strlen (text));
   FbHttpReply reply
-      = { .status = status, .sent = sent, .copies = sent, .code = code, .body = body };
+      = { .status = status, .sent = sent, .transmissions = sent, .code = code, .body = body };
   uint64_t clock_ms = 0;
   return fb_wire_parse_order_result (&reply, &clock_ms);
 }
