--- a/src/base/event.c
+++ b/src/base/event.c
@@ -59,7 +59,7 @@
 /* ---- bounded output ------------------------------------------------------ */
 
 /* Failure: a daemon takes over a pool of 2,000 jobs and logs a line for each. They use up the limit
- * of that second, and the line that reports the pool as settled or lost is dropped, so the pool
+ * of that second, and the line that reports the pool as recovered or lost is dropped, so the pool
  * seems to make no progress. Guard: decisions on jobs and workers (levels info and debug) may not
  * use this part of the limit, which is left to rarer lines. */
 #define RESERVED_PERCENT 20
--- a/src/base/ini.c
+++ b/src/base/ini.c
@@ -162,14 +162,14 @@
 read_field (const char *file, const char *group, const FbIniField *field, const char *text,
             gpointer target)
 {
-  void *place = (char *) target + field->offset;
+  void *member = (char *) target + field->offset;
   if (field->type == FB_INI_STRING)
     {
       gsize len = strlen (text);
       if (len > 0 && len <= field->max)
         {
-          g_free (*(char **) place);
-          *(char **) place = g_strdup (text);
+          g_free (*(char **) member);
+          *(char **) member = g_strdup (text);
           return FB_INI_OK;
         }
     }
@@ -179,7 +179,7 @@
       if (parse_number (field, text, &value)
           && (field->max == 0 || (value >= field->min && value <= field->max)))
         {
-          *(uint64_t *) place = value;
+          *(uint64_t *) member = value;
           return FB_INI_OK;
         }
     }
--- a/src/cli/cli-commands.c
+++ b/src/cli/cli-commands.c
@@ -13,7 +13,7 @@
 /* ---- keygen ----------------------------------------------------------- */
 
 static FbCliExit
-keygen (const FbCliOptions *options, char **args)
+generate_keys (const FbCliOptions *options, char **args)
 {
   (void) options;
   uint8_t public_key[FB_SIGN_PUBLIC_BYTES];
@@ -306,8 +306,8 @@
   return fb_cli_call_and_print (options, "POST", path, empty);
 }
 
-const FbCliVerb fb_cli_commands[] = {
-  { "keygen", "FILE", "make a partner's key pair; FILE gets the secret", 1, 1, keygen },
+const FbCliSubcommand fb_cli_commands[] = {
+  { "keygen", "FILE", "make a partner's key pair; FILE gets the secret", 1, 1, generate_keys },
   { "apply", "FILE...", "put the partner's files in force as one revision", 1, 64, apply },
   { "drain", "HOST [off]", "start no new work on one of the partner's hosts", 1, 2, drain },
   { "submit", "CLASS [TASKS]", "submit a job", 1, 2, submit },
--- a/src/cli/cli-private.h
+++ b/src/cli/cli-private.h
@@ -36,11 +36,11 @@
   guint min_args;
   guint max_args;
   FbCliFunc func;
-} FbCliVerb;
+} FbCliSubcommand;
 
 /* Tables, ended by a NULL name. */
-extern const FbCliVerb fb_cli_commands[];
-extern const FbCliVerb fb_cli_queries[];
+extern const FbCliSubcommand fb_cli_commands[];
+extern const FbCliSubcommand fb_cli_queries[];
 
 /* cli-http.c. Sends one request to the daemon. Returns: the HTTP status, 0 when the daemon cannot
  * be reached; *BODY (transfer full) is never NULL. */
--- a/src/cli/cli-queries.c
+++ b/src/cli/cli-queries.c
@@ -138,7 +138,7 @@
 }
 
 static FbCliExit
-status_verb (const FbCliOptions *options, char **args)
+status (const FbCliOptions *options, char **args)
 {
   (void) args;
   if (fb_cli_is_json (options))
@@ -216,10 +216,10 @@
   return print_body (options, "/metrics");
 }
 
-const FbCliVerb fb_cli_queries[] = {
+const FbCliSubcommand fb_cli_queries[] = {
   { "check", "FILE...", "check files; no daemon is needed", 1, 64, check },
   { "diff", "FILE...", "compare files with what is in force", 1, 64, diff },
-  { "status", "", "members, racks and owners as one daemon sees them", 0, 0, status_verb },
+  { "status", "", "members, racks and owners as one daemon sees them", 0, 0, status },
   { "job", "JOB", "the state or the answer of a job", 1, 1, job },
   { "explain", "JOB", "where the tasks of a job are, and why", 1, 1, explain },
   { "metrics", "", "the counters of one daemon", 0, 0, metrics },
--- a/src/cli/cli.c
+++ b/src/cli/cli.c
@@ -21,11 +21,12 @@
         { NULL, 0, 0, 0, NULL, NULL, NULL } };
 
 static void
-describe (GString *out, const char *title, const FbCliVerb *verbs)
+describe (GString *out, const char *title, const FbCliSubcommand *subcommands)
 {
   g_string_append_printf (out, "%s:\n", title);
-  for (; verbs->name != NULL; verbs++)
-    g_string_append_printf (out, "  %-8s %-14s %s\n", verbs->name, verbs->args, verbs->help);
+  for (; subcommands->name != NULL; subcommands++)
+    g_string_append_printf (out, "  %-8s %-14s %s\n", subcommands->name, subcommands->args,
+                            subcommands->help);
 }
 
 static char *
@@ -37,26 +38,26 @@
   return g_string_free (out, FALSE);
 }
 
-static const FbCliVerb *
-find_verb (const char *name)
+static const FbCliSubcommand *
+find_subcommand (const char *name)
 {
-  const FbCliVerb *const tables[] = { fb_cli_commands, fb_cli_queries };
+  const FbCliSubcommand *const tables[] = { fb_cli_commands, fb_cli_queries };
   for (guint t = 0; t < G_N_ELEMENTS (tables); t++)
     {
-      for (const FbCliVerb *verb = tables[t]; verb->name != NULL; verb++)
+      for (const FbCliSubcommand *subcommand = tables[t]; subcommand->name != NULL; subcommand++)
         {
-          if (g_str_equal (verb->name, name))
-            return verb;
+          if (g_str_equal (subcommand->name, name))
+            return subcommand;
         }
     }
   return NULL;
 }
 
 static FbCliExit
-run_verb (void)
+run_subcommand (void)
 {
-  const FbCliVerb *verb = arguments != NULL ? find_verb (arguments[0]) : NULL;
-  if (verb == NULL)
+  const FbCliSubcommand *subcommand = arguments != NULL ? find_subcommand (arguments[0]) : NULL;
+  if (subcommand == NULL)
     {
       g_autofree char *text = summary ();
       fprintf (stderr, "%s%s%s",
@@ -66,12 +67,12 @@
       return FB_CLI_USAGE;
     }
   guint n = g_strv_length (arguments) - 1;
-  if (n < verb->min_args || n > verb->max_args)
+  if (n < subcommand->min_args || n > subcommand->max_args)
     {
-      fprintf (stderr, "expected: flamingobarrow %s %s\n", verb->name, verb->args);
+      fprintf (stderr, "expected: flamingobarrow %s %s\n", subcommand->name, subcommand->args);
       return FB_CLI_USAGE;
     }
-  return verb->func (&options, arguments + 1);
+  return subcommand->func (&options, arguments + 1);
 }
 
 int
@@ -97,7 +98,7 @@
     }
   if (sodium_init () < 0)
     return FB_CLI_FAILED;
-  int code = (int) run_verb ();
+  int code = (int) run_subcommand ();
   g_strfreev (arguments);
   return code;
 }
--- a/src/daemon/core.c
+++ b/src/daemon/core.c
@@ -6,9 +6,9 @@
 #include <stdatomic.h>
 #include <string.h>
 
-#define ADVANCE_MS 50
-#define HOST_LIST_MS 1000
-#define RECEIVE_MAX 20000
+#define ADVANCE_PERIOD_MS 50
+#define HOST_LIST_PERIOD_MS 1000
+#define PENDING_MESSAGES_MAX 20000
 
 /* A long poll of one worker of a rack that this daemon owns. */
 typedef struct
@@ -36,7 +36,7 @@
   gpointer listener_user;
   Watch **watches;           /* [rack][host] */
   GHashTable *hosts_by_name; /* name -> HostState with the last state passed to the node */
-  _Atomic guint receiving;
+  _Atomic guint pending_messages_n;
   uint64_t drain_until_ms;
   FbLoopFunc drained;
   gpointer drained_user;
@@ -376,12 +376,12 @@
 {
   FbCore *core;
   fb_msg *msg;
-} Received;
+} ReceivedMessage;
 
 static void
 received_free (gpointer data)
 {
-  Received *received = data;
+  ReceivedMessage *received = data;
   fb_codec_clear_msg (received->msg);
   g_free (received->msg);
   g_free (received);
@@ -390,8 +390,8 @@
 static void
 received_on_core (gpointer data)
 {
-  Received *received = data;
-  atomic_fetch_sub (&received->core->receiving, 1);
+  ReceivedMessage *received = data;
+  atomic_fetch_sub (&received->core->pending_messages_n, 1);
   fb_node_receive (received->core->node, fb_loop_now_ms (), received->msg);
 }
 
@@ -399,11 +399,11 @@
 fb_core_receive (gpointer core, fb_msg *msg)
 {
   FbCore *self = core;
-  Received *received = g_new (Received, 1);
-  *received = (Received){ self, msg };
-  if (atomic_fetch_add (&self->receiving, 1) >= RECEIVE_MAX)
+  ReceivedMessage *received = g_new (ReceivedMessage, 1);
+  *received = (ReceivedMessage){ self, msg };
+  if (atomic_fetch_add (&self->pending_messages_n, 1) >= PENDING_MESSAGES_MAX)
     {
-      atomic_fetch_sub (&self->receiving, 1);
+      atomic_fetch_sub (&self->pending_messages_n, 1);
       received_free (received);
       return FALSE;
     }
@@ -542,8 +542,8 @@
 void
 fb_core_start (FbCore *self)
 {
-  fb_loop_every (self->loop, ADVANCE_MS, advance, self);
-  fb_loop_every (self->log_loop, HOST_LIST_MS, poll_hosts, self);
+  fb_loop_add_periodic (self->loop, ADVANCE_PERIOD_MS, advance, self);
+  fb_loop_add_periodic (self->log_loop, HOST_LIST_PERIOD_MS, poll_hosts, self);
 }
 
 typedef struct
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -116,7 +116,7 @@
 start (Daemon *self)
 {
   self->self_index = (guint) fb_cell_member_by_name (self->cell, self->settings->name);
-  self->loop = fb_loop_new_here ();
+  self->loop = fb_loop_new_for_current_thread ();
   self->log = fb_log_http_new (self->cell->log_url);
   self->workers = fb_worker_http_new ();
   self->hosts = fb_host_list_http_new (self->cell->host_list_url);
--- a/src/daemon/front.c
+++ b/src/daemon/front.c
@@ -365,7 +365,7 @@
       return FB_FRONT_ADDRESS_IN_USE;
     }
   fb_core_set_listener (core, &core_listener, self);
-  fb_loop_every (loop, EXPIRY_PERIOD_MS, expire_queries, self);
+  fb_loop_add_periodic (loop, EXPIRY_PERIOD_MS, expire_queries, self);
   *front = self;
   return FB_FRONT_OK;
 }
--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -47,7 +47,7 @@
 }
 
 FbLoop *
-fb_loop_new_here (void)
+fb_loop_new_for_current_thread (void)
 {
   return loop_new (g_main_context_ref (g_main_context_default ()));
 }
@@ -96,7 +96,7 @@
 }
 
 void
-fb_loop_every (FbLoop *self, guint period_ms, FbLoopFunc func, gpointer data)
+fb_loop_add_periodic (FbLoop *self, guint period_ms, FbLoopFunc func, gpointer data)
 {
   Message *message = g_new (Message, 1);
   *message = (Message){ func, data, NULL };
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -13,7 +13,7 @@
 /* Starts a loop in a new thread called NAME. (transfer full) */
 FbLoop *fb_loop_new (const char *name);
 /* A loop that runs on the calling thread, in fb_loop_run(). */
-FbLoop *fb_loop_new_here (void);
+FbLoop *fb_loop_new_for_current_thread (void);
 void fb_loop_run (FbLoop *self);
 
 /* Returns: the time in ms of the monotonic clock, which all threads share. */
@@ -25,7 +25,7 @@
 
 /* Calls FUNC on the loop's thread every PERIOD_MS. To be called from that thread, or before other
  * threads post to the loop. */
-void fb_loop_every (FbLoop *self, guint period_ms, FbLoopFunc func, gpointer data);
+void fb_loop_add_periodic (FbLoop *self, guint period_ms, FbLoopFunc func, gpointer data);
 
 /* Returns: the context, borrowed, to attach the loop's sockets to. */
 GMainContext *fb_loop_context (FbLoop *self);
