--- a/src/daemon/front-private.h
+++ b/src/daemon/front-private.h
@@ -76,7 +76,7 @@
 void fb_front_post_error (FbFront *self, guint64 call_id, guint status, const char *reason);
 void fb_front_post_job (FbFront *self, guint64 call_id, uint64_t job);
 
-/* front-commands.c, front-queries.c. Return: TRUE when PATH is theirs and the request was
+/* front-commands.c, front-queries.c. Returns: TRUE when PATH is theirs and the request was
  * handled. */
 gboolean fb_front_command (FbFront *self, SoupServerMessage *message, const char *path,
                            GHashTable *query);
--- a/tests/test-slow-store.c
+++ b/tests/test-slow-store.c
@@ -66,8 +66,7 @@
   Daemon daemons[DAEMON_MAX];
   Job jobs[JOB_N];
   uint64_t queue_until_ms; /* end of the partition's queue */
-  gboolean uses_health;    /* daemons learn of a slow store from renewals and failures, and append
-                                 through a proxy */
+  gboolean uses_health;    /* daemons also learn from renewals and failures, and use a proxy */
 } Simulation;
 
 static gboolean
