--- a/src/cli/cli.c
+++ b/src/cli/cli.c
@@ -9,7 +9,7 @@
 #define DEFAULT_WAIT_S 20
 
 static FbCliOptions options = { .wait_s = DEFAULT_WAIT_S };
-static char **words;
+static char **arguments;
 
 static const GOptionEntry entries[]
     = { { "daemon", 'd', 0, G_OPTION_ARG_STRING, &options.daemon, "Daemon to talk to", "IP:PORT" },
@@ -17,15 +17,16 @@
           "FILE" },
         { "format", 'f', 0, G_OPTION_ARG_STRING, &options.format, "text or json", "FORMAT" },
         { "wait", 'w', 0, G_OPTION_ARG_INT, &options.wait_s, "How long apply waits", "SECONDS" },
-        { G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &words, NULL, NULL },
+        { G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &arguments, NULL, NULL },
         { NULL, 0, 0, 0, NULL, NULL, NULL } };
 
 static void
-describe (GString *out, const char *title, const FbCliVerb *verbs)
+describe (GString *out, const char *title, const FbCliSubcommand *subcommands)
 {
   g_string_append_printf (out, "%s:\n", title);
-  for (; verbs->name != NULL; verbs++)
-    g_string_append_printf (out, "  %-8s %-14s %s\n", verbs->name, verbs->args, verbs->help);
+  for (; subcommands->name != NULL; subcommands++)
+    g_string_append_printf (out, "  %-8s %-14s %s\n", subcommands->name, subcommands->args,
+                            subcommands->help);
 }
 
 static char *
@@ -37,46 +38,47 @@
   return g_string_free (out, FALSE);
 }
 
-static const FbCliVerb *
-find_verb (const char *name)
+static const FbCliSubcommand *
+find_subcommand (const char *name)
 {
-  const FbCliVerb *const tables[] = { fb_cli_commands, fb_cli_queries };
+  const FbCliSubcommand *const tables[] = { fb_cli_commands, fb_cli_queries };
   for (guint t = 0; t < G_N_ELEMENTS (tables); t++)
     {
-      for (const FbCliVerb *verb = tables[t]; verb->name != NULL; verb++)
+      for (const FbCliSubcommand *subcommand = tables[t]; subcommand->name != NULL; subcommand++)
         {
-          if (g_str_equal (verb->name, name))
-            return verb;
+          if (g_str_equal (subcommand->name, name))
+            return subcommand;
         }
     }
   return NULL;
 }
 
 static FbCliExit
-run_verb (void)
+run_subcommand (void)
 {
-  const FbCliVerb *verb = words != NULL ? find_verb (words[0]) : NULL;
-  if (verb == NULL)
+  const FbCliSubcommand *subcommand = arguments != NULL ? find_subcommand (arguments[0]) : NULL;
+  if (subcommand == NULL)
     {
       g_autofree char *text = summary ();
-      fprintf (stderr, "%s%s%s", words != NULL ? "unknown word: " : "expected one of these.\n",
-               words != NULL ? words[0] : "", words != NULL ? "\n" : "");
+      fprintf (stderr, "%s%s%s",
+               arguments != NULL ? "unknown command: " : "expected one of these commands.\n",
+               arguments != NULL ? arguments[0] : "", arguments != NULL ? "\n" : "");
       fputs (text, stderr);
       return FB_CLI_USAGE;
     }
-  guint n = g_strv_length (words) - 1;
-  if (n < verb->min_args || n > verb->max_args)
+  guint n = g_strv_length (arguments) - 1;
+  if (n < subcommand->min_args || n > subcommand->max_args)
     {
-      fprintf (stderr, "expected: flamingobarrow %s %s\n", verb->name, verb->args);
+      fprintf (stderr, "expected: flamingobarrow %s %s\n", subcommand->name, subcommand->args);
       return FB_CLI_USAGE;
     }
-  return verb->func (&options, words + 1);
+  return subcommand->func (&options, arguments + 1);
 }
 
 int
 fb_cli_main (int argc, char **argv)
 {
-  g_autoptr (GOptionContext) context = g_option_context_new ("WORD [ARGUMENT...]");
+  g_autoptr (GOptionContext) context = g_option_context_new ("COMMAND [ARGUMENT...]");
   g_autofree char *text = summary ();
   g_option_context_set_summary (context, text);
   g_option_context_add_main_entries (context, entries, NULL);
@@ -96,7 +98,7 @@
     }
   if (sodium_init () < 0)
     return FB_CLI_FAILED;
-  int code = (int) run_verb ();
-  g_strfreev (words);
+  int code = (int) run_subcommand ();
+  g_strfreev (arguments);
   return code;
 }
--- a/src/net/loop.c
+++ b/src/net/loop.c
@@ -47,7 +47,7 @@
 }
 
 FbLoop *
-fb_loop_new_here (void)
+fb_loop_new_for_current_thread (void)
 {
   return loop_new (g_main_context_ref (g_main_context_default ()));
 }
@@ -88,7 +88,7 @@
 }
 
 static gboolean
-run_again (gpointer data)
+run_periodic (gpointer data)
 {
   Message *message = data;
   message->func (message->data);
@@ -96,12 +96,12 @@
 }
 
 void
-fb_loop_every (FbLoop *self, guint period_ms, FbLoopFunc func, gpointer data)
+fb_loop_add_periodic (FbLoop *self, guint period_ms, FbLoopFunc func, gpointer data)
 {
   Message *message = g_new (Message, 1);
   *message = (Message){ func, data, NULL };
   GSource *source = g_timeout_source_new (period_ms);
-  g_source_set_callback (source, run_again, message, message_free);
+  g_source_set_callback (source, run_periodic, message, message_free);
   g_source_attach (source, self->context);
   g_source_unref (source);
 }
