--- a/standins/standin-hosts.c
+++ b/standins/standin-hosts.c
@@ -1,5 +1,6 @@
-/* A stand-in for the platform's host list.  POST /control {"host":NAME,
- * "state":"live|leaving|gone"} changes one; the list lags by "lag_ms". */
+/* Stand-in for the platform's host list.  POST /control {"host":NAME,
+ * "state":"live|leaving|gone"} sets the state of a host; the list shows the
+ * change "lag_ms" milliseconds later. */
 #include "standin.h"
 
 #include <stdio.h>
@@ -7,20 +8,20 @@
 typedef struct
 {
   char *state;
-  guint64 since_ms;
-  char *before;
+  guint64 changed_ms;   /* standin_now_ms() when STATE was set */
+  char *previous_state; /* shown until the list's lag has passed */
 } Host;
 
 typedef struct
 {
-  GHashTable *hosts;
-  guint64 lag_ms;
+  GHashTable *hosts; /* name -> Host */
+  guint64 lag_ms;    /* delay before a change of state is listed */
 } Hosts;
 
 static const char *
 visible_state (const Hosts *self, const Host *host)
 {
-  return standin_now_ms () >= host->since_ms + self->lag_ms ? host->state : host->before;
+  return standin_now_ms () >= host->changed_ms + self->lag_ms ? host->state : host->previous_state;
 }
 
 static JsonBuilder *
@@ -67,10 +68,10 @@
       host->state = g_strdup ("live");
       g_hash_table_insert (self->hosts, g_strdup (name), host);
     }
-  g_free (host->before);
-  host->before = host->state;
+  g_free (host->previous_state);
+  host->previous_state = host->state;
   host->state = g_strdup (state);
-  host->since_ms = standin_now_ms ();
+  host->changed_ms = standin_now_ms ();
 }
 
 int
--- a/standins/standin-log.c
+++ b/standins/standin-log.c
@@ -1,54 +1,54 @@
-/* A stand-in for the platform's log: streams with offsets and retention, in
- * memory, over HTTP and JSON. */
+/* Stand-in for the platform's log: streams with offsets and retention, kept in
+ * memory and served as JSON over HTTP. */
 #include "standin.h"
 
 #include <stdio.h>
 #include <string.h>
 
-#define PAGE_MAX 500
+#define MAX_PAGE_RECORDS 500
 
 typedef struct
 {
-  guint64 first;
-  GPtrArray *data; /* char * */
-  GArray *at_ms;   /* guint64 */
+  guint64 first;       /* offset of the oldest record that is retained */
+  GPtrArray *data;     /* of char * */
+  GArray *appended_ms; /* of guint64: standin_now_ms() at the append of each record */
 } Stream;
 
 typedef struct
 {
-  GHashTable *streams;
+  GHashTable *streams; /* name -> Stream */
   guint64 retention_ms;
-  guint64 appends;
-  guint64 records;
+  guint64 appends; /* append calls served */
+  guint64 records; /* records appended by them */
 } Log;
 
 static Stream *
-stream_of (Log *self, const char *name)
+get_stream (Log *self, const char *name)
 {
   Stream *stream = g_hash_table_lookup (self->streams, name);
   if (stream == NULL)
     {
       stream = g_new0 (Stream, 1);
       stream->data = g_ptr_array_new_with_free_func (g_free);
-      stream->at_ms = g_array_new (FALSE, FALSE, sizeof (guint64));
+      stream->appended_ms = g_array_new (FALSE, FALSE, sizeof (guint64));
       g_hash_table_insert (self->streams, g_strdup (name), stream);
     }
   return stream;
 }
 
 static void
-drop_old (const Log *self, Stream *stream)
+drop_expired (const Log *self, Stream *stream)
 {
   guint64 now_ms = standin_now_ms ();
-  guint old = 0;
-  while (old < stream->at_ms->len
-         && g_array_index (stream->at_ms, guint64, old) + self->retention_ms < now_ms)
-    old++;
-  if (old == 0)
+  guint expired_n = 0;
+  while (expired_n < stream->appended_ms->len
+         && g_array_index (stream->appended_ms, guint64, expired_n) + self->retention_ms < now_ms)
+    expired_n++;
+  if (expired_n == 0)
     return;
-  g_ptr_array_remove_range (stream->data, 0, old);
-  g_array_remove_range (stream->at_ms, 0, old);
-  stream->first += old;
+  g_ptr_array_remove_range (stream->data, 0, expired_n);
+  g_array_remove_range (stream->appended_ms, 0, expired_n);
+  stream->first += expired_n;
 }
 
 static JsonBuilder *
@@ -66,11 +66,11 @@
     {
       JsonObject *record = json_array_get_object_element (records, i);
       Stream *stream
-          = stream_of (self, json_object_get_string_member_with_default (record, "stream", ""));
-      drop_old (self, stream);
+          = get_stream (self, json_object_get_string_member_with_default (record, "stream", ""));
+      drop_expired (self, stream);
       g_ptr_array_add (stream->data,
                        g_strdup (json_object_get_string_member_with_default (record, "data", "")));
-      g_array_append_val (stream->at_ms, now_ms);
+      g_array_append_val (stream->appended_ms, now_ms);
       json_builder_add_int_value (out, (gint64) (stream->first + stream->data->len - 1));
     }
   json_builder_end_array (out);
@@ -83,10 +83,10 @@
 read_stream (Log *self, GHashTable *query)
 {
   const char *name = query != NULL ? g_hash_table_lookup (query, "stream") : NULL;
-  Stream *stream = stream_of (self, name != NULL ? name : "");
-  drop_old (self, stream);
+  Stream *stream = get_stream (self, name != NULL ? name : "");
+  drop_expired (self, stream);
   guint64 from = standin_query_u64 (query, "from", 0);
-  guint64 max = MIN (standin_query_u64 (query, "max", PAGE_MAX), PAGE_MAX);
+  guint64 max = MIN (standin_query_u64 (query, "max", MAX_PAGE_RECORDS), MAX_PAGE_RECORDS);
   guint64 now_ms = standin_now_ms ();
   JsonBuilder *out = standin_object ();
   standin_add_int (out, "first", (gint64) stream->first);
@@ -99,7 +99,7 @@
       json_builder_begin_object (out);
       standin_add_int (out, "offset", (gint64) (stream->first + i));
       standin_add_int (out, "age_ms",
-                       (gint64) (now_ms - g_array_index (stream->at_ms, guint64, i)));
+                       (gint64) (now_ms - g_array_index (stream->appended_ms, guint64, i)));
       standin_add_text (out, "data", g_ptr_array_index (stream->data, i));
       json_builder_end_object (out);
     }
--- a/standins/standin-platform-audit.c
+++ b/standins/standin-platform-audit.c
@@ -1,36 +1,40 @@
-/* What really ran on the workers, and what of it must never be. */
+/* Audit of the runs on the workers: counts what was started and ended, and violations of the
+ * scheduler's guarantees. */
 #include "standin-platform.h"
 
 #include <string.h>
 
-/* Workers that a task may crash before STARTS_MOST more of its starts are too many. */
-#define CRASHES_MOST 3
-#define STARTS_MOST 3
+/* A task that has crashed MAX_CRASHES workers and is started EXCESS_STARTS times after that was
+ * started too often. */
+#define MAX_CRASHES 3
+#define EXCESS_STARTS 3
 
-/* What became of a task that crashes its workers. */
+/* A task that has crashed at least one worker. */
 typedef struct
 {
-  guint crashes;
-  guint starts_after;
-} Crasher;
+  guint crashes;      /* workers it has crashed */
+  guint starts_after; /* its starts since CRASHES reached MAX_CRASHES */
+} CrashingTask;
 
-static GHashTable *done_tasks;   /* task -> number of its ends that count */
-static GHashTable *started_jobs; /* set of ids */
-static GHashTable *crashers;     /* task -> Crasher */
-static guint crashes;
+static GHashTable
+    *done_tasks; /* task -> number of its runs that ended as done and were not forgotten */
+static GHashTable *started_jobs;   /* set of job ids */
+static GHashTable *crashing_tasks; /* task -> CrashingTask */
+static guint crashes;              /* of workers, by tasks */
 static guint started;
-static guint doubled;
-static guint over_capacity;
+static guint
+    duplicate_starts;       /* other runs, and ends as done, that were there when a task started */
+static guint over_capacity; /* starts on a worker without capacity for them */
 static guint started_too_often;
-static guint64 newest_epoch;
-static guint epochs; /* that workers have taken orders under */
+static guint64 highest_epoch;
+static guint epochs_n; /* new highest fencing tokens seen in orders */
 
 void
 sp_audit_init (void)
 {
   done_tasks = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   started_jobs = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  crashers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  crashing_tasks = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
 }
 
 void
@@ -38,18 +42,19 @@
 {
   gboolean is_done = g_hash_table_contains (done_tasks, task);
   if (running > 0 || is_done)
-    g_debug ("DOUBLED %s: %u run, %s", task, running, is_done ? "it is done" : "not done");
-  doubled += running + is_done;
+    g_debug ("duplicate start of task %s: %u other runs, %s", task, running,
+             is_done ? "already done" : "not done");
+  duplicate_starts += running + is_done;
   over_capacity += !fits;
-  Crasher *crasher = g_hash_table_lookup (crashers, task);
-  if (crasher != NULL && crasher->crashes >= CRASHES_MOST)
-    started_too_often += ++crasher->starts_after == STARTS_MOST;
+  CrashingTask *crashing_task = g_hash_table_lookup (crashing_tasks, task);
+  if (crashing_task != NULL && crashing_task->crashes >= MAX_CRASHES)
+    started_too_often += ++crashing_task->starts_after == EXCESS_STARTS;
   started++;
   g_hash_table_add (started_jobs, g_strndup (task, strcspn (task, ".")));
 }
 
 static guint
-done_n (const char *task)
+count_done (const char *task)
 {
   return GPOINTER_TO_UINT (g_hash_table_lookup (done_tasks, task));
 }
@@ -57,14 +62,14 @@
 void
 sp_audit_done (const char *task)
 {
-  g_hash_table_replace (done_tasks, g_strdup (task), GUINT_TO_POINTER (done_n (task) + 1));
+  g_hash_table_replace (done_tasks, g_strdup (task), GUINT_TO_POINTER (count_done (task) + 1));
 }
 
 void
 sp_audit_forget_done (const char *task)
 {
-  if (done_n (task) > 1)
-    g_hash_table_replace (done_tasks, g_strdup (task), GUINT_TO_POINTER (done_n (task) - 1));
+  if (count_done (task) > 1)
+    g_hash_table_replace (done_tasks, g_strdup (task), GUINT_TO_POINTER (count_done (task) - 1));
   else
     g_hash_table_remove (done_tasks, task);
 }
@@ -72,21 +77,21 @@
 guint
 sp_audit_crash (const char *task)
 {
-  Crasher *crasher = g_hash_table_lookup (crashers, task);
-  if (crasher == NULL)
+  CrashingTask *crashing_task = g_hash_table_lookup (crashing_tasks, task);
+  if (crashing_task == NULL)
     {
-      crasher = g_new0 (Crasher, 1);
-      g_hash_table_insert (crashers, g_strdup (task), crasher);
+      crashing_task = g_new0 (CrashingTask, 1);
+      g_hash_table_insert (crashing_tasks, g_strdup (task), crashing_task);
     }
-  crasher->crashes++;
+  crashing_task->crashes++;
   return ++crashes;
 }
 
 void
 sp_audit_order (guint64 token)
 {
-  epochs += token > newest_epoch;
-  newest_epoch = MAX (newest_epoch, token);
+  epochs_n += token > highest_epoch;
+  highest_epoch = MAX (highest_epoch, token);
 }
 
 gboolean
@@ -101,6 +106,6 @@
   return g_strdup_printf ("{\"started\":%u,\"done\":%u,\"doubled\":%u,\"over-capacity\":%u,"
                           "\"epochs\":%u,\"crashes\":%u,"
                           "\"started-too-often\":%u}",
-                          started, g_hash_table_size (done_tasks), doubled, over_capacity, epochs,
-                          crashes, started_too_often);
+                          started, g_hash_table_size (done_tasks), duplicate_starts, over_capacity,
+                          epochs_n, crashes, started_too_often);
 }
--- a/standins/standin-platform-faults.c
+++ b/standins/standin-platform-faults.c
@@ -1,35 +1,36 @@
-/* Workers and a store that do not serve all their calls, and calls that are carried out late. */
+/* Fault injection: workers and the store refuse calls or do not answer them, and workers execute
+ * calls late. */
 #include "standin-platform.h"
 
 #include <string.h>
 
-/* A late call is carried out between these after it came. */
-#define LATE_LEAST_MS 300
-#define LATE_MOST_MS 5000
+/* A delayed call is executed this long after it arrived. */
+#define MIN_DELAY_MS 300
+#define MAX_DELAY_MS 5000
 
 typedef struct
 {
-  gint64 until_ms;
-  guint percent[SP_CALL_FATE_N]; /* of its calls; what is left is served */
-} Shares;
+  gint64 until_ms;                  /* sp_now_ms() when the faults end; 0: no faults */
+  guint percent[SP_CALL_OUTCOME_N]; /* of the calls, per outcome; the rest is served */
+} FaultRates;
 
 typedef struct
 {
-  SoupServerMessage *message;
-  guint k;
+  SoupServerMessage *message; /* paused */
+  guint k;                    /* index of the worker */
   char *path;
   JsonObject *body;
-  gint64 at_ms;
-} LateCall;
+  gint64 execute_at_ms; /* by sp_now_ms() */
+} DelayedCall;
 
-static Shares shares[SP_WORKER_MAX + 1]; /* the last: of the store */
-static GPtrArray *late_calls;            /* of LateCall */
-static GRand *luck;
+static FaultRates fault_rates[SP_WORKER_MAX + 1]; /* by worker; the last is the store's */
+static GPtrArray *delayed_calls;                  /* of DelayedCall */
+static GRand *fault_rand;
 
 static void
-late_call_free (gpointer data)
+delayed_call_free (gpointer data)
 {
-  LateCall *call = data;
+  DelayedCall *call = data;
   g_object_unref (call->message);
   g_free (call->path);
   json_object_unref (call->body);
@@ -39,65 +40,65 @@
 void
 sp_faults_init (void)
 {
-  late_calls = g_ptr_array_new_with_free_func (late_call_free);
-  luck = g_rand_new_with_seed (1);
+  delayed_calls = g_ptr_array_new_with_free_func (delayed_call_free);
+  fault_rand = g_rand_new_with_seed (1);
 }
 
 void
-sp_faults_set (guint k, JsonObject *told)
+sp_faults_set (guint k, JsonObject *settings)
 {
-  static const char *const names[SP_CALL_FATE_N]
-      = { [SP_CALL_REFUSED] = "refuse", [SP_CALL_LOST] = "lose", [SP_CALL_LATE] = "late" };
-  Shares *own = &shares[MIN (k, SP_STORE)];
-  own->until_ms = sp_now_ms () + json_object_get_int_member_with_default (told, "for-ms", 0);
-  for (guint i = SP_CALL_SERVED + 1; i < SP_CALL_FATE_N; i++)
-    own->percent[i] = (guint) json_object_get_int_member_with_default (told, names[i], 0);
+  static const char *const names[SP_CALL_OUTCOME_N]
+      = { [SP_CALL_REFUSED] = "refuse", [SP_CALL_UNANSWERED] = "lose", [SP_CALL_DELAYED] = "late" };
+  FaultRates *rates = &fault_rates[MIN (k, SP_STORE)];
+  rates->until_ms = sp_now_ms () + json_object_get_int_member_with_default (settings, "for-ms", 0);
+  for (guint i = SP_CALL_SERVED + 1; i < SP_CALL_OUTCOME_N; i++)
+    rates->percent[i] = (guint) json_object_get_int_member_with_default (settings, names[i], 0);
 }
 
 void
-sp_faults_end (void)
+sp_faults_clear (void)
 {
-  memset (shares, 0, sizeof shares);
+  memset (fault_rates, 0, sizeof fault_rates);
 }
 
-SpCallFate
+SpCallOutcome
 sp_faults_draw (guint k)
 {
-  const Shares *own = &shares[k];
-  if (sp_now_ms () >= own->until_ms)
+  const FaultRates *rates = &fault_rates[k];
+  if (sp_now_ms () >= rates->until_ms)
     return SP_CALL_SERVED;
-  guint drawn = (guint) g_rand_int_range (luck, 0, 100);
-  for (guint i = SP_CALL_SERVED + 1; i < SP_CALL_FATE_N; i++)
+  guint drawn = (guint) g_rand_int_range (fault_rand, 0, 100);
+  for (guint i = SP_CALL_SERVED + 1; i < SP_CALL_OUTCOME_N; i++)
     {
-      if (drawn < own->percent[i])
-        return (SpCallFate) i;
-      drawn -= own->percent[i];
+      if (drawn < rates->percent[i])
+        return (SpCallOutcome) i;
+      drawn -= rates->percent[i];
     }
   return SP_CALL_SERVED;
 }
 
 void
-sp_faults_hold (SoupServerMessage *message, guint k, const char *path, JsonObject *body)
+sp_faults_delay_call (SoupServerMessage *message, guint k, const char *path, JsonObject *body)
 {
-  LateCall *call = g_new0 (LateCall, 1);
+  DelayedCall *call = g_new0 (DelayedCall, 1);
   call->message = g_object_ref (message);
   call->k = k;
   call->path = g_strdup (path);
   call->body = json_object_ref (body);
-  call->at_ms = sp_now_ms () + g_rand_int_range (luck, LATE_LEAST_MS, LATE_MOST_MS);
+  call->execute_at_ms = sp_now_ms () + g_rand_int_range (fault_rand, MIN_DELAY_MS, MAX_DELAY_MS);
   soup_server_message_pause (message);
-  g_ptr_array_add (late_calls, call);
+  g_ptr_array_add (delayed_calls, call);
 }
 
 void
-sp_faults_turn (void)
+sp_faults_tick (void)
 {
-  for (guint i = late_calls->len; i > 0; i--)
+  for (guint i = delayed_calls->len; i > 0; i--)
     {
-      LateCall *call = late_calls->pdata[i - 1];
-      if (sp_now_ms () < call->at_ms)
+      DelayedCall *call = delayed_calls->pdata[i - 1];
+      if (sp_now_ms () < call->execute_at_ms)
         continue;
-      sp_worker_carry_out (call->message, call->k, call->path, call->body);
-      g_ptr_array_remove_index (late_calls, i - 1);
+      sp_worker_execute (call->message, call->k, call->path, call->body);
+      g_ptr_array_remove_index (delayed_calls, i - 1);
     }
 }
--- a/standins/standin-platform-group.c
+++ b/standins/standin-platform-group.c
@@ -1,22 +1,23 @@
-/* The store's groups: the members of each share the partitions evenly, in the order of their
- * joining.  All topics of a group are dealt alike, so one is told of. */
+/* The store's consumer groups.  The partitions of a group are assigned to its members round-robin,
+ * in the order in which they joined.  All topics of a group have the same assignment, so only that
+ * of keyed.jobs is reported. */
 #include "standin-platform.h"
 
 typedef struct
 {
   char *name;
-  gint64 seen_ms;
-  gint64 ttl_ms;
+  gint64 last_join_ms; /* by sp_now_ms() */
+  gint64 ttl_ms;       /* a member that does not join again for so long is removed */
 } Member;
 
 typedef struct
 {
   GPtrArray *members; /* of Member */
-  guint64 generation;
+  guint64 generation; /* rises each time a member joins or leaves */
 } Group;
 
 static GHashTable *groups; /* name -> Group */
-static gboolean patient;
+static gboolean expiry_disabled;
 
 void
 sp_group_init (void)
@@ -25,7 +26,7 @@
 }
 
 static Group *
-group_of (const char *name)
+get_group (const char *name)
 {
   Group *group = g_hash_table_lookup (groups, name);
   if (group == NULL)
@@ -39,13 +40,13 @@
 }
 
 void
-sp_group_set_patient (gboolean value)
+sp_group_set_expiry_disabled (gboolean value)
 {
-  patient = value;
+  expiry_disabled = value;
 }
 
 static void
-drop_member (Group *group, guint i)
+remove_member (Group *group, guint i)
 {
   Member *member = group->members->pdata[i];
   g_ptr_array_remove_index (group->members, i);
@@ -55,13 +56,13 @@
 }
 
 static void
-drop_silent_members (Group *group)
+expire_members (Group *group)
 {
   for (guint i = group->members->len; i > 0; i--)
     {
       const Member *member = group->members->pdata[i - 1];
-      if (!patient && sp_now_ms () > member->seen_ms + member->ttl_ms)
-        drop_member (group, i - 1);
+      if (!expiry_disabled && sp_now_ms () > member->last_join_ms + member->ttl_ms)
+        remove_member (group, i - 1);
     }
 }
 
@@ -90,9 +91,9 @@
 serve_join (SoupServerMessage *message, JsonObject *body)
 {
   const char *name = json_object_get_string_member (body, "member");
-  Group *group = group_of (json_object_get_string_member (body, "group"));
+  Group *group = get_group (json_object_get_string_member (body, "group"));
   guint at = 0;
-  drop_silent_members (group);
+  expire_members (group);
   Member *member = find_member (group, name, &at);
   if (member == NULL)
     {
@@ -101,7 +102,7 @@
       g_ptr_array_add (group->members, member);
       group->generation++;
     }
-  member->seen_ms = sp_now_ms ();
+  member->last_join_ms = sp_now_ms ();
   member->ttl_ms = json_object_get_int_member (body, "ttl-ms");
   GString *out = g_string_new (NULL);
   g_string_printf (out, "{\"generation\":%" G_GUINT64_FORMAT ",\"parts\":[", group->generation);
@@ -121,18 +122,18 @@
 static void
 serve_leave (SoupServerMessage *message, JsonObject *body)
 {
-  Group *group = group_of (json_object_get_string_member (body, "group"));
+  Group *group = get_group (json_object_get_string_member (body, "group"));
   guint at = 0;
   if (find_member (group, json_object_get_string_member (body, "member"), &at) != NULL)
-    drop_member (group, at);
+    remove_member (group, at);
   sp_reply (message, 200, "{}");
 }
 
 static void
 serve_owners (SoupServerMessage *message, const char *name)
 {
-  Group *group = group_of (name != NULL ? name : "");
-  drop_silent_members (group);
+  Group *group = get_group (name != NULL ? name : "");
+  expire_members (group);
   GString *out = g_string_new ("{\"owners\":[");
   for (guint i = 0; i < SP_PARTITIONS && group->members->len > 0; i++)
     g_string_append_printf (out, "%s[\"keyed.jobs\",%u,\"%s\",0]", i > 0 ? "," : "", i,
--- a/standins/standin-platform-store.c
+++ b/standins/standin-platform-store.c
@@ -1,40 +1,42 @@
-/* The store's partitions: records are appended, read from an offset, and listed by key. */
+/* The store's partitions: appends, reads from an offset, and the newest record of each key. */
 #include "standin-platform.h"
 
 #include <string.h>
 
-#define RAW "application/octet-stream"
-/* A page ends with the first of these. */
-#define PAGE_ROWS 500
-#define PAGE_BYTES 1000000
-/* A repeat of one of so many appends before gets its first answer again. */
-#define REPEATS_MOST 5
+#define OCTET_STREAM "application/octet-stream"
+/* A page of an answer ends at whichever limit is reached first. */
+#define MAX_PAGE_ROWS 500
+#define MAX_PAGE_BYTES 1000000
+/* Answers kept per partition: a repeat of one of the last 5 appends gets its first answer again. */
+#define MAX_CACHED_ANSWERS 5
 
 typedef struct
 {
-  GPtrArray *records; /* of GBytes: key length, key, value */
-  GTree *newest;      /* key -> offset of its newest record, if that has a value */
-  guint64 epoch;
-  guint64 sequence;
-  guint answered;              /* appends in this epoch */
-  char *answers[REPEATS_MOST]; /* to the last of them, by their number; owned */
+  GPtrArray *records; /* of GBytes: key length (1 byte), key, value */
+  GTree *newest; /* key -> offset of its newest record; keys whose newest record is empty are left
+                    out */
+  guint64 epoch; /* highest epoch of a producer that has appended */
+  guint64 sequence;                  /* of the last append in this epoch */
+  guint appends_n;                   /* appends of a producer in this epoch */
+  char *answers[MAX_CACHED_ANSWERS]; /* to the last appends, by their number modulo
+                                        MAX_CACHED_ANSWERS; owned */
 } Partition;
 
 typedef struct
 {
-  SpHeld held;
+  SpPausedRequest request;
   char *partition;
-  guint64 from;
-} Waiting;
+  guint64 from; /* offset of the first record that it asks for */
+} WaitingRead;
 
-static GHashTable *partitions; /* name -> Partition */
-static GPtrArray *waiting;     /* of Waiting */
+static GHashTable *partitions;   /* name -> Partition */
+static GPtrArray *waiting_reads; /* of WaitingRead */
 
 void
 sp_store_init (void)
 {
   partitions = g_hash_table_new (g_str_hash, g_str_equal);
-  waiting = g_ptr_array_new ();
+  waiting_reads = g_ptr_array_new ();
 }
 
 static gint
@@ -45,7 +47,7 @@
 }
 
 static Partition *
-partition_of (const char *name)
+get_partition (const char *name)
 {
   Partition *partition = g_hash_table_lookup (partitions, name);
   if (partition == NULL)
@@ -78,7 +80,7 @@
 }
 
 static void
-note_newest (Partition *partition, guint offset)
+update_newest (Partition *partition, guint offset)
 {
   gsize len = 0;
   const guint8 *data = g_bytes_get_data (partition->records->pdata[offset], &len);
@@ -98,7 +100,7 @@
 add_record (Partition *partition, GBytes *record)
 {
   g_ptr_array_add (partition->records, record);
-  note_newest (partition, partition->records->len - 1);
+  update_newest (partition, partition->records->len - 1);
 }
 
 void
@@ -109,7 +111,7 @@
   g_byte_array_append (record, &len, 1);
   g_byte_array_append (record, (const guint8 *) key, len);
   g_byte_array_append (record, (const guint8 *) value, (guint) strlen (value));
-  add_record (partition_of (name), g_byte_array_free_to_bytes (record));
+  add_record (get_partition (name), g_byte_array_free_to_bytes (record));
 }
 
 static void
@@ -127,13 +129,15 @@
     }
 }
 
-/* To an append whose SEQUENCE is not the next one. */
+/* Answers an append whose SEQUENCE does not follow the last one: the cached answer if it repeats a
+ * recent append, else 409. */
 static void
-answer_repeat (SoupServerMessage *message, const Partition *partition, guint64 sequence)
+answer_repeated_append (SoupServerMessage *message, const Partition *partition, guint64 sequence)
 {
   guint64 back = partition->sequence - sequence;
-  if (sequence <= partition->sequence && back < MIN (partition->answered, REPEATS_MOST))
-    sp_reply (message, 200, partition->answers[(partition->answered - 1 - back) % REPEATS_MOST]);
+  if (sequence <= partition->sequence && back < MIN (partition->appends_n, MAX_CACHED_ANSWERS))
+    sp_reply (message, 200,
+              partition->answers[(partition->appends_n - 1 - back) % MAX_CACHED_ANSWERS]);
   else
     sp_reply (message, 409, "{\"reason\":\"seq\"}");
 }
@@ -142,19 +146,19 @@
 serve_append (SoupServerMessage *message, GHashTable *query, GBytes *body)
 {
   g_autofree char *name = partition_name (query);
-  Partition *partition = partition_of (name);
-  gboolean fences = *param (query, "producer") != '\0';
+  Partition *partition = get_partition (name);
+  gboolean has_producer = *param (query, "producer") != '\0';
   guint64 epoch = number (query, "epoch");
   guint64 sequence = number (query, "sequence");
-  if (fences && epoch < partition->epoch)
+  if (has_producer && epoch < partition->epoch)
     {
       sp_reply (message, 409, "{\"reason\":\"fenced\"}");
       return;
     }
-  if (fences && epoch == partition->epoch && partition->answered > 0
+  if (has_producer && epoch == partition->epoch && partition->appends_n > 0
       && sequence != partition->sequence + 1)
     {
-      answer_repeat (message, partition, sequence);
+      answer_repeated_append (message, partition, sequence);
       return;
     }
   guint offset = partition->records->len;
@@ -162,13 +166,13 @@
   g_autofree char *answer
       = g_strdup_printf ("{\"offset\":%u,\"end\":%u}", offset, partition->records->len);
   sp_reply (message, 200, answer);
-  if (!fences)
+  if (!has_producer)
     return;
   if (epoch != partition->epoch)
-    partition->answered = 0;
+    partition->appends_n = 0;
   partition->epoch = epoch;
   partition->sequence = sequence;
-  char **slot = &partition->answers[partition->answered++ % REPEATS_MOST];
+  char **slot = &partition->answers[partition->appends_n++ % MAX_CACHED_ANSWERS];
   g_free (*slot);
   *slot = g_steal_pointer (&answer);
 }
@@ -186,7 +190,7 @@
   g_autoptr (GByteArray) out = g_byte_array_new ();
   add_u64 (out, partition->records->len);
   add_u64 (out, 0);
-  for (guint64 i = from; i < partition->records->len && out->len < PAGE_BYTES; i++)
+  for (guint64 i = from; i < partition->records->len && out->len < MAX_PAGE_BYTES; i++)
     {
       gsize len = 0;
       const guint8 *data = g_bytes_get_data (partition->records->pdata[i], &len);
@@ -195,30 +199,30 @@
       g_byte_array_append (out, data, (guint) len);
     }
   soup_server_message_set_status (message, 200, NULL);
-  soup_server_message_set_response (message, RAW, SOUP_MEMORY_COPY, (const char *) out->data,
-                                    out->len);
+  soup_server_message_set_response (message, OCTET_STREAM, SOUP_MEMORY_COPY,
+                                    (const char *) out->data, out->len);
 }
 
 static void
-wait_for_news (SoupServerMessage *message, const char *partition, guint64 from, guint64 wait_ms)
+wait_for_records (SoupServerMessage *message, const char *partition, guint64 from, guint64 wait_ms)
 {
-  Waiting *entry = g_new0 (Waiting, 1);
+  WaitingRead *entry = g_new0 (WaitingRead, 1);
   entry->partition = g_strdup (partition);
   entry->from = from;
-  sp_hold (&entry->held, message, wait_ms);
-  g_ptr_array_add (waiting, entry);
+  sp_pause_request (&entry->request, message, wait_ms);
+  g_ptr_array_add (waiting_reads, entry);
 }
 
 static void
 serve_read (SoupServerMessage *message, GHashTable *query)
 {
   g_autofree char *name = partition_name (query);
-  const Partition *partition = partition_of (name);
+  const Partition *partition = get_partition (name);
   guint64 from = number (query, "from");
   if (from < partition->records->len || number (query, "wait-ms") == 0)
     answer_read (message, partition, from);
   else
-    wait_for_news (message, name, from, number (query, "wait-ms"));
+    wait_for_records (message, name, from, number (query, "wait-ms"));
 }
 
 /* ---- the newest record of each key --------------------------------------------- */
@@ -233,7 +237,7 @@
                           offset);
 }
 
-/* Returns: (nullable): the first row after the key AFTER, or of all when that is empty. */
+/* Returns: (nullable): the first row behind the key AFTER; the first of all when AFTER is empty. */
 static GTreeNode *
 first_after (const Partition *partition, const char *after)
 {
@@ -245,10 +249,10 @@
 serve_newest (SoupServerMessage *message, GHashTable *query)
 {
   g_autofree char *name = partition_name (query);
-  const Partition *partition = partition_of (name);
+  const Partition *partition = get_partition (name);
   GString *out = g_string_new ("{\"items\":[");
   GTreeNode *node = first_after (partition, param (query, "after"));
-  for (guint n = 0; node != NULL && n < PAGE_ROWS && out->len < PAGE_BYTES; n++)
+  for (guint n = 0; node != NULL && n < MAX_PAGE_ROWS && out->len < MAX_PAGE_BYTES; n++)
     {
       g_string_append (out, n > 0 ? "," : "");
       add_row (out, partition, g_tree_node_key (node), GPOINTER_TO_UINT (g_tree_node_value (node)));
@@ -275,18 +279,18 @@
 }
 
 void
-sp_store_turn (void)
+sp_store_tick (void)
 {
-  for (guint i = waiting->len; i > 0; i--)
+  for (guint i = waiting_reads->len; i > 0; i--)
     {
-      Waiting *entry = waiting->pdata[i - 1];
-      const Partition *partition = partition_of (entry->partition);
-      if (sp_now_ms () < entry->held.until_ms && partition->records->len <= entry->from)
+      WaitingRead *entry = waiting_reads->pdata[i - 1];
+      const Partition *partition = get_partition (entry->partition);
+      if (sp_now_ms () < entry->request.until_ms && partition->records->len <= entry->from)
         continue;
-      answer_read (entry->held.message, partition, entry->from);
-      sp_release (&entry->held);
+      answer_read (entry->request.message, partition, entry->from);
+      sp_resume_request (&entry->request);
       g_free (entry->partition);
       g_free (entry);
-      g_ptr_array_remove_index_fast (waiting, i - 1);
+      g_ptr_array_remove_index_fast (waiting_reads, i - 1);
     }
 }
--- a/standins/standin-platform-workers.c
+++ b/standins/standin-platform-workers.c
@@ -1,67 +1,68 @@
-/* Workers: they run what they are told to under leases. */
+/* Workers: they execute orders of the pool and run tasks under leases. */
 #include "standin-platform.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#define LEASE_MAX_MS 6000
-/* How long the entry of a life that crashed stays listed. */
-#define LISTED_MS 4500
-#define LIFE_HEADER "Flamingobarrow-Expect-Instance"
-#define WORKER_CPU 8000
-/* What the clock of a life that came back shows at its start. */
-#define FIRST_CLOCK_MS 1000
-/* All tasks of the tests ask for so much. */
-#define TASK_CPU 2000
-/* Ends that one look shows. */
-#define ENDS_MOST 500
+#define MAX_LEASE_MS 6000
+/* Time to live of an entry in the worker list that is not renewed, as after a crash. */
+#define ENTRY_TTL_MS 4500
+#define INSTANCE_HEADER "Flamingobarrow-Expect-Instance"
+#define WORKER_CPU_MILLI 8000
+/* A restarted worker's clock begins with this. */
+#define INITIAL_CLOCK_MS 1000
+/* CPU that all tasks of the tests request. */
+#define TASK_CPU_MILLI 2000
+/* Ends of runs in one answer to a poll. */
+#define MAX_POLL_ENDS 500
 
 typedef struct
 {
   char *task;
   guint64 attempt;
-  gint64 ends_ms;
+  gint64 ends_ms; /* by sp_now_ms() */
   gboolean stopping;
-  gboolean crashes; /* it takes its worker down as it ends */
+  gboolean crashes; /* it crashes its worker when it ends */
 } Run;
 
-/* The end of a run, until it is acknowledged. */
+/* The end of a run, kept until the pool acknowledges it. */
 typedef struct
 {
-  guint64 n;
+  guint64 n; /* numbers the ends of one incarnation from 1 on */
   char *task;
   guint64 attempt;
-  const char *how;
-  gboolean counts; /* as the end of its task: it is done, and the lease has not lapsed since */
+  const char *reason;
+  gboolean is_counted; /* in the audit as the end of its task: it was done, and the lease has not
+                          expired since */
 } End;
 
 typedef struct
 {
   guint index;
-  guint incarnation;
+  guint incarnation; /* number of restarts */
   char *id;
-  gint64 incarnation_started_ms; /* since 1970 */
-  gint64 clock_ms;               /* sp_now_ms() when its clock showed 0 */
-  gboolean returns;              /* the next life has the id of this one */
+  gint64 incarnation_started_ms; /* ms since 1970 */
+  gint64 clock_origin_ms;        /* sp_now_ms() when its clock was 0 */
+  gboolean keeps_id;             /* the next incarnation has the same id */
   gboolean up;
-  gint64 back_ms;     /* when it starts again after a crash; 0: not by itself */
-  char *old_id;       /* of the life that crashed, while it is listed */
-  gint64 unlisted_ms; /* when it is not any more */
-  guint64 token;
-  gint64 lease_ms;
-  guint64 last_end;
-  gint64 unlisted_until_ms; /* it writes no entry before */
-  gint64 listed_ms;         /* when it wrote its last */
-  GPtrArray *runs;          /* of Run */
-  GPtrArray *ends;          /* of End */
-  GHashTable *over;         /* task -> its highest attempt that was stopped or has ended */
-  SpHeld poll;              /* that waits for an end; its message is NULL for none */
+  gint64 restart_ms; /* when it restarts after a crash, by sp_now_ms(); 0: no restart is due */
+  char *previous_id; /* of the crashed incarnation while it is listed; else NULL */
+  gint64 unlist_previous_ms; /* when the entry of previous_id is removed, by sp_now_ms() */
+  guint64 token;             /* highest fencing token of an order */
+  gint64 lease_ms;           /* when the lease expires, by the worker's clock */
+  guint64 last_end;          /* number of its last End */
+  gint64 unlisted_until_ms;  /* it does not renew its entry before, by sp_now_ms(); 0: it does */
+  gint64 last_listed_ms; /* when it last renewed its entry, by sp_now_ms(); 0: it is not listed */
+  GPtrArray *runs;       /* of Run */
+  GPtrArray *ends;       /* of End */
+  GHashTable *ended_attempts; /* task -> its highest attempt that has ended or was stopped */
+  SpPausedRequest poll; /* waits for the end of a run; its message is NULL when no poll waits */
 } Worker;
 
 static guint worker_n;
 static Worker workers[SP_WORKER_MAX];
-static const guint *listed;
-/* A start is carried out and its connection closed without an answer; a copy of it is refused. */
+static const guint *advertised_ports;
+/* Starts are executed and their connections closed without an answer; repeats are refused. */
 static gboolean losing_answers;
 
 static void
@@ -88,15 +89,15 @@
       "\",\"address\":\"127.0.0.1:%u\",\"state\":\"ready\",\"sequence\":"
       "%u,\"capacity\":{\"cpu\":%d,\"mem-mb\":65536,\"gpu\":0},\"labels\":[\"a\",\"r1\"],"
       "\"born\":%" G_GINT64_FORMAT "}",
-      listed[worker->index], sequence, WORKER_CPU, worker->incarnation_started_ms);
+      advertised_ports[worker->index], sequence, WORKER_CPU_MILLI, worker->incarnation_started_ms);
   sp_store_put ("keyed.servers/0", worker->id, worker->up ? entry : "");
-  worker->listed_ms = worker->up ? sp_now_ms () : 0;
+  worker->last_listed_ms = worker->up ? sp_now_ms () : 0;
 }
 
 static gint64
-clock_of (const Worker *worker)
+worker_clock_ms (const Worker *worker)
 {
-  return sp_now_ms () - worker->clock_ms;
+  return sp_now_ms () - worker->clock_origin_ms;
 }
 
 static void
@@ -105,31 +106,32 @@
   for (guint i = 0; i < worker->ends->len; i++)
     {
       const End *end = worker->ends->pdata[i];
-      if (end->counts)
+      if (end->is_counted)
         sp_audit_forget_done (end->task);
     }
   g_ptr_array_set_size (worker->ends, 0);
 }
 
-/* An end that nobody has acknowledged before the lease lapsed does not count any more. */
+/* The lease has expired: ends that were not acknowledged are not counted as ends of their tasks,
+ * which the pool may start again. */
 static void
-lapse_ends (Worker *worker)
+uncount_ends (Worker *worker)
 {
   for (guint i = 0; i < worker->ends->len; i++)
     {
       End *end = worker->ends->pdata[i];
-      if (end->counts)
+      if (end->is_counted)
         sp_audit_forget_done (end->task);
-      end->counts = FALSE;
+      end->is_counted = FALSE;
     }
 }
 
 static void
-mark_over (Worker *worker, const char *task, guint64 attempt)
+mark_attempt_ended (Worker *worker, const char *task, guint64 attempt)
 {
-  guint64 before = GPOINTER_TO_SIZE (g_hash_table_lookup (worker->over, task));
+  guint64 before = GPOINTER_TO_SIZE (g_hash_table_lookup (worker->ended_attempts, task));
   if (attempt > before)
-    g_hash_table_replace (worker->over, g_strdup (task), GSIZE_TO_POINTER (attempt));
+    g_hash_table_replace (worker->ended_attempts, g_strdup (task), GSIZE_TO_POINTER (attempt));
 }
 
 static Run *
@@ -145,7 +147,7 @@
 }
 
 static guint
-runs_of (const char *task)
+count_runs (const char *task)
 {
   guint n = 0;
   for (guint i = 0; i < worker_n; i++)
@@ -162,24 +164,24 @@
 end_run (Worker *worker, guint i)
 {
   const Run *run = worker->runs->pdata[i];
-  gboolean lapsed = clock_of (worker) >= worker->lease_ms;
+  gboolean lapsed = worker_clock_ms (worker) >= worker->lease_ms;
   End *end = g_new0 (End, 1);
   end->n = ++worker->last_end;
   end->task = g_strdup (run->task);
   end->attempt = run->attempt;
-  end->how = run->stopping ? "stopped" : lapsed ? "lapsed" : "done";
-  end->counts = g_str_equal (end->how, "done");
+  end->reason = run->stopping ? "stopped" : lapsed ? "lapsed" : "done";
+  end->is_counted = g_str_equal (end->reason, "done");
   g_debug ("%s: %s attempt %" G_GUINT64_FORMAT " ends %s", worker->id, run->task, run->attempt,
-           end->how);
-  if (end->counts)
+           end->reason);
+  if (end->is_counted)
     sp_audit_done (end->task);
-  mark_over (worker, end->task, end->attempt);
+  mark_attempt_ended (worker, end->task, end->attempt);
   g_ptr_array_add (worker->ends, end);
   g_ptr_array_remove_index (worker->runs, i);
 }
 
 static void
-end_runs (Worker *worker)
+end_due_runs (Worker *worker)
 {
   gint64 now_ms = sp_now_ms ();
   for (guint i = worker->runs->len; worker->up && i > 0; i--)
@@ -191,21 +193,22 @@
           sp_worker_crash (worker->index, 2000 + (gint64) (crashes_n % 5) * 1000,
                            crashes_n % 2 == 0);
         }
-      else if (now_ms >= run->ends_ms || clock_of (worker) >= worker->lease_ms)
+      else if (now_ms >= run->ends_ms || worker_clock_ms (worker) >= worker->lease_ms)
         end_run (worker, i - 1);
     }
-  if (clock_of (worker) >= worker->lease_ms)
-    lapse_ends (worker);
+  if (worker_clock_ms (worker) >= worker->lease_ms)
+    uncount_ends (worker);
 }
 
-/* What has ended elsewhere at this moment does not count as running. */
+/* Ends the runs that are due on all other workers, so that the audit does not count them as running
+ * when a task starts on WORKER. */
 static void
-end_other_runs (const Worker *worker)
+end_runs_elsewhere (const Worker *worker)
 {
   for (guint i = 0; i < worker_n; i++)
     {
       if (&workers[i] != worker)
-        end_runs (&workers[i]);
+        end_due_runs (&workers[i]);
     }
 }
 
@@ -214,8 +217,9 @@
 {
   const char *task = json_object_get_string_member (body, "task");
   const char *spec = json_object_get_string_member (body, "spec");
-  end_other_runs (worker);
-  sp_audit_start (task, runs_of (task), (worker->runs->len + 1) * TASK_CPU <= WORKER_CPU);
+  end_runs_elsewhere (worker);
+  sp_audit_start (task, count_runs (task),
+                  (worker->runs->len + 1) * TASK_CPU_MILLI <= WORKER_CPU_MILLI);
   Run *run = g_new0 (Run, 1);
   run->task = g_strdup (task);
   run->attempt = (guint64) json_object_get_int_member (body, "attempt");
@@ -227,34 +231,37 @@
 
 /* ---- calls --------------------------------------------------------------------------- */
 
-/* Returns: (transfer full): of an answer without more than a REASON, which may be NULL. */
+/* Returns: (transfer full): an answer with the clock and REASON; NULL leaves the reason out.
+ */
 static char *
 short_answer (const Worker *worker, const char *reason)
 {
   if (reason == NULL)
-    return g_strdup_printf ("{\"clock-ms\":%" G_GINT64_FORMAT "}", clock_of (worker));
+    return g_strdup_printf ("{\"clock-ms\":%" G_GINT64_FORMAT "}", worker_clock_ms (worker));
   return g_strdup_printf ("{\"clock-ms\":%" G_GINT64_FORMAT ",\"reason\":\"%s\"}",
-                          clock_of (worker), reason);
+                          worker_clock_ms (worker), reason);
 }
 
 static void
 extend_lease (Worker *worker, gint64 deadline_ms)
 {
-  worker->lease_ms = MAX (worker->lease_ms, MIN (deadline_ms, clock_of (worker) + LEASE_MAX_MS));
+  worker->lease_ms
+      = MAX (worker->lease_ms, MIN (deadline_ms, worker_clock_ms (worker) + MAX_LEASE_MS));
 }
 
-/* Each of these returns the status and sets ANSWER (transfer full). */
+/* handle_start(), handle_stop() and handle_poll() return the HTTP status and set ANSWER (transfer
+ * full). */
 static guint
-take_start (Worker *worker, JsonObject *body, char **answer)
+handle_start (Worker *worker, JsonObject *body, char **answer)
 {
   const char *task = json_object_get_string_member (body, "task");
   guint64 attempt = (guint64) json_object_get_int_member (body, "attempt");
   gint64 deadline_ms = json_object_get_int_member (body, "deadline-ms");
   const char *reason = NULL;
-  if (deadline_ms < clock_of (worker))
+  if (deadline_ms < worker_clock_ms (worker))
     reason = "late";
   else if (find_run (worker, task, attempt) == NULL
-           && attempt <= GPOINTER_TO_SIZE (g_hash_table_lookup (worker->over, task)))
+           && attempt <= GPOINTER_TO_SIZE (g_hash_table_lookup (worker->ended_attempts, task)))
     reason = "old";
   else if (find_run (worker, task, attempt) == NULL)
     begin_run (worker, body);
@@ -264,7 +271,7 @@
 }
 
 static guint
-take_stop (Worker *worker, JsonObject *body, char **answer)
+handle_stop (Worker *worker, JsonObject *body, char **answer)
 {
   const char *task = json_object_get_string_member (body, "task");
   guint64 attempt = (guint64) json_object_get_int_member (body, "attempt");
@@ -275,19 +282,19 @@
       run->ends_ms = sp_now_ms ();
     }
   else
-    mark_over (worker, task, attempt);
+    mark_attempt_ended (worker, task, attempt);
   *answer = short_answer (worker, NULL);
   return 200;
 }
 
-/* Returns: (transfer full): what runs and what has ended, as JSON. */
+/* Returns: (transfer full): the runs and the ends that are not acknowledged, as JSON. */
 static char *
-look_text (const Worker *worker)
+format_poll (const Worker *worker)
 {
   GString *out = g_string_new (NULL);
   g_string_printf (out,
                    "{\"clock-ms\":%" G_GINT64_FORMAT ",\"born\":%" G_GINT64_FORMAT ",\"running\":[",
-                   clock_of (worker), worker->incarnation_started_ms);
+                   worker_clock_ms (worker), worker->incarnation_started_ms);
   for (guint i = 0; i < worker->runs->len; i++)
     {
       const Run *run = worker->runs->pdata[i];
@@ -295,54 +302,54 @@
                               run->task, run->attempt);
     }
   g_string_append (out, "],\"finished\":[");
-  for (guint i = 0; i < MIN (worker->ends->len, ENDS_MOST); i++)
+  for (guint i = 0; i < MIN (worker->ends->len, MAX_POLL_ENDS); i++)
     {
       const End *end = worker->ends->pdata[i];
       g_string_append_printf (out,
                               "%s[%" G_GUINT64_FORMAT ",\"%s\",%" G_GUINT64_FORMAT ",\"%s\",\"\"]",
-                              i > 0 ? "," : "", end->n, end->task, end->attempt, end->how);
+                              i > 0 ? "," : "", end->n, end->task, end->attempt, end->reason);
     }
   g_string_append (out, "]}");
   return g_string_free (out, FALSE);
 }
 
 static void
-answer_held_look (Worker *worker)
+answer_waiting_poll (Worker *worker)
 {
   if (worker->poll.message == NULL)
     return;
-  g_autofree char *text = look_text (worker);
+  g_autofree char *text = format_poll (worker);
   sp_reply (worker->poll.message, 200, text);
-  sp_release (&worker->poll);
+  sp_resume_request (&worker->poll);
 }
 
-/* A later look ends the wait of the one before. */
+/* One poll waits at a time: a poll that waits already is answered now. */
 static void
-hold_look (SoupServerMessage *message, Worker *worker, guint64 wait_ms)
+hold_poll (SoupServerMessage *message, Worker *worker, guint64 wait_ms)
 {
-  answer_held_look (worker);
-  sp_hold (&worker->poll, message, wait_ms);
+  answer_waiting_poll (worker);
+  sp_pause_request (&worker->poll, message, wait_ms);
 }
 
 static guint
-take_look (Worker *worker, JsonObject *body, char **answer)
+handle_poll (Worker *worker, JsonObject *body, char **answer)
 {
   guint64 acknowledged = (guint64) json_object_get_int_member (body, "acknowledged");
   while (worker->ends->len > 0 && ((const End *) worker->ends->pdata[0])->n <= acknowledged)
     g_ptr_array_remove_index (worker->ends, 0);
   if (json_object_has_member (body, "deadline-ms"))
     extend_lease (worker, json_object_get_int_member (body, "deadline-ms"));
-  *answer = look_text (worker);
+  *answer = format_poll (worker);
   return 200;
 }
 
-/* Returns: the status; ANSWER is set (transfer full). */
+/* Returns: the HTTP status; sets ANSWER (transfer full), which is NULL for an empty answer. */
 static guint
-take_call (Worker *worker, SoupServerMessage *message, const char *path, JsonObject *body,
-           char **answer)
+handle_call (Worker *worker, SoupServerMessage *message, const char *path, JsonObject *body,
+             char **answer)
 {
   const char *incarnation = soup_message_headers_get_one (
-      soup_server_message_get_request_headers (message), LIFE_HEADER);
+      soup_server_message_get_request_headers (message), INSTANCE_HEADER);
   guint64 token = (guint64) json_object_get_int_member (body, "fencing-token");
   *answer = NULL;
   if (incarnation != NULL && !g_str_equal (incarnation, worker->id))
@@ -355,16 +362,16 @@
   worker->token = token;
   sp_audit_order (token);
   if (g_str_equal (path, "/api/run-start"))
-    return take_start (worker, body, answer);
+    return handle_start (worker, body, answer);
   if (g_str_equal (path, "/api/run-stop"))
-    return take_stop (worker, body, answer);
+    return handle_stop (worker, body, answer);
   if (g_str_equal (path, "/api/hold"))
-    return take_look (worker, body, answer);
+    return handle_poll (worker, body, answer);
   return 404;
 }
 
 static gboolean
-is_there_already (const Worker *worker, const char *path, JsonObject *body)
+is_duplicate_start (const Worker *worker, const char *path, JsonObject *body)
 {
   return g_str_equal (path, "/api/run-start")
          && find_run (worker, json_object_get_string_member (body, "task"),
@@ -376,38 +383,38 @@
 serve_call (SoupServerMessage *message, Worker *worker, const char *path, JsonObject *body)
 {
   g_autofree char *answer = NULL;
-  gboolean is_copy = is_there_already (worker, path, body);
-  guint status = take_call (worker, message, path, body, &answer);
-  gboolean is_look = g_str_equal (path, "/api/hold") && status == 200;
+  gboolean is_duplicate = is_duplicate_start (worker, path, body);
+  guint status = handle_call (worker, message, path, body, &answer);
+  gboolean is_poll = g_str_equal (path, "/api/hold") && status == 200;
   gint64 wait_ms = json_object_get_int_member_with_default (body, "wait-ms", 0);
-  if (losing_answers && status == 200 && is_copy)
+  if (losing_answers && status == 200 && is_duplicate)
     sp_reply (message, 503, "{}");
   else if (losing_answers && status == 200 && g_str_equal (path, "/api/run-start"))
-    sp_close (message);
-  else if (is_look && worker->ends->len == 0 && wait_ms > 0)
-    hold_look (message, worker, (guint64) wait_ms);
+    sp_close_connection (message);
+  else if (is_poll && worker->ends->len == 0 && wait_ms > 0)
+    hold_poll (message, worker, (guint64) wait_ms);
   else
     sp_reply (message, status, answer != NULL ? answer : "{}");
 }
 
 void
-sp_worker_carry_out (SoupServerMessage *message, guint k, const char *path, JsonObject *body)
+sp_worker_execute (SoupServerMessage *message, guint k, const char *path, JsonObject *body)
 {
   g_autofree char *answer = NULL;
-  end_runs (&workers[k]);
+  end_due_runs (&workers[k]);
   if (workers[k].up)
-    (void) take_call (&workers[k], message, path, body, &answer);
-  sp_close (message);
+    (void) handle_call (&workers[k], message, path, body, &answer);
+  sp_close_connection (message);
 }
 
 void
 sp_worker_serve (SoupServerMessage *message, guint k, const char *path, JsonObject *body)
 {
   Worker *worker = &workers[k];
-  end_runs (worker);
-  if (!worker->up && worker->back_ms != 0)
+  end_due_runs (worker);
+  if (!worker->up && worker->restart_ms != 0)
     {
-      sp_close (message); /* its host has no process that listens there */
+      sp_close_connection (message); /* crashed: no process listens at its address */
       return;
     }
   if (!worker->up || body == NULL)
@@ -420,32 +427,32 @@
     case SP_CALL_REFUSED:
       sp_reply (message, 503, "{}");
       break;
-    case SP_CALL_LOST:
-      sp_worker_carry_out (message, k, path, body);
+    case SP_CALL_UNANSWERED:
+      sp_worker_execute (message, k, path, body);
       break;
-    case SP_CALL_LATE:
-      sp_faults_hold (message, k, path, body);
+    case SP_CALL_DELAYED:
+      sp_faults_delay_call (message, k, path, body);
       break;
     case SP_CALL_SERVED:
-    case SP_CALL_FATE_N:
+    case SP_CALL_OUTCOME_N:
     default:
       serve_call (message, worker, path, body);
     }
 }
 
 static void
-begin_life (Worker *worker)
+begin_incarnation (Worker *worker)
 {
   worker->incarnation++;
   worker->incarnation_started_ms = g_get_real_time () / 1000;
-  worker->clock_ms = sp_now_ms () - FIRST_CLOCK_MS;
+  worker->clock_origin_ms = sp_now_ms () - INITIAL_CLOCK_MS;
   worker->up = TRUE;
-  worker->back_ms = 0;
+  worker->restart_ms = 0;
   worker->token = 0;
   worker->lease_ms = 0;
   worker->last_end = 0;
-  /* What the life before has written stays listed until the next heartbeat. */
-  if (worker->returns)
+  /* Under the same id, the entry of the previous incarnation stays until the next heartbeat. */
+  if (worker->keeps_id)
     return;
   g_free (worker->id);
   worker->id = g_strdup_printf ("i-%u-%u", worker->index, worker->incarnation);
@@ -453,68 +460,68 @@
 }
 
 void
-sp_workers_lose_answers (gboolean lose)
+sp_workers_set_lose_answers (gboolean lose)
 {
   losing_answers = lose;
 }
 
 void
-sp_worker_crash (guint k, gint64 for_ms, gboolean returns)
+sp_worker_crash (guint k, gint64 for_ms, gboolean keeps_id)
 {
   Worker *worker = &workers[k % worker_n];
   if (!worker->up)
     return;
   worker->up = FALSE;
-  worker->returns = returns;
-  worker->back_ms = sp_now_ms () + for_ms;
-  worker->unlisted_ms = sp_now_ms () + LISTED_MS;
-  if (!returns)
+  worker->keeps_id = keeps_id;
+  worker->restart_ms = sp_now_ms () + for_ms;
+  worker->unlist_previous_ms = sp_now_ms () + ENTRY_TTL_MS;
+  if (!keeps_id)
     {
-      g_free (worker->old_id);
-      worker->old_id = g_strdup (worker->id);
+      g_free (worker->previous_id);
+      worker->previous_id = g_strdup (worker->id);
     }
   g_debug ("%s: crashes", worker->id);
   g_ptr_array_set_size (worker->runs, 0);
-  /* An end that nobody has acknowledged is lost with its worker: the task may be started again. */
+  /* An end that was not acknowledged is lost with its worker: the task may be started again. */
   clear_ends (worker);
-  g_hash_table_remove_all (worker->over);
+  g_hash_table_remove_all (worker->ended_attempts);
   if (worker->poll.message == NULL)
     return;
   sp_reply (worker->poll.message, 500, "{}");
-  sp_release (&worker->poll);
+  sp_resume_request (&worker->poll);
 }
 
 void
-sp_worker_stay_unlisted (guint k, gint64 for_ms)
+sp_worker_set_unlisted (guint k, gint64 for_ms)
 {
   workers[k % worker_n].unlisted_until_ms = sp_now_ms () + for_ms;
 }
 
 void
-sp_workers_heal (void)
+sp_workers_clear_faults (void)
 {
-  sp_faults_end ();
+  sp_faults_clear ();
   for (guint i = 0; i < worker_n; i++)
     workers[i].unlisted_until_ms = 0;
 }
 
 static void
-come_back (Worker *worker)
+restart_if_due (Worker *worker)
 {
-  if (worker->old_id != NULL && sp_now_ms () >= worker->unlisted_ms)
+  if (worker->previous_id != NULL && sp_now_ms () >= worker->unlist_previous_ms)
     {
-      sp_store_put ("keyed.servers/0", worker->old_id, "");
-      g_clear_pointer (&worker->old_id, g_free);
+      sp_store_put ("keyed.servers/0", worker->previous_id, "");
+      g_clear_pointer (&worker->previous_id, g_free);
     }
-  if (worker->back_ms != 0 && sp_now_ms () >= worker->back_ms)
-    begin_life (worker);
+  if (worker->restart_ms != 0 && sp_now_ms () >= worker->restart_ms)
+    begin_incarnation (worker);
 }
 
 void
 sp_workers_init (guint n, const guint *listed_ports)
 {
   worker_n = n;
-  listed = listed_ports;
+  advertised_ports = listed_ports;
   for (guint i = 0; i < n; i++)
     {
       workers[i].index = i;
@@ -523,7 +530,7 @@
       workers[i].up = TRUE;
       workers[i].runs = g_ptr_array_new_with_free_func (run_free);
       workers[i].ends = g_ptr_array_new_with_free_func (end_free);
-      workers[i].over = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+      workers[i].ended_attempts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
     }
 }
 
@@ -536,29 +543,29 @@
   list_worker (worker, 0);
 }
 
-/* The entry of a worker that runs on and writes none for long is removed. */
+/* Removes the entry of a running worker that has not renewed it within its time to live. */
 static void
-unlist_silent (Worker *worker)
+unlist_expired (Worker *worker)
 {
   gint64 now_ms = sp_now_ms ();
-  if (!worker->up || now_ms >= worker->unlisted_until_ms || worker->listed_ms == 0
-      || now_ms < worker->listed_ms + LISTED_MS)
+  if (!worker->up || now_ms >= worker->unlisted_until_ms || worker->last_listed_ms == 0
+      || now_ms < worker->last_listed_ms + ENTRY_TTL_MS)
     return;
   sp_store_put ("keyed.servers/0", worker->id, "");
-  worker->listed_ms = 0;
+  worker->last_listed_ms = 0;
 }
 
 void
-sp_workers_turn (void)
+sp_workers_tick (void)
 {
   for (guint i = 0; i < worker_n; i++)
     {
       Worker *worker = &workers[i];
-      come_back (worker);
-      end_runs (worker);
-      unlist_silent (worker);
+      restart_if_due (worker);
+      end_due_runs (worker);
+      unlist_expired (worker);
       if (worker->ends->len > 0 || sp_now_ms () >= worker->poll.until_ms)
-        answer_held_look (worker);
+        answer_waiting_poll (worker);
     }
 }
 
--- a/standins/standin-platform.c
+++ b/standins/standin-platform.c
@@ -1,23 +1,34 @@
-/* The users' platform in one process, by its published protocol: the store on PORT, its
- * workers on the ports after it.  It also judges: GET /audit tells what really ran.
+/* Stand-in for the users' platform in one process, by its published protocol: the store on PORT,
+ * its workers on the ports after it.  GET /audit returns counts of what ran on the workers, and of
+ * violations of the scheduler's guarantees.
  *
- * A task's payload is its run time in ms.  POST /control {"outage":true} takes the store
- * away, {"silent":true} lets it answer nothing, {"patient":true} keeps silent members in
- * their groups, {"worker":K,"up":false} takes a worker away, {"crash":K,"for-ms":N} lets it come
- * back under another id, {"unlisted":K,"for-ms":N} keeps its entry away while it runs on,
- * {"lose-answers":true} has workers carry starts out without an answer and refuse copies of them,
- * {"faults":K,"for-ms":N,"refuse":P,"lose":P,"late":P} has worker K refuse, carry out without an
- * answer or carry out late P percent of its calls, {"store-faults":true,...} the store the first
- * two,
- * {"healthy":true} ends these.  A payload "crash N"
- * takes the task's worker down after N ms. */
+ * A task's payload is its run time in ms.  A payload "crash N" crashes the task's worker after N
+ * ms.
+ *
+ * POST /control sets faults:
+ *   {"outage":true}               the store refuses all calls with 503
+ *   {"silent":true}               the store answers nothing
+ *   {"patient":true}              members whose time to live has passed stay in their groups
+ *   {"worker":K,"up":false}       worker K answers 500 and its entry is removed
+ *   {"crash":K,"for-ms":N}        worker K crashes and restarts after N ms under another id, or
+ *                                 under the same id with "returns":true
+ *   {"unlisted":K,"for-ms":N}     worker K goes on running without renewing its entry
+ *   {"lose-answers":true}         workers execute starts without an answer and refuse repeats of
+ *                                 them
+ *   {"faults":K,"for-ms":N,"refuse":P,"lose":P,"late":P}
+ *                                 worker K refuses P percent of its calls, executes P percent
+ *                                 without an answer, or late and without an answer
+ *   {"store-faults":true,...}     the same for the store, "refuse" and "lose" only
+ *   {"healthy":true}              ends "unlisted", "faults" and "store-faults"
+ *   {"finish":JOB}                ends the runs of JOB
+ */
 #include "standin-platform.h"
 
 #include <stdio.h>
 #include <stdlib.h>
 #include <string.h>
 
-#define TURN_MS 5
+#define TICK_MS 5
 #define HEARTBEAT_MS 1500
 #define JSON "application/json"
 
@@ -41,22 +52,22 @@
 }
 
 void
-sp_hold (SpHeld *held, SoupServerMessage *message, guint64 wait_ms)
+sp_pause_request (SpPausedRequest *request, SoupServerMessage *message, guint64 wait_ms)
 {
-  held->message = g_object_ref (message);
-  held->until_ms = sp_now_ms () + (gint64) wait_ms;
+  request->message = g_object_ref (message);
+  request->until_ms = sp_now_ms () + (gint64) wait_ms;
   soup_server_message_pause (message);
 }
 
 void
-sp_release (SpHeld *held)
+sp_resume_request (SpPausedRequest *request)
 {
-  soup_server_message_unpause (held->message);
-  g_clear_object (&held->message);
+  soup_server_message_unpause (request->message);
+  g_clear_object (&request->message);
 }
 
 void
-sp_close (SoupServerMessage *message)
+sp_close_connection (SoupServerMessage *message)
 {
   g_autoptr (GIOStream) stream = soup_server_message_steal_connection (message);
   g_io_stream_close (stream, NULL, NULL);
@@ -72,7 +83,7 @@
   if (json_object_has_member (body, "silent"))
     silent = json_object_get_boolean_member (body, "silent");
   if (json_object_has_member (body, "patient"))
-    sp_group_set_patient (json_object_get_boolean_member (body, "patient"));
+    sp_group_set_expiry_disabled (json_object_get_boolean_member (body, "patient"));
   if (json_object_has_member (body, "worker"))
     sp_worker_set_up ((guint) json_object_get_int_member (body, "worker"),
                       json_object_get_boolean_member (body, "up"));
@@ -81,16 +92,16 @@
                      json_object_get_int_member (body, "for-ms"),
                      json_object_get_boolean_member_with_default (body, "returns", FALSE));
   if (json_object_has_member (body, "unlisted"))
-    sp_worker_stay_unlisted ((guint) json_object_get_int_member (body, "unlisted"),
-                             json_object_get_int_member (body, "for-ms"));
+    sp_worker_set_unlisted ((guint) json_object_get_int_member (body, "unlisted"),
+                            json_object_get_int_member (body, "for-ms"));
   if (json_object_has_member (body, "healthy"))
-    sp_workers_heal ();
+    sp_workers_clear_faults ();
   if (json_object_has_member (body, "faults"))
     sp_faults_set ((guint) json_object_get_int_member (body, "faults"), body);
   if (json_object_has_member (body, "store-faults"))
     sp_faults_set (SP_STORE, body);
   if (json_object_has_member (body, "lose-answers"))
-    sp_workers_lose_answers (json_object_get_boolean_member (body, "lose-answers"));
+    sp_workers_set_lose_answers (json_object_get_boolean_member (body, "lose-answers"));
   if (json_object_has_member (body, "finish"))
     sp_workers_finish (json_object_get_string_member (body, "finish"));
   sp_reply (message, 200, "{}");
@@ -123,16 +134,16 @@
 serve_store (SoupServerMessage *message, const char *path, GHashTable *query, GBytes *bytes,
              JsonObject *body)
 {
-  SpCallFate fate = sp_faults_draw (SP_STORE);
+  SpCallOutcome outcome = sp_faults_draw (SP_STORE);
   if (silent)
     soup_server_message_pause (g_object_ref (message)); /* never answered */
-  else if (outage || fate == SP_CALL_REFUSED)
+  else if (outage || outcome == SP_CALL_REFUSED)
     sp_reply (message, 503, "{}");
   else if (!sp_store_serve (message, path, query, bytes)
            && !sp_group_serve (message, path, query, body))
     sp_reply (message, 404, "{}");
-  else if (fate == SP_CALL_LOST && !g_str_equal (path, "/api/log-read"))
-    sp_close (message); /* reads may wait, and change nothing */
+  else if (outcome == SP_CALL_UNANSWERED && !g_str_equal (path, "/api/log-read"))
+    sp_close_connection (message); /* reads are left out: they may be paused, and change nothing */
 }
 
 static void
@@ -165,15 +176,15 @@
     serve_store (message, path, query, bytes, body);
 }
 
-/* ---- time ------------------------------------------------------------------------------- */
+/* ---- main loop -------------------------------------------------------------------------- */
 
 static gboolean
-on_turn (gpointer user)
+on_tick (gpointer user)
 {
   (void) user;
-  sp_faults_turn ();
-  sp_workers_turn ();
-  sp_store_turn ();
+  sp_faults_tick ();
+  sp_workers_tick ();
+  sp_store_tick ();
   return G_SOURCE_CONTINUE;
 }
 
@@ -194,11 +205,12 @@
   g_autoptr (GError) error = NULL;
   if (soup_server_listen_local (server, port, SOUP_SERVER_LISTEN_IPV4_ONLY, &error))
     return;
-  fprintf (stderr, "standin-platform: port %u: %s\n", port, error->message);
+  fprintf (stderr, "standin-platform: cannot listen on port %u: %s\n", port, error->message);
   exit (1);
 }
 
-/* Where the workers are listed: at the PORTS of the words, or where they listen. */
+/* Sets PORTS to the ports in the comma-separated WORDS; a worker without one is listed at the port
+ * on which it listens. */
 static void
 read_listed_ports (const char *words, guint worker_n, guint *ports)
 {
@@ -236,7 +248,7 @@
       "\",\"max-attempts\":3,\"stretch-factor\":2,\"target-duration-ms\":"
       "1000}],\"services\":[{\"name\":\"" SP_SERVICE "\"}]}");
   on_heartbeat (NULL);
-  g_timeout_add (TURN_MS, on_turn, NULL);
+  g_timeout_add (TICK_MS, on_tick, NULL);
   g_timeout_add (HEARTBEAT_MS, on_heartbeat, NULL);
   g_main_loop_run (g_main_loop_new (NULL, FALSE));
   return 0;
--- a/standins/standin-platform.h
+++ b/standins/standin-platform.h
@@ -1,5 +1,5 @@
-/* The parts of the stand-in of the users' platform.  Each keeps its own state; they share
- * one loop and call each other only where the platform's parts do. */
+/* The parts of the stand-in for the users' platform.  Each keeps its own state.  All run on one
+ * main loop and call each other only where the parts of the real platform do. */
 #pragma once
 
 #include <json-glib/json-glib.h>
@@ -8,7 +8,7 @@
 #define SP_SERVICE "svc"
 #define SP_PARTITIONS 32
 #define SP_WORKER_MAX 256
-/* Among the workers where faults of calls are told. */
+/* Stands for the store where faults of calls are set by the index of a worker. */
 #define SP_STORE SP_WORKER_MAX
 
 /* ---- shared: standin-platform.c ---------------------------------------------- */
@@ -16,62 +16,65 @@
 gint64 sp_now_ms (void);
 void sp_reply (SoupServerMessage *message, guint status, const char *text);
 
-/* A request that waits for news. */
+/* A request whose answer is delayed until there is something to report or a timeout has passed. */
 typedef struct
 {
   SoupServerMessage *message;
-  gint64 until_ms;
-} SpHeld;
+  gint64 until_ms; /* by sp_now_ms(): when it is answered at the latest */
+} SpPausedRequest;
 
-void sp_hold (SpHeld *held, SoupServerMessage *message, guint64 wait_ms);
-/* No answer is sent to MESSAGE. */
-void sp_close (SoupServerMessage *message);
-/* Sends the answer that was set meanwhile. */
-void sp_release (SpHeld *held);
+/* Pauses MESSAGE for up to WAIT_MS; sp_resume_request() must be called later. */
+void sp_pause_request (SpPausedRequest *request, SoupServerMessage *message, guint64 wait_ms);
+/* Closes the connection of MESSAGE without an answer. */
+void sp_close_connection (SoupServerMessage *message);
+/* Sends the answer that was set by sp_reply() since the pause began. */
+void sp_resume_request (SpPausedRequest *request);
 
 /* ---- the store's partitions: standin-platform-store.c -------------------------- */
 
 void sp_store_init (void);
 void sp_store_put (const char *partition, const char *key, const char *value);
-/* Returns: FALSE when PATH is none of its. */
+/* Returns: FALSE when PATH is not a path of the partitions. */
 gboolean sp_store_serve (SoupServerMessage *message, const char *path, GHashTable *query,
                          GBytes *body);
-/* Answers reads that have news or have waited long enough. */
-void sp_store_turn (void);
+/* Answers waiting reads that have new records or whose timeout has passed. */
+void sp_store_tick (void);
 
-/* ---- the store's one group: standin-platform-group.c ----------------------------- */
+/* ---- the store's groups: standin-platform-group.c ----------------------------- */
 
 void sp_group_init (void);
-/* PATIENT: silent members stay. */
-void sp_group_set_patient (gboolean patient);
-/* Returns: FALSE when PATH is none of its. */
+/* EXPIRY_DISABLED: members stay in their groups although their time to live has passed. */
+void sp_group_set_expiry_disabled (gboolean expiry_disabled);
+/* Returns: FALSE when PATH is not a path of the groups. */
 gboolean sp_group_serve (SoupServerMessage *message, const char *path, GHashTable *query,
                          JsonObject *body);
 
 /* ---- workers: standin-platform-workers.c --------------------------------------------- */
 
-/* Worker K is listed at LISTED_PORTS[K], which are borrowed. */
+/* The entry of worker K names the port LISTED_PORTS[K]; the array is borrowed. */
 void sp_workers_init (guint n, const guint *listed_ports);
+/* Sets whether worker K serves calls; its runs are dropped. */
 void sp_worker_set_up (guint k, gboolean up);
-/* Worker K is gone for FOR_MS with all that runs there; with RETURNS it comes back under the id
- * that it had, else under another one. */
-void sp_worker_crash (guint k, gint64 for_ms, gboolean returns);
-/* Worker K runs on, but writes no entry for FOR_MS: after a while it is not listed. */
-void sp_worker_stay_unlisted (guint k, gint64 for_ms);
-/* All workers serve their calls and write their entries. */
-void sp_workers_heal (void);
-/* LOSE: starts are carried out without an answer, and copies of them are refused. */
-void sp_workers_lose_answers (gboolean lose);
+/* Worker K crashes with all its runs and restarts after FOR_MS: under the same id with KEEPS_ID,
+ * else under a new one. */
+void sp_worker_crash (guint k, gint64 for_ms, gboolean keeps_id);
+/* Worker K goes on running but renews its entry in the worker list only after FOR_MS; the entry is
+ * removed when its time to live has passed. */
+void sp_worker_set_unlisted (guint k, gint64 for_ms);
+/* Ends the faults of calls, and workers renew their entries again. */
+void sp_workers_clear_faults (void);
+/* LOSE: workers execute starts without answering them and refuse repeated starts with 503. */
+void sp_workers_set_lose_answers (gboolean lose);
 void sp_worker_serve (SoupServerMessage *message, guint k, const char *path, JsonObject *body);
-/* Does what the call asks for and closes its connection without an answer. */
-void sp_worker_carry_out (SoupServerMessage *message, guint k, const char *path, JsonObject *body);
-/* Ends runs whose time or lease is over, and answers looks. */
-void sp_workers_turn (void);
-/* All that are up write their entries. */
+/* Executes the call and closes its connection without an answer. */
+void sp_worker_execute (SoupServerMessage *message, guint k, const char *path, JsonObject *body);
+/* Ends runs whose time has passed or whose lease has expired, restarts workers, answers polls. */
+void sp_workers_tick (void);
+/* Workers that are up renew their entries in the worker list. */
 void sp_workers_list (guint sequence);
-/* Ends the runs of all jobs whose ids begin with JOB. */
+/* Ends the runs of all tasks whose names begin with JOB. */
 void sp_workers_finish (const char *job);
-/* Returns: (transfer full): how many tasks of JOB run now, as JSON. */
+/* Returns: (transfer full): the number of runs of JOB, as JSON. */
 char *sp_workers_running (const char *job);
 
 /* ---- faults of calls: standin-platform-faults.c -------------------------- */
@@ -79,35 +82,38 @@
 typedef enum
 {
   SP_CALL_SERVED,
-  SP_CALL_REFUSED, /* nothing is done */
-  SP_CALL_LOST,    /* carried out, its connection is closed without an answer */
-  SP_CALL_LATE,    /* carried out seconds later, without an answer */
-  SP_CALL_FATE_N
-} SpCallFate;
+  SP_CALL_REFUSED,    /* answered 503 and not executed */
+  SP_CALL_UNANSWERED, /* executed; the connection is closed without an answer */
+  SP_CALL_DELAYED,    /* executed 0.3 to 5 s later; the connection is closed without an answer */
+  SP_CALL_OUTCOME_N
+} SpCallOutcome;
 
 void sp_faults_init (void);
-/* TOLD: members "refuse", "lose" and "late" in percent of the calls of worker K or of
- * SP_STORE, "for-ms". */
-void sp_faults_set (guint k, JsonObject *told);
-void sp_faults_end (void);
-SpCallFate sp_faults_draw (guint k);
-/* Keeps a call that is carried out late. */
-void sp_faults_hold (SoupServerMessage *message, guint k, const char *path, JsonObject *body);
-void sp_faults_turn (void);
+/* Sets the faults of worker K, or of SP_STORE.  SETTINGS: "refuse", "lose" and "late" in percent of
+ * the calls, and "for-ms", after which they end. */
+void sp_faults_set (guint k, JsonObject *settings);
+void sp_faults_clear (void);
+SpCallOutcome sp_faults_draw (guint k);
+/* Keeps a call to worker K to execute it after a random delay. */
+void sp_faults_delay_call (SoupServerMessage *message, guint k, const char *path, JsonObject *body);
+void sp_faults_tick (void);
 
-/* ---- what really ran: standin-platform-audit.c --------------------------------------------- */
+/* ---- audit of the runs: standin-platform-audit.c --------------------------------------------- */
 
 void sp_audit_init (void);
-/* A task starts.  RUNNING: runs of it that are there already; FITS: there is room for it. */
+/* Counts the start of TASK.  RUNNING: runs of it that exist already; FITS: the worker has capacity
+ * for it. */
 void sp_audit_start (const char *task, guint running, gboolean fits);
-/* A run of TASK has ended as done; its end counts until it is forgotten. */
+/* A run of TASK has ended as done.  Another start of TASK is a duplicate until that end is
+ * forgotten. */
 void sp_audit_done (const char *task);
+/* An end of TASK was lost before the pool acknowledged it: TASK may run again. */
 void sp_audit_forget_done (const char *task);
-/* TASK took its worker down.  Returns: the number of all such crashes. */
+/* TASK crashed its worker.  Returns: the number of crashes by all tasks. */
 guint sp_audit_crash (const char *task);
-/* A worker took an order under TOKEN. */
+/* A worker accepted an order with the fencing token TOKEN. */
 void sp_audit_order (guint64 token);
 /* TRUE when a task of JOB was ever started. */
 gboolean sp_audit_job_started (const char *job);
-/* Returns: (transfer full): counts of what ran, as JSON. */
+/* Returns: (transfer full): the counts, as JSON. */
 char *sp_audit_text (void);
--- a/standins/standin-workers.c
+++ b/standins/standin-workers.c
@@ -1,10 +1,11 @@
-/* A stand-in for the workers of a cell: each host of the cell file gets a server
- * on its own port, all in one process, so that one record sees all of them.
+/* Stand-in for the workers of a cell: each host of the cell file gets a server on
+ * its own port.  All run in one process, so that one audit record covers them all.
  *
- * The workers are the fakes of the tests behind JSON, and the record is kept by
- * the tests' oracle: what it finds broken is what really happened.  GET /record
- * on the record port tells; POST /control on a host's port switches faults:
- * the common ones, "fail_all", "pause" (the whole host) and "restart". */
+ * The servers put a JSON interface before the fake workers of the tests, and the
+ * tests' oracle keeps the record: it sees what really ran, not what daemons
+ * report.  GET /record on the record port returns it.  POST /control on a host's
+ * port sets faults: those of all stand-ins (standin.h), "fail_all" (every run
+ * fails), "pause" (the whole host stops) and "restart". */
 #include "standin.h"
 
 #include "../tests/world-worker.h"
@@ -18,15 +19,15 @@
 #include <stdio.h>
 #include <string.h>
 
-#define PASS_MS 5
+#define TICK_MS 5
 
 typedef struct
 {
   SoupServerMessage *message;
-  guint64 version;
-  guint64 until_ms;
+  guint64 version;  /* it is answered when the host's version differs */
+  guint64 until_ms; /* when it is answered at the latest, by standin_now_ms() */
   gulong finished;
-} Waiting;
+} WaitingWatch;
 
 typedef struct
 {
@@ -34,9 +35,9 @@
   Worker *worker;
   Standin *standin;
   fb_res capacity;
-  guint64 version;
+  guint64 version; /* of the worker's state; changes with each change of a run */
   gboolean paused;
-  GPtrArray *waiting; /* Waiting */
+  GPtrArray *waiting_watches; /* of WaitingWatch */
 } Host;
 
 static GPtrArray *hosts;
@@ -197,11 +198,11 @@
 /* ---- watches ---------------------------------------------------------- */
 
 static void
-waiting_free (gpointer data)
+waiting_watch_free (gpointer data)
 {
-  Waiting *waiting = data;
-  g_object_unref (waiting->message);
-  g_free (waiting);
+  WaitingWatch *entry = data;
+  g_object_unref (entry->message);
+  g_free (entry);
 }
 
 static JsonBuilder *
@@ -218,24 +219,24 @@
   guint64 version = standin_query_u64 (query, "version", 0);
   if (version != host->version)
     return version_json (host);
-  Waiting *waiting = g_new0 (Waiting, 1);
-  waiting->message = g_object_ref (message);
-  waiting->version = version;
-  waiting->until_ms = standin_now_ms () + standin_query_u64 (query, "wait_ms", 1000);
-  g_ptr_array_add (host->waiting, waiting);
+  WaitingWatch *entry = g_new0 (WaitingWatch, 1);
+  entry->message = g_object_ref (message);
+  entry->version = version;
+  entry->until_ms = standin_now_ms () + standin_query_u64 (query, "wait_ms", 1000);
+  g_ptr_array_add (host->waiting_watches, entry);
   return NULL;
 }
 
 static void
-answer_waiting (Host *host)
+answer_waiting_watches (Host *host)
 {
-  for (guint i = host->waiting->len; i > 0; i--)
+  for (guint i = host->waiting_watches->len; i > 0; i--)
     {
-      Waiting *waiting = g_ptr_array_index (host->waiting, i - 1);
-      if (waiting->version == host->version && standin_now_ms () < waiting->until_ms)
+      WaitingWatch *entry = g_ptr_array_index (host->waiting_watches, i - 1);
+      if (entry->version == host->version && standin_now_ms () < entry->until_ms)
         continue;
-      standin_answer (host->standin, waiting->message, version_json (host));
-      g_ptr_array_remove_index_fast (host->waiting, i - 1);
+      standin_answer (host->standin, entry->message, version_json (host));
+      g_ptr_array_remove_index_fast (host->waiting_watches, i - 1);
     }
 }
 
@@ -270,7 +271,7 @@
 }
 
 static gboolean
-pass (gpointer unused)
+on_tick (gpointer unused)
 {
   (void) unused;
   for (guint i = 0; i < hosts->len; i++)
@@ -278,15 +279,15 @@
       Host *host = g_ptr_array_index (hosts, i);
       worker_pass (host->worker, standin_now_ms ());
       host->version = worker_version (host->worker);
-      answer_waiting (host);
+      answer_waiting_watches (host);
       fb_res used = oracle_used (oracle, host->id);
-      cpu_busy_milli_ms += (double) used.amount[FB_RES_CPU_MILLI] * PASS_MS;
-      accel_busy_ms += (double) used.amount[FB_RES_ACCEL_COUNT] * PASS_MS;
+      cpu_busy_milli_ms += (double) used.amount[FB_RES_CPU_MILLI] * TICK_MS;
+      accel_busy_ms += (double) used.amount[FB_RES_ACCEL_COUNT] * TICK_MS;
     }
   return G_SOURCE_CONTINUE;
 }
 
-/* ---- the record ------------------------------------------------------- */
+/* ---- the audit record ------------------------------------------------- */
 
 static JsonBuilder *
 handle_record (gpointer user, SoupServerMessage *message, const char *path, GHashTable *query,
@@ -325,14 +326,14 @@
 }
 
 static void
-add_host (const FbCellHost *facts, const fb_res *capacity)
+add_host (const FbCellHost *info, const fb_res *capacity)
 {
   Host *host = g_new0 (Host, 1);
   host->id = hosts->len;
   host->capacity = *capacity;
   host->worker = worker_new (host->id, capacity, oracle, (guint64) g_get_real_time () / 1000, 0);
-  host->waiting = g_ptr_array_new_with_free_func (waiting_free);
-  const char *port = strrchr (facts->address, ':') + 1;
+  host->waiting_watches = g_ptr_array_new_with_free_func (waiting_watch_free);
+  const char *port = strrchr (info->address, ':') + 1;
   host->standin = standin_new ((guint) g_ascii_strtoull (port, NULL, 10), handle_host, host);
   standin_set_control (host->standin, control_host);
   g_ptr_array_add (hosts, host);
@@ -370,7 +371,7 @@
         add_host (g_ptr_array_index (rack->hosts, h), &rack->host_capacity);
     }
   record = standin_new ((guint) port, handle_record, NULL);
-  g_timeout_add (PASS_MS, pass, NULL);
+  g_timeout_add (TICK_MS, on_tick, NULL);
   g_main_loop_run (g_main_loop_new (NULL, FALSE));
   return 0;
 }
--- a/standins/standin.c
+++ b/standins/standin.c
@@ -42,10 +42,10 @@
 }
 
 guint64
-standin_query_u64 (GHashTable *query, const char *name, guint64 missing)
+standin_query_u64 (GHashTable *query, const char *name, guint64 default_value)
 {
   const char *text = query != NULL ? g_hash_table_lookup (query, name) : NULL;
-  guint64 value = missing;
+  guint64 value = default_value;
   if (text != NULL)
     g_ascii_string_to_unsigned (text, 10, 0, G_MAXUINT64, &value, NULL);
   return value;
@@ -67,50 +67,50 @@
 {
   SoupServerMessage *message;
   char *text;
-} Later;
+} DelayedAnswer;
 
 static gboolean
-answer_now (gpointer data)
-{
-  Later *later = data;
-  soup_server_message_set_status (later->message, SOUP_STATUS_OK, NULL);
-  soup_server_message_set_response (later->message, "application/json", SOUP_MEMORY_TAKE,
-                                    later->text, strlen (later->text));
-  soup_server_message_unpause (later->message);
-  g_object_unref (later->message);
-  g_free (later);
+send_answer (gpointer data)
+{
+  DelayedAnswer *delayed = data;
+  soup_server_message_set_status (delayed->message, SOUP_STATUS_OK, NULL);
+  soup_server_message_set_response (delayed->message, "application/json", SOUP_MEMORY_TAKE,
+                                    delayed->text, strlen (delayed->text));
+  soup_server_message_unpause (delayed->message);
+  g_object_unref (delayed->message);
+  g_free (delayed);
   return G_SOURCE_REMOVE;
 }
 
 static void
-hang_up (SoupServerMessage *message)
+close_connection (SoupServerMessage *message)
 {
   GIOStream *stream = soup_server_message_steal_connection (message);
   g_io_stream_close (stream, NULL, NULL);
   g_object_unref (stream);
 }
 
-/* MESSAGE is paused.  ANSWER is taken over. */
+/* Sends ANSWER (transfer full) to MESSAGE, which is paused. */
 void
 standin_answer (Standin *self, SoupServerMessage *message, JsonBuilder *answer)
 {
   json_builder_end_object (answer);
   JsonNode *root = json_builder_get_root (answer);
-  Later *later = g_new (Later, 1);
-  *later = (Later){ g_object_ref (message), json_to_string (root, FALSE) };
+  DelayedAnswer *delayed = g_new (DelayedAnswer, 1);
+  *delayed = (DelayedAnswer){ g_object_ref (message), json_to_string (root, FALSE) };
   json_node_unref (root);
   g_object_unref (answer);
   if (self->faults.lose_answers)
     {
-      hang_up (message);
-      g_object_unref (later->message);
-      g_free (later->text);
-      g_free (later);
+      close_connection (message);
+      g_object_unref (delayed->message);
+      g_free (delayed->text);
+      g_free (delayed);
     }
   else if (self->faults.delay_ms > 0)
-    g_timeout_add ((guint) self->faults.delay_ms, answer_now, later);
+    g_timeout_add ((guint) self->faults.delay_ms, send_answer, delayed);
   else
-    answer_now (later);
+    send_answer (delayed);
 }
 
 static JsonObject *
@@ -154,14 +154,14 @@
       soup_server_message_set_status (message, body != NULL ? 200 : 400, NULL);
       return;
     }
-  gboolean faulty = !g_str_equal (path, "/record");
-  if (faulty && self->faults.outage)
+  gboolean faults_apply = !g_str_equal (path, "/record");
+  if (faults_apply && self->faults.outage)
     {
       soup_server_message_set_status (message, SOUP_STATUS_SERVICE_UNAVAILABLE, NULL);
       return;
     }
   soup_server_message_pause (message);
-  if (faulty && self->faults.freeze)
+  if (faults_apply && self->faults.freeze)
     return;
   JsonBuilder *answer = self->handler (self->user, message, path, query, body);
   if (answer != NULL)
--- a/standins/standin.h
+++ b/standins/standin.h
@@ -1,5 +1,5 @@
-/* What the stand-ins of the platform share: a JSON server whose faults are
- * switched at run time by POST /control. */
+/* Shared by the stand-ins of the platform: a JSON server over HTTP whose faults
+ * are set at run time by POST /control. */
 #pragma once
 
 #include <json-glib/json-glib.h>
@@ -7,10 +7,10 @@
 
 typedef struct
 {
-  gint64 delay_ms;       /* before each answer */
-  gboolean outage;       /* refuses everything */
-  gboolean lose_answers; /* does the work and hangs up instead of answering */
-  gboolean freeze;       /* does nothing and answers nothing until switched off */
+  gint64 delay_ms;       /* ms before each answer; 0: none */
+  gboolean outage;       /* answers 503 to every request but /record and /control */
+  gboolean lose_answers; /* handles requests and closes the connection without an answer */
+  gboolean freeze;       /* never answers the requests that arrive, except /record and /control */
 } StandinFaults;
 
 typedef struct _Standin Standin;
@@ -25,7 +25,7 @@
 StandinFaults *standin_faults (Standin *self);
 void standin_answer (Standin *self, SoupServerMessage *message, JsonBuilder *answer);
 
-/* Called for the members of POST /control that are not faults. */
+/* Called with the body of each POST /control, for members other than the faults above. */
 typedef void (*StandinControl) (gpointer user, JsonObject *body);
 void standin_set_control (Standin *self, StandinControl control);
 
@@ -33,5 +33,5 @@
 void standin_add_int (JsonBuilder *out, const char *name, gint64 value);
 void standin_add_text (JsonBuilder *out, const char *name, const char *value);
 
-guint64 standin_query_u64 (GHashTable *query, const char *name, guint64 missing);
+guint64 standin_query_u64 (GHashTable *query, const char *name, guint64 default_value);
 guint64 standin_now_ms (void);
