--- a/soak/callers.c
+++ b/soak/callers.c
@@ -3,38 +3,38 @@
 #include <libsoup/soup.h>
 #include <string.h>
 
-/* A caller waits this long for an answer, and hands the same job in again after none. */
-#define PATIENCE_S 3
-#define SUBMIT_TRIES 4
-#define ASK_EVERY_MS 700
-/* One turn in so many brings a job. */
+/* After this long without an answer the same job is submitted again. */
+#define CALL_TIMEOUT_S 3
+#define MAX_SUBMIT_TRIES 4
+#define POLL_INTERVAL_MS 700
+/* A job is submitted in one of so many ticks. */
 #define SUBMIT_ONE_IN 3
 /* Of a hundred jobs. */
 #define CRASHING_PERCENT 2
-#define LASTING_PERCENT 8
+#define LONG_RUNNING_PERCENT 8
 #define CANCEL_AFTER_MS 4000
 
 typedef enum
 {
   JOB_PLAIN,
-  JOB_CRASHING, /* it may fail */
-  JOB_LASTING   /* it is cancelled after a while */
+  JOB_CRASHING,    /* its task crashes workers; it may fail */
+  JOB_LONG_RUNNING /* its tasks do not end; it is cancelled after CANCEL_AFTER_MS */
 } JobKind;
 
 typedef struct
 {
   char id[17];
   JobKind kind;
-  guint tries;
-  guint refusals;
+  guint tries;    /* submissions */
+  guint refusals; /* of them, answered 429 or 503 */
   gboolean accepted;
-  gboolean given_up; /* by its caller, whose tries were all used */
+  gboolean abandoned; /* its caller has used all tries */
   gboolean cancel_sent;
   gboolean cancelled;
-  gboolean open; /* a call about it is on the way */
-  char end[16];  /* as it was shown; "" for none */
+  gboolean call_pending; /* a call about it has no answer yet */
+  char end[16];          /* final state as last answered; "": none yet */
   gint64 accepted_ms;
-  gint64 asked_ms;
+  gint64 last_call_ms;
 } Job;
 
 struct _SoakCallers
@@ -45,8 +45,8 @@
   SoupSession *session;
   GPtrArray *jobs; /* of Job */
   SoakCounts counts;
-  char *broken;
-  guint pending;
+  char *violation; /* text of the first one; NULL: none */
+  guint pending;   /* calls without an answer yet */
 };
 
 typedef struct
@@ -64,20 +64,20 @@
 
 G_GNUC_PRINTF (2, 3)
 static void
-broke (SoakCallers *self, const char *format, ...)
+report_violation (SoakCallers *self, const char *format, ...)
 {
-  if (self->broken != NULL)
+  if (self->violation != NULL)
     return;
   va_list args;
   va_start (args, format);
-  self->broken = g_strdup_vprintf (format, args);
+  self->violation = g_strdup_vprintf (format, args);
   va_end (args);
 }
 
 /* ---- answers --------------------------------------------------------------------- */
 
 static void
-take_submitted (SoakCallers *self, Job *job, guint status)
+handle_submit_answer (SoakCallers *self, Job *job, guint status)
 {
   if (status == 200)
     {
@@ -88,14 +88,14 @@
   else if (status == 429 || status == 503)
     job->refusals++;
   else if (status != 0 && status != 502 && status != 504)
-    broke (self, "job %s was answered %u", job->id, status);
+    report_violation (self, "job %s was answered %u", job->id, status);
 }
 
 static void
-take_state (SoakCallers *self, Job *job, guint status, GBytes *body)
+handle_state_answer (SoakCallers *self, Job *job, guint status, GBytes *body)
 {
   if (status == 410 && *job->end != '\0')
-    broke (self, "job %s was shown as %s and is not known", job->id, job->end);
+    report_violation (self, "job %s was answered as %s and then as unknown", job->id, job->end);
   if (status != 200 || body == NULL)
     return;
   g_autofree char *text = g_strndup (g_bytes_get_data (body, NULL), g_bytes_get_size (body));
@@ -104,13 +104,13 @@
   for (guint i = 0; i < G_N_ELEMENTS (ends); i++)
     end = strstr (text, ends[i]) != NULL ? ends[i] : end;
   if (*job->end != '\0' && !g_str_equal (job->end, end))
-    broke (self, "job %s was shown as %s, then as %s", job->id, job->end, text);
+    report_violation (self, "job %s was answered as %s, then as %s", job->id, job->end, text);
   if (g_str_equal (end, "failed") && job->kind != JOB_CRASHING)
-    broke (self, "job %s failed without cause", job->id);
+    report_violation (self, "job %s failed without cause", job->id);
   if (g_str_equal (end, "completed") && job->kind != JOB_PLAIN)
-    broke (self, "job %s completed, which it cannot", job->id);
+    report_violation (self, "job %s completed although its tasks cannot", job->id);
   if (g_str_equal (end, "cancelled") && !job->cancel_sent)
-    broke (self, "job %s was cancelled by nobody", job->id);
+    report_violation (self, "job %s was cancelled without a request", job->id);
   self->counts.ended += *job->end == '\0' && *end != '\0';
   g_strlcpy (job->end, end, sizeof job->end);
 }
@@ -127,13 +127,13 @@
   const char *method = soup_message_get_method (call->message);
   self->counts.answered += status != 0;
   self->counts.unanswered += status == 0;
-  job->open = FALSE;
+  job->call_pending = FALSE;
   if (g_str_equal (method, "POST"))
-    take_submitted (self, job, status);
+    handle_submit_answer (self, job, status);
   else if (g_str_equal (method, "DELETE"))
     job->cancelled |= status == 200;
   else
-    take_state (self, job, status, body);
+    handle_state_answer (self, job, status, body);
   self->pending--;
   g_object_unref (call->message);
   g_free (call);
@@ -158,15 +158,15 @@
       g_autoptr (GBytes) bytes = g_bytes_new (body, strlen (body));
       soup_message_set_request_body_from_bytes (call->message, "application/json", bytes);
     }
-  job->open = TRUE;
-  job->asked_ms = now_ms ();
+  job->call_pending = TRUE;
+  job->last_call_ms = now_ms ();
   self->pending++;
   soup_session_send_and_read_async (self->session, call->message, G_PRIORITY_DEFAULT, NULL,
                                     on_answer, call);
 }
 
 static void
-hand_in (SoakCallers *self, Job *job)
+submit_job (SoakCallers *self, Job *job)
 {
   static const char *const bodies[] = {
     [JOB_PLAIN] = "{\"spec\":\"%u\",\"phases\":[{\"count\":3,\"cpu\":2000,\"mem-mb\":100,"
@@ -174,11 +174,12 @@
                   "\"estimate-ms\":300,\"after\":[0]}]}",
     [JOB_CRASHING] = "{\"spec\":\"crash %u\",\"phases\":[{\"count\":1,\"cpu\":2000,\"mem-mb\":100,"
                      "\"estimate-ms\":300}]}",
-    [JOB_LASTING] = "{\"spec\":\"600000%u\",\"phases\":[{\"count\":2,\"cpu\":2000,\"mem-mb\":100,"
-                    "\"long-running\":true}]}",
+    [JOB_LONG_RUNNING]
+    = "{\"spec\":\"600000%u\",\"phases\":[{\"count\":2,\"cpu\":2000,\"mem-mb\":100,"
+      "\"long-running\":true}]}",
   };
   g_auto (GStrv) parts = g_strsplit (bodies[job->kind], "%u", 2);
-  /* The same body each time: its run time follows from its id. */
+  /* The run time is derived from the id, so that each submission of a job has the same body. */
   g_autofree char *run_ms
       = g_strdup_printf ("%u", 50 + (guint) g_ascii_strtoull (job->id + 8, NULL, 16) % 700);
   g_autofree char *body = g_strjoin (run_ms, parts[0], parts[1], NULL);
@@ -194,31 +195,31 @@
   guint drawn = (guint) g_rand_int_range (self->rand, 0, 100);
   if (drawn < CRASHING_PERCENT)
     job->kind = JOB_CRASHING;
-  else if (drawn < CRASHING_PERCENT + LASTING_PERCENT)
-    job->kind = JOB_LASTING;
+  else if (drawn < CRASHING_PERCENT + LONG_RUNNING_PERCENT)
+    job->kind = JOB_LONG_RUNNING;
   g_ptr_array_add (self->jobs, job);
   self->counts.submitted++;
-  hand_in (self, job);
+  submit_job (self, job);
 }
 
 static void
-tend_job (SoakCallers *self, Job *job)
+job_tick (SoakCallers *self, Job *job)
 {
-  if (job->open || job->given_up || now_ms () < job->asked_ms + ASK_EVERY_MS)
+  if (job->call_pending || job->abandoned || now_ms () < job->last_call_ms + POLL_INTERVAL_MS)
     return;
-  gboolean over = *job->end != '\0';
-  if (!job->accepted && job->tries < SUBMIT_TRIES)
-    hand_in (self, job);
+  gboolean has_ended = *job->end != '\0';
+  if (!job->accepted && job->tries < MAX_SUBMIT_TRIES)
+    submit_job (self, job);
   else if (!job->accepted)
-    job->given_up = TRUE;
-  else if (job->kind == JOB_LASTING && !job->cancelled
+    job->abandoned = TRUE;
+  else if (job->kind == JOB_LONG_RUNNING && !job->cancelled
            && now_ms () > job->accepted_ms + CANCEL_AFTER_MS)
     {
       job->cancel_sent = TRUE;
       send_call (self, job, "DELETE", NULL);
     }
-  else if (!over || g_rand_int_range (self->rand, 0, 20) == 0)
-    send_call (self, job, "GET", NULL); /* what has ended is asked for now and then as well */
+  else if (!has_ended || g_rand_int_range (self->rand, 0, 20) == 0)
+    send_call (self, job, "GET", NULL); /* now and then also after the job has ended */
 }
 
 /* ---- public ---------------------------------------------------------------------------- */
@@ -231,8 +232,8 @@
   self->daemon_n = daemon_n;
   self->rand = g_rand_new_with_seed (seed + 1);
   self->jobs = g_ptr_array_new_with_free_func (g_free);
-  /* Open connections are used until the daemon is gone. */
-  self->session = soup_session_new_with_options ("timeout", PATIENCE_S, "max-conns", 64,
+  /* Connections are kept open and reused until the daemon ends. */
+  self->session = soup_session_new_with_options ("timeout", CALL_TIMEOUT_S, "max-conns", 64,
                                                  "max-conns-per-host", 8, NULL);
   return self;
 }
@@ -246,26 +247,26 @@
   g_object_unref (self->session);
   g_ptr_array_unref (self->jobs);
   g_rand_free (self->rand);
-  g_free (self->broken);
+  g_free (self->violation);
   g_free (self);
 }
 
 void
-soak_callers_turn (SoakCallers *self, gboolean calm)
+soak_callers_tick (SoakCallers *self, gboolean no_new_jobs)
 {
-  if (!calm && g_rand_int_range (self->rand, 0, SUBMIT_ONE_IN) == 0)
+  if (!no_new_jobs && g_rand_int_range (self->rand, 0, SUBMIT_ONE_IN) == 0)
     new_job (self);
   for (guint i = 0; i < self->jobs->len; i++)
-    tend_job (self, self->jobs->pdata[i]);
+    job_tick (self, self->jobs->pdata[i]);
 }
 
 static const Job *
-open_job (const SoakCallers *self)
+find_unfinished_job (const SoakCallers *self)
 {
   for (guint i = 0; i < self->jobs->len; i++)
     {
       const Job *job = self->jobs->pdata[i];
-      if (*job->end == '\0' && !job->given_up)
+      if (*job->end == '\0' && !job->abandoned)
         return job;
     }
   return NULL;
@@ -274,13 +275,13 @@
 gboolean
 soak_callers_all_ended (const SoakCallers *self)
 {
-  return open_job (self) == NULL;
+  return find_unfinished_job (self) == NULL;
 }
 
 char *
-soak_callers_open_job (const SoakCallers *self)
+soak_callers_unfinished_job (const SoakCallers *self)
 {
-  const Job *job = open_job (self);
+  const Job *job = find_unfinished_job (self);
   return job != NULL ? g_strdup (job->id) : NULL;
 }
 
@@ -291,7 +292,7 @@
   for (guint i = 0; i < self->jobs->len; i++)
     {
       const Job *job = self->jobs->pdata[i];
-      if (job->given_up && job->refusals == job->tries)
+      if (job->abandoned && job->refusals == job->tries)
         g_ptr_array_add (ids, g_strdup (job->id));
     }
   g_ptr_array_add (ids, NULL);
@@ -299,9 +300,9 @@
 }
 
 const char *
-soak_callers_broken (const SoakCallers *self)
+soak_callers_violation (const SoakCallers *self)
 {
-  return self->broken;
+  return self->violation;
 }
 
 SoakCounts
--- a/soak/faults.c
+++ b/soak/faults.c
@@ -2,16 +2,16 @@
 
 #include <signal.h>
 
-/* A worker that writes no entry for longer than this is not listed any more. */
-#define UNLISTED_MS 4500
-#define ROLL_MOST_MS 25000
+/* An entry of the worker list that is not renewed for longer than this is removed. */
+#define ENTRY_TTL_MS 4500
+#define MAX_ROLLING_RESTART_MS 25000
 
 struct _SoakFaults
 {
   SoakProcesses *processes;
   SoakPlatform *platform;
   const SoakPlanSetup *plan;
-  GHashTable *endings; /* set of Ending that are to come; owned */
+  GHashTable *scheduled_ends; /* set of ScheduledEnd whose timers run; owned */
 };
 
 typedef struct
@@ -19,11 +19,11 @@
   SoakFaults *faults;
   SoakFault fault;
   guint timer;
-} Ending;
+} ScheduledEnd;
 
-/* Returns: (nullable): the link that a fault of this kind misuses. */
+/* Returns: (nullable): the link that FAULT affects. */
 static SoakLink *
-link_of (SoakFaults *self, const SoakFault *fault)
+link_of_fault (SoakFaults *self, const SoakFault *fault)
 {
   switch (fault->kind)
     {
@@ -51,10 +51,10 @@
 static gboolean
 end_fault (gpointer user)
 {
-  Ending *ending = user;
-  SoakFaults *self = ending->faults;
-  const SoakFault *fault = &ending->fault;
-  SoakLink *link = link_of (self, fault);
+  ScheduledEnd *scheduled = user;
+  SoakFaults *self = scheduled->faults;
+  const SoakFault *fault = &scheduled->fault;
+  SoakLink *link = link_of_fault (self, fault);
   if (link != NULL)
     soak_link_set_mode (link, SOAK_LINK_PASS, 0);
   else if (fault->kind == SOAK_FREEZE)
@@ -65,18 +65,18 @@
     soak_platform_control (self->platform, "{\"silent\":false}");
   else if (fault->kind == SOAK_ROLL)
     soak_daemon_signal (self->processes, fault->target, SIGTERM);
-  g_hash_table_remove (self->endings, ending);
+  g_hash_table_remove (self->scheduled_ends, scheduled);
   return G_SOURCE_REMOVE;
 }
 
 static void
 end_later (SoakFaults *self, const SoakFault *fault, guint after_ms)
 {
-  Ending *ending = g_new0 (Ending, 1);
-  ending->faults = self;
-  ending->fault = *fault;
-  ending->timer = g_timeout_add (after_ms, end_fault, ending);
-  g_hash_table_add (self->endings, ending);
+  ScheduledEnd *scheduled = g_new0 (ScheduledEnd, 1);
+  scheduled->faults = self;
+  scheduled->fault = *fault;
+  scheduled->timer = g_timeout_add (after_ms, end_fault, scheduled);
+  g_hash_table_add (self->scheduled_ends, scheduled);
 }
 
 /* ---- faults of daemons and of the store --------------------------------------------- */
@@ -84,7 +84,7 @@
 static void
 kill_daemon (SoakFaults *self, const SoakFault *fault, guint i, int signal)
 {
-  soak_daemon_restart (self->processes, i, fault->variant % 2 == 0 ? 0 : fault->for_ms);
+  soak_daemon_restart (self->processes, i, fault->variant % 2 == 0 ? 0 : fault->duration_ms);
   soak_daemon_signal (self->processes, i, signal);
 }
 
@@ -95,11 +95,11 @@
     kill_daemon (self, fault, i, SIGKILL);
 }
 
-/* One after the other, each while the one before may still be ending. */
+/* Restarts all daemons one after the other; the previous one may still be stopping. */
 static void
-roll (SoakFaults *self, const SoakFault *fault)
+rolling_restart (SoakFaults *self, const SoakFault *fault)
 {
-  guint gap_ms = MIN (300 + fault->for_ms / 4, ROLL_MOST_MS / self->plan->daemon_n);
+  guint gap_ms = MIN (300 + fault->duration_ms / 4, MAX_ROLLING_RESTART_MS / self->plan->daemon_n);
   for (guint i = 0; i < self->plan->daemon_n; i++)
     {
       SoakFault stop = { .kind = SOAK_ROLL, .target = i };
@@ -111,58 +111,59 @@
 /* ---- faults of links ------------------------------------------------------------------ */
 
 static void
-misuse_link (SoakFaults *self, const SoakFault *fault)
+degrade_link (SoakFaults *self, const SoakFault *fault)
 {
   SoakLinkMode mode = (SoakLinkMode) (SOAK_LINK_SLOW + fault->variant % (SOAK_LINK_N - 1));
-  soak_link_set_mode (link_of (self, fault), mode, 20 + fault->variant * 8);
-  end_later (self, fault, fault->for_ms);
+  soak_link_set_mode (link_of_fault (self, fault), mode, 20 + fault->variant * 8);
+  end_later (self, fault, fault->duration_ms);
 }
 
 static void
 cut_worker (SoakFaults *self, const SoakFault *fault)
 {
-  guint for_ms = UNLISTED_MS + fault->for_ms;
-  soak_link_set_mode (link_of (self, fault), SOAK_LINK_CUT, 0);
-  soak_platform_control (self->platform, "{\"unlisted\":%u,\"for-ms\":%u}", fault->target, for_ms);
-  end_later (self, fault, for_ms);
+  guint duration_ms = ENTRY_TTL_MS + fault->duration_ms;
+  soak_link_set_mode (link_of_fault (self, fault), SOAK_LINK_CUT, 0);
+  soak_platform_control (self->platform, "{\"unlisted\":%u,\"for-ms\":%u}", fault->target,
+                         duration_ms);
+  end_later (self, fault, duration_ms);
 }
 
-/* Half of them come back under the id that they had, with another birth, and some of these at once.
- */
+/* Half of the crashed workers restart under the same id with another start time, and half of those
+ * within 0.9 s. */
 static void
 crash_worker (SoakFaults *self, const SoakFault *fault)
 {
-  gboolean returns = fault->variant % 2 == 0;
-  guint for_ms = fault->variant % 4 == 0 ? fault->for_ms / 8 : 1000 + fault->for_ms;
+  gboolean keeps_id = fault->variant % 2 == 0;
+  guint duration_ms = fault->variant % 4 == 0 ? fault->duration_ms / 8 : 1000 + fault->duration_ms;
   soak_platform_control (self->platform, "{\"crash\":%u,\"for-ms\":%u,\"returns\":%s}",
-                         fault->target, for_ms, returns ? "true" : "false");
+                         fault->target, duration_ms, keeps_id ? "true" : "false");
 }
 
 static void
-misuse_worker_calls (SoakFaults *self, const SoakFault *fault)
+set_worker_call_faults (SoakFaults *self, const SoakFault *fault)
 {
   guint share = 10 + fault->variant / 2;
   gboolean refuses = fault->kind == SOAK_WORKER_REFUSES || fault->kind == SOAK_WORKER_FLAKY;
   gboolean loses = fault->kind == SOAK_WORKER_LOSES || fault->kind == SOAK_WORKER_FLAKY;
   soak_platform_control (self->platform,
                          "{\"faults\":%u,\"for-ms\":%u,\"refuse\":%u,\"lose\":%u,\"late\":%u}",
-                         fault->target, fault->for_ms, refuses ? share : 0, loses ? share / 2 : 0,
-                         fault->kind == SOAK_WORKER_LATE ? share : 0);
+                         fault->target, fault->duration_ms, refuses ? share : 0,
+                         loses ? share / 2 : 0, fault->kind == SOAK_WORKER_LATE ? share : 0);
 }
 
 static void
-misuse_store_calls (SoakFaults *self, const SoakFault *fault)
+set_store_call_faults (SoakFaults *self, const SoakFault *fault)
 {
   guint share = 10 + fault->variant / 2;
   soak_platform_control (self->platform,
                          "{\"store-faults\":true,\"for-ms\":%u,\"refuse\":%u,\"lose\":%u}",
-                         fault->for_ms, share, share / 2);
+                         fault->duration_ms, share, share / 2);
 }
 
 /* ---- public --------------------------------------------------------------------------- */
 
 static void
-begin_one (SoakFaults *self, const SoakFault *fault)
+begin_on_target (SoakFaults *self, const SoakFault *fault)
 {
   switch (fault->kind)
     {
@@ -174,7 +175,7 @@
       break;
     case SOAK_FREEZE:
       soak_daemon_signal (self->processes, fault->target, SIGSTOP);
-      end_later (self, fault, fault->for_ms);
+      end_later (self, fault, fault->duration_ms);
       break;
     case SOAK_RELOAD:
       soak_daemon_signal (self->processes, fault->target, SIGHUP);
@@ -183,26 +184,26 @@
     case SOAK_CALLER_LINK:
     case SOAK_WORKER_LINK:
     case SOAK_PEER_LINK:
-      misuse_link (self, fault);
+      degrade_link (self, fault);
       break;
     case SOAK_STORE_RESET:
     case SOAK_CALLER_RESET:
     case SOAK_WORKER_RESET:
     case SOAK_PEER_RESET:
-      soak_link_reset (link_of (self, fault));
+      soak_link_reset (link_of_fault (self, fault));
       break;
     case SOAK_STORE_SILENCE:
     case SOAK_WORKER_SILENCE:
     case SOAK_PEER_SILENCE:
-      soak_link_silence (link_of (self, fault));
+      soak_link_silence (link_of_fault (self, fault));
       break;
     case SOAK_STORE_AWAY:
       soak_platform_control (self->platform, "{\"outage\":true}");
-      end_later (self, fault, fault->for_ms);
+      end_later (self, fault, fault->duration_ms);
       break;
     case SOAK_STORE_MUTE:
       soak_platform_control (self->platform, "{\"silent\":true}");
-      end_later (self, fault, fault->for_ms);
+      end_later (self, fault, fault->duration_ms);
       break;
     case SOAK_WORKER_CRASH:
       crash_worker (self, fault);
@@ -214,13 +215,13 @@
     case SOAK_WORKER_LOSES:
     case SOAK_WORKER_FLAKY:
     case SOAK_WORKER_LATE:
-      misuse_worker_calls (self, fault);
+      set_worker_call_faults (self, fault);
       break;
     case SOAK_STORE_FLAKY:
-      misuse_store_calls (self, fault);
+      set_store_call_faults (self, fault);
       break;
     case SOAK_ROLL:
-      roll (self, fault);
+      rolling_restart (self, fault);
       break;
     case SOAK_KILL_ALL:
     default:
@@ -232,19 +233,19 @@
 soak_faults_begin (SoakFaults *self, const SoakFault *fault)
 {
   guint n = 1;
-  /* Up to a fourth of all workers, that of the plan first. */
+  /* Up to a fourth of all workers, beginning with the target of the plan. */
   if (fault->kind >= SOAK_WORKER_LINK && fault->kind <= SOAK_WORKER_LATE)
     n += fault->variant % (1 + self->plan->worker_n / 4);
   for (guint i = 0; i < n; i++)
     {
       SoakFault one = *fault;
       one.target = n > 1 ? (fault->target + i) % self->plan->worker_n : fault->target;
-      begin_one (self, &one);
+      begin_on_target (self, &one);
     }
 }
 
 void
-soak_faults_heal (SoakFaults *self)
+soak_faults_clear (SoakFaults *self)
 {
   gboolean links = self->plan->worker_links;
   soak_platform_control (self->platform, "{\"outage\":false,\"silent\":false,\"healthy\":true}");
@@ -268,7 +269,7 @@
   self->processes = processes;
   self->platform = platform;
   self->plan = plan;
-  self->endings = g_hash_table_new_full (NULL, NULL, g_free, NULL);
+  self->scheduled_ends = g_hash_table_new_full (NULL, NULL, g_free, NULL);
   return self;
 }
 
@@ -276,10 +277,10 @@
 soak_faults_free (SoakFaults *self)
 {
   GHashTableIter iter;
-  gpointer ending;
-  g_hash_table_iter_init (&iter, self->endings);
-  while (g_hash_table_iter_next (&iter, &ending, NULL))
-    g_source_remove (((Ending *) ending)->timer);
-  g_hash_table_unref (self->endings);
+  gpointer scheduled;
+  g_hash_table_iter_init (&iter, self->scheduled_ends);
+  while (g_hash_table_iter_next (&iter, &scheduled, NULL))
+    g_source_remove (((ScheduledEnd *) scheduled)->timer);
+  g_hash_table_unref (self->scheduled_ends);
   g_free (self);
 }
--- a/soak/faults.h
+++ b/soak/faults.h
@@ -1,4 +1,4 @@
-/* Faults of one play: they begin as its plan says, and end by themselves. */
+/* Faults of one run: each begins when soak_faults_begin() is called and ends by itself. */
 #pragma once
 
 #include "plan.h"
@@ -10,8 +10,8 @@
 /* PROCESSES, PLATFORM and PLAN are borrowed. */
 SoakFaults *soak_faults_new (SoakProcesses *processes, SoakPlatform *platform,
                              const SoakPlanSetup *plan);
-/* Faults that last are not ended. */
+/* Faults that are still in force are not ended. */
 void soak_faults_free (SoakFaults *self);
 void soak_faults_begin (SoakFaults *self, const SoakFault *fault);
-/* Ends what lasts, and starts daemons that are down. */
-void soak_faults_heal (SoakFaults *self);
+/* Ends all faults and starts daemons that are down. */
+void soak_faults_clear (SoakFaults *self);
--- a/soak/link.c
+++ b/soak/link.c
@@ -2,34 +2,34 @@
 
 #include <sys/socket.h>
 
-#define PIECE_BYTES 16384
-/* A link that is cut looks again after this. */
-#define CUT_MS 20
+#define BUFFER_BYTES 16384
+/* A direction that holds back data checks after this time whether it may forward it. */
+#define CUT_RECHECK_MS 20
 #define BACKLOG 256
 
-typedef struct _Pair Pair;
+typedef struct _Connection Connection;
 
 /* One direction of a connection. */
 typedef struct
 {
-  Pair *pair;
+  Connection *conn;
   GSocketConnection *from;
   GSocketConnection *to;
-  gboolean answers; /* it leads back to who connected */
-  char piece[PIECE_BYTES];
+  gboolean is_reply; /* from the server to the client */
+  char buffer[BUFFER_BYTES];
   gsize len;
-} Flow;
+} Direction;
 
-struct _Pair
+struct _Connection
 {
   SoakLink *link;
-  GSocketConnection *near;
-  GSocketConnection *far;
+  GSocketConnection *client_side;
+  GSocketConnection *server_side; /* NULL until it is connected */
   GCancellable *cancel;
-  Flow flows[2];
-  guint pending; /* calls that hold it */
-  gboolean silent;
-  gboolean over;
+  Direction directions[2];
+  guint refs;      /* asynchronous calls that hold it */
+  gboolean silent; /* forwards nothing any more */
+  gboolean closed;
 };
 
 struct _SoakLink
@@ -39,113 +39,119 @@
   guint16 to_port;
   SoakLinkMode mode;
   guint slow_ms;
-  GPtrArray *pairs; /* of Pair; borrowed: each frees itself */
+  GPtrArray *conns; /* of Connection; borrowed: each frees itself */
 };
 
-static void read_piece (Flow *flow);
+static void read_more (Direction *direction);
 
 static void
-pair_unref (Pair *pair)
+conn_unref (Connection *conn)
 {
-  if (--pair->pending > 0)
+  if (--conn->refs > 0)
     return;
-  if (pair->link != NULL)
-    g_ptr_array_remove_fast (pair->link->pairs, pair);
-  g_clear_object (&pair->near);
-  g_clear_object (&pair->far);
-  g_object_unref (pair->cancel);
-  g_free (pair);
+  if (conn->link != NULL)
+    g_ptr_array_remove_fast (conn->link->conns, conn);
+  g_clear_object (&conn->client_side);
+  g_clear_object (&conn->server_side);
+  g_object_unref (conn->cancel);
+  g_free (conn);
 }
 
 static void
-pair_end (Pair *pair)
+conn_close (Connection *conn)
 {
-  if (pair->over)
+  if (conn->closed)
     return;
-  pair->over = TRUE;
-  g_cancellable_cancel (pair->cancel);
-  g_io_stream_close (G_IO_STREAM (pair->near), NULL, NULL);
-  if (pair->far != NULL)
-    g_io_stream_close (G_IO_STREAM (pair->far), NULL, NULL);
+  conn->closed = TRUE;
+  g_cancellable_cancel (conn->cancel);
+  g_io_stream_close (G_IO_STREAM (conn->client_side), NULL, NULL);
+  if (conn->server_side != NULL)
+    g_io_stream_close (G_IO_STREAM (conn->server_side), NULL, NULL);
 }
 
 static void
 on_written (GObject *stream, GAsyncResult *result, gpointer user)
 {
-  Flow *flow = user;
+  Direction *direction = user;
   if (!g_output_stream_write_all_finish (G_OUTPUT_STREAM (stream), result, NULL, NULL))
-    pair_end (flow->pair);
+    conn_close (direction->conn);
   else
-    read_piece (flow);
-  pair_unref (flow->pair);
+    read_more (direction);
+  conn_unref (direction->conn);
 }
 
 static gboolean
-pass_piece (gpointer user)
+forward_buffer (gpointer user)
 {
-  Flow *flow = user;
-  Pair *pair = flow->pair;
-  if (pair->link == NULL || pair->over)
-    pair_unref (pair);
-  else if (pair->silent || pair->link->mode == SOAK_LINK_CUT)
+  Direction *direction = user;
+  Connection *conn = direction->conn;
+  if (conn->link == NULL || conn->closed)
+    conn_unref (conn);
+  else if (conn->silent || conn->link->mode == SOAK_LINK_CUT)
     return G_SOURCE_CONTINUE;
-  else if (pair->link->mode == SOAK_LINK_ONE_WAY && flow->answers)
+  else if (conn->link->mode == SOAK_LINK_ONE_WAY && direction->is_reply)
     {
-      read_piece (flow);
-      pair_unref (pair);
+      read_more (direction);
+      conn_unref (conn);
     }
   else
-    g_output_stream_write_all_async (g_io_stream_get_output_stream (G_IO_STREAM (flow->to)),
-                                     flow->piece, flow->len, G_PRIORITY_DEFAULT, pair->cancel,
-                                     on_written, flow);
+    g_output_stream_write_all_async (g_io_stream_get_output_stream (G_IO_STREAM (direction->to)),
+                                     direction->buffer, direction->len, G_PRIORITY_DEFAULT,
+                                     conn->cancel, on_written, direction);
   return G_SOURCE_REMOVE;
 }
 
 static void
 on_read (GObject *stream, GAsyncResult *result, gpointer user)
 {
-  Flow *flow = user;
-  Pair *pair = flow->pair;
+  Direction *direction = user;
+  Connection *conn = direction->conn;
   gssize n = g_input_stream_read_finish (G_INPUT_STREAM (stream), result, NULL);
-  if (n <= 0 || pair->link == NULL)
+  if (n <= 0 || conn->link == NULL)
     {
-      /* What is silent shows no end either. */
-      if (pair->link == NULL || !pair->silent)
-        pair_end (pair);
-      pair_unref (pair);
+      /* A silent connection does not pass on its end either. */
+      if (conn->link == NULL || !conn->silent)
+        conn_close (conn);
+      conn_unref (conn);
       return;
     }
-  flow->len = (gsize) n;
-  const SoakLink *link = pair->link;
-  if (link->mode == SOAK_LINK_PASS && !pair->silent)
-    (void) pass_piece (flow);
+  direction->len = (gsize) n;
+  const SoakLink *link = conn->link;
+  if (link->mode == SOAK_LINK_PASS && !conn->silent)
+    (void) forward_buffer (direction);
   else
-    g_timeout_add (link->mode == SOAK_LINK_SLOW ? link->slow_ms : CUT_MS, pass_piece, flow);
+    g_timeout_add (link->mode == SOAK_LINK_SLOW ? link->slow_ms : CUT_RECHECK_MS, forward_buffer,
+                   direction);
 }
 
 static void
-read_piece (Flow *flow)
+read_more (Direction *direction)
 {
-  flow->pair->pending++;
-  g_input_stream_read_async (g_io_stream_get_input_stream (G_IO_STREAM (flow->from)), flow->piece,
-                             PIECE_BYTES, G_PRIORITY_DEFAULT, flow->pair->cancel, on_read, flow);
+  direction->conn->refs++;
+  g_input_stream_read_async (g_io_stream_get_input_stream (G_IO_STREAM (direction->from)),
+                             direction->buffer, BUFFER_BYTES, G_PRIORITY_DEFAULT,
+                             direction->conn->cancel, on_read, direction);
 }
 
 static void
 on_connected (GObject *client, GAsyncResult *result, gpointer user)
 {
-  Pair *pair = user;
-  pair->far = g_socket_client_connect_to_host_finish (G_SOCKET_CLIENT (client), result, NULL);
-  if (pair->far == NULL || pair->over)
-    pair_end (pair);
+  Connection *conn = user;
+  conn->server_side
+      = g_socket_client_connect_to_host_finish (G_SOCKET_CLIENT (client), result, NULL);
+  if (conn->server_side == NULL || conn->closed)
+    conn_close (conn);
   else
     {
-      pair->flows[0] = (Flow){ .pair = pair, .from = pair->near, .to = pair->far };
-      pair->flows[1] = (Flow){ .pair = pair, .from = pair->far, .to = pair->near, .answers = TRUE };
-      read_piece (&pair->flows[0]);
-      read_piece (&pair->flows[1]);
+      conn->directions[0]
+          = (Direction){ .conn = conn, .from = conn->client_side, .to = conn->server_side };
+      conn->directions[1] = (Direction){
+        .conn = conn, .from = conn->server_side, .to = conn->client_side, .is_reply = TRUE
+      };
+      read_more (&conn->directions[0]);
+      read_more (&conn->directions[1]);
     }
-  pair_unref (pair);
+  conn_unref (conn);
 }
 
 static gboolean
@@ -154,15 +160,15 @@
   (void) service;
   (void) source;
   SoakLink *self = user;
-  Pair *pair = g_new0 (Pair, 1);
-  pair->link = self;
-  pair->near = g_object_ref (connection);
-  pair->cancel = g_cancellable_new ();
-  pair->pending = 1;
-  g_ptr_array_add (self->pairs, pair);
+  Connection *conn = g_new0 (Connection, 1);
+  conn->link = self;
+  conn->client_side = g_object_ref (connection);
+  conn->cancel = g_cancellable_new ();
+  conn->refs = 1;
+  g_ptr_array_add (self->conns, conn);
   g_autoptr (GSocketClient) client = g_socket_client_new ();
-  g_socket_client_connect_to_host_async (client, "127.0.0.1", self->to_port, pair->cancel,
-                                         on_connected, pair);
+  g_socket_client_connect_to_host_async (client, "127.0.0.1", self->to_port, conn->cancel,
+                                         on_connected, conn);
   return TRUE;
 }
 
@@ -171,7 +177,7 @@
 {
   SoakLink *self = g_new0 (SoakLink, 1);
   self->to_port = to_port;
-  self->pairs = g_ptr_array_new ();
+  self->conns = g_ptr_array_new ();
   self->service = g_socket_service_new ();
   g_socket_listener_set_backlog (G_SOCKET_LISTENER (self->service), BACKLOG);
   g_autoptr (GSocketAddress) any = g_inet_socket_address_new_from_string ("127.0.0.1", 0);
@@ -193,13 +199,13 @@
   g_socket_service_stop (self->service);
   g_socket_listener_close (G_SOCKET_LISTENER (self->service));
   g_object_unref (self->service);
-  for (guint i = 0; i < self->pairs->len; i++)
+  for (guint i = 0; i < self->conns->len; i++)
     {
-      Pair *pair = self->pairs->pdata[i];
-      pair->link = NULL;
-      pair_end (pair);
+      Connection *conn = self->conns->pdata[i];
+      conn->link = NULL;
+      conn_close (conn);
     }
-  g_ptr_array_unref (self->pairs);
+  g_ptr_array_unref (self->conns);
   g_free (self);
 }
 
@@ -219,24 +225,24 @@
 void
 soak_link_reset (SoakLink *self)
 {
-  static const struct linger at_once = { 1, 0 };
-  for (guint i = 0; i < self->pairs->len; i++)
+  static const struct linger reset_on_close = { 1, 0 };
+  for (guint i = 0; i < self->conns->len; i++)
     {
-      Pair *pair = self->pairs->pdata[i];
-      GSocketConnection *ends[] = { pair->near, pair->far };
+      Connection *conn = self->conns->pdata[i];
+      GSocketConnection *ends[] = { conn->client_side, conn->server_side };
       for (guint j = 0; j < G_N_ELEMENTS (ends); j++)
         {
-          if (ends[j] != NULL && !pair->over)
+          if (ends[j] != NULL && !conn->closed)
             setsockopt (g_socket_get_fd (g_socket_connection_get_socket (ends[j])), SOL_SOCKET,
-                        SO_LINGER, &at_once, sizeof at_once);
+                        SO_LINGER, &reset_on_close, sizeof reset_on_close);
         }
-      pair_end (pair);
+      conn_close (conn);
     }
 }
 
 void
 soak_link_silence (SoakLink *self)
 {
-  for (guint i = 0; i < self->pairs->len; i++)
-    ((Pair *) self->pairs->pdata[i])->silent = TRUE;
+  for (guint i = 0; i < self->conns->len; i++)
+    ((Connection *) self->conns->pdata[i])->silent = TRUE;
 }
--- a/soak/link.h
+++ b/soak/link.h
@@ -1,4 +1,4 @@
-/* A loopback proxy that misbehaves as it is told. */
+/* A TCP proxy on loopback that injects faults into its connections. */
 #pragma once
 
 #include <gio/gio.h>
@@ -8,18 +8,20 @@
 typedef enum
 {
   SOAK_LINK_PASS,
-  SOAK_LINK_SLOW,    /* each piece waits */
-  SOAK_LINK_CUT,     /* nothing passes, in neither direction, until it passes again */
-  SOAK_LINK_ONE_WAY, /* what comes back is lost */
+  SOAK_LINK_SLOW,    /* data is forwarded with a delay */
+  SOAK_LINK_CUT,     /* nothing is forwarded in either direction until the mode changes */
+  SOAK_LINK_ONE_WAY, /* data from the server is dropped */
   SOAK_LINK_N
 } SoakLinkMode;
 
-/* Returns: (transfer full): a proxy on a port of its own that leads to TO_PORT; NULL: no port. */
+/* Returns: (transfer full): a proxy on a port of its own that connects to TO_PORT; NULL when it
+ * cannot listen. */
 SoakLink *soak_link_new (guint16 to_port);
 void soak_link_free (SoakLink *self);
 guint16 soak_link_port (const SoakLink *self);
+/* SLOW_MS: delay of SOAK_LINK_SLOW, ignored in other modes. */
 void soak_link_set_mode (SoakLink *self, SoakLinkMode mode, guint slow_ms);
-/* Resets all connections that are open. */
+/* Resets all open connections (RST). */
 void soak_link_reset (SoakLink *self);
-/* Connections that are open say nothing any more, for good; new ones work. */
+/* Stops forwarding on all open connections for good without closing them; new connections work. */
 void soak_link_silence (SoakLink *self);
--- a/soak/plan.c
+++ b/soak/plan.c
@@ -1,11 +1,12 @@
 #include "plan.h"
 
-/* Faults overlap: the next one comes after up to so long, whatever lasts of those before. */
-#define GAP_MS 1200
-#define BEGIN_MS 1000
-/* Longer than a lease and than the time to live of a member of a group. */
-#define LONGEST_MS 7000
-/* Of a hundred faults, without and with those of workers and of links between daemons. */
+/* The next fault begins at most this long after the one before, which may still be in force. */
+#define MAX_GAP_MS 1200
+#define FIRST_FAULT_AFTER_MS 1000
+/* Longer than a lease and than the time to live of a member of a consumer group. */
+#define MAX_DURATION_MS 7000
+/* Percent of the faults of each kind: without and with faults of worker calls and of links between
+ * daemons. */
 static const guint plain_weights[SOAK_FAULT_N]
     = { [SOAK_KILL] = 12,         [SOAK_TERM] = 10,       [SOAK_FREEZE] = 12,
         [SOAK_RELOAD] = 4,        [SOAK_STORE_LINK] = 14, [SOAK_STORE_RESET] = 5,
@@ -34,7 +35,7 @@
 }
 
 static gboolean
-is_of_worker (SoakFaultKind kind)
+targets_worker (SoakFaultKind kind)
 {
   return kind == SOAK_WORKER_CRASH || (kind >= SOAK_WORKER_LINK && kind <= SOAK_WORKER_LATE);
 }
@@ -45,20 +46,21 @@
   const guint *weights = setup->worker_links ? all_weights : plain_weights;
   GRand *rand = g_rand_new_with_seed (setup->seed);
   GArray *plan = g_array_new (FALSE, FALSE, sizeof (SoakFault));
-  guint at_ms = BEGIN_MS;
-  while ((at_ms += (guint) g_rand_int_range (rand, 50, GAP_MS)) < setup->until_ms)
+  guint at_ms = FIRST_FAULT_AFTER_MS;
+  while ((at_ms += (guint) g_rand_int_range (rand, 50, MAX_GAP_MS)) < setup->duration_ms)
     {
       SoakFault fault = { .kind = draw_kind (rand, weights), .at_ms = at_ms };
-      guint n = is_of_worker (fault.kind) ? setup->worker_n : setup->daemon_n;
+      guint n = targets_worker (fault.kind) ? setup->worker_n : setup->daemon_n;
       fault.target = (guint) g_rand_int_range (rand, 0, (gint32) n);
-      fault.for_ms = (guint) g_rand_int_range (rand, 100, LONGEST_MS);
+      fault.duration_ms = (guint) g_rand_int_range (rand, 100, MAX_DURATION_MS);
       fault.variant = (guint) g_rand_int_range (rand, 0, 100);
       g_array_append_val (plan, fault);
     }
-  /* Two plays of three end with the loss of power of all daemons. */
+  /* Two of three runs end with a crash of all daemons at once, as by a power failure. */
   if (setup->seed % 3 != 0)
     {
-      const SoakFault last = { .kind = SOAK_KILL_ALL, .at_ms = setup->until_ms, .for_ms = 500 };
+      const SoakFault last
+          = { .kind = SOAK_KILL_ALL, .at_ms = setup->duration_ms, .duration_ms = 500 };
       g_array_append_val (plan, last);
     }
   g_rand_free (rand);
@@ -80,7 +82,8 @@
     {
       const SoakFault *fault = &g_array_index (plan, SoakFault, i);
       g_string_append_printf (text, "%6u ms %-14s target=%u for_ms=%u variant=%u\n", fault->at_ms,
-                              names[fault->kind], fault->target, fault->for_ms, fault->variant);
+                              names[fault->kind], fault->target, fault->duration_ms,
+                              fault->variant);
     }
   return g_string_free (text, FALSE);
 }
--- a/soak/platform.c
+++ b/soak/platform.c
@@ -7,15 +7,15 @@
 
 struct _SoakPlatform
 {
-  SoupSession *session; /* with one connection, so that calls arrive in their order */
+  SoupSession *session; /* with a single connection, so that calls arrive in order */
   guint16 port;
-  guint pending; /* calls on the way */
+  guint pending; /* control calls without an answer yet */
 };
 
 typedef struct
 {
   gboolean done;
-  GBytes *answer; /* owned; NULL: none */
+  GBytes *answer; /* owned; NULL: the call failed */
 } Call;
 
 SoakPlatform *
@@ -59,7 +59,7 @@
   call->done = TRUE;
 }
 
-/* The links work on while it waits. */
+/* Iterates the main loop meanwhile, so that the links go on forwarding. */
 static GBytes *
 wait_for_answer (SoakPlatform *self, SoupMessage *message)
 {
@@ -72,7 +72,7 @@
 }
 
 char *
-soak_platform_ask (SoakPlatform *self, const char *path, const char *body)
+soak_platform_request (SoakPlatform *self, const char *path, const char *body)
 {
   g_autoptr (SoupMessage) message = new_message (self, path, body);
   g_autoptr (GBytes) answer = wait_for_answer (self, message);
@@ -82,7 +82,7 @@
 }
 
 static void
-on_told (GObject *session, GAsyncResult *result, gpointer user)
+on_control_answered (GObject *session, GAsyncResult *result, gpointer user)
 {
   SoakPlatform *self = user;
   g_autoptr (GBytes) answer
@@ -100,8 +100,8 @@
   va_end (args);
   g_autoptr (SoupMessage) message = new_message (self, "/control", body);
   self->pending++;
-  soup_session_send_and_read_async (self->session, message, G_PRIORITY_DEFAULT, NULL, on_told,
-                                    self);
+  soup_session_send_and_read_async (self->session, message, G_PRIORITY_DEFAULT, NULL,
+                                    on_control_answered, self);
 }
 
 gboolean
--- a/soak/platform.h
+++ b/soak/platform.h
@@ -1,4 +1,4 @@
-/* Calls to the stand-in of the platform. */
+/* Calls to the stand-in for the platform. */
 #pragma once
 
 #include <gio/gio.h>
@@ -9,8 +9,9 @@
 SoakPlatform *soak_platform_new (guint16 port);
 void soak_platform_free (SoakPlatform *self);
 /* BODY: NULL for a GET.  Returns: (transfer full) (nullable): the answer's text. */
-char *soak_platform_ask (SoakPlatform *self, const char *path, const char *body);
-/* Tells the stand-in what to do, in JSON; it is sent before what comes after it. */
+char *soak_platform_request (SoakPlatform *self, const char *path, const char *body);
+/* Sends the formatted JSON to /control without waiting for the answer.  Calls arrive in the order
+ * in which they were made. */
 void soak_platform_control (SoakPlatform *self, const char *format, ...) G_GNUC_PRINTF (2, 3);
-/* Returns: TRUE when URL is answered 200. */
+/* Returns: TRUE when a GET of URL is answered 200. */
 gboolean soak_platform_is_ready (SoakPlatform *self, const char *url);
--- a/soak/ports.h
+++ b/soak/ports.h
@@ -1,7 +1,7 @@
-/* Ports of loopback on which nobody listens. */
+/* Checks for free ports on loopback. */
 #pragma once
 
 #include <gio/gio.h>
 
-/* TRUE when each of the N ports from FIRST on can be listened on now. */
+/* Returns: TRUE when a socket can listen on each of the N ports from FIRST on. */
 gboolean soak_ports_are_free (guint first, guint n);
--- a/soak/processes.c
+++ b/soak/processes.c
@@ -7,8 +7,8 @@
 #include <sys/prctl.h>
 
 /* A daemon has 160 MB on the smallest hosts. */
-#define MEMORY_MOST_MB 160
-#define FDS_MOST 2000
+#define MAX_MEMORY_MB 160
+#define MAX_FDS 2000
 
 typedef struct
 {
@@ -18,11 +18,11 @@
   guint16 ports[4];     /* callers, readiness, peers, metrics */
   SoakLink *store;
   SoakLink *callers;
-  SoakLink *peers;    /* NULL: none */
-  gboolean was_ended; /* by a signal of this play */
-  char *surprise;     /* how it ended by itself, or NULL */
-  guint restart_ms;   /* after its end; G_MAXUINT: not by itself */
-  guint timer;
+  SoakLink *peers;       /* NULL: none */
+  gboolean end_expected; /* it was sent SIGKILL or SIGTERM by this program */
+  char *unexpected_end;  /* how it ended by itself; NULL: it did not */
+  guint restart_ms;      /* delay after its end; G_MAXUINT: it is not restarted */
+  guint timer;           /* source of the restart; 0: none is due */
 } Daemon;
 
 struct _SoakProcesses
@@ -30,31 +30,31 @@
   SoakSetup setup;
   GSubprocess *platform;
   Daemon *daemons;
-  SoakLink **workers; /* NULL: no links to them */
+  SoakLink **workers; /* by worker; NULL: no links to workers */
   gboolean closing;
 };
 
-/* A soak that is killed leaves no process behind. */
+/* Ends the child when the soak test dies, so that no process is left behind. */
 static void
-end_with_parent (gpointer user)
+die_with_parent (gpointer user)
 {
   (void) user;
   (void) prctl (PR_SET_PDEATHSIG, SIGKILL);
 }
 
-/* DEBUG: it writes its messages for that as well. */
+/* LOG: file in the folder of the run.  DEBUG: debug messages are written as well. */
 static GSubprocess *
 spawn (const SoakSetup *setup, const char *log, gboolean debug, const char *const *argv)
 {
   g_autoptr (GSubprocessLauncher) launcher
       = g_subprocess_launcher_new (G_SUBPROCESS_FLAGS_STDERR_MERGE);
   g_autofree char *path = g_build_filename (setup->folder, log, NULL);
-  /* The lives of a daemon write one behind the other. */
+  /* All incarnations of a daemon append to the same log. */
   int fd = open (path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
   if (fd < 0)
     return NULL;
   g_subprocess_launcher_take_stdout_fd (launcher, fd);
-  g_subprocess_launcher_set_child_setup (launcher, end_with_parent, NULL, NULL);
+  g_subprocess_launcher_set_child_setup (launcher, die_with_parent, NULL, NULL);
   if (debug)
     g_subprocess_launcher_setenv (launcher, "G_MESSAGES_DEBUG", "all", TRUE);
   return g_subprocess_launcher_spawnv (launcher, argv, NULL);
@@ -88,10 +88,11 @@
   if (daemon->process != G_SUBPROCESS (process) || daemon->all->closing)
     return;
   GSubprocess *ended = G_SUBPROCESS (process);
-  if (!daemon->was_ended && daemon->surprise == NULL)
-    daemon->surprise = g_subprocess_get_if_signaled (ended)
-                           ? g_strdup_printf ("by signal %d", g_subprocess_get_term_sig (ended))
-                           : g_strdup_printf ("with %d", g_subprocess_get_exit_status (ended));
+  if (!daemon->end_expected && daemon->unexpected_end == NULL)
+    daemon->unexpected_end
+        = g_subprocess_get_if_signaled (ended)
+              ? g_strdup_printf ("by signal %d", g_subprocess_get_term_sig (ended))
+              : g_strdup_printf ("with %d", g_subprocess_get_exit_status (ended));
   g_clear_object (&daemon->process);
   if (daemon->restart_ms != G_MAXUINT)
     daemon->timer = g_timeout_add (daemon->restart_ms, start_daemon, daemon);
@@ -108,7 +109,7 @@
   g_autofree char *program = g_build_filename (setup->programs, "flamingobarrowd", NULL);
   const char *argv[] = { program, "--settings", path, NULL };
   daemon->timer = 0;
-  daemon->was_ended = FALSE;
+  daemon->end_expected = FALSE;
   if (daemon->process == NULL && write_settings (daemon, path))
     daemon->process = spawn (setup, log, FALSE, argv);
   if (daemon->process != NULL)
@@ -116,7 +117,8 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Returns: (transfer full) (nullable): the ports at which workers are listed; NULL: no port. */
+/* Returns: (transfer full) (nullable): the ports at which workers are listed, separated by commas;
+ * NULL when a link cannot listen. */
 static char *
 link_workers (SoakProcesses *self)
 {
@@ -209,7 +211,7 @@
       (void) g_subprocess_wait (self->platform, NULL, NULL);
       g_object_unref (self->platform);
     }
-  /* Callbacks of their ends may still be on the way to the daemons' entries, which stay. */
+  /* SELF and its daemons are not freed: callbacks of their ends may still be pending. */
 }
 
 SoakLink *
@@ -254,7 +256,7 @@
   Daemon *daemon = &self->daemons[i];
   if (daemon->process == NULL)
     return;
-  daemon->was_ended |= signal == SIGKILL || signal == SIGTERM;
+  daemon->end_expected |= signal == SIGKILL || signal == SIGTERM;
   g_subprocess_send_signal (daemon->process, signal);
 }
 
@@ -295,15 +297,15 @@
   for (guint i = 0; i < self->setup.daemon_n; i++)
     {
       Daemon *daemon = &self->daemons[i];
-      if (daemon->surprise != NULL)
-        return g_strdup_printf ("daemon %u ended by itself, %s", i, daemon->surprise);
+      if (daemon->unexpected_end != NULL)
+        return g_strdup_printf ("daemon %u ended by itself, %s", i, daemon->unexpected_end);
       const char *pid
           = daemon->process != NULL ? g_subprocess_get_identifier (daemon->process) : NULL;
       if (pid == NULL)
         continue;
-      if (memory_mb (pid) > MEMORY_MOST_MB)
+      if (memory_mb (pid) > MAX_MEMORY_MB)
         return g_strdup_printf ("daemon %u uses %u MB", i, memory_mb (pid));
-      if (fds_n (pid) > FDS_MOST)
+      if (fds_n (pid) > MAX_FDS)
         return g_strdup_printf ("daemon %u has %u descriptors open", i, fds_n (pid));
     }
   return NULL;
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -1,9 +1,10 @@
-/* A fault soak: real daemons and a stand-in of the platform as processes of their own, faults from
- * outside by links and signals, in series and overlapping, while callers work.  What callers and
- * workers see alone is judged.
+/* Fault-injection soak test.  Real daemons and the stand-in for the platform run as processes;
+ * faults are injected from outside by proxies and signals, one after the other and overlapping,
+ * while callers submit jobs.  Violations are found only from the answers that callers get, from the
+ * audit of the workers and from the state of the processes.
  *
- * The plan of a seed is the same each time; the processes are real, so that what happens in it need
- * not be. */
+ * A seed always gives the same plan of faults.  The processes run in real time, so the course of a
+ * run differs from run to run. */
 #include "callers.h"
 #include "faults.h"
 #include "ports.h"
@@ -13,17 +14,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Below the ports that the system gives to connections. */
+/* Below the system's range of ephemeral ports. */
 #define FIRST_PORT 10000
 #define PORT_RANGES 11
-#define RANGE_PORTS 900
-#define PORTS_OF_DAEMON 4
-#define TURN_MS 40
+#define PORTS_PER_RANGE 900
+#define PORTS_PER_DAEMON 4
+#define TICK_MS 40
 #define READY_MS 20000
-/* After the faults all that was accepted has this long to end: leases, a take-over and doubts about
- * crashed workers take some 20 s one after the other. */
-#define HEAL_MS 45000
-#define HEAL_TURNS 10
+/* Accepted jobs must have ended this long after the last fault.  Leases, a take-over and unresolved
+ * losses of crashed workers together take some 20 s. */
+#define RECOVERY_MS 45000
+#define CLEAR_FAULTS_TICKS 10
 
 static gint option_seeds = 1;
 static gint option_seed = 1;
@@ -37,18 +38,20 @@
 static char *option_replay;
 
 static const GOptionEntry options[]
-    = { { "seeds", 0, 0, G_OPTION_ARG_INT, &option_seeds, "Plays, one a seed", "N" },
+    = { { "seeds", 0, 0, G_OPTION_ARG_INT, &option_seeds, "Number of runs, each with its own seed",
+          "N" },
         { "seed", 0, 0, G_OPTION_ARG_INT, &option_seed, "The first seed", "S" },
-        { "seconds", 0, 0, G_OPTION_ARG_INT, &option_seconds, "Faults come for so long", "N" },
+        { "seconds", 0, 0, G_OPTION_ARG_INT, &option_seconds, "Duration of the faults", "N" },
         { "daemons", 0, 0, G_OPTION_ARG_INT, &option_daemons, "Daemons, 1 to 150", "N" },
         { "workers", 0, 0, G_OPTION_ARG_INT, &option_workers, "Workers, 1 to 250", "N" },
         { "without-worker-links", 0, 0, G_OPTION_ARG_NONE, &option_without_worker_links,
-          "Neither faults of workers but crashes, nor of links between daemons", NULL },
+          "Workers only crash, and links between daemons have no faults", NULL },
         { "port", 0, 0, G_OPTION_ARG_INT, &option_port, "First port of the processes", "PORT" },
-        { "programs", 0, 0, G_OPTION_ARG_STRING, &option_programs, "Where they were built", "DIR" },
-        { "folder", 0, 0, G_OPTION_ARG_STRING, &option_folder, "Where plays that failed are kept",
+        { "programs", 0, 0, G_OPTION_ARG_STRING, &option_programs, "Build folder of the programs",
           "DIR" },
-        { "replay", 0, 0, G_OPTION_ARG_STRING, &option_replay, "Play that of DIR again", "DIR" },
+        { "folder", 0, 0, G_OPTION_ARG_STRING, &option_folder,
+          "Where the files of failed runs are kept", "DIR" },
+        { "replay", 0, 0, G_OPTION_ARG_STRING, &option_replay, "Run the plan in DIR again", "DIR" },
         { NULL, 0, 0, 0, NULL, NULL, NULL } };
 
 typedef struct
@@ -59,141 +62,142 @@
   SoakCallers *callers;
   SoakPlatform *platform;
   SoakFaults *faults;
-  char *broken; /* the first promise that was */
-} Play;
+  char *violation; /* text of the first violation; NULL: none */
+} SoakRun;
 
 static guint
-count_of (const char *audit, const char *name)
+audit_count (const char *audit, const char *name)
 {
   g_autofree char *key = g_strdup_printf ("\"%s\":", name);
   const char *at = audit != NULL ? strstr (audit, key) : NULL;
   return at != NULL ? (guint) atoi (at + strlen (key)) : 0;
 }
 
-/* ---- judging ----------------------------------------------------------------------------- */
+/* ---- checks ------------------------------------------------------------------------------ */
 
 static void
-judge_refused (Play *play)
+check_refused_jobs (SoakRun *run)
 {
-  g_auto (GStrv) refused = soak_callers_refused (play->callers);
-  for (guint i = 0; refused[i] != NULL && play->broken == NULL; i++)
+  g_auto (GStrv) refused = soak_callers_refused (run->callers);
+  for (guint i = 0; refused[i] != NULL && run->violation == NULL; i++)
     {
       g_autofree char *path = g_strdup_printf ("/started?job=%s", refused[i]);
-      g_autofree char *answer = soak_platform_ask (play->platform, path, NULL);
+      g_autofree char *answer = soak_platform_request (run->platform, path, NULL);
       if (answer != NULL && strstr (answer, "true") != NULL)
-        play->broken = g_strdup_printf ("job %s was refused by all and was started", refused[i]);
+        run->violation
+            = g_strdup_printf ("job %s was refused by every answer and was started", refused[i]);
     }
 }
 
 static void
-judge_workers (Play *play)
+check_worker_audit (SoakRun *run)
 {
-  static const char *const promises[] = { "doubled", "over-capacity", "started-too-often" };
-  g_autofree char *audit = soak_platform_ask (play->platform, "/audit", NULL);
+  static const char *const counters[] = { "doubled", "over-capacity", "started-too-often" };
+  g_autofree char *audit = soak_platform_request (run->platform, "/audit", NULL);
   if (audit == NULL)
-    play->broken = g_strdup ("the stand-in answers nothing");
-  for (guint i = 0; i < G_N_ELEMENTS (promises) && play->broken == NULL; i++)
+    run->violation = g_strdup ("the stand-in does not answer");
+  for (guint i = 0; i < G_N_ELEMENTS (counters) && run->violation == NULL; i++)
     {
-      if (count_of (audit, promises[i]) > 0)
-        play->broken = g_strdup_printf ("workers saw %s", audit);
+      if (audit_count (audit, counters[i]) > 0)
+        run->violation = g_strdup_printf ("workers saw %s", audit);
     }
 }
 
 static void
-judge (Play *play)
+check_violations (SoakRun *run)
 {
-  if (play->broken == NULL)
-    play->broken = g_strdup (soak_callers_broken (play->callers));
-  if (play->broken == NULL)
-    play->broken = soak_processes_check (play->processes);
+  if (run->violation == NULL)
+    run->violation = g_strdup (soak_callers_violation (run->callers));
+  if (run->violation == NULL)
+    run->violation = soak_processes_check (run->processes);
 }
 
-/* ---- one play -------------------------------------------------------------------------------- */
+/* ---- one run --------------------------------------------------------------------------------- */
 
 static gboolean
-wake (gpointer woken)
+on_timeout (gpointer timed_out)
 {
-  *(gboolean *) woken = TRUE;
+  *(gboolean *) timed_out = TRUE;
   return G_SOURCE_REMOVE;
 }
 
 static void
-pause_ms (guint ms)
+iterate_for_ms (guint ms)
 {
-  gboolean woken = FALSE;
-  g_timeout_add (ms, wake, &woken);
-  while (!woken)
+  gboolean timed_out = FALSE;
+  g_timeout_add (ms, on_timeout, &timed_out);
+  while (!timed_out)
     g_main_context_iteration (NULL, TRUE);
 }
 
 static gboolean
-wait_until_ready (Play *play)
+wait_until_ready (SoakRun *run)
 {
   gint64 until_us = g_get_monotonic_time () + READY_MS * 1000;
   guint ready = 0;
-  while (ready < play->setup.daemon_n && g_get_monotonic_time () < until_us)
+  while (ready < run->setup.daemon_n && g_get_monotonic_time () < until_us)
     {
-      pause_ms (100);
+      iterate_for_ms (100);
       ready = 0;
-      for (guint i = 0; i < play->setup.daemon_n; i++)
+      for (guint i = 0; i < run->setup.daemon_n; i++)
         {
           g_autofree char *url = g_strdup_printf ("http://127.0.0.1:%u/api/readyz",
-                                                  soak_daemon_port (play->processes, i) + 1u);
-          ready += soak_platform_is_ready (play->platform, url);
+                                                  soak_daemon_port (run->processes, i) + 1u);
+          ready += soak_platform_is_ready (run->platform, url);
         }
     }
-  return ready == play->setup.daemon_n;
+  return ready == run->setup.daemon_n;
 }
 
 static void
-run_plan (Play *play, const GArray *plan, guint until_ms)
+run_plan (SoakRun *run, const GArray *plan, guint until_ms)
 {
   gint64 began_us = g_get_monotonic_time ();
   guint next = 0;
   guint passed_ms = 0;
-  while (play->broken == NULL && (passed_ms < until_ms || next < plan->len))
+  while (run->violation == NULL && (passed_ms < until_ms || next < plan->len))
     {
       passed_ms = (guint) ((g_get_monotonic_time () - began_us) / 1000);
       for (; next < plan->len && g_array_index (plan, SoakFault, next).at_ms <= passed_ms; next++)
-        soak_faults_begin (play->faults, &g_array_index (plan, SoakFault, next));
-      soak_callers_turn (play->callers, FALSE);
-      judge (play);
-      pause_ms (TURN_MS);
+        soak_faults_begin (run->faults, &g_array_index (plan, SoakFault, next));
+      soak_callers_tick (run->callers, FALSE);
+      check_violations (run);
+      iterate_for_ms (TICK_MS);
     }
 }
 
 static void
-run_calm (Play *play)
+run_recovery (SoakRun *run)
 {
-  gint64 until_us = g_get_monotonic_time () + HEAL_MS * 1000;
-  for (guint turn = 0; play->broken == NULL && !soak_callers_all_ended (play->callers)
+  gint64 until_us = g_get_monotonic_time () + RECOVERY_MS * 1000;
+  for (guint tick = 0; run->violation == NULL && !soak_callers_all_ended (run->callers)
                        && g_get_monotonic_time () < until_us;
-       turn++)
+       tick++)
     {
-      /* What a fault that ends late has changed is put right again. */
-      if (turn % HEAL_TURNS == 0)
-        soak_faults_heal (play->faults);
-      soak_callers_turn (play->callers, TRUE);
-      judge (play);
-      pause_ms (TURN_MS);
+      /* Repeated: faults that end late, such as a rolling restart, have later effects. */
+      if (tick % CLEAR_FAULTS_TICKS == 0)
+        soak_faults_clear (run->faults);
+      soak_callers_tick (run->callers, TRUE);
+      check_violations (run);
+      iterate_for_ms (TICK_MS);
     }
-  g_autofree char *open = soak_callers_open_job (play->callers);
-  if (play->broken == NULL && open != NULL)
-    play->broken = g_strdup_printf ("job %s was accepted and has not ended %u s after all faults",
-                                    open, HEAL_MS / 1000);
-  judge_refused (play);
-  judge_workers (play);
+  g_autofree char *unfinished = soak_callers_unfinished_job (run->callers);
+  if (run->violation == NULL && unfinished != NULL)
+    run->violation = g_strdup_printf ("job %s was accepted and has not ended %u s after all faults",
+                                      unfinished, RECOVERY_MS / 1000);
+  check_refused_jobs (run);
+  check_worker_audit (run);
 }
 
 static void
-keep_plan (const Play *play, const GArray *plan)
+save_plan (const SoakRun *run, const GArray *plan)
 {
-  g_autofree char *path = g_build_filename (play->setup.folder, "plan.txt", NULL);
+  g_autofree char *path = g_build_filename (run->setup.folder, "plan.txt", NULL);
   g_autofree char *text = soak_plan_text (plan);
-  g_autofree char *whole = g_strdup_printf (
-      "seed=%u seconds=%d daemons=%u workers=%u worker-links=%d\n%s", play->plan.seed,
-      option_seconds, play->setup.daemon_n, play->setup.worker_n, play->plan.worker_links, text);
-  (void) g_file_set_contents (path, whole, -1, NULL);
+  g_autofree char *contents = g_strdup_printf (
+      "seed=%u seconds=%d daemons=%u workers=%u worker-links=%d\n%s", run->plan.seed,
+      option_seconds, run->setup.daemon_n, run->setup.worker_n, run->plan.worker_links, text);
+  (void) g_file_set_contents (path, contents, -1, NULL);
 }
 
 static void
@@ -209,7 +213,7 @@
   (void) g_rmdir (folder);
 }
 
-/* Returns: TRUE when a promise was broken. */
+/* Returns: TRUE when there was a violation. */
 static gboolean
 run_seed (guint32 seed)
 {
@@ -217,48 +221,48 @@
   g_autofree char *folder = g_build_filename (option_folder, name, NULL);
   remove_folder (folder);
   (void) g_mkdir_with_parents (folder, 0755);
-  Play play = { .plan = { .seed = seed,
-                          .daemon_n = (guint) option_daemons,
-                          .worker_n = (guint) option_workers,
-                          .until_ms = (guint) option_seconds * 1000,
-                          .worker_links = !option_without_worker_links },
-                .setup = { .base_port = (guint16) option_port,
-                           .daemon_n = (guint) option_daemons,
-                           .worker_n = (guint) option_workers,
-                           .worker_links = !option_without_worker_links,
-                           .folder = folder,
-                           .programs = option_programs } };
-  g_autoptr (GArray) plan = soak_plan_new (&play.plan);
-  keep_plan (&play, plan);
-  play.platform = soak_platform_new (play.setup.base_port);
-  play.processes = soak_processes_new (&play.setup);
+  SoakRun run = { .plan = { .seed = seed,
+                            .daemon_n = (guint) option_daemons,
+                            .worker_n = (guint) option_workers,
+                            .duration_ms = (guint) option_seconds * 1000,
+                            .worker_links = !option_without_worker_links },
+                  .setup = { .base_port = (guint16) option_port,
+                             .daemon_n = (guint) option_daemons,
+                             .worker_n = (guint) option_workers,
+                             .worker_links = !option_without_worker_links,
+                             .folder = folder,
+                             .programs = option_programs } };
+  g_autoptr (GArray) plan = soak_plan_new (&run.plan);
+  save_plan (&run, plan);
+  run.platform = soak_platform_new (run.setup.base_port);
+  run.processes = soak_processes_new (&run.setup);
   SoakCounts counts = { 0 };
-  if (play.processes == NULL || !wait_until_ready (&play))
-    play.broken = g_strdup ("the processes did not start");
+  if (run.processes == NULL || !wait_until_ready (&run))
+    run.violation = g_strdup ("the processes did not start");
   else
     {
-      play.faults = soak_faults_new (play.processes, play.platform, &play.plan);
-      play.callers = soak_callers_new (play.processes, play.setup.daemon_n, seed);
-      run_plan (&play, plan, (guint) option_seconds * 1000);
-      run_calm (&play);
-      counts = soak_callers_counts (play.callers);
-      soak_callers_free (play.callers);
-      soak_faults_free (play.faults);
+      run.faults = soak_faults_new (run.processes, run.platform, &run.plan);
+      run.callers = soak_callers_new (run.processes, run.setup.daemon_n, seed);
+      run_plan (&run, plan, (guint) option_seconds * 1000);
+      run_recovery (&run);
+      counts = soak_callers_counts (run.callers);
+      soak_callers_free (run.callers);
+      soak_faults_free (run.faults);
     }
-  g_clear_pointer (&play.processes, soak_processes_free);
-  soak_platform_free (play.platform);
+  g_clear_pointer (&run.processes, soak_processes_free);
+  soak_platform_free (run.platform);
   printf ("seed %u: %u faults, %u jobs, %u accepted, %u ended, %u calls answered, %u not: %s\n",
           seed, plan->len, counts.submitted, counts.accepted, counts.ended, counts.answered,
-          counts.unanswered, play.broken != NULL ? play.broken : "all kept");
+          counts.unanswered, run.violation != NULL ? run.violation : "no violation");
   fflush (stdout);
-  gboolean broken = play.broken != NULL;
-  if (!broken)
+  gboolean has_violation = run.violation != NULL;
+  if (!has_violation)
     remove_folder (folder);
-  g_free (play.broken);
-  return broken;
+  g_free (run.violation);
+  return has_violation;
 }
 
-/* Takes over what the plan of FOLDER says. */
+/* Sets the options from the head of the plan in FOLDER. */
 static gboolean
 read_replay (const char *folder)
 {
@@ -276,22 +280,22 @@
 }
 
 static gboolean
-options_are_good (void)
+options_are_valid (void)
 {
   return option_seeds > 0 && option_seed > 0 && option_seconds > 0 && option_daemons >= 1
          && option_daemons <= 150 && option_workers >= 1 && option_workers <= 250
          && option_port > 1024 && option_port < 60000;
 }
 
-/* Returns: the first port of a range in which N are free, of the one that follows from the
- * process's id if that is so; else of the last that was tried. */
+/* Returns: the first port of a range whose first N ports are free; the search begins at a range
+ * derived from the process id.  When no range is free: the first port of the last one tried. */
 static gint
-free_range (guint n)
+find_free_ports (guint n)
 {
   gint port = FIRST_PORT;
   for (gint i = 0; i < PORT_RANGES; i++)
     {
-      port = FIRST_PORT + (getpid () + i) % PORT_RANGES * RANGE_PORTS;
+      port = FIRST_PORT + (getpid () + i) % PORT_RANGES * PORTS_PER_RANGE;
       if (soak_ports_are_free ((guint) port, n))
         break;
     }
@@ -302,14 +306,14 @@
 main (int argc, char **argv)
 {
   g_autoptr (GOptionContext) context
-      = g_option_context_new ("- faults from outside, for real daemons");
+      = g_option_context_new ("- soak test of daemons under injected faults");
   g_autoptr (GError) error = NULL;
   option_programs = g_strdup ("build");
   option_folder = g_strdup ("out/soak");
   g_option_context_add_main_entries (context, options, NULL);
   if (!g_option_context_parse (context, &argc, &argv, &error) || argc > 1)
     {
-      fprintf (stderr, "soak: %s\n", error != NULL ? error->message : "too many words");
+      fprintf (stderr, "soak: %s\n", error != NULL ? error->message : "too many arguments");
       return 2;
     }
   if (option_replay != NULL && !read_replay (option_replay))
@@ -317,22 +321,22 @@
       fprintf (stderr, "soak: %s has no plan to replay\n", option_replay);
       return 2;
     }
-  guint ports_n = 1 + (guint) (option_workers + PORTS_OF_DAEMON * option_daemons);
+  guint ports_n = 1 + (guint) (option_workers + PORTS_PER_DAEMON * option_daemons);
   if (option_port == 0)
-    option_port = free_range (ports_n);
-  if (!options_are_good ())
+    option_port = find_free_ports (ports_n);
+  if (!options_are_valid ())
     {
-      fprintf (stderr, "soak: a number is out of its range, see --help\n");
+      fprintf (stderr, "soak: an option is out of range, see --help\n");
       return 2;
     }
   if (!soak_ports_are_free ((guint) option_port, ports_n))
     {
-      fprintf (stderr, "soak: of the %u ports from %d on some are taken\n", ports_n, option_port);
+      fprintf (stderr, "soak: some of the %u ports from %d on are in use\n", ports_n, option_port);
       return 2;
     }
-  guint broken = 0;
+  guint violations_n = 0;
   for (gint i = 0; i < option_seeds; i++)
-    broken += run_seed ((guint32) (option_seed + i));
-  printf ("%d seeds, %u broken\n", option_seeds, broken);
-  return broken > 0;
+    violations_n += run_seed ((guint32) (option_seed + i));
+  printf ("%d seeds, %u with violations\n", option_seeds, violations_n);
+  return violations_n > 0;
 }
