--- a/bench/driver.c
+++ b/bench/driver.c
@@ -11,13 +11,13 @@
 
 #define STEP_MS 20
 #define HOSTS_MAX 5
-#define TASKS_A_JOB_MAX 20000
+#define MAX_TASKS_PER_JOB 20000
 
 typedef struct
 {
   fb_spec spec;
   uint64_t end_ms;
-  gboolean ended;
+  gboolean ended; /* kept until the rack has acknowledged the end */
   FbRunStatus run_status;
 } Run;
 
@@ -25,10 +25,10 @@
 {
   GPtrArray *runs;
   fb_res capacity;
-  fb_res held;
-  gboolean bad;
+  fb_res reserved;
+  gboolean always_fails;
   uint64_t incarnation;
-  gboolean dirty;
+  gboolean dirty; /* restarted: the rack is told on the next step */
 } Host;
 
 typedef struct
@@ -41,9 +41,9 @@
 
 typedef struct
 {
-  uint64_t arrived_ms;
+  uint64_t submitted_ms;
   guint load;
-  gboolean *seen; /* tasks that have started once */
+  gboolean *started_tasks; /* tasks that have started once */
 } JobSlot;
 
 typedef struct
@@ -55,16 +55,16 @@
   guint rack_n;
   FbRange **ranges;
   FbRouter **routers;
-  GQueue inbox; /* GBytes: messages and records between the parts */
-  GHashTable *jobs;
+  GQueue inbox;     /* of GBytes: messages, and records, each followed by NULL */
+  GHashTable *jobs; /* id -> JobSlot */
   GRand *rand;
   uint64_t last_job;
   GArray *waits[BENCH_LOAD_MAX];
-  double due[BENCH_LOAD_MAX];
+  double jobs_due[BENCH_LOAD_MAX];
   BenchResult result;
   fb_res total;
   double samples;
-  double open_accel;
+  double unused_accel; /* not used */
 } Bench;
 
 typedef struct
@@ -86,14 +86,14 @@
 static void
 range_append (gpointer user, FbRange *range, const fb_rec_body *body)
 {
-  RangeUser *ru = user;
+  RangeUser *range_user = user;
   (void) range;
-  fb_record record = { .format = FB_REC_VERSION, .writer = ru->index, .seq = 1 };
+  fb_record record = { .format = FB_REC_VERSION, .writer = range_user->index, .seq = 1 };
   record.body = *body;
   GBytes *bytes = fb_codec_encode_record (&record);
-  /* Records come back after the messages already under way. */
-  g_queue_push_tail (&ru->bench->inbox, bytes);
-  g_queue_push_tail (&ru->bench->inbox, NULL);
+  /* Records are delivered after the messages that are queued already.  NULL marks a record. */
+  g_queue_push_tail (&range_user->bench->inbox, bytes);
+  g_queue_push_tail (&range_user->bench->inbox, NULL);
 }
 
 static gboolean
@@ -105,27 +105,28 @@
 }
 
 static gboolean
-range_choose (gpointer user, FbRange *range, const FbRouteRequest *ask, FbRouteChoice *choice)
+range_choose (gpointer user, FbRange *range, const FbRouteRequest *request, FbRouteChoice *choice)
 {
   (void) range;
-  RangeUser *ru = user;
-  ru->bench->result.routed++;
-  return fb_router_choose (ru->bench->routers[ru->index], ask, choice);
+  RangeUser *range_user = user;
+  range_user->bench->result.routed++;
+  return fb_router_choose (range_user->bench->routers[range_user->index], request, choice);
 }
 
 static gboolean
 range_ever_fits (gpointer user, const fb_spec *spec)
 {
-  RangeUser *ru = user;
-  return fb_router_ever_fits (ru->bench->routers[ru->index], spec);
+  RangeUser *range_user = user;
+  return fb_router_ever_fits (range_user->bench->routers[range_user->index], spec);
 }
 
 static void
 range_refused (gpointer user, uint32_t rack, FbReason reason)
 {
-  RangeUser *ru = user;
-  ru->bench->result.refused++;
-  fb_router_note_refusal (ru->bench->routers[ru->index], ru->bench->now_ms, rack, reason);
+  RangeUser *range_user = user;
+  range_user->bench->result.refused++;
+  fb_router_note_refusal (range_user->bench->routers[range_user->index], range_user->bench->now_ms,
+                          rack, reason);
 }
 
 static uint64_t
@@ -137,8 +138,8 @@
 static uint32_t
 range_domain_of (gpointer user, uint32_t rack)
 {
-  RangeUser *ru = user;
-  return fb_router_rack (ru->bench->routers[ru->index], rack)->domain;
+  RangeUser *range_user = user;
+  return fb_router_rack (range_user->bench->routers[range_user->index], rack)->domain;
 }
 
 static void
@@ -163,7 +164,7 @@
 /* ---- racks and their hosts -------------------------------------------- */
 
 static RackSlot *
-slot_of (Bench *self, const FbRack *rack)
+get_rack_slot (Bench *self, const FbRack *rack)
 {
   return &self->racks[fb_rack_id (rack)];
 }
@@ -181,14 +182,14 @@
 }
 
 static void
-note_started (Bench *self, const fb_spec *spec)
+count_start (Bench *self, const fb_spec *spec)
 {
   JobSlot *job = g_hash_table_lookup (self->jobs, &spec->run.job);
   self->result.placements++;
-  if (job == NULL || job->seen[spec->run.index])
+  if (job == NULL || job->started_tasks[spec->run.index])
     return;
-  job->seen[spec->run.index] = TRUE;
-  uint32_t wait_ms = (uint32_t) (self->now_ms - job->arrived_ms);
+  job->started_tasks[spec->run.index] = TRUE;
+  uint32_t wait_ms = (uint32_t) (self->now_ms - job->submitted_ms);
   g_array_append_val (self->waits[job->load], wait_ms);
   self->result.classes[job->load].started++;
 }
@@ -198,7 +199,7 @@
 {
   run->ended = TRUE;
   run->run_status = run_status;
-  fb_res_sub (&host->held, &run->spec.demand);
+  fb_res_sub (&host->reserved, &run->spec.demand);
 }
 
 static void
@@ -208,13 +209,13 @@
   run->spec = *spec;
   run->spec.payload.payload_len = 0;
   run->spec.payload.payload_val = NULL;
-  /* Declared run times are often far off: half to twice. */
+  /* Declared run times are often wrong: the real one is half to twice as long. */
   run->end_ms = self->now_ms + spec->run_ms / 2
                 + (uint64_t) g_rand_int_range (self->rand, 0, (gint32) (spec->run_ms * 3 / 2) + 1);
   g_ptr_array_add (host->runs, run);
-  fb_res_add (&host->held, &spec->demand);
-  note_started (self, spec);
-  if (host->bad)
+  fb_res_add (&host->reserved, &spec->demand);
+  count_start (self, spec);
+  if (host->always_fails)
     end_run (host, run, FB_RUN_STATUS_FAILED);
 }
 
@@ -246,7 +247,7 @@
 rack_sync (gpointer user, FbRack *rack, guint index, const FbSyncRequest *request)
 {
   Bench *self = user;
-  Host *host = &slot_of (self, rack)->hosts[index];
+  Host *host = &get_rack_slot (self, rack)->hosts[index];
   for (guint i = 0; i < request->acks->len; i++)
     {
       Run *run = find_run (host, &g_array_index (request->acks, fb_run, i));
@@ -303,7 +304,7 @@
     = { rack_sync, rack_report, rack_confirm, rack_surveyed, rack_fenced };
 
 static void
-begin_rack (Bench *self, guint id, uint64_t epoch)
+new_rack (Bench *self, guint id, uint64_t epoch)
 {
   RackSlot *slot = &self->racks[id];
   slot->rack = fb_rack_new (id, "rack", slot->partner, epoch, &rack_sink, self);
@@ -313,7 +314,7 @@
   fb_rack_set_policy (slot->rack, &policy);
 }
 
-/* ---- passing on ------------------------------------------------------- */
+/* ---- delivery ------------------------------------------------------- */
 
 static void
 to_rack (Bench *self, FbRack *rack, const fb_body *body)
@@ -387,7 +388,7 @@
 }
 
 static void
-settle (Bench *self)
+deliver_until_idle (Bench *self)
 {
   do
     {
@@ -406,11 +407,11 @@
 job_slot_free (gpointer data)
 {
   JobSlot *job = data;
-  g_free (job->seen);
+  g_free (job->started_tasks);
   g_free (job);
 }
 
-/* As in a cell, a range serves one partner. */
+/* As in a real cell, each range serves one partner. */
 static FbRange *
 range_of (Bench *self, uint32_t partner, uint64_t job)
 {
@@ -419,7 +420,7 @@
 }
 
 static void
-arrive (Bench *self, guint index)
+submit_job (Bench *self, guint index)
 {
   const BenchLoad *load = &self->scenario->loads[index];
   fb_job job = { .id = ++self->last_job,
@@ -433,26 +434,26 @@
                  .run_ms = load->run_ms,
                  .key = (char *) "" };
   JobSlot *slot = g_new0 (JobSlot, 1);
-  slot->arrived_ms = self->now_ms;
+  slot->submitted_ms = self->now_ms;
   slot->load = index;
-  slot->seen = g_new0 (gboolean, load->tasks);
+  slot->started_tasks = g_new0 (gboolean, load->tasks);
   uint64_t *key = g_memdup2 (&job.id, sizeof job.id);
   g_hash_table_insert (self->jobs, key, slot);
-  self->result.classes[index].asked += load->tasks;
+  self->result.classes[index].requested += load->tasks;
   fb_range_submit (range_of (self, job.partner, job.id), self->now_ms, &job, 1, "bench");
 }
 
 static void
-arrivals (Bench *self, uint64_t since_ms)
+submit_due_jobs (Bench *self, uint64_t since_ms)
 {
   for (guint i = 0; i < self->scenario->load_n; i++)
     {
       const BenchLoad *load = &self->scenario->loads[i];
       if (since_ms < load->from_ms || since_ms >= load->until_ms)
         continue;
-      self->due[i] += load->jobs_per_s * STEP_MS / 1000.0;
-      for (; self->due[i] >= 1; self->due[i] -= 1)
-        arrive (self, i);
+      self->jobs_due[i] += load->jobs_per_s * STEP_MS / 1000.0;
+      for (; self->jobs_due[i] >= 1; self->jobs_due[i] -= 1)
+        submit_job (self, i);
     }
 }
 
@@ -465,16 +466,16 @@
       for (guint h = 0; h < slot->host_n; h++)
         {
           Host *host = &slot->hosts[h];
-          gboolean run_status = host->dirty;
+          gboolean has_changed = host->dirty;
           for (guint i = 0; i < host->runs->len; i++)
             {
               Run *run = g_ptr_array_index (host->runs, i);
               if (run->ended || run->end_ms > self->now_ms)
                 continue;
               end_run (host, run, FB_RUN_STATUS_COMPLETED);
-              run_status = TRUE;
+              has_changed = TRUE;
             }
-          if (run_status)
+          if (has_changed)
             fb_rack_worker_changed (slot->rack, h);
           host->dirty = FALSE;
         }
@@ -484,33 +485,33 @@
 static void
 sample (Bench *self)
 {
-  fb_res held = { { 0 } };
+  fb_res reserved = { { 0 } };
   for (guint r = 0; r < self->rack_n; r++)
     {
       for (guint h = 0; h < self->racks[r].host_n; h++)
-        fb_res_add (&held, &self->racks[r].hosts[h].held);
+        fb_res_add (&reserved, &self->racks[r].hosts[h].reserved);
     }
   double accel_total = (double) self->total.amount[FB_RES_ACCEL_COUNT];
-  double open = 0;
+  double demanded = 0;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, self->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const BenchLoad *load = &self->scenario->loads[((JobSlot *) value)->load];
-      open += (double) load->demand.amount[FB_RES_ACCEL_COUNT] * load->tasks;
+      demanded += (double) load->demand.amount[FB_RES_ACCEL_COUNT] * load->tasks;
     }
   self->samples++;
   self->result.cpu_reserved
-      += (double) held.amount[FB_RES_CPU_MILLI] / (double) self->total.amount[FB_RES_CPU_MILLI];
-  self->result.accel_held
-      += accel_total > 0 ? (double) held.amount[FB_RES_ACCEL_COUNT] / accel_total : 0;
-  /* Hosts' bounds ignored: all that is asked for, up to all there is. */
-  self->result.accel_bound += accel_total > 0 ? MIN (1.0, open / accel_total) : 0;
+      += (double) reserved.amount[FB_RES_CPU_MILLI] / (double) self->total.amount[FB_RES_CPU_MILLI];
+  self->result.accel_reserved
+      += accel_total > 0 ? (double) reserved.amount[FB_RES_ACCEL_COUNT] / accel_total : 0;
+  /* The bound ignores the limits of hosts: all accelerators requested, up to all there are. */
+  self->result.accel_bound += accel_total > 0 ? MIN (1.0, demanded / accel_total) : 0;
 }
 
 static void
-summaries (Bench *self)
+send_summaries (Bench *self)
 {
   for (guint r = 0; r < self->rack_n; r++)
     {
@@ -538,18 +539,18 @@
     {
       uint64_t id = g_array_index (ids, uint64_t, i);
       JobSlot *job = g_hash_table_lookup (self->jobs, &id);
-      fb_job_command word = { id, self->scenario->loads[job->load].partner };
-      fb_range_cancel (range_of (self, word.partner, id), self->now_ms, &word, "bench");
+      fb_job_command command = { id, self->scenario->loads[job->load].partner };
+      fb_range_cancel (range_of (self, command.partner, id), self->now_ms, &command, "bench");
     }
 }
 
-/* The owner of one rack is replaced: its successor reads back the workers. */
+/* Replaces the owner of one rack; the new owner reads the state of the workers from them. */
 static void
 replace_owner (Bench *self, guint rack)
 {
   uint64_t epoch = fb_rack_epoch (self->racks[rack].rack);
   fb_rack_free (self->racks[rack].rack);
-  begin_rack (self, rack, epoch + 65536);
+  new_rack (self, rack, epoch + 65536);
 }
 
 static void
@@ -558,20 +559,21 @@
   RackSlot *slot = &self->racks[g_rand_int_range (self->rand, 0, (gint32) self->rack_n)];
   Host *host = &slot->hosts[g_rand_int_range (self->rand, 0, (gint32) slot->host_n)];
   g_ptr_array_set_size (host->runs, 0);
-  host->held = (fb_res){ { 0 } };
+  host->reserved = (fb_res){ { 0 } };
   host->incarnation++;
   host->dirty = TRUE;
 }
 
 static void
-faults (Bench *self, uint64_t since_ms)
+apply_faults (Bench *self, uint64_t since_ms)
 {
   const BenchScenario *s = self->scenario;
   if (s->cancel_at_ms > 0 && since_ms == s->cancel_at_ms)
     cancel_batch (self);
-  if (s->lose_rack_at_ms > 0 && since_ms == s->lose_rack_at_ms)
+  if (s->replace_owner_at_ms > 0 && since_ms == s->replace_owner_at_ms)
     replace_owner (self, self->rack_n - 1);
-  if (s->churn_per_minute > 0 && since_ms % (60000 / s->churn_per_minute / STEP_MS * STEP_MS) == 0)
+  if (s->restarts_per_minute > 0
+      && since_ms % (60000 / s->restarts_per_minute / STEP_MS * STEP_MS) == 0)
     restart_host (self);
 }
 
@@ -579,9 +581,9 @@
 step (Bench *self, uint64_t since_ms)
 {
   self->now_ms += STEP_MS;
-  arrivals (self, since_ms);
+  submit_due_jobs (self, since_ms);
   end_due_runs (self);
-  faults (self, since_ms);
+  apply_faults (self, since_ms);
   if (since_ms % 100 == 0)
     {
       for (guint i = 0; i < self->rack_n; i++)
@@ -589,9 +591,9 @@
       for (guint i = 0; i < self->scenario->ranges; i++)
         fb_range_tick (self->ranges[i], self->now_ms);
     }
-  if (since_ms % self->scenario->summary_ms == 0)
-    summaries (self);
-  settle (self);
+  if (since_ms % self->scenario->summary_interval_ms == 0)
+    send_summaries (self);
+  deliver_until_idle (self);
   if (since_ms % 1000 == 0)
     sample (self);
 }
@@ -605,18 +607,18 @@
   RackSlot *slot = &self->racks[id];
   slot->partner = partner;
   slot->host_n = host_n;
-  FbRackInfo facts = { partner, id % 20, *capacity, { { 0 } } };
+  FbRackInfo info = { partner, id % 20, *capacity, { { 0 } } };
   for (guint h = 0; h < host_n; h++)
     {
       slot->hosts[h] = (Host){ .runs = g_ptr_array_new_with_free_func (g_free),
                                .capacity = *capacity,
                                .incarnation = 1 };
-      fb_res_add (&facts.total, capacity);
+      fb_res_add (&info.total, capacity);
       fb_res_add (&self->total, capacity);
     }
   for (guint i = 0; i < self->scenario->ranges; i++)
-    fb_router_add_rack (self->routers[i], &facts);
-  begin_rack (self, id, 65536);
+    fb_router_add_rack (self->routers[i], &info);
+  new_rack (self, id, 65536);
 }
 
 static void
@@ -642,8 +644,8 @@
     add_rack (self, 1, 5, &large);
   for (guint i = 0; i < s->racks_accel; i++)
     add_rack (self, i % FB_PARTNER_N, 3, &accel);
-  for (guint i = 0; i < s->bad_workers; i++)
-    self->racks[i % self->rack_n].hosts[i / self->rack_n % HOSTS_MAX].bad = TRUE;
+  for (guint i = 0; i < s->failing_workers; i++)
+    self->racks[i % self->rack_n].hosts[i / self->rack_n % HOSTS_MAX].always_fails = TRUE;
 }
 
 static int
@@ -664,7 +666,7 @@
       GArray *waits = self->waits[i];
       BenchClass *class = &result->classes[i];
       g_array_sort (waits, compare_wait);
-      tasks += class->asked;
+      tasks += class->requested;
       if (waits->len == 0)
         continue;
       class->p50_ms = g_array_index (waits, uint32_t, (waits->len - 1) / 2);
@@ -672,7 +674,7 @@
       class->max_ms = g_array_index (waits, uint32_t, waits->len - 1);
     }
   result->cpu_reserved /= MAX (self->samples, 1);
-  result->accel_held /= MAX (self->samples, 1);
+  result->accel_reserved /= MAX (self->samples, 1);
   result->accel_bound /= MAX (self->samples, 1);
   result->cpu_us_per_placement = cpu_s * 1e6 / (double) MAX (result->placements, 1);
   result->bytes_per_task = bytes / MAX (tasks, 1);
--- a/bench/driver.h
+++ b/bench/driver.h
@@ -1,9 +1,9 @@
-/* Feeds work straight to the real decision code under a fake clock.
+/* Submits load directly to the real scheduling code under a fake clock.
  *
- * A load driver, not a cluster simulator: racks, ranges and the router are the
- * product's own and call each other directly; a worker here is a list of runs
- * that end when their time is up.  There is no network, log, daemon or fault but
- * what a scenario does to workers. */
+ * This is a load driver, not a cluster simulator: racks, ranges and routers are
+ * the product's code and call each other directly; a worker is a list of runs
+ * that end when their time has passed.  There is no network, log or daemon, and
+ * no fault but those of workers that a scenario asks for. */
 #pragma once
 
 #include "internal/place.h"
@@ -19,11 +19,11 @@
   uint32_t flags;
   fb_res demand;
   uint32_t tasks;
-  double jobs_per_s;
-  uint64_t from_ms;  /* when it begins */
-  uint64_t until_ms; /* and ends */
-  uint64_t run_ms;
-  uint64_t deadline_ms; /* 0 for none */
+  double jobs_per_s;    /* each of TASKS tasks */
+  uint64_t from_ms;     /* since the scenario began: when the load begins */
+  uint64_t until_ms;    /* and when it ends */
+  uint64_t run_ms;      /* declared run time of a task */
+  uint64_t deadline_ms; /* after submission; 0: none */
 } BenchLoad;
 
 typedef struct
@@ -34,13 +34,13 @@
   uint32_t racks_accel; /* 3 hosts of 64 cores, 256 GB and 8 accelerators, of both */
   uint64_t seconds;
   uint32_t seed;
-  uint32_t ranges;           /* each routes by its own picture */
-  uint64_t summary_ms;       /* age of that picture */
-  uint32_t usage_percent;    /* what runs really use, of what they declare */
-  uint32_t bad_workers;      /* fail all that they start */
-  uint64_t cancel_at_ms;     /* all open batch jobs are cancelled, 0: never */
-  uint64_t lose_rack_at_ms;  /* one rack's owner is replaced, 0: never */
-  uint32_t churn_per_minute; /* hosts restarted */
+  uint32_t ranges;              /* each routes by its own copy of the racks' summaries */
+  uint64_t summary_interval_ms; /* time between two updates of that copy */
+  uint32_t usage_percent;       /* what runs use of the resources that they declare */
+  uint32_t failing_workers;     /* number of workers on which each run fails at once */
+  uint64_t cancel_at_ms;        /* when all unfinished batch jobs are cancelled; 0: never */
+  uint64_t replace_owner_at_ms; /* when the owner of one rack is replaced; 0: never */
+  uint32_t restarts_per_minute; /* of hosts */
   uint32_t lend_milli;
   BenchLoad loads[BENCH_LOAD_MAX];
   guint load_n;
@@ -48,11 +48,11 @@
 
 typedef struct
 {
-  guint asked;
-  guint started;
-  guint not_run;
-  guint failed;
-  uint32_t p50_ms;
+  guint requested; /* tasks */
+  guint started;   /* of them, started at least once */
+  guint not_run;   /* jobs */
+  guint failed;    /* jobs */
+  uint32_t p50_ms; /* of the time from submission to the first start of a task */
   uint32_t p99_ms;
   uint32_t max_ms;
 } BenchClass;
@@ -60,9 +60,10 @@
 typedef struct
 {
   BenchClass classes[BENCH_LOAD_MAX];
-  double cpu_reserved; /* of all, average over time */
-  double accel_held;
-  double accel_bound; /* fractional relaxation, computed apart */
+  double cpu_reserved; /* share of the total, average over time */
+  double accel_reserved;
+  double accel_bound; /* upper bound of accel_reserved by the fractional relaxation, which ignores
+                         hosts */
   guint64 placements;
   guint64 routed;
   guint64 refused;
@@ -71,6 +72,6 @@
   double bytes_per_task;
 } BenchResult;
 
-/* POLICY NULL keeps the product's. */
+/* PLACE and ROUTE: NULL for the product's own policy. */
 BenchResult bench_run (const BenchScenario *scenario, const FbPlacePolicy *place,
                        const FbRoutePolicy *route);
--- a/bench/flamingobarrow-bench.c
+++ b/bench/flamingobarrow-bench.c
@@ -1,5 +1,5 @@
-/* The bench: scenarios against the product's policies and its baselines, in the
- * same run.  Times are on the fake clock; CPU is the process's own. */
+/* Benchmark of the scheduler: runs scenarios with the product's policies and with
+ * baselines.  Times are by the fake clock; CPU time is that of the process. */
 #include "driver.h"
 
 #include "fb-event.h"
@@ -19,12 +19,12 @@
   uint64_t seconds_ms;
   uint64_t seed;
   uint64_t ranges;
-  uint64_t summary_ms;
+  uint64_t summary_interval_ms;
   uint64_t usage_percent;
-  uint64_t bad_workers;
+  uint64_t failing_workers;
   uint64_t cancel_at_ms;
-  uint64_t lose_rack_at_ms;
-  uint64_t churn_per_minute;
+  uint64_t replace_owner_at_ms;
+  uint64_t restarts_per_minute;
   uint64_t lend_milli;
 } RawScenario;
 
@@ -62,12 +62,12 @@
         FIELD (RawScenario, "time", FB_INI_DURATION, seconds_ms),
         FIELD (RawScenario, "seed", FB_INI_UINT, seed),
         FIELD (RawScenario, "ranges", FB_INI_UINT, ranges),
-        FIELD (RawScenario, "summary-every", FB_INI_DURATION, summary_ms),
+        FIELD (RawScenario, "summary-every", FB_INI_DURATION, summary_interval_ms),
         FIELD (RawScenario, "usage-percent", FB_INI_UINT, usage_percent),
-        FIELD (RawScenario, "bad-workers", FB_INI_UINT, bad_workers),
+        FIELD (RawScenario, "bad-workers", FB_INI_UINT, failing_workers),
         FIELD (RawScenario, "cancel-batch-at", FB_INI_DURATION, cancel_at_ms),
-        FIELD (RawScenario, "replace-owner-at", FB_INI_DURATION, lose_rack_at_ms),
-        FIELD (RawScenario, "restarts-a-minute", FB_INI_UINT, churn_per_minute),
+        FIELD (RawScenario, "replace-owner-at", FB_INI_DURATION, replace_owner_at_ms),
+        FIELD (RawScenario, "restarts-a-minute", FB_INI_UINT, restarts_per_minute),
         FIELD (RawScenario, "lend", FB_INI_PERCENT, lend_milli),
         END_OF_FIELDS };
 
@@ -120,7 +120,7 @@
   RawScenario raw = { .seconds_ms = 60000,
                       .seed = 1,
                       .ranges = 8,
-                      .summary_ms = 1000,
+                      .summary_interval_ms = 1000,
                       .usage_percent = 100,
                       .lend_milli = 300 };
   if (fb_ini_read_group (keys, file, "scenario", scenario_fields, &raw) != FB_INI_OK)
@@ -131,12 +131,12 @@
   out->seconds = raw.seconds_ms / 1000;
   out->seed = (uint32_t) raw.seed;
   out->ranges = (uint32_t) MAX (raw.ranges, 1);
-  out->summary_ms = MAX (raw.summary_ms / 20 * 20, 20);
+  out->summary_interval_ms = MAX (raw.summary_interval_ms / 20 * 20, 20);
   out->usage_percent = (uint32_t) raw.usage_percent;
-  out->bad_workers = (uint32_t) raw.bad_workers;
+  out->failing_workers = (uint32_t) raw.failing_workers;
   out->cancel_at_ms = raw.cancel_at_ms;
-  out->lose_rack_at_ms = raw.lose_rack_at_ms;
-  out->churn_per_minute = (uint32_t) raw.churn_per_minute;
+  out->replace_owner_at_ms = raw.replace_owner_at_ms;
+  out->restarts_per_minute = (uint32_t) raw.restarts_per_minute;
   out->lend_milli = (uint32_t) raw.lend_milli;
   return TRUE;
 }
@@ -148,7 +148,7 @@
   gsize len = 0;
   if (!g_file_get_contents (path, &text, &len, NULL))
     {
-      fb_status_set_message ("%s: cannot be read", path);
+      fb_status_set_message ("%s: cannot read the file", path);
       return FALSE;
     }
   g_autoptr (GKeyFile) keys = fb_ini_load (path, text, len);
@@ -172,7 +172,7 @@
   const char *name;
   const FbPlacePolicy *place;
   const FbRoutePolicy *route;
-} contenders[] = {
+} policies[] = {
   { "random+first-fit", &fb_place_first_fit, &fb_route_random },
   { "best-known+first-fit", &fb_place_first_fit, &fb_route_best_known },
   { "best-known+worst-fit", &fb_place_worst_fit, &fb_route_best_known },
@@ -182,14 +182,15 @@
   { "best-known+accel-guard", &fb_place_accel_guard, &fb_route_best_known },
 };
 
-static gboolean only_ours;
+static gboolean only_product_policies;
 static gboolean as_json;
 static gboolean slopes;
 static char **paths;
 
 static const GOptionEntry options[]
-    = { { "ours", 'o', 0, G_OPTION_ARG_NONE, &only_ours, "Only the product's own policies", NULL },
-        { "json", 'j', 0, G_OPTION_ARG_NONE, &as_json, "One JSON object a line", NULL },
+    = { { "ours", 'o', 0, G_OPTION_ARG_NONE, &only_product_policies,
+          "Only the product's own policies", NULL },
+        { "json", 'j', 0, G_OPTION_ARG_NONE, &as_json, "One JSON object per line", NULL },
         { "slopes", 's', 0, G_OPTION_ARG_NONE, &slopes, "Cost of decisions by size of the cell",
           NULL },
         { G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_FILENAME_ARRAY, &paths, NULL, "SCENARIO..." },
@@ -200,14 +201,15 @@
 {
   printf ("  %-24s cpu %5.1f%%  accel %5.1f%% of bound %5.1f%%  preempted %" G_GUINT64_FORMAT
           "  refused %" G_GUINT64_FORMAT "  %.1f us/placement\n",
-          policy, 100 * result->cpu_reserved, 100 * result->accel_held, 100 * result->accel_bound,
-          result->preempted, result->refused, result->cpu_us_per_placement);
+          policy, 100 * result->cpu_reserved, 100 * result->accel_reserved,
+          100 * result->accel_bound, result->preempted, result->refused,
+          result->cpu_us_per_placement);
   for (guint i = 0; i < scenario->load_n; i++)
     {
       const BenchClass *class = &result->classes[i];
       printf ("      p%u %-14s asked %6u started %6u not-run %4u failed %4u  wait p50 %6u p99 %6u "
               "max %6u ms\n",
-              scenario->loads[i].partner, scenario->loads[i].name, class->asked, class->started,
+              scenario->loads[i].partner, scenario->loads[i].name, class->requested, class->started,
               class->not_run, class->failed, class->p50_ms, class->p99_ms, class->max_ms);
     }
 }
@@ -217,14 +219,14 @@
 {
   printf ("{\"scenario\":\"%s\",\"policy\":\"%s\",\"cpu_held\":%.4f,\"accel_held\":%.4f,"
           "\"accel_bound\":%.4f,\"preempted\":%" G_GUINT64_FORMAT ",\"classes\":[",
-          scenario->name, policy, result->cpu_reserved, result->accel_held, result->accel_bound,
+          scenario->name, policy, result->cpu_reserved, result->accel_reserved, result->accel_bound,
           result->preempted);
   for (guint i = 0; i < scenario->load_n; i++)
     {
       const BenchClass *class = &result->classes[i];
       printf ("%s{\"name\":\"%s\",\"asked\":%u,\"started\":%u,\"not_run\":%u,\"p50_ms\":%u,"
               "\"p99_ms\":%u,\"max_ms\":%u}",
-              i > 0 ? "," : "", scenario->loads[i].name, class->asked, class->started,
+              i > 0 ? "," : "", scenario->loads[i].name, class->requested, class->started,
               class->not_run, class->p50_ms, class->p99_ms, class->max_ms);
     }
   printf ("]}\n");
@@ -235,18 +237,18 @@
 {
   if (!as_json)
     printf ("%s\n", scenario->name);
-  guint first = only_ours ? G_N_ELEMENTS (contenders) - 1 : 0;
-  for (guint i = first; i < G_N_ELEMENTS (contenders); i++)
+  guint first = only_product_policies ? G_N_ELEMENTS (policies) - 1 : 0;
+  for (guint i = first; i < G_N_ELEMENTS (policies); i++)
     {
-      BenchResult result = bench_run (scenario, contenders[i].place, contenders[i].route);
+      BenchResult result = bench_run (scenario, policies[i].place, policies[i].route);
       if (as_json)
-        print_json (scenario, contenders[i].name, &result);
+        print_json (scenario, policies[i].name, &result);
       else
-        print_text (scenario, contenders[i].name, &result);
+        print_text (scenario, policies[i].name, &result);
     }
 }
 
-/* The same load for each host, in cells of three sizes. */
+/* Cost of decisions with the same load per host in cells of four sizes. */
 static void
 run_slopes (void)
 {
@@ -262,7 +264,7 @@
                                  .seconds = n > 400 ? 4 : 12,
                                  .seed = 1,
                                  .ranges = 4,
-                                 .summary_ms = 1000,
+                                 .summary_interval_ms = 1000,
                                  .usage_percent = 100,
                                  .load_n = 2 };
       scenario.loads[0] = (BenchLoad){ .name = (char *) "urgent",
@@ -285,7 +287,7 @@
     }
 }
 
-/* Memory of work that waits: one job of many tasks beside a small one. */
+/* Memory per waiting task, for jobs of different size. */
 static void
 run_memory (void)
 {
@@ -298,7 +300,7 @@
                                  .seconds = 2,
                                  .seed = 1,
                                  .ranges = 2,
-                                 .summary_ms = 1000,
+                                 .summary_interval_ms = 1000,
                                  .usage_percent = 100,
                                  .load_n = 1 };
       scenario.loads[0] = (BenchLoad){ .name = (char *) "waiting",
@@ -316,7 +318,7 @@
 int
 main (int argc, char **argv)
 {
-  g_autoptr (GOptionContext) context = g_option_context_new ("- measure the decisions");
+  g_autoptr (GOptionContext) context = g_option_context_new ("- benchmark of scheduling decisions");
   g_option_context_add_main_entries (context, options, NULL);
   g_autoptr (GError) error = NULL;
   if (!g_option_context_parse (context, &argc, &argv, &error))
--- a/bench/pool-crashes.c
+++ b/bench/pool-crashes.c
@@ -1,8 +1,8 @@
-/* What tasks that crash their workers cost others: a pool with its workers as small fakes on a fake
- * clock, beside a load of short and long jobs.
+/* Measures what tasks that crash their workers cost other tasks: a pool with simulated workers on a
+ * fake clock, under a load of short and long jobs.
  *
- * A worker that crashes is dark for 2 to 8 s and comes back under a new name; its old entry stays
- * listed for 4.5 s.  The processor time is what the pool's own calls took. */
+ * A worker that crashes is down for 2 to 8 s and restarts under a new id; its old entry stays
+ * listed for 4.5 s.  The CPU time printed is that of the calls of the pool. */
 #include "fb-event.h"
 #include "internal/pool.h"
 
@@ -12,30 +12,30 @@
 #include <time.h>
 
 #define STEP_MS 4
-#define BEGIN_MS 1000000
-#define WALL_MS 1000000000
-#define PLAY_MS 90000
-#define SUBMIT_MS 60000
+#define FIRST_CLOCK_MS 1000000
+#define WALL_CLOCK_OFFSET_MS 1000000000
+#define SIMULATED_MS 90000
+#define SUBMIT_FOR_MS 60000
 #define CRASHERS_FROM_MS 5000
 #define CRASHER_EVERY_MS 500
-#define LISTED_MS 4500
-#define UNANSWERED_MS 600
+#define ENTRY_TTL_MS 4500
+#define CALL_TIMEOUT_MS 600
 #define WORKER_CPU 64000
 #define WORKER_MEM 262144
-/* Of the room of all workers, in percent. */
+/* CPU use of the load in percent of the capacity of all workers. */
 #define LOAD_PERCENT 60
-/* Of a job whose tasks all crash their workers. */
-#define WIDE_TASKS 200
+/* Tasks of the job whose tasks all crash their workers. */
+#define MANY_CRASHING_TASKS 200
 
 typedef struct
 {
   uint32_t tasks;
   uint32_t cpu_milli;
   uint32_t run_ms;
-} Kind;
+} JobKind;
 
-/* Three short jobs come for each long one. */
-static const Kind kinds[]
+/* Three short jobs for each long one: tasks, CPU and run time. */
+static const JobKind kinds[]
     = { { 6, 6100, 880 }, { 6, 6100, 880 }, { 6, 6100, 880 }, { 9, 13000, 5600 } };
 
 typedef struct
@@ -43,9 +43,9 @@
   char task[64];
   guint job;
   uint32_t attempt;
-  uint64_t began_ms;
+  uint64_t started_ms;
   uint64_t ends_ms;
-  uint64_t crash_ms; /* 0: never */
+  uint64_t crash_ms; /* when it crashes its worker; 0: never */
 } Run;
 
 typedef struct
@@ -54,29 +54,29 @@
   char address[16];
   guint incarnation;
   gboolean up;
-  uint64_t back_ms;
-  char old_id[32];      /* of the life before, while it is listed */
-  uint64_t unlisted_ms; /* when it is not any more */
-  GArray *runs;         /* of Run */
-  GArray *ends;         /* of FbReportedEnd */
+  uint64_t restart_ms;         /* when it restarts, while it is down */
+  char previous_id[32];        /* of the crashed incarnation while it is listed; else empty */
+  uint64_t unlist_previous_ms; /* when the entry of previous_id is removed */
+  GArray *runs;                /* of Run */
+  GArray *ends;                /* of FbReportedEnd */
   uint64_t next_end;
 } Host;
 
 typedef struct
 {
-  gboolean crasher;
-  uint32_t crasher_n; /* how many of its tasks crash their workers */
-  const Kind *kind;
+  gboolean crasher;   /* its tasks crash their workers */
+  uint32_t crasher_n; /* number of its tasks that crash their workers, the first ones */
+  const JobKind *kind;
   uint64_t submitted_ms;
-  uint64_t started_ms; /* 0: nothing of it was started */
-  guint crashed;
+  uint64_t started_ms; /* of its first task; 0: none was started */
+  guint crashed;       /* workers that its tasks crashed */
 } Job;
 
 typedef enum
 {
   CALL_START,
   CALL_STOP,
-  CALL_LOOK
+  CALL_POLL
 } CallKind;
 
 typedef struct
@@ -88,8 +88,8 @@
   char task[64];
   uint32_t attempt;
   uint64_t acknowledged;
-  uint64_t due_ms; /* when it is answered at the latest */
-  uint64_t given_up_ms;
+  uint64_t answer_by_ms;  /* when it is answered at the latest */
+  uint64_t timeout_at_ms; /* when it fails if the worker is down */
 } Call;
 
 typedef struct
@@ -99,24 +99,24 @@
   uint64_t now_ms;
   guint host_n;
   Host *hosts;
-  GArray *jobs;  /* of Job */
-  GArray *calls; /* of Call */
-  uint64_t cpu_ns;
+  GArray *jobs;    /* of Job */
+  GArray *calls;   /* of Call */
+  uint64_t cpu_ns; /* of the pool's calls */
   uint64_t starts;
-  double lost_core_s;
-  double down_s;
-} Play;
+  double lost_core_s; /* work of innocent tasks lost in crashes */
+  double down_s;      /* of workers */
+} Simulation;
 
 /* ---- orders --------------------------------------------------------------------- */
 
 static void
-add_call (Play *play, Call *call, const char *worker, uint32_t wait_ms, uint32_t patience_ms)
+add_call (Simulation *sim, Call *call, const char *worker, uint32_t wait_ms, uint32_t timeout_ms)
 {
   call->host = (guint) atoi (worker + 1);
   g_strlcpy (call->worker, worker, sizeof call->worker);
-  call->due_ms = play->now_ms + STEP_MS + wait_ms;
-  call->given_up_ms = play->now_ms + wait_ms + patience_ms;
-  g_array_append_val (play->calls, *call);
+  call->answer_by_ms = sim->now_ms + STEP_MS + wait_ms;
+  call->timeout_at_ms = sim->now_ms + wait_ms + timeout_ms;
+  g_array_append_val (sim->calls, *call);
 }
 
 static void
@@ -124,7 +124,7 @@
 {
   Call call = { .kind = CALL_START, .order = order->order, .attempt = order->attempt };
   g_strlcpy (call.task, order->task, sizeof call.task);
-  add_call (user, &call, order->worker, 0, UNANSWERED_MS);
+  add_call (user, &call, order->worker, 0, CALL_TIMEOUT_MS);
 }
 
 static void
@@ -132,13 +132,13 @@
 {
   Call call = { .kind = CALL_STOP, .order = order->order, .attempt = order->attempt };
   g_strlcpy (call.task, order->task, sizeof call.task);
-  add_call (user, &call, order->worker, 0, UNANSWERED_MS);
+  add_call (user, &call, order->worker, 0, CALL_TIMEOUT_MS);
 }
 
 static void
-on_look (gpointer user, const FbPollOrder *order)
+on_poll (gpointer user, const FbPollOrder *order)
 {
-  Call call = { .kind = CALL_LOOK, .acknowledged = order->acknowledged };
+  Call call = { .kind = CALL_POLL, .acknowledged = order->acknowledged };
   add_call (user, &call, order->worker, order->wait_ms, order->answer_ms);
 }
 
@@ -161,12 +161,12 @@
   (void) worker;
 }
 
-static const FbPoolSink sink = { on_start, on_stop, on_look, on_advise, on_fenced, NULL };
+static const FbPoolSink sink = { on_start, on_stop, on_poll, on_advise, on_fenced, NULL };
 
 /* ---- workers ----------------------------------------------------------------------- */
 
 static void
-list_host (Play *play, const Host *host)
+list_host (Simulation *sim, const Host *host)
 {
   static const char *const labels[] = { "a", "r1", NULL };
   const FbWorkerEntry entry = { .id = host->id,
@@ -175,13 +175,13 @@
                                 .labels = labels,
                                 .cpu_milli = WORKER_CPU,
                                 .mem_mb = WORKER_MEM };
-  fb_pool_worker_listed (play->pool, &entry, play->now_ms);
+  fb_pool_worker_listed (sim->pool, &entry, sim->now_ms);
 }
 
 static void
-host_begin (Play *play, guint i)
+host_start (Simulation *sim, guint i)
 {
-  Host *host = &play->hosts[i];
+  Host *host = &sim->hosts[i];
   host->incarnation++;
   g_snprintf (host->id, sizeof host->id, "w%u-%u", i, host->incarnation);
   g_snprintf (host->address, sizeof host->address, "a%u", i);
@@ -189,28 +189,28 @@
   host->next_end = 0;
   g_array_set_size (host->runs, 0);
   g_array_set_size (host->ends, 0);
-  list_host (play, host);
+  list_host (sim, host);
 }
 
 static void
-host_crash (Play *play, Host *host, const Run *by)
+host_crash (Simulation *sim, Host *host, const Run *by)
 {
-  Job *crasher = &g_array_index (play->jobs, Job, by->job);
+  Job *crasher = &g_array_index (sim->jobs, Job, by->job);
   crasher->crashed++;
   for (guint i = 0; i < host->runs->len; i++)
     {
       const Run *run = &g_array_index (host->runs, Run, i);
-      const Job *job = &g_array_index (play->jobs, Job, run->job);
+      const Job *job = &g_array_index (sim->jobs, Job, run->job);
       if (!job->crasher)
-        play->lost_core_s
-            += (double) (play->now_ms - run->began_ms) / 1000 * job->kind->cpu_milli / 1000;
+        sim->lost_core_s
+            += (double) (sim->now_ms - run->started_ms) / 1000 * job->kind->cpu_milli / 1000;
     }
   g_array_set_size (host->runs, 0);
   host->up = FALSE;
-  host->back_ms = play->now_ms + 2000 + (uint64_t) g_rand_int_range (play->rand, 0, 6000);
-  host->unlisted_ms = play->now_ms + LISTED_MS;
-  g_strlcpy (host->old_id, host->id, sizeof host->old_id);
-  play->down_s += (double) (host->back_ms - play->now_ms) / 1000;
+  host->restart_ms = sim->now_ms + 2000 + (uint64_t) g_rand_int_range (sim->rand, 0, 6000);
+  host->unlist_previous_ms = sim->now_ms + ENTRY_TTL_MS;
+  g_strlcpy (host->previous_id, host->id, sizeof host->previous_id);
+  sim->down_s += (double) (host->restart_ms - sim->now_ms) / 1000;
 }
 
 static void
@@ -225,22 +225,22 @@
 }
 
 static void
-host_tick (Play *play, guint i)
+host_tick (Simulation *sim, guint i)
 {
-  Host *host = &play->hosts[i];
-  if (*host->old_id != '\0' && play->now_ms >= host->unlisted_ms)
+  Host *host = &sim->hosts[i];
+  if (*host->previous_id != '\0' && sim->now_ms >= host->unlist_previous_ms)
     {
-      fb_pool_worker_unlisted (play->pool, host->old_id, play->now_ms);
-      *host->old_id = '\0';
+      fb_pool_worker_unlisted (sim->pool, host->previous_id, sim->now_ms);
+      *host->previous_id = '\0';
     }
-  if (!host->up && play->now_ms >= host->back_ms)
-    host_begin (play, i);
+  if (!host->up && sim->now_ms >= host->restart_ms)
+    host_start (sim, i);
   for (guint j = host->runs->len; host->up && j > 0; j--)
     {
       const Run run = g_array_index (host->runs, Run, j - 1);
-      if (run.crash_ms != 0 && play->now_ms >= run.crash_ms)
-        host_crash (play, host, &g_array_index (host->runs, Run, j - 1));
-      else if (play->now_ms >= run.ends_ms)
+      if (run.crash_ms != 0 && sim->now_ms >= run.crash_ms)
+        host_crash (sim, host, &g_array_index (host->runs, Run, j - 1));
+      else if (sim->now_ms >= run.ends_ms)
         {
           add_end (host, &run, FB_END_DONE);
           g_array_remove_index (host->runs, j - 1);
@@ -251,22 +251,22 @@
 /* ---- answers ---------------------------------------------------------------------------- */
 
 static void
-begin_run (Play *play, Host *host, const Call *call)
+begin_run (Simulation *sim, Host *host, const Call *call)
 {
   char id[FB_WORK_JOB_ID_CHARS + 1];
   g_strlcpy (id, call->task, sizeof id);
   Run run = { .job = (guint) strtoul (id, NULL, 16) - 1, .attempt = call->attempt };
-  Job *job = &g_array_index (play->jobs, Job, run.job);
+  Job *job = &g_array_index (sim->jobs, Job, run.job);
   g_strlcpy (run.task, call->task, sizeof run.task);
-  run.began_ms = play->now_ms;
-  run.ends_ms = play->now_ms
-                + job->kind->run_ms * (80 + (uint64_t) g_rand_int_range (play->rand, 0, 45)) / 100;
+  run.started_ms = sim->now_ms;
+  run.ends_ms = sim->now_ms
+                + job->kind->run_ms * (80 + (uint64_t) g_rand_int_range (sim->rand, 0, 45)) / 100;
   guint index = (guint) atoi (strrchr (call->task, '.') + 1);
   if (index < job->crasher_n)
-    run.crash_ms = play->now_ms + (uint64_t) g_rand_int_range (play->rand, 10, job->kind->run_ms);
+    run.crash_ms = sim->now_ms + (uint64_t) g_rand_int_range (sim->rand, 10, job->kind->run_ms);
   if (job->started_ms == 0)
-    job->started_ms = play->now_ms;
-  play->starts++;
+    job->started_ms = sim->now_ms;
+  sim->starts++;
   g_array_append_val (host->runs, run);
 }
 
@@ -292,14 +292,14 @@
 }
 
 static void
-answer_look (Play *play, Host *host, const Call *call, FbOrderResult result)
+answer_poll (Simulation *sim, Host *host, const Call *call, FbOrderResult result)
 {
   g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbReportedRun));
   for (guint i = 0; result == FB_ORDER_DONE && i < host->runs->len; i++)
     {
       Run *run = &g_array_index (host->runs, Run, i);
-      const FbReportedRun seen = { run->task, run->attempt, (char *) "" };
-      g_array_append_val (running, seen);
+      const FbReportedRun reported = { run->task, run->attempt, (char *) "" };
+      g_array_append_val (running, reported);
     }
   for (guint i = host->ends->len; result == FB_ORDER_DONE && i > 0; i--)
     {
@@ -307,77 +307,78 @@
         g_array_remove_index (host->ends, i - 1);
     }
   const FbPollAnswer answer
-      = { .result = result, .clock_ms = play->now_ms, .running = running, .finished = host->ends };
-  fb_pool_poll_answered (play->pool, call->worker, &answer, play->now_ms, WALL_MS + play->now_ms);
+      = { .result = result, .clock_ms = sim->now_ms, .running = running, .finished = host->ends };
+  fb_pool_poll_answered (sim->pool, call->worker, &answer, sim->now_ms,
+                         WALL_CLOCK_OFFSET_MS + sim->now_ms);
 }
 
 static void
-answer (Play *play, const Call *call, FbOrderResult result)
+answer (Simulation *sim, const Call *call, FbOrderResult result)
 {
-  Host *host = &play->hosts[call->host];
-  if (call->kind == CALL_LOOK)
-    answer_look (play, host, call, result);
+  Host *host = &sim->hosts[call->host];
+  if (call->kind == CALL_POLL)
+    answer_poll (sim, host, call, result);
   else if (call->kind == CALL_STOP)
     {
       if (result == FB_ORDER_DONE)
         stop_run (host, call);
-      fb_pool_stop_answered (play->pool, call->order, result, play->now_ms, play->now_ms);
+      fb_pool_stop_answered (sim->pool, call->order, result, sim->now_ms, sim->now_ms);
     }
   else
     {
       if (result == FB_ORDER_DONE)
-        begin_run (play, host, call);
-      fb_pool_start_answered (play->pool, call->order, result, play->now_ms, play->now_ms);
+        begin_run (sim, host, call);
+      fb_pool_start_answered (sim->pool, call->order, result, sim->now_ms, sim->now_ms);
     }
 }
 
-/* Returns: FALSE while CALL waits. */
+/* Returns: FALSE while CALL has no answer yet. */
 static gboolean
-carry_out (Play *play, const Call *call)
+execute_call (Simulation *sim, const Call *call)
 {
-  const Host *host = &play->hosts[call->host];
-  gboolean there = host->up && g_str_equal (host->id, call->worker);
-  gboolean has_news = call->kind == CALL_LOOK && there && host->ends->len > 0;
+  const Host *host = &sim->hosts[call->host];
+  gboolean is_right_incarnation = host->up && g_str_equal (host->id, call->worker);
+  gboolean has_end = call->kind == CALL_POLL && is_right_incarnation && host->ends->len > 0;
   if (!host->up)
     {
-      if (play->now_ms < call->given_up_ms)
+      if (sim->now_ms < call->timeout_at_ms)
         return FALSE;
-      answer (play, call, FB_ORDER_UNKNOWN);
+      answer (sim, call, FB_ORDER_UNKNOWN);
     }
-  else if (!there)
-    answer (play, call, FB_ORDER_OTHER_INCARNATION);
-  else if (play->now_ms < call->due_ms && !has_news)
+  else if (!is_right_incarnation)
+    answer (sim, call, FB_ORDER_OTHER_INCARNATION);
+  else if (sim->now_ms < call->answer_by_ms && !has_end)
     return FALSE;
   else
-    answer (play, call, FB_ORDER_DONE);
+    answer (sim, call, FB_ORDER_DONE);
   return TRUE;
 }
 
 static void
-calls_tick (Play *play)
+calls_tick (Simulation *sim)
 {
-  guint n = play->calls->len;
-  guint kept = 0;
+  guint n = sim->calls->len;
+  guint remaining_n = 0;
   for (guint i = 0; i < n; i++)
     {
-      const Call call = g_array_index (play->calls, Call, i);
-      if (!carry_out (play, &call))
-        g_array_index (play->calls, Call, kept++) = call;
+      const Call call = g_array_index (sim->calls, Call, i);
+      if (!execute_call (sim, &call))
+        g_array_index (sim->calls, Call, remaining_n++) = call;
     }
-  /* What the answers led to was added behind the N. */
-  g_array_remove_range (play->calls, kept, n - kept);
+  /* Calls that the answers led to were added after the first N. */
+  g_array_remove_range (sim->calls, remaining_n, n - remaining_n);
 }
 
 /* ---- jobs --------------------------------------------------------------------------------- */
 
-/* CRASHER_N: 0 for an innocent job, else all tasks of the job crash their workers. */
+/* CRASHER_N: tasks of a job that all crash their workers; 0: an innocent job. */
 static void
-submit (Play *play, const Kind *kind, uint32_t crasher_n)
+submit (Simulation *sim, const JobKind *kind, uint32_t crasher_n)
 {
   const Job job = {
-    .crasher = crasher_n > 0, .crasher_n = crasher_n, .kind = kind, .submitted_ms = play->now_ms
+    .crasher = crasher_n > 0, .crasher_n = crasher_n, .kind = kind, .submitted_ms = sim->now_ms
   };
-  g_array_append_val (play->jobs, job);
+  g_array_append_val (sim->jobs, job);
   fb_work_step step = { .count = crasher_n > 0 ? crasher_n : kind->tasks,
                         .cpu_milli = kind->cpu_milli,
                         .mem_mb = 500,
@@ -391,33 +392,33 @@
                                              .stretch_factor_milli = 1500,
                                              .target_ms = 250 },
                                  .spec = { .payload = (char *) "p", .steps = { 1, &step } },
-                                 .accepted_ms = WALL_MS + play->now_ms };
-  g_autofree char *id = g_strdup_printf ("%016x", play->jobs->len);
-  fb_pool_admit (play->pool, id, &record, play->now_ms, WALL_MS + play->now_ms);
+                                 .accepted_ms = WALL_CLOCK_OFFSET_MS + sim->now_ms };
+  g_autofree char *id = g_strdup_printf ("%016x", sim->jobs->len);
+  fb_pool_admit (sim->pool, id, &record, sim->now_ms, WALL_CLOCK_OFFSET_MS + sim->now_ms);
 }
 
-/* Jobs a second that use LOAD_PERCENT of the room. */
+/* Returns: jobs per second that use LOAD_PERCENT of the capacity. */
 static double
-jobs_per_s (const Play *play)
+jobs_per_s (const Simulation *sim)
 {
   const guint kind_n = G_N_ELEMENTS (kinds);
   double core_s = 0;
   for (guint i = 0; i < kind_n; i++)
     core_s += (double) kinds[i].tasks * kinds[i].cpu_milli / 1000 * kinds[i].run_ms / 1000;
   core_s /= kind_n;
-  return play->host_n * (WORKER_CPU / 1000.0) * LOAD_PERCENT / 100 / core_s;
+  return sim->host_n * (WORKER_CPU / 1000.0) * LOAD_PERCENT / 100 / core_s;
 }
 
 static void
-submit_due (Play *play, guint crasher_n, uint32_t tasks)
+submit_due (Simulation *sim, guint crasher_n, uint32_t tasks)
 {
-  uint64_t passed_ms = play->now_ms - BEGIN_MS;
-  if (passed_ms > SUBMIT_MS)
+  uint64_t passed_ms = sim->now_ms - FIRST_CLOCK_MS;
+  if (passed_ms > SUBMIT_FOR_MS)
     return;
-  double due = jobs_per_s (play) * STEP_MS / 1000;
-  while (due > 0 && g_rand_double (play->rand) < due)
+  double due = jobs_per_s (sim) * STEP_MS / 1000;
+  while (due > 0 && g_rand_double (sim->rand) < due)
     {
-      submit (play, &kinds[g_rand_int_range (play->rand, 0, G_N_ELEMENTS (kinds))], 0);
+      submit (sim, &kinds[g_rand_int_range (sim->rand, 0, G_N_ELEMENTS (kinds))], 0);
       due -= 1;
     }
   guint crashers_due = passed_ms < CRASHERS_FROM_MS
@@ -427,11 +428,10 @@
                      ? 0
                      : (guint) ((passed_ms - STEP_MS - CRASHERS_FROM_MS) / CRASHER_EVERY_MS) + 1;
   if (crashers_due > before && crashers_due <= crasher_n)
-    submit (play, &kinds[0], tasks);
+    submit (sim, &kinds[0], tasks);
 }
 
-/* ---- the play ---------------------------------------------------------------------------------
- */
+/* ---- simulation --------------------------------------------------------------------------- */
 
 static uint64_t
 cpu_ns (void)
@@ -442,22 +442,22 @@
 }
 
 static void
-tick (Play *play, guint crasher_n, uint32_t tasks)
+tick (Simulation *sim, guint crasher_n, uint32_t tasks)
 {
-  play->now_ms += STEP_MS;
-  for (guint i = 0; i < play->host_n; i++)
-    host_tick (play, i);
-  submit_due (play, crasher_n, tasks);
+  sim->now_ms += STEP_MS;
+  for (guint i = 0; i < sim->host_n; i++)
+    host_tick (sim, i);
+  submit_due (sim, crasher_n, tasks);
   uint64_t from_ns = cpu_ns ();
-  calls_tick (play);
-  fb_pool_tick (play->pool, TRUE, play->now_ms, WALL_MS + play->now_ms);
-  GPtrArray *flush = fb_pool_flush (play->pool, play->now_ms, WALL_MS + play->now_ms);
+  calls_tick (sim);
+  fb_pool_tick (sim->pool, TRUE, sim->now_ms, WALL_CLOCK_OFFSET_MS + sim->now_ms);
+  GPtrArray *flush = fb_pool_flush (sim->pool, sim->now_ms, WALL_CLOCK_OFFSET_MS + sim->now_ms);
   if (flush != NULL)
     {
       g_ptr_array_unref (flush);
-      fb_pool_flushed (play->pool, play->now_ms);
+      fb_pool_flushed (sim->pool, sim->now_ms);
     }
-  play->cpu_ns += cpu_ns () - from_ns;
+  sim->cpu_ns += cpu_ns () - from_ns;
 }
 
 static gint
@@ -469,68 +469,68 @@
 }
 
 static void
-report (const Play *play, guint crasher_n, uint32_t tasks)
+report (const Simulation *sim, guint crasher_n, uint32_t tasks)
 {
   g_autoptr (GArray) waits = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   guint crashed = 0;
-  guint most = 0;
-  guint given_up = 0;
+  guint most_crashed = 0;
+  guint innocent_failed = 0;
   guint unfinished = 0;
-  for (guint i = 0; i < play->jobs->len; i++)
+  for (guint i = 0; i < sim->jobs->len; i++)
     {
-      const Job *job = &g_array_index (play->jobs, Job, i);
+      const Job *job = &g_array_index (sim->jobs, Job, i);
       fb_work_state state = FB_WORK_QUEUED;
       g_autofree char *id = g_strdup_printf ("%016x", i + 1);
-      (void) fb_pool_job_state (play->pool, id, &state);
+      (void) fb_pool_job_state (sim->pool, id, &state);
       crashed += job->crashed;
-      most = MAX (most, job->crashed);
+      most_crashed = MAX (most_crashed, job->crashed);
       unfinished += state < FB_WORK_COMPLETED;
-      given_up += !job->crasher && state == FB_WORK_FAILED;
-      uint64_t wait_ms
-          = (job->started_ms != 0 ? job->started_ms : play->now_ms) - job->submitted_ms;
+      innocent_failed += !job->crasher && state == FB_WORK_FAILED;
+      uint64_t wait_ms = (job->started_ms != 0 ? job->started_ms : sim->now_ms) - job->submitted_ms;
       if (!job->crasher)
         g_array_append_val (waits, wait_ms);
     }
   g_array_sort (waits, compare_waits);
-  printf ("%7u %8u %5u %6u %9.2f %4u %8u %10u %9.0f %8.0f %6u %6.1f\n", play->host_n, crasher_n,
-          tasks, play->jobs->len, crasher_n > 0 ? (double) crashed / crasher_n : 0, most, given_up,
-          unfinished, play->lost_core_s, play->down_s,
+  printf ("%7u %8u %5u %6u %9.2f %4u %8u %10u %9.0f %8.0f %6u %6.1f\n", sim->host_n, crasher_n,
+          tasks, sim->jobs->len, crasher_n > 0 ? (double) crashed / crasher_n : 0, most_crashed,
+          innocent_failed, unfinished, sim->lost_core_s, sim->down_s,
           (guint) g_array_index (waits, uint64_t, waits->len * 99 / 100),
-          (double) play->cpu_ns / 1000 / (double) MAX (play->starts, 1));
+          (double) sim->cpu_ns / 1000 / (double) MAX (sim->starts, 1));
 }
 
 static void
-play_one (guint host_n, guint crasher_n, uint32_t tasks, guint32 seed)
+simulate (guint host_n, guint crasher_n, uint32_t tasks, guint32 seed)
 {
   static const FbPoolLimits limits
       = { .max_lease_ms = 6000, .max_stop_ms = 200, .gang_wait_ms = 3000 };
-  Play play = { .now_ms = BEGIN_MS, .host_n = host_n, .rand = g_rand_new_with_seed (seed) };
-  play.pool = fb_pool_new ("svc", 1, &limits, &sink, &play, play.now_ms);
-  play.hosts = g_new0 (Host, host_n);
-  play.jobs = g_array_new (FALSE, TRUE, sizeof (Job));
-  play.calls = g_array_new (FALSE, TRUE, sizeof (Call));
+  Simulation sim
+      = { .now_ms = FIRST_CLOCK_MS, .host_n = host_n, .rand = g_rand_new_with_seed (seed) };
+  sim.pool = fb_pool_new ("svc", 1, &limits, &sink, &sim, sim.now_ms);
+  sim.hosts = g_new0 (Host, host_n);
+  sim.jobs = g_array_new (FALSE, TRUE, sizeof (Job));
+  sim.calls = g_array_new (FALSE, TRUE, sizeof (Call));
   for (guint i = 0; i < host_n; i++)
     {
-      play.hosts[i].runs = g_array_new (FALSE, TRUE, sizeof (Run));
-      play.hosts[i].ends = g_array_new (FALSE, TRUE, sizeof (FbReportedEnd));
-      g_array_set_clear_func (play.hosts[i].ends, clear_end);
-      host_begin (&play, i);
+      sim.hosts[i].runs = g_array_new (FALSE, TRUE, sizeof (Run));
+      sim.hosts[i].ends = g_array_new (FALSE, TRUE, sizeof (FbReportedEnd));
+      g_array_set_clear_func (sim.hosts[i].ends, clear_end);
+      host_start (&sim, i);
     }
-  fb_pool_workers_complete (play.pool);
-  fb_pool_jobs_read (play.pool, play.now_ms);
-  while (play.now_ms < BEGIN_MS + PLAY_MS)
-    tick (&play, crasher_n, tasks);
-  report (&play, crasher_n, tasks);
-  fb_pool_free (play.pool);
+  fb_pool_workers_complete (sim.pool);
+  fb_pool_jobs_read (sim.pool, sim.now_ms);
+  while (sim.now_ms < FIRST_CLOCK_MS + SIMULATED_MS)
+    tick (&sim, crasher_n, tasks);
+  report (&sim, crasher_n, tasks);
+  fb_pool_free (sim.pool);
   for (guint i = 0; i < host_n; i++)
     {
-      g_array_unref (play.hosts[i].runs);
-      g_array_unref (play.hosts[i].ends);
+      g_array_unref (sim.hosts[i].runs);
+      g_array_unref (sim.hosts[i].ends);
     }
-  g_free (play.hosts);
-  g_array_unref (play.jobs);
-  g_array_unref (play.calls);
-  g_rand_free (play.rand);
+  g_free (sim.hosts);
+  g_array_unref (sim.jobs);
+  g_array_unref (sim.calls);
+  g_rand_free (sim.rand);
 }
 
 int
@@ -553,8 +553,8 @@
   for (guint i = 0; i < G_N_ELEMENTS (sizes); i++)
     {
       for (guint j = 0; j < G_N_ELEMENTS (crashers); j++)
-        play_one (sizes[i], crashers[j], 1, seed);
-      play_one (sizes[i], 1, WIDE_TASKS, seed);
+        simulate (sizes[i], crashers[j], 1, seed);
+      simulate (sizes[i], 1, MANY_CRASHING_TASKS, seed);
     }
   return 0;
 }
--- a/tools/flamingobarrow-load.c
+++ b/tools/flamingobarrow-load.c
@@ -1,9 +1,9 @@
-/* Drives the demo: callers of both partners, and the table at the end.
+/* Load generator of the demo: callers of both partners, and the table at the end.
  *
- * Sends each class at a steady rate to the daemons of its partner in turn, goes
- * to the next daemon when one does not answer (only where the call may be made
- * again), and counts how each ended.  Broken promises are read from the
- * workers' own record, not from the daemons. */
+ * Sends each class of calls at a constant rate to the daemons of its partner in
+ * turn.  A call without an answer is retried at the next daemon if it may be
+ * repeated.  Counts the outcomes.  Broken guarantees are read from the audit
+ * record of the workers, not from the daemons. */
 #include "fb-settings.h"
 #include "fb-status.h"
 
@@ -12,9 +12,9 @@
 #include <stdio.h>
 #include <string.h>
 
-#define CALL_LIMIT_MS 45000
-#define POLL_JOB_MS 250
-#define TRIES_MAX 20
+#define CALL_TIMEOUT_MS 45000
+#define JOB_POLL_INTERVAL_MS 250
+#define MAX_TRIES 20
 
 typedef struct
 {
@@ -23,7 +23,7 @@
   const char *path; /* of the HTTP interface */
   guint tasks;
   double per_s;
-  gboolean keyed;
+  gboolean keyed; /* sent with an idempotency key; calls of several tasks always are */
 } ClassLoad;
 
 static const ClassLoad loads[] = {
@@ -50,10 +50,10 @@
 
 typedef struct
 {
-  guint asked;
+  guint requested;
   guint ended[ENDED_N];
-  GArray *waits_ms; /* guint32 */
-  double due;
+  GArray *waits_ms; /* of guint32 */
+  double calls_due; /* calls to send; the fraction is carried over */
 } ClassCount;
 
 typedef struct
@@ -61,9 +61,9 @@
   guint class;
   guint number;
   guint tries;
-  guint member;
-  char *job;
-  gint64 since_us;
+  guint member; /* index of the daemon that it is sent to */
+  char *job;    /* id of its job, which is polled; NULL: none yet */
+  gint64 started_us;
   SoupMessage *message;
 } Call;
 
@@ -74,7 +74,7 @@
 static guint open_calls;
 static guint next_member[FB_PARTNER_N];
 static gboolean sending = TRUE;
-static guint64 run_mark;
+static guint64 run_id;
 
 static int seconds = 30;
 static double scale = 1;
@@ -101,11 +101,11 @@
 }
 
 static void
-finish (Call *call, guint how, guint32 wait_ms)
+end_call (Call *call, guint outcome_index, guint32 wait_ms)
 {
   ClassCount *count = &counts[call->class];
-  count->ended[how]++;
-  if (how == ENDED_COMPLETED)
+  count->ended[outcome_index]++;
+  if (outcome_index == ENDED_COMPLETED)
     g_array_append_val (count->waits_ms, wait_ms);
   open_calls--;
   g_clear_object (&call->message);
@@ -114,30 +114,30 @@
 }
 
 static gboolean
-send_again (gpointer data)
+on_retry (gpointer data)
 {
   send_call (data);
   return G_SOURCE_REMOVE;
 }
 
-/* A call may be made again when its key or its job id makes it the same one, or
- * when it is idempotent anyway. */
+/* Retries a call.  A repeat is safe: its idempotency key or job id identifies the
+ * call, or the call is idempotent itself. */
 static void
-try_again (Call *call, guint wait_ms)
+retry_call (Call *call, guint wait_ms)
 {
-  gboolean late = g_get_monotonic_time () - call->since_us > CALL_LIMIT_MS * 1000;
-  if (late || call->tries >= TRIES_MAX * (call->job != NULL ? 40 : 1))
+  gboolean late = g_get_monotonic_time () - call->started_us > CALL_TIMEOUT_MS * 1000;
+  if (late || call->tries >= MAX_TRIES * (call->job != NULL ? 40 : 1))
     {
-      finish (call, ENDED_NO_ANSWER, 0);
+      end_call (call, ENDED_NO_ANSWER, 0);
       return;
     }
   call->member = pick_member (loads[call->class].partner);
   g_clear_object (&call->message);
-  g_timeout_add (wait_ms, send_again, call);
+  g_timeout_add (wait_ms, on_retry, call);
 }
 
 static guint
-ended_by_name (const char *name)
+parse_outcome (const char *name)
 {
   static const char *const names[] = { "completed", "failed", "not run", "unknown" };
   for (guint i = 0; i < G_N_ELEMENTS (names); i++)
@@ -158,25 +158,26 @@
   SoupMessageHeaders *headers = soup_message_get_response_headers (call->message);
   const char *outcome = body != NULL ? soup_message_headers_get_one (headers, "X-Outcome") : NULL;
   const char *waited = soup_message_headers_get_one (headers, "X-Waited-Ms");
-  guint how = ended_by_name (outcome);
+  guint outcome_index = parse_outcome (outcome);
   const char *reason = soup_message_headers_get_one (headers, "X-Reason");
-  gboolean not_run = how == ENDED_NOT_RUN && g_strcmp0 (reason, "past-due") != 0;
-  gboolean not_checked = how == ENDED_UNKNOWN && g_strcmp0 (reason, "log-down") == 0;
-  if ((not_run || not_checked) && call->tries < TRIES_MAX)
+  gboolean not_run = outcome_index == ENDED_NOT_RUN && g_strcmp0 (reason, "past-due") != 0;
+  gboolean key_unchecked = outcome_index == ENDED_UNKNOWN && g_strcmp0 (reason, "log-down") == 0;
+  if ((not_run || key_unchecked) && call->tries < MAX_TRIES)
     {
-      /* "Not run" is certain, and a key that could not be checked may be
-       * repeated: in both cases the caller comes back. */
-      try_again (call, 1000);
+      /* "Not run" is definite, and a call whose key could not be checked may be
+       * repeated: the caller retries both. */
+      retry_call (call, 1000);
       return;
     }
-  if (how < ENDED_N)
+  if (outcome_index < ENDED_N)
     {
-      finish (call, how, waited != NULL ? (guint32) g_ascii_strtoull (waited, NULL, 10) : 0);
+      end_call (call, outcome_index,
+                waited != NULL ? (guint32) g_ascii_strtoull (waited, NULL, 10) : 0);
       return;
     }
   if (g_strcmp0 (outcome, "pending") == 0 && call->job == NULL)
     call->job = g_strdup (soup_message_headers_get_one (headers, "X-Job"));
-  try_again (call, call->job != NULL ? POLL_JOB_MS : 300);
+  retry_call (call, call->job != NULL ? JOB_POLL_INTERVAL_MS : 300);
 }
 
 static void
@@ -193,7 +194,7 @@
   call->message = soup_message_new (call->job != NULL ? "GET" : "POST", url);
   call->tries++;
   g_autofree char *key
-      = g_strdup_printf ("%" G_GUINT64_FORMAT "-%s-%u", run_mark, load->name, call->number);
+      = g_strdup_printf ("%" G_GUINT64_FORMAT "-%s-%u", run_id, load->name, call->number);
   if (call->job == NULL && (load->keyed || load->tasks > 1))
     soup_message_headers_replace (soup_message_get_request_headers (call->message),
                                   "Idempotency-Key", key);
@@ -207,15 +208,15 @@
   (void) unused;
   for (guint c = 0; c < G_N_ELEMENTS (loads) && sending; c++)
     {
-      counts[c].due += loads[c].per_s * scale * 0.05;
-      while (counts[c].due >= 1)
+      counts[c].calls_due += loads[c].per_s * scale * 0.05;
+      while (counts[c].calls_due >= 1)
         {
-          counts[c].due -= 1;
+          counts[c].calls_due -= 1;
           Call *call = g_new0 (Call, 1);
           call->class = c;
-          call->number = counts[c].asked++;
+          call->number = counts[c].requested++;
           call->member = pick_member (loads[c].partner);
-          call->since_us = g_get_monotonic_time ();
+          call->started_us = g_get_monotonic_time ();
           open_calls++;
           send_call (call);
         }
@@ -234,7 +235,7 @@
 }
 
 static gboolean
-give_up (gpointer unused)
+on_deadline (gpointer unused)
 {
   (void) unused;
   g_main_loop_quit (loop);
@@ -268,7 +269,7 @@
   for (guint c = 0; c < G_N_ELEMENTS (loads); c++)
     {
       const ClassCount *count = &counts[c];
-      printf ("%-14s %6u %10u %7u %8u %8u %10u %6u ms %6u ms\n", loads[c].name, count->asked,
+      printf ("%-14s %6u %10u %7u %8u %8u %10u %6u ms %6u ms\n", loads[c].name, count->requested,
               count->ended[ENDED_COMPLETED], count->ended[ENDED_FAILED],
               count->ended[ENDED_NOT_RUN], count->ended[ENDED_UNKNOWN],
               count->ended[ENDED_NO_ANSWER], percentile (count->waits_ms, 50),
@@ -287,7 +288,7 @@
 }
 
 static double
-metric (const char *text, const char *name)
+read_metric (const char *text, const char *name)
 {
   g_autofree char *start = g_strdup_printf ("\n%s ", name);
   const char *found = strstr (text, start);
@@ -310,10 +311,10 @@
       if (text == NULL)
         continue;
       n++;
-      double life_s = metric (text, "process_uptime_seconds");
-      cpu_s += metric (text, "process_cpu_seconds_total") / MAX (life_s, 1);
-      bytes += metric (text, "flamingobarrow_peer_bytes_sent_total") / MAX (life_s, 1);
-      memory = MAX (memory, metric (text, "process_resident_memory_bytes"));
+      double uptime_s = read_metric (text, "process_uptime_seconds");
+      cpu_s += read_metric (text, "process_cpu_seconds_total") / MAX (uptime_s, 1);
+      bytes += read_metric (text, "flamingobarrow_peer_bytes_sent_total") / MAX (uptime_s, 1);
+      memory = MAX (memory, read_metric (text, "process_resident_memory_bytes"));
     }
   printf ("\ndaemons answering      %u of %u\n", n, cell->members->len);
   printf ("CPU a daemon           %.2f%% of a core\n", 100 * cpu_s / MAX (n, 1));
@@ -322,7 +323,7 @@
   (void) elapsed_s;
 }
 
-/* For slopes: averages over the daemons that answer. */
+/* For tools/slopes.sh: averages over the daemons that answer. */
 static void
 print_terse (void)
 {
@@ -345,7 +346,7 @@
           = g_strdup_printf ("http://%s:%u/metrics", member->host, member->http_port);
       g_autofree char *text = fetch (url);
       for (guint m = 0; text != NULL && m < G_N_ELEMENTS (names); m++)
-        sums[m] += metric (text, names[m]);
+        sums[m] += read_metric (text, names[m]);
       n += text != NULL ? 1 : 0;
     }
   printf ("%u", n);
@@ -354,7 +355,7 @@
   printf ("\n");
 }
 
-/* Returns: TRUE when the workers saw every promise kept. */
+/* Returns: TRUE when the workers' record shows no broken guarantee. */
 static gboolean
 print_record (void)
 {
@@ -368,7 +369,7 @@
     }
   JsonObject *root = json_node_get_object (json_parser_get_root (parser));
   gint64 doubled = json_object_get_int_member_with_default (root, "doubled", -1);
-  gint64 over = json_object_get_int_member_with_default (root, "over_capacity", -1);
+  gint64 over_capacity = json_object_get_int_member_with_default (root, "over_capacity", -1);
   const char *broken = json_object_get_string_member_with_default (root, "broken", "");
   printf ("\nwhat the workers saw\n");
   printf ("started                %" G_GINT64_FORMAT "\n",
@@ -378,23 +379,23 @@
   printf ("lost with their host   %" G_GINT64_FORMAT "\n",
           json_object_get_int_member_with_default (root, "lost", 0));
   printf ("doubled                %" G_GINT64_FORMAT "\n", doubled);
-  printf ("over capacity          %" G_GINT64_FORMAT "\n", over);
+  printf ("over capacity          %" G_GINT64_FORMAT "\n", over_capacity);
   printf ("CPU held               %.1f%%\n",
           (double) json_object_get_int_member_with_default (root, "cpu_used_permille", 0) / 10);
   printf ("accelerators held      %.1f%%\n",
           (double) json_object_get_int_member_with_default (root, "accel_used_permille", 0) / 10);
   if (broken[0] != '\0')
     printf ("BROKEN: %s\n", broken);
-  return doubled == 0 && over == 0 && broken[0] == '\0';
+  return doubled == 0 && over_capacity == 0 && broken[0] == '\0';
 }
 
 static gboolean
 all_answered (void)
 {
-  guint missing = 0;
+  guint unanswered = 0;
   for (guint c = 0; c < G_N_ELEMENTS (loads); c++)
-    missing += counts[c].ended[ENDED_NO_ANSWER];
-  return missing == 0 && open_calls == 0;
+    unanswered += counts[c].ended[ENDED_NO_ANSWER];
+  return unanswered == 0 && open_calls == 0;
 }
 
 int
@@ -404,11 +405,12 @@
       = { { "cell", 'c', 0, G_OPTION_ARG_FILENAME, &cell_path, "Cell file", "FILE" },
           { "record-port", 'p', 0, G_OPTION_ARG_INT, &record_port, "Port of the workers' record",
             "N" },
-          { "scale", 'x', 0, G_OPTION_ARG_DOUBLE, &scale, "Times the usual rates", "N" },
-          { "terse", 't', 0, G_OPTION_ARG_NONE, &terse, "One line of figures a daemon", NULL },
-          { "seconds", 's', 0, G_OPTION_ARG_INT, &seconds, "How long callers ask", "N" },
+          { "scale", 'x', 0, G_OPTION_ARG_DOUBLE, &scale, "Factor of the usual rates", "N" },
+          { "terse", 't', 0, G_OPTION_ARG_NONE, &terse,
+            "Print one line of averages over the daemons", NULL },
+          { "seconds", 's', 0, G_OPTION_ARG_INT, &seconds, "How long calls are sent", "N" },
           { NULL, 0, 0, 0, NULL, NULL, NULL } };
-  g_autoptr (GOptionContext) context = g_option_context_new ("- callers for the demo");
+  g_autoptr (GOptionContext) context = g_option_context_new ("- load generator of the demo");
   g_option_context_add_main_entries (context, options, NULL);
   if (!g_option_context_parse (context, &argc, &argv, NULL) || cell_path == NULL
       || record_port == 0)
@@ -423,13 +425,13 @@
     }
   for (guint c = 0; c < G_N_ELEMENTS (loads); c++)
     counts[c].waits_ms = g_array_new (FALSE, FALSE, sizeof (guint32));
-  run_mark = (guint64) g_get_real_time ();
+  run_id = (guint64) g_get_real_time ();
   session = soup_session_new_with_options ("max-conns", 2000, "max-conns-per-host", 500, "timeout",
                                            50, NULL);
   loop = g_main_loop_new (NULL, FALSE);
   g_timeout_add (50, tick, NULL);
   g_timeout_add_seconds ((guint) seconds, stop_sending, NULL);
-  g_timeout_add_seconds ((guint) seconds + CALL_LIMIT_MS / 1000 + 5, give_up, NULL);
+  g_timeout_add_seconds ((guint) seconds + CALL_TIMEOUT_MS / 1000 + 5, on_deadline, NULL);
   g_main_loop_run (loop);
   if (terse)
     {
@@ -437,11 +439,11 @@
       return 0;
     }
   print_classes ();
-  gboolean kept = print_record ();
+  gboolean record_ok = print_record ();
   print_daemons (seconds);
   gboolean answered = all_answered ();
-  printf ("\n%s\n", !kept      ? "A PROMISE WAS BROKEN"
+  printf ("\n%s\n", !record_ok ? "A PROMISE WAS BROKEN"
                     : answered ? "every promise was kept and every caller was answered"
                                : "every promise was kept; some callers got no answer");
-  return kept && answered ? 0 : 1;
+  return record_ok && answered ? 0 : 1;
 }
