--- a/tools/bench.sh
+++ b/tools/bench.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Runs scenarios (all, or those named) against our policies and the baselines; "crashes [SEED]": what
-# tasks that crash their workers cost others.
+# Runs all scenarios of the benchmark, or those given, with the product's policies and the baselines.
+# "crashes [SEED]" measures what tasks that crash their workers cost other tasks.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 if [ "${1:-}" = crashes ]; then shift; exec build/bench/flamingobarrow-bench-crashes "$@"; fi
--- a/tools/check-docs.sh
+++ b/tools/check-docs.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# The event catalogue, the counters page and the man pages against the code.
+# Checks the event catalogue, the metrics page, the man pages and the table of faults against the code.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bad=0
@@ -25,7 +25,7 @@
 while read -r verb; do
   grep -q "^\.B $verb" man/flamingobarrow.1 || say "man/flamingobarrow.1 lacks $verb"
 done < <(sed -n 's/^  { "\([a-z]*\)", "[^"]*", "[^"]*",.*/\1/p' src/cli/cli-commands.c src/cli/cli-queries.c)
-# Each fault that the soak, the fuzzer of pools and the stand-in of the platform name has its row.
+# Each fault of the soak test, the pool fuzzer and the stand-in for the platform needs a row in the table.
 while read -r fault; do
   grep -q "^| .*\`$fault\`" docs/design/faults.md || say "docs/design/faults.md lacks $fault"
 done < <(sed -n '/names\[SOAK_FAULT_N\]/,/};/p' soak/plan.c | grep -o '"[a-z-]*"' | tr -d '"'
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -1,16 +1,16 @@
 #!/usr/bin/env bash
-# All tests, format and lint.  Fixed seeds and fake clocks: the same verdict on
-# every run.
+# Runs the formatter, the linter and all tests.  Most use fixed seeds and fake clocks and give the
+# same result on every run; the tests of processes and the soak tests run in real time.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 B=build
 passed=0 failed=0 red=0
 mkdir -p out
 
-# A fault that is known and not mended yet is told on every run.  A line of KNOWN-RED.txt is
-# NAME: ..., where NAME is a check as it is named here, an input of the steps' fuzzer, or a command
-# that is played by hand, which is printed only.  Only a listed check may fail; once it passes its
-# line must go, and an input joins the corpus.
+# Known failures are printed on every run.  A line of KNOWN-RED.txt is "NAME: ...", where NAME is the
+# name of a check below, an input of fuzz-steps, or a command that is run by hand; a command is only
+# printed.  Only a listed check may fail.  Once it passes, its line must be removed, and an input is
+# added to the corpus.
 red_line() { awk -v name="$1: " 'index ($0, name) == 1 { print; exit }' KNOWN-RED.txt; }
 declare -A seen
 verdict() { # NAME COMMAND...
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# A morning of work on stand-ins: 14 daemons, 96 workers, a log, a host list;
-# then a daemon is killed, a worker freezes and the log is down for a while.
-# Ends by itself in under two minutes; fails when a promise was broken.
+# Demo on stand-ins: 14 daemons, 96 workers, a log and a host list under load,
+# while a daemon is killed, a worker freezes and the log is down for a while.
+# Ends by itself in under two minutes; fails when a guarantee was broken.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 B=build OUT=out/demo
--- a/tools/flamingobarrow.bash
+++ b/tools/flamingobarrow.bash
@@ -1,4 +1,4 @@
-# Word completion of flamingobarrow for bash: source this file.
+# Bash completion for flamingobarrow: source this file.
 _flamingobarrow() {
   local word=${COMP_WORDS[COMP_CWORD]} verb=${COMP_WORDS[1]:-}
   if [ "$COMP_CWORD" = 1 ]; then
--- a/tools/format.sh
+++ b/tools/format.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Formats the tree (--write), or fails and names the files that are not
-# formatted.  Generated code is left alone.
+# Formats the C sources (--write), or fails and lists the files that are not
+# formatted.  Generated code is left out.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 files=$(git ls-files -co --exclude-standard -- '*.c' '*.h' | grep -v '^rpc/')
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# clang-tidy on the product and the tests, with the checks of .clang-tidy.
+# Runs clang-tidy on the product and the tests, with the checks of .clang-tidy.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 git ls-files -co --exclude-standard -- 'src/*.c' 'platform/*.c' 'programs/*.c' 'standins/*.c' 'tools/*.c' 'tests/*.c' 'fuzz/*.c' 'bench/*.c' 'soak/*.c' \
--- a/tools/make-cell.sh
+++ b/tools/make-cell.sh
@@ -1,11 +1,11 @@
 #!/bin/sh
-# Writes the settings of the two partners' cell as of today, on loopback:
-# 7 daemons a partner in three failure domains, 24 racks, 96 hosts.
+# Writes the settings of a cell of two partners on loopback, of the size of their
+# cell today: 7 daemons per partner in three failure domains, 24 racks, 96 hosts.
 #
 #   tools/make-cell.sh FOLDER BASE_PORT PUBLIC_KEY_1 PUBLIC_KEY_2
 #
-# Ports from BASE_PORT on: daemons' RPC and HTTP, hosts, then log, host list and
-# the workers' record.
+# Ports from BASE_PORT on: RPC (+0) and HTTP (+20) of daemons, hosts (+40), log
+# (+140), host list (+141); the audit record of the workers is at +142.
 set -eu
 folder=$1 base=$2 key1=$3 key2=$4
 mkdir -p "$folder"
--- a/tools/mutants.sh
+++ b/tools/mutants.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Shows that the oracle can fail: applies each deliberate defect of
-# tests/mutants to a copy of the tree and runs the corpus, then inputs of fixed
-# seeds, until a promise breaks.  The same table on every run.  INPUTS bounds
-# the search, JOBS how many defects are tried side by side.
+# Mutation test of the oracle: applies each deliberate defect of tests/mutants
+# to a copy of the tree and runs the corpus, then inputs of fixed seeds, until a
+# violation is found.  The table is the same on every run.  INPUTS limits the
+# inputs per defect, JOBS the number of defects tried in parallel.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 export INPUTS=${INPUTS:-3000}
--- a/tools/plot.sh
+++ b/tools/plot.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Draws one scenario of the bench for all policies: accelerators and CPU held, and
-# the longest p99 of waiting.  Writes out/NAME.png.
+# Plots one scenario of the benchmark for all policies: share of accelerators and
+# CPU reserved, and the longest p99 of waiting times.  Writes out/NAME.png.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scenario=${1:-bench/scenarios/accelerators-saturated.ini}
--- a/tools/pool-mutants.sh
+++ b/tools/pool-mutants.sh
@@ -1,8 +1,7 @@
 #!/usr/bin/env bash
-# Shows that the oracle of pools can fail: makes each deliberate defect in a copy of
-# src/work or of the adapter of workers and runs the scripts and then fixed seeds until one of
-# them tells.
-# A defect is a file, a text of it and what replaces that text.  ONLY=NAME makes just that one.
+# Mutation test of the pools' oracle: makes each deliberate defect in a copy of src/work or of the
+# adapter of workers, and runs the scripts and then fixed seeds until one of them finds it.
+# A defect is a name, a file, a text in it and its replacement.  ONLY=NAME tries one defect only.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 SEEDS=${SEEDS:-4000}
@@ -113,7 +112,7 @@
     "$dir/script" "$s" 2>&1 | cmp -s - "${s%.script}.expected" || { echo "$1: script $(basename "$s")"; return; }
   done
   local told
-  # The first seeds of the kind with crashes are clean; see KNOWN-RED.txt for later ones.
+  # The first seeds of kind crashing pass without a defect; KNOWN-RED.txt lists later ones that fail.
   told=$(timeout 120 "$dir/fuzz" 1 250 crashing | grep -m1 '^seed')
   for kind in plain advised shrinking repeats; do
     [ -n "$told" ] || told=$(timeout 120 "$dir/fuzz" 1 "$SEEDS" "$kind" | sed -n "s/^seed/$kind seed/p" | head -1)
@@ -123,7 +122,7 @@
 export -f try_one
 export OUT FLAGS OTHERS ADAPTER SEEDS
 while IFS= read -r line; do
-  # A bar inside a text is written \|.
+  # A | inside a text is written as \|.
   IFS=$'\x01' read -r name file text replacement <<< "$(echo "$line" | sed 's/\([^\\]\)|/\1\x01/g')"
   printf '%s\0%s\0%s\0%s\0' "$name" "$file" "$text" "$replacement"
 done < <(defects) | xargs -0 -n 4 -P 4 bash -c 'try_one "$@"' _ | tee "$OUT/table"
--- a/tools/ports.sh
+++ b/tools/ports.sh
@@ -1,7 +1,8 @@
-# Ports of loopback for a test; sourced.  Another run of it may use the same ones.
+# Free loopback ports for a test; to be sourced.  Another run of the test may be using the same range.
 taken() { (exec 3<> "/dev/tcp/127.0.0.1/$1") 2> /dev/null; }
-# Prints the first port of the next of N blocks of SIZE ports from FROM on, begun at one by the
-# process's id, of which no port at an OFFSET is taken.
+# Prints the first port of a block in which no port at an OFFSET is in use.  There are N blocks of SIZE
+# ports from FROM on; the search begins at a block derived from the process id.  Fails when there is
+# none.
 free_block() { # FROM SIZE N OFFSET...
   local from=$1 size=$2 n=$3 i at offset
   shift 3
--- a/tools/slopes.sh
+++ b/tools/slopes.sh
@@ -1,15 +1,16 @@
 #!/usr/bin/env bash
-# Slopes of the cost of a daemon, measured on stand-ins: against the starts a
-# second, against the number of daemons, and of the decisions alone against the
-# size of the cell.  CPU seconds, not wall time; each figure is an average over
-# the daemons between two readings of their counters.
+# Measures on stand-ins how the cost of a daemon grows with the starts per second
+# and with the number of daemons, and how the cost of decisions alone grows with
+# the size of the cell.  In CPU seconds, not wall time; each figure is an average
+# over the daemons between two readings of their counters.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 B=build OUT=out/slopes
 source tools/cell-lib.sh
 names=(sofia-entry-0 lima-entry-0 sofia-entry-1 lima-entry-1 sofia-entry-2 lima-entry-2 sofia-entry-3 lima-entry-3 sofia-entry-4 lima-entry-4 sofia-entry-5 lima-entry-5 sofia-entry-6 lima-entry-6)
 read_figures() { $B/tools/flamingobarrow-load --cell "$OUT/cell.ini" --record-port $((base + 142)) --seconds 0 --scale 0 --terse; }
-# Prints, a daemon and second: CPU %, RSS MB, peer KB, peer messages, starts, exchanges, appends.
+# Prints the number of daemons, and per daemon and second: CPU %, RSS MB, peer KB, peer messages,
+# starts, exchanges, appends, platform KB.
 between() { # BEFORE AFTER
   echo "$1 $2" | awk '{ t = $14 - $3; printf "%4d  %6.3f  %6.2f  %7.3f  %7.2f  %6.3f  %6.2f  %6.3f  %8.2f\n", $12, 100*($13-$2)/t, $15/1e6, ($16-$5)/t/1000, ($17-$6)/t, ($18-$7)/t, ($19-$8)/t, ($20-$9)/t, ($22-$11)/t/1000 }'
 }
