--- a/bench/driver.c
+++ b/bench/driver.c
@@ -28,7 +28,7 @@
   fb_res reserved;
   gboolean always_fails;
   uint64_t incarnation;
-  gboolean dirty; /* restarted: the rack is told on the next step */
+  gboolean dirty; /* it was restarted; the rack is notified in the next step */
 } Host;
 
 typedef struct
--- a/soak/callers.c
+++ b/soak/callers.c
@@ -7,7 +7,7 @@
 #define CALL_TIMEOUT_S 3
 #define MAX_SUBMIT_TRIES 4
 #define POLL_INTERVAL_MS 700
-/* A job is submitted in one of so many ticks. */
+/* On average a job is submitted in one of this many ticks. */
 #define SUBMIT_ONE_IN 3
 /* Of a hundred jobs. */
 #define CRASHING_PERCENT 2
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -326,7 +326,7 @@
     option_port = find_free_ports (ports_n);
   if (!options_are_valid ())
     {
-      fprintf (stderr, "soak: an option is out of range, see --help\n");
+      fprintf (stderr, "soak: a number is out of its range, see --help\n");
       return 2;
     }
   if (!soak_ports_are_free ((guint) option_port, ports_n))
