--- a/include/internal/pool-crash.h
+++ b/include/internal/pool-crash.h
@@ -34,8 +34,8 @@
 void fb_pool_crash_clear (FbPool *self, FbPoolStep *step, uint32_t index, const char *why);
 /* No run of task INDEX is on WORKER, which is still up: removes the unresolved start from the job's
  * record. */
-void fb_pool_crash_task_gone (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
-                              uint32_t index);
+void fb_pool_crash_task_absent (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
+                                uint32_t index);
 /* A run of task INDEX ended on WORKER, which is still up. */
 void fb_pool_crash_task_ended (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
                                uint32_t index, FbEndReason how);
@@ -56,10 +56,10 @@
 /* FALSE when TASK is suspected and must not share WORKER with the suspected tasks there. */
 gboolean fb_pool_crash_may_share (const FbPoolWorker *worker, const FbPoolTask *task);
 /* FALSE while WORKER is reserved for another task than TASK. */
-gboolean fb_pool_crash_is_open (const FbPoolWorker *worker, const FbPoolTask *task,
+gboolean fb_pool_crash_may_use (const FbPoolWorker *worker, const FbPoolTask *task,
                                 uint64_t now_ms);
 /* Clears long-running tasks that have run on WORKER long enough, so that others may start there. */
-void fb_pool_crash_clear_lasted (FbPool *self, FbPoolWorker *worker);
+void fb_pool_crash_clear_long_running (FbPool *self, FbPoolWorker *worker);
 /* TRUE when TASK must wait until no run on WORKER, its best worker, is just beginning; reserves
  * WORKER for TASK. */
 gboolean fb_pool_crash_waits_for_stable (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms);
--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -55,7 +55,7 @@
 typedef enum
 {
   FB_URGENCY_RESTARTING = -1, /* long-running; a pending task has run, or may have */
-  FB_URGENCY_IN_TIME = 0,
+  FB_URGENCY_NORMAL = 0,
   FB_URGENCY_WORTHLESS = 1 /* not long-running, and too late to be worth anything */
 } FbPoolUrgency;
 
@@ -134,7 +134,7 @@
                             uint64_t wall_ms);
 void fb_pool_job_free (gpointer job);
 gboolean fb_pool_job_ended (const FbPoolJob *job);
-void fb_pool_job_objective (FbPoolJob *job);
+void fb_pool_job_update_objective (FbPoolJob *job);
 /* Creates the occurrences that are due and releases steps.  Returns: TRUE when the job is
  * complete. */
 gboolean fb_pool_job_release (FbPool *self, FbPoolJob *job, uint64_t wall_ms);
--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -118,8 +118,8 @@
   char *last_failed_job;       /* id of the job of the last failed run; NULL: none */
   GHashTable *runs;            /* name of the task -> FbPoolRun */
   guint tombstones_n;          /* runs that are tombstones of late starts */
-  guint suspect_runs_n; /* runs of tasks under which workers have crashed or may have crashed */
-  guint isolated_n;     /* runs of tasks that are isolated from other suspected tasks */
+  guint suspect_runs_n;  /* runs of tasks under which workers have crashed or may have crashed */
+  guint isolated_runs_n; /* runs of tasks that are isolated from other suspected tasks */
   /* Only this task may start here until exclusive_until_ms; NULL: any. Compared only, never
    * dereferenced. */
   const FbPoolTask *exclusive_for;
@@ -144,7 +144,8 @@
 uint64_t fb_pool_worker_clock_low (const FbPoolWorker *worker, uint64_t now_ms);
 gboolean fb_pool_worker_silent (const FbPoolWorker *worker, uint64_t now_ms);
 /* TRUE when every lease that the worker can hold has certainly ended. */
-gboolean fb_pool_worker_lapsed (const FbPool *self, const FbPoolWorker *worker, uint64_t now_ms);
+gboolean fb_pool_worker_lease_expired (const FbPool *self, const FbPoolWorker *worker,
+                                       uint64_t now_ms);
 FbPoolRun *fb_pool_worker_add_run (FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
                                    const char *name, uint32_t attempt);
 void fb_pool_worker_drop_run (FbPoolWorker *worker, FbPoolRun *run);
--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -175,8 +175,8 @@
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       if (worker == other_than || (rack != NULL && g_strcmp0 (rack, worker->rack) != 0)
-          || worker->isolated_n > 0 || !can_start_now (worker, step, rule, now_ms)
-          || !fb_pool_crash_is_open (worker, task, now_ms)
+          || worker->isolated_runs_n > 0 || !can_start_now (worker, step, rule, now_ms)
+          || !fb_pool_crash_may_use (worker, task, now_ms)
           || (suspect && !fb_pool_crash_may_share (worker, task))
           || fb_pool_restart_rejects (worker, step, index))
         continue;
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -38,9 +38,9 @@
 #define MIN_CONFIRMED_CRASHES 2
 /* The lower limit does not apply with this many crashes on shared workers: a single one on an
  * unshared worker is then too little proof. */
-#define SHARED_CRASHES_INCONCLUSIVE 2
+#define MIN_SHARED_FOR_HIGHER_LIMIT 2
 /* Exceeds the sum of all other costs. */
-#define SILENT_WORKER_COST 1000
+#define OVERDUE_ANSWER_COST 1000
 /* Network time of an answer to a poll, with some margin. */
 #define POLL_NETWORK_MS 100
 
@@ -103,7 +103,7 @@
 {
   guint alone = sole_cause_n (self, task, eliminated);
   guint shared = fb_pool_task_crashes_n (task) - alone;
-  if (alone > 0 && has_confirmed_crashes (task) && shared < SHARED_CRASHES_INCONCLUSIVE)
+  if (alone > 0 && has_confirmed_crashes (task) && shared < MIN_SHARED_FOR_HIGHER_LIMIT)
     return self->limits.max_isolated_crashes;
   return self->limits.max_shared_crashes
          + (crashes_with_evidence_n (task, FB_CRASH_CONFIRMED) == 0);
@@ -190,7 +190,8 @@
 }
 
 void
-fb_pool_crash_task_gone (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step, uint32_t index)
+fb_pool_crash_task_absent (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
+                           uint32_t index)
 {
   FbPoolTask *task = &step->tasks[index];
   if (task->unresolved == NULL)
@@ -203,7 +204,7 @@
 fb_pool_crash_task_ended (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
                           uint32_t index, FbEndReason how)
 {
-  fb_pool_crash_task_gone (self, worker, step, index);
+  fb_pool_crash_task_absent (self, worker, step, index);
   if (how == FB_END_DONE)
     fb_pool_probe_passed (step);
   if (how == FB_END_DONE || how == FB_END_FAILED)
@@ -406,7 +407,7 @@
 }
 
 void
-fb_pool_crash_clear_lasted (FbPool *self, FbPoolWorker *worker)
+fb_pool_crash_clear_long_running (FbPool *self, FbPoolWorker *worker)
 {
   if (worker->suspect_runs_n == 0)
     return;
@@ -521,7 +522,7 @@
 }
 
 gboolean
-fb_pool_crash_is_open (const FbPoolWorker *worker, const FbPoolTask *task, uint64_t now_ms)
+fb_pool_crash_may_use (const FbPoolWorker *worker, const FbPoolTask *task, uint64_t now_ms)
 {
   return worker->exclusive_for == NULL || worker->exclusive_for == task
          || now_ms >= worker->exclusive_until_ms;
@@ -564,10 +565,10 @@
 {
   gboolean isolated = suspect_score_of (task) >= ISOLATE_AFTER_CRASHES;
   /* A silent worker may have crashed already, and that crash would count for TASK. */
-  gboolean quiet = now_ms > worker->last_answer_ms + FB_POOL_POLL_WAIT_MS + POLL_NETWORK_MS;
+  gboolean overdue = now_ms > worker->last_answer_ms + FB_POOL_POLL_WAIT_MS + POLL_NETWORK_MS;
   /* The other runs there would be lost with the worker. */
   return worker->suspect_runs_n + (isolated ? g_hash_table_size (worker->runs) : 0)
-         + (quiet ? SILENT_WORKER_COST : 0);
+         + (overdue ? OVERDUE_ANSWER_COST : 0);
 }
 
 void
@@ -576,7 +577,7 @@
   if (sign > 0)
     run->suspect_score = suspect_score_of (&run->step->tasks[run->index]);
   worker->suspect_runs_n += run->suspect_score > 0 ? (guint) sign : 0;
-  worker->isolated_n += run->suspect_score >= ISOLATE_AFTER_CRASHES ? (guint) sign : 0;
+  worker->isolated_runs_n += run->suspect_score >= ISOLATE_AFTER_CRASHES ? (guint) sign : 0;
 }
 
 void
--- a/src/work/pool-job.c
+++ b/src/work/pool-job.c
@@ -44,7 +44,7 @@
 }
 
 void
-fb_pool_job_objective (FbPoolJob *job)
+fb_pool_job_update_objective (FbPoolJob *job)
 {
   const fb_work_policy *policy = &job->record.policy;
   uint64_t work_ms = critical_path_ms (&job->record.spec);
@@ -65,7 +65,7 @@
   uint64_t age_ms = wall_ms > accepted_ms ? wall_ms - accepted_ms : 0;
   job->admitted_ms = now_ms > age_ms ? now_ms - age_ms : 0;
   job->occurrences = g_ptr_array_new ();
-  fb_pool_job_objective (job);
+  fb_pool_job_update_objective (job);
   return job;
 }
 
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -312,7 +312,7 @@
   if (result != FB_ORDER_SUPERSEDED && result != FB_ORDER_BAD_TICKET)
     worker->paused_until_ms = now_ms + REFUSAL_PAUSE_MS;
   gboolean gang = step->shape->gang;
-  fb_pool_crash_task_gone (self, worker, step, run->index);
+  fb_pool_crash_task_absent (self, worker, step, run->index);
   fb_pool_run_ended (self, worker, run, "refused", now_ms);
   if (gang)
     fb_pool_stop_gang (self, step, now_ms);
--- a/src/work/pool-queue.c
+++ b/src/work/pool-queue.c
@@ -54,10 +54,10 @@
 {
   const FbPoolJob *job = step->job;
   if (step->shape->long_running)
-    return is_restarting (step) ? FB_URGENCY_RESTARTING : FB_URGENCY_IN_TIME;
+    return is_restarting (step) ? FB_URGENCY_RESTARTING : FB_URGENCY_NORMAL;
   if (job->record.spec.occurrences == 0 && now_ms > job->worthless_ms)
     return FB_URGENCY_WORTHLESS;
-  return FB_URGENCY_IN_TIME;
+  return FB_URGENCY_NORMAL;
 }
 
 void
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -108,7 +108,7 @@
 }
 
 static gboolean
-may_hold (const FbPoolWorker *worker, const FbPoolStep *step)
+may_run_on (const FbPoolWorker *worker, const FbPoolStep *step)
 {
   if (!fb_pool_drain_may_run (worker, step))
     return FALSE;
@@ -165,7 +165,7 @@
     return FALSE;
   for (guint i = 0; i < self->unconfirmed_workers->len; i++)
     {
-      if (may_hold (self->unconfirmed_workers->pdata[i], step))
+      if (may_run_on (self->unconfirmed_workers->pdata[i], step))
         return TRUE;
     }
   return FALSE;
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -422,7 +422,7 @@
       fb_event_log (FB_EVENT_RUN_ABSENT, "task=%s attempt=%u worker=%s state=%d clock_ms=%u",
                     run->name, run->attempt, worker->id, run->state, (guint) clock_ms);
       if (step != NULL)
-        fb_pool_crash_task_gone (self, worker, step, run->index);
+        fb_pool_crash_task_absent (self, worker, step, run->index);
       fb_pool_restart_count_crash (self, run, now_ms);
       fb_pool_run_ended (self, worker, run, "absent", now_ms);
       if (step != NULL && step->shape->gang && !fb_pool_step_done (step)
--- a/src/work/pool-worker-slots.c
+++ b/src/work/pool-worker-slots.c
@@ -23,7 +23,7 @@
 /* Removes WORKER from FbPool.gained_capacity.  The entries that the open round began with stay the
  * first ones. */
 static void
-remove_opened (FbPool *self, FbPoolWorker *worker)
+remove_gained_capacity (FbPool *self, FbPoolWorker *worker)
 {
   guint at = 0;
   if (!g_ptr_array_find (self->gained_capacity, worker, &at))
@@ -38,7 +38,7 @@
 {
   self->worker_slots->pdata[worker->slot] = NULL;
   fb_pool_incarnation_forget (self, worker);
-  remove_opened (self, worker);
+  remove_gained_capacity (self, worker);
   g_hash_table_remove (self->workers, worker->id);
 }
 
--- a/src/work/pool-worker.c
+++ b/src/work/pool-worker.c
@@ -13,7 +13,7 @@
 /* Most by which a worker's clock may run slow, in 1/1000. */
 #define CLOCK_SLOW_PERMILLE 20
 /* Safety margin added to a lease that must certainly have ended. */
-#define LAPSE_SLACK_MS 100
+#define LEASE_EXPIRY_SLACK_MS 100
 /* After this many failed runs of different jobs in a row a worker gets one run per
  * THROTTLE_INTERVAL_MS until one succeeds. */
 #define THROTTLE_AFTER_FAILURES 3
@@ -104,7 +104,7 @@
 static uint64_t
 max_duration_ms (uint64_t lease_ms)
 {
-  return lease_ms * 1000 / (1000 - CLOCK_SLOW_PERMILLE) + LAPSE_SLACK_MS;
+  return lease_ms * 1000 / (1000 - CLOCK_SLOW_PERMILLE) + LEASE_EXPIRY_SLACK_MS;
 }
 
 /* TRUE when every lease of a worker that never answered has ended. It may hold a lease of the
@@ -112,7 +112,7 @@
  * sends nothing later than FB_POOL_STEP_DOWN_MS after that. Calls meant for an earlier incarnation
  * may have reached it as well. */
 static gboolean
-unanswered_lapsed (const FbPool *self, const FbPoolWorker *worker, uint64_t now_ms)
+unanswered_lease_expired (const FbPool *self, const FbPoolWorker *worker, uint64_t now_ms)
 {
   if (self->majority_ms == 0)
     return FALSE;
@@ -124,14 +124,14 @@
 }
 
 gboolean
-fb_pool_worker_lapsed (const FbPool *self, const FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_worker_lease_expired (const FbPool *self, const FbPoolWorker *worker, uint64_t now_ms)
 {
   if (worker->runs_ended)
     return TRUE;
   if (!worker->answered)
-    return unanswered_lapsed (self, worker, now_ms);
+    return unanswered_lease_expired (self, worker, now_ms);
   return fb_pool_worker_silent (worker, now_ms)
-         && fb_pool_worker_clock_low (worker, now_ms) > worker->lease_ms + LAPSE_SLACK_MS;
+         && fb_pool_worker_clock_low (worker, now_ms) > worker->lease_ms + LEASE_EXPIRY_SLACK_MS;
 }
 
 void
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -193,7 +193,7 @@
 static void
 maintain_worker (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (!worker->runs_ended && fb_pool_worker_lapsed (self, worker, now_ms))
+  if (!worker->runs_ended && fb_pool_worker_lease_expired (self, worker, now_ms))
     fb_pool_worker_lost (self, worker, FB_LOSS_LEASE_ENDED, NULL, now_ms);
   GHashTableIter iter;
   gpointer value;
@@ -211,7 +211,7 @@
     move_runs_off_draining (self, worker, now_ms);
   fb_pool_stop_orphans (self, worker, now_ms);
   fb_pool_crash_note_silence (self, worker, now_ms);
-  fb_pool_crash_clear_lasted (self, worker);
+  fb_pool_crash_clear_long_running (self, worker);
   gboolean accepts_work = fb_pool_worker_accepts_starts (worker, now_ms);
   if (accepts_work && !worker->accepted_work)
     fb_pool_worker_gained_capacity (self, worker);
@@ -363,7 +363,7 @@
   current->advice_decision_us = policy->advice_decision_us;
   current->advice_per_worker_us = policy->advice_per_worker_us;
   current->advice_validity_ms = policy->advice_validity_ms;
-  fb_pool_job_objective (job);
+  fb_pool_job_update_objective (job);
 }
 
 void
--- a/tools/pool-mutants.sh
+++ b/tools/pool-mutants.sh
@@ -23,10 +23,10 @@
 late-comer-too-soon|pool-recovery.c|worker->listed_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS + FB_POOL_START_WINDOW_MS|worker->listed_ms > 0
 unread-end-ignored|pool-recovery.c|      if (worker->has_unknown_end \&\& worker->last_answer_ms <= job->added_ms)|      if (FALSE)
 absent-behind-an-unread-end|pool-report.c|  if (!worker->has_unknown_end)|  if (TRUE)
-unheard-holds-nothing|pool-recovery.c|      if (may_hold (self->unconfirmed_workers->pdata[i], step))|      if (FALSE)
+unheard-holds-nothing|pool-recovery.c|      if (may_run_on (self->unconfirmed_workers->pdata[i], step))|      if (FALSE)
 not-asked-is-not-allowed|pool-recovery.c|  return advice == NULL \|\| advice->allowed;|  return advice != NULL ? advice->allowed : FALSE;
 untouched-too-soon|pool-recovery.c|             \&\& self->jobs_read_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);|             );
-lapse-too-early|pool-worker.c|worker->lease_ms + LAPSE_SLACK_MS;|worker->lease_ms - 1500;
+lapse-too-early|pool-worker.c|worker->lease_ms + LEASE_EXPIRY_SLACK_MS;|worker->lease_ms - 1500;
 clock-taken-as-exact|pool-worker.c|passed_ms * (1000 - CLOCK_SLOW_PERMILLE) / 1000|passed_ms * 1100 / 1000
 unanswered-start-forgotten|pool-orders.c|  else if (result != FB_ORDER_UNKNOWN)|  else if (TRUE)
 acknowledged-before-durable|pool-report.c|      worker->seen_end = end->number;|      worker->seen_end = worker->acknowledged = end->number;
@@ -50,11 +50,11 @@
 wide-step-all-at-once|pool-place.c|  if (fb_pool_probe_is_on (step))\n    return FALSE;|
 suspect-gets-copies|pool-copy.c|  if (fb_pool_task_is_suspect (task))|  if (FALSE)
 cause-never-left|pool-crash.c|  for (guint i = 0; i < task->crashes->len; i++)\n    fb_pool_crash_cause_drop|  for (guint i = 0; FALSE; i++)\n    fb_pool_crash_cause_drop
-shared-crashes-count-as-alone|pool-crash.c|#define SHARED_CRASHES_INCONCLUSIVE 2|#define SHARED_CRASHES_INCONCLUSIVE 9
+shared-crashes-count-as-alone|pool-crash.c|#define MIN_SHARED_FOR_HIGHER_LIMIT 2|#define MIN_SHARED_FOR_HIGHER_LIMIT 9
 suspect-beside-what-begins|pool-crash.c|  if (suspect_score_of (task) < ISOLATE_AFTER_CRASHES \|\| is_stable (worker))|  if (TRUE)
-kept-worker-open-to-all|pool-choose.c|          \|\| !fb_pool_crash_is_open (worker, task, now_ms)|
-quiet-worker-for-a-suspect|pool-crash.c|(quiet ? SILENT_WORKER_COST : 0)|0
-isolated-beside-others|pool-choose.c|          \|\| worker->isolated_n > 0 \|\| |          \|\| 
+kept-worker-open-to-all|pool-choose.c|          \|\| !fb_pool_crash_may_use (worker, task, now_ms)|
+quiet-worker-for-a-suspect|pool-crash.c|(overdue ? OVERDUE_ANSWER_COST : 0)|0
+isolated-beside-others|pool-choose.c|          \|\| worker->isolated_runs_n > 0 \|\| |          \|\| 
 one-shared-crash-is-enough|pool-crash.c|#define MAX_SHARED_CRASHES 4|#define MAX_SHARED_CRASHES 1
 lasting-task-held-to-account|pool-crash.c|#define LONG_RUNNING_PROVEN_MS 20000|#define LONG_RUNNING_PROVEN_MS 2000000
 planned-leave-taken-for-a-crash|pool-crash.c|  while (!worker->draining \&\& g_hash|  while (g_hash
@@ -66,7 +66,7 @@
 answer-counts-for-any-attempt|pool-orders.c|(*run)->attempt != ref->attempt|FALSE
 full-answer-taken-for-all|pool-report.c|  if (answer->finished->len >= self->limits.max_reported_ends)|  if (FALSE)
 any-end-of-a-job-that-is-over|pool-report.c|  if (run != NULL \&\& run->attempt <= end->attempt)\n    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);\n}|  if (run != NULL)\n    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);\n}
-refused-start-stays-in-the-record|pool-orders.c|  fb_pool_crash_task_gone (self, worker, step, run->index);|
+refused-start-stays-in-the-record|pool-orders.c|  fb_pool_crash_task_absent (self, worker, step, run->index);|
 settled-doubt-stays-in-the-record|pool-unresolved-losses.c|  fb_pool_job_changed (self, step->job);|
 end-shown-at-once|pool.c|  if (job->stored_state >= FB_WORK_COMPLETED)|  if (job->state >= FB_WORK_COMPLETED) { *state = job->state; return TRUE; } if (0)
 unanswered-is-firm|pool-crash.c|  return confirmed ? FB_CRASH_CONFIRMED : FB_CRASH_PROBABLE;|  return FB_CRASH_CONFIRMED;
