--- a/rpc/work-xdr.c
+++ b/rpc/work-xdr.c
@@ -522,7 +522,7 @@
 		 return FALSE;
 	 if (!xdr_string (xdrs, &objp->address, FB_WORK_MAX_NAME))
 		 return FALSE;
-	 if (!xdr_bool (xdrs, &objp->closed))
+	 if (!xdr_bool (xdrs, &objp->steps_known))
 		 return FALSE;
 	 if (!xdr_array (xdrs, (char **)&objp->steps.steps_val, (u_int *) &objp->steps.steps_len, FB_WORK_MAX_RUNS,
 		sizeof (fb_step_name), (xdrproc_t) xdr_fb_step_name))
--- a/rpc/work.h
+++ b/rpc/work.h
@@ -162,7 +162,7 @@
 struct fb_work_known_worker {
 	char *id;
 	char *address;
-	bool_t closed;
+	bool_t steps_known;
 	struct {
 		u_int steps_len;
 		fb_step_name *steps_val;
--- a/rpc/work.x
+++ b/rpc/work.x
@@ -124,7 +124,7 @@
 struct fb_work_known_worker {
   string id<FB_WORK_MAX_NAME>;
   string address<FB_WORK_MAX_NAME>;
-  bool closed; /* draining: starts no tasks, and only these steps can have runs there */
+  bool steps_known; /* the worker drains, and only STEPS can have runs there */
   fb_step_name steps<FB_WORK_MAX_RUNS>;
 };
 
--- a/src/work/pool-drain.c
+++ b/src/work/pool-drain.c
@@ -48,7 +48,7 @@
   g_autoptr (GHashTable) steps = steps_on (worker);
   if (steps == NULL || g_hash_table_size (steps) > FB_WORK_MAX_RUNS)
     return;
-  known->closed = TRUE;
+  known->steps_known = TRUE;
   known->steps.steps_val = g_new0 (fb_step_name, g_hash_table_size (steps) + 1);
   GHashTableIter iter;
   gpointer name;
@@ -69,7 +69,7 @@
 void
 fb_pool_drain_restore (FbPool *self, const fb_work_known_worker *known)
 {
-  if (!known->closed)
+  if (!known->steps_known)
     return;
   GHashTable *steps = set_new ();
   for (u_int i = 0; i < known->steps.steps_len; i++)
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -162,7 +162,7 @@
     {
       const fb_work_known_worker *known = &record->workers.workers_val[i];
       FbPoolWorker *worker = g_hash_table_lookup (self->workers, known->id);
-      gboolean empty = known->closed && known->steps.steps_len == 0;
+      gboolean empty = known->steps_known && known->steps.steps_len == 0;
       fb_pool_drain_restore (self, known);
       if (worker == NULL && !empty)
         {
