--- a/include/internal/pool-crash.h
+++ b/include/internal/pool-crash.h
@@ -55,13 +55,13 @@
 void fb_pool_crash_forget (FbPool *self, FbPoolJob *job);
 /* FALSE when TASK is suspected and must not share WORKER with the suspected tasks there. */
 gboolean fb_pool_crash_may_share (const FbPoolWorker *worker, const FbPoolTask *task);
-/* FALSE while WORKER is reserved for another task than TASK. */
+/* FALSE while WORKER is exclusive to another task than TASK. */
 gboolean fb_pool_crash_may_use (const FbPoolWorker *worker, const FbPoolTask *task,
                                 uint64_t now_ms);
 /* Clears long-running tasks that have run on WORKER long enough, so that others may start there. */
 void fb_pool_crash_clear_long_running (FbPool *self, FbPoolWorker *worker);
-/* TRUE when TASK must wait until no run on WORKER, its best worker, is just beginning; reserves
- * WORKER for TASK. */
+/* TRUE when TASK must wait until no run on WORKER, its best worker, is just beginning; WORKER is
+ * exclusive to TASK meanwhile. */
 gboolean fb_pool_crash_waits_for_stable (FbPoolWorker *worker, FbPoolTask *task, uint64_t now_ms);
 /* Returns: the placement cost of WORKER for the suspected TASK; lower is better. */
 double fb_pool_crash_cost (const FbPoolWorker *worker, const FbPoolTask *task, uint64_t now_ms);
--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -21,9 +21,8 @@
 typedef struct
 {
   uint32_t attempt; /* number of the latest attempt; 0: none yet */
-  /* Attempts that ended failed; NULL: none.  They are listed by number so that each is counted once
-   * in whatever order the ends arrive: a new owner receives the same ends again, from several
-   * workers. */
+  /* Numbers of the attempts that failed; NULL: none.  Each is counted once in whatever order the
+   * ends arrive: a new owner receives the same ends again, from several workers. */
   GArray *failed;        /* of uint32_t */
   GArray *crashes;       /* of FbPoolCrash, one for each worker; NULL: none */
   GPtrArray *unresolved; /* of FbPoolUnresolvedStart; NULL: none */
@@ -32,14 +31,15 @@
   uint32_t unresolved_losses_n; /* lost workers that may have crashed because of this task */
   /* Until when the task waits for a worker on which nothing else starts; 0: it does not wait. */
   uint64_t stable_wait_until_ms;
-  gboolean done;
+  gboolean done;           /* a run of it ended successfully */
   gboolean was_preempted;  /* it was preempted once */
   uint32_t stuck_restarts; /* how often it was stopped as stuck */
   char *checkpoint;        /* NULL: none */
   FbPoolRun *run;          /* borrowed from its worker; NULL: not on a worker */
   FbPoolRun *copy;  /* a speculative second run, if the step allows it; borrowed; NULL: none */
-  uint32_t took_ms; /* duration of the run that ended successfully */
-  FbPoolSpeed *worker_speed; /* of that run; NULL: not known, or already evaluated */
+  uint32_t took_ms; /* duration of the run that ended successfully; valid with WORKER_SPEED */
+  /* Speed of the worker of that run; NULL: not measured, or already evaluated. */
+  FbPoolSpeed *worker_speed;
 } FbPoolTask;
 
 /* Answer of the advice service about one worker for one step. */
@@ -55,33 +55,35 @@
 typedef enum
 {
   FB_URGENCY_RESTARTING = -1, /* long-running; a pending task has run, or may have */
-  FB_URGENCY_NORMAL = 0,
-  FB_URGENCY_WORTHLESS = 1 /* not long-running, and too late to be worth anything */
+  FB_URGENCY_NORMAL = 0,      /* any other */
+  FB_URGENCY_WORTHLESS = 1    /* of a job without a schedule, past FbPoolJob.worthless_ms; not
+                               * long-running */
 } FbPoolUrgency;
 
 /* One step of one occurrence of a job. */
 struct _FbPoolStep
 {
   FbPoolJob *job;
-  uint32_t occurrence;
-  uint32_t index;
+  uint32_t occurrence;       /* number of the occurrence */
+  uint32_t index;            /* index of the step in the job */
   const fb_work_step *shape; /* borrowed from the job's record */
   FbPoolTask *tasks;         /* SHAPE->count entries */
-  uint32_t done_n;
-  uint32_t timed_runs_n;   /* successful runs that this owner started from the beginning */
-  uint64_t timed_total_ms; /* their total duration */
-  uint32_t waiting_from;   /* no task before this index is pending */
-  uint32_t gang_attempt;   /* number of the latest attempt of the gang; 0: none yet */
-  guint crashed_n;         /* workers that crashed under its tasks since one of them ran well */
-  uint64_t crashed_last;   /* id hash of the worker that crashed last */
-  uint64_t crashed_ms;     /* when that crash became known */
-  gboolean released;       /* all preceding steps are done, and the occurrence is due */
-  gboolean gang_broken;    /* a member ended or was refused, so the others are being stopped */
+  uint32_t done_n;           /* tasks that are done */
+  uint32_t timed_runs_n;     /* successful runs that ended under this owner */
+  uint64_t timed_total_ms;   /* their total duration since they were started or first listed */
+  uint32_t waiting_from;     /* no task before this index is pending */
+  uint32_t gang_attempt;     /* number of the latest attempt of the gang; 0: none yet */
+  /* Workers that crashed under its tasks since one of the tasks last ran without a crash. */
+  guint crashed_n;
+  uint64_t crashed_last; /* id hash of the worker that crashed last; 0: none */
+  uint64_t crashed_ms;   /* when that crash became known */
+  gboolean released;     /* all preceding steps are done, and the occurrence is due */
+  gboolean gang_broken;  /* a member ended or was refused, so the others are being stopped */
   FbPoolWorkerAdvice *worker_advice; /* by worker slot */
-  guint worker_advice_n;
-  gboolean has_advice;          /* the advice service has answered about some worker */
-  uint64_t advice_until_ms;     /* when the open question is given up; 0: none is open */
-  uint64_t last_advice_ms;      /* when the last question was answered or failed; 0: never */
+  guint worker_advice_n;             /* entries of WORKER_ADVICE */
+  gboolean has_advice;               /* the advice service has answered about some worker */
+  uint64_t advice_until_ms;          /* when the open question is given up; 0: none is open */
+  uint64_t last_advice_ms;           /* when the last question was answered or failed; 0: never */
   GPtrArray *reserved_on;       /* ids of workers with reserved capacity, one entry for each task */
   uint64_t reserved_until_ms;   /* when the reservation ends; 0: none */
   gboolean queued;              /* it is in FbPool.waiting or FbPool.unmerged */
@@ -95,7 +97,7 @@
 typedef struct
 {
   uint32_t number;
-  gboolean finished;
+  gboolean finished; /* all its steps are done */
   FbPoolStep *steps; /* one for each step of the job */
 } FbPoolOccurrence;
 
@@ -115,15 +117,17 @@
   uint32_t suspects_version;    /* grows with each crash or suspected crash under its tasks */
   uint32_t suspects_version_flushing; /* value of SUSPECTS_VERSION in the open flush */
   uint32_t suspects_version_stored;   /* value of SUSPECTS_VERSION that is durable */
-  gboolean awaits_unknown_ends; /* when the job was added, workers reported ends of unknown jobs */
-  uint64_t added_ms;            /* when it was added to this pool */
-  uint64_t admitted_ms;         /* when it was accepted, on the pool's clock */
-  uint64_t objective_ms;        /* when its caller wants it, on the pool's clock */
-  uint64_t worthless_ms;        /* when it is no longer worth anything */
-  double tightness;             /* its critical path as a share of its objective, 0 to 1 */
-  uint64_t ended_wall_ms;       /* when it ended; 0: it has not */
-  GPtrArray *occurrences;       /* of FbPoolOccurrence */
-  uint32_t next_occurrence;     /* number of the first occurrence that is not released yet */
+  /* When the job was added, workers reported ends of unknown jobs, and they have not all answered
+   * again yet. */
+  gboolean awaits_unknown_ends;
+  uint64_t added_ms;        /* when it was added to this pool */
+  uint64_t admitted_ms;     /* when it was accepted, on the pool's clock */
+  uint64_t objective_ms;    /* when its caller wants it, on the pool's clock */
+  uint64_t worthless_ms;    /* when it is no longer worth anything */
+  double tightness;         /* its critical path as a share of its objective, 0 to 1 */
+  uint64_t ended_wall_ms;   /* when it ended; 0: it has not */
+  GPtrArray *occurrences;   /* of FbPoolOccurrence */
+  uint32_t next_occurrence; /* number of the first occurrence that is not released yet */
 };
 
 /* pool-job.c */
@@ -134,6 +138,8 @@
                             uint64_t wall_ms);
 void fb_pool_job_free (gpointer job);
 gboolean fb_pool_job_ended (const FbPoolJob *job);
+/* Computes what follows from the policy of JOB and its estimates: objective, tightness and the time
+ * when it is worth nothing any more. */
 void fb_pool_job_update_objective (FbPoolJob *job);
 /* Creates the occurrences that are due and releases steps.  Returns: TRUE when the job is
  * complete. */
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -42,34 +42,34 @@
   uint64_t majority_ms;      /* when a majority of the workers had answered; 0: not yet */
   gboolean workers_complete; /* fb_pool_workers_complete() was called */
   gboolean recovered;        /* recovery is complete: this owner knows everything that can run */
-  GPtrArray *unconfirmed_workers; /* of FbPoolWorker that may have unknown runs, as of this tick;
-                                     borrowed */
+  /* Of FbPoolWorker that may have unknown runs, as of this tick; borrowed. */
+  GPtrArray *unconfirmed_workers;
   gboolean fenced;   /* a worker has seen a higher epoch: the pool must not be used any more */
   gboolean flushing; /* a flush is open */
-  uint64_t flush_began_ms;
-  uint64_t last_order;     /* number of the last order; 0: none was sent yet */
-  GHashTable *workers;     /* id -> FbPoolWorker */
-  GPtrArray *worker_slots; /* of FbPoolWorker by slot; NULL: the slot is free; borrowed */
-  uint32_t last_incarnation;
+  uint64_t flush_began_ms;   /* when the last flush began */
+  uint64_t last_order;       /* number of the last order; 0: none was sent yet */
+  GHashTable *workers;       /* id -> FbPoolWorker */
+  GPtrArray *worker_slots;   /* of FbPoolWorker by slot; NULL: the slot is free; borrowed */
+  uint32_t last_incarnation; /* last FbPoolWorker.incarnation that was assigned; 0: none yet */
   GHashTable *latest; /* address -> FbPoolWorker, the incarnation there that began last; borrowed */
-  GHashTable
-      *drain_steps; /* id -> steps recorded by the previous owner, for FbPoolWorker.drain_steps */
-  GPtrArray
-      *gained_capacity; /* of FbPoolWorker with more capacity than in the last round; borrowed */
-  GPtrArray *waiting;   /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
-  GPtrArray *unmerged;  /* of FbPoolStep not merged into WAITING yet; borrowed */
-  uint32_t refused_question_kinds; /* bits of question_kind() that no daemon could forward in this
-                                      round */
-  uint64_t round;                  /* number of the current placement round */
-  guint resume_position;           /* in WAITING, where the open round continues; 0: none is open */
-  guint
-      round_gained_n; /* how many entries of GAINED_CAPACITY there were when the open round began */
-  uint32_t visits_n;  /* workers and runs visited in this turn of the round */
+  /* Id of a worker -> set of steps, for FbPoolWorker.drain_steps: from the record of the previous
+   * owner. */
+  GHashTable *drain_steps;
+  /* Of FbPoolWorker that can take more than in the last round; borrowed. */
+  GPtrArray *gained_capacity;
+  GPtrArray *waiting;  /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
+  GPtrArray *unmerged; /* of FbPoolStep not merged into WAITING yet; borrowed */
+  /* Bits of question_kind(): questions that no daemon could forward in this turn of the round. */
+  uint32_t refused_question_kinds;
+  uint64_t round;              /* number of the current placement round */
+  guint resume_position;       /* in WAITING, where the open round continues; 0: none is open */
+  guint round_gained_n;        /* entries of GAINED_CAPACITY when the open round began */
+  uint32_t visits_n;           /* workers and runs visited in this turn of the round */
   GHashTable *jobs_to_release; /* set of FbPoolJob with occurrences or steps to release; borrowed */
-  GHashTable
-      *jobs_with_dependencies; /* set of FbPoolJob with steps that depend on others; borrowed */
-  GHashTable *jobs;            /* id -> FbPoolJob */
-  GHashTable *active;          /* set of FbPoolJob that have not ended; borrowed */
+  /* Set of FbPoolJob whose steps may depend on each other; borrowed. */
+  GHashTable *jobs_with_dependencies;
+  GHashTable *jobs;    /* id -> FbPoolJob */
+  GHashTable *active;  /* set of FbPoolJob that have not ended; borrowed */
   GHashTable *ended;   /* set of FbPoolJob whose results are kept for late callers; borrowed */
   GHashTable *dirty;   /* set of FbPoolJob with changes that are not recorded yet; borrowed */
   GPtrArray *in_flush; /* of FbPoolJob: the jobs in the open flush; borrowed */
@@ -78,21 +78,21 @@
   GHashTable *suspects; /* set of FbPoolStep with tasks suspected of crashing workers; borrowed */
   GHashTable *unstored; /* set of FbPoolJob with suspects to be kept by other daemons; borrowed */
   GHashTable *causes; /* id hash of a crashed worker -> how many tasks may have caused the crash */
-  GHashTable *unresolved_losses;  /* id of a lost worker -> the tasks that were on it: see
-                                     pool-unresolved-losses.c */
-  gboolean unresolved_losses_due; /* the list of workers has changed and may settle
-                                     UNRESOLVED_LOSSES */
-  gboolean majority_answers;      /* a majority of the workers answered recently */
-  gboolean limit_reached;         /* a task has reached the limit of crashes */
-  uint64_t jobs_read_ms;          /* every job stored before this time is known */
-  gboolean workers_dirty;         /* the record of workers is out of date */
-  gboolean
-      may_start; /* at the last tick the owner was certain of its ownership, and not stopping */
+  /* Id of a lost worker -> the tasks that were on it: see pool-unresolved-losses.c. */
+  GHashTable *unresolved_losses;
+  /* The list of workers or UNRESOLVED_LOSSES has changed, so some losses may be resolved now. */
+  gboolean unresolved_losses_due;
+  gboolean majority_answers; /* a majority of the workers has answered within the last 1.5 s */
+  gboolean limit_reached;    /* a task may have reached its limit of crashes */
+  uint64_t jobs_read_ms;     /* every job stored before this time is known */
+  gboolean workers_dirty;    /* the record of workers is out of date */
+  /* At the last tick the owner was certain of its ownership, and not stopping. */
+  gboolean may_start;
   gboolean round_due;           /* capacity, jobs or advice arrived since the last round */
   uint64_t expired_ms;          /* when expired results were last searched for */
   uint64_t last_maintenance_ms; /* when workers and due times were last checked */
-  const char
-      *no_start_reason; /* why nothing could start at NO_START_MS, a static text; NULL: never so */
+  /* Why nothing could start at NO_START_MS, a static text; NULL: this never happened. */
+  const char *no_start_reason;
   uint64_t no_start_ms; /* the last time when nothing could start; 0: never */
 };
 
@@ -140,6 +140,7 @@
                           const FbPoolWorker *next);
 /* Returns: when to repeat a failed poll of a worker that has never answered. */
 uint64_t fb_pool_first_poll_retry_ms (const FbPoolWorker *worker, uint64_t now_ms);
+/* Returns: the number of the next attempt at task INDEX. */
 uint32_t fb_pool_next_attempt (const FbPool *self, const FbPoolStep *step, uint32_t index);
 /* RUN has certainly ended or never began: its capacity is free and its task is pending again.  HOW:
  * how it ended, a static text for the log. */
@@ -150,11 +151,14 @@
 
 /* Replaces zero members of LIMITS by the defaults. */
 void fb_pool_report_set_limits (FbPoolLimits *limits);
+/* A member of the gang STEP was refused, lost or ended: stops the others. */
 void fb_pool_stop_gang (FbPool *self, FbPoolStep *step, uint64_t now_ms);
 /* Marks JOB as ended and stops its runs. */
 void fb_pool_job_end (FbPool *self, FbPoolJob *job, fb_work_state state, uint64_t now_ms,
                       uint64_t wall_ms);
+/* JOB has to be recorded, and its steps may have become placeable. */
 void fb_pool_job_changed (FbPool *self, FbPoolJob *job);
+/* WORKER (nullable) has seen a higher epoch: the pool stops working. */
 void fb_pool_fenced (FbPool *self, const FbPoolWorker *worker);
 
 /* pool-loss.c */
@@ -209,13 +213,14 @@
 /* TRUE when a later incarnation of its worker may carry out RUN. */
 gboolean fb_pool_restart_may_deliver (const FbPool *self, const FbPoolRun *run);
 /* RUN never started on a later incarnation, so it was on the one that it was sent to: counts the
- * crash of that one. */
+ * crash of that one if RUN.deferred_crash holds one. */
 void fb_pool_restart_count_crash (FbPool *self, const FbPoolRun *run, uint64_t now_ms);
 /* WORKER has ended and NEXT receives calls that were meant for it.  Returns: FALSE when RUN has
  * ended with WORKER; TRUE when it is on NEXT, or may still be started there. */
 gboolean fb_pool_restart_transfer (FbPool *self, FbPoolWorker *worker, FbPoolRun *run,
                                    FbPoolWorker *next, uint64_t now_ms);
-/* WORKER reports RUN, which this owner did not start there. */
+/* WORKER reports RUN, which this owner did not start there: drops the same start from other
+ * incarnations. */
 void fb_pool_restart_found (FbPool *self, const FbPoolWorker *worker, FbPoolRun *run,
                             uint64_t now_ms);
 /* WORKER reports RUN. */
@@ -241,7 +246,7 @@
 gboolean fb_pool_has_labels_for (const FbPoolWorker *worker, const fb_work_step *shape);
 /* TRUE when WORKER could run such a task if it were empty.  Its size may change. */
 gboolean fb_pool_worker_could_run (const FbPoolWorker *worker, const fb_work_step *shape);
-/* Returns: the sum of the free shares of CPU, memory and GPUs of WORKER; the higher, the
+/* Returns: the weighted sum of the free shares of CPU, memory and GPUs of WORKER; the higher, the
  * emptier. */
 double fb_pool_worker_free_share (const FbPoolWorker *worker);
 /* TRUE when a task of STEP could start on WORKER now, apart from the ticket: WORKER accepts starts
@@ -294,8 +299,8 @@
 
 /* pool-advice.c */
 
-/* Asks the advice service about STEP if there is anything to ask.  Returns: FALSE when no daemon
- * can forward a question now. */
+/* Asks the advice service about STEP if there is anything to ask; for a step without advice, only
+ * preempts runs for it.  Returns: FALSE when no daemon can forward a question now. */
 gboolean fb_pool_ask_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms);
 /* The same, unless the service was asked about STEP before. */
 gboolean fb_pool_ask_first_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms);
--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -66,8 +66,8 @@
   /* Hash of the id: breaks ties between equal workers independently of the listing order, and
    * identifies the worker in crash records. */
   uint64_t id_hash;
-  gboolean gained_capacity; /* it can take more than in the last placement round */
-  gboolean accepted_work;   /* it accepted work at the last maintenance pass */
+  gboolean gained_capacity; /* it is in FbPool.gained_capacity */
+  gboolean accepted_work;   /* it accepted starts at the last maintenance pass */
   char *address;
   char *rack;
   char **labels;
@@ -119,18 +119,20 @@
   GHashTable *runs;            /* name of the task -> FbPoolRun */
   guint tombstones_n;          /* runs that are tombstones of late starts */
   guint suspect_runs_n;  /* runs of tasks under which workers have crashed or may have crashed */
-  guint isolated_runs_n; /* runs of tasks that are isolated from other suspected tasks */
+  guint isolated_runs_n; /* runs beside which nothing is started, as their tasks are isolated */
   /* Only this task may start here until exclusive_until_ms; NULL: any. Compared only, never
    * dereferenced. */
   const FbPoolTask *exclusive_for;
   uint64_t exclusive_until_ms;
   uint32_t unknown_runs_n; /* runs of unknown jobs, whose resource use is unknown */
-  int64_t cpu_used;
-  int64_t mem_used;
+  /* Resources that its runs use; best-effort runs use no CPU. */
+  int64_t cpu_used; /* 1/1000 CPU */
+  int64_t mem_used; /* MB */
   int64_t gpu_used;
   guint reserved_n; /* tasks for which resources are reserved while their steps wait for advice */
-  int64_t cpu_reserved;
-  int64_t mem_reserved;
+  /* Resources reserved for these tasks. */
+  int64_t cpu_reserved; /* 1/1000 CPU */
+  int64_t mem_reserved; /* MB */
   int64_t gpu_reserved;
 } FbPoolWorker;
 
@@ -142,13 +144,16 @@
 void fb_pool_worker_describe (FbPoolWorker *worker, const FbWorkerEntry *entry);
 /* Returns: a lower bound of the worker's clock now. */
 uint64_t fb_pool_worker_clock_low (const FbPoolWorker *worker, uint64_t now_ms);
+/* TRUE when WORKER has never answered, or not for longer than a poll takes. */
 gboolean fb_pool_worker_silent (const FbPoolWorker *worker, uint64_t now_ms);
 /* TRUE when every lease that the worker can hold has certainly ended. */
 gboolean fb_pool_worker_lease_expired (const FbPool *self, const FbPoolWorker *worker,
                                        uint64_t now_ms);
 FbPoolRun *fb_pool_worker_add_run (FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
                                    const char *name, uint32_t attempt);
+/* Removes RUN from WORKER and from its task, and frees it. */
 void fb_pool_worker_drop_run (FbPoolWorker *worker, FbPoolRun *run);
+/* TRUE when the free capacity of WORKER suffices for a task of SHAPE. */
 gboolean fb_pool_worker_fits (const FbPoolWorker *worker, const fb_work_step *shape);
 /* Throttles a worker whose runs keep failing; called after a failure and after a start. */
 void fb_pool_worker_throttle (FbPoolWorker *worker, uint64_t now_ms);
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -36,9 +36,9 @@
 
 typedef struct
 {
-  char *task;
+  char *task; /* name of the task: JOB.OCCURRENCE.STEP.INDEX */
   uint32_t attempt;
-  char *checkpoint;
+  char *checkpoint; /* the last one that the run saved; "" or NULL: none */
 } FbReportedRun;
 
 typedef enum
@@ -57,7 +57,7 @@
   char *task;
   uint32_t attempt;
   FbEndReason how;
-  char *checkpoint;
+  char *checkpoint; /* as in FbReportedRun */
 } FbReportedEnd;
 
 /* How a worker answered an order. */
@@ -85,21 +85,22 @@
   uint64_t clock_ms; /* the worker's clock; 0: not reported */
   GArray *running;   /* of FbReportedRun; NULL unless RESULT is FB_ORDER_DONE */
   GArray *finished;  /* of FbReportedEnd; NULL unless RESULT is FB_ORDER_DONE */
-  char *incarnation; /* with FB_ORDER_OTHER_INCARNATION: id of the incarnation that answered, if it
-                 accepts calls that are meant for the one that was asked; NULL otherwise */
+  /* With FB_ORDER_OTHER_INCARNATION: id of the incarnation that answered, if it accepts calls that
+   * are meant for the one that was asked; NULL otherwise. */
+  char *incarnation;
 } FbPollAnswer;
 
 /* ---- orders --------------------------------------------------------------- */
 
 typedef struct
 {
-  uint64_t order; /* passed back with the answer */
-  const char *worker;
+  uint64_t order;     /* number of the order, passed back with the answer */
+  const char *worker; /* id of the worker */
   const char *address;
-  uint64_t epoch;
+  uint64_t epoch; /* epoch of this owner */
   const char *task;
   uint32_t attempt;
-  const char *payload;
+  const char *payload;    /* payload of the job */
   const char *checkpoint; /* "": none */
   const char *ticket;     /* NULL: none */
   uint64_t deadline_ms;   /* on the worker's clock */
@@ -121,9 +122,9 @@
   const char *address;
   uint64_t epoch;
   uint64_t acknowledged; /* the worker need not list ends up to this number any more; 0: none */
-  uint64_t
-      deadline_ms;  /* new end of the lease, on the worker's clock; 0: the lease is not extended */
-  uint32_t wait_ms; /* how long the worker may delay its answer while it has nothing to report */
+  /* New end of the lease, on the worker's clock; 0: the lease is not extended. */
+  uint64_t deadline_ms;
+  uint32_t wait_ms;   /* how long the worker may delay its answer while it has nothing to report */
   uint32_t answer_ms; /* the poll has failed when no answer has come this long after WAIT_MS */
 } FbPollOrder;
 
@@ -149,9 +150,12 @@
 {
   uint32_t max_lease_ms; /* longest lease that a worker grants */
   uint32_t max_stop_ms;  /* longest time that a stop takes */
-  uint32_t gang_wait_ms; /* how long a started run waits for the rest of its gang */
-  /* How many workers may crash under a task before its job is given up: when nothing else that ran
-   * on one of them could have caused the crash, and in any case. 0: the pool's default. */
+  /* How long a worker lets a started run wait for the rest of its gang; the pool does not use it.
+   */
+  uint32_t gang_wait_ms;
+  /* Number of crashed workers at which the job of a task fails; 0: the pool's default.  The first
+   * limit applies when nothing else on one of the workers could have caused its crash and the
+   * evidence is good enough, the second, which is no lower, otherwise; see pool-crash.c. */
   uint32_t max_isolated_crashes;
   uint32_t max_shared_crashes;
   /* Ended runs that a worker lists in one answer; 0: the pool's default. */
