--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -59,7 +59,8 @@
   GPtrArray *gained_capacity;
   GPtrArray *waiting;  /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
   GPtrArray *unmerged; /* of FbPoolStep not merged into WAITING yet; borrowed */
-  /* Bits of question_kind(): questions that no daemon could forward in this turn of the round. */
+  /* Bits of question_kind() in pool-advice.c: questions that no daemon could forward in this turn
+   * of the round. */
   uint32_t refused_question_kinds;
   uint64_t round;              /* number of the current placement round */
   guint resume_position;       /* in WAITING, where the open round continues; 0: none is open */
@@ -75,14 +76,14 @@
   GPtrArray *in_flush; /* of FbPoolJob: the jobs in the open flush; borrowed */
   GHashTable *orders;  /* order -> FbPoolOrderRef */
   GQueue *unanswered_starts; /* of FbPoolUnansweredStart; the oldest at its head */
-  GHashTable *suspects; /* set of FbPoolStep with tasks suspected of crashing workers; borrowed */
+  GHashTable *suspects;      /* set of FbPoolStep with tasks whose crashes are counted; borrowed */
   GHashTable *unstored; /* set of FbPoolJob with suspects to be kept by other daemons; borrowed */
   GHashTable *causes; /* id hash of a crashed worker -> how many tasks may have caused the crash */
   /* Id of a lost worker -> the tasks that were on it: see pool-unresolved-losses.c. */
   GHashTable *unresolved_losses;
   /* The list of workers or UNRESOLVED_LOSSES has changed, so some losses may be resolved now. */
   gboolean unresolved_losses_due;
-  gboolean majority_answers; /* a majority of the workers has answered within the last 1.5 s */
+  gboolean majority_answers; /* a majority has answered within MAJORITY_ANSWER_MS (pool.c) */
   gboolean limit_reached;    /* a task may have reached its limit of crashes */
   uint64_t jobs_read_ms;     /* every job stored before this time is known */
   gboolean workers_dirty;    /* the record of workers is out of date */
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -22,10 +22,10 @@
 /* Renewals name at most this many workers, because the service takes time for each ticket, and work
  * is preempted for at most this many single tasks at once. */
 #define MAX_RENEWED 6
-/* A question without an answer is asked again this long after its decision was due: longer than the
- * daemon that calls the service waits for it.  With a bound on the whole, questions of 1.8 s that
- * queued behind others of 1.7 s were asked twice, and the second call delayed the following
- * ones. */
+/* A question without an answer is asked again after ADVICE_TIMEOUT_FACTOR times its expected
+ * duration and ADVICE_TIMEOUT_MS: longer than the daemon that calls the service waits for the
+ * answer.  With one fixed limit for the whole time, questions of 1.8 s that queued behind others
+ * of 1.7 s were asked twice, and the second call delayed the following ones. */
 #define ADVICE_TIMEOUT_MS 4000
 #define ADVICE_TIMEOUT_FACTOR 3
 /* Added to the longest time of a stop: until its end is reported and the gang is started. */
--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -1,8 +1,8 @@
 /* Chooses the worker for a task.
  *
  * can_start_now() is the only place that decides whether a task may start on a worker now.  Of the
- * workers that qualify, the one with the least capacity left afterwards is taken (best fit), so
- * that large free areas remain for large tasks. */
+ * workers that qualify, the one with the least free capacity is taken (best fit), so that workers
+ * with much free capacity remain for large tasks.  Long-running tasks are spread instead. */
 #include "internal/pool-crash.h"
 
 /* A ticket is not used when less than this is left of its validity, because the start order takes
@@ -234,14 +234,14 @@
 choose_one_rack (FbPool *self, FbPoolStep *step, FbPoolTicketRule rule, FbPoolWorker **chosen,
                  uint64_t now_ms)
 {
-  g_autoptr (GHashTable) unresolved = g_hash_table_new (g_str_hash, g_str_equal);
+  g_autoptr (GHashTable) tried_racks = g_hash_table_new (g_str_hash, g_str_equal);
   guint slot = 0;
   const FbPoolWorker *worker = NULL;
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       const char *rack = worker->rack;
       guint count = step->shape->count;
-      if (rack != NULL && g_hash_table_add (unresolved, (gpointer) rack)
+      if (rack != NULL && g_hash_table_add (tried_racks, (gpointer) rack)
           && fb_pool_choose_workers (self, step, count, rack, rule, chosen, now_ms) == count)
         return TRUE;
     }
--- a/src/work/pool-crash-record.c
+++ b/src/work/pool-crash-record.c
@@ -201,8 +201,9 @@
   return FALSE;
 }
 
-/* Restored crashes get one cause more: the other tasks on the worker are not recorded if their jobs
- * have ended, so they stay possible causes. */
+/* Counts recorded crashes of task INDEX. Each gets one possible cause besides this task, because
+ * the record does not name other tasks on the worker whose jobs have ended, and they stay possible
+ * causes. */
 static void
 restore_crashes (FbPool *self, FbPoolStep *step, uint32_t index, gboolean isolated,
                  const u_quad_t *workers, u_int n, uint64_t now_ms)
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -36,10 +36,10 @@
 #define STABLE_WAIT_MS 3500
 /* The lower limit applies only with at least this many confirmed crashes. */
 #define MIN_CONFIRMED_CRASHES 2
-/* The lower limit does not apply with this many crashes on shared workers: a single one on an
- * unshared worker is then too little proof. */
+/* The higher limit, max_shared_crashes, applies from this many crashes that other tasks may have
+ * caused: the few crashes without another possible cause are then too little proof. */
 #define MIN_SHARED_FOR_HIGHER_LIMIT 2
-/* Exceeds the sum of all other costs. */
+/* Cost of a worker whose answer to a poll is overdue: exceeds the sum of all other costs. */
 #define OVERDUE_ANSWER_COST 1000
 /* Network time of an answer to a poll, with some margin. */
 #define POLL_NETWORK_MS 100
@@ -564,7 +564,7 @@
 fb_pool_crash_cost (const FbPoolWorker *worker, const FbPoolTask *task, uint64_t now_ms)
 {
   gboolean isolated = suspect_score_of (task) >= ISOLATE_AFTER_CRASHES;
-  /* A silent worker may have crashed already, and that crash would count for TASK. */
+  /* A worker whose answer is overdue may have crashed already, and that would count for TASK. */
   gboolean overdue = now_ms > worker->last_answer_ms + FB_POOL_POLL_WAIT_MS + POLL_NETWORK_MS;
   /* The other runs there would be lost with the worker. */
   return worker->suspect_runs_n + (isolated ? g_hash_table_size (worker->runs) : 0)
--- a/src/work/pool-import-starts.c
+++ b/src/work/pool-import-starts.c
@@ -1,8 +1,8 @@
 /* Starts by earlier owners that other daemons remember and that are in no record.
  *
- * They are weak evidence only: such a start leaves an unresolved loss, like a worker that was lost
- * with the task on it (pool-unresolved-losses.c), until the worker answers or another incarnation
- * is found at its address. */
+ * They are evidence only, no proof of a crash: such a start leaves an unresolved loss, like a
+ * worker that was lost with the task on it (pool-unresolved-losses.c), until the worker answers or
+ * another incarnation is found at its address. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
--- a/src/work/pool-job.c
+++ b/src/work/pool-job.c
@@ -268,7 +268,7 @@
       const FbPoolTask *task = &step->tasks[i];
       if (!has_progress (task))
         continue;
-      fb_work_task_progress mark
+      fb_work_task_progress row
           = { .occurrence = step->occurrence,
               .step = step->index,
               .index = i,
@@ -277,14 +277,14 @@
               .checkpoint = task->checkpoint != NULL ? task->checkpoint : "" };
       if (task->failed != NULL)
         {
-          mark.failed.failed_len = task->failed->len;
-          mark.failed.failed_val = (u_int *) (gpointer) task->failed->data;
+          row.failed.failed_len = task->failed->len;
+          row.failed.failed_val = (u_int *) (gpointer) task->failed->data;
         }
-      g_array_append_val (task_progress, mark);
+      g_array_append_val (task_progress, row);
     }
 }
 
-/* PROGRESS borrows strings from the job; the caller frees its marks. */
+/* PROGRESS borrows strings from the job; the caller frees its array of task progress. */
 void
 fb_pool_job_progress (const FbPoolJob *job, fb_work_progress *progress)
 {
@@ -304,17 +304,17 @@
 }
 
 static void
-restore_task_progress (FbPoolJob *job, const fb_work_task_progress *mark)
+restore_task_progress (FbPoolJob *job, const fb_work_task_progress *row)
 {
-  FbPoolStep *step = fb_pool_job_step (job, mark->occurrence, mark->step);
-  if (step == NULL || mark->index >= step->shape->count)
+  FbPoolStep *step = fb_pool_job_step (job, row->occurrence, row->step);
+  if (step == NULL || row->index >= step->shape->count)
     return;
-  FbPoolTask *task = &step->tasks[mark->index];
-  task->attempt = MAX (task->attempt, mark->attempt);
-  for (u_int i = 0; i < mark->failed.failed_len; i++)
-    (void) fb_pool_task_count_failed (task, mark->failed.failed_val[i]);
-  fb_pool_task_set_checkpoint (step, mark->index, mark->checkpoint);
-  if (mark->done && !task->done)
+  FbPoolTask *task = &step->tasks[row->index];
+  task->attempt = MAX (task->attempt, row->attempt);
+  for (u_int i = 0; i < row->failed.failed_len; i++)
+    (void) fb_pool_task_count_failed (task, row->failed.failed_val[i]);
+  fb_pool_task_set_checkpoint (step, row->index, row->checkpoint);
+  if (row->done && !task->done)
     {
       task->done = TRUE;
       step->done_n++;
@@ -379,8 +379,8 @@
   return g_strdup_printf ("%s.%u.%u.%u", step->job->id, step->occurrence, step->index, index);
 }
 
-/* Splits NAME into "ID" and up to N numbers.  Returns: how many numbers there were; 0 when NAME is
- * malformed. */
+/* Splits NAME into the id of a job and up to N of the numbers after it.  Returns: how many numbers
+ * there were; 0 when NAME is malformed. */
 static guint
 split_name (const char *name, char *job, uint32_t *numbers, guint n)
 {
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -212,13 +212,14 @@
   return worker->may_restart && worker->acknowledged > worker->confirmed_acknowledged;
 }
 
-/* TRUE when a run on WORKER has not been listed since it was started. A later incarnation may have
- * it, because an answer to a start does not tell which incarnation sent it. */
+/* TRUE when WORKER has not listed some run since that run was started. The run may be on a later
+ * incarnation, because an answer to a start does not tell which incarnation sent it. */
 static gboolean
 has_unlisted_run (const FbPoolWorker *worker)
 {
-  /* While an end of an unknown job is listed, no run is resolved, and a full list of ends can only
-   * move on by an acknowledgement. */
+  /* While has_unknown_end is set, unlisted runs are not dropped, so waiting for them could last for
+   * ever; and a worker with a full list of ends lists further ends only after an acknowledgement.
+   */
   if (worker->has_unknown_end)
     return FALSE;
   GHashTableIter iter;
@@ -270,8 +271,8 @@
    * and the last lease runs out. */
   if (worker->answered && !fb_pool_worker_silent (worker, now_ms))
     order.deadline_ms = fb_pool_worker_clock_low (worker, now_ms) + lease_ms;
-  /* A worker with unacknowledged ends answers at once, so waiting for news would only repeat the
-   * same answer in a tight loop. */
+  /* While a worker has ends that may not be acknowledged yet, it answers a poll at once, again and
+   * again, so the poll asks for no wait. */
   if (worker->answered && worker->acknowledged == worker->seen_end && !worker->has_unknown_end
       && !fb_pool_owes_acknowledgement (worker))
     order.wait_ms = FB_POOL_POLL_WAIT_MS;
--- a/src/work/pool-record.c
+++ b/src/work/pool-record.c
@@ -172,7 +172,7 @@
       if (worker->acknowledged == worker->flushing_end)
         continue;
       worker->acknowledged = worker->flushing_end;
-      /* The worker keeps unacknowledged ends, and does not wait for news while it has any. */
+      /* The worker keeps unacknowledged ends, and answers polls at once while it has any. */
       fb_pool_order_poll (self, worker, now_ms);
     }
 }
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -6,11 +6,11 @@
  * leases have certainly ended.
  *
  * A worker that is unreachable at that moment takes up to 6.2 s until its lease ends, and holding
- * back everything for it kept whole pools idle. Until then these tasks may start, as they certainly
- * do not run there: steps that did not run there when the worker began to drain, steps for which
- * the worker lacks a label, steps that the advice service does not allow on it (its permissions
- * never change, and workers refuse starts without its ticket), and jobs that were stored after the
- * previous owner had stopped. */
+ * back everything for it kept whole pools idle. Until then tasks that certainly do not run there
+ * may start: those of steps that did not run there when the worker began to drain, of steps for
+ * which the worker lacks a label, of steps that the advice service does not allow on it (its
+ * permissions never change, and workers refuse starts without its ticket), and of jobs that were
+ * stored after the previous owner had stopped. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -10,14 +10,15 @@
 
 /* Pause between polls while an end waits for its job to be read from the store. */
 #define UNKNOWN_END_POLL_INTERVAL_MS 100
-/* Pause between polls. Polls return at once while ends are unacknowledged. When writes to the store
- * are slow, other ends at the worker are seen later by this pause, and a job has 250 ms to spare;
- * 35 workers cost 300 polls a second meanwhile. */
+/* Pause between polls while ends are not acknowledged, since polls are then answered at once, or
+ * after a poll has failed. When writes to the store are slow, other ends at the worker are seen
+ * later by this pause, and short jobs have 250 ms to spare; 35 workers cost 300 polls a second
+ * meanwhile. */
 #define POLL_INTERVAL_MS 120
 
 /* Most ends that a worker lists in one answer; later ends are listed once these are
  * acknowledged. */
-#define ENDS_LISTED_MAX 500
+#define MAX_REPORTED_ENDS 500
 
 static const char *const end_names[] = { "done", "failed", "stopped", "lapsed", "broken", "alone" };
 
@@ -25,7 +26,7 @@
 fb_pool_report_set_limits (FbPoolLimits *limits)
 {
   if (limits->max_reported_ends == 0)
-    limits->max_reported_ends = ENDS_LISTED_MAX;
+    limits->max_reported_ends = MAX_REPORTED_ENDS;
 }
 
 void
@@ -316,10 +317,10 @@
   return run;
 }
 
-/* The previous owner may have received a job directly and started it, and this owner lists the run
- * before it has read the job. Stopping the run as an orphan would lose its work, and the job would
- * start a second time once read. So a run of an unknown job keeps its worker to itself until the
- * job is read, or certainly does not exist. */
+/* The previous owner may have received a job directly and started it, and this owner finds the run
+ * in a worker's list before it has read the job. Stopping the run as an orphan would lose its work,
+ * and the job would start a second time once read. So a run of an unknown job keeps its worker to
+ * itself until the job is read, or certainly does not exist. */
 void
 fb_pool_adopt_runs (FbPool *self, const FbPoolJob *job)
 {
@@ -539,8 +540,8 @@
 /* If a worker leaves during a take-over, the new owner knows it from the previous owner's record
  * and would wait for its lease, 6 s with the whole pool idle (seen when a worker left 1 s before).
  * A worker that is missing from a list read under this epoch, and whose host answers that nothing
- * listens at the port, has left with all its runs. Neither sign alone is proof: lists can lose live
- * workers, and a network partition may refuse connections. */
+ * listens at the address, has left with all its runs. Neither sign alone is proof: lists can lose
+ * live workers, and a network partition may refuse connections. */
 static gboolean
 has_left (const FbPool *self, const FbPoolWorker *worker)
 {
--- a/src/work/pool-restart.c
+++ b/src/work/pool-restart.c
@@ -163,8 +163,8 @@
   FbPoolWorker *next = fb_pool_incarnation_running (self, named);
   if (worker->runs_ended) /* fb_pool_incarnation_known() found that it had ended */
     return;
-  if (next == worker) /* its start time says that it began later, but the answer is proof of the
-                         opposite */
+  /* By its start time WORKER began later, but the answer proves that NAMED runs now. */
+  if (next == worker)
     next = named;
   fb_pool_incarnation_set_latest (self, next);
   /* Starts that may have reached it are resolved by its answers or by the end of its leases. */
--- a/src/work/pool-worker.c
+++ b/src/work/pool-worker.c
@@ -193,8 +193,8 @@
   worker->gpu_reserved += sign * (int64_t) shape->gpu_count;
 }
 
-/* A worker that fails its runs quickly always looks free and would attract more work. So it gets
- * one run a second until one succeeds. A limit on the number of its runs would not do, since one
+/* A worker that fails its runs looks free and would therefore get more of them. So it gets one run
+ * a second until one succeeds. A limit on the number of its runs would not do, since one
  * long-running task would keep the worker out of use for good. */
 void
 fb_pool_worker_throttle (FbPoolWorker *worker, uint64_t now_ms)
--- a/tools/pool-mutants.sh
+++ b/tools/pool-mutants.sh
@@ -30,7 +30,7 @@
 clock-taken-as-exact|pool-worker.c|passed_ms * (1000 - CLOCK_SLOW_PERMILLE) / 1000|passed_ms * 1100 / 1000
 unanswered-start-forgotten|pool-orders.c|  else if (result != FB_ORDER_UNKNOWN)|  else if (TRUE)
 acknowledged-before-durable|pool-report.c|      worker->seen_end = end->number;|      worker->seen_end = worker->acknowledged = end->number;
-failure-not-recorded|pool-job.c|          mark.failed.failed_len = task->failed->len;|          mark.failed.failed_len = 0;
+failure-not-recorded|pool-job.c|          row.failed.failed_len = task->failed->len;|          row.failed.failed_len = 0;
 failures-by-highest-attempt|pool-job.c|      if (g_array_index (task->failed, uint32_t, i) == attempt)|      if (g_array_index (task->failed, uint32_t, i) >= attempt)
 done-not-recorded|pool-job.c|              .done = task->done,|              .done = FALSE,
 steps-at-once|pool-job.c|      step->released = ready;|      step->released = TRUE;
