--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -206,8 +206,8 @@
  * incarnations and got no answer. */
 void fb_pool_unanswered_starts_reject (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
 /* TRUE while WORKER has to refuse an earlier start of task INDEX. */
-gboolean fb_pool_restart_rejects (const FbPoolWorker *worker, const FbPoolStep *step,
-                                  uint32_t index);
+gboolean fb_pool_restart_has_tombstone (const FbPoolWorker *worker, const FbPoolStep *step,
+                                        uint32_t index);
 /* INCARNATION answered instead of WORKER, under the same id. */
 void fb_pool_worker_restarted (FbPool *self, FbPoolWorker *worker, const char *incarnation,
                                uint64_t now_ms);
@@ -312,7 +312,7 @@
 void fb_pool_ask_ahead (FbPool *self, FbPoolJob *job, uint64_t now_ms);
 
 /* Attaches runs that workers reported before JOB was known; they keep their capacity. */
-void fb_pool_adopt_runs (FbPool *self, const FbPoolJob *job);
+void fb_pool_attach_runs (FbPool *self, const FbPoolJob *job);
 /* Stops runs on WORKER that certainly belong to no job. */
 void fb_pool_stop_orphans (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
 
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -322,7 +322,7 @@
  * and the job would start a second time once read. So a run of an unknown job keeps its worker to
  * itself until the job is read, or certainly does not exist. */
 void
-fb_pool_adopt_runs (FbPool *self, const FbPoolJob *job)
+fb_pool_attach_runs (FbPool *self, const FbPoolJob *job)
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
--- a/src/work/pool-restart.c
+++ b/src/work/pool-restart.c
@@ -105,7 +105,7 @@
  * replace the tombstone in the table of runs, and the tombstone's resources would never be
  * released. So the task does not start there until the stop is answered. */
 gboolean
-fb_pool_restart_rejects (const FbPoolWorker *worker, const FbPoolStep *step, uint32_t index)
+fb_pool_restart_has_tombstone (const FbPoolWorker *worker, const FbPoolStep *step, uint32_t index)
 {
   if (worker->tombstones_n == 0)
     return FALSE;
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -291,7 +291,7 @@
   if (job->record.spec.steps.steps_len > 1)
     g_hash_table_add (self->jobs_with_dependencies, job);
   self->round_due = TRUE;
-  fb_pool_adopt_runs (self, job);
+  fb_pool_attach_runs (self, job);
   fb_event_log (
       FB_EVENT_JOB_TAKEN, "job=%s queue=%s steps=%u restored=%d age_ms=%u objective_ms=%u", id,
       job->record.policy.queue, job->record.spec.steps.steps_len, job->restored,
