--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -74,7 +74,7 @@
   GHashTable *ended;   /* set of FbPoolJob whose results are kept for late callers; borrowed */
   GHashTable *dirty;   /* set of FbPoolJob with changes that are not recorded yet; borrowed */
   GPtrArray *in_flush; /* of FbPoolJob: the jobs in the open flush; borrowed */
-  GHashTable *orders;  /* order -> FbPoolOrderRef */
+  GHashTable *orders;  /* number of an order without an answer -> FbPoolOrderRef */
   GQueue *unanswered_starts; /* of FbPoolUnansweredStart; the oldest at its head */
   GHashTable *suspects;      /* set of FbPoolStep with tasks whose crashes are counted; borrowed */
   GHashTable *unstored; /* set of FbPoolJob with suspects to be kept by other daemons; borrowed */
@@ -205,7 +205,7 @@
 /* WORKER has answered for the first time: tells it to refuse starts that were sent to earlier
  * incarnations and got no answer. */
 void fb_pool_unanswered_starts_reject (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
-/* TRUE while WORKER has to refuse an earlier start of task INDEX. */
+/* TRUE while WORKER may hold a tombstone: a late start of task INDEX that it has to refuse. */
 gboolean fb_pool_restart_has_tombstone (const FbPoolWorker *worker, const FbPoolStep *step,
                                         uint32_t index);
 /* INCARNATION answered instead of WORKER, under the same id. */
--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -26,7 +26,7 @@
   FbCrashEvidence evidence;
 } FbPoolCrash;
 
-/* One attempt of a task on a worker. Exists from the start request until the attempt has certainly
+/* One attempt of a task on a worker. Exists from the start order until the attempt has certainly
  * ended there. */
 struct _FbPoolRun
 {
@@ -43,7 +43,7 @@
   guint suspect_score;
   /* Begun here without a checkpoint: its duration measures the worker's speed. */
   gboolean from_start;
-  uint64_t order;            /* id of the last request sent for it */
+  uint64_t order;            /* number of the last order sent for it; 0: none */
   uint64_t deadline_ms;      /* deadline of the start, on the worker's clock */
   uint64_t seen_clock_ms;    /* worker's clock when the run was last known to be there; 0: never */
   uint64_t stopped_clock_ms; /* worker's clock when it accepted a stop; 0: not yet */
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -262,7 +262,7 @@
 }
 
 /* TRUE when RUN may have been on its worker. A start that neither an answer nor a list has
- * confirmed did not begin, or its request is still in flight: requests to a worker that has just
+ * confirmed did not begin, or its order is still in flight: orders to a worker that has just
  * crashed have no effect. */
 static gboolean
 run_may_have_begun (const FbPoolRun *run)
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -1,7 +1,7 @@
-/* Requests to workers (start, stop and poll) and the handling of their answers.
+/* Orders to workers (start, stop and poll) and the handling of their answers.
  *
- * A request without an answer may still be carried out. An unanswered start keeps its resources
- * reserved until a poll made after the start's deadline does not list the run: from then on the
+ * An order without an answer may still be carried out. An unanswered start counts as using its
+ * resources until a poll made after the start's deadline does not list the run: from then on the
  * worker would refuse the start as late. */
 #include "internal/pool-crash.h"
 
@@ -34,10 +34,11 @@
   return names[MIN (result, FB_ORDER_UNKNOWN)];
 }
 
+/* What an open order to start or stop a run is about. */
 typedef struct
 {
-  char *worker;
-  char *task;
+  char *worker; /* id of the worker */
+  char *task;   /* name of the task */
   uint32_t attempt;
 } FbPoolOrderRef;
 
@@ -75,7 +76,7 @@
   return *key;
 }
 
-/* Removes ORDER from the open requests.
+/* Removes ORDER from the open orders.
  *
  * Returns: its worker, NULL if unknown. *RUN is NULL when the run is over already, even if another
  * attempt of its task is on the worker. */
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -143,11 +143,11 @@
 /* Returns: what a step that could not be placed waits for, as a static text for the log. "turn":
  * for a daemon that can forward its question to the advice service. */
 static const char *
-wait_reason (const FbPoolStep *step, gboolean asked)
+wait_reason (const FbPoolStep *step, gboolean can_ask)
 {
   if (step->advice_until_ms != 0)
     return "advice";
-  return asked ? "room" : "turn";
+  return can_ask ? "room" : "turn";
 }
 
 /* Tries to place STEP, and asks for advice if that fails.  Returns: FALSE when no daemon can
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -49,7 +49,7 @@
 
 /* When workers are replaced one after the other during a take-over, each new one is unconfirmed for
  * its first moments, so that the take-over would never complete. A worker listed after the previous
- * owner had stopped and its last requests had expired cannot hold any of its runs. */
+ * owner had stopped and its last orders had expired cannot hold any of its runs. */
 static gboolean
 is_listed_after_takeover (const FbPool *self, const FbPoolWorker *worker)
 {
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -298,7 +298,7 @@
     step->job->state = FB_WORK_RUNNING;
 }
 
-/* Adds a run that this owner did not start; an earlier owner did. */
+/* Adds a run that WORKER lists and that this owner did not start there; an earlier owner did. */
 static FbPoolRun *
 adopt_run (FbPool *self, FbPoolWorker *worker, const FbReportedRun *seen, uint64_t now_ms)
 {
@@ -449,7 +449,7 @@
 /* The stored record names the steps that may still run on a draining worker; it is rewritten when
  * the last run there is over. */
 static void
-mark_dirty_if_emptied (FbPool *self, const FbPoolWorker *worker, guint runs_before)
+mark_workers_dirty_if_emptied (FbPool *self, const FbPoolWorker *worker, guint runs_before)
 {
   if (worker->draining && runs_before > 0 && g_hash_table_size (worker->runs) == 0)
     self->workers_dirty = TRUE;
@@ -530,7 +530,7 @@
    * fit into one answer. */
   if (!worker->has_unknown_end)
     drop_unlisted_runs (self, worker, answer->clock_ms, now_ms);
-  mark_dirty_if_emptied (self, worker, runs_before);
+  mark_workers_dirty_if_emptied (self, worker, runs_before);
   if (worker->has_unknown_end)
     worker->next_poll_ms = now_ms + UNKNOWN_END_POLL_INTERVAL_MS;
   else if (worker->acknowledged == worker->seen_end && fb_pool_may_poll_again (worker))
--- a/src/work/pool-restart.c
+++ b/src/work/pool-restart.c
@@ -11,8 +11,8 @@
 
 #include "fb-event.h"
 
-/* An unanswered request is carried out within this time, if at all. */
-#define LATE_REQUEST_MAX_MS 15000
+/* An unanswered order is carried out within this time, if at all. */
+#define LATE_ORDER_MAX_MS 15000
 /* Most unanswered starts kept, the newest; bounds the work at a worker's first answer, which scans
  * all of them. */
 #define UNANSWERED_STARTS_MAX 4096
@@ -55,7 +55,7 @@
 {
   const FbPoolUnansweredStart *oldest = NULL;
   while ((oldest = g_queue_peek_head (self->unanswered_starts)) != NULL
-         && (now_ms > oldest->sent_ms + LATE_REQUEST_MAX_MS
+         && (now_ms > oldest->sent_ms + LATE_ORDER_MAX_MS
              || self->unanswered_starts->length >= UNANSWERED_STARTS_MAX))
     unanswered_start_free (g_queue_pop_head (self->unanswered_starts));
   FbPoolUnansweredStart *start = g_new0 (FbPoolUnansweredStart, 1);
@@ -67,8 +67,7 @@
   g_queue_push_tail (self->unanswered_starts, start);
 }
 
-/* Reserves resources on WORKER for START, which may arrive there, until WORKER has accepted a stop
- * of it. */
+/* Charges START to WORKER, where it may arrive, until WORKER has accepted a stop of it. */
 static void
 add_tombstone (FbPool *self, FbPoolWorker *worker, const FbPoolUnansweredStart *start,
                uint64_t now_ms)
@@ -94,7 +93,7 @@
        l = l->next)
     {
       const FbPoolUnansweredStart *start = l->data;
-      if (now_ms <= start->sent_ms + LATE_REQUEST_MAX_MS
+      if (now_ms <= start->sent_ms + LATE_ORDER_MAX_MS
           && g_str_equal (start->address, worker->address)
           && !g_str_equal (start->incarnation, worker->id))
         add_tombstone (self, worker, start, now_ms);
--- a/src/work/pool-worker.c
+++ b/src/work/pool-worker.c
@@ -1,7 +1,7 @@
 /* Workers of a pool: their resources, clocks and leases.
  *
- * A run reserves its resources from the start request until its end is listed or it certainly never
- * began: a worker that does not check its own capacity starts whatever it is told to. */
+ * A run is charged for its resources from the start order until its end is listed or it certainly
+ * never began: a worker that does not check its own capacity starts whatever it is told to. */
 #include "internal/pool-crash.h"
 
 #include <string.h>
