--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -10,7 +10,7 @@
   FB_RUN_STOPPING
 } FbRunState;
 
-/* Evidence that a task was running on a worker when it crashed. */
+/* How it is known that a task was on a worker when that worker crashed. */
 typedef enum
 {
   FB_CRASH_REPORTED, /* a stored record or another daemon reports that it was started there */
@@ -68,13 +68,13 @@
   uint64_t id_hash;
   gboolean gained_capacity; /* it is in FbPool.gained_capacity */
   gboolean accepted_work;   /* it accepted starts at the last maintenance pass */
-  char *address;
-  char *rack;
-  char **labels;
+  char *address;            /* IP:PORT; NULL: not known yet */
+  char *rack;               /* NULL: not known */
+  char **labels;            /* NULL-terminated */
   uint32_t cpu_milli;
   uint32_t mem_mb;
   uint32_t gpu_count;
-  gboolean listed;
+  gboolean listed;    /* the platform lists it now */
   uint64_t listed_ms; /* when it was first listed; 0: known from a record only */
   gboolean draining;
   gboolean answered;         /* has answered a poll under the present epoch */
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -292,9 +292,9 @@
          && !is_starting_up (other);
 }
 
-/* Returns: how certain it is that RUN was on WORKER when it crashed. An unanswered start may have
- * been sent to a worker that had just crashed by itself. That is unlikely if the task is isolated
- * and the worker had answered a moment before. */
+/* Returns: how certain it is that RUN was on WORKER when WORKER crashed. An unanswered start may
+ * have been sent to a worker that had just crashed by itself. That is unlikely if the task is
+ * isolated and the worker had answered a moment before. */
 static FbCrashEvidence
 evidence_of (const FbPoolWorker *worker, const FbPoolRun *run)
 {
