--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -10,7 +10,7 @@
   FB_RUN_STOPPING
 } FbRunState;
 
-/* Evidence that a task was running on a worker when it crashed. */
+/* How it is known that a task was on a worker when that worker crashed. */
 typedef enum
 {
   FB_CRASH_REPORTED, /* a stored record or another daemon reports that it was started there */
@@ -26,7 +26,7 @@
   FbCrashEvidence evidence;
 } FbPoolCrash;
 
-/* One attempt of a task on a worker. Exists from the start request until the attempt has certainly
+/* One attempt of a task on a worker. Exists from the start order until the attempt has certainly
  * ended there. */
 struct _FbPoolRun
 {
@@ -43,7 +43,7 @@
   guint suspect_score;
   /* Begun here without a checkpoint: its duration measures the worker's speed. */
   gboolean from_start;
-  uint64_t order;            /* id of the last request sent for it */
+  uint64_t order;            /* number of the last order sent for it; 0: none */
   uint64_t deadline_ms;      /* deadline of the start, on the worker's clock */
   uint64_t seen_clock_ms;    /* worker's clock when the run was last known to be there; 0: never */
   uint64_t stopped_clock_ms; /* worker's clock when it accepted a stop; 0: not yet */
@@ -66,15 +66,15 @@
   /* Hash of the id: breaks ties between equal workers independently of the listing order, and
    * identifies the worker in crash records. */
   uint64_t id_hash;
-  gboolean gained_capacity; /* it can take more than in the last placement round */
-  gboolean accepted_work;   /* it accepted work at the last maintenance pass */
-  char *address;
-  char *rack;
-  char **labels;
+  gboolean gained_capacity; /* it is in FbPool.gained_capacity */
+  gboolean accepted_work;   /* it accepted starts at the last maintenance pass */
+  char *address;            /* IP:PORT; NULL: not known yet */
+  char *rack;               /* NULL: not known */
+  char **labels;            /* NULL-terminated */
   uint32_t cpu_milli;
   uint32_t mem_mb;
   uint32_t gpu_count;
-  gboolean listed;
+  gboolean listed;    /* the platform lists it now */
   uint64_t listed_ms; /* when it was first listed; 0: known from a record only */
   gboolean draining;
   gboolean answered;         /* has answered a poll under the present epoch */
@@ -118,19 +118,21 @@
   char *last_failed_job;       /* id of the job of the last failed run; NULL: none */
   GHashTable *runs;            /* name of the task -> FbPoolRun */
   guint tombstones_n;          /* runs that are tombstones of late starts */
-  guint suspect_runs_n; /* runs of tasks under which workers have crashed or may have crashed */
-  guint isolated_n;     /* runs of tasks that are isolated from other suspected tasks */
+  guint suspect_runs_n;  /* runs of tasks under which workers have crashed or may have crashed */
+  guint isolated_runs_n; /* runs beside which nothing is started, as their tasks are isolated */
   /* Only this task may start here until exclusive_until_ms; NULL: any. Compared only, never
    * dereferenced. */
   const FbPoolTask *exclusive_for;
   uint64_t exclusive_until_ms;
   uint32_t unknown_runs_n; /* runs of unknown jobs, whose resource use is unknown */
-  int64_t cpu_used;
-  int64_t mem_used;
+  /* Resources that its runs use; best-effort runs use no CPU. */
+  int64_t cpu_used; /* 1/1000 CPU */
+  int64_t mem_used; /* MB */
   int64_t gpu_used;
   guint reserved_n; /* tasks for which resources are reserved while their steps wait for advice */
-  int64_t cpu_reserved;
-  int64_t mem_reserved;
+  /* Resources reserved for these tasks. */
+  int64_t cpu_reserved; /* 1/1000 CPU */
+  int64_t mem_reserved; /* MB */
   int64_t gpu_reserved;
 } FbPoolWorker;
 
@@ -142,12 +144,16 @@
 void fb_pool_worker_describe (FbPoolWorker *worker, const FbWorkerEntry *entry);
 /* Returns: a lower bound of the worker's clock now. */
 uint64_t fb_pool_worker_clock_low (const FbPoolWorker *worker, uint64_t now_ms);
+/* TRUE when WORKER has never answered, or not for longer than a poll takes. */
 gboolean fb_pool_worker_silent (const FbPoolWorker *worker, uint64_t now_ms);
 /* TRUE when every lease that the worker can hold has certainly ended. */
-gboolean fb_pool_worker_lapsed (const FbPool *self, const FbPoolWorker *worker, uint64_t now_ms);
+gboolean fb_pool_worker_lease_expired (const FbPool *self, const FbPoolWorker *worker,
+                                       uint64_t now_ms);
 FbPoolRun *fb_pool_worker_add_run (FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
                                    const char *name, uint32_t attempt);
+/* Removes RUN from WORKER and from its task, and frees it. */
 void fb_pool_worker_drop_run (FbPoolWorker *worker, FbPoolRun *run);
+/* TRUE when the free capacity of WORKER suffices for a task of SHAPE. */
 gboolean fb_pool_worker_fits (const FbPoolWorker *worker, const fb_work_step *shape);
 /* Throttles a worker whose runs keep failing; called after a failure and after a start. */
 void fb_pool_worker_throttle (FbPoolWorker *worker, uint64_t now_ms);
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -1,7 +1,7 @@
-/* Requests to workers (start, stop and poll) and the handling of their answers.
+/* Orders to workers (start, stop and poll) and the handling of their answers.
  *
- * A request without an answer may still be carried out. An unanswered start keeps its resources
- * reserved until a poll made after the start's deadline does not list the run: from then on the
+ * An order without an answer may still be carried out. An unanswered start counts as using its
+ * resources until a poll made after the start's deadline does not list the run: from then on the
  * worker would refuse the start as late. */
 #include "internal/pool-crash.h"
 
@@ -34,10 +34,11 @@
   return names[MIN (result, FB_ORDER_UNKNOWN)];
 }
 
+/* What an open order to start or stop a run is about. */
 typedef struct
 {
-  char *worker;
-  char *task;
+  char *worker; /* id of the worker */
+  char *task;   /* name of the task */
   uint32_t attempt;
 } FbPoolOrderRef;
 
@@ -75,7 +76,7 @@
   return *key;
 }
 
-/* Removes ORDER from the open requests.
+/* Removes ORDER from the open orders.
  *
  * Returns: its worker, NULL if unknown. *RUN is NULL when the run is over already, even if another
  * attempt of its task is on the worker. */
@@ -212,13 +213,14 @@
   return worker->may_restart && worker->acknowledged > worker->confirmed_acknowledged;
 }
 
-/* TRUE when a run on WORKER has not been listed since it was started. A later incarnation may have
- * it, because an answer to a start does not tell which incarnation sent it. */
+/* TRUE when WORKER has not listed some run since that run was started. The run may be on a later
+ * incarnation, because an answer to a start does not tell which incarnation sent it. */
 static gboolean
 has_unlisted_run (const FbPoolWorker *worker)
 {
-  /* While an end of an unknown job is listed, no run is resolved, and a full list of ends can only
-   * move on by an acknowledgement. */
+  /* While has_unknown_end is set, unlisted runs are not dropped, so waiting for them could last for
+   * ever; and a worker with a full list of ends lists further ends only after an acknowledgement.
+   */
   if (worker->has_unknown_end)
     return FALSE;
   GHashTableIter iter;
@@ -270,8 +272,8 @@
    * and the last lease runs out. */
   if (worker->answered && !fb_pool_worker_silent (worker, now_ms))
     order.deadline_ms = fb_pool_worker_clock_low (worker, now_ms) + lease_ms;
-  /* A worker with unacknowledged ends answers at once, so waiting for news would only repeat the
-   * same answer in a tight loop. */
+  /* While a worker has ends that may not be acknowledged yet, it answers a poll at once, again and
+   * again, so the poll asks for no wait. */
   if (worker->answered && worker->acknowledged == worker->seen_end && !worker->has_unknown_end
       && !fb_pool_owes_acknowledgement (worker))
     order.wait_ms = FB_POOL_POLL_WAIT_MS;
@@ -312,7 +314,7 @@
   if (result != FB_ORDER_SUPERSEDED && result != FB_ORDER_BAD_TICKET)
     worker->paused_until_ms = now_ms + REFUSAL_PAUSE_MS;
   gboolean gang = step->shape->gang;
-  fb_pool_crash_task_gone (self, worker, step, run->index);
+  fb_pool_crash_task_absent (self, worker, step, run->index);
   fb_pool_run_ended (self, worker, run, "refused", now_ms);
   if (gang)
     fb_pool_stop_gang (self, step, now_ms);
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -6,11 +6,11 @@
  * leases have certainly ended.
  *
  * A worker that is unreachable at that moment takes up to 6.2 s until its lease ends, and holding
- * back everything for it kept whole pools idle. Until then these tasks may start, as they certainly
- * do not run there: steps that did not run there when the worker began to drain, steps for which
- * the worker lacks a label, steps that the advice service does not allow on it (its permissions
- * never change, and workers refuse starts without its ticket), and jobs that were stored after the
- * previous owner had stopped. */
+ * back everything for it kept whole pools idle. Until then tasks that certainly do not run there
+ * may start: those of steps that did not run there when the worker began to drain, of steps for
+ * which the worker lacks a label, of steps that the advice service does not allow on it (its
+ * permissions never change, and workers refuse starts without its ticket), and of jobs that were
+ * stored after the previous owner had stopped. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
@@ -49,7 +49,7 @@
 
 /* When workers are replaced one after the other during a take-over, each new one is unconfirmed for
  * its first moments, so that the take-over would never complete. A worker listed after the previous
- * owner had stopped and its last requests had expired cannot hold any of its runs. */
+ * owner had stopped and its last orders had expired cannot hold any of its runs. */
 static gboolean
 is_listed_after_takeover (const FbPool *self, const FbPoolWorker *worker)
 {
@@ -108,7 +108,7 @@
 }
 
 static gboolean
-may_hold (const FbPoolWorker *worker, const FbPoolStep *step)
+may_run_on (const FbPoolWorker *worker, const FbPoolStep *step)
 {
   if (!fb_pool_drain_may_run (worker, step))
     return FALSE;
@@ -165,7 +165,7 @@
     return FALSE;
   for (guint i = 0; i < self->unconfirmed_workers->len; i++)
     {
-      if (may_hold (self->unconfirmed_workers->pdata[i], step))
+      if (may_run_on (self->unconfirmed_workers->pdata[i], step))
         return TRUE;
     }
   return FALSE;
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -10,14 +10,15 @@
 
 /* Pause between polls while an end waits for its job to be read from the store. */
 #define UNKNOWN_END_POLL_INTERVAL_MS 100
-/* Pause between polls. Polls return at once while ends are unacknowledged. When writes to the store
- * are slow, other ends at the worker are seen later by this pause, and a job has 250 ms to spare;
- * 35 workers cost 300 polls a second meanwhile. */
+/* Pause between polls while ends are not acknowledged, since polls are then answered at once, or
+ * after a poll has failed. When writes to the store are slow, other ends at the worker are seen
+ * later by this pause, and short jobs have 250 ms to spare; 35 workers cost 300 polls a second
+ * meanwhile. */
 #define POLL_INTERVAL_MS 120
 
 /* Most ends that a worker lists in one answer; later ends are listed once these are
  * acknowledged. */
-#define ENDS_LISTED_MAX 500
+#define MAX_REPORTED_ENDS 500
 
 static const char *const end_names[] = { "done", "failed", "stopped", "lapsed", "broken", "alone" };
 
@@ -25,7 +26,7 @@
 fb_pool_report_set_limits (FbPoolLimits *limits)
 {
   if (limits->max_reported_ends == 0)
-    limits->max_reported_ends = ENDS_LISTED_MAX;
+    limits->max_reported_ends = MAX_REPORTED_ENDS;
 }
 
 void
@@ -297,7 +298,7 @@
     step->job->state = FB_WORK_RUNNING;
 }
 
-/* Adds a run that this owner did not start; an earlier owner did. */
+/* Adds a run that WORKER lists and that this owner did not start there; an earlier owner did. */
 static FbPoolRun *
 adopt_run (FbPool *self, FbPoolWorker *worker, const FbReportedRun *seen, uint64_t now_ms)
 {
@@ -316,12 +317,12 @@
   return run;
 }
 
-/* The previous owner may have received a job directly and started it, and this owner lists the run
- * before it has read the job. Stopping the run as an orphan would lose its work, and the job would
- * start a second time once read. So a run of an unknown job keeps its worker to itself until the
- * job is read, or certainly does not exist. */
+/* The previous owner may have received a job directly and started it, and this owner finds the run
+ * in a worker's list before it has read the job. Stopping the run as an orphan would lose its work,
+ * and the job would start a second time once read. So a run of an unknown job keeps its worker to
+ * itself until the job is read, or certainly does not exist. */
 void
-fb_pool_adopt_runs (FbPool *self, const FbPoolJob *job)
+fb_pool_attach_runs (FbPool *self, const FbPoolJob *job)
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
@@ -422,7 +423,7 @@
       fb_event_log (FB_EVENT_RUN_ABSENT, "task=%s attempt=%u worker=%s state=%d clock_ms=%u",
                     run->name, run->attempt, worker->id, run->state, (guint) clock_ms);
       if (step != NULL)
-        fb_pool_crash_task_gone (self, worker, step, run->index);
+        fb_pool_crash_task_absent (self, worker, step, run->index);
       fb_pool_restart_count_crash (self, run, now_ms);
       fb_pool_run_ended (self, worker, run, "absent", now_ms);
       if (step != NULL && step->shape->gang && !fb_pool_step_done (step)
@@ -448,7 +449,7 @@
 /* The stored record names the steps that may still run on a draining worker; it is rewritten when
  * the last run there is over. */
 static void
-mark_dirty_if_emptied (FbPool *self, const FbPoolWorker *worker, guint runs_before)
+mark_workers_dirty_if_emptied (FbPool *self, const FbPoolWorker *worker, guint runs_before)
 {
   if (worker->draining && runs_before > 0 && g_hash_table_size (worker->runs) == 0)
     self->workers_dirty = TRUE;
@@ -529,7 +530,7 @@
    * fit into one answer. */
   if (!worker->has_unknown_end)
     drop_unlisted_runs (self, worker, answer->clock_ms, now_ms);
-  mark_dirty_if_emptied (self, worker, runs_before);
+  mark_workers_dirty_if_emptied (self, worker, runs_before);
   if (worker->has_unknown_end)
     worker->next_poll_ms = now_ms + UNKNOWN_END_POLL_INTERVAL_MS;
   else if (worker->acknowledged == worker->seen_end && fb_pool_may_poll_again (worker))
@@ -539,8 +540,8 @@
 /* If a worker leaves during a take-over, the new owner knows it from the previous owner's record
  * and would wait for its lease, 6 s with the whole pool idle (seen when a worker left 1 s before).
  * A worker that is missing from a list read under this epoch, and whose host answers that nothing
- * listens at the port, has left with all its runs. Neither sign alone is proof: lists can lose live
- * workers, and a network partition may refuse connections. */
+ * listens at the address, has left with all its runs. Neither sign alone is proof: lists can lose
+ * live workers, and a network partition may refuse connections. */
 static gboolean
 has_left (const FbPool *self, const FbPoolWorker *worker)
 {
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -162,7 +162,7 @@
     {
       const fb_work_known_worker *known = &record->workers.workers_val[i];
       FbPoolWorker *worker = g_hash_table_lookup (self->workers, known->id);
-      gboolean empty = known->closed && known->steps.steps_len == 0;
+      gboolean empty = known->steps_known && known->steps.steps_len == 0;
       fb_pool_drain_restore (self, known);
       if (worker == NULL && !empty)
         {
@@ -193,7 +193,7 @@
 static void
 maintain_worker (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (!worker->runs_ended && fb_pool_worker_lapsed (self, worker, now_ms))
+  if (!worker->runs_ended && fb_pool_worker_lease_expired (self, worker, now_ms))
     fb_pool_worker_lost (self, worker, FB_LOSS_LEASE_ENDED, NULL, now_ms);
   GHashTableIter iter;
   gpointer value;
@@ -211,7 +211,7 @@
     move_runs_off_draining (self, worker, now_ms);
   fb_pool_stop_orphans (self, worker, now_ms);
   fb_pool_crash_note_silence (self, worker, now_ms);
-  fb_pool_crash_clear_lasted (self, worker);
+  fb_pool_crash_clear_long_running (self, worker);
   gboolean accepts_work = fb_pool_worker_accepts_starts (worker, now_ms);
   if (accepts_work && !worker->accepted_work)
     fb_pool_worker_gained_capacity (self, worker);
@@ -291,7 +291,7 @@
   if (job->record.spec.steps.steps_len > 1)
     g_hash_table_add (self->jobs_with_dependencies, job);
   self->round_due = TRUE;
-  fb_pool_adopt_runs (self, job);
+  fb_pool_attach_runs (self, job);
   fb_event_log (
       FB_EVENT_JOB_TAKEN, "job=%s queue=%s steps=%u restored=%d age_ms=%u objective_ms=%u", id,
       job->record.policy.queue, job->record.spec.steps.steps_len, job->restored,
@@ -363,7 +363,7 @@
   current->advice_decision_us = policy->advice_decision_us;
   current->advice_per_worker_us = policy->advice_per_worker_us;
   current->advice_validity_ms = policy->advice_validity_ms;
-  fb_pool_job_objective (job);
+  fb_pool_job_update_objective (job);
 }
 
 void
