--- a/src/base/ini.c
+++ b/src/base/ini.c
@@ -17,8 +17,8 @@
       char *line = g_strstrip (lines[i]);
       if (line[0] != '[' || g_hash_table_add (seen, line))
         continue;
-      fb_status_set_message ("%s: line %u: %s is declared twice, expected each group once", file,
-                             i + 1, line);
+      fb_status_set_message ("%s: line %u: %s stands twice, expected each group once", file, i + 1,
+                             line);
       return TRUE;
     }
   return FALSE;
@@ -155,7 +155,7 @@
     case FB_INI_CHOICE:
       return g_strdup_printf ("one of %s", field->choices);
     }
-  return g_strdup ("another value");
+  return g_strdup ("something else");
 }
 
 static FbIniStatus
