--- a/include/fb-event.h
+++ b/include/fb-event.h
@@ -17,8 +17,9 @@
  * the usual ones. */
 void fb_event_log (FbEvent event, const char *format, ...) G_GNUC_PRINTF (2, 3);
 
-/* Writes the log of this process to stderr, one line per event. QUIET turns event lines off, which
- * fuzzers and benchmarks need. */
+/* Writes the log of this process to stderr, one line per event. QUIET drops the lines of events of
+ * every level, which fuzzers and benchmarks need; messages of libraries, which are written from
+ * level "message" up, are not affected. */
 void fb_event_init (const char *process_name, gboolean quiet);
 /* Writes the log to stdout instead, at most LINES_PER_S lines a second. A line above that limit, or
  * one for which the write would block, is dropped and counted. */
--- a/include/fb-traffic.h
+++ b/include/fb-traffic.h
@@ -1,5 +1,5 @@
-/* Bytes of headers and bodies that the daemon sends and receives as an HTTP client, by purpose,
- * exported at /metrics. Requests of callers are not included.
+/* Bytes of headers and bodies that the daemon sends and receives, by purpose, exported at /metrics.
+ * Requests of callers are not included.
  *
  * The list is fixed at build time (traffic.def). Values are atomic: any thread may add. */
 #pragma once
--- a/include/fb-types.h
+++ b/include/fb-types.h
@@ -10,8 +10,8 @@
 #include "rpc/peer.h"
 
 #define FB_NO_DEADLINE_MS G_MAXUINT64
-#define FB_PARTNER_N 2 /* number of partners */
-#define FB_NO_WORKER G_MAXUINT32
+#define FB_PARTNER_N 2           /* number of partners */
+#define FB_NO_WORKER G_MAXUINT32 /* no worker index */
 
 /* Index into fb_res.amount. The name includes the unit. */
 typedef enum
@@ -67,28 +67,29 @@
   FB_RUN_STATUS_UNDETERMINED /* some worker has not replied yet */
 } FbRunStatus;
 
+/* Why a run or a job was refused, has not run, was stopped or has an unknown outcome. */
 typedef enum
 {
   FB_REASON_NONE,
-  FB_REASON_NEVER_FITS,
-  FB_REASON_QUEUE_FULL,
-  FB_REASON_QUOTA,
-  FB_REASON_NOT_LENT,
-  FB_REASON_WRONG_EPOCH,
-  FB_REASON_LEAVING,
-  FB_REASON_PAST_DUE,
-  FB_REASON_WITHDRAWN,
-  FB_REASON_EXPIRED,
-  FB_REASON_PREEMPTED,
-  FB_REASON_RECLAIMED,
-  FB_REASON_WORKER_LOST,
-  FB_REASON_WORKER_REFUSED,
-  FB_REASON_CANCELLED,
-  FB_REASON_OWNER_CHANGED,
-  FB_REASON_OVERLOAD,
-  FB_REASON_KEY_MISMATCH,
-  FB_REASON_LOG_DOWN,
-  FB_REASON_RETENTION, /* may have been forgotten: the log dropped records */
+  FB_REASON_NEVER_FITS,     /* no host is large enough, or the job is invalid */
+  FB_REASON_QUEUE_FULL,     /* at the rack */
+  FB_REASON_QUOTA,          /* the demand exceeds the part of the quota that the rack gives */
+  FB_REASON_NOT_LENT,       /* the rack does not lend to such work of the other partner */
+  FB_REASON_WRONG_EPOCH,    /* sent to, or by, an owner that is not the current one */
+  FB_REASON_LEAVING,        /* the worker, or the owner of the rack, is leaving */
+  FB_REASON_PAST_DUE,       /* the latest start has passed */
+  FB_REASON_WITHDRAWN,      /* by the owner of its range, before it started */
+  FB_REASON_EXPIRED,        /* the reservation was neither committed nor queried in time */
+  FB_REASON_PREEMPTED,      /* for other work of its own partner, or for lack of memory */
+  FB_REASON_RECLAIMED,      /* preempted for the partner that the rack belongs to */
+  FB_REASON_WORKER_LOST,    /* the worker restarted, or its lease lapsed; or its rack is silent */
+  FB_REASON_WORKER_REFUSED, /* the worker refused the start order */
+  FB_REASON_CANCELLED,      /* at the request of its caller, or together with its gang */
+  FB_REASON_OWNER_CHANGED,  /* the owner of its range did not answer in time */
+  FB_REASON_OVERLOAD,       /* the range has FB_RANGE_JOB_MAX jobs */
+  FB_REASON_KEY_MISMATCH,   /* the key was used for a different job */
+  FB_REASON_LOG_DOWN,       /* appends to the log fail */
+  FB_REASON_RETENTION,      /* may have been forgotten: the log dropped records */
   FB_REASON_N
 } FbReason;
 
--- a/include/internal/member.h
+++ b/include/internal/member.h
@@ -12,10 +12,10 @@
 
 typedef enum
 {
-  FB_MEMBER_UNHEARD,
+  FB_MEMBER_UNHEARD, /* no heartbeat has arrived yet */
   FB_MEMBER_ALIVE,
-  FB_MEMBER_LEAVING,
-  FB_MEMBER_SUSPECTED
+  FB_MEMBER_LEAVING,  /* begins a planned stop: gets no shards */
+  FB_MEMBER_SUSPECTED /* silent for FB_MEMBER_SUSPECT_MS */
 } FbMemberState;
 
 FbMembers *fb_members_new (void);
--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -23,26 +23,26 @@
   uint32_t partner;
 
   /* The owner as known from heartbeats. */
-  uint64_t known_epoch;
-  int owner; /* index of a member, or -1 */
+  uint64_t known_epoch; /* highest epoch known of an owner; 0 if none */
+  int owner;            /* index of a member, or -1 */
   uint64_t owner_incarnation;
   uint64_t announced_ms; /* when the owner last announced the shard */
 
   /* The shard as held by this daemon. */
   FbShardRole role;
-  uint64_t epoch;
-  FbStream *stream;              /* NULL unless reading or owned */
-  FbRack *rack;                  /* of an owned rack, else NULL */
-  FbRange *range;                /* of a range that is read or owned, else NULL */
-  gboolean lost;                 /* given up: its objects are freed by fb_node_reap() */
-  gboolean reading;              /* a read of the stream is not answered yet */
+  uint64_t epoch;   /* if OWNED or DRAINING: of this daemon */
+  FbStream *stream; /* NULL unless reading or owned */
+  FbRack *rack;     /* of an owned rack, else NULL */
+  FbRange *range;   /* of a range that is read or owned, else NULL */
+  gboolean lost;    /* given up: fb_node_reap() frees its objects once no call uses them */
+  gboolean reading; /* a read of the stream is not answered yet */
   uint64_t read_requested_ms;    /* when the last read was requested */
   uint64_t read_until;           /* read until the next offset is at least this one */
   uint64_t confirm_requested_ms; /* when the rack asked to confirm the ownership, or 0 */
   uint64_t claim_at_ms;          /* earliest time of the next claim */
   uint64_t drain_since_ms;       /* if DRAINING */
   uint64_t renewed_ms; /* when the last RENEW was appended; 0: append one at the next tick */
-  gboolean renew_read; /* a RENEW was read; its members follow */
+  gboolean renew_read; /* a RENEW was read; the next three members are those of fb_rec_renew */
   uint64_t renew_oldest;
   uint64_t renew_history_gap_ms;
   gboolean renew_surveying;
@@ -61,15 +61,15 @@
   uint32_t copies;       /* how often the submission was sent */
   int sent_to;           /* index of the member that got all copies, or -1 */
   uint64_t sent_to_incarnation;
-  gboolean admitted;
+  gboolean admitted;       /* the owner of the range has answered that the job is admitted */
   gboolean until_admitted; /* see fb_node_submit() */
 } FbCaller;
 
 /* Configuration of one partner. */
 typedef struct
 {
-  uint64_t serial; /* of the revision in force; 0 if none */
-  GBytes *revision;
+  uint64_t serial;  /* of the revision in force; 0 if none */
+  GBytes *revision; /* encoded revision in force; NULL if none */
   uint8_t signature[FB_REC_SIGNATURE_BYTES];
   FbPolicy *policy;
   uint64_t written_ms;     /* when the revision was last seen in the log */
--- a/include/internal/node.h
+++ b/include/internal/node.h
@@ -112,11 +112,11 @@
  * reported by config_changed() and fb_node_config_serial(). */
 typedef enum
 {
-  FB_NODE_CONFIG_OK,
+  FB_NODE_CONFIG_OK, /* valid; fb_node_publish() has appended it to the log */
   FB_NODE_CONFIG_MALFORMED,
-  FB_NODE_CONFIG_UNSIGNED,
-  FB_NODE_CONFIG_CONFLICT,
-  FB_NODE_CONFIG_INVALID
+  FB_NODE_CONFIG_UNSIGNED, /* not signed with the key of its partner */
+  FB_NODE_CONFIG_CONFLICT, /* its serial is not the next after the revision in force */
+  FB_NODE_CONFIG_INVALID   /* an error in its files; see fb_status_message() */
 } FbNodeConfigStatus;
 FbNodeConfigStatus fb_node_publish (FbNode *self, uint64_t now_ms, const fb_rec_config *config);
 
--- a/include/internal/place.h
+++ b/include/internal/place.h
@@ -20,7 +20,7 @@
   const char *name;
   /* Returns: the cost of a placement; the smallest one is chosen, a negative one forbids
    * the placement. */
-  int64_t (*cost) (const FbPlaceCandidate *view);
+  int64_t (*cost) (const FbPlaceCandidate *candidate);
 };
 typedef struct _FbPlacePolicy FbPlacePolicy;
 
--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -61,8 +61,7 @@
   gboolean urgent_only; /* only the home partner's urgent work may start here */
   uint64_t incarnation;
   uint64_t incarnation_seen_ms;   /* when its first reply of this incarnation arrived */
-  uint64_t confirmed_incarnation; /* incarnation for which ownership was confirmed, or 0; see
-                                  fb_rack_ownership_confirmed() */
+  uint64_t confirmed_incarnation; /* see fb_rack_ownership_confirmed(); 0 if none */
   uint64_t clock_ms;              /* its own clock in the last reply */
   uint64_t last_reply_ms;         /* when the last reply arrived */
   uint64_t sync_at_ms;            /* when the next periodic request is due */
@@ -87,7 +86,7 @@
   const FbRackSink *sink;
   gpointer user;
   FbRackPolicy policy;
-  gboolean draining;
+  gboolean draining;  /* fb_rack_drain() was called: refuses new work */
   GPtrArray *workers; /* FbWorker owned */
   GHashTable *tasks;  /* fb_run * in the task -> FbTask owned */
   FbTaskQueues *queues;
@@ -95,10 +94,9 @@
   GQueue ended;      /* ended FbTask that the rack still has to remember */
   fb_res total;      /* capacity of all workers */
   fb_res partner_used[FB_PARTNER_N];
-  GHashTable *team_used; /* partner << 32 | team -> fb_res owned */
-  GHashTable
-      *range_epochs; /* range + 1 -> uint64_t owned: highest epoch seen of the owner of the range */
-  gboolean wants_schedule; /* run a scheduling pass at the next flush */
+  GHashTable *team_used;    /* partner << 32 | team -> fb_res owned */
+  GHashTable *range_epochs; /* range + 1 -> uint64_t owned: highest epoch seen of its owner */
+  gboolean wants_schedule;  /* run a scheduling pass at the next flush */
   uint64_t starts_paused_until_ms;
   uint64_t confirm_requested_ms; /* when sink->confirm_ownership() was called last */
   fb_run hold_run;               /* the task that hold_worker is kept free for */
--- a/include/internal/rack.h
+++ b/include/internal/rack.h
@@ -18,10 +18,9 @@
  * successor needs to take over the rack (about 6 s), so that runs outlive their owner.
  * The runs of a lost worker are started again only after it. */
 #define FB_RACK_LEASE_MS 10000
-#define FB_RACK_START_MS 2000 /* a worker refuses a start order older than this */
-#define FB_RACK_CLOCK_DRIFT_PERCENT                                                                \
-  2                                 /* added to the lease for clocks that run at different rates */
-#define FB_RACK_SYNC_PERIOD_MS 2500 /* period of exchanges with an idle worker */
+#define FB_RACK_START_MS 2000         /* a worker refuses a start order older than this */
+#define FB_RACK_CLOCK_DRIFT_PERCENT 2 /* added to the lease: clocks differ in their rate */
+#define FB_RACK_SYNC_PERIOD_MS 2500   /* period of exchanges with an idle worker */
 #define FB_RACK_REPORT_PERIOD_MS 1000 /* between repeats of an unacknowledged report */
 #define FB_RACK_RESERVE_MS 5000       /* a reservation lapses unless the range queries it */
 #define FB_RACK_HOLD_MS 2000          /* waiting time after which a task may hold a worker */
--- a/include/internal/range-query.h
+++ b/include/internal/range-query.h
@@ -15,13 +15,14 @@
  * there is none before it. */
 uint64_t fb_range_oldest_offset (const FbRange *self, uint64_t next);
 
+/* One task of a job, see FbJobTask. */
 typedef struct
 {
   uint32_t index;
-  uint32_t attempt;
-  uint32_t rack;
+  uint32_t attempt; /* number of the last attempt; 0 if none */
+  uint32_t rack;    /* of the last attempt, or FB_NO_RACK */
   FbOutcome outcome;
-  const char *state;
+  const char *state; /* name of its FbJobTaskState, static */
 } FbRangeTaskView;
 typedef void (*FbRangeTaskFunc) (gpointer user, const FbRangeTaskView *task);
 
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -19,8 +19,8 @@
 #define FB_RANGE_REBALANCE_MS 3000     /* a task queued for longer may move to another rack */
 #define FB_RANGE_DUE_GRACE_MS 2000     /* wait for a rack's report after the due time */
 #define FB_RANGE_GANG_RESERVE_MS 15000 /* for all members of a gang to reserve capacity */
-#define FB_RANGE_JOB_MAX 20000
-#define FB_RANGE_TASK_MAX 20000
+#define FB_RANGE_JOB_MAX 20000  /* jobs in one range, ended ones that are remembered included */
+#define FB_RANGE_TASK_MAX 20000 /* tasks of one job */
 #define FB_RANGE_KEEP_MS (60 * 60 * 1000) /* how long ended jobs and their keys are remembered */
 #define FB_RANGE_FAIL_RETRIES 1           /* of a task that its target failed */
 #define FB_RANGE_LOST_RETRIES 8           /* of a task whose worker was lost */
--- a/include/internal/stream.h
+++ b/include/internal/stream.h
@@ -10,8 +10,10 @@
 
 typedef enum
 {
-  FB_STREAM_OK,      /* RECORD is valid and is to be applied */
-  FB_STREAM_CLAIMED, /* RECORD is a claim, or a RENEW that names the claim, which is in force now */
+  FB_STREAM_OK, /* RECORD is valid and is to be applied */
+  /* RECORD is a claim that is in force from now on, or a RENEW that made known which claim is in
+   * force */
+  FB_STREAM_CLAIMED,
   FB_STREAM_DUPLICATE,  /* duplicate of a record from a repeated append */
   FB_STREAM_SUPERSEDED, /* from an epoch that a later claim has ended, or a claim that lost */
   FB_STREAM_MALFORMED,
