--- a/rpc/work.x
+++ b/rpc/work.x
@@ -34,7 +34,7 @@
   bool checkpointing;
   bool speculative;
   bool long_running;
-  bool best_effort; /* best-effort: uses only what other tasks leave; its cpu is not counted */
+  bool best_effort; /* uses only what other tasks leave; its cpu is not counted */
   string preferred_rack<FB_WORK_MAX_NAME>;
   string required_label<FB_WORK_MAX_NAME>;
   string image<FB_WORK_MAX_NAME>;
--- a/src/core/codec.c
+++ b/src/core/codec.c
@@ -189,27 +189,27 @@
 }
 
 GBytes *
-fb_codec_encode_peer_request (const fb_peer_request *ask)
+fb_codec_encode_peer_request (const fb_peer_request *request)
 {
-  return encode ((xdrproc_t) xdr_fb_peer_request, ask, RECORD_MAX_BYTES);
+  return encode ((xdrproc_t) xdr_fb_peer_request, request, RECORD_MAX_BYTES);
 }
 
 gboolean
-fb_codec_decode_peer_request (const void *data, gsize len, fb_peer_request *ask)
+fb_codec_decode_peer_request (const void *data, gsize len, fb_peer_request *request)
 {
-  return decode_whole ((xdrproc_t) xdr_fb_peer_request, data, len, sizeof *ask, ask);
+  return decode_whole ((xdrproc_t) xdr_fb_peer_request, data, len, sizeof *request, request);
 }
 
 GBytes *
-fb_codec_encode_peer_reply (const fb_peer_reply *told)
+fb_codec_encode_peer_reply (const fb_peer_reply *reply)
 {
-  return encode ((xdrproc_t) xdr_fb_peer_reply, told, RECORD_MAX_BYTES);
+  return encode ((xdrproc_t) xdr_fb_peer_reply, reply, RECORD_MAX_BYTES);
 }
 
 gboolean
-fb_codec_decode_peer_reply (const void *data, gsize len, fb_peer_reply *told)
+fb_codec_decode_peer_reply (const void *data, gsize len, fb_peer_reply *reply)
 {
-  return decode_whole ((xdrproc_t) xdr_fb_peer_reply, data, len, sizeof *told, told);
+  return decode_whole ((xdrproc_t) xdr_fb_peer_reply, data, len, sizeof *reply, reply);
 }
 
 GBytes *
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -29,60 +29,60 @@
 }
 
 static int64_t
-left_over_milli (const FbPlaceCandidate *view)
+left_over_milli (const FbPlaceCandidate *candidate)
 {
   uint64_t sum_milli = 0;
   for (guint i = 0; i < FB_RES_N; i++)
-    sum_milli
-        += milli_of (view->free->amount[i] - view->demand->amount[i], view->capacity->amount[i]);
+    sum_milli += milli_of (candidate->free->amount[i] - candidate->demand->amount[i],
+                           candidate->capacity->amount[i]);
   return (int64_t) sum_milli;
 }
 
 static int64_t
-first_fit_cost (const FbPlaceCandidate *view)
+first_fit_cost (const FbPlaceCandidate *candidate)
 {
-  return view->index;
+  return candidate->index;
 }
 
 static int64_t
-worst_fit_cost (const FbPlaceCandidate *view)
+worst_fit_cost (const FbPlaceCandidate *candidate)
 {
-  return FB_RES_N * 1000 - left_over_milli (view);
+  return FB_RES_N * 1000 - left_over_milli (candidate);
 }
 
 static int64_t
-dot_product_cost (const FbPlaceCandidate *view)
+dot_product_cost (const FbPlaceCandidate *candidate)
 {
   uint64_t dot = 0;
   for (guint i = 0; i < FB_RES_N; i++)
-    dot += milli_of (view->demand->amount[i], view->capacity->amount[i])
-           * milli_of (view->free->amount[i], view->capacity->amount[i]);
+    dot += milli_of (candidate->demand->amount[i], candidate->capacity->amount[i])
+           * milli_of (candidate->free->amount[i], candidate->capacity->amount[i]);
   return (int64_t) (FB_RES_N * 1000 * 1000 - MIN (dot, FB_RES_N * 1000 * 1000));
 }
 
 static gboolean
-strands_accelerators (const FbPlaceCandidate *view)
+strands_accelerators (const FbPlaceCandidate *candidate)
 {
-  uint64_t accel_free = view->free->amount[FB_RES_ACCEL_COUNT];
-  uint64_t accel_total = view->capacity->amount[FB_RES_ACCEL_COUNT];
-  if (accel_free == 0 || view->demand->amount[FB_RES_ACCEL_COUNT] > 0)
+  uint64_t accel_free = candidate->free->amount[FB_RES_ACCEL_COUNT];
+  uint64_t accel_total = candidate->capacity->amount[FB_RES_ACCEL_COUNT];
+  if (accel_free == 0 || candidate->demand->amount[FB_RES_ACCEL_COUNT] > 0)
     return FALSE;
   static const FbResource guarded[] = { FB_RES_CPU_MILLI, FB_RES_MEM_BYTES, FB_RES_SLOT_COUNT };
   for (guint i = 0; i < G_N_ELEMENTS (guarded); i++)
     {
       FbResource r = guarded[i];
-      uint64_t kept
-          = view->capacity->amount[r] / accel_total * accel_free * view->guard_milli / 1000;
-      if (view->free->amount[r] < view->demand->amount[r] + kept)
+      uint64_t kept = candidate->capacity->amount[r] / accel_total * accel_free
+                      * candidate->guard_milli / 1000;
+      if (candidate->free->amount[r] < candidate->demand->amount[r] + kept)
         return TRUE;
     }
   return FALSE;
 }
 
 static int64_t
-accel_guard_cost (const FbPlaceCandidate *view)
+accel_guard_cost (const FbPlaceCandidate *candidate)
 {
-  return strands_accelerators (view) ? -1 : left_over_milli (view);
+  return strands_accelerators (candidate) ? -1 : left_over_milli (candidate);
 }
 
 const FbPlacePolicy fb_place_first_fit = { "first-fit", first_fit_cost };
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -11,7 +11,7 @@
  * one where the least run time is lost. Runs that checkpoint lose nothing. Capacity that
  * is already being freed is counted first, so that ten urgent tasks do not stop one
  * victim each if a single victim makes room for all ten. The worker is marked as
- * promised; otherwise batch work would take each part of the capacity as it becomes free,
+ * urgent_only; otherwise batch work would take each part of the capacity as it becomes free,
  * and the urgent task would never fit.
  *
  * The loss is bounded: a run that was stopped FB_RACK_PREEMPT_MAX times is not stopped
--- a/src/core/rack-commands.c
+++ b/src/core/rack-commands.c
@@ -26,7 +26,7 @@
 }
 
 static gboolean
-quota_holds (const fb_res *demand, const fb_res *slice)
+fits_quota (const fb_res *demand, const fb_res *slice)
 {
   for (guint i = 0; i < FB_RES_N; i++)
     {
@@ -64,7 +64,7 @@
       || !fits_some_worker (self, &spec->demand))
     return FB_REASON_NEVER_FITS;
   const FbTeam *team = fb_teams_get (self->policy.teams, spec->partner, spec->team);
-  if (!quota_holds (&spec->demand, &team->quota_slice))
+  if (!fits_quota (&spec->demand, &team->quota_slice))
     return FB_REASON_QUOTA;
   gboolean guest = spec->partner != self->home;
   if (guest && (self->policy.lend_milli == 0 || !(spec->flags & FB_FLAG_PREEMPTIBLE)))
@@ -140,8 +140,8 @@
     {
       FbRunStatus run_status
           = fb_rack_is_complete (self) ? FB_RUN_STATUS_NOT_FOUND : FB_RUN_STATUS_UNDETERMINED;
-      fb_spec asked = { .run = command->run, .range = command->range };
-      fb_rack_report (self, &asked, FB_NO_WORKER, run_status, FB_REASON_NONE, NULL);
+      fb_spec unknown = { .run = command->run, .range = command->range };
+      fb_rack_report (self, &unknown, FB_NO_WORKER, run_status, FB_REASON_NONE, NULL);
       return;
     }
   switch (task->state)
--- a/src/core/range-dispatch.c
+++ b/src/core/range-dispatch.c
@@ -35,16 +35,16 @@
 static guint
 spread_in_domain (gpointer user, uint32_t domain)
 {
-  SpreadContext *view = user;
+  SpreadContext *context = user;
   GHashTableIter iter;
   gpointer key;
   gpointer count;
   guint sum = 0;
-  g_hash_table_iter_init (&iter, view->job->per_rack);
+  g_hash_table_iter_init (&iter, context->job->per_rack);
   while (g_hash_table_iter_next (&iter, &key, &count))
     {
       uint32_t rack = GPOINTER_TO_UINT (key) - 1;
-      if (view->range->sink->domain_of (view->range->user, rack) == domain)
+      if (context->range->sink->domain_of (context->range->user, rack) == domain)
         sum += GPOINTER_TO_UINT (count);
     }
   return sum;
@@ -78,14 +78,14 @@
   FbJob *job = task->job;
   fb_spec spec;
   fill_spec (self, now_ms, task, &spec);
-  SpreadContext view = { self, job };
+  SpreadContext context = { self, job };
   gboolean spread = fb_job_is_service (job) || fb_job_is_gang (job);
   FbRouteRequest request = { .spec = &spec,
                              .now_ms = now_ms,
                              .avoid_rack = task->avoid_rack,
                              .count_in_rack = spread ? spread_in_rack : NULL,
                              .count_in_domain = spread ? spread_in_domain : NULL,
-                             .user = &view };
+                             .user = &context };
   FbRouteChoice choice;
   if (!self->sink->choose (self->user, self, &request, &choice))
     {
--- a/src/core/range-report.c
+++ b/src/core/range-report.c
@@ -142,7 +142,7 @@
  * successor of the range, the same epoch does not prove that repeatable work has not run:
  * its predecessor may have acknowledged an end that it did not write to the log. */
 static void
-note_not_here (FbRange *self, uint64_t now_ms, FbJobTask *task, const fb_report *report)
+note_not_found (FbRange *self, uint64_t now_ms, FbJobTask *task, const fb_report *report)
 {
   if (report->rack_epoch < task->rack_epoch)
     return;
@@ -221,7 +221,7 @@
       note_lost (self, now_ms, task);
       break;
     case FB_RUN_STATUS_NOT_FOUND:
-      note_not_here (self, now_ms, task, report);
+      note_not_found (self, now_ms, task, report);
       break;
     case FB_RUN_STATUS_UNDETERMINED:
       break;
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -190,7 +190,7 @@
         {
           job->changing = TRUE;
           fb_rec_body body = { .type = FB_REC_ADMIT };
-          body.fb_rec_body_u.admit = (fb_rec_admit){ *spec, TRUE, FALSE, 0 };
+          body.fb_rec_body_u.admit = (fb_rec_admit){ *spec, TRUE, 0, 0 };
           self->sink->append (self->user, self, &body);
         }
       return;
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -18,9 +18,9 @@
  * All three policies debit what they send from the summary, so that one daemon does not
  * overload a rack between two summaries, and none of them uses a rack for REFUSED_WAIT_MS
  * after it has refused a task, or until its next summary if its owner has changed or is
- * leaving. Preferred are racks that can start the work at
- * once to racks where it would queue, the partner's own racks to those of the other
- * partner, and for work without accelerators racks that have none.
+ * leaving. Racks that can start the work at once are preferred
+ * to racks where it would queue, the partner's own racks to those of the other partner, and, for
+ * work without accelerators, racks that have none to racks that have some.
  *
  * Preemptible work, which may run on the other partner's racks, queues at its own
  * partner's racks rather than run as a guest; its range moves it when it sees room
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -9,10 +9,10 @@
  *  - Within a team: the rank in the queue (task-queue.c).
  *
  * If the first task of a queue does not fit, the others among its first BACKFILL_MAX
- * tasks may start before it. With backfill alone, small tasks could starve a large one. So once the
- * large task has waited for FB_RACK_HOLD_MS, one worker is held for it: only urgent work starts
- * there until the large task has started. Only one worker is held at a time, which bounds
- * the capacity left idle for this to one worker of the rack. */
+ * tasks may start before it. With backfill alone, small tasks could starve a large one.
+ * So once the large task has waited for FB_RACK_HOLD_MS, one worker is held for it: only
+ * urgent work starts there until the large task has started. Only one worker is held at a
+ * time, which bounds the capacity left idle for this to one worker of the rack. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
@@ -77,8 +77,8 @@
         continue;
       const FbWorker *w = fb_rack_worker (self, i);
       fb_res free = fb_worker_free_space (w);
-      FbPlaceCandidate view = { &w->capacity, &free, &task->spec.demand, i, guard_milli };
-      int64_t cost = policy->cost (&view);
+      FbPlaceCandidate candidate = { &w->capacity, &free, &task->spec.demand, i, guard_milli };
+      int64_t cost = policy->cost (&candidate);
       if (cost < 0)
         continue;
       cost += fb_worker_health_cost (w, task);
--- a/src/core/task-queue.c
+++ b/src/core/task-queue.c
@@ -1,11 +1,11 @@
 /* Order of waiting work.
  *
  * Within a queue the order is earliest deadline first by a *virtual* due time: min (due,
- * arrival + patience of the kind). Plain EDF starves work without a deadline, and ageing
+ * arrival + ageing time of the kind). Plain EDF starves work without a deadline, and ageing
  * by sorting again costs a pass over the queue. With a virtual due time that is fixed at
  * arrival, work without a deadline moves forward because later arrivals get higher ranks,
  * and the queue remains a balanced tree: O(log n) to insert, O(log n) to remove, O(1) for
- * the first task. The cost: a deadline that is further away than the patience has no
+ * the first task. The cost: a deadline that is further away than the ageing time has no
  * influence. */
 #include "internal/task-queue.h"
 
@@ -21,8 +21,8 @@
   guint waiting[FB_PARTNER_N][FB_WAIT_CLASS_N];
 };
 
-/* Waiting time after which a task without a deadline ranks like one that is due. */
-static const uint64_t patience_ms[FB_KIND_N] = {
+/* Ageing time: how long after its arrival a task without a deadline has its virtual due time. */
+static const uint64_t ageing_ms[FB_KIND_N] = {
   [FB_KIND_URGENT] = 9200,
   [FB_KIND_SERVICE] = 60 * 1000,
   [FB_KIND_GANG] = 10 * 60 * 1000,
@@ -178,5 +178,5 @@
 uint64_t
 fb_task_queue_rank (FbKind kind, uint64_t arrived_ms, uint64_t due_ms)
 {
-  return MIN (due_ms, arrived_ms + patience_ms[kind]);
+  return MIN (due_ms, arrived_ms + ageing_ms[kind]);
 }
