--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -55,11 +55,11 @@
   fb_res capacity;
   fb_res used; /* sum of the charges of its tasks */
   FbWorkerState state;
-  gboolean leaving;     /* gets no new work */
-  gboolean dirty;       /* a request is due at the next flush */
-  gboolean in_flight;   /* a request is not answered yet */
-  gboolean urgent_only; /* only the home partner's urgent work may start here */
-  uint64_t incarnation;
+  gboolean leaving;               /* gets no new work */
+  gboolean dirty;                 /* a request is due at the next flush */
+  gboolean in_flight;             /* a request is not answered yet */
+  gboolean urgent_only;           /* only the home partner's urgent work may start here */
+  uint64_t incarnation;           /* in the last reply; 0 if none */
   uint64_t incarnation_seen_ms;   /* when its first reply of this incarnation arrived */
   uint64_t confirmed_incarnation; /* see fb_rack_ownership_confirmed(); 0 if none */
   uint64_t clock_ms;              /* its own clock in the last reply */
@@ -97,10 +97,10 @@
   GHashTable *team_used;    /* partner << 32 | team -> fb_res owned */
   GHashTable *range_epochs; /* range + 1 -> uint64_t owned: highest epoch seen of its owner */
   gboolean wants_schedule;  /* run a scheduling pass at the next flush */
-  uint64_t starts_paused_until_ms;
-  uint64_t confirm_requested_ms; /* when sink->confirm_ownership() was called last */
-  fb_run hold_run;               /* the task that hold_worker is kept free for */
-  guint hold_worker;             /* or FB_NO_WORKER */
+  uint64_t starts_paused_until_ms; /* 0 if never paused */
+  uint64_t confirm_requested_ms;   /* when sink->confirm_ownership() was called last */
+  fb_run hold_run;                 /* the task that hold_worker is kept free for */
+  guint hold_worker;               /* or FB_NO_WORKER */
 };
 
 FbWorker *fb_rack_worker (const FbRack *self, guint index);
--- a/include/internal/rack.h
+++ b/include/internal/rack.h
@@ -21,7 +21,7 @@
 #define FB_RACK_START_MS 2000         /* a worker refuses a start order older than this */
 #define FB_RACK_CLOCK_DRIFT_PERCENT 2 /* added to the lease: clocks differ in their rate */
 #define FB_RACK_SYNC_PERIOD_MS 2500   /* period of exchanges with an idle worker */
-#define FB_RACK_REPORT_PERIOD_MS 1000 /* between repeats of an unacknowledged report */
+#define FB_RACK_REPORT_PERIOD_MS 1000 /* between repeats of a report or of a request to confirm */
 #define FB_RACK_RESERVE_MS 5000       /* a reservation lapses unless the range queries it */
 #define FB_RACK_HOLD_MS 2000          /* waiting time after which a task may hold a worker */
 #define FB_RACK_QUEUE_MAX 256         /* queued tasks for each partner and kind */
--- a/include/internal/router.h
+++ b/include/internal/router.h
@@ -21,7 +21,7 @@
   const fb_spec *spec;
   uint64_t now_ms;
   uint32_t avoid_rack; /* the rack that refused last, or FB_NO_RACK */
-  gboolean probe_only; /* only asks whether there is room now; nothing will be sent */
+  gboolean probe_only; /* only asks whether some rack has free capacity now; nothing will be sent */
   /* Returns: the number of tasks of the same job in a rack or domain. Both NULL for work
    * that is not spread. */
   guint (*count_in_rack) (gpointer user, uint32_t rack);
@@ -67,8 +67,8 @@
 /* The rack has refused a task: it is not chosen for a while. */
 void fb_router_note_refusal (FbRouter *self, uint64_t now_ms, uint32_t rack, FbReason reason);
 
-/* Returns: TRUE and fills CHOICE, or FALSE if no rack is suitable now. Unless the request only
- * asks for room, the demand is debited from the summary of the chosen rack. */
+/* Returns: TRUE and fills CHOICE, or FALSE if no rack is suitable now. Unless the request is
+ * PROBE_ONLY, the demand is debited from the summary of the chosen rack. */
 gboolean fb_router_choose (FbRouter *self, const FbRouteRequest *request, FbRouteChoice *choice);
 
 /* Returns: TRUE if SPEC fits an empty host of some rack that it may use. */
--- a/rpc/peer.x
+++ b/rpc/peer.x
@@ -103,8 +103,10 @@
   fb_job job;
 };
 
-/* REFUSED_COPY: number of the copy that was refused, if no job was admitted; otherwise 0.
- * WAIT_MS: time from arrival to the first start, or until now if nothing has started. */
+/* State of a job, from the owner of its range to the daemon that serves its caller. OUTCOME is an
+ * FbOutcome, PENDING until the job has ended; REASON is an FbReason. BODY: output of the last task
+ * that had one. REFUSED_COPY: number of the copy that was refused, if no job was admitted;
+ * otherwise 0. WAIT_MS: time from arrival to the first start, or until now if nothing has started. */
 struct fb_answer {
   unsigned int refused_copy;
   unsigned hyper job;
--- a/rpc/work.x
+++ b/rpc/work.x
@@ -151,7 +151,7 @@
                                      * each other */
   FB_REQUEST_BACK_UP_SUSPECTS = 11, /* hold a copy of a job's crash suspects until the store has
                                      * them */
-  FB_REQUEST_SUSPECT_BACKUPS = 12   /* all copies held so */
+  FB_REQUEST_SUSPECT_BACKUPS = 12   /* all such copies that the receiving daemon holds */
 };
 
 struct fb_job_state_request {
--- a/src/cli/cli-commands.c
+++ b/src/cli/cli-commands.c
@@ -127,7 +127,7 @@
   return code;
 }
 
-/* Returns: TRUE when the files in force are FILES, or cannot be read. */
+/* Returns: TRUE when the files in force are FILES, or when the daemon does not return them. */
 static gboolean
 is_in_force (const FbCliOptions *options, const fb_rec_file *files, guint n)
 {
--- a/src/cli/cli-private.h
+++ b/src/cli/cli-private.h
@@ -20,10 +20,10 @@
 
 typedef struct
 {
-  char *daemon; /* IP:port */
-  char *key_path;
-  char *format; /* "text" or "json" */
-  int wait_s;
+  char *daemon;   /* IP:port */
+  char *key_path; /* file with the partner's secret key; NULL if not given */
+  char *format;   /* "text" or "json" */
+  int wait_s;     /* how long apply waits for the rollout, in s */
 } FbCliOptions;
 
 typedef FbCliExit (*FbCliFunc) (const FbCliOptions *options, char **args);
@@ -31,9 +31,9 @@
 typedef struct
 {
   const char *name;
-  const char *args;
+  const char *args; /* names of the arguments, for the help text */
   const char *help;
-  guint min_args;
+  guint min_args; /* number of arguments */
   guint max_args;
   FbCliFunc func;
 } FbCliSubcommand;
--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -182,7 +182,7 @@
       else if (task->state == FB_JOB_TASK_PLACED || task->state == FB_JOB_TASK_RESERVED
                || task->state == FB_JOB_TASK_RUNNING)
         {
-          /* The member is still queued there although the summary showed room: choose
+          /* The member is still queued there although the summary showed free capacity: choose
            * another rack next time. */
           if (task->state == FB_JOB_TASK_PLACED)
             task->avoid_rack = task->rack;
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -400,10 +400,10 @@
           return;
         }
     }
-  gboolean settled = self->now_ms - self->started_ms >= FB_MEMBER_SUSPECT_MS;
+  gboolean startup_over = self->now_ms - self->started_ms >= FB_MEMBER_SUSPECT_MS;
   if (self->draining || preferred != (int) self->self_index || self->now_ms < shard->claim_at_ms)
     return;
-  if (shard->handover_received || (settled && !owner_is_alive (self, shard)))
+  if (shard->handover_received || (startup_over && !owner_is_alive (self, shard)))
     begin_claim (self, shard);
 }
 
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -23,8 +23,8 @@
  * work without accelerators, racks that have none to racks that have some.
  *
  * Preemptible work, which may run on the other partner's racks, queues at its own
- * partner's racks rather than run as a guest; its range moves it when it sees room
- * elsewhere. A gang keeps its reservations while it queues, and none of its members can
+ * partner's racks rather than run as a guest; its range moves it when it sees free
+ * capacity elsewhere. A gang keeps its reservations while it queues, and none of its members can
  * move alone; so for a gang free capacity of the other partner is preferred to queueing
  * at its own: otherwise a gang whose own racks had permanently lost a host waited beside
  * an empty pool. */
