--- a/standins/standin-workers.c
+++ b/standins/standin-workers.c
@@ -258,12 +258,12 @@
 {
   Host *host = user;
   if (json_object_has_member (body, "fail_all"))
-    worker_fail_all (host->worker, json_object_get_boolean_member (body, "fail_all"));
+    worker_set_runs_fail (host->worker, json_object_get_boolean_member (body, "fail_all"));
   if (json_object_has_member (body, "pause"))
     {
       host->paused = json_object_get_boolean_member (body, "pause");
       standin_faults (host->standin)->freeze = host->paused;
-      worker_freeze (host->worker, standin_now_ms (), host->paused);
+      worker_set_frozen (host->worker, standin_now_ms (), host->paused);
     }
   if (json_object_get_boolean_member_with_default (body, "restart", FALSE))
     worker_restart (host->worker, standin_now_ms ());
@@ -276,10 +276,10 @@
   for (guint i = 0; i < hosts->len; i++)
     {
       Host *host = g_ptr_array_index (hosts, i);
-      worker_pass (host->worker, standin_now_ms ());
-      host->version = worker_version (host->worker);
+      worker_tick (host->worker, standin_now_ms ());
+      host->version = worker_ends_version (host->worker);
       answer_waiting (host);
-      fb_res used = oracle_used (oracle, host->id);
+      fb_res used = oracle_used_resources (oracle, host->id);
       cpu_busy_milli_ms += (double) used.amount[FB_RES_CPU_MILLI] * PASS_MS;
       accel_busy_ms += (double) used.amount[FB_RES_ACCEL_COUNT] * PASS_MS;
     }
@@ -313,13 +313,13 @@
   standin_add_int (out, "failed", (gint64) counts.failed);
   standin_add_int (out, "stopped", (gint64) counts.stopped);
   standin_add_int (out, "lost", (gint64) counts.lost);
-  standin_add_int (out, "doubled", (gint64) counts.doubled);
+  standin_add_int (out, "doubled", (gint64) counts.duplicates);
   standin_add_int (out, "over_capacity", (gint64) counts.over_capacity);
   standin_add_int (out, "cpu_used_permille",
                    (gint64) (1000 * cpu_busy_milli_ms / (cpu_milli * MAX (elapsed_ms, 1))));
   standin_add_int (out, "accel_used_permille",
                    (gint64) (1000 * accel_busy_ms / MAX (accel * elapsed_ms, 1)));
-  const char *broken = oracle_broken (oracle);
+  const char *broken = oracle_violation (oracle);
   standin_add_text (out, "broken", broken != NULL ? broken : "");
   return out;
 }
--- a/tests/oracle.c
+++ b/tests/oracle.c
@@ -72,7 +72,7 @@
 }
 
 void
-oracle_break (Oracle *self, const char *format, ...)
+oracle_report_violation (Oracle *self, const char *format, ...)
 {
   if (self->broken != NULL)
     return;
@@ -83,7 +83,7 @@
 }
 
 const char *
-oracle_broken (const Oracle *self)
+oracle_violation (const Oracle *self)
 {
   return self->broken;
 }
@@ -155,7 +155,7 @@
 }
 
 void
-oracle_front_died (Oracle *self, guint front)
+oracle_daemon_died (Oracle *self, guint front)
 {
   GHashTableIter iter;
   gpointer value;
@@ -169,8 +169,9 @@
 }
 
 void
-oracle_foreach_open (Oracle *self, void (*func) (gpointer user, uint64_t job, uint32_t partner),
-                     gpointer user)
+oracle_foreach_unanswered (Oracle *self,
+                           void (*func) (gpointer user, uint64_t job, uint32_t partner),
+                           gpointer user)
 {
   GHashTableIter iter;
   gpointer value;
@@ -189,8 +190,8 @@
   for (guint i = 0; i < job->count; i++)
     {
       if (!task_of (job, i)->completed)
-        oracle_break (self, "job %" G_GUINT64_FORMAT " told completed, task %u was not", job->id,
-                      i);
+        oracle_report_violation (self, "job %" G_GUINT64_FORMAT " told completed, task %u was not",
+                                 job->id, i);
     }
   if (job->count != 1)
     return;
@@ -199,7 +200,8 @@
   oracle_answer_text (&run, expected, sizeof expected);
   if (answer->body.body_len != strlen (expected)
       || memcmp (answer->body.body_val, expected, strlen (expected)) != 0)
-    oracle_break (self, "job %" G_GUINT64_FORMAT " got another answer than its own", job->id);
+    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " got another answer than its own",
+                             job->id);
 }
 
 void
@@ -213,7 +215,7 @@
     return;
   if (job == NULL)
     {
-      oracle_break (self, "an answer to a job that nobody submitted");
+      oracle_report_violation (self, "an answer to a job that nobody submitted");
       return;
     }
   if (answer->outcome == FB_OUTCOME_PENDING)
@@ -221,8 +223,8 @@
   if (!is_final (answer->outcome))
     return;
   if (answer->outcome == FB_OUTCOME_NOT_RUN && job->starts > 0)
-    oracle_break (self, "job %" G_GUINT64_FORMAT " told not run (%s), started %u times", job->id,
-                  fb_reason_name ((FbReason) answer->reason), job->starts);
+    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " told not run (%s), started %u times",
+                             job->id, fb_reason_name ((FbReason) answer->reason), job->starts);
   if (answer->outcome == FB_OUTCOME_COMPLETED)
     check_completed (self, job, answer);
   job->told = (FbOutcome) answer->outcome;
@@ -234,24 +236,28 @@
              TaskSeen *task)
 {
   gboolean over = !fb_res_fits (&self->used[worker], capacity);
-  gboolean doubled = task->live > 1 || ((job->flags & FB_FLAG_AT_MOST_ONCE) && task->starts > 1);
+  gboolean duplicates = task->live > 1 || ((job->flags & FB_FLAG_AT_MOST_ONCE) && task->starts > 1);
   self->counts.starts++;
   self->counts.over_capacity += over ? 1 : 0;
-  self->counts.doubled += doubled ? 1 : 0;
+  self->counts.duplicates += duplicates ? 1 : 0;
   if (over)
-    oracle_break (self, "worker %u was given more than it holds", worker);
+    oracle_report_violation (self, "worker %u was given more than it holds", worker);
   if (task->live > 1)
-    oracle_break (self, "a task of job %" G_GUINT64_FORMAT " runs in two places", job->id);
+    oracle_report_violation (self, "a task of job %" G_GUINT64_FORMAT " runs in two places",
+                             job->id);
   if ((job->flags & FB_FLAG_AT_MOST_ONCE) && task->starts > 1)
-    oracle_break (self, "a once-only task of job %" G_GUINT64_FORMAT " was started twice", job->id);
+    oracle_report_violation (
+        self, "a once-only task of job %" G_GUINT64_FORMAT " was started twice", job->id);
   if (now_ms > job->due_ms)
-    oracle_break (self, "job %" G_GUINT64_FORMAT " was started after its due time", job->id);
+    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " was started after its due time",
+                             job->id);
   if (self->leaving_since_ms[worker] > 0
       && now_ms > self->leaving_since_ms[worker] + LEAVING_GRACE_MS)
-    oracle_break (self, "worker %u is leaving and was given new work", worker);
+    oracle_report_violation (self, "worker %u is leaving and was given new work", worker);
   /* Another caller with the same key may still be waiting, and be served. */
   if (job->told == FB_OUTCOME_NOT_RUN && job->open_fronts == 0)
-    oracle_break (self, "job %" G_GUINT64_FORMAT " was told not run, and then started", job->id);
+    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " was told not run, and then started",
+                             job->id);
 }
 
 void
@@ -303,7 +309,7 @@
 }
 
 void
-oracle_leaving (Oracle *self, uint64_t now_ms, guint worker, gboolean leaving)
+oracle_set_worker_leaving (Oracle *self, uint64_t now_ms, guint worker, gboolean leaving)
 {
   if (!leaving)
     self->leaving_since_ms[worker] = 0;
@@ -312,11 +318,12 @@
 }
 
 void
-oracle_config (Oracle *self, uint32_t partner, uint64_t serial, GBytes *revision)
+oracle_check_config (Oracle *self, uint32_t partner, uint64_t serial, GBytes *revision)
 {
   if (serial == self->serial[partner] && !self->orphaned[partner]
       && !g_bytes_equal (revision, self->revision[partner]))
-    oracle_break (self, "two revisions of partner %u are in force under one serial", partner);
+    oracle_report_violation (self, "two revisions of partner %u are in force under one serial",
+                             partner);
   if (serial <= self->serial[partner])
     return;
   self->serial[partner] = serial;
@@ -325,7 +332,7 @@
 }
 
 void
-oracle_config_orphaned (Oracle *self, uint32_t partner)
+oracle_set_config_orphaned (Oracle *self, uint32_t partner)
 {
   self->orphaned[partner] = TRUE;
 }
@@ -349,13 +356,15 @@
     return;
   /* Work without a record dies with the daemon that holds its caller. */
   if (job->accepted && !job->front_died && !is_final (job->told))
-    oracle_break (self, "job %" G_GUINT64_FORMAT " was accepted and has no answer", job->id);
+    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " was accepted and has no answer",
+                             job->id);
   if (job->live > 0 && is_final (job->told) && job->told != FB_OUTCOME_UNKNOWN)
-    oracle_break (self, "job %" G_GUINT64_FORMAT " has its answer and still runs", job->id);
+    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " has its answer and still runs",
+                             job->id);
 }
 
 void
-oracle_check_settled (Oracle *self)
+oracle_check_final_state (Oracle *self)
 {
   GHashTableIter iter;
   gpointer value;
@@ -371,7 +380,7 @@
 }
 
 fb_res
-oracle_used (const Oracle *self, guint worker)
+oracle_used_resources (const Oracle *self, guint worker)
 {
   return self->used[worker];
 }
--- a/tests/world-worker.c
+++ b/tests/world-worker.c
@@ -236,7 +236,7 @@
 }
 
 void
-worker_pass (Worker *self, uint64_t now_ms)
+worker_tick (Worker *self, uint64_t now_ms)
 {
   /* Also while frozen: nothing of a frozen host runs, and what it does first
    * when it wakes is to look at its leases. */
@@ -252,15 +252,15 @@
 }
 
 void
-worker_freeze (Worker *self, uint64_t now_ms, gboolean frozen)
+worker_set_frozen (Worker *self, uint64_t now_ms, gboolean frozen)
 {
   self->frozen = frozen;
   if (!frozen)
-    worker_pass (self, now_ms);
+    worker_tick (self, now_ms);
 }
 
 guint64
-worker_version (const Worker *self)
+worker_ends_version (const Worker *self)
 {
   return self->version;
 }
@@ -289,20 +289,20 @@
 }
 
 void
-worker_fail_all (Worker *self, gboolean fail)
+worker_set_runs_fail (Worker *self, gboolean fail)
 {
   self->fail = fail;
 }
 
 void
-worker_usage (Worker *self, guint percent)
+worker_set_usage (Worker *self, guint percent)
 {
   self->usage_percent = percent;
   self->state++;
 }
 
 void
-worker_leaving (Worker *self, uint64_t now_ms, gboolean leaving)
+worker_set_leaving (Worker *self, uint64_t now_ms, gboolean leaving)
 {
-  oracle_leaving (self->oracle, now_ms, self->id, leaving);
+  oracle_set_worker_leaving (self->oracle, now_ms, self->id, leaving);
 }
--- a/tests/world-worker.h
+++ b/tests/world-worker.h
@@ -17,13 +17,13 @@
 /* Returns: (transfer full): the reply, or NULL when the exchange came late. */
 WorkerReply *worker_handle (Worker *self, uint64_t now_ms, const FbSyncRequest *request);
 /* Lets time pass: runs end, leases lapse. */
-void worker_pass (Worker *self, uint64_t now_ms);
+void worker_tick (Worker *self, uint64_t now_ms);
 
-void worker_freeze (Worker *self, uint64_t now_ms, gboolean frozen);
+void worker_set_frozen (Worker *self, uint64_t now_ms, gboolean frozen);
 /* Returns: a number that changes with each end. */
-guint64 worker_version (const Worker *self);
+guint64 worker_ends_version (const Worker *self);
 gboolean worker_is_frozen (const Worker *self);
 void worker_restart (Worker *self, uint64_t now_ms);
-void worker_fail_all (Worker *self, gboolean fail);
-void worker_usage (Worker *self, guint percent);
-void worker_leaving (Worker *self, uint64_t now_ms, gboolean leaving);
+void worker_set_runs_fail (Worker *self, gboolean fail);
+void worker_set_usage (Worker *self, guint percent);
+void worker_set_leaving (Worker *self, uint64_t now_ms, gboolean leaving);
--- a/tests/world.c
+++ b/tests/world.c
@@ -224,9 +224,10 @@
   Slot *slot = user;
   World *self = slot->world;
   if (serial < slot->serial_seen[partner])
-    oracle_break (self->oracle, "configuration went back to a lower serial");
+    oracle_report_violation (self->oracle, "configuration went back to a lower serial");
   slot->serial_seen[partner] = serial;
-  oracle_config (self->oracle, partner, serial, fb_node_config_revision (slot->node, partner));
+  oracle_check_config (self->oracle, partner, serial,
+                       fb_node_config_revision (slot->node, partner));
 }
 
 static const FbNodeSink node_sink
@@ -387,11 +388,11 @@
 world_run (World *self, uint64_t ms)
 {
   uint64_t until_ms = self->now_ms + ms;
-  while (self->now_ms < until_ms && oracle_broken (self->oracle) == NULL)
+  while (self->now_ms < until_ms && oracle_violation (self->oracle) == NULL)
     {
       self->now_ms += STEP_MS;
       for (guint i = 0; i < self->size.rack_n * self->size.host_n; i++)
-        worker_pass (self->workers[i], self->now_ms);
+        worker_tick (self->workers[i], self->now_ms);
       deliver_due (self);
       for (guint i = 0; i < self->size.member_n; i++)
         {
@@ -505,7 +506,7 @@
             highest = MAX (highest, fb_node_config_serial (self->slots[i].node, p));
         }
       if (highest < oracle_config_serial (self->oracle, p))
-        oracle_config_orphaned (self->oracle, p);
+        oracle_set_config_orphaned (self->oracle, p);
     }
 }
 
@@ -514,7 +515,7 @@
 {
   Slot *slot = &self->slots[node];
   g_clear_pointer (&slot->node, fb_node_free);
-  oracle_front_died (self->oracle, node);
+  oracle_daemon_died (self->oracle, node);
   slot->incarnation++;
   slot->paused = FALSE;
   slot->draining = FALSE;
@@ -600,7 +601,7 @@
 void
 world_freeze (World *self, guint rack, guint host, gboolean frozen)
 {
-  worker_freeze (worker_at (self, rack, host), self->now_ms, frozen);
+  worker_set_frozen (worker_at (self, rack, host), self->now_ms, frozen);
 }
 
 void
@@ -612,20 +613,20 @@
 void
 world_fail_all (World *self, guint rack, guint host, gboolean fail)
 {
-  worker_fail_all (worker_at (self, rack, host), fail);
+  worker_set_runs_fail (worker_at (self, rack, host), fail);
 }
 
 void
 world_usage (World *self, guint rack, guint host, guint percent)
 {
-  worker_usage (worker_at (self, rack, host), percent);
+  worker_set_usage (worker_at (self, rack, host), percent);
 }
 
 void
 world_leave (World *self, guint rack, guint host, FbHostState state)
 {
   self->host_states[rack * self->size.host_n + host] = state;
-  worker_leaving (worker_at (self, rack, host), self->now_ms, state != FB_HOST_LIVE);
+  worker_set_leaving (worker_at (self, rack, host), self->now_ms, state != FB_HOST_LIVE);
   if (state == FB_HOST_GONE)
     worker_restart (worker_at (self, rack, host), self->now_ms);
 }
@@ -720,7 +721,7 @@
     }
   world_run (self, HEAL_MS);
   /* Callers whose daemon died come back and ask. */
-  oracle_foreach_open (self->oracle, ask_again, self);
+  oracle_foreach_unanswered (self->oracle, ask_again, self);
   world_run (self, ASK_MS);
 }
 
@@ -778,8 +779,9 @@
       for (guint m = 0; m < self->size.member_n; m++)
         owners += fb_node_owned_epoch (self->slots[m].node, shard) > 0 ? 1 : 0;
       if (owners != 1)
-        oracle_break (self->oracle, owners == 0 ? "a shard has no owner after all healed"
-                                                : "a shard has two owners after all healed");
+        oracle_report_violation (self->oracle, owners == 0
+                                                   ? "a shard has no owner after all healed"
+                                                   : "a shard has two owners after all healed");
     }
 }
 
@@ -794,7 +796,8 @@
           if (serial != fb_node_config_serial (self->slots[0].node, p)
               || (serial != oracle_config_serial (self->oracle, p)
                   && !oracle_config_is_orphaned (self->oracle, p)))
-            oracle_break (self->oracle, "an accepted configuration is not in force everywhere");
+            oracle_report_violation (self->oracle,
+                                     "an accepted configuration is not in force everywhere");
         }
     }
 }
@@ -802,21 +805,21 @@
 void
 world_check_settled (World *self)
 {
-  if (oracle_broken (self->oracle) != NULL)
+  if (oracle_violation (self->oracle) != NULL)
     return;
   check_owners (self);
   check_config (self);
   print_workers (self);
-  oracle_foreach_open (self->oracle, print_open_job, self);
+  oracle_foreach_unanswered (self->oracle, print_open_job, self);
   if (!all_racks_empty (self))
-    oracle_break (self->oracle, "work still waits after all healed");
-  oracle_check_settled (self->oracle);
+    oracle_report_violation (self->oracle, "work still waits after all healed");
+  oracle_check_final_state (self->oracle);
 }
 
 const char *
 world_broken (const World *self)
 {
-  return oracle_broken (self->oracle);
+  return oracle_violation (self->oracle);
 }
 
 FbOutcome
