--- a/fuzz/fuzz-node.c
+++ b/fuzz/fuzz-node.c
@@ -72,16 +72,16 @@
       world_start (run->world, node);
       break;
     case 2:
-      world_pause (run->world, node, on);
+      world_set_paused (run->world, node, on);
       break;
     case 3:
       world_drain (run->world, node);
       break;
     case 4:
-      world_cut (run->world, node, on);
+      world_set_peers_cut (run->world, node, on);
       break;
     default:
-      world_cut_workers (run->world, node, on);
+      world_set_workers_cut (run->world, node, on);
       break;
     }
 }
@@ -95,19 +95,19 @@
   switch (what % 5)
     {
     case 0:
-      world_freeze (run->world, rack, host, on);
+      world_set_worker_frozen (run->world, rack, host, on);
       break;
     case 1:
-      world_restart_host (run->world, rack, host);
+      world_restart_worker (run->world, rack, host);
       break;
     case 2:
-      world_fail_all (run->world, rack, host, on);
+      world_set_runs_fail (run->world, rack, host, on);
       break;
     case 3:
-      world_leave (run->world, rack, host, (FbHostState) (whom / 32 % 3));
+      world_set_host_state (run->world, rack, host, (FbHostState) (whom / 32 % 3));
       break;
     default:
-      world_usage (run->world, rack, host, 50 + whom % 200);
+      world_set_usage (run->world, rack, host, 50 + whom % 200);
       break;
     }
 }
@@ -118,7 +118,8 @@
   uint32_t partner = whom % FB_PARTNER_N;
   /* Every other time with a serial that someone else may be using. */
   uint64_t serial = run->serial[partner] + 1 + (whom / 8 % 4 == 0 ? 1 : 0);
-  if (world_apply (run->world, whom / 2 % MEMBER_N, partner, serial, whom / 16 % 4, whom % 101)
+  if (world_publish_config (run->world, whom / 2 % MEMBER_N, partner, serial, whom / 16 % 4,
+                            whom % 101)
       == FB_NODE_CONFIG_OK)
     run->serial[partner] = serial - (whom / 64 % 2);
 }
@@ -145,10 +146,11 @@
       fault_host (run, what / 16, whom);
       break;
     case 9:
-      world_noise (run->world, noises[whom % 4], noises[whom / 4 % 4], noises[whom / 16 % 4]);
+      world_set_message_faults (run->world, noises[whom % 4], noises[whom / 4 % 4],
+                                noises[whom / 16 % 4]);
       break;
     case 10:
-      world_log (run->world, (WorldLogState) (whom % 3));
+      world_set_log_state (run->world, (WorldLogState) (whom % 3));
       break;
     case 11:
       if (run->next_job > 1)
@@ -184,17 +186,18 @@
   Run run = { .world = world_new (&shape), .next_job = 1 };
   guint64 steps = 0;
   world_run (run.world, 6000);
-  for (size_t i = 1; i + 1 < size && steps < STEP_MAX && world_broken (run.world) == NULL; i += 2)
+  for (size_t i = 1; i + 1 < size && steps < STEP_MAX && world_violation (run.world) == NULL;
+       i += 2)
     {
       step (&run, data[i], data[i + 1]);
       steps++;
     }
-  if (world_broken (run.world) == NULL)
+  if (world_violation (run.world) == NULL)
     {
       world_heal (run.world);
-      world_check_settled (run.world);
+      world_check_final_state (run.world);
     }
-  *broken = g_strdup (world_broken (run.world));
+  *broken = g_strdup (world_violation (run.world));
   world_free (run.world);
   return steps;
 }
--- a/tests/oracle.c
+++ b/tests/oracle.c
@@ -12,7 +12,7 @@
   guint starts;
   guint live;
   gboolean completed;
-} TaskSeen;
+} TaskRecord;
 
 typedef struct
 {
@@ -21,34 +21,34 @@
   uint32_t kind;
   uint32_t flags;
   guint count;
-  uint64_t due_ms;
-  guint front;
-  gboolean front_died;
-  gboolean accepted; /* a caller was told that it is in force */
-  gboolean has_due;
-  FbOutcome told;
-  uint32_t open_fronts; /* bit a daemon: its caller has no answer yet */
+  uint64_t deadline_ms;
+  guint daemon;
+  gboolean daemon_died;
+  gboolean accepted; /* a daemon has confirmed the job to a caller */
+  gboolean has_deadline;
+  FbOutcome last_outcome;
+  uint32_t unanswered_daemons; /* bit per daemon whose caller waits for an answer */
   guint starts;
   guint live;
   GHashTable *tasks; /* index + 1 -> TaskSeen */
-} JobSeen;
+} JobRecord;
 
 struct _Oracle
 {
   GHashTable *jobs;
   fb_res used[WORKER_MAX];
-  uint64_t leaving_since_ms[WORKER_MAX];
+  uint64_t worker_leaving_since_ms[WORKER_MAX];
   uint64_t serial[FB_PARTNER_N];
   GBytes *revision[FB_PARTNER_N];
   gboolean orphaned[FB_PARTNER_N];
   OracleCounts counts;
-  char *broken;
+  char *violation;
 };
 
 static void
 job_free (gpointer data)
 {
-  JobSeen *job = data;
+  JobRecord *job = data;
   g_hash_table_destroy (job->tasks);
   g_free (job);
 }
@@ -67,25 +67,25 @@
   g_hash_table_destroy (self->jobs);
   for (guint p = 0; p < FB_PARTNER_N; p++)
     g_clear_pointer (&self->revision[p], g_bytes_unref);
-  g_free (self->broken);
+  g_free (self->violation);
   g_free (self);
 }
 
 void
 oracle_report_violation (Oracle *self, const char *format, ...)
 {
-  if (self->broken != NULL)
+  if (self->violation != NULL)
     return;
   va_list args;
   va_start (args, format);
-  self->broken = g_strdup_vprintf (format, args);
+  self->violation = g_strdup_vprintf (format, args);
   va_end (args);
 }
 
 const char *
 oracle_violation (const Oracle *self)
 {
-  return self->broken;
+  return self->violation;
 }
 
 void
@@ -100,71 +100,71 @@
   return outcome <= FB_OUTCOME_UNKNOWN;
 }
 
-static JobSeen *
-job_of (const Oracle *self, uint64_t id)
+static JobRecord *
+find_job (const Oracle *self, uint64_t id)
 {
   return g_hash_table_lookup (self->jobs, &id);
 }
 
-static JobSeen *
+static JobRecord *
 job_new (Oracle *self, uint64_t id)
 {
-  JobSeen *job = g_new0 (JobSeen, 1);
+  JobRecord *job = g_new0 (JobRecord, 1);
   job->id = id;
-  job->told = FB_OUTCOME_PENDING;
+  job->last_outcome = FB_OUTCOME_PENDING;
   job->tasks = g_hash_table_new_full (NULL, NULL, NULL, g_free);
   g_hash_table_insert (self->jobs, &job->id, job);
   return job;
 }
 
-static TaskSeen *
-task_of (JobSeen *job, uint32_t index)
+static TaskRecord *
+get_task (JobRecord *job, uint32_t index)
 {
   gpointer key = GUINT_TO_POINTER (index + 1);
-  TaskSeen *task = g_hash_table_lookup (job->tasks, key);
+  TaskRecord *task = g_hash_table_lookup (job->tasks, key);
   if (task == NULL)
     {
-      task = g_new0 (TaskSeen, 1);
+      task = g_new0 (TaskRecord, 1);
       g_hash_table_insert (job->tasks, key, task);
     }
   return task;
 }
 
 void
-oracle_submit (Oracle *self, uint64_t now_ms, guint front, const fb_job *spec)
+oracle_submit (Oracle *self, uint64_t now_ms, guint daemon, const fb_job *spec)
 {
-  JobSeen *job = job_of (self, spec->id);
-  uint64_t due_ms = fb_deadline_after (now_ms, spec->remaining_ms);
+  JobRecord *job = find_job (self, spec->id);
+  uint64_t deadline_ms = fb_deadline_after (now_ms, spec->remaining_ms);
   if (job == NULL)
     {
       job = job_new (self, spec->id);
-      job->due_ms = due_ms;
+      job->deadline_ms = deadline_ms;
     }
-  /* A repeated submission may find the first one refused and set the due time
-   * anew: the latest bounds what may start. */
-  job->due_ms = MAX (job->due_ms, due_ms);
-  /* Told "not run", a caller may come back with the same key. */
-  if (job->told == FB_OUTCOME_NOT_RUN)
-    job->told = FB_OUTCOME_PENDING;
+  /* The first submission may have been refused, so that a repeated one sets the deadline
+   * again: starts are allowed until the latest deadline. */
+  job->deadline_ms = MAX (job->deadline_ms, deadline_ms);
+  /* After the answer "not run" a caller may submit again with the same key. */
+  if (job->last_outcome == FB_OUTCOME_NOT_RUN)
+    job->last_outcome = FB_OUTCOME_PENDING;
   job->partner = spec->partner;
   job->kind = spec->kind;
   job->flags = spec->flags;
   job->count = spec->count;
-  job->front = front;
-  job->open_fronts |= 1u << front;
+  job->daemon = daemon;
+  job->unanswered_daemons |= 1u << daemon;
 }
 
 void
-oracle_daemon_died (Oracle *self, guint front)
+oracle_daemon_died (Oracle *self, guint daemon)
 {
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, self->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      JobSeen *job = value;
-      if (job->front == front && (job->flags & FB_FLAG_EPHEMERAL))
-        job->front_died = TRUE;
+      JobRecord *job = value;
+      if (job->daemon == daemon && (job->flags & FB_FLAG_EPHEMERAL))
+        job->daemon_died = TRUE;
     }
 }
 
@@ -178,20 +178,21 @@
   g_hash_table_iter_init (&iter, self->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
-      const JobSeen *job = value;
-      if (job->accepted && !is_final (job->told) && !(job->flags & FB_FLAG_EPHEMERAL))
+      const JobRecord *job = value;
+      if (job->accepted && !is_final (job->last_outcome) && !(job->flags & FB_FLAG_EPHEMERAL))
         func (user, job->id, job->partner);
     }
 }
 
 static void
-check_completed (Oracle *self, JobSeen *job, const fb_answer *answer)
+check_completed (Oracle *self, JobRecord *job, const fb_answer *answer)
 {
   for (guint i = 0; i < job->count; i++)
     {
-      if (!task_of (job, i)->completed)
-        oracle_report_violation (self, "job %" G_GUINT64_FORMAT " told completed, task %u was not",
-                                 job->id, i);
+      if (!get_task (job, i)->completed)
+        oracle_report_violation (
+            self, "job %" G_GUINT64_FORMAT " was reported completed, but task %u has not completed",
+            job->id, i);
     }
   if (job->count != 1)
     return;
@@ -200,22 +201,22 @@
   oracle_answer_text (&run, expected, sizeof expected);
   if (answer->body.body_len != strlen (expected)
       || memcmp (answer->body.body_val, expected, strlen (expected)) != 0)
-    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " got another answer than its own",
-                             job->id);
+    oracle_report_violation (
+        self, "job %" G_GUINT64_FORMAT " was answered with another job's result", job->id);
 }
 
 void
-oracle_answer (Oracle *self, uint64_t now_ms, guint front, const fb_answer *answer)
+oracle_answer (Oracle *self, uint64_t now_ms, guint daemon, const fb_answer *answer)
 {
   (void) now_ms;
-  JobSeen *job = job_of (self, answer->job);
-  gboolean disowned
+  JobRecord *job = find_job (self, answer->job);
+  gboolean is_unknown_or_expired
       = answer->outcome == FB_OUTCOME_NO_SUCH_JOB || answer->reason == FB_REASON_RETENTION;
-  if (job == NULL && disowned)
+  if (job == NULL && is_unknown_or_expired)
     return;
   if (job == NULL)
     {
-      oracle_report_violation (self, "an answer to a job that nobody submitted");
+      oracle_report_violation (self, "a job that was never submitted was answered");
       return;
     }
   if (answer->outcome == FB_OUTCOME_PENDING)
@@ -223,17 +224,18 @@
   if (!is_final (answer->outcome))
     return;
   if (answer->outcome == FB_OUTCOME_NOT_RUN && job->starts > 0)
-    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " told not run (%s), started %u times",
+    oracle_report_violation (self,
+                             "job %" G_GUINT64_FORMAT " was reported not run (%s) after %u starts",
                              job->id, fb_reason_name ((FbReason) answer->reason), job->starts);
   if (answer->outcome == FB_OUTCOME_COMPLETED)
     check_completed (self, job, answer);
-  job->told = (FbOutcome) answer->outcome;
-  job->open_fronts &= ~(1u << front);
+  job->last_outcome = (FbOutcome) answer->outcome;
+  job->unanswered_daemons &= ~(1u << daemon);
 }
 
 static void
-check_start (Oracle *self, uint64_t now_ms, guint worker, const fb_res *capacity, JobSeen *job,
-             TaskSeen *task)
+check_start (Oracle *self, uint64_t now_ms, guint worker, const fb_res *capacity, JobRecord *job,
+             TaskRecord *task)
 {
   gboolean over = !fb_res_fits (&self->used[worker], capacity);
   gboolean duplicates = task->live > 1 || ((job->flags & FB_FLAG_AT_MOST_ONCE) && task->starts > 1);
@@ -241,43 +243,43 @@
   self->counts.over_capacity += over ? 1 : 0;
   self->counts.duplicates += duplicates ? 1 : 0;
   if (over)
-    oracle_report_violation (self, "worker %u was given more than it holds", worker);
+    oracle_report_violation (self, "a start exceeds the capacity of worker %u", worker);
   if (task->live > 1)
-    oracle_report_violation (self, "a task of job %" G_GUINT64_FORMAT " runs in two places",
-                             job->id);
+    oracle_report_violation (
+        self, "a task of job %" G_GUINT64_FORMAT " runs twice at the same time", job->id);
   if ((job->flags & FB_FLAG_AT_MOST_ONCE) && task->starts > 1)
     oracle_report_violation (
-        self, "a once-only task of job %" G_GUINT64_FORMAT " was started twice", job->id);
-  if (now_ms > job->due_ms)
-    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " was started after its due time",
-                             job->id);
-  if (self->leaving_since_ms[worker] > 0
-      && now_ms > self->leaving_since_ms[worker] + LEAVING_GRACE_MS)
-    oracle_report_violation (self, "worker %u is leaving and was given new work", worker);
-  /* Another caller with the same key may still be waiting, and be served. */
-  if (job->told == FB_OUTCOME_NOT_RUN && job->open_fronts == 0)
-    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " was told not run, and then started",
+        self, "an at-most-once task of job %" G_GUINT64_FORMAT " was started twice", job->id);
+  if (now_ms > job->deadline_ms)
+    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " was started after its deadline",
                              job->id);
+  if (self->worker_leaving_since_ms[worker] > 0
+      && now_ms > self->worker_leaving_since_ms[worker] + LEAVING_GRACE_MS)
+    oracle_report_violation (self, "worker %u was given new work while it is leaving", worker);
+  /* The job may still start for another caller that waits with the same key. */
+  if (job->last_outcome == FB_OUTCOME_NOT_RUN && job->unanswered_daemons == 0)
+    oracle_report_violation (
+        self, "job %" G_GUINT64_FORMAT " was started after it was reported not run", job->id);
 }
 
 void
 oracle_start (Oracle *self, uint64_t now_ms, guint worker, const fb_res *capacity,
               const fb_spec *spec)
 {
-  JobSeen *job = job_of (self, spec->run.job);
+  JobRecord *job = find_job (self, spec->run.job);
   if (job == NULL)
     {
-      /* A standing service, which no caller submitted. */
+      /* Tasks of a service come from the configuration, not from a caller. */
       job = job_new (self, spec->run.job);
       job->kind = spec->kind;
       job->flags = spec->flags;
-      job->due_ms = FB_NO_DEADLINE_MS;
+      job->deadline_ms = FB_NO_DEADLINE_MS;
     }
   fb_event_log (FB_EVENT_PLACED,
                 "oracle: start job=%016" G_GINT64_MODIFIER
                 "x task=%u attempt=%u worker=%u at=%" G_GUINT64_FORMAT,
                 spec->run.job, spec->run.index, spec->run.attempt, worker, now_ms);
-  TaskSeen *task = task_of (job, spec->run.index);
+  TaskRecord *task = get_task (job, spec->run.index);
   task->starts++;
   task->live++;
   job->starts++;
@@ -291,8 +293,8 @@
             FbRunStatus run_status)
 {
   (void) now_ms;
-  JobSeen *job = job_of (self, spec->run.job);
-  TaskSeen *task = task_of (job, spec->run.index);
+  JobRecord *job = find_job (self, spec->run.job);
+  TaskRecord *task = get_task (job, spec->run.index);
   fb_event_log (FB_EVENT_RUN_ENDED,
                 "oracle: end job=%016" G_GINT64_MODIFIER
                 "x task=%u attempt=%u worker=%u at=%" G_GUINT64_FORMAT " %s",
@@ -312,9 +314,9 @@
 oracle_set_worker_leaving (Oracle *self, uint64_t now_ms, guint worker, gboolean leaving)
 {
   if (!leaving)
-    self->leaving_since_ms[worker] = 0;
-  else if (self->leaving_since_ms[worker] == 0)
-    self->leaving_since_ms[worker] = now_ms;
+    self->worker_leaving_since_ms[worker] = 0;
+  else if (self->worker_leaving_since_ms[worker] == 0)
+    self->worker_leaving_since_ms[worker] = now_ms;
 }
 
 void
@@ -322,7 +324,7 @@
 {
   if (serial == self->serial[partner] && !self->orphaned[partner]
       && !g_bytes_equal (revision, self->revision[partner]))
-    oracle_report_violation (self, "two revisions of partner %u are in force under one serial",
+    oracle_report_violation (self, "two revisions of partner %u are in force with the same serial",
                              partner);
   if (serial <= self->serial[partner])
     return;
@@ -350,16 +352,16 @@
 }
 
 static void
-check_job_settled (Oracle *self, const JobSeen *job)
+check_job_final_state (Oracle *self, const JobRecord *job)
 {
   if (job->kind == FB_KIND_SERVICE)
     return;
-  /* Work without a record dies with the daemon that holds its caller. */
-  if (job->accepted && !job->front_died && !is_final (job->told))
-    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " was accepted and has no answer",
+  /* An ephemeral job has no record and is lost with the daemon that holds its caller. */
+  if (job->accepted && !job->daemon_died && !is_final (job->last_outcome))
+    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " was accepted and has no final answer",
                              job->id);
-  if (job->live > 0 && is_final (job->told) && job->told != FB_OUTCOME_UNKNOWN)
-    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " has its answer and still runs",
+  if (job->live > 0 && is_final (job->last_outcome) && job->last_outcome != FB_OUTCOME_UNKNOWN)
+    oracle_report_violation (self, "job %" G_GUINT64_FORMAT " still runs after its final answer",
                              job->id);
 }
 
@@ -370,7 +372,7 @@
   gpointer value;
   g_hash_table_iter_init (&iter, self->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    check_job_settled (self, value);
+    check_job_final_state (self, value);
 }
 
 OracleCounts
@@ -388,22 +390,22 @@
 FbOutcome
 oracle_outcome (const Oracle *self, uint64_t job)
 {
-  const JobSeen *seen = job_of (self, job);
-  return seen != NULL ? seen->told : FB_OUTCOME_NO_SUCH_JOB;
+  const JobRecord *record = find_job (self, job);
+  return record != NULL ? record->last_outcome : FB_OUTCOME_NO_SUCH_JOB;
 }
 
 guint
 oracle_starts (const Oracle *self, uint64_t job)
 {
-  const JobSeen *seen = job_of (self, job);
-  return seen != NULL ? seen->starts : 0;
+  const JobRecord *record = find_job (self, job);
+  return record != NULL ? record->starts : 0;
 }
 
 guint
 oracle_live (const Oracle *self, uint64_t job)
 {
-  const JobSeen *seen = job_of (self, job);
-  return seen != NULL ? seen->live : 0;
+  const JobRecord *record = find_job (self, job);
+  return record != NULL ? record->live : 0;
 }
 
 guint
@@ -414,6 +416,6 @@
   gpointer value;
   g_hash_table_iter_init (&iter, self->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
-    n += ((JobSeen *) value)->told == outcome ? 1 : 0;
+    n += ((JobRecord *) value)->last_outcome == outcome ? 1 : 0;
   return n;
 }
--- a/tests/test-script.c
+++ b/tests/test-script.c
@@ -1,7 +1,7 @@
-/* Runs one scripted scenario against fakes and prints what happened.
+/* Runs one scenario script against the fakes and prints the results.
  *
- * The output is compared with the expected one beside the script.  A script has
- * a command a line; '#' begins the story.  See tests/scripts/README.md. */
+ * The output is compared with the .expected file next to the script.  A script has one
+ * command per line; lines that begin with '#' are comments.  See tests/scripts/README.md. */
 #include "world.h"
 
 #include "fb-event.h"
@@ -19,7 +19,7 @@
   return i < g_strv_length (args) ? g_ascii_strtoull (args[i], NULL, 10) : missing;
 }
 
-/* Finds "KEY=VALUE" among ARGS. */
+/* Returns: VALUE of the argument "KEY=VALUE", or MISSING. */
 static uint64_t
 option (char **args, const char *key, uint64_t missing)
 {
@@ -32,13 +32,13 @@
 }
 
 static gboolean
-has_word (char **args, const char *word)
+has_flag (char **args, const char *word)
 {
   return g_strv_contains ((const char *const *) args, word);
 }
 
 static void
-do_world (char **args)
+run_world (char **args)
 {
   WorldSize size = { .member_n = (guint) option (args, "daemons", 4),
                      .rack_n = (guint) option (args, "racks", 4),
@@ -61,7 +61,7 @@
 }
 
 static void
-do_submit (char **args)
+run_submit (char **args)
 {
   WorldJob job = { .id = arg_u64 (args, 1, 1),
                    .partner = (uint32_t) option (args, "partner", 0),
@@ -69,16 +69,16 @@
                    .count = (uint32_t) option (args, "tasks", 1),
                    .deadline_ms = option (args, "deadline", 0),
                    .run_ms = option (args, "run", 500) };
-  job.flags = (has_word (args, "once") ? FB_FLAG_AT_MOST_ONCE : 0)
-              | (has_word (args, "preemptible") ? FB_FLAG_PREEMPTIBLE : 0)
-              | (has_word (args, "ephemeral") ? FB_FLAG_EPHEMERAL : 0);
+  job.flags = (has_flag (args, "once") ? FB_FLAG_AT_MOST_ONCE : 0)
+              | (has_flag (args, "preemptible") ? FB_FLAG_PREEMPTIBLE : 0)
+              | (has_flag (args, "ephemeral") ? FB_FLAG_EPHEMERAL : 0);
   job.demand = (fb_res){ { option (args, "cpu", 1) * 1000, 1ull << 30, option (args, "accel", 0),
                            option (args, "slots", 1) } };
   world_submit (world, (guint) option (args, "at", job.partner), &job);
 }
 
 static void
-do_show (char **args)
+run_show (char **args)
 {
   uint64_t job = arg_u64 (args, 1, 1);
   printf ("job %" G_GUINT64_FORMAT ": %s, started %u, live %u\n", job,
@@ -87,26 +87,26 @@
 }
 
 static void
-do_log (char **args)
+run_log (char **args)
 {
-  world_log (world, has_word (args, "down")          ? WORLD_LOG_DOWN
-                    : has_word (args, "lost-answer") ? WORLD_LOG_LOST_ANSWER
-                                                     : WORLD_LOG_UP);
+  world_set_log_state (world, has_flag (args, "down")          ? WORLD_LOG_DOWN
+                              : has_flag (args, "lost-answer") ? WORLD_LOG_LOST_ANSWER
+                                                               : WORLD_LOG_UP);
 }
 
 static void
-do_apply (char **args)
+run_apply (char **args)
 {
   static const char *const names[] = { "ok", "malformed", "unsigned", "conflict", "invalid" };
   FbNodeConfigStatus status
-      = world_apply (world, (guint) option (args, "at", 0), (uint32_t) option (args, "partner", 0),
-                     option (args, "serial", 1), (guint) option (args, "count", 1),
-                     (guint) option (args, "lend", 0));
+      = world_publish_config (world, (guint) option (args, "at", 0),
+                              (uint32_t) option (args, "partner", 0), option (args, "serial", 1),
+                              (guint) option (args, "count", 1), (guint) option (args, "lend", 0));
   printf ("apply: %s\n", names[status]);
 }
 
 static void
-do_owner (char **args)
+run_owners (char **args)
 {
   uint32_t shard = (uint32_t) arg_u64 (args, 1, 0);
   guint owners = 0;
@@ -118,10 +118,10 @@
   printf ("shard %u: %u owner%s\n", shard, owners, owners == 1 ? "" : "s");
 }
 
-/* Acts on the owner of a shard, whoever that is, so that scripts need not know
- * the hashing. */
+/* Scripts name a daemon as "owner-of-SHARD", so that they do not depend on the hashing.
+ * Returns: the owner's index, or -1. */
 static int
-owner_of (uint32_t shard)
+find_shard_owner (uint32_t shard)
 {
   for (guint i = 0; i < 4; i++)
     {
@@ -136,13 +136,13 @@
 {
   if (g_str_has_prefix (args[i], "owner-of-"))
     {
-      int owner = owner_of ((uint32_t) g_ascii_strtoull (args[i] + 9, NULL, 10));
+      int owner = find_shard_owner ((uint32_t) g_ascii_strtoull (args[i] + 9, NULL, 10));
       return owner >= 0 ? (guint) owner : 0;
     }
   return (guint) g_ascii_strtoull (args[i], NULL, 10);
 }
 
-static guint remembered;
+static guint last_node; /* the daemon that "it" names in a script */
 
 static guint
 node_arg (char **args)
@@ -150,15 +150,15 @@
   if (g_strv_length (args) < 2)
     return 0;
   if (g_str_equal (args[1], "it"))
-    return remembered;
-  remembered = target (args, 1);
-  return remembered;
+    return last_node;
+  last_node = target (args, 1);
+  return last_node;
 }
 
 static gboolean
-on_off (char **args)
+is_on (char **args)
 {
-  return !has_word (args, "off");
+  return !has_flag (args, "off");
 }
 
 static gboolean
@@ -169,18 +169,18 @@
   else if (g_str_equal (args[0], "start"))
     world_start (world, node_arg (args));
   else if (g_str_equal (args[0], "pause"))
-    world_pause (world, node_arg (args), on_off (args));
+    world_set_paused (world, node_arg (args), is_on (args));
   else if (g_str_equal (args[0], "drain"))
     world_drain (world, node_arg (args));
   else if (g_str_equal (args[0], "cut"))
-    world_cut (world, node_arg (args), on_off (args));
+    world_set_peers_cut (world, node_arg (args), is_on (args));
   else if (g_str_equal (args[0], "cut-workers"))
-    world_cut_workers (world, node_arg (args), on_off (args));
+    world_set_workers_cut (world, node_arg (args), is_on (args));
   else if (g_str_equal (args[0], "noise"))
-    world_noise (world, (guint) option (args, "lose", 0), (guint) option (args, "twice", 0),
-                 (guint) option (args, "delay", 0));
+    world_set_message_faults (world, (guint) option (args, "lose", 0),
+                              (guint) option (args, "twice", 0), (guint) option (args, "delay", 0));
   else if (g_str_equal (args[0], "log"))
-    do_log (args);
+    run_log (args);
   else if (g_str_equal (args[0], "trim"))
     world_log_trim (world);
   else
@@ -194,18 +194,18 @@
   guint rack = (guint) arg_u64 (args, 1, 0);
   guint host = (guint) arg_u64 (args, 2, 0);
   if (g_str_equal (args[0], "freeze"))
-    world_freeze (world, rack, host, on_off (args));
+    world_set_worker_frozen (world, rack, host, is_on (args));
   else if (g_str_equal (args[0], "restart-host"))
-    world_restart_host (world, rack, host);
+    world_restart_worker (world, rack, host);
   else if (g_str_equal (args[0], "fail-all"))
-    world_fail_all (world, rack, host, on_off (args));
+    world_set_runs_fail (world, rack, host, is_on (args));
   else if (g_str_equal (args[0], "usage"))
-    world_usage (world, rack, host, (guint) option (args, "percent", 100));
+    world_set_usage (world, rack, host, (guint) option (args, "percent", 100));
   else if (g_str_equal (args[0], "leave"))
-    world_leave (world, rack, host,
-                 has_word (args, "gone")  ? FB_HOST_GONE
-                 : has_word (args, "off") ? FB_HOST_LIVE
-                                          : FB_HOST_LEAVING);
+    world_set_host_state (world, rack, host,
+                          has_flag (args, "gone")  ? FB_HOST_GONE
+                          : has_flag (args, "off") ? FB_HOST_LIVE
+                                                   : FB_HOST_LEAVING);
   else
     return FALSE;
   return TRUE;
@@ -215,25 +215,25 @@
 run_command (char **args)
 {
   if (g_str_equal (args[0], "world"))
-    do_world (args);
+    run_world (args);
   else if (g_str_equal (args[0], "run"))
     world_run (world, arg_u64 (args, 1, 1000));
   else if (g_str_equal (args[0], "submit"))
-    do_submit (args);
+    run_submit (args);
   else if (g_str_equal (args[0], "cancel"))
     world_cancel (world, (guint) option (args, "at", 0), (uint32_t) option (args, "partner", 0),
                   arg_u64 (args, 1, 1));
   else if (g_str_equal (args[0], "show"))
-    do_show (args);
+    run_show (args);
   else if (g_str_equal (args[0], "explain"))
     {
       g_autofree char *text = world_explain (world, arg_u64 (args, 1, 1));
       fputs (text, stdout);
     }
   else if (g_str_equal (args[0], "apply"))
-    do_apply (args);
+    run_apply (args);
   else if (g_str_equal (args[0], "owners"))
-    do_owner (args);
+    run_owners (args);
   else if (g_str_equal (args[0], "count"))
     printf ("completed %u, failed %u, not run %u, unknown %u\n",
             world_jobs_with (world, FB_OUTCOME_COMPLETED),
@@ -242,7 +242,7 @@
   else if (g_str_equal (args[0], "heal"))
     {
       world_heal (world);
-      world_check_settled (world);
+      world_check_final_state (world);
     }
   else
     return run_fault (args) || run_host_fault (args);
@@ -272,9 +272,9 @@
           printf ("line %u: unknown command %s\n", i + 1, args[0]);
           return 1;
         }
-      if (world != NULL && world_broken (world) != NULL)
+      if (world != NULL && world_violation (world) != NULL)
         {
-          printf ("BROKEN at line %u: %s\n", i + 1, world_broken (world));
+          printf ("BROKEN at line %u: %s\n", i + 1, world_violation (world));
           return 1;
         }
     }
--- a/tests/world-log.c
+++ b/tests/world-log.c
@@ -5,9 +5,9 @@
 
 typedef struct
 {
-  uint64_t first;
+  uint64_t first;  /* offset of the first retained record */
   GPtrArray *data; /* GBytes */
-  GArray *at_ms;
+  GArray *at_ms;   /* uint64_t: when each record was appended */
 } Stream;
 
 struct _WorldLog
@@ -89,7 +89,7 @@
 }
 
 void
-world_log_drop_old (WorldLog *self, uint64_t now_ms)
+world_log_drop_expired (WorldLog *self, uint64_t now_ms)
 {
   GHashTableIter iter;
   gpointer value;
--- a/tests/world-worker.c
+++ b/tests/world-worker.c
@@ -8,7 +8,7 @@
   fb_spec spec;
   gboolean ended;
   FbRunStatus run_status;
-  uint64_t end_ms; /* when it will end, on the worker's clock */
+  uint64_t end_ms; /* planned end by the worker's clock; G_MAXUINT64: none */
   char answer[64];
 } Run;
 
@@ -23,10 +23,10 @@
   uint64_t seq;
   uint64_t lease_until_ms;
   gboolean frozen;
-  gboolean fail;
+  gboolean runs_fail; /* every run fails */
   guint usage_percent;
-  guint64 version; /* counts ends, for the watch */
-  guint64 state;   /* counts all changes of what an exchange lists */
+  guint64 ends_version; /* incremented at each end of a run */
+  guint64 list_version; /* incremented when the reported list of runs changes */
   GPtrArray *runs;
 };
 
@@ -62,7 +62,7 @@
   self->clock_offset_ms = clock_offset_ms;
   self->incarnation = now_ms + id;
   self->runs = g_ptr_array_new_with_free_func (g_free);
-  self->state = 1;
+  self->list_version = 1;
   return self;
 }
 
@@ -74,7 +74,7 @@
 }
 
 static uint64_t
-clock_of (const Worker *self, uint64_t now_ms)
+worker_clock_ms (const Worker *self, uint64_t now_ms)
 {
   return now_ms + self->clock_offset_ms;
 }
@@ -95,16 +95,16 @@
 end_run (Worker *self, uint64_t now_ms, Run *run, FbRunStatus run_status)
 {
   run->ended = TRUE;
-  self->version++;
-  self->state++;
+  self->ends_version++;
+  self->list_version++;
   run->run_status = run_status;
   oracle_end (self->oracle, now_ms, self->id, &run->spec, run_status);
 }
 
 static void
-lapse (Worker *self, uint64_t now_ms)
+expire_lease (Worker *self, uint64_t now_ms)
 {
-  if (self->lease_until_ms == 0 || clock_of (self, now_ms) <= self->lease_until_ms)
+  if (self->lease_until_ms == 0 || worker_clock_ms (self, now_ms) <= self->lease_until_ms)
     return;
   for (guint i = 0; i < self->runs->len; i++)
     {
@@ -122,12 +122,13 @@
   run->spec.payload.payload_val = NULL;
   run->spec.payload.payload_len = 0;
   uint64_t run_ms = spec->run_ms;
-  run->end_ms = spec->kind == FB_KIND_SERVICE ? G_MAXUINT64 : clock_of (self, now_ms) + run_ms;
+  run->end_ms
+      = spec->kind == FB_KIND_SERVICE ? G_MAXUINT64 : worker_clock_ms (self, now_ms) + run_ms;
   oracle_answer_text (&spec->run, run->answer, sizeof run->answer);
   g_ptr_array_add (self->runs, run);
-  self->state++;
+  self->list_version++;
   oracle_start (self->oracle, now_ms, self->id, &self->capacity, spec);
-  if (self->fail)
+  if (self->runs_fail)
     end_run (self, now_ms, run, FB_RUN_STATUS_FAILED);
   return TRUE;
 }
@@ -159,7 +160,7 @@
   reply->texts = g_ptr_array_new_with_free_func (g_free);
   reply->view.epoch = self->epoch;
   reply->view.seq = self->seq;
-  reply->view.clock_ms = clock_of (self, now_ms);
+  reply->view.clock_ms = worker_clock_ms (self, now_ms);
   reply->view.incarnation = self->incarnation;
   return reply;
 }
@@ -183,9 +184,9 @@
       const fb_spec *spec = g_ptr_array_index (request->starts, i);
       if (find_run (self, &spec->run) != NULL)
         continue;
-      if (clock_of (self, now_ms) > g_array_index (request->start_by_ms, uint64_t, i))
+      if (worker_clock_ms (self, now_ms) > g_array_index (request->start_by_ms, uint64_t, i))
         {
-          self->state++;
+          self->list_version++;
           FbSyncRun refused = { .spec = *spec, .state = FB_SYNC_REFUSED };
           g_array_append_val (reply->runs, refused);
           continue;
@@ -197,7 +198,7 @@
 WorkerReply *
 worker_handle (Worker *self, uint64_t now_ms, const FbSyncRequest *request)
 {
-  lapse (self, now_ms);
+  expire_lease (self, now_ms);
   if (request->epoch < self->epoch)
     {
       WorkerReply *reply = reply_new (self, now_ms);
@@ -209,14 +210,14 @@
   self->epoch = request->epoch;
   self->seq = request->seq;
   self->lease_until_ms = MAX (self->lease_until_ms, request->lease_until_ms);
-  lapse (self, now_ms);
+  expire_lease (self, now_ms);
   for (guint i = 0; i < request->acks->len; i++)
     {
       Run *run = find_run (self, &g_array_index (request->acks, fb_run, i));
       if (run != NULL && run->ended)
         {
           g_ptr_array_remove (self->runs, run);
-          self->state++;
+          self->list_version++;
         }
     }
   for (guint i = 0; i < request->stops->len; i++)
@@ -227,9 +228,9 @@
     }
   WorkerReply *reply = reply_new (self, now_ms);
   handle_starts (self, now_ms, request, reply);
-  reply->view.version = self->state;
+  reply->view.version = self->list_version;
   reply->view.unchanged
-      = request->incarnation == self->incarnation && request->known_version == self->state;
+      = request->incarnation == self->incarnation && request->known_version == self->list_version;
   if (!reply->view.unchanged)
     finish_reply (self, reply);
   return reply;
@@ -238,16 +239,17 @@
 void
 worker_tick (Worker *self, uint64_t now_ms)
 {
-  /* Also while frozen: nothing of a frozen host runs, and what it does first
-   * when it wakes is to look at its leases. */
-  lapse (self, now_ms);
+  /* Leases also expire while the worker is frozen: a frozen host runs nothing, and when it is
+   * resumed it checks its leases first. */
+  expire_lease (self, now_ms);
   if (self->frozen)
     return;
   for (guint i = 0; i < self->runs->len; i++)
     {
       Run *run = g_ptr_array_index (self->runs, i);
-      if (!run->ended && clock_of (self, now_ms) >= run->end_ms)
-        end_run (self, now_ms, run, self->fail ? FB_RUN_STATUS_FAILED : FB_RUN_STATUS_COMPLETED);
+      if (!run->ended && worker_clock_ms (self, now_ms) >= run->end_ms)
+        end_run (self, now_ms, run,
+                 self->runs_fail ? FB_RUN_STATUS_FAILED : FB_RUN_STATUS_COMPLETED);
     }
 }
 
@@ -262,7 +264,7 @@
 guint64
 worker_ends_version (const Worker *self)
 {
-  return self->version;
+  return self->ends_version;
 }
 
 gboolean
@@ -282,7 +284,7 @@
     }
   g_ptr_array_set_size (self->runs, 0);
   self->incarnation += 1000000;
-  self->state++;
+  self->list_version++;
   self->lease_until_ms = 0;
   self->epoch = 0;
   self->seq = 0;
@@ -291,14 +293,14 @@
 void
 worker_set_runs_fail (Worker *self, gboolean fail)
 {
-  self->fail = fail;
+  self->runs_fail = fail;
 }
 
 void
 worker_set_usage (Worker *self, guint percent)
 {
   self->usage_percent = percent;
-  self->state++;
+  self->list_version++;
 }
 
 void
--- a/tests/world-worker.h
+++ b/tests/world-worker.h
@@ -1,4 +1,4 @@
-/* A fake worker: keeps its side of the exchange, with a clock of its own. */
+/* A fake worker: implements the worker's side of the exchange, with its own clock. */
 #pragma once
 
 #include "internal/rack.h"
@@ -14,13 +14,13 @@
                     uint64_t clock_offset_ms);
 void worker_free (Worker *self);
 
-/* Returns: (transfer full): the reply, or NULL when the exchange came late. */
+/* Returns: (transfer full): the reply, or NULL when a later exchange came before. */
 WorkerReply *worker_handle (Worker *self, uint64_t now_ms, const FbSyncRequest *request);
-/* Lets time pass: runs end, leases lapse. */
+/* Ends the runs that are due or whose lease has expired at NOW_MS. */
 void worker_tick (Worker *self, uint64_t now_ms);
 
 void worker_set_frozen (Worker *self, uint64_t now_ms, gboolean frozen);
-/* Returns: a number that changes with each end. */
+/* Returns: a number that increases with each end of a run. */
 guint64 worker_ends_version (const Worker *self);
 gboolean worker_is_frozen (const Worker *self);
 void worker_restart (Worker *self, uint64_t now_ms);
--- a/tests/world.c
+++ b/tests/world.c
@@ -11,30 +11,30 @@
 #include <string.h>
 
 #define STEP_MS 20
-#define HEAL_MS 90000
-#define ASK_MS 2000
+#define RECOVERY_MS 90000
+#define QUERY_MS 2000
 #define EXCHANGE_TIMEOUT_MS 1000
-#define HOST_LIST_MS 1000
+#define HOST_LIST_INTERVAL_MS 1000
 
 typedef struct
 {
   World *world;
   guint index;
   FbNode *node;
-  guint incarnation; /* grows at each start; answers to an earlier life are dropped */
+  guint incarnation; /* counts starts and kills; replies to an earlier one are dropped */
   gboolean paused;
-  uint64_t told_hosts_ms;
+  uint64_t hosts_sent_ms;
   gboolean draining;
-  gboolean cut;
-  gboolean cut_workers;
-  uint64_t serial_seen[FB_PARTNER_N];
-} Slot;
+  gboolean peers_cut;
+  gboolean workers_cut;
+  uint64_t last_serial[FB_PARTNER_N];
+} DaemonSlot;
 
 typedef enum
 {
   EVENT_MSG,
-  EVENT_EXCHANGE, /* reaches the worker */
-  EVENT_REPLY,    /* reaches the node */
+  EVENT_EXCHANGE, /* an exchange arrives at the worker */
+  EVENT_REPLY,    /* the worker's reply, or a timeout, arrives at the node */
   EVENT_APPENDED,
   EVENT_READ
 } EventType;
@@ -63,15 +63,15 @@
   WorldSize size;
   FbCell *cell;
   uint8_t secret[FB_PARTNER_N][FB_SIGN_SECRET_BYTES];
-  Slot *slots;
+  DaemonSlot *slots;
   GSequence *events;
   uint64_t now_ms;
   uint64_t order;
   uint64_t incarnation;
   GRand *rand;
-  guint lose;
-  guint twice;
-  guint delay;
+  guint loss_per_256;
+  guint duplicate_per_256;
+  guint delay_per_256;
   WorldLog *log;
   WorldLogState log_state;
   Worker **workers; /* rack * host_n + host */
@@ -105,13 +105,13 @@
 }
 
 static gboolean
-chance (World *self, guint of_256)
+chance (World *self, guint chance_per_256)
 {
-  return of_256 > 0 && (guint) g_rand_int_range (self->rand, 0, 256) < of_256;
+  return chance_per_256 > 0 && (guint) g_rand_int_range (self->rand, 0, 256) < chance_per_256;
 }
 
 static Event *
-event_new (World *self, EventType type, const Slot *slot, uint64_t delay_ms)
+event_new (World *self, EventType type, const DaemonSlot *slot, uint64_t delay_ms)
 {
   Event *event = g_new0 (Event, 1);
   event->type = type;
@@ -123,15 +123,17 @@
 }
 
 static void
-push (World *self, Event *event)
+schedule_event (World *self, Event *event)
 {
   g_sequence_insert_sorted (self->events, event, compare_event, NULL);
 }
 
 static uint64_t
-noisy_delay (World *self)
+draw_delivery_delay (World *self)
 {
-  return 1 + (chance (self, self->delay) ? (uint64_t) g_rand_int_range (self->rand, 0, 3000) : 0);
+  return 1
+         + (chance (self, self->delay_per_256) ? (uint64_t) g_rand_int_range (self->rand, 0, 3000)
+                                               : 0);
 }
 
 /* ---- the node's sink -------------------------------------------------- */
@@ -139,48 +141,48 @@
 static void
 on_send (gpointer user, guint member, const fb_msg *msg)
 {
-  Slot *from = user;
+  DaemonSlot *from = user;
   World *self = from->world;
-  Slot *to = &self->slots[member];
-  if (from->cut || to->cut || chance (self, self->lose))
+  DaemonSlot *to = &self->slots[member];
+  if (from->peers_cut || to->peers_cut || chance (self, self->loss_per_256))
     return;
-  guint copies = chance (self, self->twice) ? 2 : 1;
+  guint copies = chance (self, self->duplicate_per_256) ? 2 : 1;
   for (guint i = 0; i < copies; i++)
     {
-      Event *event = event_new (self, EVENT_MSG, to, noisy_delay (self));
+      Event *event = event_new (self, EVENT_MSG, to, draw_delivery_delay (self));
       event->msg = fb_codec_encode_msg (msg);
       g_assert_nonnull (event->msg);
-      push (self, event);
+      schedule_event (self, event);
     }
 }
 
 static void
 on_worker_sync (gpointer user, uint32_t rack, guint host, const FbSyncRequest *request)
 {
-  Slot *slot = user;
+  DaemonSlot *slot = user;
   World *self = slot->world;
-  gboolean lost = slot->cut_workers || chance (self, self->lose);
+  gboolean lost = slot->workers_cut || chance (self, self->loss_per_256);
   if (!lost)
     {
-      Event *event = event_new (self, EVENT_EXCHANGE, slot, noisy_delay (self));
+      Event *event = event_new (self, EVENT_EXCHANGE, slot, draw_delivery_delay (self));
       event->rack = rack;
       event->host = host;
       event->epoch = request->epoch;
       event->exchange = fb_sync_request_copy (request);
-      push (self, event);
+      schedule_event (self, event);
     }
-  /* The caller's own timeout; a reply that comes first makes it stale. */
+  /* The timeout of the exchange; ignored when a reply arrives first. */
   Event *timeout = event_new (self, EVENT_REPLY, slot, EXCHANGE_TIMEOUT_MS);
   timeout->rack = rack;
   timeout->host = host;
   timeout->epoch = request->epoch;
-  push (self, timeout);
+  schedule_event (self, timeout);
 }
 
 static void
 on_log_append (gpointer user, const FbLogRecord *records, guint n)
 {
-  Slot *slot = user;
+  DaemonSlot *slot = user;
   World *self = slot->world;
   Event *event = event_new (self, EVENT_APPENDED, slot, 5);
   event->offsets = g_array_new (FALSE, FALSE, sizeof (uint64_t));
@@ -196,36 +198,37 @@
   event->ok = self->log_state == WORLD_LOG_UP;
   if (!event->ok)
     event->at_ms += 500;
-  push (self, event);
+  schedule_event (self, event);
 }
 
 static void
 on_log_read (gpointer user, uint32_t stream, uint64_t from)
 {
-  Slot *slot = user;
+  DaemonSlot *slot = user;
   World *self = slot->world;
   Event *event = event_new (self, EVENT_READ, slot, 5);
   event->stream = stream;
   event->from = from;
   event->ok = self->log_state != WORLD_LOG_DOWN;
-  push (self, event);
+  schedule_event (self, event);
 }
 
 static void
 on_answer (gpointer user, const fb_answer *answer)
 {
-  Slot *slot = user;
+  DaemonSlot *slot = user;
   oracle_answer (slot->world->oracle, slot->world->now_ms, slot->index, answer);
 }
 
 static void
 on_config_changed (gpointer user, uint32_t partner, uint64_t serial)
 {
-  Slot *slot = user;
+  DaemonSlot *slot = user;
   World *self = slot->world;
-  if (serial < slot->serial_seen[partner])
-    oracle_report_violation (self->oracle, "configuration went back to a lower serial");
-  slot->serial_seen[partner] = serial;
+  if (serial < slot->last_serial[partner])
+    oracle_report_violation (self->oracle,
+                             "a daemon went back to a configuration with a lower serial");
+  slot->last_serial[partner] = serial;
   oracle_check_config (self->oracle, partner, serial,
                        fb_node_config_revision (slot->node, partner));
 }
@@ -244,41 +247,41 @@
 static void
 deliver_exchange (World *self, Event *event)
 {
-  Slot *slot = &self->slots[event->node];
+  DaemonSlot *slot = &self->slots[event->node];
   Worker *worker = worker_at (self, event->rack, event->host);
   if (worker_is_frozen (worker))
     {
-      /* It lies in the worker's buffer until it wakes. */
+      /* The exchange stays in the worker's socket buffer until the worker is resumed. */
       Event *later = event_new (self, EVENT_EXCHANGE, slot, STEP_MS);
       later->incarnation = event->incarnation;
       later->rack = event->rack;
       later->host = event->host;
       later->epoch = event->epoch;
       later->exchange = g_steal_pointer (&event->exchange);
-      push (self, later);
+      schedule_event (self, later);
       return;
     }
   WorkerReply *reply = worker_handle (worker, self->now_ms, event->exchange);
   if (reply == NULL)
     return;
-  if (chance (self, self->lose) || slot->cut_workers)
+  if (chance (self, self->loss_per_256) || slot->workers_cut)
     {
       worker_reply_free (reply);
       return;
     }
-  Event *answer = event_new (self, EVENT_REPLY, slot, noisy_delay (self));
+  Event *answer = event_new (self, EVENT_REPLY, slot, draw_delivery_delay (self));
   answer->incarnation = event->incarnation;
   answer->rack = event->rack;
   answer->host = event->host;
   answer->epoch = event->epoch;
   answer->reply = reply;
-  push (self, answer);
+  schedule_event (self, answer);
 }
 
 static void
 deliver_read (World *self, Event *event)
 {
-  Slot *slot = &self->slots[event->node];
+  DaemonSlot *slot = &self->slots[event->node];
   g_autoptr (GArray) records = g_array_new (FALSE, FALSE, sizeof (FbLogRecord));
   FbLogPage page = { .log_now_ms = world_log_clock_ms (self->now_ms) };
   if (event->ok)
@@ -292,7 +295,7 @@
 static void
 deliver_to_node (World *self, Event *event)
 {
-  Slot *slot = &self->slots[event->node];
+  DaemonSlot *slot = &self->slots[event->node];
   switch (event->type)
     {
     case EVENT_MSG:
@@ -334,23 +337,23 @@
       deliver_exchange (self, event);
       return;
     }
-  Slot *slot = &self->slots[event->node];
+  DaemonSlot *slot = &self->slots[event->node];
   if (slot->node == NULL || slot->incarnation != event->incarnation)
     return;
   if (slot->paused)
     {
-      /* It lies in the socket's buffer until the process goes on. */
+      /* The event stays in the socket buffer until the process is resumed. */
       Event *later = g_memdup2 (event, sizeof *event);
       memset (event, 0, sizeof *event);
       later->at_ms = self->now_ms + STEP_MS;
-      push (self, later);
+      schedule_event (self, later);
       return;
     }
   deliver_to_node (self, event);
 }
 
 static void
-deliver_due (World *self)
+deliver_due_events (World *self)
 {
   for (;;)
     {
@@ -373,9 +376,9 @@
 }
 
 static void
-tell_hosts (World *self, Slot *slot)
+send_host_states (World *self, DaemonSlot *slot)
 {
-  slot->told_hosts_ms = self->now_ms;
+  slot->hosts_sent_ms = self->now_ms;
   for (guint rack = 0; rack < self->size.rack_n; rack++)
     {
       for (guint host = 0; host < self->size.host_n; host++)
@@ -393,14 +396,14 @@
       self->now_ms += STEP_MS;
       for (guint i = 0; i < self->size.rack_n * self->size.host_n; i++)
         worker_tick (self->workers[i], self->now_ms);
-      deliver_due (self);
+      deliver_due_events (self);
       for (guint i = 0; i < self->size.member_n; i++)
         {
-          Slot *slot = &self->slots[i];
+          DaemonSlot *slot = &self->slots[i];
           if (slot->node == NULL || slot->paused)
             continue;
-          if (self->now_ms - slot->told_hosts_ms >= HOST_LIST_MS)
-            tell_hosts (self, slot);
+          if (self->now_ms - slot->hosts_sent_ms >= HOST_LIST_INTERVAL_MS)
+            send_host_states (self, slot);
           fb_node_advance (slot->node, self->now_ms);
         }
     }
@@ -412,10 +415,10 @@
   return self->now_ms;
 }
 
-/* ---- building --------------------------------------------------------- */
+/* ---- construction --------------------------------------------------------- */
 
 static FbCell *
-cell_new (World *self)
+build_cell (World *self)
 {
   FbCell *cell = fb_cell_new ();
   static const char *const names[FB_PARTNER_N] = { "alpha", "beta" };
@@ -453,7 +456,7 @@
   self->now_ms = 1000000;
   self->rand = g_rand_new_with_seed (size->seed);
   self->events = g_sequence_new (event_free);
-  self->cell = cell_new (self);
+  self->cell = build_cell (self);
   self->log = world_log_new (size->retention_ms);
   self->oracle = oracle_new ();
   guint worker_n = size->rack_n * size->host_n;
@@ -462,7 +465,7 @@
   for (guint i = 0; i < worker_n; i++)
     self->workers[i] = worker_new (i, &size->host_capacity, self->oracle, self->now_ms,
                                    (uint64_t) g_rand_int_range (self->rand, 0, 100000));
-  self->slots = g_new0 (Slot, size->member_n);
+  self->slots = g_new0 (DaemonSlot, size->member_n);
   for (guint i = 0; i < size->member_n; i++)
     {
       self->slots[i].world = self;
@@ -492,8 +495,9 @@
 
 /* ---- faults ----------------------------------------------------------- */
 
-/* A revision that no living daemon holds is in the log only, and may be dropped
- * there before anyone reads it: nobody was told that it is in force. */
+/* A revision that no running daemon holds is at most in the log, and retention may drop it
+ * there before a daemon reads it.  This loss is allowed: no daemon has reported the revision
+ * as being in force. */
 static void
 note_config_loss (World *self)
 {
@@ -513,7 +517,7 @@
 void
 world_kill (World *self, guint node)
 {
-  Slot *slot = &self->slots[node];
+  DaemonSlot *slot = &self->slots[node];
   g_clear_pointer (&slot->node, fb_node_free);
   oracle_daemon_died (self->oracle, node);
   slot->incarnation++;
@@ -525,11 +529,11 @@
 void
 world_start (World *self, guint node)
 {
-  Slot *slot = &self->slots[node];
+  DaemonSlot *slot = &self->slots[node];
   if (slot->node != NULL)
     return;
   slot->incarnation++;
-  memset (slot->serial_seen, 0, sizeof slot->serial_seen);
+  memset (slot->last_serial, 0, sizeof slot->last_serial);
   FbNodeConfig config = { .cell = self->cell,
                           .self_index = node,
                           .incarnation = ++self->incarnation,
@@ -540,7 +544,7 @@
 }
 
 void
-world_pause (World *self, guint node, gboolean paused)
+world_set_paused (World *self, guint node, gboolean paused)
 {
   self->slots[node].paused = paused && self->slots[node].node != NULL;
 }
@@ -567,27 +571,28 @@
 }
 
 void
-world_cut (World *self, guint node, gboolean cut)
+world_set_peers_cut (World *self, guint node, gboolean peers_cut)
 {
-  self->slots[node].cut = cut;
+  self->slots[node].peers_cut = peers_cut;
 }
 
 void
-world_cut_workers (World *self, guint node, gboolean cut)
+world_set_workers_cut (World *self, guint node, gboolean peers_cut)
 {
-  self->slots[node].cut_workers = cut;
+  self->slots[node].workers_cut = peers_cut;
 }
 
 void
-world_noise (World *self, guint lose, guint twice, guint delay)
+world_set_message_faults (World *self, guint loss_per_256, guint duplicate_per_256,
+                          guint delay_per_256)
 {
-  self->lose = lose;
-  self->twice = twice;
-  self->delay = delay;
+  self->loss_per_256 = loss_per_256;
+  self->duplicate_per_256 = duplicate_per_256;
+  self->delay_per_256 = delay_per_256;
 }
 
 void
-world_log (World *self, WorldLogState state)
+world_set_log_state (World *self, WorldLogState state)
 {
   self->log_state = state;
 }
@@ -595,35 +600,35 @@
 void
 world_log_trim (World *self)
 {
-  world_log_drop_old (self->log, self->now_ms);
+  world_log_drop_expired (self->log, self->now_ms);
 }
 
 void
-world_freeze (World *self, guint rack, guint host, gboolean frozen)
+world_set_worker_frozen (World *self, guint rack, guint host, gboolean frozen)
 {
   worker_set_frozen (worker_at (self, rack, host), self->now_ms, frozen);
 }
 
 void
-world_restart_host (World *self, guint rack, guint host)
+world_restart_worker (World *self, guint rack, guint host)
 {
   worker_restart (worker_at (self, rack, host), self->now_ms);
 }
 
 void
-world_fail_all (World *self, guint rack, guint host, gboolean fail)
+world_set_runs_fail (World *self, guint rack, guint host, gboolean fail)
 {
   worker_set_runs_fail (worker_at (self, rack, host), fail);
 }
 
 void
-world_usage (World *self, guint rack, guint host, guint percent)
+world_set_usage (World *self, guint rack, guint host, guint percent)
 {
   worker_set_usage (worker_at (self, rack, host), percent);
 }
 
 void
-world_leave (World *self, guint rack, guint host, FbHostState state)
+world_set_host_state (World *self, guint rack, guint host, FbHostState state)
 {
   self->host_states[rack * self->size.host_n + host] = state;
   worker_set_leaving (worker_at (self, rack, host), self->now_ms, state != FB_HOST_LIVE);
@@ -665,7 +670,8 @@
 }
 
 FbNodeConfigStatus
-world_apply (World *self, guint node, uint32_t partner, uint64_t serial, guint count, guint lend)
+world_publish_config (World *self, guint node, uint32_t partner, uint64_t serial, guint count,
+                      guint lend)
 {
   if (!world_is_up (self, node))
     return FB_NODE_CONFIG_INVALID;
@@ -685,10 +691,10 @@
   return status;
 }
 
-/* ---- the end ---------------------------------------------------------- */
+/* ---- recovery and final checks ---------------------------------------------------------- */
 
 static void
-ask_again (gpointer user, uint64_t job, uint32_t partner)
+query_job (gpointer user, uint64_t job, uint32_t partner)
 {
   World *self = user;
   (void) fb_node_query_job (self->slots[0].node, self->now_ms, partner, job);
@@ -697,14 +703,14 @@
 void
 world_heal (World *self)
 {
-  world_noise (self, 0, 0, 0);
-  world_log (self, WORLD_LOG_UP);
+  world_set_message_faults (self, 0, 0, 0);
+  world_set_log_state (self, WORLD_LOG_UP);
   for (guint i = 0; i < self->size.member_n; i++)
     {
-      world_cut (self, i, FALSE);
-      world_cut_workers (self, i, FALSE);
-      world_pause (self, i, FALSE);
-      /* A planned stop ends, and another process takes the place. */
+      world_set_peers_cut (self, i, FALSE);
+      world_set_workers_cut (self, i, FALSE);
+      world_set_paused (self, i, FALSE);
+      /* A drained daemon exits, and a new process replaces it. */
       if (self->slots[i].draining)
         world_kill (self, i);
       world_start (self, i);
@@ -713,21 +719,21 @@
     {
       for (guint host = 0; host < self->size.host_n; host++)
         {
-          world_freeze (self, rack, host, FALSE);
-          world_fail_all (self, rack, host, FALSE);
-          world_usage (self, rack, host, 0);
-          world_leave (self, rack, host, FB_HOST_LIVE);
+          world_set_worker_frozen (self, rack, host, FALSE);
+          world_set_runs_fail (self, rack, host, FALSE);
+          world_set_usage (self, rack, host, 0);
+          world_set_host_state (self, rack, host, FB_HOST_LIVE);
         }
     }
-  world_run (self, HEAL_MS);
-  /* Callers whose daemon died come back and ask. */
-  oracle_foreach_unanswered (self->oracle, ask_again, self);
-  world_run (self, ASK_MS);
+  world_run (self, RECOVERY_MS);
+  /* Callers whose daemon died ask another one for the outcome. */
+  oracle_foreach_unanswered (self->oracle, query_job, self);
+  world_run (self, QUERY_MS);
 }
 
-/* For the log of a failed run. */
+/* Logs the state of all workers, for the analysis of a failed run. */
 static void
-print_workers (const World *self)
+log_worker_states (const World *self)
 {
   for (guint i = 0; i < self->size.rack_n; i++)
     {
@@ -738,7 +744,7 @@
             {
               fb_res used = fb_rack_worker_used (rack, w);
               fb_event_log (FB_EVENT_WORKER_HEARD,
-                            "settled: daemon=%u worker=%s state=%s cpu_milli=%" G_GUINT64_FORMAT
+                            "final state: daemon=%u worker=%s state=%s cpu_milli=%" G_GUINT64_FORMAT
                             " waiting=%u",
                             m, fb_rack_worker_name (rack, w), fb_rack_worker_state (rack, w),
                             used.amount[FB_RES_CPU_MILLI], fb_rack_queue_count (rack));
@@ -748,11 +754,11 @@
 }
 
 static void
-print_open_job (gpointer user, uint64_t job, uint32_t partner)
+log_unanswered_job (gpointer user, uint64_t job, uint32_t partner)
 {
   (void) partner;
   g_autofree char *text = world_explain (user, job);
-  fb_event_log (FB_EVENT_JOB_ENDED, "settled: job=%" G_GUINT64_FORMAT " open: %s", job, text);
+  fb_event_log (FB_EVENT_JOB_ENDED, "final state: job=%" G_GUINT64_FORMAT " open: %s", job, text);
 }
 
 static gboolean
@@ -779,9 +785,9 @@
       for (guint m = 0; m < self->size.member_n; m++)
         owners += fb_node_owned_epoch (self->slots[m].node, shard) > 0 ? 1 : 0;
       if (owners != 1)
-        oracle_report_violation (self->oracle, owners == 0
-                                                   ? "a shard has no owner after all healed"
-                                                   : "a shard has two owners after all healed");
+        oracle_report_violation (self->oracle,
+                                 owners == 0 ? "a shard has no owner after recovery"
+                                             : "a shard has more than one owner after recovery");
     }
 }
 
@@ -797,27 +803,27 @@
               || (serial != oracle_config_serial (self->oracle, p)
                   && !oracle_config_is_orphaned (self->oracle, p)))
             oracle_report_violation (self->oracle,
-                                     "an accepted configuration is not in force everywhere");
+                                     "an accepted configuration is not in force on all daemons");
         }
     }
 }
 
 void
-world_check_settled (World *self)
+world_check_final_state (World *self)
 {
   if (oracle_violation (self->oracle) != NULL)
     return;
   check_owners (self);
   check_config (self);
-  print_workers (self);
-  oracle_foreach_unanswered (self->oracle, print_open_job, self);
+  log_worker_states (self);
+  oracle_foreach_unanswered (self->oracle, log_unanswered_job, self);
   if (!all_racks_empty (self))
-    oracle_report_violation (self->oracle, "work still waits after all healed");
+    oracle_report_violation (self->oracle, "tasks are still queued after recovery");
   oracle_check_final_state (self->oracle);
 }
 
 const char *
-world_broken (const World *self)
+world_violation (const World *self)
 {
   return oracle_violation (self->oracle);
 }
@@ -857,5 +863,5 @@
       if (text != NULL)
         return text;
     }
-  return g_strdup ("no daemon knows it\n");
+  return g_strdup ("no daemon knows the job\n");
 }
--- a/tests/world.h
+++ b/tests/world.h
@@ -1,8 +1,8 @@
-/* Fakes at the interfaces of nodes: network, workers, log, host list, callers.
+/* Fakes of everything that a node talks to: network, workers, log, host list, callers.
  *
- * Not a simulator: there is no model of load, bandwidth or hosts.  The fakes
- * keep their side of each protocol, misbehave when told to, and an oracle that
- * knows nothing of the scheduler's code checks the promises after each step. */
+ * This is not a simulator: load, bandwidth and hosts are not modelled.  The fakes
+ * implement their side of each protocol and inject faults on request; an oracle that
+ * shares no code with the scheduler checks the invariants after each step. */
 #pragma once
 
 #include "internal/node.h"
@@ -11,9 +11,9 @@
 
 typedef struct
 {
-  guint member_n; /* odd ones belong to partner 1 */
-  guint rack_n;   /* odd ones belong to partner 1 */
-  guint host_n;   /* in each rack */
+  guint member_n; /* daemons; those with an odd index belong to partner 1 */
+  guint rack_n;   /* racks with an odd index belong to partner 1 */
+  guint host_n;   /* hosts in each rack */
   guint range_n;
   fb_res host_capacity;
   uint64_t retention_ms;
@@ -23,40 +23,41 @@
 World *world_new (const WorldSize *size);
 void world_free (World *self);
 
-/* Lets MS of time pass in steps of STEP_MS. */
+/* Advances the fake clock by MS, in steps of STEP_MS, until a violation is found. */
 void world_run (World *self, uint64_t ms);
 uint64_t world_now_ms (const World *self);
 
-/* Nodes.  A dead node can be started anew; a paused one misses all time. */
+/* Nodes.  A killed node can be started again; a paused one does not run, as after SIGSTOP. */
 void world_kill (World *self, guint node);
 void world_start (World *self, guint node);
-void world_pause (World *self, guint node, gboolean paused);
+void world_set_paused (World *self, guint node, gboolean paused);
 void world_drain (World *self, guint node);
 gboolean world_is_up (const World *self, guint node);
 FbNode *world_node (const World *self, guint node);
 
-/* Network.  A cut node neither hears nor reaches peers. */
-void world_cut (World *self, guint node, gboolean cut);
-void world_cut_workers (World *self, guint node, gboolean cut);
-/* Of 256 messages so many are lost, doubled or delayed. */
-void world_noise (World *self, guint lose, guint twice, guint delay);
+/* Network.  Messages between a cut node and its peers are dropped. */
+void world_set_peers_cut (World *self, guint node, gboolean peers_cut);
+void world_set_workers_cut (World *self, guint node, gboolean peers_cut);
+/* How many of 256 messages are lost, duplicated or delayed. */
+void world_set_message_faults (World *self, guint loss_per_256, guint duplicate_per_256,
+                               guint delay_per_256);
 
 /* The log. */
 typedef enum
 {
   WORLD_LOG_UP,
-  WORLD_LOG_DOWN,       /* calls fail, nothing happens */
-  WORLD_LOG_LOST_ANSWER /* appends take effect, their answers are lost */
+  WORLD_LOG_DOWN,       /* calls fail without effect */
+  WORLD_LOG_LOST_ANSWER /* appends take effect, but their replies are lost */
 } WorldLogState;
-void world_log (World *self, WorldLogState state);
+void world_set_log_state (World *self, WorldLogState state);
 void world_log_trim (World *self);
 
 /* Workers. */
-void world_freeze (World *self, guint rack, guint host, gboolean frozen);
-void world_restart_host (World *self, guint rack, guint host);
-void world_fail_all (World *self, guint rack, guint host, gboolean fail);
-void world_leave (World *self, guint rack, guint host, FbHostState state);
-void world_usage (World *self, guint rack, guint host, guint percent);
+void world_set_worker_frozen (World *self, guint rack, guint host, gboolean frozen);
+void world_restart_worker (World *self, guint rack, guint host);
+void world_set_runs_fail (World *self, guint rack, guint host, gboolean fail);
+void world_set_host_state (World *self, guint rack, guint host, FbHostState state);
+void world_set_usage (World *self, guint rack, guint host, guint percent);
 
 /* Callers. */
 typedef struct
@@ -67,24 +68,25 @@
   uint32_t flags;
   uint32_t count;
   fb_res demand;
-  uint64_t deadline_ms; /* from now; 0 for none */
+  uint64_t deadline_ms; /* from now; 0: none */
   uint64_t run_ms;
 } WorldJob;
 void world_submit (World *self, guint node, const WorldJob *job);
 void world_cancel (World *self, guint node, uint32_t partner, uint64_t job);
 /* Publishes a revision of PARTNER with one service of COUNT tasks. */
-FbNodeConfigStatus world_apply (World *self, guint node, uint32_t partner, uint64_t serial,
-                                guint count, guint lend);
+FbNodeConfigStatus world_publish_config (World *self, guint node, uint32_t partner, uint64_t serial,
+                                         guint count, guint lend);
 
-/* Ends all faults and lets everything settle. */
+/* Ends all faults and runs until recovery should be complete. */
 void world_heal (World *self);
 
-/* The oracle: the first broken promise in words, or NULL. */
-const char *world_broken (const World *self);
-/* Checks at the end, after world_heal(): nothing accepted was lost. */
-void world_check_settled (World *self);
+/* Returns: a description of the first violated invariant, or NULL. */
+const char *world_violation (const World *self);
+/* Checks after world_heal(): each shard has one owner, configurations agree, queues are
+ * empty and every accepted job has its final answer. */
+void world_check_final_state (World *self);
 
-/* What the oracle saw. */
+/* Observations of the oracle. */
 FbOutcome world_outcome (const World *self, uint64_t job);
 guint world_starts (const World *self, uint64_t job);
 guint world_live (const World *self, uint64_t job);
