--- a/fuzz/fuzz-node-libfuzzer.c
+++ b/fuzz/fuzz-node-libfuzzer.c
@@ -14,11 +14,11 @@
   if (!ready)
     fb_event_init ("fuzz", TRUE);
   ready = TRUE;
-  char *broken = NULL;
-  (void) fuzz_node_run (data, size, &broken);
-  if (broken != NULL)
+  char *violation = NULL;
+  (void) fuzz_node_run (data, size, &violation);
+  if (violation != NULL)
     {
-      fprintf (stderr, "broken promise: %s\n", broken);
+      fprintf (stderr, "violated invariant: %s\n", violation);
       abort ();
     }
   return 0;
--- a/fuzz/fuzz-node.c
+++ b/fuzz/fuzz-node.c
@@ -1,8 +1,8 @@
-/* Stateful fuzzing of whole nodes: bytes become a sequence of events over
- * several daemons, workers and a log, and the oracle judges after each.
+/* Stateful fuzzing of whole nodes: the input is decoded to a sequence of events on
+ * several daemons, workers and a log, and the oracle checks the invariants after each.
  *
- * Two bytes a step: what happens, and to whom.  Every step also lets some time
- * pass.  At the end all faults are healed and the world has to settle. */
+ * Two bytes per step: the event and its target.  Every step also advances the clock.
+ * At the end all faults are healed and recovery has to complete. */
 #include "../tests/world.h"
 
 #include "fb-event.h"
@@ -33,7 +33,7 @@
   if (!again && run->next_job > JOB_MAX)
     return;
   uint64_t id = again ? 1 + whom % (run->next_job - 1) : run->next_job++;
-  /* What a job is follows from its id, so that a repeated one is the same. */
+  /* The job's parameters depend on its id alone, so that a repeated submission is identical. */
   guint shape = (guint) (id * 2654435761u >> 7);
   WorldJob job = { .id = id, .partner = shape % FB_PARTNER_N };
   job.kind = (FbKind) (shape / 2 % FB_KIND_N);
@@ -43,14 +43,14 @@
               : (shape / 8 % 3 == 1) ? FB_FLAG_PREEMPTIBLE
                                      : 0;
   job.count = job.kind == FB_KIND_GANG ? 2 + shape / 24 % 3 : 1 + shape / 24 % 4;
-  /* A gang of full hosts could wait for ever beside standing services. */
+  /* A gang whose tasks need a whole host each could wait forever next to services. */
   guint cpu_max = job.kind == FB_KIND_GANG ? 2 : 3;
   job.demand = (fb_res){ { 1000 * (1 + shape / 96 % cpu_max), 1ull << 30, 0, 1 } };
   job.run_ms = times_ms[shape / 288 % 4];
   job.deadline_ms = dues_ms[shape / 1152 % 4];
   if (shape / 4608 % 5 == 0 && job.kind != FB_KIND_GANG)
     {
-      /* Ids of these are the daemon's own and never come twice. */
+      /* The daemon generates the ids of ephemeral jobs, and they never repeat. */
       if (again)
         return;
       job.flags |= FB_FLAG_EPHEMERAL;
@@ -116,7 +116,7 @@
 configure (Run *run, guint whom)
 {
   uint32_t partner = whom % FB_PARTNER_N;
-  /* Every other time with a serial that someone else may be using. */
+  /* Some serials are skipped, and some are used a second time. */
   uint64_t serial = run->serial[partner] + 1 + (whom / 8 % 4 == 0 ? 1 : 0);
   if (world_publish_config (run->world, whom / 2 % MEMBER_N, partner, serial, whom / 16 % 4,
                             whom % 101)
@@ -174,7 +174,7 @@
 }
 
 guint64
-fuzz_node_run (const uint8_t *data, size_t size, char **broken)
+fuzz_node_run (const uint8_t *data, size_t size, char **violation)
 {
   WorldSize shape = { .member_n = MEMBER_N,
                       .rack_n = RACK_N,
@@ -197,7 +197,7 @@
       world_heal (run.world);
       world_check_final_state (run.world);
     }
-  *broken = g_strdup (world_violation (run.world));
+  *violation = g_strdup (world_violation (run.world));
   world_free (run.world);
   return steps;
 }
--- a/fuzz/fuzz-pool.c
+++ b/fuzz/fuzz-pool.c
@@ -1,9 +1,8 @@
-/* Stateful fuzzing of pools: owners that come and go over workers and a store that
- * fail, judged by what really ran.
+/* Stateful fuzzing of pools: owners change while workers and the store fail, and the invariants
+ * are checked against the actual runs on the workers.
  *
- * The world keeps the truth about every run and shares no code with the pool.  After
- * each fault phase everything heals, and all that was accepted has to end.  A seed
- * gives the same run every time. */
+ * The environment records every run and shares no code with the pool.  After the fault phase
+ * all faults are healed, and every accepted job has to end.  A seed always gives the same run. */
 #include "pool-world.h"
 
 #include "fb-event.h"
@@ -20,41 +19,41 @@
     return;
   Job *job = &world->jobs[world->job_n++];
   g_snprintf (job->id, sizeof job->id, "%016x", world->job_n);
-  job->poison = world_chance (world, 10) == 0;
+  job->always_fails = world_random (world, 10) == 0;
   if (world->crashing && world->job_n % 8 == 0)
-    job->crashers = 1 + world_chance (world, TASK_MAX);
-  guint steps = 1 + world_chance (world, STEP_MAX);
+    job->crashing_tasks = 1 + world_random (world, TASK_MAX);
+  guint steps = 1 + world_random (world, STEP_MAX);
   fb_work_admit *record = &job->record;
   record->policy = (fb_work_policy){ .queue = "q",
                                      .service = "svc",
-                                     .priority = world_chance (world, 3),
+                                     .priority = world_random (world, 3),
                                      .max_attempts = MAX_ATTEMPTS,
                                      .stretch_factor_milli = 1500,
                                      .target_ms = 1000 };
-  record->policy.advised = world->advised && world->job_n % 2 == 0;
+  record->policy.advised = world->uses_advice && world->job_n % 2 == 0;
   record->spec.payload = "p";
   record->spec.steps.steps_len = steps;
   record->spec.steps.steps_val = g_new0 (fb_work_step, steps);
   record->accepted_ms = WALL_MS + world->now_ms;
-  (void) world_chance (world, 4); /* so that a seed goes on meaning the same run */
+  (void) world_random (world, 4); /* unused draw: keeps the runs of existing seeds */
   for (guint i = 0; i < steps; i++)
     {
       fb_work_step *step = &record->spec.steps.steps_val[i];
-      step->count = 1 + world_chance (world, TASK_MAX);
-      step->cpu_milli = 1000 * (1 + world_chance (world, 8));
+      step->count = 1 + world_random (world, TASK_MAX);
+      step->cpu_milli = 1000 * (1 + world_random (world, 8));
       step->mem_mb = 100;
       step->estimate_ms = 1000;
       step->preferred_rack = step->required_label = step->image = "";
-      step->speculative = world->advised && world->job_n % 3 == 0;
-      step->gang = FALSE; /* workers here end runs one by one; scripts judge gangs */
+      step->speculative = world->uses_advice && world->job_n % 3 == 0;
+      step->gang = FALSE; /* these workers end runs one by one; gangs are tested by scripts */
       step->after.after_val = g_new0 (u_int, 1);
       step->after.after_len = i;
     }
   job->submitted = TRUE;
   for (guint i = 0; i < OWNER_N; i++)
     {
-      /* Others read it from the store up to LIST_LAG_MS later. */
-      if (world->owners[i].pool != NULL && !world->owners[i].paused && world_chance (world, 2) == 0)
+      /* The other owners read the job from the store up to LIST_LAG_MS later. */
+      if (world->owners[i].pool != NULL && !world->owners[i].paused && world_random (world, 2) == 0)
         fb_pool_admit (world->owners[i].pool, job->id, record, world->now_ms,
                        WALL_MS + world->now_ms);
     }
@@ -65,7 +64,7 @@
 {
   if (world->job_n == 0)
     return;
-  Job *job = &world->jobs[world_chance (world, world->job_n)];
+  Job *job = &world->jobs[world_random (world, world->job_n)];
   if (job->cancelled)
     return;
   job->cancelled = TRUE;
@@ -80,34 +79,35 @@
 static void
 fault_worker (World *world)
 {
-  guint i = world_chance (world, WORKER_N);
+  guint i = world_random (world, WORKER_N);
   Worker *worker = &world->workers[i];
-  /* A worker that drains may go at any moment, as planned: nobody can tell that from a crash. */
-  switch (world_chance (world, world->crashing ? 3 : 4))
+  /* A draining worker may exit at any time, which an owner cannot tell from a crash: the modes
+   * with crashing tasks do not drain workers. */
+  switch (world_random (world, world->crashing ? 3 : 4))
     {
     case 0:
       world_worker_fail (world, worker);
       break;
     case 1:
       world_worker_crash (world, worker, NULL);
-      world_worker_begin (world, i);
+      world_worker_start (world, i);
       break;
     case 2:
       worker->cut = !worker->cut;
-      world_trace (world, "%s is %s", worker->id, worker->cut ? "cut off" : "back");
+      world_trace (world, "%s is %s", worker->id, worker->cut ? "cut off" : "reachable again");
       break;
     default:
       worker->draining = TRUE;
     }
 }
 
-/* Half of the changes leave less than some tasks need, some leave nothing. */
+/* Half of the changes reduce the capacity below what some tasks need, some to 0. */
 static void
 resize_worker (World *world)
 {
-  Worker *worker = &world->workers[world_chance (world, WORKER_N)];
+  Worker *worker = &world->workers[world_random (world, WORKER_N)];
   int64_t cpu_milli
-      = world_chance (world, 2) == 0 ? CPU : 1000 * (int64_t) world_chance (world, 17);
+      = world_random (world, 2) == 0 ? WORKER_CPU_MILLI : 1000 * (int64_t) world_random (world, 17);
   if (worker->up)
     world_worker_resize (world, worker, cpu_milli);
 }
@@ -115,69 +115,70 @@
 static void
 fault_owner (World *world)
 {
-  guint i = world_chance (world, OWNER_N);
+  guint i = world_random (world, OWNER_N);
   Owner *owner = &world->owners[i];
   if (owner->pool == NULL)
     return;
-  switch (world_chance (world, 3))
+  switch (world_random (world, 3))
     {
     case 0:
-      world_owner_end (world, i);
-      world_carrier_die (world);
+      world_owner_stop (world, i);
+      world_peer_die (world);
       break;
     default:
       owner->paused = !owner->paused;
-      owner->resumes_ms = 0;
-      world_trace (world, "daemon %u %s", i, owner->paused ? "is paused" : "goes on");
+      owner->resume_ms = 0;
+      world_trace (world, "daemon %u %s", i, owner->paused ? "is paused" : "is resumed");
     }
   world->disturbed_ms[i] = world->now_ms;
 }
 
-/* An owner stands still for a moment; what renews its membership goes on. */
+/* An owner's main loop stalls for a moment, while its membership is still renewed. */
 static void
 stall_owner (World *world)
 {
-  Owner *owner = &world->owners[world->current];
+  Owner *owner = &world->owners[world->current_owner];
   if (owner->pool == NULL || owner->paused)
     return;
   owner->paused = TRUE;
-  owner->resumes_ms = world->now_ms + world_chance (world, STALL_MOST_MS);
+  owner->resume_ms = world->now_ms + world_random (world, MAX_STALL_MS);
 }
 
-/* A worker fails half of its calls for a while, or all connections break for a moment. */
+/* A worker fails half of its calls until the next change, all connections break for less than
+ * 500 ms, or the owner stalls. */
 static void
 fault_connections (World *world)
 {
-  Worker *worker = &world->workers[world_chance (world, WORKER_N)];
-  if (world_chance (world, 200) == 0)
+  Worker *worker = &world->workers[world_random (world, WORKER_N)];
+  if (world_random (world, 200) == 0)
     worker->failing = !worker->failing;
-  if (world_chance (world, 500) == 0)
-    world->breaking_ms = world->now_ms + world_chance (world, 500);
-  if (world_chance (world, 200) == 0)
+  if (world_random (world, 500) == 0)
+    world->connections_break_until_ms = world->now_ms + world_random (world, 500);
+  if (world_random (world, 200) == 0)
     stall_owner (world);
 }
 
 static void
-faults (World *world)
+inject_faults (World *world)
 {
-  /* Jobs and cancels are accepted when the store has them. */
-  if (world_chance (world, 30) == 0 && !world->store_away)
+  /* Jobs and cancels are accepted only while the store can take them. */
+  if (world_random (world, 30) == 0 && !world->store_away)
     submit (world);
-  if (world_chance (world, 400) == 0 && !world->store_away)
+  if (world_random (world, 400) == 0 && !world->store_away)
     cancel (world);
-  /* Tasks crash workers enough; what is lost with one is known 4 s later, and not at all where the
-   * owner changes each time within these. */
-  if (world_chance (world, world->crashing ? 450 : 150) == 0)
+  /* In the crashing modes tasks already crash workers often.  The runs lost with a worker are known
+   * 4 s later, and never if the owner changes within each of these periods. */
+  if (world_random (world, world->crashing ? 450 : 150) == 0)
     fault_worker (world);
-  if (world->shrinking && world_chance (world, 100) == 0 && !world->store_away)
+  if (world->shrinking && world_random (world, 100) == 0 && !world->store_away)
     resize_worker (world);
   if (world->repeats)
     fault_connections (world);
-  if (world->steady)
+  if (world->owners_steady)
     return;
-  if (world_chance (world, world->crashing ? 2500 : 250) == 0)
+  if (world_random (world, world->crashing ? 2500 : 250) == 0)
     fault_owner (world);
-  if (world_chance (world, 500) == 0)
+  if (world_random (world, 500) == 0)
     {
       world->store_away = !world->store_away;
       world_trace (world, "the store is %s", world->store_away ? "away" : "back");
@@ -192,8 +193,8 @@
   for (guint i = 0; i < WORKER_N; i++)
     {
       if (!world->workers[i].up || world->workers[i].draining)
-        world_worker_begin (world, i);
-      world_worker_resize (world, &world->workers[i], CPU);
+        world_worker_start (world, i);
+      world_worker_resize (world, &world->workers[i], WORKER_CPU_MILLI);
       world->workers[i].cut = FALSE;
       world->workers[i].failing = FALSE;
     }
@@ -201,7 +202,7 @@
     world->owners[i].paused = FALSE;
 }
 
-/* The platform lists a worker while it hears it. */
+/* The platform lists a worker until it has not heard it for UNLIST_DELAY_MS. */
 static void
 list_tick (World *world)
 {
@@ -210,71 +211,71 @@
       Worker *worker = &world->workers[i];
       gboolean heard = worker->up && !worker->cut;
       if (heard)
-        worker->silent_ms = 0;
-      else if (worker->silent_ms == 0)
-        worker->silent_ms = world->now_ms;
-      worker->listed = heard || world->now_ms < worker->silent_ms + SILENCE_MS;
+        worker->unheard_since_ms = 0;
+      else if (worker->unheard_since_ms == 0)
+        worker->unheard_since_ms = world->now_ms;
+      worker->listed = heard || world->now_ms < worker->unheard_since_ms + UNLIST_DELAY_MS;
     }
 }
 
-/* ---- the end ---------------------------------------------------------------------- */
+/* ---- final checks ---------------------------------------------------------------------- */
 
 static void
-judge_job (World *world, const FbPool *pool, const Job *job)
+check_job_end (World *world, const FbPool *pool, const Job *job)
 {
   fb_work_state state = FB_WORK_QUEUED;
   if (!fb_pool_job_state (pool, job->id, &state))
-    world_broke (world, "job %s is not known at the end", job->id);
+    world_report_violation (world, "job %s is not known at the end", job->id);
   else if (state < FB_WORK_COMPLETED)
-    world_broke (world, "job %s has not ended", job->id);
-  else if (state == FB_WORK_FAILED && !job->poison)
+    world_report_violation (world, "job %s has not ended", job->id);
+  else if (state == FB_WORK_FAILED && !job->always_fails)
     {
       for (u_int i = 0; i < job->record.spec.steps.steps_len; i++)
         {
           for (u_int j = 0; j < TASK_MAX; j++)
             {
-              /* What others did is no cause by itself. */
-              uint32_t own = job->crashed[i][j] + job->took_down[i][j];
-              if (job->fell[i][j] >= MAX_ATTEMPTS
-                  || (own > 0 && own + job->beside[i][j] >= MAX_CRASHES))
+              /* Crashes by other tasks alone do not justify a failure. */
+              uint32_t own = job->plain_crashes[i][j] + job->own_crashes[i][j];
+              if (job->failed_runs[i][j] >= MAX_ATTEMPTS
+                  || (own > 0 && own + job->other_crashes[i][j] >= MAX_CRASHES))
                 return;
             }
         }
-      world_broke (world, "job %s failed without cause", job->id);
+      world_report_violation (world, "job %s failed without cause", job->id);
     }
   for (u_int i = 0; state == FB_WORK_COMPLETED && i < job->record.spec.steps.steps_len; i++)
     {
       for (u_int j = 0; j < job->record.spec.steps.steps_val[i].count; j++)
         {
-          if (job->done[i][j] == 0)
-            world_broke (world, "job %s completed without task %u.%u", job->id, i, j);
+          if (job->done_runs[i][j] == 0)
+            world_report_violation (world, "job %s completed without task %u.%u", job->id, i, j);
         }
     }
 }
 
 static void
-judge_end (World *world)
+check_end (World *world)
 {
-  const FbPool *pool = world->owners[world->current].pool;
+  const FbPool *pool = world->owners[world->current_owner].pool;
   if (pool == NULL)
-    world_broke (world, "nobody owns the pool at the end");
+    world_report_violation (world, "the pool has no owner at the end");
   for (guint i = 0; pool != NULL && i < world->job_n; i++)
-    judge_job (world, pool, &world->jobs[i]);
+    check_job_end (world, pool, &world->jobs[i]);
 }
 
 static World *
-world_new (guint32 seed, const char *mode, Returns returns)
+world_new (guint32 seed, const char *mode, RestartMode restart_mode)
 {
   World *world = g_new0 (World, 1);
   world->repeats = g_str_equal (mode, "repeats");
-  world->advised = world->repeats || g_str_equal (mode, "advised");
-  world->steady = g_str_equal (mode, "crashing-steady");
-  world->crashing = world->steady || g_str_equal (mode, "crashing");
+  world->uses_advice = world->repeats || g_str_equal (mode, "advised");
+  world->owners_steady = g_str_equal (mode, "crashing-steady");
+  world->crashing = world->owners_steady || g_str_equal (mode, "crashing");
   world->shrinking = g_str_equal (mode, "shrinking");
   world->traced = getenv ("FUZZ_LOG") != NULL;
   world->rand = g_rand_new_with_seed (seed);
-  world->return_rand = g_rand_new_with_seed (~seed);
-  world->returns = returns;
+  world->restart_rand = g_rand_new_with_seed (~seed);
+  world->restart_mode = restart_mode;
   world->ids = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   world->now_ms = 1000000;
   world->progress
@@ -286,14 +287,14 @@
       worker->runs = g_array_new (FALSE, TRUE, sizeof (Run));
       worker->ends = g_array_new (FALSE, TRUE, sizeof (End));
       worker->highest = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-      world_worker_begin (world, i);
+      world_worker_start (world, i);
     }
-  for (guint i = 0; i < CARRIER_N; i++)
+  for (guint i = 0; i < PEER_N; i++)
     {
-      world->carriers[i] = fb_recent_starts_new ();
-      world->keepers[i] = fb_suspect_backups_new ();
+      world->recent_starts[i] = fb_recent_starts_new ();
+      world->suspect_backups[i] = fb_suspect_backups_new ();
     }
-  world_owner_begin (world, 0);
+  world_owner_start (world, 0);
   return world;
 }
 
@@ -301,7 +302,7 @@
 world_free (World *world)
 {
   for (guint i = 0; i < OWNER_N; i++)
-    world_owner_end (world, i);
+    world_owner_stop (world, i);
   for (guint i = 0; i < WORKER_N; i++)
     {
       g_array_unref (world->workers[i].runs);
@@ -317,17 +318,17 @@
     }
   g_ptr_array_set_free_func (world->orders, world_order_free);
   g_ptr_array_unref (world->orders);
-  for (guint i = 0; i < CARRIER_N; i++)
+  for (guint i = 0; i < PEER_N; i++)
     {
-      fb_recent_starts_free (world->carriers[i]);
-      fb_suspect_backups_free (world->keepers[i]);
+      fb_recent_starts_free (world->recent_starts[i]);
+      fb_suspect_backups_free (world->suspect_backups[i]);
     }
   g_hash_table_unref (world->progress);
   g_clear_pointer (&world->known_workers, g_bytes_unref);
   g_rand_free (world->rand);
-  g_rand_free (world->return_rand);
+  g_rand_free (world->restart_rand);
   g_hash_table_unref (world->ids);
-  g_free (world->broken);
+  g_free (world->violation);
   g_free (world);
 }
 
@@ -337,13 +338,13 @@
   world->now_ms += TICK_MS;
   if (world->store_away)
     world->store_away_ms = world->now_ms;
-  /* A change of room that the list does not show counts for nobody yet. */
+  /* The grace period of a capacity change begins once the list can show the change. */
   for (guint i = 0; world->store_away && i < WORKER_N; i++)
     world->workers[i].cpu_changed_ms = world->now_ms;
   for (guint i = 0; i < OWNER_N; i++)
     {
       Owner *owner = &world->owners[i];
-      if (owner->resumes_ms != 0 && world->now_ms >= owner->resumes_ms)
+      if (owner->resume_ms != 0 && world->now_ms >= owner->resume_ms)
         owner->paused = FALSE;
       if (owner->paused)
         world->disturbed_ms[i] = world->now_ms;
@@ -352,66 +353,67 @@
     world_worker_tick (world, &world->workers[i]);
   world_orders_tick (world);
   list_tick (world);
-  world_deal (world);
+  world_assign_pool (world);
   for (guint i = 0; i < OWNER_N; i++)
     world_owner_tick (world, i);
 }
 
-/* Returns: TRUE when a promise was broken. */
+/* Returns: TRUE when an invariant was violated. */
 static gboolean
-run_seed (guint32 seed, const char *mode, Returns returns, uint64_t *starts)
+run_seed (guint32 seed, const char *mode, RestartMode restart_mode, uint64_t *starts)
 {
-  World *world = world_new (seed, mode, returns);
+  World *world = world_new (seed, mode, restart_mode);
   uint64_t heal_ms = world->now_ms + FAULT_MS;
-  /* Tasks that crash their workers go on when all else has healed. */
+  /* Tasks still crash their workers after the faults have been healed. */
   uint64_t end_ms = heal_ms + HEAL_MS * (world->crashing ? 2 : 1);
-  while (world->broken == NULL && world->now_ms < end_ms)
+  while (world->violation == NULL && world->now_ms < end_ms)
     {
       if (world->now_ms < heal_ms)
-        faults (world);
+        inject_faults (world);
       else if (!world->healing)
         heal (world);
       world_tick (world);
     }
-  if (world->broken == NULL)
-    judge_end (world);
-  if (world->broken != NULL)
-    printf ("seed %u: %s\n", seed, world->broken);
-  gboolean broken = world->broken != NULL;
+  if (world->violation == NULL)
+    check_end (world);
+  if (world->violation != NULL)
+    printf ("seed %u: %s\n", seed, world->violation);
+  gboolean is_broken = world->violation != NULL;
   *starts += world->starts;
   world_free (world);
-  return broken;
+  return is_broken;
 }
 
 int
 main (int argc, char **argv)
 {
-  static const char *const return_names[] = { [RETURNS_EITHER_WAY] = "either-way",
-                                              [RETURNS_UNDER_NEW_IDS] = "new-ids",
-                                              [RETURNS_WITH_OLD_CALLS] = "old-calls",
-                                              NULL };
+  static const char *const restart_mode_names[] = { [RESTART_EITHER_ID] = "either-way",
+                                                    [RESTART_NEW_ID] = "new-ids",
+                                                    [RESTART_LATE_CALLS] = "old-calls",
+                                                    NULL };
   static const char *const modes[]
       = { "plain", "advised", "crashing", "crashing-steady", "shrinking", "repeats", NULL };
   const char *mode = argc > 3 ? argv[3] : modes[0];
-  const char *returns = argc > 4 ? argv[4] : return_names[RETURNS_EITHER_WAY];
+  const char *restart_mode = argc > 4 ? argv[4] : restart_mode_names[RESTART_EITHER_ID];
   if (argc < 3 || argc > 5 || !g_strv_contains (modes, mode)
-      || !g_strv_contains (return_names, returns))
+      || !g_strv_contains (restart_mode_names, restart_mode))
     {
       g_autofree char *names = g_strjoinv ("|", (char **) modes);
-      g_autofree char *ways = g_strjoinv ("|", (char **) return_names);
+      g_autofree char *ways = g_strjoinv ("|", (char **) restart_mode_names);
       fprintf (stderr, "usage: fuzz-pool FIRST-SEED SEEDS [%s [%s]]\n", names, ways);
       return 2;
     }
   fb_event_set_quiet (getenv ("FUZZ_LOG") == NULL);
   guint32 first = (guint32) atoi (argv[1]);
   guint32 n = (guint32) atoi (argv[2]);
-  guint broken = 0;
+  guint broken_n = 0;
   uint64_t starts = 0;
-  guint way = 0;
-  while (return_names[way + 1] != NULL && !g_str_equal (return_names[way], returns))
-    way++;
+  guint mode_index = 0;
+  while (restart_mode_names[mode_index + 1] != NULL
+         && !g_str_equal (restart_mode_names[mode_index], restart_mode))
+    mode_index++;
   for (guint32 i = 0; i < n; i++)
-    broken += run_seed (first + i, mode, (Returns) way, &starts);
-  printf ("%u seeds, %u starts, %u broken\n", n, (unsigned) starts, broken);
-  return broken > 0;
+    broken_n += run_seed (first + i, mode, (RestartMode) mode_index, &starts);
+  printf ("%u seeds, %u starts, %u broken\n", n, (unsigned) starts, broken_n);
+  return broken_n > 0;
 }
--- a/fuzz/fuzz-readers-target.c
+++ b/fuzz/fuzz-readers-target.c
@@ -19,8 +19,8 @@
     abort (); /* an error without a message */
 }
 
-/* What was decoded must encode again.  The bytes may be fewer: a string with a
- * NUL inside ends there. */
+/* A decoded message must encode again.  The result may be shorter, because a string ends at
+ * its first NUL byte. */
 static void
 check_message (size_t len, const fb_msg *msg)
 {
@@ -55,8 +55,8 @@
   if (fb_codec_decode_revision (data, size, &revision))
     fb_codec_clear_revision (&revision);
   FbStream *stream = fb_stream_new (0);
-  FbStreamResult verdict = fb_stream_read (stream, 0, data, size, &record);
-  if (verdict == FB_STREAM_OK || verdict == FB_STREAM_CLAIMED)
+  FbStreamResult result = fb_stream_read (stream, 0, data, size, &record);
+  if (result == FB_STREAM_OK || result == FB_STREAM_CLAIMED)
     fb_codec_clear_record (&record);
   fb_stream_free (stream);
 }
--- a/fuzz/fuzz-readers.c
+++ b/fuzz/fuzz-readers.c
@@ -1,5 +1,5 @@
-/* Runs the readers on inputs made from a fixed seed: valid ones with a few bytes
- * changed, since pure noise rarely gets past the first field. */
+/* Runs the readers on inputs from a fixed seed: valid messages with a few bytes changed, because
+ * random bytes are mostly rejected at the first field. */
 #include "fuzz-readers.h"
 
 #include "internal/codec.h"
--- a/fuzz/fuzz-readers.h
+++ b/fuzz/fuzz-readers.h
@@ -3,6 +3,6 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Feeds one input to the readers of untrusted bytes: INI policies and settings,
- * messages, records, revisions, streams.  Aborts on a broken rule. */
+/* Passes one input to the parsers of untrusted bytes: INI policies, messages, records,
+ * revisions and streams.  Aborts when one violates its contract. */
 void fuzz_readers_run (const uint8_t *data, size_t size);
--- a/fuzz/fuzz-steps.c
+++ b/fuzz/fuzz-steps.c
@@ -1,5 +1,5 @@
-/* Runs the fuzz target without libFuzzer: on files, or on inputs made from a
- * fixed seed, so that every run gives the same verdict. */
+/* Runs the fuzz target without libFuzzer: on files, or on inputs from fixed seeds, so that
+ * every run gives the same result. */
 #include "fb-event.h"
 #include "fuzz-node.h"
 
@@ -19,9 +19,9 @@
         { "inputs", 'n', 0, G_OPTION_ARG_INT, &input_n, "Inputs to make, none when files are given",
           "N" },
         { "stop-at-first", 0, 0, G_OPTION_ARG_NONE, &stop_at_first,
-          "Stop at the first broken promise", NULL },
-        { "save", 0, 0, G_OPTION_ARG_FILENAME, &save_dir, "Keep inputs that break a promise here",
-          "DIR" },
+          "Stop at the first violated invariant", NULL },
+        { "save", 0, 0, G_OPTION_ARG_FILENAME, &save_dir,
+          "Save inputs that violate an invariant to DIR", "DIR" },
         { G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_FILENAME_ARRAY, &files, NULL, "FILE..." },
         { NULL, 0, 0, 0, NULL, NULL, NULL } };
 
@@ -31,18 +31,18 @@
 static void
 run_input (const char *name, const uint8_t *data, gsize size)
 {
-  char *broken = NULL;
-  steps += fuzz_node_run (data, size, &broken);
-  if (broken == NULL)
+  char *violation = NULL;
+  steps += fuzz_node_run (data, size, &violation);
+  if (violation == NULL)
     return;
   broken_n++;
-  printf ("%s: %s (step %" G_GUINT64_FORMAT ")\n", name, broken, steps);
+  printf ("%s: %s (step %" G_GUINT64_FORMAT ")\n", name, violation, steps);
   if (save_dir != NULL)
     {
       g_autofree char *path = g_build_filename (save_dir, name, NULL);
       g_file_set_contents (path, (const char *) data, (gssize) size, NULL);
     }
-  g_free (broken);
+  g_free (violation);
 }
 
 static gboolean
--- a/fuzz/pool-world-calls.c
+++ b/fuzz/pool-world-calls.c
@@ -1,9 +1,9 @@
-/* Calls of the fuzzing world: what connections do to an order on its way, and the reply that the
- * platform's adapter makes a result of. */
+/* Calls from owners to the simulated workers: connection faults, and the encoded replies that the
+ * platform's adapter decodes. */
 #include "pool-world.h"
 
-/* Copies of a call that may be carried out after the last of them was answered. */
-#define LATE_MOST_MS 12000
+/* A copy of a call may be executed this much later, also after the last copy was answered. */
+#define MAX_LATE_MS 12000
 
 static const struct
 {
@@ -18,11 +18,12 @@
 
 /* ---- replies --------------------------------------------------------------------------- */
 
-/* Rows of what runs on WORKER and of what ended there. */
+/* Appends the running tasks of WORKER and its first MAX_ENDS ends. */
 static void
-add_rows (GString *body, const Worker *worker, guint ends_most)
+add_rows (GString *body, const Worker *worker, guint max_ends)
 {
-  static const char *const hows[] = { "done", "failed", "stopped", "lapsed", "broken", "alone" };
+  static const char *const reason_names[]
+      = { "done", "failed", "stopped", "lapsed", "broken", "alone" };
   g_string_append (body, ",\"running\":[");
   for (guint i = 0; i < worker->runs->len; i++)
     {
@@ -31,21 +32,21 @@
                               run->attempt);
     }
   g_string_append (body, "],\"finished\":[");
-  for (guint i = 0; i < MIN (worker->ends->len, ends_most); i++)
+  for (guint i = 0; i < MIN (worker->ends->len, max_ends); i++)
     {
       const End *end = &g_array_index (worker->ends, End, i);
       g_string_append_printf (body, "%s[%" G_GUINT64_FORMAT ",\"%s\",%u,\"%s\",\"\"]",
                               i > 0 ? "," : "", end->number, end->task, end->attempt,
-                              hows[end->how]);
+                              reason_names[end->reason]);
     }
   g_string_append_c (body, ']');
 }
 
-/* Returns: the reply to ORDER, whose body is the caller's to free.  WORKER: whose runs and first
- * ENDS_MOST ends it lists, and with SAYS_BIRTH when it was born; may be NULL. */
+/* Returns: the reply to ORDER; the caller frees its body.  It lists the runs and the first MAX_ENDS
+ * ends of WORKER, and with REPORTS_START when the incarnation started; WORKER may be NULL. */
 static FbHttpReply
-make_reply (const Order *order, FbOrderResult result, const Worker *worker, guint ends_most,
-            gboolean says_birth, uint64_t clock_ms)
+make_reply (const Order *order, FbOrderResult result, const Worker *worker, guint max_ends,
+            gboolean reports_start, uint64_t clock_ms)
 {
   FbHttpReply reply = { .status = FB_HTTP_OK, .sent = TRUE, .copies = order->copies };
   if (result == FB_ORDER_UNKNOWN)
@@ -66,8 +67,8 @@
   if (replies[result].reason != NULL)
     g_string_append_printf (body, ",\"reason\":\"%s\"", replies[result].reason);
   if (worker != NULL)
-    add_rows (body, worker, ends_most);
-  if (worker != NULL && says_birth)
+    add_rows (body, worker, max_ends);
+  if (worker != NULL && reports_start)
     g_string_append_printf (body, ",\"born\":%" G_GUINT64_FORMAT, worker->incarnation_started_ms);
   g_string_append_c (body, '}');
   reply.body = g_string_free_to_bytes (body);
@@ -78,34 +79,35 @@
 world_reply (const Order *order, FbOrderResult result, uint64_t *clock_ms)
 {
   FbHttpReply reply = make_reply (order, result, NULL, 0, FALSE, *clock_ms);
-  FbOrderResult told = fb_wire_parse_order_result (&reply, clock_ms);
+  FbOrderResult parsed = fb_wire_parse_order_result (&reply, clock_ms);
   g_clear_pointer (&reply.body, g_bytes_unref);
-  return told;
+  return parsed;
 }
 
 void
-world_reply_to_look (const World *world, const Order *order, FbOrderResult result,
-                     const Worker *worker, uint64_t clock_ms, FbPollAnswer *answer)
+world_poll_reply (const World *world, const Order *order, FbOrderResult result,
+                  const Worker *worker, uint64_t clock_ms, FbPollAnswer *answer)
 {
-  guint ends_most = world->repeats ? ENDS_LISTED : G_MAXUINT;
+  guint max_ends = world->repeats ? MAX_REPORTED_ENDS : G_MAXUINT;
   const Worker *listed = result == FB_ORDER_DONE ? worker : NULL;
-  gboolean says_birth = world->returns != RETURNS_UNDER_NEW_IDS;
-  FbHttpReply reply = make_reply (order, result, listed, ends_most, says_birth, clock_ms);
+  gboolean reports_start = world->restart_mode != RESTART_NEW_ID;
+  FbHttpReply reply = make_reply (order, result, listed, max_ends, reports_start, clock_ms);
   fb_wire_parse_poll (&reply, order->worker_name, answer);
   g_clear_pointer (&reply.body, g_bytes_unref);
 }
 
-/* ---- trouble --------------------------------------------------------------------------- */
+/* ---- connection faults
+ * --------------------------------------------------------------------------- */
 
-/* The copy that is answered is refused, and nothing is done for it. */
+/* The copy that is answered is refused without being executed. */
 static void
 draw_refusal (World *world, Order *order)
 {
   static const struct
   {
     FbOrderResult result;
-    guint code;      /* 0: the one of RESULT */
-    gboolean unsent; /* no connection came about */
+    guint code;      /* status code; 0: the usual one of RESULT */
+    gboolean unsent; /* no connection was made */
     gboolean of_start;
     gboolean of_ticket;
   } table[] = { { FB_ORDER_NOT_DONE, 0, FALSE, FALSE, FALSE },
@@ -115,58 +117,59 @@
                 { FB_ORDER_NO_CAPACITY, 0, FALSE, TRUE, FALSE },
                 { FB_ORDER_PAST_DEADLINE, 0, FALSE, TRUE, FALSE },
                 { FB_ORDER_BAD_TICKET, 0, FALSE, TRUE, TRUE } };
-  guint i = world_chance (world, G_N_ELEMENTS (table));
-  if ((table[i].of_start && order->kind != ORDER_START) || (table[i].of_ticket && !order->ticket))
+  guint i = world_random (world, G_N_ELEMENTS (table));
+  if ((table[i].of_start && order->kind != ORDER_START)
+      || (table[i].of_ticket && !order->has_ticket))
     i = 0;
   order->refusal = table[i].result;
   order->refusal_code = table[i].code;
   order->unsent = table[i].unsent;
 }
 
-/* A copy whose connection ends without an answer: it is carried out now, late or never. */
+/* Sends a copy whose connection breaks before the reply: it is executed now, late or never. */
 static void
-lose_copy (World *world, const Order *order)
+send_unanswered_copy (World *world, const Order *order)
 {
-  guint fate = world_chance (world, 4);
+  guint fate = world_random (world, 4);
   if (fate == 0)
     return;
   Order *lost = g_memdup2 (order, sizeof *order);
   lost->answer_lost = TRUE;
-  lost->gives_up_ms = G_MAXUINT64;
+  lost->timeout_at_ms = G_MAXUINT64;
   if (fate == 1)
-    lost->taken_ms = world->now_ms + 2;
+    lost->received_ms = world->now_ms + 2;
   if (fate == 1)
-    lost->arrives_ms = world->now_ms + 2 + world_chance (world, LATE_MOST_MS);
+    lost->arrives_ms = world->now_ms + 2 + world_random (world, MAX_LATE_MS);
   g_ptr_array_add (world->orders, lost);
 }
 
 static gboolean
-is_in_trouble (World *world, const Order *order)
+draw_connection_fault (World *world, const Order *order)
 {
-  if (world->workers[order->worker].failing || world->now_ms < world->breaking_ms)
-    return world_chance (world, 2) == 0;
-  return world_chance (world, 30) == 0;
+  if (world->workers[order->worker].failing || world->now_ms < world->connections_break_until_ms)
+    return world_random (world, 2) == 0;
+  return world_random (world, 30) == 0;
 }
 
 void
 world_call (World *world, Order *order)
 {
   order->copies = 1;
-  if (!world->repeats || world->healing || !is_in_trouble (world, order))
+  if (!world->repeats || world->healing || !draw_connection_fault (world, order))
     {
       g_ptr_array_add (world->orders, order);
       return;
     }
-  guint kind = world_chance (world, 4);
+  guint kind = world_random (world, 4);
   if (kind > 0)
     {
-      lose_copy (world, order);
+      send_unanswered_copy (world, order);
       order->copies++;
-      order->arrives_ms += world_chance (world, world_chance (world, 4) == 0 ? 500 : 20);
+      order->arrives_ms += world_random (world, world_random (world, 4) == 0 ? 500 : 20);
     }
-  if (kind > 1 && world_chance (world, 4) == 0)
+  if (kind > 1 && world_random (world, 4) == 0)
     {
-      lose_copy (world, order);
+      send_unanswered_copy (world, order);
       order->copies++;
     }
   if (kind != 1)
--- a/fuzz/pool-world-owners.c
+++ b/fuzz/pool-world-owners.c
@@ -1,5 +1,5 @@
-/* Owners of the fuzzing world: each drives a pool as a daemon does, over a store that may
- * be away and that knows one of them. */
+/* The owners: each drives a pool as a daemon does, with a store that may be away and that
+ * accepts the writes of one owner at a time. */
 #include "pool-world.h"
 
 #include "internal/codec.h"
@@ -8,10 +8,10 @@
 #include <string.h>
 
 gboolean
-world_in_touch (const World *world, guint i)
+world_is_stable (const World *world, guint i)
 {
   uint64_t disturbed_ms = MAX (world->disturbed_ms[i], world->store_away_ms);
-  return disturbed_ms == 0 || world->now_ms > disturbed_ms + CONTACT_MS;
+  return disturbed_ms == 0 || world->now_ms > disturbed_ms + STABLE_AFTER_MS;
 }
 
 static guint
@@ -20,14 +20,14 @@
   return (guint) atoi (id + 1);
 }
 
-/* The same for all lives of worker I. */
+/* Returns: the address of worker I, the same for all its incarnations. */
 static char *
 world_address (guint i)
 {
   return g_strdup_printf ("10.0.0.%u:1", i);
 }
 
-/* Returns: whom a call names that is for WORKER, as an owner calls it; borrowed. */
+/* Returns: the worker id in the header of a call to WORKER, a name in the pool; borrowed. */
 static const char *
 world_call_id (World *world, const char *worker)
 {
@@ -43,42 +43,42 @@
 }
 
 FbRecentStarts *
-world_carrier (World *world, guint worker)
+world_recent_starts (World *world, guint worker)
 {
-  return world->carriers[worker % CARRIER_N];
+  return world->recent_starts[worker % PEER_N];
 }
 
 void
-world_carrier_die (World *world)
+world_peer_die (World *world)
 {
-  guint i = world->carriers_lost_n++ % CARRIER_N;
-  fb_recent_starts_free (world->carriers[i]);
-  world->carriers[i] = fb_recent_starts_new ();
-  fb_suspect_backups_free (world->keepers[i]);
-  world->keepers[i] = fb_suspect_backups_new ();
+  guint i = world->peer_deaths_n++ % PEER_N;
+  fb_recent_starts_free (world->recent_starts[i]);
+  world->recent_starts[i] = fb_recent_starts_new ();
+  fb_suspect_backups_free (world->suspect_backups[i]);
+  world->suspect_backups[i] = fb_suspect_backups_new ();
 }
 
 static void
-send_order (Owner *owner, Order *order, const char *worker, uint32_t patience_ms)
+send_order (Owner *owner, Order *order, const char *worker, uint32_t timeout_ms)
 {
   World *world = owner->world;
   order->owner = (guint) (owner - world->owners);
-  order->owner_life = owner->incarnation;
-  order->knows_ms = owner->list_seen_ms;
-  order->in_touch = world_in_touch (world, order->owner);
+  order->owner_incarnation = owner->incarnation;
+  order->store_read_ms = owner->list_read_ms;
+  order->sender_stable = world_is_stable (world, order->owner);
   order->worker = worker_index (worker);
   g_strlcpy (order->worker_name, worker, sizeof order->worker_name);
   g_strlcpy (order->worker_id, world_call_id (world, worker), sizeof order->worker_id);
   order->sent_ms = world->now_ms;
-  order->gives_up_ms = world->now_ms + patience_ms;
-  order->arrives_ms = world->now_ms + 2 + world_chance (world, 8);
-  if (!world->healing && world_chance (world, 25) == 0)
+  order->timeout_at_ms = world->now_ms + timeout_ms;
+  order->arrives_ms = world->now_ms + 2 + world_random (world, 8);
+  if (!world->healing && world_random (world, 25) == 0)
     order->answer_lost = TRUE;
-  if (!world->healing && order->kind != ORDER_LOOK && world_chance (world, 25) == 0)
+  if (!world->healing && order->kind != ORDER_POLL && world_random (world, 25) == 0)
     {
       order->answer_lost = TRUE;
-      order->taken_ms = order->arrives_ms;
-      order->arrives_ms = world->now_ms + 2000 + world_chance (world, 10000);
+      order->received_ms = order->arrives_ms;
+      order->arrives_ms = world->now_ms + 2000 + world_random (world, 10000);
     }
   world_call (world, order);
 }
@@ -92,11 +92,11 @@
   order->epoch = start->epoch;
   order->attempt = start->attempt;
   order->deadline_ms = start->deadline_ms;
-  order->ticket = start->ticket != NULL;
+  order->has_ticket = start->ticket != NULL;
   g_strlcpy (order->task, start->task, sizeof order->task);
   World *world = ((Owner *) user)->world;
   g_autofree char *address = world_address (worker_index (start->worker));
-  fb_recent_starts_sent (world_carrier (world, worker_index (start->worker)), start->worker,
+  fb_recent_starts_sent (world_recent_starts (world, worker_index (start->worker)), start->worker,
                          address, start->task, start->attempt, world->now_ms);
   send_order (user, order, start->worker, 600);
 }
@@ -114,10 +114,10 @@
 }
 
 static void
-on_look (gpointer user, const FbPollOrder *poll)
+on_poll (gpointer user, const FbPollOrder *poll)
 {
   Order *order = g_new0 (Order, 1);
-  order->kind = ORDER_LOOK;
+  order->kind = ORDER_POLL;
   order->epoch = poll->epoch;
   order->acknowledged = poll->acknowledged;
   order->deadline_ms = poll->deadline_ms;
@@ -126,12 +126,12 @@
 }
 
 static void
-question_free (gpointer data)
+advice_request_free (gpointer data)
 {
-  Question *question = data;
-  g_free (question->step);
-  g_ptr_array_unref (question->workers);
-  g_free (question);
+  AdviceRequest *request = data;
+  g_free (request->step);
+  g_ptr_array_unref (request->workers);
+  g_free (request);
 }
 
 static gboolean
@@ -140,44 +140,44 @@
 {
   (void) expected_ms;
   Owner *owner = user;
-  Question *question = g_new0 (Question, 1);
-  question->step = g_strdup (step);
-  question->workers = g_ptr_array_new_with_free_func (g_free);
+  AdviceRequest *request = g_new0 (AdviceRequest, 1);
+  request->step = g_strdup (step);
+  request->workers = g_ptr_array_new_with_free_func (g_free);
   for (guint i = 0; i < n; i++)
-    g_ptr_array_add (question->workers, g_strdup (workers[i]));
-  question->answer_ms = owner->world->now_ms + ADVICE_MS;
-  g_ptr_array_add (owner->questions, question);
+    g_ptr_array_add (request->workers, g_strdup (workers[i]));
+  request->answer_ms = owner->world->now_ms + ADVICE_MS;
+  g_ptr_array_add (owner->advice_requests, request);
   return TRUE;
 }
 
 static void
-answer_question (Owner *owner, const Question *question)
+answer_advice_request (Owner *owner, const AdviceRequest *request)
 {
-  g_autofree fb_ticket *tickets = g_new0 (fb_ticket, question->workers->len + 1);
-  fb_advice_reply told = { .tickets = { 0, tickets }, .validity_ms = 2000 };
-  for (guint i = 0; i < question->workers->len; i++)
+  g_autofree fb_ticket *tickets = g_new0 (fb_ticket, request->workers->len + 1);
+  fb_advice_reply reply = { .tickets = { 0, tickets }, .validity_ms = 2000 };
+  for (guint i = 0; i < request->workers->len; i++)
     {
-      char *id = question->workers->pdata[i];
-      if (world_allows (question->step, worker_index (id)))
-        tickets[told.tickets.tickets_len++] = (fb_ticket){ id, "t" };
+      char *id = request->workers->pdata[i];
+      if (world_allows (request->step, worker_index (id)))
+        tickets[reply.tickets.tickets_len++] = (fb_ticket){ id, "t" };
     }
-  fb_pool_advised (owner->pool, question->step, (const char *const *) question->workers->pdata,
-                   question->workers->len, &told, owner->world->now_ms);
+  fb_pool_advised (owner->pool, request->step, (const char *const *) request->workers->pdata,
+                   request->workers->len, &reply, owner->world->now_ms);
 }
 
 static void
-answer_questions (Owner *owner)
+answer_advice_requests (Owner *owner)
 {
-  for (guint i = 0; i < owner->questions->len;)
+  for (guint i = 0; i < owner->advice_requests->len;)
     {
-      const Question *question = owner->questions->pdata[i];
-      if (owner->world->now_ms < question->answer_ms)
+      const AdviceRequest *request = owner->advice_requests->pdata[i];
+      if (owner->world->now_ms < request->answer_ms)
         {
           i++;
           continue;
         }
-      answer_question (owner, question);
-      g_ptr_array_remove_index (owner->questions, i);
+      answer_advice_request (owner, request);
+      g_ptr_array_remove_index (owner->advice_requests, i);
     }
 }
 
@@ -190,22 +190,22 @@
 }
 
 static const FbPoolSink sink
-    = { on_start, on_stop, on_look, on_advise, on_fenced, fb_wire_incarnation_is_newer };
+    = { on_start, on_stop, on_poll, on_advise, on_fenced, fb_wire_incarnation_is_newer };
 
 /* ---- owners --------------------------------------------------------------------- */
 
 void
-world_owner_end (World *world, guint i)
+world_owner_stop (World *world, guint i)
 {
   Owner *owner = &world->owners[i];
   g_clear_pointer (&owner->pool, fb_pool_free);
-  g_clear_pointer (&owner->questions, g_ptr_array_unref);
+  g_clear_pointer (&owner->advice_requests, g_ptr_array_unref);
   if (owner->flush != NULL)
     g_ptr_array_unref (owner->flush);
   owner->flush = NULL;
 }
 
-/* Returns: (transfer full): worker I as the adapter reads its entry. */
+/* Returns: (transfer full): the entry of worker I as decoded by the adapter. */
 static FbListedWorker *
 listed_worker (const World *world, guint i)
 {
@@ -213,12 +213,13 @@
   const Entry entry = world_worker_entry (world, worker);
   g_autofree char *address = world_address (i);
   GString *text = g_string_new (NULL);
-  g_string_printf (text,
-                   "{\"service\":\"svc\",\"zone\":\"z\",\"address\":\"%s\",\"state\":\"%s\","
-                   "\"capacity\":{\"cpu\":%d,\"mem-mb\":64000,\"gpu\":0},\"labels\":[\"k\",\"r1\"]",
-                   address, worker->draining ? "draining" : "ready",
-                   (int) MAX (worker->cpu_milli, 1)); /* an entry with no room can not be read */
-  if (world->returns != RETURNS_UNDER_NEW_IDS)
+  g_string_printf (
+      text,
+      "{\"service\":\"svc\",\"zone\":\"z\",\"address\":\"%s\",\"state\":\"%s\","
+      "\"capacity\":{\"cpu\":%d,\"mem-mb\":64000,\"gpu\":0},\"labels\":[\"k\",\"r1\"]",
+      address, worker->draining ? "draining" : "ready",
+      (int) MAX (worker->cpu_milli, 1)); /* the adapter rejects an entry without capacity */
+  if (world->restart_mode != RESTART_NEW_ID)
     g_string_append_printf (text, ",\"born\":%" G_GUINT64_FORMAT, entry.incarnation_started_ms);
   g_string_append_c (text, '}');
   g_autoptr (GBytes) value = g_string_free_to_bytes (text);
@@ -233,26 +234,26 @@
     {
       const Worker *worker = &world->workers[j];
       FbListedWorker *listed = worker->listed ? listed_worker (world, j) : NULL;
-      if (owner->in_shown[j]
-          && (listed == NULL || !g_str_equal (owner->shown[j], listed->entry.id)))
+      if (owner->is_shown[j]
+          && (listed == NULL || !g_str_equal (owner->shown_ids[j], listed->entry.id)))
         {
-          fb_pool_worker_unlisted (owner->pool, owner->shown[j], world->now_ms);
-          owner->in_shown[j] = FALSE;
+          fb_pool_worker_unlisted (owner->pool, owner->shown_ids[j], world->now_ms);
+          owner->is_shown[j] = FALSE;
         }
       if (listed == NULL)
         continue;
       fb_pool_worker_listed (owner->pool, &listed->entry, world->now_ms);
-      owner->in_shown[j] = TRUE;
-      g_strlcpy (owner->shown[j], listed->entry.id, sizeof owner->shown[j]);
+      owner->is_shown[j] = TRUE;
+      g_strlcpy (owner->shown_ids[j], listed->entry.id, sizeof owner->shown_ids[j]);
       fb_listed_worker_free (listed);
     }
-  if (!owner->complete)
+  if (!owner->list_complete)
     fb_pool_workers_complete (owner->pool);
-  owner->complete = TRUE;
-  owner->list_seen_ms = world->now_ms;
+  owner->list_complete = TRUE;
+  owner->list_read_ms = world->now_ms;
 }
 
-/* What an owner reads from the store after it was away. */
+/* Passes all jobs and cancels in the store to the pool. */
 static void
 read_jobs (World *world, Owner *owner)
 {
@@ -272,11 +273,11 @@
   for (guint i = 0; i < world->job_n; i++)
     {
       const Job *job = &world->jobs[i];
-      /* A job that is stored while it loads may be read only after it heard the workers;
-       * what has progress was stored before the owner before was shut out. */
+      /* A job that is stored while the pool loads may be read only after the workers have
+       * answered; a job with progress was stored before the previous owner was fenced. */
       gboolean late = !g_hash_table_contains (world->progress, job->id)
                       && world->now_ms < job->record.accepted_ms - WALL_MS + 1000;
-      if ((!late || world_chance (world, 2) == 0) && !job->spent)
+      if ((!late || world_random (world, 2) == 0) && !job->admission_dropped)
         fb_pool_admit (owner->pool, job->id, &job->record, world->now_ms, WALL_MS + world->now_ms);
     }
   GHashTableIter iter;
@@ -310,90 +311,90 @@
     }
 }
 
-/* What the carriers remember. */
+/* Imports the starts that the peers have relayed recently. */
 static void
-recall (World *world, Owner *owner)
+import_recent_starts (World *world, Owner *owner)
 {
-  for (guint i = 0; i < CARRIER_N; i++)
+  for (guint i = 0; i < PEER_N; i++)
     {
-      fb_recent_starts_reply told;
-      fb_recent_starts_list (world->carriers[i], world->now_ms, &told);
-      fb_pool_import_starts (owner->pool, &told, world->now_ms);
-      g_free (told.starts.starts_val);
+      fb_recent_starts_reply reply;
+      fb_recent_starts_list (world->recent_starts[i], world->now_ms, &reply);
+      fb_pool_import_starts (owner->pool, &reply, world->now_ms);
+      g_free (reply.starts.starts_val);
     }
 }
 
-/* What the keepers have. */
+/* Imports the suspects that the peers keep. */
 static void
-recall_kept (World *world, Owner *owner)
+import_suspect_backups (World *world, Owner *owner)
 {
-  for (guint i = 0; i < CARRIER_N; i++)
+  for (guint i = 0; i < PEER_N; i++)
     {
-      fb_suspect_backups_reply told;
-      fb_suspect_backups_list (world->keepers[i], world->now_ms, &told);
-      for (u_int j = 0; j < told.jobs.jobs_len; j++)
-        fb_pool_import_suspects (owner->pool, told.jobs.jobs_val[j].job,
-                                 &told.jobs.jobs_val[j].suspects, world->now_ms);
-      xdr_free ((xdrproc_t) xdr_fb_suspect_backups_reply, (char *) &told);
+      fb_suspect_backups_reply reply;
+      fb_suspect_backups_list (world->suspect_backups[i], world->now_ms, &reply);
+      for (u_int j = 0; j < reply.jobs.jobs_len; j++)
+        fb_pool_import_suspects (owner->pool, reply.jobs.jobs_val[j].job,
+                                 &reply.jobs.jobs_val[j].suspects, world->now_ms);
+      xdr_free ((xdrproc_t) xdr_fb_suspect_backups_reply, (char *) &reply);
     }
 }
 
-/* Each of them may miss it. */
+/* Sends UNSTORED to all peers; each may miss it. */
 static void
-hand_to_keepers (World *world, const Owner *owner, const FbPoolUnstoredSuspects *unstored)
+back_up_suspects (World *world, const Owner *owner, const FbPoolUnstoredSuspects *unstored)
 {
-  fb_suspects_backup kept = { .job = unstored->job, .epoch = owner->epoch };
+  fb_suspects_backup backup = { .job = unstored->job, .epoch = owner->epoch };
   gsize len = 0;
   gconstpointer data
       = unstored->suspects != NULL ? g_bytes_get_data (unstored->suspects, &len) : NULL;
-  if (data != NULL && !fb_codec_decode_suspects (data, len, &kept.suspects))
+  if (data != NULL && !fb_codec_decode_suspects (data, len, &backup.suspects))
     abort ();
-  for (guint i = 0; i < CARRIER_N; i++)
+  for (guint i = 0; i < PEER_N; i++)
     {
-      if (world->healing || world_return_chance (world, 10) > 0)
-        fb_suspect_backups_put (world->keepers[i], &kept, world->now_ms);
+      if (world->healing || world_restart_random (world, 10) > 0)
+        fb_suspect_backups_put (world->suspect_backups[i], &backup, world->now_ms);
     }
-  xdr_free ((xdrproc_t) xdr_fb_work_suspects, (char *) &kept.suspects);
+  xdr_free ((xdrproc_t) xdr_fb_work_suspects, (char *) &backup.suspects);
 }
 
 static void
-hand_unstored (World *world, Owner *owner)
+back_up_unstored_suspects (World *world, Owner *owner)
 {
   g_autoptr (GPtrArray) unstored = fb_pool_take_unstored_suspects (owner->pool, world->now_ms);
   for (guint i = 0; unstored != NULL && i < unstored->len; i++)
-    hand_to_keepers (world, owner, unstored->pdata[i]);
+    back_up_suspects (world, owner, unstored->pdata[i]);
 }
 
 void
-world_owner_begin (World *world, guint i)
+world_owner_start (World *world, guint i)
 {
-  const FbPoolLimits limits = { .max_lease_ms = HOLD_MAX_MS,
-                                .max_stop_ms = STOP_TAKES_MS,
+  const FbPoolLimits limits = { .max_lease_ms = MAX_LEASE_MS,
+                                .max_stop_ms = STOP_DELAY_MS,
                                 .gang_wait_ms = 3000,
-                                .max_reported_ends = world->repeats ? ENDS_LISTED : 0 };
+                                .max_reported_ends = world->repeats ? MAX_REPORTED_ENDS : 0 };
   Owner *owner = &world->owners[i];
-  world_owner_end (world, i);
+  world_owner_stop (world, i);
   *owner = (Owner){ .world = world,
-                    .incarnation = ++world->incarnations,
+                    .incarnation = ++world->last_incarnation,
                     .epoch = ++world->store_epoch };
-  owner->questions = g_ptr_array_new_with_free_func (question_free);
+  owner->advice_requests = g_ptr_array_new_with_free_func (advice_request_free);
   owner->authority_ms = world->now_ms;
-  owner->fenced_store_ms = world->now_ms;
+  owner->store_fenced_ms = world->now_ms;
   owner->pool = fb_pool_new ("svc", owner->epoch, &limits, &sink, owner, world->now_ms);
-  world->current = i;
-  world->current_seen_ms = world->now_ms;
+  world->current_owner = i;
+  world->current_owner_seen_ms = world->now_ms;
   world_trace (world, "daemon %u owns the pool under epoch %u", i, (unsigned) owner->epoch);
   restore (world, owner);
-  recall_kept (world, owner);
-  recall (world, owner);
+  import_suspect_backups (world, owner);
+  import_recent_starts (world, owner);
 }
 
-/* The store forgets what a job that has ended was to run. */
+/* The store drops the admission of a job that has ended. */
 static void
 drop_admission (World *world, const char *id)
 {
   for (guint i = 0; i < world->job_n; i++)
-    world->jobs[i].spent |= g_str_equal (world->jobs[i].id, id);
+    world->jobs[i].admission_dropped |= g_str_equal (world->jobs[i].id, id);
 }
 
 static void
@@ -440,39 +441,40 @@
 world_owner_tick (World *world, guint i)
 {
   Owner *owner = &world->owners[i];
-  gboolean is_current = i == world->current && owner->epoch == world->store_epoch;
+  gboolean is_current = i == world->current_owner && owner->epoch == world->store_epoch;
   gboolean member = is_current && !world->store_away;
-  gboolean stalls = owner->paused && owner->resumes_ms != 0;
+  gboolean stalls = owner->paused && owner->resume_ms != 0;
   if (owner->pool == NULL || (owner->paused && !stalls))
     return;
   if (member)
-    world->current_seen_ms = world->now_ms;
+    world->current_owner_seen_ms = world->now_ms;
   if (stalls)
     return;
-  if (is_current && !world->store_away && world->now_ms >= owner->list_seen_ms + LIST_LAG_MS)
+  if (is_current && !world->store_away && world->now_ms >= owner->list_read_ms + LIST_LAG_MS)
     {
       show_list (world, i);
       read_jobs (world, owner);
     }
-  answer_questions (owner);
-  gboolean sure = member || fb_pool_holds_majority (owner->pool, MAJORITY_MS, world->now_ms);
-  if (sure)
+  answer_advice_requests (owner);
+  gboolean has_authority
+      = member || fb_pool_holds_majority (owner->pool, MAJORITY_MS, world->now_ms);
+  if (has_authority)
     owner->authority_ms = world->now_ms;
-  fb_pool_tick (owner->pool, sure, world->now_ms, WALL_MS + world->now_ms);
+  fb_pool_tick (owner->pool, has_authority, world->now_ms, WALL_MS + world->now_ms);
   flush_tick (world, owner);
-  hand_unstored (world, owner);
+  back_up_unstored_suspects (world, owner);
   if (owner->fenced || world->now_ms > owner->authority_ms + STEP_DOWN_MS)
-    world_owner_end (world, i);
+    world_owner_stop (world, i);
 }
 
 void
-world_deal (World *world)
+world_assign_pool (World *world)
 {
-  Owner *owner = &world->owners[world->current];
-  gboolean alive = owner->pool != NULL && (!owner->paused || owner->resumes_ms != 0)
+  Owner *owner = &world->owners[world->current_owner];
+  gboolean alive = owner->pool != NULL && (!owner->paused || owner->resume_ms != 0)
                    && owner->epoch == world->store_epoch;
-  if (world->store_away || (alive && world->now_ms <= world->current_seen_ms + TTL_MS))
+  if (world->store_away || (alive && world->now_ms <= world->current_owner_seen_ms + TTL_MS))
     return;
-  if (!alive && world->now_ms > world->current_seen_ms + TTL_MS)
-    world_owner_begin (world, (world->current + 1) % OWNER_N);
+  if (!alive && world->now_ms > world->current_owner_seen_ms + TTL_MS)
+    world_owner_start (world, (world->current_owner + 1) % OWNER_N);
 }
--- a/fuzz/pool-world.h
+++ b/fuzz/pool-world.h
@@ -1,6 +1,6 @@
-/* The world of a fuzzing run: workers, a store and owners, all of which fail, and the
- * truth about every run on them.  It shares no code with the pool that it judges;
- * only what its carriers remember of starts is kept by the product's own code. */
+/* The environment of a fuzzing run: workers, a store and owners, all of which fail, and a record
+ * of every run on the workers.  It shares no code with the pool under test, except that the
+ * recent starts and the suspect backups at peers are kept by the daemon's own modules. */
 #pragma once
 
 #include "internal/pool.h"
@@ -16,39 +16,42 @@
 #define FAULT_MS 40000
 #define HEAL_MS 45000
 #define MAX_ATTEMPTS 3
-#define CONTACT_MS 3000
-#define MAX_CRASHES 2  /* after these a task may be given up */
-#define STARTS_AFTER 3 /* so many starts more are too many after so many crashes */
-#define CPU 16000
-#define ROOM_GRACE_MS 4500 /* a room that has shrunk counts so much later */
-#define STOP_TAKES_MS 150
-#define HOLD_MAX_MS 6000 /* longest lease that a worker grants */
+/* A daemon is stable when neither it nor the store had a fault for this long. */
+#define STABLE_AFTER_MS 3000
+#define MAX_CRASHES 2 /* a task may be abandoned after this many crashes */
+/* After this many crashes of its workers, this many more starts of a task are a violation. */
+#define CRASHED_START_LIMIT 3
+#define WORKER_CPU_MILLI 16000
+#define CAPACITY_GRACE_MS 4500 /* how long after a reduction the larger capacity is allowed */
+#define STOP_DELAY_MS 150
+#define MAX_LEASE_MS 6000 /* longest lease that a worker grants */
 #define TTL_MS 1000
 #define MAJORITY_MS 1500
 #define STEP_DOWN_MS 2000
-#define STALL_MOST_MS 3000
-#define ENDS_LISTED 6 /* in one answer, where calls are repeated */
+#define MAX_STALL_MS 3000
+#define MAX_REPORTED_ENDS 6 /* ends in one poll reply, in mode "repeats" */
 #define LIST_LAG_MS 300
-#define SILENCE_MS 4500
+#define UNLIST_DELAY_MS 4500 /* how long the list keeps a worker that is not heard */
 #define WALL_MS 1000000000
-#define RETURN_MOST_MS 2000 /* a process that ended by itself is back so soon */
-#define ENTRY_LAG_MS 1500   /* a worker writes to its entry so often */
+#define MAX_RESTART_MS 2000    /* a process that exited restarts within this time */
+#define ENTRY_INTERVAL_MS 1500 /* at least this often a worker writes its entry in the list */
 
-/* Under which id the next life of a worker starts. */
+/* The id of the next incarnation of a worker. */
 typedef enum
 {
-  RETURNS_EITHER_WAY,    /* by the seed */
-  RETURNS_UNDER_NEW_IDS, /* always another one; workers do not say when they were born */
-  RETURNS_WITH_OLD_CALLS /* as the first, and a life carries out late what another had taken */
-} Returns;
+  RESTART_EITHER_ID, /* the old or a new id, drawn from the seed */
+  RESTART_NEW_ID,    /* always a new id; workers do not report when they started */
+  /* As RESTART_EITHER_ID, and an incarnation may execute late what an earlier one received. */
+  RESTART_LATE_CALLS
+} RestartMode;
 
 typedef struct
 {
   char task[64];
   uint32_t attempt;
-  uint64_t ends_ms;
-  uint64_t max_stop_ms; /* when an ordered stop takes effect; 0: none */
-  uint64_t crash_ms;    /* when it takes its worker down; 0: never */
+  uint64_t end_ms;   /* when it ends by itself */
+  uint64_t stop_ms;  /* when an ordered stop takes effect; 0: none was ordered */
+  uint64_t crash_ms; /* when it crashes its worker; 0: never */
   gboolean fails;
 } Run;
 
@@ -57,12 +60,12 @@
   uint64_t number;
   char task[64];
   uint32_t attempt;
-  FbEndReason how;
+  FbEndReason reason;
   uint64_t at_ms;
-  gboolean lapsed; /* a lease of its worker ended since */
+  gboolean lease_expired; /* a lease of its worker has expired since the end */
 } End;
 
-/* What a worker's entry says of it. */
+/* What the entry of a worker in the list contains. */
 typedef struct
 {
   char id[32];
@@ -74,30 +77,31 @@
   char id[32];
   guint incarnation;
   uint64_t incarnation_started_ms; /* since 1970 */
-  uint64_t clock_from_ms;          /* what its clock showed then */
-  Entry before;                    /* of the life before under this id */
-  uint64_t entry_ms;               /* until then its entry is the one of the life before */
-  uint64_t stale_ms;       /* when a late write brings that one back for a moment; 0: never */
-  uint64_t crash_again_ms; /* when it crashes once more; 0: it does not */
+  uint64_t clock_start_ms;         /* its clock when the incarnation started */
+  Entry previous_entry;            /* of the previous incarnation under this id */
+  uint64_t entry_updated_ms;       /* until then the list has PREVIOUS_ENTRY */
+  /* When a late write restores PREVIOUS_ENTRY for LIST_LAG_MS; 0: never. */
+  uint64_t stale_entry_ms;
+  uint64_t second_crash_ms; /* when it crashes again after a restart; 0: never */
   gboolean up;
-  gboolean cut; /* nothing gets through */
+  gboolean cut; /* nothing reaches it or comes from it */
   gboolean listed;
   gboolean draining;
-  gboolean failing;        /* it breaks connections and refuses calls */
-  int64_t cpu_milli;       /* what it has; it may shrink and grow */
-  int64_t cpu_before;      /* the most that it had within ROOM_GRACE_MS before that */
-  uint64_t cpu_changed_ms; /* when its list last showed a change */
-  uint64_t back_ms;        /* when it starts again after a task took it down; 0: not for that */
-  uint64_t silent_ms;      /* since when the list has heard nothing; 0: it hears */
-  uint64_t began_ms;
-  uint32_t slow_permille; /* of its clock */
-  uint64_t token;
-  uint64_t lease_ms;
-  uint64_t next_end;
-  uint64_t acknowledged;
-  GArray *runs;        /* of Run */
-  GArray *ends;        /* of End */
-  GHashTable *highest; /* task -> highest attempt stopped or ended here */
+  gboolean failing;           /* it breaks connections and refuses calls */
+  int64_t cpu_milli;          /* its capacity, which may shrink and grow */
+  int64_t previous_cpu_milli; /* the largest allowed use before the last change */
+  uint64_t cpu_changed_ms;    /* when the list last showed a change of the capacity */
+  uint64_t restart_ms;        /* when it starts again after a crash; 0: no restart is due */
+  uint64_t unheard_since_ms;  /* since when the platform has not heard it; 0: it is heard */
+  uint64_t started_ms;
+  uint32_t slow_permille;   /* by how much its clock is slow */
+  uint64_t fence_epoch;     /* orders with a lower epoch are fenced */
+  uint64_t lease_until_ms;  /* by its clock */
+  uint64_t last_end_number; /* 0: no end yet */
+  uint64_t acknowledged;    /* highest number of an acknowledged end; 0: none */
+  GArray *runs;             /* of Run */
+  GArray *ends;             /* of End */
+  GHashTable *highest;      /* task -> highest attempt stopped or ended here */
 } Worker;
 
 typedef struct
@@ -105,39 +109,49 @@
   char id[FB_WORK_JOB_ID_CHARS + 1];
   fb_work_admit record;
   gboolean submitted;
-  gboolean spent; /* its end is stored, and its admission is not any more */
+  gboolean admission_dropped; /* its end is stored, and the store has dropped its admission */
   gboolean cancelled;
   uint64_t cancelled_ms;
-  uint32_t done[STEP_MAX][TASK_MAX];         /* runs that ended done */
-  gboolean noted[STEP_MAX][TASK_MAX];        /* such an end was acknowledged */
-  uint64_t excused_ms[STEP_MAX][TASK_MAX];   /* starts that were sent before may arrive after it */
-  uint64_t started_ms[STEP_MAX][TASK_MAX];   /* its last start */
-  uint32_t failed[STEP_MAX][TASK_MAX];       /* failed ends that were acknowledged */
-  uint32_t fell[STEP_MAX][TASK_MAX];         /* runs that ended failed */
-  uint32_t crashed[STEP_MAX][TASK_MAX];      /* workers that crashed under it, by no task's doing */
-  uint32_t took_down[STEP_MAX][TASK_MAX];    /* workers that it crashed */
-  uint32_t beside[STEP_MAX][TASK_MAX];       /* workers that another task crashed under it */
-  uint32_t starts_after[STEP_MAX][TASK_MAX]; /* its starts since these were STARTS_AFTER */
-  gboolean poison;
-  guint crashers; /* how many tasks of its first step crash their workers, from the first on */
+  /* Runs that ended with FB_END_DONE. */
+  uint32_t done_runs[STEP_MAX][TASK_MAX];
+  /* Such an end was acknowledged. */
+  gboolean end_acknowledged[STEP_MAX][TASK_MAX];
+  /* Starts sent before this time may still arrive after the acknowledged end; 0: none may. */
+  uint64_t late_start_limit_ms[STEP_MAX][TASK_MAX];
+  /* When it last started. */
+  uint64_t started_ms[STEP_MAX][TASK_MAX];
+  /* Acknowledged ends with FB_END_FAILED. */
+  uint32_t failed_acknowledged[STEP_MAX][TASK_MAX];
+  /* Runs that ended with FB_END_FAILED. */
+  uint32_t failed_runs[STEP_MAX][TASK_MAX];
+  /* Worker crashes during its runs that no task caused. */
+  uint32_t plain_crashes[STEP_MAX][TASK_MAX];
+  /* Worker crashes that it caused. */
+  uint32_t own_crashes[STEP_MAX][TASK_MAX];
+  /* Worker crashes during its runs that another task caused. */
+  uint32_t other_crashes[STEP_MAX][TASK_MAX];
+  /* Its starts since OWN_CRASHES reached CRASHED_START_LIMIT. */
+  uint32_t crashed_starts[STEP_MAX][TASK_MAX];
+  gboolean always_fails;
+  guint crashing_tasks; /* this many tasks of its first step, from task 0 on, crash their workers */
 } Job;
 
 typedef enum
 {
   ORDER_START,
   ORDER_STOP,
-  ORDER_LOOK
+  ORDER_POLL
 } OrderKind;
 
 typedef struct
 {
   OrderKind kind;
   guint owner;
-  uint64_t owner_life;
+  uint64_t owner_incarnation;
   uint64_t order;
   guint worker;
-  char worker_name[64]; /* what its owner calls the worker */
-  char worker_id[32];   /* whom the call is for */
+  char worker_name[64]; /* the worker's name in the pool of the owner */
+  char worker_id[32];   /* the id that the call addresses */
   char task[64];
   uint32_t attempt;
   uint64_t epoch;
@@ -146,23 +160,24 @@
   uint32_t wait_ms;
   uint64_t sent_ms;
   uint64_t arrives_ms;
-  uint64_t gives_up_ms;  /* the sender's time limit */
-  gboolean ticket;       /* it carries one */
-  guint copies;          /* how often it had been sent when this copy went out */
-  FbOrderResult refusal; /* FB_ORDER_DONE: it is not refused before it is looked at */
-  guint refusal_code;    /* 0: the one of REFUSAL */
-  gboolean unsent;       /* this copy found no connection */
+  uint64_t timeout_at_ms; /* when its sender stops waiting */
+  gboolean has_ticket;
+  guint copies;          /* number of times it had been sent when this copy was */
+  FbOrderResult refusal; /* result without execution; FB_ORDER_DONE: it is executed */
+  guint refusal_code;    /* status code of the refusal; 0: the usual one of REFUSAL */
+  gboolean unsent;       /* no connection was made for this copy */
   gboolean answer_lost;
-  FbPollAnswer answer; /* that is on its way back; of other orders without lists */
-  uint64_t answer_ms;  /* when it is back; 0: there is none */
+  FbPollAnswer answer; /* the reply on its way back; only a poll's has lists */
+  uint64_t answer_ms;  /* when the reply arrives; 0: there is none */
   gboolean arrived;
-  guint arrived_life; /* of its worker */
-  uint64_t taken_ms;  /* when its worker takes it, to carry it out later; 0: it is not late */
-  guint taken_life;   /* of its worker; 0: not taken yet */
-  gboolean waits;     /* its connection is not made yet: nobody listens */
-  uint64_t waits_until_ms;
-  uint64_t knows_ms; /* until when its sender had read the store */
-  gboolean in_touch; /* its sender and the store had been undisturbed for CONTACT_MS */
+  guint arrived_incarnation; /* the worker's incarnation at the arrival */
+  /* When the worker receives it, to execute it at ARRIVES_MS; 0: it is executed on receipt. */
+  uint64_t received_ms;
+  guint received_incarnation; /* the worker's incarnation on receipt; 0: not received yet */
+  gboolean is_connecting;     /* the sender retries the connection: no process listens */
+  uint64_t reply_by_ms;       /* when a poll without ends is answered */
+  uint64_t store_read_ms;     /* when its sender had last read the store */
+  gboolean sender_stable;     /* its sender and the store had no fault for STABLE_AFTER_MS */
 } Order;
 
 typedef struct _World World;
@@ -170,48 +185,48 @@
 typedef struct
 {
   World *world;
-  FbPool *pool; /* NULL: dead */
+  FbPool *pool; /* NULL: the daemon is dead */
   uint64_t incarnation;
   uint64_t epoch;
   gboolean paused;
-  uint64_t resumes_ms; /* when it goes on by itself after a stall; 0: it does not */
+  uint64_t resume_ms; /* when a stall ends; 0: the daemon is not stalled */
   gboolean fenced;
-  uint64_t authority_ms;
-  GPtrArray *flush;
+  uint64_t authority_ms; /* when it last had the authority to give orders */
+  GPtrArray *flush;      /* of FbPoolRecord, on the way to the store; NULL: none */
   uint64_t flush_done_ms;
-  uint64_t list_seen_ms;
-  uint64_t fenced_store_ms; /* when it shut the writer before out */
-  gboolean complete;
-  gboolean in_shown[WORKER_N];
-  char shown[WORKER_N][64];
-  GPtrArray *questions; /* of Question */
+  uint64_t list_read_ms;
+  uint64_t store_fenced_ms; /* when it fenced the previous writer at the store */
+  gboolean list_complete;   /* it has read the whole list of workers once */
+  gboolean is_shown[WORKER_N];
+  char shown_ids[WORKER_N][64];
+  GPtrArray *advice_requests; /* of AdviceRequest */
 } Owner;
 
-/* A question for advice, on its way. */
+/* A request to the advice service that is not answered yet. */
 typedef struct
 {
   char *step;
   GPtrArray *workers; /* their ids */
   uint64_t answer_ms;
-} Question;
+} AdviceRequest;
 
 #define OWNER_N 2
-#define CARRIER_N 3 /* daemons that carry orders, each to its part of the workers */
+#define PEER_N 3 /* daemons that relay orders, each to its share of the workers */
 #define ADVICE_MS 30
 
 struct _World
 {
   GRand *rand;
-  GRand *return_rand; /* of its own, so that the rest of a run does not depend on returns */
-  Returns returns;
-  GHashTable *ids;    /* what owners call a worker -> whom calls for it name */
-  gboolean steady;    /* owners live on and the store stays */
-  gboolean shrinking; /* the rooms of workers shrink and grow */
-  gboolean crashing;  /* an eighth of the jobs crash the workers that start them */
-  gboolean repeats;   /* connections break, and calls on them are sent again */
-  gboolean advised;   /* half of the jobs may use some workers only, a third may have copies */
+  GRand *restart_rand; /* separate, so that RESTART_MODE does not change the other draws */
+  RestartMode restart_mode;
+  GHashTable *ids;        /* a worker's name in the pool -> the id that calls to it address */
+  gboolean owners_steady; /* owners and the store do not fail */
+  gboolean shrinking;     /* the capacity of workers shrinks and grows */
+  gboolean crashing;      /* an eighth of the jobs crash the workers that start them */
+  gboolean repeats;       /* connections break, and calls on them are sent again */
+  gboolean uses_advice; /* half of the jobs are limited to some workers, a third may have copies */
   uint64_t now_ms;
-  uint64_t breaking_ms; /* until when connections to all workers break */
+  uint64_t connections_break_until_ms;
   gboolean healing;
   gboolean store_away;
   uint64_t store_away_ms;         /* when it was last away; 0: never */
@@ -220,75 +235,76 @@
   Job jobs[JOB_MAX];
   guint job_n;
   Owner owners[OWNER_N];
-  guint current; /* the owner that the store knows */
-  FbRecentStarts *carriers[CARRIER_N];
-  FbSuspectBackups *keepers[CARRIER_N]; /* the same daemons */
-  guint carriers_lost_n;
+  guint current_owner;                       /* the owner by the store */
+  FbRecentStarts *recent_starts[PEER_N];     /* the starts that each peer has relayed */
+  FbSuspectBackups *suspect_backups[PEER_N]; /* of the same peers */
+  guint peer_deaths_n;
   uint64_t store_epoch;
-  uint64_t current_seen_ms;
+  uint64_t current_owner_seen_ms;
   GHashTable *progress; /* job -> GBytes */
   GBytes *known_workers;
-  GPtrArray *orders;
-  uint64_t incarnations;
+  GPtrArray *orders; /* of Order */
+  uint64_t last_incarnation;
   uint64_t starts;
-  gboolean traced; /* what happens is printed, with the time */
-  char *broken;
+  gboolean traced; /* events are printed with their time */
+  char *violation; /* the first one; NULL: none */
 };
 
-/* TRUE when daemon I and the store have been undisturbed for CONTACT_MS. */
-gboolean world_in_touch (const World *world, guint i);
-/* Notes that a promise of the pool was broken; the first one counts. */
-void world_broke (World *world, const char *format, ...) G_GNUC_PRINTF (2, 3);
-/* Prints what happens, where the run is traced. */
+/* Returns: TRUE when daemon I and the store had no fault for STABLE_AFTER_MS. */
+gboolean world_is_stable (const World *world, guint i);
+/* Records a violated invariant of the pool; later ones are ignored. */
+void world_report_violation (World *world, const char *format, ...) G_GNUC_PRINTF (2, 3);
+/* Prints an event when the run is traced. */
 void world_trace (const World *world, const char *format, ...) G_GNUC_PRINTF (2, 3);
 /* Returns: a number below N, drawn from the seed. */
-guint world_chance (World *world, guint n);
+guint world_random (World *world, guint n);
 
-/* What the advice service allows: it never changes.  TASK may also be a step's name. */
+/* Returns: whether the advice service allows TASK, a task or a step, on WORKER.  It never changes.
+ */
 gboolean world_allows (const char *task, guint worker);
 
-/* ---- lives: pool-world-lives.c -------------------------------------------------------------- */
+/* ---- incarnations: pool-world-incarnations.c ------------------------------------------------- */
 
-/* Returns: a number below N, drawn for what returns do. */
-guint world_return_chance (World *world, guint n);
-/* Begins a new life of worker I, empty: under a new id or the one it had. */
-void world_worker_begin (World *world, guint i);
-/* WORKER ends by itself; it may be back soon. */
+/* Returns: a number below N, drawn for restarts of workers. */
+guint world_restart_random (World *world, guint n);
+/* Starts a new, empty incarnation of worker I, under a new id or its previous one. */
+void world_worker_start (World *world, guint i);
+/* The process of WORKER exits by itself; it may restart soon. */
 void world_worker_fail (World *world, Worker *worker);
 /* Returns: what the list has of WORKER now. */
 Entry world_worker_entry (const World *world, const Worker *worker);
 
 /* ---- workers: pool-world-workers.c ----------------------------------------------------------- */
 
-/* WORKER says of itself that it has CPU_MILLI now. */
+/* Changes the capacity that WORKER reports. */
 void world_worker_resize (World *world, Worker *worker, int64_t cpu_milli);
-/* The worker dies with all that runs there.  BY: who did it, or NULL. */
+/* WORKER dies with all its runs.  BY: the run that crashed it, or NULL. */
 void world_worker_crash (World *world, Worker *worker, const Run *by);
 void world_worker_tick (World *world, Worker *worker);
-/* Orders that are due arrive, and those without an answer are given up. */
+/* Executes the orders that have arrived, and delivers their replies and timeouts. */
 void world_orders_tick (World *world);
 void world_order_free (gpointer order);
 
-/* ---- calls: pool-world-calls.c ------------------------------------------------------------ */
+/* ---- calls: pool-world-calls.c --------------------------------------------------------------- */
 
-/* Sends ORDER (consumed), and again where its connection breaks. */
+/* Sends ORDER (consumed), again when its connection breaks. */
 void world_call (World *world, Order *order);
-/* What ORDER comes to at its sender when RESULT is what the worker says at CLOCK_MS, by way of the
- * adapter that decodes replies; FB_ORDER_UNKNOWN: nothing was heard. */
+/* Returns: what the sender of ORDER gets when the worker answers RESULT at CLOCK_MS, passed through
+ * the adapter that decodes replies; RESULT is FB_ORDER_UNKNOWN when no reply came. */
 FbOrderResult world_reply (const Order *order, FbOrderResult result, uint64_t *clock_ms);
-/* The same for a look, with what runs and ended on WORKER; ANSWER is cleared with
+/* As world_reply() for a poll, with the runs and ends of WORKER; ANSWER is cleared with
  * fb_poll_answer_clear(). */
-void world_reply_to_look (const World *world, const Order *order, FbOrderResult result,
-                          const Worker *worker, uint64_t clock_ms, FbPollAnswer *answer);
+void world_poll_reply (const World *world, const Order *order, FbOrderResult result,
+                       const Worker *worker, uint64_t clock_ms, FbPollAnswer *answer);
 
-/* ---- owners: pool-world-owners.c -------------------------------------------------------- */
+/* ---- owners: pool-world-owners.c ------------------------------------------------------------- */
 
-/* Returns: who carries orders to WORKER. */
-FbRecentStarts *world_carrier (World *world, guint worker);
-/* A daemon dies with the owner: a carrier, each in turn. */
-void world_carrier_die (World *world);
-void world_owner_begin (World *world, guint i);
-void world_owner_end (World *world, guint i);
+/* Returns: the recent starts of the peer that relays orders to WORKER. */
+FbRecentStarts *world_recent_starts (World *world, guint worker);
+/* One of the peers, each in turn, dies with the owner and loses what it keeps. */
+void world_peer_die (World *world);
+void world_owner_start (World *world, guint i);
+void world_owner_stop (World *world, guint i);
 void world_owner_tick (World *world, guint i);
-/* The store deals the pool to another daemon when its owner is gone for long. */
-void world_deal (World *world);
+/* The store assigns the pool to another daemon when the owner has been gone for TTL_MS. */
+void world_assign_pool (World *world);
--- a/tests/oracle.c
+++ b/tests/oracle.c
@@ -30,7 +30,7 @@
   uint32_t unanswered_daemons; /* bit per daemon whose caller waits for an answer */
   guint starts;
   guint live;
-  GHashTable *tasks; /* index + 1 -> TaskSeen */
+  GHashTable *tasks; /* task index + 1 -> TaskRecord */
 } JobRecord;
 
 struct _Oracle
