--- a/tests/platform.sh
+++ b/tests/platform.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Real daemons against a stand-in of the platform: what the scripts of pools cannot show.
-# Waits for conditions, never for times; the stand-in's workers tell what really ran.
+# Tests real daemons against a stand-in of the platform, for what the scripts of pools do not
+# cover.  Waits for conditions instead of fixed times; the stand-in's workers report the actual runs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 B=build OUT=out/platform
@@ -9,7 +9,7 @@
 base=$(free_block 20000 50 200 0 20) || { echo "no ports are free"; exit 1; }
 declare -A PID
 trap 'kill ${PID[*]} 2> /dev/null || true' EXIT
-say() { echo "-- $1"; }
+step() { echo "-- $1"; }
 die() { echo "$1"; exit 1; }
 until_true() { local end=$((SECONDS + 45)); while [ $SECONDS -lt $end ]; do "$@" && return 0; sleep 0.01; done; return 1; }
 port() { echo $((base + 20 + $1 * 4)); }
@@ -40,245 +40,246 @@
   $B/flamingobarrowd --settings "$OUT/d$1.ini" >> "$OUT/d$1.log" 2>&1 &
   PID[$1]=$!
 }
-ask() { # DAEMON METHOD JOB [BODY]
+send_request() { # DAEMON METHOD JOB [BODY]
   curl -s --max-time 5 -o "$OUT/answer" -w '%{http_code}' -X "$2" -H 'Host: h.example' ${4:+-d "$4"} "http://127.0.0.1:$(port "$1")/q/$3" || true
 }
 job() { printf '%016x' "$1"; }
 steps='{"spec":"150","phases":[{"count":3,"cpu":2000,"mem-mb":100,"estimate-ms":150},{"count":1,"cpu":2000,"mem-mb":100,"estimate-ms":150,"after":[0]}]}'
-submitted() { [ "$(ask "$1" POST "$(job "$2")" "$steps")" = 200 ]; }
-is() { [ "$(ask "$1" GET "$(job "$2")")" = 200 ] && grep -q "\"$3\"" "$OUT/answer"; }
+submitted() { [ "$(send_request "$1" POST "$(job "$2")" "$steps")" = 200 ]; }
+job_state_is() { [ "$(send_request "$1" GET "$(job "$2")")" = 200 ] && grep -q "\"$3\"" "$OUT/answer"; }
 ready() { [ "$(curl -s -o /dev/null -w '%{http_code}' "http://127.0.0.1:$(($(port "$1") + 1))/api/readyz")" = 200 ]; }
-owner() { # the daemon that settled the pool last in this life and has not lost it
+owner() { # the running daemon whose last log line about the pool since its start is POOL_SETTLED
   local d; for d in "${!PID[@]}"; do
     [ "$d" != platform ] && [ "$(grep -E 'POOL_(SETTLED|LOST)|PROCESS_STARTED' "$OUT/d$d.log" | tail -1 | grep -c SETTLED)" = 1 ] && kill -0 "${PID[$d]}" 2> /dev/null && echo "$d" && return
   done; return 1; }
 members() { curl -s "http://127.0.0.1:$base/api/log-owners?group=owners" | grep -o '127.0.0.1:[0-9]*/[0-9]*' | sort -u | wc -l; }
 two_members() { [ "$(members)" = 2 ]; }
-dealt_to_owner() { # nothing moves any more: the store's owner of the pool is the one that settled it
+assigned_to_owner() { # ownership is stable: the store assigns the pool to the daemon that has recovered it
   local d p; two_members && d=$(owner) || return 1
   p=$(grep -o 'POOL_TAKEN partition=[0-9]*' "$OUT/d$d.log" | tail -1 | grep -o '[0-9]*$')
   curl -s "http://127.0.0.1:$base/api/log-owners?group=owners" | tr -d ' ' | grep -q ",$p,\"127.0.0.1:$(($(port "$d") + 2))/"; }
-# Sets OF_POOL to the owner of a pool that rests.  The owner is read with the condition: a daemon that
-# was cut off for longer than its time to live may join, and give its pool up, right after it.
-rests() { dealt_to_owner && of_pool=$(owner); }
+# Sets OF_POOL to the owner once ownership is stable.  The owner is read together with the condition,
+# because a daemon that was cut off for longer than its time to live may join and lose its pool right
+# after a check.
+ownership_stable() { assigned_to_owner && of_pool=$(owner); }
 audit() { curl -s "http://127.0.0.1:$base/audit"; }
 
-say "settings are checked, the error names file, group and key"
+step "invalid settings are rejected; the error names file, group and key"
 { settings 0; echo crashes=1; } > "$OUT/bad.ini"
-told=$($B/flamingobarrowd --check --settings "$OUT/bad.ini" 2>&1) && die "a limit of one crash was taken"
-[[ $told == *"bad.ini: [workers] crashes: expected a whole number from 2 to 8"* ]] || die "the error says: $told"
+error=$($B/flamingobarrowd --check --settings "$OUT/bad.ini" 2>&1) && die "a limit of one crash was accepted"
+[[ $error == *"bad.ini: [workers] crashes: expected a whole number from 2 to 8"* ]] || die "the error says: $error"
 settings 0 | sed 's/^peers=.*/&\nadvertised-peers=elsewhere/' > "$OUT/bad.ini"
-told=$($B/flamingobarrowd --check --settings "$OUT/bad.ini" 2>&1) && die "an advertised address without a port was taken"
-[[ $told == *"bad.ini: [listen] advertised-peers: expected IP:PORT"* ]] || die "the error says: $told"
+error=$($B/flamingobarrowd --check --settings "$OUT/bad.ini" 2>&1) && die "an advertised address without a port was accepted"
+[[ $error == *"bad.ini: [listen] advertised-peers: expected IP:PORT"* ]] || die "the error says: $error"
 
-say "SIGHUP before a daemon has read its settings does not end it"
+step "SIGHUP before a daemon has read its settings does not end it"
 mkfifo "$OUT/late.ini"
 $B/flamingobarrowd --settings "$OUT/late.ini" > "$OUT/late.log" 2>&1 & early=$!
-exec 3> "$OUT/late.ini" # opens once the daemon opens the other end
+exec 3> "$OUT/late.ini" # blocks until the daemon opens the other end
 kill -HUP $early
 echo "not settings" > "$OUT/late.next"; mv "$OUT/late.next" "$OUT/late.ini"
 exec 3>&-
 end=0; wait $early || end=$?
-[ "$end" = 3 ] || die "it ended with $end, not for its settings: $(cat "$OUT/late.log")"
+[ "$end" = 3 ] || die "the daemon exited with status $end, not 3 for invalid settings: $(cat "$OUT/late.log")"
 
 $B/standins/standin-platform "$base" 6 & PID[platform]=$!
 for d in 0 1 2; do start_daemon $d; done
 for d in 0 1 2; do until_true ready $d || die "daemon $d is not ready"; done
-until_true owner > /dev/null || die "nobody owns the pool"
+until_true owner > /dev/null || die "the pool has no owner"
 
-say "a job at one daemon is done and known at the others; the same id again is the same job"
-until_true submitted 0 1 || die "the job was not taken"
-submitted 1 1 || die "the job was not taken again"
-until_true is 2 1 completed || die "the job did not complete"
+step "a job completes and is known at all daemons; submitting its id again is the same job"
+until_true submitted 0 1 || die "the job was not accepted"
+submitted 1 1 || die "the repeated submission was not accepted"
+until_true job_state_is 2 1 completed || die "the job did not complete"
 
-say "bad requests: a clear refusal each"
-[ "$(ask 0 POST "$(job 2)" '{"spec":1}')" = 400 ] || die "a bad job was taken"
-[ "$(ask 0 POST nonsense "$steps")" = 404 ] || die "a bad id was taken"
-[ "$(ask 0 GET "$(job 99)")" = 410 ] || die "a job that nobody submitted is known"
+step "invalid requests are rejected with the right status"
+[ "$(send_request 0 POST "$(job 2)" '{"spec":1}')" = 400 ] || die "an invalid job was accepted"
+[ "$(send_request 0 POST nonsense "$steps")" = 404 ] || die "an invalid id was accepted"
+[ "$(send_request 0 GET "$(job 99)")" = 410 ] || die "a job that was never submitted is known"
 [ "$(curl -s -o /dev/null -w '%{http_code}' -H 'Host: other' "http://127.0.0.1:$(port 0)/q/")" = 404 ] || die "another host's queue was found"
 
-say "a task that crashes its workers is given up, and what runs beside it is done"
+step "a task that crashes its workers is abandoned, and the jobs on the same workers complete"
 crash='{"spec":"crash 100","phases":[{"count":1,"cpu":2000,"mem-mb":100,"estimate-ms":100}]}'
-[ "$(ask 1 POST "$(job 5)" "$crash")" = 200 ] || die "the job that crashes workers was not taken"
-for n in 6 7 8; do submitted $((n % 3)) $n || die "job $n was not taken"; done
-until_true is 0 5 failed || die "the job that crashes workers has not failed"
-for n in 6 7 8; do until_true is 2 $n completed || die "job $n did not complete beside it"; done
-audit | grep -q '"started-too-often":0' || die "it was started too often: $(audit)"
-[ "$(audit | grep -o '"crashes":[0-9]*' | cut -d: -f2)" -le 4 ] || die "it crashed too many workers: $(audit)"
+[ "$(send_request 1 POST "$(job 5)" "$crash")" = 200 ] || die "the job that crashes workers was not accepted"
+for n in 6 7 8; do submitted $((n % 3)) $n || die "job $n was not accepted"; done
+until_true job_state_is 0 5 failed || die "the job that crashes workers has not failed"
+for n in 6 7 8; do until_true job_state_is 2 $n completed || die "job $n did not complete next to it"; done
+audit | grep -q '"started-too-often":0' || die "the crashing task was started too often: $(audit)"
+[ "$(audit | grep -o '"crashes":[0-9]*' | cut -d: -f2)" -le 4 ] || die "the crashing task crashed too many workers: $(audit)"
 
-say "workers carry starts out without an answer and refuse copies of them: no task runs in two places"
+step "workers execute starts whose replies are lost, and refuse the repeated starts: no task runs twice"
 curl -s -d '{"lose-answers":true}' "http://127.0.0.1:$base/control" > /dev/null
-for n in $(seq 60 69); do submitted $((n % 3)) "$n" || die "job $n was not taken"; done
-for n in $(seq 60 69); do until_true is 0 "$n" completed || die "job $n did not complete"; done
+for n in $(seq 60 69); do submitted $((n % 3)) "$n" || die "job $n was not accepted"; done
+for n in $(seq 60 69); do until_true job_state_is 0 "$n" completed || die "job $n did not complete"; done
 curl -s -d '{"lose-answers":false}' "http://127.0.0.1:$base/control" > /dev/null
-audit | grep -q '"doubled":0' || die "workers saw a task twice: $(audit)"
+audit | grep -q '"doubled":0' || die "a task ran twice at the workers: $(audit)"
 
-say "workers come back under the ids that they had: nothing that is done runs again, what lasts runs on"
-lasting='{"spec":"600000","phases":[{"count":4,"cpu":2000,"mem-mb":100,"long-running":true}]}'
+step "workers restart under their old ids: completed tasks do not run again, long-running tasks run on"
+long_running='{"spec":"600000","phases":[{"count":4,"cpu":2000,"mem-mb":100,"long-running":true}]}'
 crash_worker() { curl -s -d "{\"crash\":$1,\"for-ms\":300,\"returns\":true}" "http://127.0.0.1:$base/control" > /dev/null; }
 running() { curl -s "http://127.0.0.1:$base/running?job=$1" | grep -o '[0-9]*'; }
 four_run() { [ "$(running "$(job 4)")" = 4 ]; }
-[ "$(ask 0 POST "$(job 4)" "$lasting")" = 200 ] || die "the lasting job was not taken"
-until_true four_run || die "the lasting job does not run"
+[ "$(send_request 0 POST "$(job 4)" "$long_running")" = 200 ] || die "the long-running job was not accepted"
+until_true four_run || die "the long-running job does not run"
 for k in 0 1 2 3 4 5; do
-  for n in 0 1 2 3; do submitted $((n % 3)) $((70 + 4 * k + n)) || die "a job was not taken"; done
+  for n in 0 1 2 3; do submitted $((n % 3)) $((70 + 4 * k + n)) || die "a job was not accepted"; done
   crash_worker $k
-  for n in 0 1 2 3; do until_true is 0 $((70 + 4 * k + n)) completed || die "job $((70 + 4 * k + n)) did not complete"; done
+  for n in 0 1 2 3; do until_true job_state_is 0 $((70 + 4 * k + n)) completed || die "job $((70 + 4 * k + n)) did not complete"; done
 done
-until_true four_run || die "$(running "$(job 4)") of 4 lasting tasks run after their workers came back"
-[ "$(ask 1 DELETE "$(job 4)")" = 200 ] || die "the cancel was not taken"
-audit | grep -q '"doubled":0' || die "workers saw a task twice: $(audit)"
+until_true four_run || die "$(running "$(job 4)") of 4 long-running tasks run after their workers restarted"
+[ "$(send_request 1 DELETE "$(job 4)")" = 200 ] || die "the cancel was not accepted"
+audit | grep -q '"doubled":0' || die "a task ran twice at the workers: $(audit)"
 
-say "a cancelled job ends, and its tasks with it"
+step "a cancelled job and its tasks end"
 long='{"spec":"600000","phases":[{"count":2,"cpu":2000,"mem-mb":100,"long-running":true}]}'
-[ "$(ask 0 POST "$(job 3)" "$long")" = 200 ] || die "the lasting job was not taken"
-until_true is 1 3 running || die "the lasting job does not run"
-[ "$(ask 2 DELETE "$(job 3)")" = 200 ] || die "the cancel was not taken"
-until_true is 0 3 cancelled || die "the job is not cancelled"
+[ "$(send_request 0 POST "$(job 3)" "$long")" = 200 ] || die "the long-running job was not accepted"
+until_true job_state_is 1 3 running || die "the long-running job does not run"
+[ "$(send_request 2 DELETE "$(job 3)")" = 200 ] || die "the cancel was not accepted"
+until_true job_state_is 0 3 cancelled || die "the job is not cancelled"
 
-say "the owner is killed with work running: another takes over, nothing runs twice"
-for n in $(seq 10 19); do submitted $((n % 3)) "$n" || die "job $n was not taken"; done
-dead=$(owner)
-kill -9 "${PID[$dead]}"; wait "${PID[$dead]}" 2> /dev/null || true
-unset "PID[$dead]"
-left=("${!PID[@]}"); left=("${left[@]/platform/}")
-for d in "${left[@]}"; do [ -n "$d" ] && alive=$d; done
-for n in $(seq 10 19); do until_true is "$alive" "$n" completed || die "job $n did not complete after the owner's death"; done
+step "the owner is killed while tasks run: another daemon takes over, no task runs twice"
+for n in $(seq 10 19); do submitted $((n % 3)) "$n" || die "job $n was not accepted"; done
+killed=$(owner)
+kill -9 "${PID[$killed]}"; wait "${PID[$killed]}" 2> /dev/null || true
+unset "PID[$killed]"
+remaining=("${!PID[@]}"); remaining=("${remaining[@]/platform/}")
+for d in "${remaining[@]}"; do [ -n "$d" ] && survivor=$d; done
+for n in $(seq 10 19); do until_true job_state_is "$survivor" "$n" completed || die "job $n did not complete after the owner's death"; done
 
-say "all daemons are killed and start again at once: none waits until those before are forgotten"
-curl -s -d '{"patient":true}' "http://127.0.0.1:$base/control" > /dev/null # forgets nobody
-for d in "${left[@]}"; do [ -n "$d" ] && kill -9 "${PID[$d]}" && { wait "${PID[$d]}" 2> /dev/null || true; }; done
-for d in "${left[@]}"; do [ -n "$d" ] && start_daemon "$d"; done
-for d in "${left[@]}"; do [ -z "$d" ] || until_true ready "$d" || die "daemon $d is not ready again"; done
-until_true two_members || die "the processes before stay in the group: $(members) members"
-until_true submitted "$alive" 20 || die "no job is taken after all were killed"
-until_true is "$alive" 20 completed || die "that job did not complete"
+step "all daemons are killed and restarted at once: none waits until the old members have expired"
+curl -s -d '{"patient":true}' "http://127.0.0.1:$base/control" > /dev/null # the group keeps silent members
+for d in "${remaining[@]}"; do [ -n "$d" ] && kill -9 "${PID[$d]}" && { wait "${PID[$d]}" 2> /dev/null || true; }; done
+for d in "${remaining[@]}"; do [ -n "$d" ] && start_daemon "$d"; done
+for d in "${remaining[@]}"; do [ -z "$d" ] || until_true ready "$d" || die "daemon $d is not ready again"; done
+until_true two_members || die "the killed processes are still in the group: $(members) members"
+until_true submitted "$survivor" 20 || die "no job is accepted after all daemons were killed"
+until_true job_state_is "$survivor" 20 completed || die "that job did not complete"
 curl -s -d '{"patient":false}' "http://127.0.0.1:$base/control" > /dev/null
 
-say "the store is away: refused at once and truly not stored; back: taken again"
+step "the store is away: jobs are refused at once and not stored; it is back: jobs are accepted"
 curl -s -d '{"outage":true}' "http://127.0.0.1:$base/control" > /dev/null
-refused() { [ "$(ask "$alive" POST "$(job 30)" "$steps")" = 503 ]; }
+refused() { [ "$(send_request "$survivor" POST "$(job 30)" "$steps")" = 503 ]; }
 until_true refused || die "a job was not refused while the store was away"
 curl -s -d '{"outage":false}' "http://127.0.0.1:$base/control" > /dev/null
-until_true submitted "$alive" 31 || die "a job was not taken after the store was back"
-until_true is "$alive" 31 completed || die "that job did not complete"
-[ "$(ask "$alive" GET "$(job 30)")" = 410 ] || die "the refused job is known"
+until_true submitted "$survivor" 31 || die "a job was not accepted after the store was back"
+until_true job_state_is "$survivor" 31 completed || die "that job did not complete"
+[ "$(send_request "$survivor" GET "$(job 30)")" = 410 ] || die "the refused job is known"
 
-say "the store takes calls and answers none: callers are refused, and nothing is sent"
+step "the store accepts calls and answers none: callers are refused, and nothing is sent"
 curl -s -d '{"silent":true}' "http://127.0.0.1:$base/control" > /dev/null
-refused_unsent() { [ "$(ask "$alive" POST "$(job 32)" "$steps")" = 503 ]; }
-until_true refused_unsent || die "no caller was refused while the store was silent"
+refused_unsent() { [ "$(send_request "$survivor" POST "$(job 32)" "$steps")" = 503 ]; }
+until_true refused_unsent || die "no caller was refused while the store did not answer"
 curl -s -d '{"silent":false}' "http://127.0.0.1:$base/control" > /dev/null
-until_true submitted "$alive" 33 || die "a job was not taken after the store spoke again"
-until_true is "$alive" 33 completed || die "that job did not complete"
+until_true submitted "$survivor" 33 || die "a job was not accepted after the store answered again"
+until_true job_state_is "$survivor" 33 completed || die "that job did not complete"
 
-say "the store is away from one daemon alone: a peer stores what its callers hand in"
+step "one daemon alone cannot reach the store: a peer stores the jobs of its callers"
 store_at() { sed -i "s/^address=.*/address=127.0.0.1:$2/" "$OUT/d$1.ini"; kill -HUP "${PID[$1]}"; }
 reloads() { grep -c SETTINGS_RELOADED "$OUT/d$1.log" || true; }
-before=$(reloads "$alive")
-store_at "$alive" $((base + 19)) # nobody listens there
-reloaded() { [ "$(reloads "$alive")" -gt "$before" ]; }
-until_true reloaded || die "the settings were not loaded again"
-[ "$(ask "$alive" POST "$(job 34)" "$steps")" = 200 ] || die "a job was refused although a peer reaches the store"
-for d in "${left[@]}"; do [ -n "$d" ] && [ "$d" != "$alive" ] && other=$d; done
-until_true is "$other" 34 completed || die "the job that a peer stored did not complete"
-before=$(reloads "$alive")
-store_at "$alive" "$base"
-until_true reloaded || die "the settings were not loaded again"
-until_true ready "$alive" || die "the daemon is not ready again"
+before=$(reloads "$survivor")
+store_at "$survivor" $((base + 19)) # no process listens there
+reloaded() { [ "$(reloads "$survivor")" -gt "$before" ]; }
+until_true reloaded || die "the settings were not reloaded"
+[ "$(send_request "$survivor" POST "$(job 34)" "$steps")" = 200 ] || die "a job was refused although a peer can reach the store"
+for d in "${remaining[@]}"; do [ -n "$d" ] && [ "$d" != "$survivor" ] && other=$d; done
+until_true job_state_is "$other" 34 completed || die "the job that a peer stored did not complete"
+before=$(reloads "$survivor")
+store_at "$survivor" "$base"
+until_true reloaded || die "the settings were not reloaded"
+until_true ready "$survivor" || die "the daemon is not ready again"
 
-say "the store is away from the owner alone, and nobody replaces it: its ends are recorded through a peer"
-until_true rests || die "the pool does not come to rest"
-curl -s -d '{"patient":true}' "http://127.0.0.1:$base/control" > /dev/null # forgets nobody
+step "the owner alone cannot reach the store and is not replaced: the ends of its jobs are stored through a peer"
+until_true ownership_stable || die "the ownership of the pool does not become stable"
+curl -s -d '{"patient":true}' "http://127.0.0.1:$base/control" > /dev/null # the group keeps silent members
 cut=$of_pool before=$(reloads "$of_pool")
 reloaded() { [ "$(reloads "$cut")" -gt "$before" ]; }
 store_at "$cut" $((base + 19))
-until_true reloaded || die "the settings were not loaded again"
-for d in "${left[@]}"; do [ -n "$d" ] && [ "$d" != "$cut" ] && other=$d; done
-until_true submitted "$other" 35 || die "the job was not taken"
-until_true is "$other" 35 completed || die "the end of a job is not shown while the store turns its owner away"
-[ "$(owner)" = "$cut" ] || die "the pool has another owner"
+until_true reloaded || die "the settings were not reloaded"
+for d in "${remaining[@]}"; do [ -n "$d" ] && [ "$d" != "$cut" ] && other=$d; done
+until_true submitted "$other" 35 || die "the job was not accepted"
+until_true job_state_is "$other" 35 completed || die "the end of a job is not shown while its owner cannot reach the store"
+[ "$(owner)" = "$cut" ] || die "the owner of the pool has changed"
 before=$(reloads "$cut")
 store_at "$cut" "$base"
-until_true reloaded || die "the settings were not loaded again"
+until_true reloaded || die "the settings were not reloaded"
 until_true ready "$cut" || die "the daemon is not ready again"
 curl -s -d '{"patient":false}' "http://127.0.0.1:$base/control" > /dev/null
 
-say "the store is away from the owner alone: a peer tells it who owns the pool now"
-until_true rests || die "the pool does not come to rest"
+step "the owner alone cannot reach the store: it learns the new owner of the pool from a peer"
+until_true ownership_stable || die "the ownership of the pool does not become stable"
 cut=$of_pool before=$(reloads "$of_pool")
 reloaded() { [ "$(reloads "$cut")" -gt "$before" ]; }
 store_at "$cut" $((base + 19))
-until_true reloaded || die "the settings were not loaded again"
+until_true reloaded || die "the settings were not reloaded"
 moved() { local now; now=$(owner) && [ "$now" != "$cut" ]; }
-until_true moved || die "nobody took the pool over"
-until_true is "$cut" 34 completed || die "callers of the daemon that is cut off do not learn of their job"
+until_true moved || die "no other daemon took the pool over"
+until_true job_state_is "$cut" 34 completed || die "the daemon without access to the store does not report the state of a job"
 before=$(reloads "$cut")
 store_at "$cut" "$base"
-until_true reloaded || die "the settings were not loaded again"
+until_true reloaded || die "the settings were not reloaded"
 until_true ready "$cut" || die "the daemon is not ready again"
 
-say "a daemon stands still and loses its pool: its lines tell that it was its loop, and its join"
-until_true rests || die "the pool does not come to rest"
-still=$of_pool
-for d in "${left[@]}"; do [ -n "$d" ] && [ "$d" != "$still" ] && other=$d; done
+step "a daemon is stopped and loses its pool: its log reports the delays of its main loop and its join"
+until_true ownership_stable || die "the ownership of the pool does not become stable"
+paused=$of_pool
+for d in "${remaining[@]}"; do [ -n "$d" ] && [ "$d" != "$paused" ] && other=$d; done
 count() { grep -c "$2" "$OUT/d$1.log" || true; }
-before=$(count "$other" POOL_TAKEN) from=$(wc -l < "$OUT/d$still.log")
+before=$(count "$other" POOL_TAKEN) from=$(wc -l < "$OUT/d$paused.log")
 taken_over() { [ "$(count "$other" POOL_TAKEN)" -gt "$before" ]; }
-kill -STOP "${PID[$still]}"
-until_true taken_over || die "nobody took the pool over"
-kill -CONT "${PID[$still]}"
-tells() { tail -n +$((from + 1)) "$OUT/d$still.log" | grep -E "$1" | grep -qE "$2"; }
-until_true tells ' LOOP_LATE ' ' late_ms=[0-9]{3,} ' || die "it does not tell that its loop was late"
-until_true tells ' JOIN_LATE ' ' join_gap_ms=[0-9]{4,} ' || die "it does not tell that its join was late"
-until_true tells ' POOL_LOST ' ' loop_late_ms=[0-9]{3,}$' || die "it does not tell what it lost its pool with"
-until_true ready "$still" || die "the daemon is not ready again"
+kill -STOP "${PID[$paused]}"
+until_true taken_over || die "no other daemon took the pool over"
+kill -CONT "${PID[$paused]}"
+logged() { tail -n +$((from + 1)) "$OUT/d$paused.log" | grep -E "$1" | grep -qE "$2"; }
+until_true logged ' LOOP_LATE ' ' late_ms=[0-9]{3,} ' || die "LOOP_LATE with the delay of the main loop is not logged"
+until_true logged ' JOIN_LATE ' ' join_gap_ms=[0-9]{4,} ' || die "JOIN_LATE with the gap between joins is not logged"
+until_true logged ' POOL_LOST ' ' loop_late_ms=[0-9]{3,}$' || die "POOL_LOST with the delay of the main loop is not logged"
+until_true ready "$paused" || die "the daemon is not ready again"
 
-say "a worker dies with work on it"
-for n in $(seq 40 45); do submitted "$alive" "$n" || die "job $n was not taken"; done
+step "a worker dies while tasks run on it"
+for n in $(seq 40 45); do submitted "$survivor" "$n" || die "job $n was not accepted"; done
 curl -s -d '{"worker":2,"up":false}' "http://127.0.0.1:$base/control" > /dev/null
-for n in $(seq 40 45); do until_true is "$alive" "$n" completed || die "job $n did not complete after its worker's death"; done
+for n in $(seq 40 45); do until_true job_state_is "$survivor" "$n" completed || die "job $n did not complete after its worker's death"; done
 
-say "a planned stop: the daemon ends by itself, the others go on"
-start_daemon "$dead"; until_true ready "$dead" || die "the daemon did not come back"
-kill -TERM "${PID[$alive]}"
-gone() { ! kill -0 "${PID[$alive]}" 2> /dev/null; }
-until_true gone || die "the stopped daemon runs on"
-grep -q 'PROCESS_STOPPED' "$OUT/d$alive.log" || die "the stopped daemon did not end as planned"
-until_true submitted "$dead" 50 || die "no job is taken after the planned stop"
-until_true is "$dead" 50 completed || die "that job did not complete"
+step "a planned stop: the daemon exits, the others continue"
+start_daemon "$killed"; until_true ready "$killed" || die "the daemon did not start again"
+kill -TERM "${PID[$survivor]}"
+has_exited() { ! kill -0 "${PID[$survivor]}" 2> /dev/null; }
+until_true has_exited || die "the daemon does not exit after SIGTERM"
+grep -q 'PROCESS_STOPPED' "$OUT/d$survivor.log" || die "the daemon did not log a planned stop"
+until_true submitted "$killed" 50 || die "no job is accepted after the planned stop"
+until_true job_state_is "$killed" 50 completed || die "that job did not complete"
 
-say "a planned stop of the owner: whom it asked until its end got an answer, from the next owner"
-start_daemon "$alive"; until_true ready "$alive" || die "the daemon did not come back"
+step "a planned stop of the owner: every caller whose request was read gets an answer"
+start_daemon "$survivor"; until_true ready "$survivor" || die "the daemon did not start again"
 stopped=$(owner)
-call() { # curl ends with 7 when nobody listens, with 52 or 56 when a request that was read gets no answer
+call() { # curl exits with 7 when no process listens, with 52 or 56 when the connection ends without a reply
   local end=0 code; code=$(curl -s --max-time 9 -o /dev/null -w '%{http_code}' -H 'Host: h.example' "http://127.0.0.1:$(port "$stopped")/q/$(job 50)") || end=$?
   echo "$end/$code" >> "$OUT/calls"; }
-gone() { ! kill -0 "${PID[$stopped]}" 2> /dev/null; }
+has_exited() { ! kill -0 "${PID[$stopped]}" 2> /dev/null; }
 kill -TERM "${PID[$stopped]}"
 calls=()
-until gone; do call & calls+=($!); sleep 0.05; done
+until has_exited; do call & calls+=($!); sleep 0.05; done
 wait "${calls[@]}"
-# A connection that the daemon has not read from when it ends is reset by the kernel (56, 52): it
-# was not taken.  What was read is in the daemon's log, and nothing was open at its end.
+# The kernel resets a connection that the daemon has not read from when it exits (56, 52).  Requests
+# that were read are in the daemon's log, and none was open at its exit.
 answered=$(grep -c '^0/200$' "$OUT/calls") || die "no caller was answered during the stop"
-! grep -qvE '^(0/200|7/000|56/000|52/000)$' "$OUT/calls" || die "callers were turned away: $(sort "$OUT/calls" | uniq -c | tr '\n' ' ')"
+! grep -qvE '^(0/200|7/000|56/000|52/000)$' "$OUT/calls" || die "unexpected results of calls: $(sort "$OUT/calls" | uniq -c | tr '\n' ' ')"
 read_n=$(awk '/PROCESS_DRAINING/ { n = 0 } /JOB_ASKED job='"$(job 50)"' / { n++ } END { print n }' "$OUT/d$stopped.log")
-[ "$read_n" = "$answered" ] || die "$read_n calls were read and $answered answered"
-tail -1 "$OUT/d$stopped.log" | grep -q 'PROCESS_STOPPED .* open=0' || die "calls were open at the end"
+[ "$read_n" = "$answered" ] || die "$read_n calls were read, but $answered answered"
+tail -1 "$OUT/d$stopped.log" | grep -q 'PROCESS_STOPPED .* open=0' || die "calls were open when the daemon exited"
 unset "PID[$stopped]"
-next=$(until_true owner) || die "nobody owns the pool after the stop"
-until_true submitted "$next" 51 || die "no job is taken after that stop"
-until_true is "$next" 51 completed || die "that job did not complete"
+next=$(until_true owner) || die "the pool has no owner after the stop"
+until_true submitted "$next" 51 || die "no job is accepted after the stop of the owner"
+until_true job_state_is "$next" 51 completed || die "that job did not complete"
 
-say "the parts of each take-over add up"
+step "the logged phases of each take-over add up to its duration"
 grep -h ' POOL_TAKEN ' "$OUT"/d?.log | awk '{ for (i = 1; i <= NF; i++) { split($i, f, "="); v[f[1]] = f[2] }
   bad += v["load_ms"] != v["shut_out_ms"] + v["progress_ms"] + v["jobs_ms"] + v["admit_ms"] || v["jobs"] == "" }
-  END { exit bad > 0 || NR == 0 }' || die "the parts of a take-over do not add up"
+  END { exit bad > 0 || NR == 0 }' || die "the phases of a take-over do not add up to its duration"
 
-say "metrics, and what the workers saw"
+step "metrics are served, and the workers have seen no violation"
 metrics=$(curl -s "http://127.0.0.1:$(($(port "$next") + 3))/metrics")
 grep -q '^flamingobarrow_caller_answer_ms_count [1-9]' <<< "$metrics" || die "no histogram at /metrics"
 seen=$(audit)
-grep -q '"doubled":0,"over-capacity":0' <<< "$seen" || die "the workers saw $seen"
+grep -q '"doubled":0,"over-capacity":0' <<< "$seen" || die "the workers have seen a violation: $seen"
 echo "platform: ok"
