--- a/fuzz/fuzz-node.c
+++ b/fuzz/fuzz-node.c
@@ -25,14 +25,14 @@
 } Run;
 
 static void
-submit (Run *run, guint what, guint whom)
+submit (Run *run, guint event, guint target)
 {
-  static const uint64_t times_ms[] = { 100, 400, 1500, 6000 };
-  static const uint64_t dues_ms[] = { 0, 2000, 5000, 20000 };
-  gboolean again = run->next_job > 1 && whom % 7 == 0;
+  static const uint64_t run_times_ms[] = { 100, 400, 1500, 6000 };
+  static const uint64_t deadlines_ms[] = { 0, 2000, 5000, 20000 };
+  gboolean again = run->next_job > 1 && target % 7 == 0;
   if (!again && run->next_job > JOB_MAX)
     return;
-  uint64_t id = again ? 1 + whom % (run->next_job - 1) : run->next_job++;
+  uint64_t id = again ? 1 + target % (run->next_job - 1) : run->next_job++;
   /* The job's parameters depend on its id alone, so that a repeated submission is identical. */
   guint shape = (guint) (id * 2654435761u >> 7);
   WorldJob job = { .id = id, .partner = shape % FB_PARTNER_N };
@@ -46,8 +46,8 @@
   /* A gang whose tasks need a whole host each could wait forever next to services. */
   guint cpu_max = job.kind == FB_KIND_GANG ? 2 : 3;
   job.demand = (fb_res){ { 1000 * (1 + shape / 96 % cpu_max), 1ull << 30, 0, 1 } };
-  job.run_ms = times_ms[shape / 288 % 4];
-  job.deadline_ms = dues_ms[shape / 1152 % 4];
+  job.run_ms = run_times_ms[shape / 288 % 4];
+  job.deadline_ms = deadlines_ms[shape / 1152 % 4];
   if (shape / 4608 % 5 == 0 && job.kind != FB_KIND_GANG)
     {
       /* The daemon generates the ids of ephemeral jobs, and they never repeat. */
@@ -55,15 +55,15 @@
         return;
       job.flags |= FB_FLAG_EPHEMERAL;
     }
-  world_submit (run->world, (whom + what) % MEMBER_N, &job);
+  world_submit (run->world, (target + event) % MEMBER_N, &job);
 }
 
 static void
-fault_daemon (Run *run, guint what, guint whom)
+fault_daemon (Run *run, guint event, guint target)
 {
-  guint node = whom % MEMBER_N;
-  gboolean on = (whom / MEMBER_N) % 2 == 0;
-  switch (what % 6)
+  guint node = target % MEMBER_N;
+  gboolean on = (target / MEMBER_N) % 2 == 0;
+  switch (event % 6)
     {
     case 0:
       world_kill (run->world, node);
@@ -87,12 +87,12 @@
 }
 
 static void
-fault_host (Run *run, guint what, guint whom)
+fault_host (Run *run, guint event, guint target)
 {
-  guint rack = whom % RACK_N;
-  guint host = whom / RACK_N % HOST_N;
-  gboolean on = (whom / 16) % 2 == 0;
-  switch (what % 5)
+  guint rack = target % RACK_N;
+  guint host = target / RACK_N % HOST_N;
+  gboolean on = (target / 16) % 2 == 0;
+  switch (event % 5)
     {
     case 0:
       world_set_worker_frozen (run->world, rack, host, on);
@@ -104,70 +104,70 @@
       world_set_runs_fail (run->world, rack, host, on);
       break;
     case 3:
-      world_set_host_state (run->world, rack, host, (FbHostState) (whom / 32 % 3));
+      world_set_host_state (run->world, rack, host, (FbHostState) (target / 32 % 3));
       break;
     default:
-      world_set_usage (run->world, rack, host, 50 + whom % 200);
+      world_set_usage (run->world, rack, host, 50 + target % 200);
       break;
     }
 }
 
 static void
-configure (Run *run, guint whom)
+configure (Run *run, guint target)
 {
-  uint32_t partner = whom % FB_PARTNER_N;
+  uint32_t partner = target % FB_PARTNER_N;
   /* Some serials are skipped, and some are used a second time. */
-  uint64_t serial = run->serial[partner] + 1 + (whom / 8 % 4 == 0 ? 1 : 0);
-  if (world_publish_config (run->world, whom / 2 % MEMBER_N, partner, serial, whom / 16 % 4,
-                            whom % 101)
+  uint64_t serial = run->serial[partner] + 1 + (target / 8 % 4 == 0 ? 1 : 0);
+  if (world_publish_config (run->world, target / 2 % MEMBER_N, partner, serial, target / 16 % 4,
+                            target % 101)
       == FB_NODE_CONFIG_OK)
-    run->serial[partner] = serial - (whom / 64 % 2);
+    run->serial[partner] = serial - (target / 64 % 2);
 }
 
 static void
-step (Run *run, guint what, guint whom)
+run_step (Run *run, guint event, guint target)
 {
-  static const guint noises[] = { 0, 0, 20, 60 };
-  switch (what % 16)
+  static const guint fault_rates[] = { 0, 0, 20, 60 };
+  switch (event % 16)
     {
     case 0:
     case 1:
     case 2:
     case 3:
     case 4:
-      submit (run, what / 16, whom);
+      submit (run, event / 16, target);
       break;
     case 5:
     case 6:
-      fault_daemon (run, what / 16, whom);
+      fault_daemon (run, event / 16, target);
       break;
     case 7:
     case 8:
-      fault_host (run, what / 16, whom);
+      fault_host (run, event / 16, target);
       break;
     case 9:
-      world_set_message_faults (run->world, noises[whom % 4], noises[whom / 4 % 4],
-                                noises[whom / 16 % 4]);
+      world_set_message_faults (run->world, fault_rates[target % 4], fault_rates[target / 4 % 4],
+                                fault_rates[target / 16 % 4]);
       break;
     case 10:
-      world_set_log_state (run->world, (WorldLogState) (whom % 3));
+      world_set_log_state (run->world, (WorldLogState) (target % 3));
       break;
     case 11:
       if (run->next_job > 1)
         {
-          uint64_t id = 1 + whom % (run->next_job - 1);
+          uint64_t id = 1 + target % (run->next_job - 1);
           guint shape = (guint) (id * 2654435761u >> 7);
-          world_cancel (run->world, what / 16 % MEMBER_N, shape % FB_PARTNER_N, id);
+          world_cancel (run->world, event / 16 % MEMBER_N, shape % FB_PARTNER_N, id);
         }
       break;
     case 12:
-      configure (run, whom);
+      configure (run, target);
       break;
     case 13:
       world_log_trim (run->world);
       break;
     default:
-      world_run (run->world, 100 + (uint64_t) whom * 40);
+      world_run (run->world, 100 + (uint64_t) target * 40);
       break;
     }
   world_run (run->world, 100);
@@ -189,7 +189,7 @@
   for (size_t i = 1; i + 1 < size && steps < STEP_MAX && world_violation (run.world) == NULL;
        i += 2)
     {
-      step (&run, data[i], data[i + 1]);
+      run_step (&run, data[i], data[i + 1]);
       steps++;
     }
   if (world_violation (run.world) == NULL)
--- a/tests/test-script.c
+++ b/tests/test-script.c
@@ -14,21 +14,21 @@
 static World *world;
 
 static uint64_t
-arg_u64 (char **args, guint i, uint64_t missing)
+arg_u64 (char **args, guint i, uint64_t default_value)
 {
-  return i < g_strv_length (args) ? g_ascii_strtoull (args[i], NULL, 10) : missing;
+  return i < g_strv_length (args) ? g_ascii_strtoull (args[i], NULL, 10) : default_value;
 }
 
-/* Returns: VALUE of the argument "KEY=VALUE", or MISSING. */
+/* Returns: VALUE of the argument "KEY=VALUE", or DEFAULT_VALUE. */
 static uint64_t
-option (char **args, const char *key, uint64_t missing)
+option (char **args, const char *key, uint64_t default_value)
 {
   for (guint i = 1; args[i] != NULL; i++)
     {
       if (g_str_has_prefix (args[i], key) && args[i][strlen (key)] == '=')
         return g_ascii_strtoull (args[i] + strlen (key) + 1, NULL, 10);
     }
-  return missing;
+  return default_value;
 }
 
 static gboolean
