--- a/fuzz/fuzz-pool.c
+++ b/fuzz/fuzz-pool.c
@@ -161,7 +161,7 @@
 static void
 inject_faults (World *world)
 {
-  /* Jobs and cancels are accepted only while the store can take them. */
+  /* A job or cancel is accepted once the store has it, so none is accepted while it is away. */
   if (world_random (world, 30) == 0 && !world->store_away)
     submit (world);
   if (world_random (world, 400) == 0 && !world->store_away)
--- a/tests/oracle.h
+++ b/tests/oracle.h
@@ -24,7 +24,7 @@
                  FbRunStatus run_status);
 void oracle_set_worker_leaving (Oracle *self, uint64_t now_ms, guint worker, gboolean leaving);
 void oracle_check_config (Oracle *self, uint32_t partner, uint64_t serial, GBytes *revision);
-/* The daemons that held the highest revision are dead; at most the log still has it. */
+/* Marks the highest revision of PARTNER as held by no running daemon; the log may still have it. */
 void oracle_set_config_orphaned (Oracle *self, uint32_t partner);
 gboolean oracle_config_is_orphaned (const Oracle *self, uint32_t partner);
 uint64_t oracle_config_serial (const Oracle *self, uint32_t partner);
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -74,7 +74,7 @@
   g_string_append_printf (
       report, "placing: %u workers and runs gone through in one turn, expected at most %d\n",
       max_visits, TURN_VISITS);
-  CU_ASSERT_TRUE (max_visits > 0); /* the wrappers are in use */
+  CU_ASSERT_TRUE (max_visits > 0); /* 0: the counting wrappers are not linked */
   CU_ASSERT_TRUE (max_visits <= TURN_VISITS);
   CU_ASSERT_EQUAL (play.started_n, WORKER_N * (WORKER_CPU / TASK_CPU));
   busy_pool_clear (&play);
@@ -93,7 +93,7 @@
 {
   gboolean is_counting;
   guint jobs_this_turn;
-  guint max_jobs_per_turn; /* in one turn */
+  guint max_jobs_per_turn;
   guint jobs;
   guint joins; /* since the first job was loaded */
   uint64_t last_join_ms;
--- a/tests/world.c
+++ b/tests/world.c
@@ -495,9 +495,9 @@
 
 /* ---- faults ----------------------------------------------------------- */
 
-/* A revision that no running daemon holds is at most in the log, and retention may drop it
- * there before a daemon reads it.  This loss is allowed: no daemon has reported the revision
- * as being in force. */
+/* Marks revisions that no running daemon holds any more.  Such a revision is at most in the log,
+ * and retention may drop it there before a daemon reads it.  This loss is allowed, because no
+ * caller was told that the revision is in force. */
 static void
 note_config_loss (World *self)
 {
