--- a/src/entry/advice/advice-balancer.c
+++ b/src/entry/advice/advice-balancer.c
@@ -17,7 +17,7 @@
  * one begins a long one while the next short one is still in transit; it shows as short requests
  * that get one answer for each long one.  Guard: a second short request is already queued at the
  * daemon. */
-#define SHORT_MAX 2
+#define SHORT_MAX 2 /* short requests open at one daemon */
 
 /* Half-life of the load of sent requests: bursts last some seconds. */
 #define HALF_LIFE_MS 1000
--- a/src/entry/advice/advice-queue.h
+++ b/src/entry/advice/advice-queue.h
@@ -10,7 +10,7 @@
 typedef struct _FbAdviceQueue FbAdviceQueue;
 
 FbAdviceQueue *fb_advice_queue_new (void);
-/* Waiting requests are dropped without a callback. */
+/* Drops waiting requests, which are borrowed. */
 void fb_advice_queue_free (FbAdviceQueue *self);
 /* Adds REQUEST (borrowed), which arrived at NOW_MS; the service is expected to take EXPECTED_MS to
  * decide on it. */
--- a/src/entry/entry-private.h
+++ b/src/entry/entry-private.h
@@ -80,9 +80,9 @@
 uint32_t fb_entry_partition_of (const FbEntry *self, const char *service);
 FbOwner *fb_entry_owner (const FbEntry *self, uint32_t partition);
 FbAppender *fb_entry_appender (FbEntry *self, uint32_t partition);
-/* Sets which partitions this daemon owns; new ones are taken over under EPOCH.  WHY is logged for
- * partitions that it no longer owns. */
-void fb_entry_set_owned_partitions (FbEntry *self, const GArray *partitions, uint64_t epoch,
+/* Sets which partitions this daemon owns; new ones are taken over with an epoch of the group's
+ * GENERATION.  WHY is logged for partitions that it no longer owns. */
+void fb_entry_set_owned_partitions (FbEntry *self, const GArray *partitions, uint64_t generation,
                                     const char *why);
 void fb_entry_release_partition (FbEntry *self, uint32_t partition);
 void fb_entry_foreach_owner (FbEntry *self, void (*func) (FbOwner *owner));
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -127,7 +127,10 @@
     }
   if (!fb_entry_settings_same_listeners (settings, self->settings))
     {
-      fb_event_log (FB_EVENT_RELOAD_REFUSED, "why=%s: names or addresses need a restart", why);
+      fb_event_log (
+          FB_EVENT_RELOAD_REFUSED,
+          "why=%s: the name, the addresses and the number of partitions change only at a restart",
+          why);
       fb_entry_settings_free (settings);
       return;
     }
--- a/src/entry/link-watch.c
+++ b/src/entry/link-watch.c
@@ -6,8 +6,8 @@
 struct _FbLinkWatch
 {
   uint32_t link_kbit_s;
-  uint64_t turn_ms;
-  FbTrafficTotals last;
+  uint64_t turn_ms;     /* time of the last call of fb_link_watch_turn() */
+  FbTrafficTotals last; /* totals at that time */
 };
 
 FbLinkWatch *
--- a/src/entry/link-watch.h
+++ b/src/entry/link-watch.h
@@ -12,9 +12,9 @@
 /* Utilization of one direction. */
 typedef struct
 {
-  uint32_t kbit_s;
-  FbTraffic most;
-  uint32_t most_kbit_s;
+  uint32_t kbit_s;      /* of all kinds of traffic */
+  FbTraffic most;       /* the kind with the highest rate */
+  uint32_t most_kbit_s; /* rate of that kind */
 } FbLinkUse;
 
 /* LINK_KBIT_S: capacity of the link in each direction; 0: not known, and nothing is reported. */
--- a/src/entry/loop-watch.c
+++ b/src/entry/loop-watch.c
@@ -12,16 +12,16 @@
 
 typedef struct
 {
-  uint64_t number; /* time that the slot covers, in units of SLOT_MS */
-  uint32_t late_ms;
+  uint64_t number;  /* time that the slot covers, in units of SLOT_MS */
+  uint32_t late_ms; /* largest delay in that time */
 } Slot;
 
 struct _FbLoopWatch
 {
   uint32_t period_ms;
-  uint64_t turn_ms;
-  uint64_t reported_ms; /* when late turns were last reported; 0: never */
-  FbLoopLate unreported;
+  uint64_t turn_ms;      /* time of the last turn */
+  uint64_t reported_ms;  /* when late turns were last reported; 0: never */
+  FbLoopLate unreported; /* late turns since then */
   Slot slots[SLOT_N];
 };
 
--- a/src/entry/owner/owner-import.c
+++ b/src/entry/owner/owner-import.c
@@ -1,5 +1,5 @@
-/* Recovers from the other daemons what no record holds: recent starts of earlier owners, and crash
- * suspects that these could not store. */
+/* After a take-over, requests from the other daemons what no record holds: recent starts of earlier
+ * owners, and crash suspects that those could not store. */
 #include "owner-private.h"
 
 /* The answer is needed before the first tasks are started again, some 1 s after a take-over. */
--- a/src/entry/owner/owner-load.c
+++ b/src/entry/owner/owner-load.c
@@ -32,9 +32,9 @@
 
 /* VALUE is not used: the key alone identifies the cancelled job. */
 static void
-cancel (FbOwner *self, const char *job, GBytes *nothing)
+cancel (FbOwner *self, const char *job, GBytes *value)
 {
-  (void) nothing;
+  (void) value;
   GHashTableIter iter;
   gpointer service_pool;
   g_hash_table_iter_init (&iter, self->service_pools);
@@ -113,7 +113,7 @@
 /* Applies and removes up to MOST records of TABLE.
  * Returns: how many were applied. */
 static guint
-apply_some (FbOwner *self, GHashTable *table, ApplyRecord take, guint most)
+apply_some (FbOwner *self, GHashTable *table, ApplyRecord apply, guint most)
 {
   GHashTableIter iter;
   gpointer key;
@@ -122,7 +122,7 @@
   g_hash_table_iter_init (&iter, table);
   while (n < most && g_hash_table_iter_next (&iter, &key, &value))
     {
-      take (self, key, value);
+      apply (self, key, value);
       self->loaded_bytes += g_bytes_get_size (value);
       g_hash_table_iter_remove (&iter);
       n++;
@@ -150,7 +150,7 @@
 {
   FbOwner *self = data;
   guint left = LOAD_PER_TURN;
-  guint jobs_n = apply_some (self, self->loading, admit, left);
+  guint jobs_n = apply_some (self, self->admissions, admit, left);
   self->loaded_n += jobs_n;
   left -= jobs_n;
   left -= apply_some (self, self->progress, restore, left);
@@ -185,7 +185,7 @@
     }
   if (record->value == NULL || strlen (record->key) < 2)
     return;
-  g_hash_table_replace (record->key[0] == FB_KEY_JOB ? self->loading : self->cancelled,
+  g_hash_table_replace (record->key[0] == FB_KEY_JOB ? self->admissions : self->cancelled,
                         g_strdup (record->key + 1), g_bytes_ref (record->value));
 }
 
--- a/src/entry/owner/owner-private.h
+++ b/src/entry/owner/owner-private.h
@@ -19,15 +19,15 @@
   FbAppender *appender;
   FbTopicReader *progress_reader;
   FbTopicReader *job_reader;
-  GHashTable *progress;      /* job -> GBytes, while loading */
+  GHashTable *progress;      /* job -> GBytes of its progress record, while loading */
   GHashTable *cancelled;     /* set of cancelled jobs, while loading */
-  GHashTable *loading;       /* job -> GBytes, while loading */
+  GHashTable *admissions;    /* job -> GBytes of its admission record, while loading */
   GHashTable *service_pools; /* service -> FbServicePool */
   guint load_source;         /* source that applies the records read; 0 when none is scheduled */
   gboolean loaded;
   gboolean workers_known; /* the list of workers was read after fenced_ms */
-  gboolean lost;
-  gboolean quiesced;
+  gboolean lost;          /* stepped down: does not act any more */
+  gboolean quiesced;      /* starts no tasks, because the daemon is stopping */
   uint64_t take_over_began_ms;
   uint64_t fenced_ms;     /* when the previous owner was fenced off */
   uint64_t progress_ms;   /* when the recorded progress had been read */
@@ -37,9 +37,9 @@
   uint64_t confirmed_ms;  /* when its ownership was last confirmed */
   guint start_requests_n; /* number of requests for recent starts sent to each other daemon */
   uint64_t next_start_request_ms; /* time of the next such request */
-  guint tick_source;
-  guint tick_timer;
-  guint open_flushes;
+  guint tick_source;              /* source of a tick that is scheduled; 0: none */
+  guint tick_timer;               /* subscription for the periodic tick */
+  guint open_flushes;             /* number of appends of progress without a result */
   GPtrArray *ended_jobs; /* ids of jobs whose end is stored: their records can be dropped */
   uint64_t dropped_ms;   /* when such records were last dropped */
 };
@@ -66,8 +66,8 @@
 
 /* owner-import.c */
 
-/* Requests the recent starts of earlier owners from all daemons, twice.  To be called in every tick
- * once the owner has loaded. */
+/* Requests the recent starts of earlier owners from all daemons, twice, and the suspects that they
+ * hold for earlier owners, once.  To be called in every tick once the owner has loaded. */
 void fb_owner_request_starts (FbOwner *self, uint64_t now_ms);
 
 /* owner.c */
--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -11,8 +11,8 @@
 /* Events within this time are handled in one tick. */
 #define TICK_DELAY_MS 4
 #define TICK_INTERVAL_MS 25
-/* MAJORITY_MS: age of workers' answers that confirm ownership.  STEP_DOWN_MS: how long an owner
- * without any confirmation keeps its state. */
+/* MAJORITY_MS: maximum age of answers by a majority of the workers that confirm ownership.
+ * STEP_DOWN_MS: how long an owner without any confirmation keeps its state. */
 #define MAJORITY_MS 1500
 #define STEP_DOWN_MS 2000
 /* Interval at which records of ended jobs are dropped together. */
@@ -102,7 +102,7 @@
 }
 
 static void
-nothing_to_do (gpointer user, FbAppendResult result)
+ignore_dropped (gpointer user, FbAppendResult result)
 {
   (void) user;
   (void) result; /* a record that remains is dropped when the pool forgets the job */
@@ -129,7 +129,7 @@
       fb_wire_encode_record (body, cancel_key, NULL);
     }
   g_ptr_array_set_size (self->ended_jobs, 0);
-  fb_appender_put (fb_entry_appender (self->entry, self->partition), body, 0, nothing_to_do, NULL);
+  fb_appender_put (fb_entry_appender (self->entry, self->partition), body, 0, ignore_dropped, NULL);
 }
 
 static void
@@ -212,7 +212,8 @@
     }
   drop_ended_jobs (self, now_ms);
   if (self->loaded && now_ms > self->confirmed_ms + STEP_DOWN_MS)
-    fb_owner_step_down (self, "neither the store nor the workers say that it still owns it");
+    fb_owner_step_down (self,
+                        "neither the store nor a majority of the workers confirms the ownership");
 }
 
 static gboolean
@@ -253,7 +254,7 @@
   self->take_over_began_ms = fb_clock_ms ();
   self->progress
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify) g_bytes_unref);
-  self->loading
+  self->admissions
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify) g_bytes_unref);
   self->cancelled
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify) g_bytes_unref);
@@ -278,7 +279,7 @@
   fb_topic_reader_free (self->job_reader);
   g_ptr_array_unref (self->ended_jobs);
   g_hash_table_unref (self->service_pools);
-  g_hash_table_unref (self->loading);
+  g_hash_table_unref (self->admissions);
   g_hash_table_unref (self->progress);
   g_hash_table_unref (self->cancelled);
   g_free (self);
--- a/src/entry/owner/owner.h
+++ b/src/entry/owner/owner.h
@@ -8,11 +8,13 @@
 
 FbOwner *fb_owner_new (FbEntry *entry, uint32_t partition, uint64_t epoch);
 void fb_owner_free (FbOwner *self);
+/* TRUE when SELF has stepped down and is to be freed. */
 gboolean fb_owner_lost (const FbOwner *self);
 /* Answers a request about a job or a queue. */
 void fb_owner_answer (FbOwner *self, const fb_peer_request *peer_request,
                       fb_peer_reply *peer_reply);
-/* Applies a record of FB_TOPIC_JOBS that is known to be stored, before the follower reads it. */
+/* Applies a record of FB_TOPIC_JOBS that is known to be stored, before the topic reader reads it.
+ */
 void fb_owner_apply_record (FbOwner *self, const char *key, GBytes *value);
 /* Schedules a tick of the pools within some ms. */
 void fb_owner_schedule_tick (FbOwner *self);
--- a/src/entry/settings.c
+++ b/src/entry/settings.c
@@ -9,8 +9,8 @@
 #define NAME_MAX_LEN 128
 #define PARTITIONS_MAX 65536
 #define CPU_MILLI_DEFAULT 1000
-/* More workers than that do not fit into a job's record. */
-#define CRASHES_MOST 8
+/* A job's record names at most this many workers (FB_WORK_MAX_CRASHES). */
+#define CRASHES_MAX 8
 
 static const FbIniField daemon_fields[]
     = { { "name", FB_INI_STRING, TRUE, 0, NAME_MAX_LEN, NULL, offsetof (FbEntrySettings, name) },
@@ -49,9 +49,9 @@
     offsetof (FbEntrySettings, max_lease_ms) },
   { "longest-stop", FB_INI_DURATION, TRUE, 0, 0, NULL, offsetof (FbEntrySettings, max_stop_ms) },
   { "gang-patience", FB_INI_DURATION, TRUE, 0, 0, NULL, offsetof (FbEntrySettings, gang_wait_ms) },
-  { "crashes", FB_INI_UINT, FALSE, 2, CRASHES_MOST, NULL,
+  { "crashes", FB_INI_UINT, FALSE, 2, CRASHES_MAX, NULL,
     offsetof (FbEntrySettings, max_isolated_crashes) },
-  { "shared-crashes", FB_INI_UINT, FALSE, 2, CRASHES_MOST, NULL,
+  { "shared-crashes", FB_INI_UINT, FALSE, 2, CRASHES_MAX, NULL,
     offsetof (FbEntrySettings, max_shared_crashes) },
   { NULL, 0, FALSE, 0, 0, NULL, 0 }
 };
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -6,25 +6,25 @@
 typedef struct
 {
   char *name;
-  char *domain;  /* failure domain */
-  char *callers; /* IP:PORT where callers are served */
-  char *readiness;
-  char *peers;        /* IP:PORT where the other daemons reach this one */
-  char *peers_listen; /* IP:PORT where it listens for them */
-  char *metrics;
-  char *store;
-  char *advice; /* IP:PORT of the advice service; NULL: no queue has advice */
-  uint64_t partitions;
+  char *domain;             /* failure domain */
+  char *callers;            /* IP:PORT where callers are served */
+  char *readiness;          /* IP:PORT of the readiness check */
+  char *peers;              /* IP:PORT where the other daemons reach this one */
+  char *peers_listen;       /* IP:PORT where it listens for them */
+  char *metrics;            /* IP:PORT of the metrics */
+  char *store;              /* address of the platform's store */
+  char *advice;             /* IP:PORT of the advice service; NULL: no queue has advice */
+  uint64_t partitions;      /* number of partitions of the job and progress topics */
   uint64_t shortest_ttl_ms; /* shortest time to live of a member of a group */
-  uint64_t max_lease_ms;
+  uint64_t max_lease_ms;    /* limits of workers; see FbPoolLimits */
   uint64_t max_stop_ms;
   uint64_t gang_wait_ms;
   uint64_t
       max_isolated_crashes;    /* isolated crashes under a task before it is given up; 0: default */
   uint64_t max_shared_crashes; /* the same if other tasks ran on the workers; 0: default */
-  uint64_t grace_ms;
-  uint64_t link_kbit_s; /* network link in each direction; Mbit/s in the file; 0: unknown */
-  uint64_t cpu_milli;   /* processor, in thousandths of a core; 1000 by default */
+  uint64_t grace_ms;           /* time from the stop signal until the process would be killed */
+  uint64_t link_kbit_s; /* capacity of the network link, each way; Mbit/s in the file; 0: unknown */
+  uint64_t cpu_milli;   /* processor share, in thousandths of a core; 1000 by default */
 } FbEntrySettings;
 
 /* Returns: TRUE when the file at PATH holds settings of this kind, not those of a cell's daemon. */
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -196,8 +196,8 @@
  * with each take-over by the same daemon. */
 typedef struct
 {
-  uint64_t generation;
-  uint64_t n;
+  uint64_t generation; /* of the group at the last take-over */
+  uint64_t n;          /* number of the last epoch used in it, from 0 */
 } FbPartitionEpochs;
 
 uint32_t
@@ -264,24 +264,24 @@
 take_over_partition (FbEntry *self, uint32_t partition, uint64_t generation)
 {
   gpointer key = GUINT_TO_POINTER (partition);
-  FbPartitionEpochs *take = g_hash_table_lookup (self->partition_epochs, key);
-  if (take == NULL)
+  FbPartitionEpochs *epochs = g_hash_table_lookup (self->partition_epochs, key);
+  if (epochs == NULL)
     {
-      take = g_new0 (FbPartitionEpochs, 1);
-      g_hash_table_insert (self->partition_epochs, key, take);
+      epochs = g_new0 (FbPartitionEpochs, 1);
+      g_hash_table_insert (self->partition_epochs, key, epochs);
     }
-  take->n = take->generation == generation ? take->n + 1 : 0;
-  take->generation = generation;
-  if (take->n >= EPOCHS_PER_GENERATION)
+  epochs->n = epochs->generation == generation ? epochs->n + 1 : 0;
+  epochs->generation = generation;
+  if (epochs->n >= EPOCHS_PER_GENERATION)
     {
       /* The group's next generation allows new epochs. */
-      log_lost (self, partition, generation, "taken too often in one generation");
+      log_lost (self, partition, generation, "taken over too often in one generation");
       return;
     }
   if (self->worker_reader == NULL)
     self->worker_reader
         = fb_topic_reader_new (self, FB_TOPIC_WORKERS, 0, WORKER_LIST_PAUSE_MS, &worker_ops, self);
-  uint64_t epoch = generation * EPOCHS_PER_GENERATION + take->n;
+  uint64_t epoch = generation * EPOCHS_PER_GENERATION + epochs->n;
   g_hash_table_insert (self->owners, key, fb_owner_new (self, partition, epoch));
 }
 
@@ -355,7 +355,7 @@
 /* ---- configuration ------------------------------------------------------------------- */
 
 static void
-nothing (gpointer user)
+ignore_listing (gpointer user)
 {
   (void) user;
 }
@@ -387,7 +387,7 @@
   fb_entry_foreach_owner (self, fb_owner_routes_changed);
 }
 
-static const FbTopicReaderOps config_ops = { nothing, on_config_record, nothing };
+static const FbTopicReaderOps config_ops = { ignore_listing, on_config_record, ignore_listing };
 
 void
 fb_entry_start_watching (FbEntry *self)
