--- a/src/entry/peers/links-private.h
+++ b/src/entry/peers/links-private.h
@@ -11,7 +11,7 @@
   uint32_t number;     /* of the call, unique on its connection */
   uint64_t frame_from; /* offset of its frame in the bytes written to the connection */
   uint64_t sent_ms;
-  uint64_t until_ms; /* time limit */
+  uint64_t until_ms; /* when the call times out */
   FbLinkDone done;
   gpointer user;
 } Pending;
@@ -20,7 +20,7 @@
 {
   FbLinks *links;
   int fd;
-  char *address; /* address of the peer that was called; NULL when the peer connected */
+  char *address; /* of the peer that was called; NULL when the peer connected */
   gboolean connecting;
   gboolean dirty; /* has bytes to write and is in the links' dirty list */
   gboolean closed;
--- a/src/entry/peers/payload-cache.h
+++ b/src/entry/peers/payload-cache.h
@@ -13,7 +13,7 @@
 } FbPayloadDigest;
 
 void fb_payload_digest (const char *payload, FbPayloadDigest *digest);
-/* For hash tables. */
+/* Hash and equality functions of FbPayloadDigest for hash tables. */
 guint fb_payload_digest_hash (gconstpointer digest);
 gboolean fb_payload_digest_equal (gconstpointer a, gconstpointer b);
 
--- a/src/entry/peers/payload-dedup.c
+++ b/src/entry/peers/payload-dedup.c
@@ -12,9 +12,9 @@
 #define TASKS_PER_RELAY 20
 /* How long a payload is assumed to be cached.  A daemon caches some 700 payloads
  * (PAYLOAD_CACHE_BYTES), those of 20 s at 30 jobs a second. */
-#define SENT_FOR_MS 10000
+#define CACHED_FOR_MS 10000
 /* Number of payloads remembered per daemon: 66 jobs a second, each through a dozen of 147 daemons,
- * are 54 for each daemon in SENT_FOR_MS.  Beyond that number payloads are sent again. */
+ * are 54 for each daemon in CACHED_FOR_MS.  Beyond that number payloads are sent again. */
 #define SENT_MAX 250
 /* Period over which the rate is measured; the rate is that of the last complete period, or of the
  * current one if that is higher. */
@@ -88,7 +88,7 @@
       g_hash_table_insert (self->daemons, g_strdup (daemon), sent);
     }
   uint64_t *sent_ms = g_hash_table_lookup (sent, digest);
-  if (sent_ms != NULL && now_ms < *sent_ms + SENT_FOR_MS)
+  if (sent_ms != NULL && now_ms < *sent_ms + CACHED_FOR_MS)
     return TRUE;
   if (g_hash_table_size (sent) >= SENT_MAX)
     g_hash_table_remove_all (sent);
--- a/src/entry/peers/payload-dedup.h
+++ b/src/entry/peers/payload-dedup.h
@@ -1,6 +1,6 @@
 /* Avoids sending a job's payload more often than needed: the owner of a pool sends it once to each
- * daemon that relays the job's starts, and uses few such daemons when its network link is nearly
- * full.  No I/O, clock or thread.
+ * daemon that relays the job's starts, and uses few such daemons while payloads would fill more
+ * than a quarter of its network link.  No I/O, clock or thread.
  *
  * Failure: each of a job's 6 to 30 starts carries the whole payload, 1.3 KB, to another daemon; an
  * owner on a link of 2 Mbit/s sends 2.2 Mbit/s of payloads (23 daemons, 120 workers, 160 starts a
--- a/src/entry/peers/peers.c
+++ b/src/entry/peers/peers.c
@@ -15,6 +15,8 @@
 /* Time limit of the notification of a stored record; after it the owner has read the record
  * itself. */
 #define NOTIFY_MS 700
+/* Time limit of one attempt to reach an owner. */
+#define OWNER_ATTEMPT_MS 700
 /* Retry interval while an owner is being replaced. */
 #define RETRY_MS 120
 
@@ -155,8 +157,8 @@
   if (owner != NULL)
     fb_owner_answer (owner, &peer_request, &peer_reply);
   if (owner == NULL && address != NULL && !g_str_equal (address, request->entry->settings->peers))
-    fb_peers_request (request->entry, address, &peer_request, (uint32_t) MIN (remaining_ms, 700),
-                      on_owner_reply, request);
+    fb_peers_request (request->entry, address, &peer_request,
+                      (uint32_t) MIN (remaining_ms, OWNER_ATTEMPT_MS), on_owner_reply, request);
   else
     on_owner_reply (request, &peer_reply);
   xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &peer_request);
@@ -187,7 +189,7 @@
 
 /* The owner reads the record from the store too, but later: a poll costs a call of the store (4 ms,
  * 100 ms and more when it is slow), and a poll may return nothing for a second while the store
- * compacts. */
+ * cleans up its log. */
 void
 fb_peers_notify_stored (FbEntry *entry, uint32_t partition, const char *key, GBytes *value)
 {
@@ -234,7 +236,7 @@
 static void
 on_peer_appended (gpointer data, const fb_peer_reply *peer_reply)
 {
-  PeerAppend *write = data;
+  PeerAppend *append = data;
   FbAppendResult result = FB_APPEND_IN_DOUBT;
   for (guint i = 0; peer_reply != NULL && i < G_N_ELEMENTS (append_results); i++)
     {
@@ -243,8 +245,8 @@
     }
   if (peer_reply != NULL && peer_reply->type == FB_REPLY_UNAVAILABLE)
     result = FB_APPEND_NOT_STORED; /* the peer is down, or has no such partition */
-  write->done (write->user, result);
-  g_free (write);
+  append->done (append->user, result);
+  g_free (append);
 }
 
 void
--- a/src/entry/peers/peers.h
+++ b/src/entry/peers/peers.h
@@ -5,6 +5,7 @@
 #include "relay.h"
 #include "src/entry/store/appender.h"
 
+/* Sends PEER_REQUEST to the daemon at ADDRESS.  DONE is called once, within about TIMEOUT_MS. */
 void fb_peers_request (FbEntry *entry, const char *address, const fb_peer_request *peer_request,
                        uint32_t timeout_ms, FbPeerReplyDone done, gpointer user);
 /* Completion callback for requests whose reply does not matter. */
--- a/src/entry/peers/recent-starts.c
+++ b/src/entry/peers/recent-starts.c
@@ -17,7 +17,7 @@
   uint32_t attempt;
   uint64_t sent_ms;
   gboolean confirmed; /* the worker has confirmed the run */
-  guint missing_n;    /* number of consecutive run lists without it since then */
+  guint missing_n;    /* number of consecutive run lists without it since it was last listed */
 } Start;
 
 typedef struct
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -357,16 +357,16 @@
   if (order->kind == FB_ORDER_KIND_POLL)
     fb_recent_starts_polled (order->entry->recent_starts, order->worker, &answer);
   fb_peer_reply peer_reply = { .type = FB_REPLY_ORDER_RESULT };
-  fb_relay_reply *mine = &peer_reply.fb_peer_reply_u.order;
-  mine->result = answer.result;
-  mine->clock_ms = answer.clock_ms;
-  mine->incarnation = answer.incarnation != NULL ? answer.incarnation : "";
+  fb_relay_reply *order_reply = &peer_reply.fb_peer_reply_u.order;
+  order_reply->result = answer.result;
+  order_reply->clock_ms = answer.clock_ms;
+  order_reply->incarnation = answer.incarnation != NULL ? answer.incarnation : "";
   guint runs_n = answer.running != NULL ? answer.running->len : 0;
   guint ends_n = answer.finished != NULL ? answer.finished->len : 0;
   g_autofree fb_reported_run *rows = g_new0 (fb_reported_run, runs_n + 1);
   g_autofree fb_reported_end *ends = g_new0 (fb_reported_end, ends_n + 1);
   if (answer.running != NULL && answer.finished != NULL)
-    fill_poll_reply (&answer, mine, rows, ends);
+    fill_poll_reply (&answer, order_reply, rows, ends);
   order->done (order->user, &peer_reply);
   fb_poll_answer_clear (&answer);
   g_free (order->worker);
--- a/src/entry/peers/suspect-backups.c
+++ b/src/entry/peers/suspect-backups.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How long a copy is held.  The store is unavailable for some tens of seconds at most; a live owner
- * sends changes again. */
+/* How long a copy is held.  An outage of the store lasts some tens of seconds; a live owner sends
+ * changes again. */
 #define BACKUP_MAX_AGE_MS 60000
 
 typedef struct
