--- a/src/entry/front/append-proxy.c
+++ b/src/entry/front/append-proxy.c
@@ -19,6 +19,7 @@
 /* The same while the store is slow, where more appends are queued; the rest of a caller's time is
  * for the answer. */
 #define SLOW_TIMEOUT_MS 2300
+/* Number of other daemons that are asked to append one record. */
 #define ASKED_MAX 2
 /* Age of a request from which there is no time left to ask another daemon and then store the record
  * from this one. */
--- a/src/entry/front/append-proxy.h
+++ b/src/entry/front/append-proxy.h
@@ -7,8 +7,8 @@
  *
  * Failure: of 147 daemons that append by themselves forty do so before they learn that the store is
  * slow; from then on its queue is longer than callers wait, and refused records are sent again by
- * other daemons.  It shows as 392 of 619 callers of six seconds without an answer.  Guard: with
- * many daemons a few append for all at all times, so that at most four appends wait for each
+ * other daemons.  It shows as 392 of 619 callers within six seconds that get no answer.  Guard:
+ * with many daemons a few append for all at all times, so that at most four appends wait for each
  * other. */
 #pragma once
 
@@ -35,7 +35,7 @@
 typedef struct
 {
   FbAppendProxyStep step;
-  const char *address; /* address of that daemon, borrowed; else NULL */
+  const char *address; /* of the other daemon for FB_APPEND_ROUTE_PROXY, borrowed; else NULL */
   uint32_t timeout_ms; /* time limit of its reply */
 } FbAppendRoute;
 
--- a/src/entry/front/front-private.h
+++ b/src/entry/front/front-private.h
@@ -1,4 +1,4 @@
-/* Internal definitions of the HTTP frontend for callers. */
+/* Internal definitions of the HTTP front end for callers. */
 #pragma once
 
 #include "front.h"
--- a/src/entry/front/front-store.c
+++ b/src/entry/front/front-store.c
@@ -61,11 +61,11 @@
 }
 
 static void
-note_append (FbFrontRequest *request, gboolean taken, gboolean locally)
+note_append (FbFrontRequest *request, gboolean stored, gboolean locally)
 {
   uint64_t now_ms = fb_clock_ms ();
   uint64_t took_ms = now_ms - request->stored_since_ms;
-  fb_store_health_appended (&request->entry->store_health, taken, locally,
+  fb_store_health_appended (&request->entry->store_health, stored, locally,
                             (uint32_t) MIN (took_ms, G_MAXUINT32), now_ms);
 }
 
--- a/src/entry/front/front.c
+++ b/src/entry/front/front.c
@@ -1,4 +1,4 @@
-/* HTTP frontend for callers: accepts jobs and cancels, and returns states and counts.
+/* HTTP front end for callers: accepts jobs and cancels, and returns states and counts.
  *
  * Any daemon stores a job itself and answers when the store has it, so jobs are accepted while an
  * owner is being replaced.  A refusal is final: it is given only when the job is certainly not
--- a/src/entry/front/front.h
+++ b/src/entry/front/front.h
@@ -1,4 +1,4 @@
-/* HTTP frontend for callers: jobs, cancels, states and counts. */
+/* HTTP front end for callers: jobs, cancels, states and counts. */
 #pragma once
 
 #include <libsoup/soup.h>
--- a/src/entry/store/appender.c
+++ b/src/entry/store/appender.c
@@ -21,7 +21,7 @@
 typedef struct
 {
   GByteArray *records;
-  uint64_t give_up_ms;
+  uint64_t give_up_ms; /* see fb_appender_put() */
   FbAppendDone done;
   gpointer user;
 } Item;
--- a/src/entry/store/appender.h
+++ b/src/entry/store/appender.h
@@ -13,7 +13,8 @@
 FbAppender *fb_appender_new (FbEntry *entry, const char *topic, uint32_t partition,
                              const char *writer, uint64_t epoch);
 void fb_appender_free (FbAppender *self);
-/* Takes over RECORDS, which are encoded.  DONE is called once unless the appender is freed; without
- * a writer, not later than GIVE_UP_MS. */
+/* Takes over RECORDS, which are encoded.  DONE is called once unless the appender is freed.
+ * Without a writer, a call of unknown outcome is not repeated after the latest GIVE_UP_MS of its
+ * records. */
 void fb_appender_put (FbAppender *self, GByteArray *records, uint64_t give_up_ms, FbAppendDone done,
                       gpointer user);
--- a/src/entry/store/daemons.c
+++ b/src/entry/store/daemons.c
@@ -44,16 +44,16 @@
 struct _FbDaemons
 {
   FbEntry *entry;
-  char *name;
+  char *name; /* of this process as a member: ADDRESS/DOMAIN/CPU/START */
   uint64_t began_ms;
   uint64_t join_sent_ms;
-  GPtrArray *members; /* of FbDaemon */
-  gboolean list_complete;
-  guint topics_n;
+  GPtrArray *members;     /* of FbDaemon */
+  gboolean list_complete; /* see fb_daemons_is_list_complete() */
+  guint topics_n;         /* number of topics of the next join */
   FbGroupLeave *group_leave;
   uint64_t generation;
-  uint64_t read_generation;
-  uint64_t read_ms; /* when the members were last requested */
+  uint64_t read_generation; /* generation when the members were last requested */
+  uint64_t read_ms;         /* when the members were last requested */
   gboolean read_open;
   gboolean leaving;
   guint timer;
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -21,7 +21,7 @@
  * start, with this 0.25 s. */
 #define JOIN_CHANGED_MS 30
 /* Retry interval until the members are known, some 10 ms after the start. */
-#define UNKNOWN_MS 10
+#define MEMBERS_RETRY_MS 10
 #define ANSWER_MS 500
 /* Failure: a store that was silent answers again, but callers are refused until a call that was
  * sent after its return is answered; with 0.5 s for a join this added 0.4 to 0.6 s of refusals, a
@@ -43,16 +43,16 @@
   uint64_t generation;
   uint64_t ok_sent_ms; /* when the last answered join was sent; 0: not a member */
   uint64_t join_sent_ms;
-  uint64_t owners_ms;   /* when the store last returned the owners */
-  guint probes_n;       /* number of joins since the store stopped answering */
-  GHashTable *owner_of; /* partition -> address */
-  uint64_t owners_generation;
+  uint64_t owners_ms;         /* when the store last returned the owners */
+  guint probes_n;             /* number of joins since the store stopped answering */
+  GHashTable *owner_of;       /* partition -> address */
+  uint64_t owners_generation; /* at the last such request; 0: they have to be requested again */
   uint64_t owners_requested_ms;
-  gboolean owners_open;
-  gboolean peer_open; /* a request to a peer for the owners is open */
+  gboolean owners_open; /* a request to the store for the owners is open */
+  gboolean peer_open;   /* a request to a peer for the owners is open */
   FbGroupLeave *group_leave;
   guint timer;
-  gboolean joins_sent; /* joins are being sent, and repeated by the keepalive */
+  gboolean keepalive_active; /* the keepalive repeats the joins */
   gboolean leaving;
   void (*on_released) (gpointer user);
   gpointer on_released_user;
@@ -278,7 +278,8 @@
       || self->join_sent_ms < member_until_ms (self))
     return;
   g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
-  fb_entry_set_owned_partitions (self->entry, none, generation, "it joined too late");
+  fb_entry_set_owned_partitions (self->entry, none, generation,
+                                 "joined later than its time to live");
 }
 
 static void
@@ -303,15 +304,16 @@
   gboolean changed = generation != self->generation;
   self->generation = generation;
   self->ok_sent_ms = self->join_sent_ms;
-  fb_entry_set_owned_partitions (self->entry, partitions, generation, "dealt to another daemon");
+  fb_entry_set_owned_partitions (self->entry, partitions, generation, "assigned to another daemon");
   self->timer = g_timeout_add (changed ? JOIN_CHANGED_MS : JOIN_EVERY_MS, join, self);
   request_owners (self, now_ms);
 }
 
-/* Releases all partitions, because this daemon is not strong enough to be an owner.  One daemon
- * makes all decisions for the pool of a service, so pools are left to the daemons with the most
- * processor.  On a site of 0.5 and 0.12 of a core one of the latter got the pool of 350 workers in
- * four of five cases, and was out of processor after 4 s. */
+/* Releases all partitions, and checks again later whether to join: the members are not known yet,
+ * or this daemon is not strong enough to be an owner.  One daemon makes all decisions for the pool
+ * of a service, so pools are left to the daemons with the most processor.  On a site of 0.5 and
+ * 0.12 of a core one of the latter got the pool of 350 workers in four of five cases, and was out
+ * of processor after 4 s. */
 static void
 stay_non_owner (FbGroup *self)
 {
@@ -319,17 +321,18 @@
     {
       g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
       fb_entry_set_owned_partitions (self->entry, none, self->generation,
-                                     "not among the strong daemons");
+                                     "too little processor to own partitions");
       fb_join_watch_left (&self->entry->joins);
       fb_group_leave_self (self->group_leave, NULL, NULL);
       self->ok_sent_ms = 0;
       self->generation = 0;
     }
-  if (self->joins_sent)
+  if (self->keepalive_active)
     fb_keepalive_cancel (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
-  self->joins_sent = FALSE;
+  self->keepalive_active = FALSE;
   request_owners (self, fb_clock_ms ());
-  guint again_ms = fb_daemons_is_list_complete (self->entry->daemons) ? JOIN_EVERY_MS : UNKNOWN_MS;
+  guint again_ms
+      = fb_daemons_is_list_complete (self->entry->daemons) ? JOIN_EVERY_MS : MEMBERS_RETRY_MS;
   self->timer = g_timeout_add (again_ms, join, self);
 }
 
@@ -357,7 +360,7 @@
                 self->generation);
   self->join_sent_ms = fb_clock_ms ();
   fb_join_watch_sent (&self->entry->joins, self->join_sent_ms);
-  self->joins_sent = TRUE;
+  self->keepalive_active = TRUE;
   fb_keepalive_set_renewal (self->entry->keepalive, FB_MEMBERSHIP_OWNERS, &call, self->ttl_ms,
                             self->ok_sent_ms);
   fb_http_client_exchange (self->entry->store_client, &call, join_timeout_ms (self), on_joined,
--- a/src/entry/store/store-health.c
+++ b/src/entry/store/store-health.c
@@ -23,12 +23,12 @@
 }
 
 void
-fb_store_health_appended (FbStoreHealth *self, gboolean taken, gboolean locally, uint32_t took_ms,
+fb_store_health_appended (FbStoreHealth *self, gboolean stored, gboolean locally, uint32_t took_ms,
                           uint64_t now_ms)
 {
-  if (taken)
+  if (stored)
     self->append_latency_ms = took_ms;
-  if (locally && taken)
+  if (locally && stored)
     self->failed_until_ms = 0;
   else if (locally)
     fb_store_health_failed (self, now_ms);
--- a/src/entry/store/store-health.h
+++ b/src/entry/store/store-health.h
@@ -1,4 +1,4 @@
-/* Latency of the store as measured by this daemon's own calls.  No I/O, clock or thread.
+/* Latency and failures of the store, as seen in this daemon's own calls.  No I/O, clock or thread.
  *
  * Failure: while the store is slow a partition takes one append in 100 ms and more, and the appends
  * of all daemons queue up; a daemon that learns of it only from successful appends never learns, as
@@ -13,14 +13,14 @@
 /* All zero in a new one. */
 typedef struct
 {
-  uint32_t append_latency_ms; /* latency of the last append that was stored, by any daemon */
-  uint32_t renewal_latency_ms;
-  uint64_t failed_until_ms; /* a failed call of this daemon counts as recent until then */
+  uint32_t append_latency_ms;  /* latency of the last stored append, sent by any daemon */
+  uint32_t renewal_latency_ms; /* latency of the last membership renewal */
+  uint64_t failed_until_ms;    /* a failed call of this daemon counts as recent until then */
 } FbStoreHealth;
 
-/* To be called when an append has ended after TOOK_MS.  TAKEN: it was stored.  HERE: it was sent
- * from this daemon, not through another one. */
-void fb_store_health_appended (FbStoreHealth *self, gboolean taken, gboolean locally,
+/* To be called when an append has ended after TOOK_MS.  STORED: it was stored.  LOCALLY: it was
+ * sent from this daemon, not through another one. */
+void fb_store_health_appended (FbStoreHealth *self, gboolean stored, gboolean locally,
                                uint32_t took_ms, uint64_t now_ms);
 /* To be called when the store has answered a membership renewal after TOOK_MS. */
 void fb_store_health_renewed (FbStoreHealth *self, uint32_t took_ms);
--- a/src/entry/store/topic-reader.c
+++ b/src/entry/store/topic-reader.c
@@ -14,16 +14,18 @@
 /* Allowance for the store's answer, which takes 4 ms, and 60 times as long when the store is
  * slow. */
 #define ANSWER_MS 800
-/* The first bytes of a page arrive after some 20 ms, and after 0.3 s when the store is slow.
+/* Limits of the time without data while a page is read.  Its first bytes arrive after some 20 ms,
+ * and after 0.3 s when the store is slow.
  *
  * Failure: a daemon starts while the store is silent; a listing that it requested just before the
  * store came back is never answered, so that for 1.5 s it knows neither configuration nor jobs.
  * Guard: the first attempt times out after a short silence, and each repeat waits twice as long. */
 #define PAGE_FIRST_MS 300
 #define PAGE_LAST_MS 2400
-/* A page of 1 MB, a third more when encoded, takes 1.1 s at 10 Mbit/s, the slowest link of a
- * daemon; four pools may be listed at once, and callers' jobs use the link as well. */
-#define WHOLE_MS 6000
+/* Time limit of a whole call.  A page of 1 MB, a third more when encoded, takes 1.1 s at 10 Mbit/s,
+ * the slowest link of a daemon; four pools may be listed at once, and callers' jobs use the link as
+ * well. */
+#define CALL_TIMEOUT_MS 6000
 #define RETRY_FIRST_MS 50
 #define RETRY_LAST_MS 400
 
@@ -35,12 +37,12 @@
   uint32_t pause_ms; /* pause between a page of changes and the next poll */
   const FbTopicReaderOps *ops;
   gpointer user;
-  char *after; /* last key of the listing so far; NULL before its first page */
-  gboolean listing;
-  uint64_t from;
-  uint64_t sent_ms;
+  char *after;         /* last key of the listing so far; NULL before its first page */
+  gboolean listing;    /* reads the newest records; else later ones */
+  uint64_t from;       /* offset of the next record to read */
+  uint64_t sent_ms;    /* when the open or last call was sent */
   uint64_t listing_ms; /* when the first page of the current listing was requested */
-  uint64_t fresh_ms;
+  uint64_t fresh_ms;   /* every record stored before it is known; 0: none yet */
   uint32_t retry_ms;
   uint32_t page_ms; /* silence after which the next page of a listing times out */
   guint timer;
@@ -193,7 +195,7 @@
   call.idle_timeout_ms = self->listing ? self->page_ms : POLL_WAIT_MS + ANSWER_MS;
   self->call_open = TRUE;
   self->sent_ms = fb_clock_ms ();
-  fb_http_client_exchange (self->entry->store_client, &call, WHOLE_MS, on_reply, self);
+  fb_http_client_exchange (self->entry->store_client, &call, CALL_TIMEOUT_MS, on_reply, self);
   fb_http_call_clear (&call);
 }
 
--- a/src/entry/store/worker-list.c
+++ b/src/entry/store/worker-list.c
@@ -4,17 +4,18 @@
 
 struct _FbWorkerList
 {
-  GHashTable *workers;      /* incarnation -> FbListedWorker */
-  GHashTable *incarnations; /* id of a worker -> FbListedWorker, borrowed */
-  GHashTable *ignored;      /* id -> uint64_t: start time in its last ignored entry */
+  GHashTable *by_incarnation; /* incarnation -> FbListedWorker */
+  GHashTable *by_id;          /* id of a worker -> FbListedWorker, borrowed */
+  GHashTable *ignored;        /* id -> uint64_t: start time in its last ignored entry */
 };
 
 FbWorkerList *
 fb_worker_list_new (void)
 {
   FbWorkerList *self = g_new0 (FbWorkerList, 1);
-  self->workers = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, fb_listed_worker_free);
-  self->incarnations = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  self->by_incarnation
+      = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, fb_listed_worker_free);
+  self->by_id = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   self->ignored = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   return self;
 }
@@ -22,22 +23,22 @@
 void
 fb_worker_list_free (FbWorkerList *self)
 {
-  g_hash_table_unref (self->incarnations);
+  g_hash_table_unref (self->by_id);
   g_hash_table_unref (self->ignored);
-  g_hash_table_unref (self->workers);
+  g_hash_table_unref (self->by_incarnation);
   g_free (self);
 }
 
 const FbListedWorker *
 fb_worker_list_by_id (const FbWorkerList *self, const char *id)
 {
-  return g_hash_table_lookup (self->incarnations, id);
+  return g_hash_table_lookup (self->by_id, id);
 }
 
 const FbListedWorker *
 fb_worker_list_by_incarnation (const FbWorkerList *self, const char *incarnation)
 {
-  return g_hash_table_lookup (self->workers, incarnation);
+  return g_hash_table_lookup (self->by_incarnation, incarnation);
 }
 
 gboolean
@@ -62,8 +63,8 @@
 fb_worker_list_put (FbWorkerList *self, FbListedWorker *worker)
 {
   g_hash_table_remove (self->ignored, worker->id);
-  g_hash_table_replace (self->incarnations, g_strdup (worker->id), worker);
-  g_hash_table_replace (self->workers, g_strdup (worker->entry.id), worker);
+  g_hash_table_replace (self->by_id, g_strdup (worker->id), worker);
+  g_hash_table_replace (self->by_incarnation, g_strdup (worker->entry.id), worker);
 }
 
 void
@@ -72,12 +73,12 @@
   const FbListedWorker *worker = fb_worker_list_by_id (self, id);
   if (worker == NULL)
     return;
-  g_hash_table_remove (self->incarnations, id);
-  g_hash_table_remove (self->workers, worker->entry.id);
+  g_hash_table_remove (self->by_id, id);
+  g_hash_table_remove (self->by_incarnation, worker->entry.id);
 }
 
 GList *
 fb_worker_list_ids (const FbWorkerList *self)
 {
-  return g_hash_table_get_keys (self->incarnations);
+  return g_hash_table_get_keys (self->by_id);
 }
