--- a/src/daemon/core.c
+++ b/src/daemon/core.c
@@ -16,8 +16,8 @@
   FbCore *core;
   uint32_t rack;
   guint host;
-  gboolean waiting;
-  uint64_t version;
+  gboolean waiting; /* a poll is open */
+  uint64_t version; /* last version reported by the worker; a poll waits for another one */
 } Watch;
 
 struct _FbCore
@@ -38,8 +38,8 @@
   GHashTable *hosts_by_name; /* name -> HostState with the last state passed to the node */
   _Atomic guint pending_messages_n;
   uint64_t drain_until_ms;
-  FbLoopFunc drained;
-  gpointer drained_user;
+  FbLoopFunc on_drained; /* NULL: no planned stop is in progress, or it was called */
+  gpointer on_drained_user;
 };
 
 /* ---- log -------------------------------------------------------------- */
@@ -227,17 +227,18 @@
 
 /* ---- watches ---------------------------------------------------------- */
 
+/* A poll to send, which waits for a change since VERSION, or the result of one. */
 typedef struct
 {
   Watch *watch;
-  gboolean ok;
+  gboolean ok; /* FALSE when the poll failed */
   uint64_t version;
-} WatchResult;
+} WatchMessage;
 
 static void
 apply_watch_on_core (gpointer data)
 {
-  WatchResult *message = data;
+  WatchMessage *message = data;
   Watch *watch = message->watch;
   watch->waiting = FALSE;
   if (!message->ok || message->version == watch->version)
@@ -250,15 +251,15 @@
 watch_done (gpointer user, gboolean ok, uint64_t version)
 {
   Watch *watch = user;
-  WatchResult *message = g_new (WatchResult, 1);
-  *message = (WatchResult){ watch, ok, version };
+  WatchMessage *message = g_new (WatchMessage, 1);
+  *message = (WatchMessage){ watch, ok, version };
   fb_loop_post (watch->core->loop, apply_watch_on_core, message, g_free);
 }
 
 static void
 watch_on_workers (gpointer data)
 {
-  WatchResult *message = data;
+  WatchMessage *message = data;
   Watch *watch = message->watch;
   FbCore *self = watch->core;
   self->workers->ops->watch (self->workers, host_address (self, watch->rack, watch->host),
@@ -281,8 +282,8 @@
           if (watch->waiting)
             continue;
           watch->waiting = TRUE;
-          WatchResult *message = g_new (WatchResult, 1);
-          *message = (WatchResult){ watch, TRUE, watch->version };
+          WatchMessage *message = g_new (WatchMessage, 1);
+          *message = (WatchMessage){ watch, TRUE, watch->version };
           fb_loop_post (self->worker_loop, watch_on_workers, message, g_free);
         }
     }
@@ -484,12 +485,12 @@
 static void
 check_drained (FbCore *self)
 {
-  if (self->drained == NULL
+  if (self->on_drained == NULL
       || (!fb_node_is_drained (self->node) && fb_loop_now_ms () < self->drain_until_ms))
     return;
-  FbLoopFunc done = self->drained;
-  self->drained = NULL;
-  done (self->drained_user);
+  FbLoopFunc done = self->on_drained;
+  self->on_drained = NULL;
+  done (self->on_drained_user);
 }
 
 static void
@@ -560,8 +561,8 @@
   DrainRequest *drain = data;
   FbCore *self = drain->core;
   self->drain_until_ms = fb_loop_now_ms () + drain->limit_ms;
-  self->drained = drain->done;
-  self->drained_user = drain->user;
+  self->on_drained = drain->done;
+  self->on_drained_user = drain->user;
   fb_node_drain (self->node, fb_loop_now_ms ());
 }
 
--- a/src/daemon/front-private.h
+++ b/src/daemon/front-private.h
@@ -16,7 +16,7 @@
   FB_CALL_REQUEST,   /* answered with the final outcome of its job */
   FB_CALL_JOB,       /* answered when its job is admitted */
   FB_CALL_JOB_QUERY, /* answered with the current state of its job */
-  FB_CALL_PLAIN      /* a query without a job */
+  FB_CALL_PLAIN      /* not answered from its job: status, configuration, metrics, explanation */
 } FbCallMode;
 
 /* One HTTP request. It is the talloc context of what it needs, and lives on the front thread until
@@ -27,8 +27,8 @@
   guint64 id;
   FbCallMode mode;
   SoupServerMessage *message;
-  gulong disconnected;
-  uint64_t job;
+  gulong disconnected; /* handler of the message's signal "disconnected" */
+  uint64_t job;        /* 0: none, or not admitted yet */
   uint64_t since_ms;
 } FbCall;
 
@@ -56,8 +56,8 @@
 
 /* front.c */
 FbCall *fb_front_call_new (FbFront *self, SoupServerMessage *message, FbCallMode mode);
-/* The same for the job whose id is TEXT; NULL when TEXT is malformed, after a reply with the
- * error. */
+/* Like fb_front_call_new(), for a call about the job whose id is TEXT; NULL when TEXT is malformed,
+ * after a reply with the error. */
 FbCall *fb_front_job_call_new (FbFront *self, SoupServerMessage *message, FbCallMode mode,
                                const char *text);
 /* Returns: (transfer full): to be freed with g_free(). */
--- a/src/daemon/front.c
+++ b/src/daemon/front.c
@@ -327,7 +327,7 @@
                      "no such path or method; see docs/HTTP.md");
 }
 
-/* Fails job queries whose answer was lost after QUERY_TIMEOUT_MS. */
+/* Fails job queries that have had no answer for QUERY_TIMEOUT_MS. */
 static void
 expire_queries (gpointer data)
 {
--- a/src/net/http-client.h
+++ b/src/net/http-client.h
@@ -48,7 +48,8 @@
 {
   FbHttpStatus status; /* FB_HTTP_OK: an answer was received, with any status CODE */
   gboolean sent;       /* FALSE: nothing was sent, so nothing was carried out */
-  guint transmissions; /* each on a connection; see FbHttpCall.idempotent */
+  guint transmissions; /* how often the request was begun on a connection; see
+                          FbHttpCall.idempotent */
   gboolean refused;    /* the host refused the connection: nothing listens on the port */
   guint code;
   GBytes *body; /* borrowed for the callback; NULL unless FB_HTTP_OK */
