--- a/src/entry/peers/payload-dedup.c
+++ b/src/entry/peers/payload-dedup.c
@@ -58,7 +58,7 @@
 }
 
 gboolean
-fb_payload_dedup_link_is_full (FbPayloadDedup *self, gsize payload_bytes, uint64_t now_ms)
+fb_payload_dedup_link_is_constrained (FbPayloadDedup *self, gsize payload_bytes, uint64_t now_ms)
 {
   advance_period (self, now_ms);
   self->period_bytes += payload_bytes;
--- a/src/entry/peers/payload-dedup.h
+++ b/src/entry/peers/payload-dedup.h
@@ -19,7 +19,8 @@
 void fb_payload_dedup_free (FbPayloadDedup *self);
 /* To be called for each start with PAYLOAD_BYTES that is to be sent at NOW_MS.
  * Returns: TRUE while the starts of one job should go through few daemons. */
-gboolean fb_payload_dedup_link_is_full (FbPayloadDedup *self, gsize payload_bytes, uint64_t now_ms);
+gboolean fb_payload_dedup_link_is_constrained (FbPayloadDedup *self, gsize payload_bytes,
+                                               uint64_t now_ms);
 /* Returns: (transfer full): key for choosing the daemon that relays the start of TASK, equal for
  * tasks that should use the same one. */
 char *fb_payload_dedup_relay_key (const char *task);
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -67,9 +67,9 @@
   if (listed == NULL)
     return NULL;
   uint64_t now_ms = fb_clock_ms ();
-  gboolean by_job
-      = order->kind == FB_ORDER_KIND_START
-        && fb_payload_dedup_link_is_full (entry->payload_dedup, strlen (order->payload), now_ms);
+  gboolean by_job = order->kind == FB_ORDER_KIND_START
+                    && fb_payload_dedup_link_is_constrained (entry->payload_dedup,
+                                                             strlen (order->payload), now_ms);
   g_autofree char *job_key = by_job ? fb_payload_dedup_relay_key (order->task) : NULL;
   const FbDaemon *member
       = fb_relay_choose (fb_daemons_all (entry->daemons), listed->domain,
--- a/tests/test-relay.c
+++ b/tests/test-relay.c
@@ -52,7 +52,7 @@
           g_autofree char *task = g_strdup_printf ("%016x.0.0.%u", job, i);
           g_autofree char *worker = g_strdup_printf ("i-%08x", (job * 31 + i) * 2654435761U);
           g_autofree char *domain = g_strdup_printf ("z%u", (job + i) % DOMAIN_N);
-          gboolean link_full = fb_payload_dedup_link_is_full (dedup, PAYLOAD_BYTES, now_ms);
+          gboolean link_full = fb_payload_dedup_link_is_constrained (dedup, PAYLOAD_BYTES, now_ms);
           g_autofree char *key = link_full ? fb_payload_dedup_relay_key (task) : g_strdup (worker);
           const FbDaemon *daemon = fb_relay_choose (daemons, domain, key, "", now_ms);
           if (!fb_payload_dedup_sent (dedup, daemon->address, &digest, now_ms))
