--- a/src/entry/owner/owner-orders.c
+++ b/src/entry/owner/owner-orders.c
@@ -95,7 +95,7 @@
   FbPollAnswer answer;
   if (reply->status != FB_HTTP_OK)
     log_failed (order, reply->status, reply->sent);
-  fb_relay_worker_answer (order->kind, order->worker, reply, &answer);
+  fb_relay_parse_worker_answer (order->kind, order->worker, reply, &answer);
   if (order->kind == FB_ORDER_KIND_POLL)
     fb_recent_starts_polled (order->entry->recent_starts, order->worker, &answer);
   finish (order, &answer);
@@ -109,7 +109,7 @@
   FbPollAnswer answer
       = { .result = result == FB_RELAY_LOST ? FB_ORDER_UNKNOWN : FB_ORDER_NOT_DONE };
   if (result == FB_RELAY_ANSWERED)
-    fb_relay_poll_answer (peer_reply, &answer);
+    fb_relay_decode_answer (peer_reply, &answer);
   if (answer.result == FB_ORDER_UNKNOWN || result != FB_RELAY_ANSWERED)
     log_failed (order, (int) result, result != FB_RELAY_NOT_RELAYED);
   finish (order, &answer);
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -208,8 +208,8 @@
 }
 
 void
-fb_relay_worker_answer (fb_order_kind kind, const char *worker, const FbHttpReply *reply,
-                        FbPollAnswer *answer)
+fb_relay_parse_worker_answer (fb_order_kind kind, const char *worker, const FbHttpReply *reply,
+                              FbPollAnswer *answer)
 {
   *answer = (FbPollAnswer){ 0 };
   if (kind == FB_ORDER_KIND_POLL)
@@ -353,7 +353,7 @@
 {
   Order *order = data;
   FbPollAnswer answer;
-  fb_relay_worker_answer (order->kind, order->worker, reply, &answer);
+  fb_relay_parse_worker_answer (order->kind, order->worker, reply, &answer);
   if (order->kind == FB_ORDER_KIND_POLL)
     fb_recent_starts_polled (order->entry->recent_starts, order->worker, &answer);
   fb_peer_reply peer_reply = { .type = FB_REPLY_ORDER_RESULT };
@@ -412,7 +412,7 @@
 }
 
 void
-fb_relay_poll_answer (const fb_relay_reply *peer_reply, FbPollAnswer *answer)
+fb_relay_decode_answer (const fb_relay_reply *peer_reply, FbPollAnswer *answer)
 {
   *answer = (FbPollAnswer){ .result = (FbOrderResult) MIN (peer_reply->result, FB_ORDER_UNKNOWN),
                             .clock_ms = peer_reply->clock_ms,
--- a/src/entry/peers/relay.h
+++ b/src/entry/peers/relay.h
@@ -36,8 +36,8 @@
                            gpointer user);
 /* Parses the worker's answer to an order of KIND; only the answer to a poll has lists.  ANSWER is
  * cleared with fb_poll_answer_clear(). */
-void fb_relay_worker_answer (fb_order_kind kind, const char *worker, const FbHttpReply *reply,
-                             FbPollAnswer *answer);
+void fb_relay_parse_worker_answer (fb_order_kind kind, const char *worker, const FbHttpReply *reply,
+                                   FbPollAnswer *answer);
 /* Converts a relay's reply.  ANSWER borrows its strings from PEER_REPLY; it is cleared with
  * fb_poll_answer_clear(). */
-void fb_relay_poll_answer (const fb_relay_reply *peer_reply, FbPollAnswer *answer);
+void fb_relay_decode_answer (const fb_relay_reply *peer_reply, FbPollAnswer *answer);
