--- a/src/entry/advice/advisor.h
+++ b/src/entry/advice/advisor.h
@@ -6,9 +6,12 @@
 typedef struct _FbAdvisor FbAdvisor;
 
 FbAdvisor *fb_advisor_new (FbEntry *entry);
-/* Returns: FALSE when no daemon can take the request now. */
+/* Requests advice on N WORKERS, names of incarnations, for STEP of a pool of PARTITION.
+ * EXPECTED_MS: expected duration of the decision.  The answer is passed to fb_owner_advised().
+ * Returns: FALSE when no daemon can take the request now, or there is no advice service. */
 gboolean fb_advisor_ask (FbAdvisor *self, uint32_t partition, const char *step,
                          const char *const *workers, guint n, uint32_t expected_ms);
-/* Calls the advice service from this daemon. */
+/* Calls the advice service from this daemon, after requests that are due earlier.  DONE is called
+ * once. */
 void fb_advisor_call (FbEntry *entry, const fb_advice_request *peer_request, FbPeerReplyDone done,
                       gpointer user);
--- a/src/entry/entry-private.h
+++ b/src/entry/entry-private.h
@@ -71,7 +71,7 @@
   gboolean refusing_callers; /* shutting down: new callers are refused immediately */
   guint open_calls;          /* number of callers' requests without an answer */
   uint64_t answered_ms;      /* time of the last answer to a caller */
-  uint64_t store_ok_ms;      /* time of the store's last answer */
+  uint64_t store_ok_ms;      /* time of the store's last answer that was no error */
   gboolean store_lost;
   FbStoreHealth store_health; /* latency and failures of this daemon's calls to the store */
   gboolean store_degraded;    /* as last logged; see fb_append_proxy_store_is_degraded() */
@@ -95,9 +95,10 @@
 /* To be called when the store has answered a join of the owners' group; TTL_MS is this daemon's
  * time to live in the group. */
 void fb_entry_join_answered (FbEntry *self, uint32_t ttl_ms);
-/* To be called with the REPLY to a membership renewal that was sent at SENT_MS. */
+/* To be called with the REPLY to a membership renewal that was sent at SENT_MS: updates
+ * store_health. */
 void fb_entry_membership_renewed (FbEntry *self, const FbHttpReply *reply, uint64_t sent_ms);
-/* Updates the store's health from REPLY. */
+/* To be called with the REPLY to a call of the store: records whether the store serves. */
 void fb_entry_store_answered (FbEntry *self, const FbHttpReply *reply);
 /* TRUE when the store has not answered for so long that a call would most likely time out; callers
  * are then refused before anything is sent. */
--- a/src/entry/routes.c
+++ b/src/entry/routes.c
@@ -39,10 +39,10 @@
 }
 
 static gboolean
-host_matches (const char *mine, const char *host)
+host_matches (const char *route_host, const char *host)
 {
   gsize len = strcspn (host, ":");
-  return strlen (mine) == len && g_ascii_strncasecmp (mine, host, len) == 0;
+  return strlen (route_host) == len && g_ascii_strncasecmp (route_host, host, len) == 0;
 }
 
 const FbRoute *
