--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -67,9 +67,9 @@
   if (listed == NULL)
     return NULL;
   uint64_t now_ms = fb_clock_ms ();
-  gboolean by_job
-      = order->kind == FB_ORDER_KIND_START
-        && fb_payload_dedup_link_is_full (entry->payload_dedup, strlen (order->payload), now_ms);
+  gboolean by_job = order->kind == FB_ORDER_KIND_START
+                    && fb_payload_dedup_link_is_constrained (entry->payload_dedup,
+                                                             strlen (order->payload), now_ms);
   g_autofree char *job_key = by_job ? fb_payload_dedup_relay_key (order->task) : NULL;
   const FbDaemon *member
       = fb_relay_choose (fb_daemons_all (entry->daemons), listed->domain,
@@ -208,8 +208,8 @@
 }
 
 void
-fb_relay_worker_answer (fb_order_kind kind, const char *worker, const FbHttpReply *reply,
-                        FbPollAnswer *answer)
+fb_relay_parse_worker_answer (fb_order_kind kind, const char *worker, const FbHttpReply *reply,
+                              FbPollAnswer *answer)
 {
   *answer = (FbPollAnswer){ 0 };
   if (kind == FB_ORDER_KIND_POLL)
@@ -353,20 +353,20 @@
 {
   Order *order = data;
   FbPollAnswer answer;
-  fb_relay_worker_answer (order->kind, order->worker, reply, &answer);
+  fb_relay_parse_worker_answer (order->kind, order->worker, reply, &answer);
   if (order->kind == FB_ORDER_KIND_POLL)
     fb_recent_starts_polled (order->entry->recent_starts, order->worker, &answer);
   fb_peer_reply peer_reply = { .type = FB_REPLY_ORDER_RESULT };
-  fb_relay_reply *mine = &peer_reply.fb_peer_reply_u.order;
-  mine->result = answer.result;
-  mine->clock_ms = answer.clock_ms;
-  mine->incarnation = answer.incarnation != NULL ? answer.incarnation : "";
+  fb_relay_reply *order_reply = &peer_reply.fb_peer_reply_u.order;
+  order_reply->result = answer.result;
+  order_reply->clock_ms = answer.clock_ms;
+  order_reply->incarnation = answer.incarnation != NULL ? answer.incarnation : "";
   guint runs_n = answer.running != NULL ? answer.running->len : 0;
   guint ends_n = answer.finished != NULL ? answer.finished->len : 0;
   g_autofree fb_reported_run *rows = g_new0 (fb_reported_run, runs_n + 1);
   g_autofree fb_reported_end *ends = g_new0 (fb_reported_end, ends_n + 1);
   if (answer.running != NULL && answer.finished != NULL)
-    fill_poll_reply (&answer, mine, rows, ends);
+    fill_poll_reply (&answer, order_reply, rows, ends);
   order->done (order->user, &peer_reply);
   fb_poll_answer_clear (&answer);
   g_free (order->worker);
@@ -412,7 +412,7 @@
 }
 
 void
-fb_relay_poll_answer (const fb_relay_reply *peer_reply, FbPollAnswer *answer)
+fb_relay_decode_answer (const fb_relay_reply *peer_reply, FbPollAnswer *answer)
 {
   *answer = (FbPollAnswer){ .result = (FbOrderResult) MIN (peer_reply->result, FB_ORDER_UNKNOWN),
                             .clock_ms = peer_reply->clock_ms,
