--- a/src/daemon/front-commands.c
+++ b/src/daemon/front-commands.c
@@ -142,7 +142,7 @@
 static void
 cancel_on_core (FbNode *node, uint64_t now_ms, gpointer data)
 {
-  const FbFrontRequest *command = data;
+  const FbFrontCoreRequest *command = data;
   if (!fb_node_cancel (node, now_ms, command->front->partner, command->job))
     fb_front_post_error (command->front, command->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
                          "the range of this job has no owner now");
@@ -153,7 +153,7 @@
 {
   FbCall *call = fb_front_job_call_new (self, message, FB_CALL_JOB_QUERY, text);
   if (call != NULL)
-    fb_core_command (self->core, cancel_on_core, fb_front_request_new (call), g_free);
+    fb_core_command (self->core, cancel_on_core, fb_front_core_request_new (call), g_free);
 }
 
 /* ---- configuration ---------------------------------------------------- */
--- a/src/daemon/front-private.h
+++ b/src/daemon/front-private.h
@@ -38,7 +38,7 @@
   FbFront *front;
   guint64 call_id;
   uint64_t job; /* 0: not about a job */
-} FbFrontRequest;
+} FbFrontCoreRequest;
 
 struct _FbFront
 {
@@ -61,7 +61,7 @@
 FbCall *fb_front_job_call_new (FbFront *self, SoupServerMessage *message, FbCallMode mode,
                                const char *text);
 /* Returns: (transfer full): to be freed with g_free(). */
-FbFrontRequest *fb_front_request_new (const FbCall *call);
+FbFrontCoreRequest *fb_front_core_request_new (const FbCall *call);
 /* Returns: (transfer full): the text of BODY, which is unreferenced. */
 char *fb_front_json_text (JsonBuilder *body);
 /* Answers and frees the call. */
--- a/src/daemon/front-queries.c
+++ b/src/daemon/front-queries.c
@@ -14,7 +14,7 @@
 static void
 query_job_on_core (FbNode *node, uint64_t now_ms, gpointer data)
 {
-  const FbFrontRequest *request = data;
+  const FbFrontCoreRequest *request = data;
   if (!fb_node_query_job (node, now_ms, request->front->partner, request->job))
     fb_front_post_error (request->front, request->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
                          "the range of this job has no owner now");
@@ -23,7 +23,7 @@
 static void
 explain_on_core (const FbNode *node, gpointer data)
 {
-  const FbFrontRequest *request = data;
+  const FbFrontCoreRequest *request = data;
   char *text = fb_node_explain (node, request->job);
   if (text != NULL)
     {
@@ -51,7 +51,7 @@
       = fb_front_job_call_new (self, message, explain ? FB_CALL_PLAIN : FB_CALL_JOB_QUERY, text);
   if (call == NULL)
     return;
-  FbFrontRequest *request = fb_front_request_new (call);
+  FbFrontCoreRequest *request = fb_front_core_request_new (call);
   if (explain)
     fb_core_query (self->core, explain_on_core, request, g_free);
   else
@@ -140,7 +140,7 @@
 static void
 status_on_core (const FbNode *node, gpointer data)
 {
-  const FbFrontRequest *request = data;
+  const FbFrontCoreRequest *request = data;
   const FbFront *front = request->front;
   JsonBuilder *out = json_builder_new ();
   json_builder_begin_object (out);
@@ -181,7 +181,7 @@
 static void
 config_on_core (const FbNode *node, gpointer data)
 {
-  const FbFrontRequest *request = data;
+  const FbFrontCoreRequest *request = data;
   uint32_t partner = request->front->partner;
   JsonBuilder *out = json_builder_new ();
   json_builder_begin_object (out);
@@ -196,7 +196,7 @@
 query_core (FbFront *self, SoupServerMessage *message, FbCoreQuery func)
 {
   FbCall *call = fb_front_call_new (self, message, FB_CALL_PLAIN);
-  fb_core_query (self->core, func, fb_front_request_new (call), g_free);
+  fb_core_query (self->core, func, fb_front_core_request_new (call), g_free);
 }
 
 /* Resource usage of the process under the customary metric names, read from the kernel. */
--- a/src/daemon/front.c
+++ b/src/daemon/front.c
@@ -110,11 +110,11 @@
   return call;
 }
 
-FbFrontRequest *
-fb_front_request_new (const FbCall *call)
+FbFrontCoreRequest *
+fb_front_core_request_new (const FbCall *call)
 {
-  FbFrontRequest *request = g_new (FbFrontRequest, 1);
-  *request = (FbFrontRequest){ call->front, call->id, call->job };
+  FbFrontCoreRequest *request = g_new (FbFrontCoreRequest, 1);
+  *request = (FbFrontCoreRequest){ call->front, call->id, call->job };
   return request;
 }
 
