--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -123,7 +123,7 @@
   uint64_t added_ms;        /* when it was added to this pool */
   uint64_t admitted_ms;     /* when it was accepted, on the pool's clock */
   uint64_t objective_ms;    /* when its caller wants it, on the pool's clock */
-  uint64_t worthless_ms;    /* when it is no longer worth anything */
+  uint64_t worthless_ms;    /* when its completion has no value any more */
   double tightness;         /* its critical path as a share of its objective, 0 to 1 */
   uint64_t ended_wall_ms;   /* when it ended; 0: it has not */
   GPtrArray *occurrences;   /* of FbPoolOccurrence */
@@ -139,7 +139,7 @@
 void fb_pool_job_free (gpointer job);
 gboolean fb_pool_job_ended (const FbPoolJob *job);
 /* Computes what follows from the policy of JOB and its estimates: objective, tightness and the time
- * when it is worth nothing any more. */
+ * when its completion has no value any more. */
 void fb_pool_job_update_objective (FbPoolJob *job);
 /* Creates the occurrences that are due and releases steps.  Returns: TRUE when the job is
  * complete. */
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -12,8 +12,8 @@
 #define FB_POOL_LEASE_MS 4000
 /* A start must be carried out within this time; a worker that handles the order seconds later
  * refuses it.  Answers take some 10 ms, and a task whose order got no answer can be started again
- * after this time and one poll.  With 1,200 ms, and polls of 800 ms, the mean worth of both sites'
- * standard days was 0.02 lower. */
+ * after this time and one poll.  With 1,200 ms, and polls of 800 ms, the mean value of the jobs
+ * completed in time was 0.02 lower in the standard load tests of two deployments. */
 #define FB_POOL_START_WINDOW_MS 700
 /* A worker that has nothing to report delays its answer to a poll for this long, so the lease is
  * also renewed at this interval. */
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -145,7 +145,7 @@
   gboolean (*is_newer_incarnation) (const char *incarnation, const char *other);
 } FbPoolSink;
 
-/* Limits that are configured for the site. */
+/* Limits that are configured for the deployment. */
 typedef struct
 {
   uint32_t max_lease_ms; /* longest lease that a worker grants */
--- a/src/entry/advice/advice-balancer.c
+++ b/src/entry/advice/advice-balancer.c
@@ -9,9 +9,10 @@
  * duration. */
 #define CLASS_DISTANCE 2
 /* Failure: two owners do not know of each other's requests, and a daemon's calls queue; a short
- * request of one waits behind a long one of the other, and its callers are late (0.008 of the mean
- * worth of a site with two services).  Guard: long requests are assigned from the end of the list
- * of daemons, short ones from the beginning (FB_ADVICE_LONG_MS). */
+ * request of one waits behind a long one of the other, and its callers are late.  In load tests of
+ * a deployment with two services the mean value of the jobs completed in time was lower by 0.008.
+ * Guard: long requests are assigned from the end of the list of daemons, short ones from the
+ * beginning (FB_ADVICE_LONG_MS). */
 
 /* Failure: another owner has a long request at every daemon, and a daemon that has answered a short
  * one begins a long one while the next short one is still in transit; it shows as short requests
@@ -86,8 +87,8 @@
 
 /* With 38 requests of 16 ms a second, 10 of 89 ms and 2 of 875 ms at nine daemons, the long ones
  * may use seven daemons, and six during a burst of 2.3 times the short ones.  Reserving half as
- * many again and one more was too much: gangs waited, and the mean worth of 20 days of two sites
- * without processor time was 0.006 lower. */
+ * many again and one more was too much: gangs waited, and the mean value of the jobs completed in
+ * time was 0.006 lower over 20 load tests of two deployments without processor time. */
 guint
 fb_advice_balancer_reserved (FbAdviceBalancer *self, guint daemons_n, uint32_t expected_ms,
                              uint64_t now_ms)
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -311,9 +311,9 @@
 
 /* Releases all partitions, and checks again later whether to join: the members are not known yet,
  * or this daemon is not strong enough to be an owner.  One daemon makes all decisions for the pool
- * of a service, so pools are left to the daemons with the most processor.  On a site of 0.5 and
- * 0.12 of a core one of the latter got the pool of 350 workers in four of five cases, and was out
- * of processor after 4 s. */
+ * of a service, so pools are left to the daemons with the most processor time.  In a deployment
+ * whose daemons have 0.5 or 0.12 of a core, one with 0.12 got the pool of 350 workers in four of
+ * five cases, and had used up its processor time after 4 s. */
 static void
 stay_non_owner (FbGroup *self)
 {
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -5,8 +5,9 @@
  * the limit of one question and those with free capacity first.  Later questions are asked when an
  * allowed worker has free capacity; they name only the workers to be used, and their capacity is
  * reserved until the answer arrives.  Without the reservation smaller tasks took the capacity of a
- * gang before its tickets arrived, and gangs asked 2.1 times on a heavy day.  While no allowed
- * worker has free capacity, workers that were never named are asked about from time to time. */
+ * gang before its tickets arrived, and gangs asked 2.1 times in a heavy load test.  While no
+ * allowed worker has free capacity, workers that were never named are asked about from time to
+ * time. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
@@ -96,11 +97,11 @@
 /* Most workers that the first question about STEP names.
  *
  * Failure: every first question names a hundred workers, whatever its step needs, and the service
- * takes 0.5 to 9 ms for each.  With 350 workers and 33 daemons the daemons were busy with questions
- * for four fifths of a day, and half of the urgent jobs waited half a second for their first start.
- * Guard: single tasks ask about four workers each (the mean worth of six days of that size rose
- * from 0.592 to 0.629).  Gangs need many workers that are free at the same moment, and name as many
- * as possible. */
+ * takes 0.5 to 9 ms for each.  In load tests with 350 workers and 33 daemons, the daemons were busy
+ * with questions for four fifths of the time, and half of the urgent jobs waited half a second for
+ * their first start.  Guard: single tasks ask about four workers each.  The value of the jobs
+ * completed in time, as a mean of six such load tests, rose from 0.592 to 0.629.  Gangs need many
+ * workers that are free at the same moment, and name as many as possible. */
 static guint
 max_named_first (const FbPoolStep *step)
 {
--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -10,8 +10,9 @@
 #define TICKET_MARGIN_MS 250
 /* Weight of a worker's slowness against its free capacity, multiplied by the square of the job's
  * tightness.  Short jobs may take 1.5 times their work and 250 ms, and workers differ in speed by
- * 0.8 to 1.25.  The weight gained 0.027 of a day's worth on one site (0.796 to 0.823, means of four
- * scores each, which spread by 0.017) and 0.003 on another (0.866 to 0.869). */
+ * 0.8 to 1.25.  In load tests this weight raised the value of the jobs completed in time by 0.027
+ * in one deployment (0.796 to 0.823, means of four tests each, which spread by 0.017) and by 0.003
+ * in another (0.866 to 0.869). */
 #define SLOWNESS_WEIGHT 6.0
 
 /* Keeps best-effort tasks off the workers of serving steps, which have a latency target, and the
--- a/src/work/pool-preempt.c
+++ b/src/work/pool-preempt.c
@@ -24,9 +24,9 @@
 /* TRUE when RUN may be preempted for the step TO.
  *
  * Failure: runs that may be preempted any number of times are stopped again and again and never
- * end; a queue of lower priority starved on a heavy day (the share of its jobs that ended in time
- * fell from 0.97 to 0.45).  Guard: a task is preempted only once, and only while its job has
- * clearly more slack than the pending one. */
+ * end.  In a heavy load test a queue of lower priority starved: the share of its jobs that
+ * ended in time fell from 0.97 to 0.45.  Guard: a task is preempted only once, and only while its
+ * job has clearly more slack than the pending one. */
 static gboolean
 is_preemptible (const FbPoolRun *run, const FbPoolStep *to, uint64_t now_ms)
 {
