--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -100,8 +100,8 @@
   uint64_t now_ms;
   uint64_t started_ms;
   uint64_t advanced_ms; /* when fb_node_advance() was called last */
-  gboolean draining;
-  guint depth; /* nesting depth of entry points; the outermost one flushes at its end */
+  gboolean draining;    /* fb_node_drain() was called: claims no shards and hands its own over */
+  guint depth;          /* nesting depth of entry points; the outermost one flushes at its end */
 
   FbMembers *members;
   FbLink *links; /* one for each member */
--- a/include/internal/node.h
+++ b/include/internal/node.h
@@ -75,9 +75,9 @@
 void fb_node_worker_changed (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker);
 typedef enum
 {
-  FB_HOST_LIVE,
-  FB_HOST_LEAVING,
-  FB_HOST_GONE
+  FB_HOST_LIVE,    /* on the host list, and gets work */
+  FB_HOST_LEAVING, /* to be drained: gets no new work */
+  FB_HOST_GONE     /* not on the host list any more */
 } FbHostState;
 /* Sets the state of a host from the host list. */
 void fb_node_set_host_state (FbNode *self, uint64_t now_ms, uint32_t rack, guint worker,
--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -74,9 +74,9 @@
   uint32_t cpu_milli;
   uint32_t mem_mb;
   uint32_t gpu_count;
-  gboolean listed;    /* the platform lists it now */
-  uint64_t listed_ms; /* when it was first listed; 0: known from a record only */
-  gboolean draining;
+  gboolean listed;           /* the platform lists it now */
+  uint64_t listed_ms;        /* when it was first listed; 0: known from a record only */
+  gboolean draining;         /* will exit soon: gets no new work */
   gboolean answered;         /* has answered a poll under the present epoch */
   gboolean silence_recorded; /* it is silent, and its runs have been recorded */
   gboolean runs_ended;       /* this incarnation or all its leases have certainly ended */
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -30,7 +30,7 @@
   uint32_t cpu_milli;
   uint32_t mem_mb;
   uint32_t gpu_count;
-  gboolean draining;
+  gboolean draining;    /* will exit soon: gets no new work */
   gboolean may_restart; /* a later incarnation may receive calls that are meant for this one */
 } FbWorkerEntry;
 
--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -19,9 +19,9 @@
 {
   fb_spec spec; /* owned */
   FbTaskState state;
-  guint worker;      /* index of the worker that is charged, or FB_NO_WORKER */
-  guint last_worker; /* index of the worker of the last start order, or FB_NO_WORKER */
-  uint64_t arrived_ms;
+  guint worker;               /* index of the worker that is charged, or FB_NO_WORKER */
+  guint last_worker;          /* index of the worker of the last start order, or FB_NO_WORKER */
+  uint64_t arrived_ms;        /* when its job arrived */
   uint64_t due_ms;            /* latest start; FB_NO_DEADLINE_MS if none */
   uint64_t rank_ms;           /* sort key in its queue, smallest first */
   uint64_t started_ms;        /* when the worker first reported it as live; 0 if never */
@@ -46,7 +46,7 @@
   FB_WORKER_OK,
   FB_WORKER_SILENT, /* its lease should have lapsed, but the ownership is not confirmed yet */
   FB_WORKER_LAPSED, /* its lease has lapsed: no run ordered by this owner can be running there */
-  FB_WORKER_GONE
+  FB_WORKER_GONE    /* no reply yet, and off the host list for longer than a lease */
 } FbWorkerState;
 
 struct _FbWorker
@@ -55,7 +55,7 @@
   fb_res capacity;
   fb_res used; /* sum of the charges of its tasks */
   FbWorkerState state;
-  gboolean leaving;               /* gets no new work */
+  gboolean leaving;               /* its host is drained or off the host list: gets no new work */
   gboolean dirty;                 /* a request is due at the next flush */
   gboolean in_flight;             /* a request is not answered yet */
   gboolean urgent_only;           /* only the home partner's urgent work may start here */
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -81,8 +81,8 @@
   const FbRangeSink *sink;
   gpointer user;
   GRand *rand;
-  gboolean active;
-  gboolean log_ok;
+  gboolean active; /* sends and answers; FALSE: only applies records read from the log */
+  gboolean log_ok; /* the last append to the log succeeded */
   uint64_t epoch;
   gboolean *surveyed;     /* one for each rack: it has replied. NULL if no survey is in progress */
   guint survey_n;         /* number of racks in surveyed */
--- a/src/daemon/front-private.h
+++ b/src/daemon/front-private.h
@@ -29,7 +29,7 @@
   SoupServerMessage *message;
   gulong disconnected; /* handler of the message's signal "disconnected" */
   uint64_t job;        /* 0: none, or not admitted yet */
-  uint64_t since_ms;
+  uint64_t since_ms;   /* when the request arrived */
 } FbCall;
 
 /* Data of a query or command that is posted to the core thread. */
@@ -48,7 +48,7 @@
   FbCore *core;
   FbLoop *loop;
   SoupServer *server;
-  gboolean closed;
+  gboolean closed; /* fb_front_close() was called: refuses new jobs */
   gint64 started_us;
   guint64 last_id;
   GHashTable *calls; /* &FbCall.id -> FbCall, owned */
