--- a/src/entry/advice/advice-balancer.c
+++ b/src/entry/advice/advice-balancer.c
@@ -88,7 +88,8 @@
 /* With 38 requests of 16 ms a second, 10 of 89 ms and 2 of 875 ms at nine daemons, the long ones
  * may use seven daemons, and six during a burst of 2.3 times the short ones.  Reserving half as
  * many again and one more was too much: gangs waited, and the mean value of the jobs completed in
- * time was 0.006 lower over 20 load tests of two deployments without processor time. */
+ * time was 0.006 lower over 20 load tests of two deployments in which processor time was not
+ * modelled (the daemons' computation cost nothing). */
 guint
 fb_advice_balancer_reserved (FbAdviceBalancer *self, guint daemons_n, uint32_t expected_ms,
                              uint64_t now_ms)
--- a/src/work/pool-stuck.c
+++ b/src/work/pool-stuck.c
@@ -15,8 +15,8 @@
 #define STUCK_PERCENT 250
 #define STUCK_MS 800
 /* Until other runs have ended only the estimate is known, which is wrong by a factor of up to 1.9,
- * while run times spread to 2.5 times their mean.  A factor of 5 restarted sound runs in calm
- * load tests. */
+ * while run times spread to 2.5 times their mean.  A factor of 5 restarted sound runs in load
+ * tests without faults. */
 #define STUCK_ESTIMATE_FACTOR 10
 #define MAX_STUCK_RESTARTS 3
 
