--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -30,7 +30,7 @@
   uint32_t cpu_milli;
   uint32_t mem_mb;
   uint32_t gpu_count;
-  gboolean draining;
+  gboolean draining;    /* will exit soon: gets no new work */
   gboolean may_restart; /* a later incarnation may receive calls that are meant for this one */
 } FbWorkerEntry;
 
@@ -145,7 +145,7 @@
   gboolean (*is_newer_incarnation) (const char *incarnation, const char *other);
 } FbPoolSink;
 
-/* Limits that are configured for the site. */
+/* Limits that are configured for the deployment. */
 typedef struct
 {
   uint32_t max_lease_ms; /* longest lease that a worker grants */
