--- a/include/fb-policy.h
+++ b/include/fb-policy.h
@@ -47,12 +47,12 @@
 typedef struct
 {
   uint32_t partner;
-  uint32_t lend_milli; /* share of its racks that the other partner may use, in thousandths */
-  char *placement;     /* name of a placement policy */
-  GPtrArray *teams;    /* FbPolicyTeam owned */
-  GPtrArray *classes;  /* FbPolicyClass owned */
-  GPtrArray *services; /* FbPolicyService owned */
-  GPtrArray *drains;   /* char * owned: the partner's hosts that get no new work */
+  uint32_t lend_milli;      /* share of its racks that the other partner may use, in thousandths */
+  char *placement;          /* name of a placement policy */
+  GPtrArray *teams;         /* FbPolicyTeam owned */
+  GPtrArray *classes;       /* FbPolicyClass owned */
+  GPtrArray *services;      /* FbPolicyService owned */
+  GPtrArray *drained_hosts; /* char * owned: the partner's hosts that get no new work */
 } FbPolicy;
 
 /* Parses FILES as one revision of PARTNER. Returns: FB_POLICY_OK and sets *POLICY
@@ -65,7 +65,7 @@
 void fb_policy_free (FbPolicy *self);
 
 /* Returns: TRUE if the policy declares HOST as drained. */
-gboolean fb_policy_drains (const FbPolicy *self, const char *host);
+gboolean fb_policy_is_drained (const FbPolicy *self, const char *host);
 /* Returns: the class NAME, borrowed, or NULL. */
 const FbPolicyClass *fb_policy_class (const FbPolicy *self, const char *name);
 
--- a/include/internal/member.h
+++ b/include/internal/member.h
@@ -32,16 +32,16 @@
 uint64_t fb_members_incarnation (const FbMembers *self, guint index);
 
 /* Records a heartbeat. Returns: TRUE if it is the first of a new incarnation. */
-gboolean fb_members_note_heartbeat (FbMembers *self, uint64_t now_ms, guint index,
-                                    uint64_t incarnation, gboolean leaving);
+gboolean fb_members_record_heartbeat (FbMembers *self, uint64_t now_ms, guint index,
+                                      uint64_t incarnation, gboolean leaving);
 /* Suspects the members that have been silent for FB_MEMBER_SUSPECT_MS. */
 void fb_members_tick (FbMembers *self, uint64_t now_ms);
 
 /* Returns: the index of the member that should own SHARD of PARTNER: by rendezvous
  * hashing, the one with the highest weight among the members of PARTNER that are alive
- * and not leaving; or -1. The member WITHOUT is left out; G_MAXUINT leaves out none. */
+ * and not leaving; or -1. The member EXCLUDED is left out; G_MAXUINT leaves out none. */
 int fb_members_preferred_owner (const FbMembers *self, uint32_t shard, uint32_t partner,
-                                guint without);
+                                guint excluded);
 
 /* Returns: TRUE if the member INDEX has been alive for FB_MEMBER_STABLE_MS, so that a
  * shard moved to it is unlikely to move back at once. */
--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -34,8 +34,8 @@
   FbStream *stream; /* NULL unless reading or owned */
   FbRack *rack;     /* of an owned rack, else NULL */
   FbRange *range;   /* of a range that is read or owned, else NULL */
-  gboolean lost;    /* given up: fb_node_reap() frees its objects once no call uses them */
-  gboolean reading; /* a read of the stream is not answered yet */
+  gboolean lost; /* given up: fb_node_free_lost_shards() frees its objects once no call uses them */
+  gboolean reading;              /* a read of the stream is not answered yet */
   uint64_t read_requested_ms;    /* when the last read was requested */
   uint64_t read_until;           /* read until the next offset is at least this one */
   uint64_t confirm_requested_ms; /* when the rack asked to confirm the ownership, or 0 */
@@ -46,10 +46,10 @@
   uint64_t renew_oldest;
   uint64_t renew_history_gap_ms;
   gboolean renew_surveying;
-  int handed_to;               /* index of a member, or -1 */
-  uint64_t handed_epoch;       /* epoch at which it was handed over */
-  GArray *handed_incarnations; /* uint64_t for each worker, see fb_handover; or NULL */
-  gboolean handover_received;  /* the previous owner has handed the shard to this daemon */
+  int successor;                 /* index of a member, or -1 */
+  uint64_t handover_epoch;       /* epoch at which it was handed over */
+  GArray *handover_incarnations; /* uint64_t for each worker, see fb_handover; or NULL */
+  gboolean handover_received;    /* the previous owner has handed the shard to this daemon */
 } FbShard;
 
 typedef struct
@@ -63,7 +63,7 @@
   uint64_t sent_to_incarnation;
   gboolean admitted;       /* the owner of the range has answered that the job is admitted */
   gboolean until_admitted; /* see fb_node_submit() */
-} FbCaller;
+} FbSubmission;
 
 /* Configuration of one partner. */
 typedef struct
@@ -129,7 +129,7 @@
   gboolean config_reading;    /* a read of it is not answered yet */
   uint64_t config_read_at_ms; /* when it is read next */
 
-  GHashTable *callers; /* &job.id -> FbCaller owned */
+  GHashTable *submissions; /* &job.id -> FbSubmission owned */
 };
 
 /* node.c */
@@ -144,13 +144,13 @@
 
 /* node-shards.c: ownership */
 void fb_node_shards_tick (FbNode *self);
-void fb_node_note_claim (FbNode *self, guint member, const fb_claim_notice *claim);
-void fb_node_note_handover (FbNode *self, const fb_handover *handover);
+void fb_node_handle_claim (FbNode *self, guint member, const fb_claim_notice *claim);
+void fb_node_handle_handover (FbNode *self, const fb_handover *handover);
 void fb_node_shard_record (FbNode *self, FbShard *shard, GBytes *data,
                            const FbRecordPosition *position);
 void fb_node_shard_read_end (FbNode *self, FbShard *shard);
 void fb_node_step_down (FbNode *self, FbShard *shard);
-void fb_node_reap (FbNode *self);
+void fb_node_free_lost_shards (FbNode *self);
 gboolean fb_shard_is_owned (const FbShard *shard);
 
 /* node-log.c */
@@ -174,11 +174,11 @@
 /* The log has dropped records of the config stream before they were read. */
 void fb_node_config_gap (FbNode *self);
 void fb_node_config_pull (FbNode *self, const char *from, const fb_config_pull *pull);
-void fb_node_config_offer (FbNode *self, const fb_config_record *record);
+void fb_node_config_receive (FbNode *self, const fb_config_record *record);
 void fb_node_apply_policy (FbNode *self, FbShard *rack);
 void fb_node_services_tick (FbNode *self);
 
 /* node-front.c */
 void fb_node_front_answer (FbNode *self, const fb_answer *answer);
 void fb_node_front_tick (FbNode *self);
-void fb_caller_free (gpointer caller);
+void fb_submission_free (gpointer submission);
--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -105,7 +105,7 @@
 
 FbWorker *fb_rack_worker (const FbRack *self, guint index);
 FbTask *fb_rack_find (const FbRack *self, const fb_run *run);
-fb_res fb_worker_free_space (const FbWorker *worker);
+fb_res fb_worker_free_capacity (const FbWorker *worker);
 gboolean fb_worker_takes_work (const FbWorker *worker);
 /* Returns: TRUE if every worker has replied at this epoch or is gone. */
 gboolean fb_rack_is_complete (const FbRack *self);
@@ -133,7 +133,7 @@
 void fb_rack_send_run_status (FbRack *self, const FbTask *task, FbRunStatus run_status,
                               FbReason reason);
 void fb_rack_dequeue (FbRack *self, FbTask *task);
-void fb_rack_forget (FbRack *self, FbTask *task);
+void fb_rack_remove_task (FbRack *self, FbTask *task);
 void fb_rack_stop_task (FbRack *self, FbTask *task, FbReason reason);
 void fb_rack_mark_dirty (FbRack *self, guint worker);
 
@@ -147,11 +147,11 @@
 void fb_preempt_for_waiting (FbRack *self, uint64_t now_ms, uint32_t partner, FbKind kind);
 
 /* worker-health.c: quarantine of workers that fail the work they start */
-void fb_worker_health_note_end (FbRack *self, uint64_t now_ms, guint worker, const FbTask *task,
-                                FbRunStatus run_status);
+void fb_worker_health_record_end (FbRack *self, uint64_t now_ms, guint worker, const FbTask *task,
+                                  FbRunStatus run_status);
 /* Returns: the penalty to add to the cost of a placement. */
 int64_t fb_worker_health_cost (const FbWorker *worker, const FbTask *task);
-void fb_worker_health_note_start (FbWorker *worker, uint64_t now_ms);
+void fb_worker_health_record_start (FbWorker *worker, uint64_t now_ms);
 void fb_worker_health_tick (FbRack *self, uint64_t now_ms);
 gboolean fb_worker_health_allows (const FbRack *self, uint64_t now_ms, const FbWorker *worker,
                                   const FbTask *task);
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -133,7 +133,7 @@
 gboolean fb_range_send_command (FbRange *self, FbJobTask *task, fb_msg_type type, gboolean force);
 void fb_range_send_ack (FbRange *self, const fb_report *report);
 void fb_range_answer_fronts (FbRange *self, uint64_t now_ms, FbJob *job);
-void fb_range_answer_one (FbRange *self, uint64_t now_ms, const FbJob *job, const char *front);
+void fb_range_send_answer (FbRange *self, uint64_t now_ms, const FbJob *job, const char *front);
 void fb_range_dispatch (FbRange *self, uint64_t now_ms);
 
 /* gang.c: all members of a job start, or none */
--- a/include/internal/router.h
+++ b/include/internal/router.h
@@ -63,7 +63,7 @@
  * since the last one: the owner has counted it. */
 void fb_router_note_summary (FbRouter *self, uint64_t now_ms, const fb_summary *summary);
 /* The rack has no known owner: it is not chosen until the next summary. */
-void fb_router_forget (FbRouter *self, uint32_t rack);
+void fb_router_disable_rack (FbRouter *self, uint32_t rack);
 /* The rack has refused a task: it is not chosen for a while. */
 void fb_router_note_refusal (FbRouter *self, uint64_t now_ms, uint32_t rack, FbReason reason);
 
--- a/include/internal/stream.h
+++ b/include/internal/stream.h
@@ -29,7 +29,7 @@
                                fb_record *record);
 
 /* The log has dropped all records before FIRST. */
-void fb_stream_note_first_retained (FbStream *self, uint64_t first);
+void fb_stream_set_first_retained (FbStream *self, uint64_t first);
 
 /* Returns: the next offset to read. */
 uint64_t fb_stream_next (const FbStream *self);
--- a/src/core/cell.c
+++ b/src/core/cell.c
@@ -112,7 +112,7 @@
 }
 
 static gboolean
-same_cell_group (const FbCell *a, const FbCell *b)
+same_cell_settings (const FbCell *a, const FbCell *b)
 {
   for (guint p = 0; p < FB_PARTNER_N; p++)
     {
@@ -129,7 +129,7 @@
 gboolean
 fb_cell_equal (const FbCell *a, const FbCell *b)
 {
-  gboolean same = same_cell_group (a, b) && a->members->len == b->members->len
+  gboolean same = same_cell_settings (a, b) && a->members->len == b->members->len
                   && a->racks->len == b->racks->len;
   for (guint i = 0; same && i < a->members->len; i++)
     same = same_member (fb_cell_member (a, i), fb_cell_member (b, i));
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -81,7 +81,7 @@
 }
 
 fb_res
-fb_worker_free_space (const FbWorker *worker)
+fb_worker_free_capacity (const FbWorker *worker)
 {
   fb_res free = worker->capacity;
   fb_res_sub (&free, &worker->used);
--- a/src/core/member.c
+++ b/src/core/member.c
@@ -109,13 +109,13 @@
 }
 
 gboolean
-fb_members_note_heartbeat (FbMembers *self, uint64_t now_ms, guint index, uint64_t incarnation,
-                           gboolean leaving)
+fb_members_record_heartbeat (FbMembers *self, uint64_t now_ms, guint index, uint64_t incarnation,
+                             gboolean leaving)
 {
   Member *member = member_at (self, index);
-  gboolean fresh = incarnation != member->incarnation;
+  gboolean is_new = incarnation != member->incarnation;
   FbMemberState state = leaving ? FB_MEMBER_LEAVING : FB_MEMBER_ALIVE;
-  if (member->state != state || fresh)
+  if (member->state != state || is_new)
     {
       if (state == FB_MEMBER_ALIVE)
         member->alive_since_ms = now_ms;
@@ -125,7 +125,7 @@
   member->incarnation = incarnation;
   member->last_heartbeat_ms = now_ms;
   member->state = state;
-  return fresh;
+  return is_new;
 }
 
 void
@@ -134,8 +134,8 @@
   for (guint i = 0; i < self->all->len; i++)
     {
       Member *member = member_at (self, i);
-      gboolean counted = member->state == FB_MEMBER_ALIVE || member->state == FB_MEMBER_LEAVING;
-      if (i == self->self_index || !counted
+      gboolean reachable = member->state == FB_MEMBER_ALIVE || member->state == FB_MEMBER_LEAVING;
+      if (i == self->self_index || !reachable
           || now_ms - member->last_heartbeat_ms < FB_MEMBER_SUSPECT_MS)
         continue;
       member->state = FB_MEMBER_SUSPECTED;
@@ -145,14 +145,14 @@
 }
 
 int
-fb_members_preferred_owner (const FbMembers *self, uint32_t shard, uint32_t partner, guint without)
+fb_members_preferred_owner (const FbMembers *self, uint32_t shard, uint32_t partner, guint excluded)
 {
   int best = -1;
   uint64_t best_weight = 0;
   for (guint i = 0; i < self->all->len; i++)
     {
       const Member *member = member_at (self, i);
-      if (i == without || member->partner != partner || member->state != FB_MEMBER_ALIVE)
+      if (i == excluded || member->partner != partner || member->state != FB_MEMBER_ALIVE)
         continue;
       uint64_t weight = fb_hash64 (member->name, shard);
       if (best < 0 || weight > best_weight)
--- a/src/core/node-config.c
+++ b/src/core/node-config.c
@@ -327,7 +327,7 @@
 }
 
 void
-fb_node_config_offer (FbNode *self, const fb_config_record *record)
+fb_node_config_receive (FbNode *self, const fb_config_record *record)
 {
   log_ignored_revision (apply_revision (self, record->revision.revision_val,
                                         record->revision.revision_len, record->signature),
--- a/src/core/node-front.c
+++ b/src/core/node-front.c
@@ -22,45 +22,45 @@
 #define UNADMITTED_MS 30000
 
 void
-fb_caller_free (gpointer data)
+fb_submission_free (gpointer data)
 {
-  FbCaller *caller = data;
-  fb_job_clear (&caller->job);
-  g_free (caller);
+  FbSubmission *submission = data;
+  fb_job_clear (&submission->job);
+  g_free (submission);
 }
 
 static void
-note_sent (FbNode *self, FbCaller *caller, int member)
+record_sent (FbNode *self, FbSubmission *submission, int member)
 {
   uint64_t incarnation = fb_members_incarnation (self->members, (guint) member);
-  gboolean same = member == caller->sent_to && incarnation == caller->sent_to_incarnation;
-  if (caller->copies > 0 && !same)
+  gboolean same = member == submission->sent_to && incarnation == submission->sent_to_incarnation;
+  if (submission->copies > 0 && !same)
     member = -1;
-  caller->copies++;
-  caller->sent_to = member;
-  caller->sent_to_incarnation = incarnation;
+  submission->copies++;
+  submission->sent_to = member;
+  submission->sent_to_incarnation = incarnation;
 }
 
 static void
-send_submit (FbNode *self, FbCaller *caller)
+send_submit (FbNode *self, FbSubmission *submission)
 {
-  caller->resend_ms = self->now_ms + RESEND_MS;
+  submission->resend_ms = self->now_ms + RESEND_MS;
   fb_body body = { .type = FB_MSG_SUBMIT };
   fb_submit *submit = &body.fb_body_u.submit;
-  submit->copy = caller->copies + 1;
-  submit->job = caller->job;
-  submit->job.remaining_ms = fb_deadline_remaining (self->now_ms, caller->due_ms);
-  if (caller->job.flags & FB_FLAG_EPHEMERAL)
+  submit->copy = submission->copies + 1;
+  submit->job = submission->job;
+  submit->job.remaining_ms = fb_deadline_remaining (self->now_ms, submission->due_ms);
+  if (submission->job.flags & FB_FLAG_EPHEMERAL)
     {
-      note_sent (self, caller, (int) self->self_index);
-      caller->resend_ms = FB_NO_DEADLINE_MS;
+      record_sent (self, submission, (int) self->self_index);
+      submission->resend_ms = FB_NO_DEADLINE_MS;
       fb_range_submit (self->local, self->now_ms, &submit->job, submit->copy,
                        fb_members_name (self->members, self->self_index));
       return;
     }
-  uint32_t range = fb_cell_range_of_job (self->cell, caller->job.partner, caller->job.id);
+  uint32_t range = fb_cell_range_of_job (self->cell, submission->job.partner, submission->job.id);
   if (fb_node_send_to_owner (self, range, &body))
-    note_sent (self, caller, self->shards[range].owner);
+    record_sent (self, submission, self->shards[range].owner);
 }
 
 static gboolean
@@ -76,19 +76,19 @@
 {
   fb_node_enter (self, now_ms);
   fb_counter_add (FB_COUNTER_REQUESTS, 1);
-  FbCaller *caller = g_hash_table_lookup (self->callers, &job->id);
-  if (caller == NULL)
+  FbSubmission *submission = g_hash_table_lookup (self->submissions, &job->id);
+  if (submission == NULL)
     {
-      caller = g_new0 (FbCaller, 1);
-      fb_job_copy (&caller->job, job);
-      caller->submitted_ms = self->now_ms;
-      caller->sent_to = -1;
-      caller->until_admitted = TRUE;
-      caller->due_ms = fb_deadline_after (self->now_ms, job->remaining_ms);
-      g_hash_table_insert (self->callers, &caller->job.id, caller);
+      submission = g_new0 (FbSubmission, 1);
+      fb_job_copy (&submission->job, job);
+      submission->submitted_ms = self->now_ms;
+      submission->sent_to = -1;
+      submission->until_admitted = TRUE;
+      submission->due_ms = fb_deadline_after (self->now_ms, job->remaining_ms);
+      g_hash_table_insert (self->submissions, &submission->job.id, submission);
     }
-  caller->until_admitted = caller->until_admitted && until_admitted;
-  send_submit (self, caller);
+  submission->until_admitted = submission->until_admitted && until_admitted;
+  send_submit (self, submission);
   fb_node_leave (self);
 }
 
@@ -113,67 +113,70 @@
 void
 fb_node_front_answer (FbNode *self, const fb_answer *answer)
 {
-  FbCaller *caller = g_hash_table_lookup (self->callers, &answer->job);
+  FbSubmission *submission = g_hash_table_lookup (self->submissions, &answer->job);
   if (answer->refused_copy > 0
-      && (caller == NULL || caller->sent_to < 0 || answer->refused_copy != caller->copies))
+      && (submission == NULL || submission->sent_to < 0
+          || answer->refused_copy != submission->copies))
     return;
-  if (caller != NULL)
+  if (submission != NULL)
     {
-      caller->admitted = TRUE;
-      caller->resend_ms = self->now_ms + JOB_QUERY_MS;
-      if (answer->outcome < FB_OUTCOME_PENDING || caller->until_admitted)
-        g_hash_table_remove (self->callers, &answer->job);
+      submission->admitted = TRUE;
+      submission->resend_ms = self->now_ms + JOB_QUERY_MS;
+      if (answer->outcome < FB_OUTCOME_PENDING || submission->until_admitted)
+        g_hash_table_remove (self->submissions, &answer->job);
     }
   self->sink->answer (self->user, answer);
 }
 
 static void
-give_up (FbNode *self, FbCaller *caller)
+answer_timed_out (FbNode *self, FbSubmission *submission)
 {
-  fb_answer answer
-      = { .job = caller->job.id, .outcome = FB_OUTCOME_UNKNOWN, .reason = FB_REASON_OWNER_CHANGED };
-  if (caller->copies == 0 && caller->job.key[0] == '\0')
+  fb_answer answer = { .job = submission->job.id,
+                       .outcome = FB_OUTCOME_UNKNOWN,
+                       .reason = FB_REASON_OWNER_CHANGED };
+  if (submission->copies == 0 && submission->job.key[0] == '\0')
     answer.outcome = FB_OUTCOME_NOT_RUN;
   fb_event_log (FB_EVENT_JOB_ENDED, "job=%016" G_GINT64_MODIFIER "x outcome=%s reason=%s",
                 answer.job, fb_outcome_name ((FbOutcome) answer.outcome),
                 fb_reason_name ((FbReason) answer.reason));
-  g_hash_table_remove (self->callers, &answer.job);
+  g_hash_table_remove (self->submissions, &answer.job);
   self->sink->answer (self->user, &answer);
 }
 
 static gboolean
-has_timed_out (const FbNode *self, const FbCaller *caller)
+has_timed_out (const FbNode *self, const FbSubmission *submission)
 {
-  uint64_t waited_ms = self->now_ms - caller->submitted_ms;
-  if (caller->copies == 0)
-    return waited_ms >= NO_OWNER_MS || self->now_ms >= caller->due_ms;
-  if (!caller->admitted && waited_ms >= UNADMITTED_MS)
+  uint64_t waited_ms = self->now_ms - submission->submitted_ms;
+  if (submission->copies == 0)
+    return waited_ms >= NO_OWNER_MS || self->now_ms >= submission->due_ms;
+  if (!submission->admitted && waited_ms >= UNADMITTED_MS)
     return TRUE;
-  uint64_t run_ms = caller->job.run_ms * 4;
-  return caller->due_ms != FB_NO_DEADLINE_MS
-         && self->now_ms >= caller->due_ms + run_ms + ANSWER_GRACE_MS;
+  uint64_t run_ms = submission->job.run_ms * 4;
+  return submission->due_ms != FB_NO_DEADLINE_MS
+         && self->now_ms >= submission->due_ms + run_ms + ANSWER_GRACE_MS;
 }
 
 void
 fb_node_front_tick (FbNode *self)
 {
-  g_autoptr (GList) all = g_hash_table_get_values (self->callers);
+  g_autoptr (GList) all = g_hash_table_get_values (self->submissions);
   for (GList *link = all; link != NULL; link = link->next)
     {
-      FbCaller *caller = link->data;
-      if (has_timed_out (self, caller))
+      FbSubmission *submission = link->data;
+      if (has_timed_out (self, submission))
         {
-          give_up (self, caller);
+          answer_timed_out (self, submission);
           continue;
         }
-      if (caller->resend_ms > self->now_ms)
+      if (submission->resend_ms > self->now_ms)
         continue;
-      if (!caller->admitted)
-        send_submit (self, caller);
-      else if (!(caller->job.flags & FB_FLAG_EPHEMERAL))
+      if (!submission->admitted)
+        send_submit (self, submission);
+      else if (!(submission->job.flags & FB_FLAG_EPHEMERAL))
         {
-          caller->resend_ms = self->now_ms + JOB_QUERY_MS;
-          (void) send_job_command (self, FB_MSG_JOB_QUERY, caller->job.partner, caller->job.id);
+          submission->resend_ms = self->now_ms + JOB_QUERY_MS;
+          (void) send_job_command (self, FB_MSG_JOB_QUERY, submission->job.partner,
+                                   submission->job.id);
         }
     }
 }
--- a/src/core/node-log.c
+++ b/src/core/node-log.c
@@ -203,7 +203,7 @@
       fb_node_step_down (self, shard);
       return;
     }
-  fb_stream_note_first_retained (shard->stream, page->first_retained);
+  fb_stream_set_first_retained (shard->stream, page->first_retained);
   for (guint i = 0; i < page->record_n && !shard->lost; i++)
     {
       const FbLogRecord *record = &page->records[i];
@@ -219,7 +219,7 @@
 }
 
 static void
-note_log_clock (FbNode *self, const FbLogPage *page)
+update_log_clock (FbNode *self, const FbLogPage *page)
 {
   if (page->log_now_ms == 0)
     return;
@@ -234,7 +234,7 @@
   if (page == NULL)
     fb_counter_add (FB_COUNTER_LOG_ERRORS, 1);
   else
-    note_log_clock (self, page);
+    update_log_clock (self, page);
   FbShard *shard = shard_of_stream (self, stream);
   if (stream == FB_STREAM_CONFIG)
     {
--- a/src/core/node-query.c
+++ b/src/core/node-query.c
@@ -14,7 +14,7 @@
       if (self->shards[i].role != FB_SHARD_NOT_OWNED)
         return FALSE;
     }
-  return g_hash_table_size (self->callers) == 0 && fb_range_open_count (self->local) == 0;
+  return g_hash_table_size (self->submissions) == 0 && fb_range_open_count (self->local) == 0;
 }
 
 uint64_t
@@ -81,14 +81,14 @@
   const FbNode *node;
   uint64_t job;
   GString *out;
-  guint seen;
+  guint task_n;
 } Explain;
 
 static void
 explain_task (gpointer user, const FbRangeTaskView *task)
 {
   Explain *explain = user;
-  if (explain->seen++ >= EXPLAIN_TASKS_MAX)
+  if (explain->task_n++ >= EXPLAIN_TASKS_MAX)
     return;
   const FbCell *cell = explain->node->cell;
   g_string_append_printf (explain->out, "task %u attempt %u: %s", task->index, task->attempt,
@@ -113,7 +113,7 @@
       if (self->shards[i].range != NULL && fb_shard_is_owned (&self->shards[i]))
         found = fb_range_foreach_task (self->shards[i].range, job, explain_task, &explain);
     }
-  if (explain.seen > EXPLAIN_TASKS_MAX)
-    g_string_append_printf (explain.out, "and %u more tasks\n", explain.seen - EXPLAIN_TASKS_MAX);
+  if (explain.task_n > EXPLAIN_TASKS_MAX)
+    g_string_append_printf (explain.out, "and %u more tasks\n", explain.task_n - EXPLAIN_TASKS_MAX);
   return g_string_free (explain.out, !found);
 }
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -33,7 +33,7 @@
   shard->owner_incarnation = incarnation;
   shard->known_epoch = epoch;
   if (shard->is_rack && owner < 0)
-    fb_router_forget (self->router, shard->id);
+    fb_router_disable_rack (self->router, shard->id);
 }
 
 static void
@@ -68,7 +68,7 @@
 {
   shard->role = FB_SHARD_OWNED;
   shard->epoch = epoch;
-  shard->handed_to = -1;
+  shard->successor = -1;
   shard->handover_received = FALSE;
   shard->renewed_ms = 0;
   set_owner (self, shard, (int) self->self_index, self->incarnation, epoch);
@@ -91,8 +91,8 @@
     }
 }
 
-/* The shard's objects may be in use by a caller of this function, so fb_node_reap() frees
- * them. */
+/* The shard's objects may be in use by a caller of this function, so fb_node_free_lost_shards()
+ * frees them. */
 void
 fb_node_step_down (FbNode *self, FbShard *shard)
 {
@@ -112,7 +112,7 @@
 }
 
 void
-fb_node_reap (FbNode *self)
+fb_node_free_lost_shards (FbNode *self)
 {
   for (guint i = 0; i < self->shard_n; i++)
     {
@@ -135,7 +135,7 @@
 /* ---- messages of peers -------------------------------------------------- */
 
 void
-fb_node_note_claim (FbNode *self, guint member, const fb_claim_notice *claim)
+fb_node_handle_claim (FbNode *self, guint member, const fb_claim_notice *claim)
 {
   FbShard *shard = fb_node_shard (self, claim->shard);
   if (shard == NULL || claim->epoch < shard->known_epoch)
@@ -148,14 +148,14 @@
         return;
       fb_node_step_down (self, shard);
     }
-  if (shard->handed_to >= 0 && claim->epoch > shard->handed_epoch)
-    shard->handed_to = -1;
+  if (shard->successor >= 0 && claim->epoch > shard->handover_epoch)
+    shard->successor = -1;
   shard->announced_ms = self->now_ms;
   set_owner (self, shard, (int) member, claim->incarnation, claim->epoch);
 }
 
 void
-fb_node_note_handover (FbNode *self, const fb_handover *handover)
+fb_node_handle_handover (FbNode *self, const fb_handover *handover)
 {
   FbShard *shard = fb_node_shard (self, handover->shard);
   if (shard == NULL || shard->role != FB_SHARD_NOT_OWNED || shard->lost || self->draining
@@ -178,7 +178,7 @@
 /* ---- records of a shard's stream -------------------------------------- */
 
 static void
-note_claim_in_force (FbNode *self, FbShard *shard, const fb_rec_claim *claim)
+handle_claim_in_force (FbNode *self, FbShard *shard, const fb_rec_claim *claim)
 {
   uint64_t epoch = fb_stream_epoch (shard->stream);
   gboolean own = claim->incarnation == self->incarnation
@@ -222,9 +222,10 @@
         fb_range_apply (shard->range, self->now_ms, &record.body, position);
       break;
     case FB_STREAM_CLAIMED:
-      note_claim_in_force (self, shard,
-                           record.body.type == FB_REC_RENEW ? &record.body.fb_rec_body_u.renew.claim
-                                                            : &record.body.fb_rec_body_u.claim);
+      handle_claim_in_force (self, shard,
+                             record.body.type == FB_REC_RENEW
+                                 ? &record.body.fb_rec_body_u.renew.claim
+                                 : &record.body.fb_rec_body_u.claim);
       break;
     case FB_STREAM_SUPERSEDED:
     case FB_STREAM_MALFORMED:
@@ -322,27 +323,27 @@
   fb_body body = { .type = FB_MSG_HANDOVER };
   fb_handover *handover = &body.fb_body_u.handover;
   handover->shard = shard->id;
-  handover->epoch = shard->handed_epoch;
-  if (shard->handed_incarnations != NULL)
+  handover->epoch = shard->handover_epoch;
+  if (shard->handover_incarnations != NULL)
     {
-      handover->incarnations.incarnations_len = shard->handed_incarnations->len;
+      handover->incarnations.incarnations_len = shard->handover_incarnations->len;
       handover->incarnations.incarnations_val
-          = (u_quad_t *) (void *) shard->handed_incarnations->data;
+          = (u_quad_t *) (void *) shard->handover_incarnations->data;
     }
-  fb_node_send (self, (guint) shard->handed_to, &body);
+  fb_node_send (self, (guint) shard->successor, &body);
 }
 
 static void
 save_confirmed_incarnations (FbShard *shard)
 {
-  g_clear_pointer (&shard->handed_incarnations, g_array_unref);
+  g_clear_pointer (&shard->handover_incarnations, g_array_unref);
   if (shard->rack == NULL)
     return;
-  shard->handed_incarnations = g_array_new (FALSE, FALSE, sizeof (uint64_t));
+  shard->handover_incarnations = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   for (guint i = 0; i < fb_rack_worker_count (shard->rack); i++)
     {
       uint64_t incarnation = fb_rack_worker_confirmed_incarnation (shard->rack, i);
-      g_array_append_val (shard->handed_incarnations, incarnation);
+      g_array_append_val (shard->handover_incarnations, incarnation);
     }
 }
 
@@ -352,8 +353,8 @@
   fb_counter_add (FB_COUNTER_HANDOVERS, 1);
   fb_event_log (FB_EVENT_SHARD_HANDED_OVER, "shard=%u to=%s epoch=%" G_GUINT64_FORMAT, shard->id,
                 fb_members_name (self->members, (guint) to), shard->epoch);
-  shard->handed_to = to;
-  shard->handed_epoch = shard->epoch;
+  shard->successor = to;
+  shard->handover_epoch = shard->epoch;
   save_confirmed_incarnations (shard);
   fb_node_step_down (self, shard);
   send_handover (self, shard);
@@ -388,12 +389,12 @@
 static void
 tick_not_owned (FbNode *self, FbShard *shard, int preferred)
 {
-  if (shard->handed_to >= 0)
+  if (shard->successor >= 0)
     {
       /* Repeat the handover until the successor announces the shard. */
-      FbMemberState state = fb_members_state (self->members, (guint) shard->handed_to);
+      FbMemberState state = fb_members_state (self->members, (guint) shard->successor);
       if (state != FB_MEMBER_ALIVE)
-        shard->handed_to = -1;
+        shard->successor = -1;
       else
         {
           send_handover (self, shard);
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -18,9 +18,9 @@
 #define FRONT_TICK_MS 250
 #define CONFIG_TICK_MS 1000
 #define LOG_TICK_MS 250
-#define LOOPBACK_ROUNDS_MAX 1000000
-#define PAUSE_NOTICED_MS 1000
-#define HOST_LIST_FRESH_MS 1500
+#define LOOPBACK_MESSAGES_MAX 1000000
+#define SUSPENSION_MIN_MS 1000
+#define HOST_LIST_REFRESH_MS 1500
 
 FbShard *
 fb_node_shard (FbNode *self, uint32_t shard)
@@ -98,24 +98,24 @@
   g_autofree fb_summary *summaries = g_new0 (fb_summary, self->shard_n + 1);
   g_autofree fb_claim_notice *claims = g_new0 (fb_claim_notice, self->shard_n + 1);
   fb_body body = { .type = FB_MSG_HEARTBEAT };
-  fb_heartbeat *beat = &body.fb_body_u.heartbeat;
-  beat->clock_ms = self->now_ms;
-  beat->leaving = self->draining;
+  fb_heartbeat *heartbeat = &body.fb_body_u.heartbeat;
+  heartbeat->clock_ms = self->now_ms;
+  heartbeat->leaving = self->draining;
   for (guint p = 0; p < FB_PARTNER_N; p++)
-    beat->config_serial[p] = self->config[p].serial;
-  beat->summaries.summaries_val = summaries;
-  beat->claims.claims_val = claims;
+    heartbeat->config_serial[p] = self->config[p].serial;
+  heartbeat->summaries.summaries_val = summaries;
+  heartbeat->claims.claims_val = claims;
   char *name = (char *) fb_members_name (self->members, self->self_index);
   for (guint i = 0; i < self->shard_n; i++)
     {
       FbShard *shard = &self->shards[i];
       if (!fb_shard_is_owned (shard))
         continue;
-      claims[beat->claims.claims_len++]
+      claims[heartbeat->claims.claims_len++]
           = (fb_claim_notice){ shard->id, shard->epoch, name, self->incarnation };
       if (shard->rack == NULL)
         continue;
-      fb_summary *summary = &summaries[beat->summaries.summaries_len++];
+      fb_summary *summary = &summaries[heartbeat->summaries.summaries_len++];
       fb_rack_summary (shard->rack, summary);
       fb_router_note_summary (self->router, self->now_ms, summary);
     }
@@ -127,19 +127,19 @@
 }
 
 static void
-note_heartbeat (FbNode *self, guint member, const fb_msg *msg)
+handle_heartbeat (FbNode *self, guint member, const fb_msg *msg)
 {
-  const fb_heartbeat *beat = &msg->body.fb_body_u.heartbeat;
-  fb_members_note_heartbeat (self->members, self->now_ms, member, msg->from_incarnation,
-                             beat->leaving != 0);
-  self->links[member].peer_clock_ms = beat->clock_ms;
+  const fb_heartbeat *heartbeat = &msg->body.fb_body_u.heartbeat;
+  fb_members_record_heartbeat (self->members, self->now_ms, member, msg->from_incarnation,
+                               heartbeat->leaving != 0);
+  self->links[member].peer_clock_ms = heartbeat->clock_ms;
   self->links[member].heartbeat_ms = self->now_ms;
   for (guint p = 0; p < FB_PARTNER_N; p++)
-    self->links[member].config_serial[p] = beat->config_serial[p];
-  for (guint i = 0; i < beat->claims.claims_len; i++)
-    fb_node_note_claim (self, member, &beat->claims.claims_val[i]);
-  for (guint i = 0; i < beat->summaries.summaries_len; i++)
-    fb_router_note_summary (self->router, self->now_ms, &beat->summaries.summaries_val[i]);
+    self->links[member].config_serial[p] = heartbeat->config_serial[p];
+  for (guint i = 0; i < heartbeat->claims.claims_len; i++)
+    fb_node_handle_claim (self, member, &heartbeat->claims.claims_val[i]);
+  for (guint i = 0; i < heartbeat->summaries.summaries_len; i++)
+    fb_router_note_summary (self->router, self->now_ms, &heartbeat->summaries.summaries_val[i]);
 }
 
 /* ---- messages --------------------------------------------------------- */
@@ -169,16 +169,16 @@
   switch (msg->body.type)
     {
     case FB_MSG_HEARTBEAT:
-      note_heartbeat (self, member, msg);
+      handle_heartbeat (self, member, msg);
       break;
     case FB_MSG_HANDOVER:
-      fb_node_note_handover (self, &msg->body.fb_body_u.handover);
+      fb_node_handle_handover (self, &msg->body.fb_body_u.handover);
       break;
     case FB_MSG_CONFIG_PULL:
       fb_node_config_pull (self, from, &msg->body.fb_body_u.pull);
       break;
     case FB_MSG_CONFIG_RECORD:
-      fb_node_config_offer (self, &msg->body.fb_body_u.config);
+      fb_node_config_receive (self, &msg->body.fb_body_u.config);
       break;
     case FB_MSG_ANSWER:
       fb_node_front_answer (self, &msg->body.fb_body_u.answer);
@@ -243,8 +243,8 @@
   const void *data = g_bytes_get_data (bytes, &len);
   if (fb_codec_decode_record (data, len, &record))
     {
-      static const FbRecordPosition nowhere;
-      fb_range_apply (self->local, self->now_ms, &record.body, &nowhere);
+      static const FbRecordPosition no_position;
+      fb_range_apply (self->local, self->now_ms, &record.body, &no_position);
       fb_codec_clear_record (&record);
     }
   g_bytes_unref (bytes);
@@ -254,9 +254,9 @@
 static void
 flush (FbNode *self)
 {
-  for (guint i = 0; i < LOOPBACK_ROUNDS_MAX && deliver_one (self); i++)
+  for (guint i = 0; i < LOOPBACK_MESSAGES_MAX && deliver_one (self); i++)
     ;
-  fb_node_reap (self);
+  fb_node_free_lost_shards (self);
   fb_range_flush (self->local, self->now_ms);
   for (guint i = 0; i < self->shard_n; i++)
     {
@@ -279,7 +279,7 @@
   do
     {
       flush (self);
-      fb_node_reap (self);
+      fb_node_free_lost_shards (self);
     }
   while (!g_queue_is_empty (&self->loopback) || !g_queue_is_empty (&self->local_records));
   fb_node_flush_log (self);
@@ -344,12 +344,12 @@
  * host that began to leave in the meantime. Guard: after a gap, nothing starts until the
  * host list has been read again. */
 static void
-pause_starts (FbNode *self)
+delay_starts_after_suspension (FbNode *self)
 {
   for (guint i = 0; i < self->shard_n; i++)
     {
       if (self->shards[i].rack != NULL)
-        fb_rack_pause_starts (self->shards[i].rack, self->now_ms + HOST_LIST_FRESH_MS);
+        fb_rack_pause_starts (self->shards[i].rack, self->now_ms + HOST_LIST_REFRESH_MS);
     }
 }
 
@@ -359,8 +359,8 @@
   uint64_t gap_ms = now_ms - MIN (now_ms, self->advanced_ms);
   self->advanced_ms = now_ms;
   fb_node_enter (self, now_ms);
-  if (gap_ms >= PAUSE_NOTICED_MS)
-    pause_starts (self);
+  if (gap_ms >= SUSPENSION_MIN_MS)
+    delay_starts_after_suspension (self);
   fb_timer_advance (self->timer, self->now_ms);
   fb_node_leave (self);
 }
@@ -415,7 +415,7 @@
 apply_host_state (FbNode *self, FbRack *rack, guint worker, FbHostState state)
 {
   const FbPolicy *home = self->config[fb_cell_rack (self->cell, fb_rack_id (rack))->partner].policy;
-  if (state == FB_HOST_LIVE && fb_policy_drains (home, fb_rack_worker_name (rack, worker)))
+  if (state == FB_HOST_LIVE && fb_policy_is_drained (home, fb_rack_worker_name (rack, worker)))
     state = FB_HOST_LEAVING;
   fb_rack_set_leaving (rack, self->now_ms, worker, state != FB_HOST_LIVE);
   if (state == FB_HOST_GONE)
@@ -460,7 +460,7 @@
       shard->is_rack = fb_cell_is_rack (self->cell, i);
       shard->partner = fb_cell_shard_partner (self->cell, i);
       shard->owner = -1;
-      shard->handed_to = -1;
+      shard->successor = -1;
       if (!shard->is_rack)
         continue;
       const FbCellRack *rack = fb_cell_rack (self->cell, i);
@@ -516,7 +516,7 @@
   g_queue_init (&self->pending);
   for (guint p = 0; p < FB_PARTNER_N; p++)
     self->config[p].policy = fb_policy_new_default (p);
-  self->callers = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, fb_caller_free);
+  self->submissions = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, fb_submission_free);
   subscribe (self);
   return self;
 }
@@ -529,7 +529,7 @@
       g_clear_pointer (&self->shards[i].rack, fb_rack_free);
       g_clear_pointer (&self->shards[i].range, fb_range_free);
       g_clear_pointer (&self->shards[i].stream, fb_stream_free);
-      g_clear_pointer (&self->shards[i].handed_incarnations, g_array_unref);
+      g_clear_pointer (&self->shards[i].handover_incarnations, g_array_unref);
     }
   for (guint i = 0; i < self->cell->racks->len; i++)
     {
@@ -558,7 +558,7 @@
   g_queue_clear_full (&self->loopback, (GDestroyNotify) g_bytes_unref);
   g_queue_clear_full (&self->local_records, (GDestroyNotify) g_bytes_unref);
   fb_node_config_clear (self);
-  g_hash_table_destroy (self->callers);
+  g_hash_table_destroy (self->submissions);
   fb_router_free (self->router);
   fb_members_free (self->members);
   fb_timer_free (self->timer);
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -23,7 +23,7 @@
 #include "fb-counter.h"
 #include "fb-event.h"
 
-#define WAITING_SEEN_MAX 64
+#define WAITING_EXAMINED_MAX 64
 
 static gboolean
 may_stop (const FbRack *self, const FbTask *victim, const FbTask *for_task)
@@ -51,8 +51,8 @@
  * that SPACE is free or being freed; NULL if there are not enough. *LOSS_MS is the run
  * time lost. */
 static GPtrArray *
-find_victims (const FbRack *self, const FbWorker *w, const fb_res *space, const FbTask *for_task,
-              uint64_t now_ms, uint64_t *loss_ms)
+find_victims (const FbRack *self, const FbWorker *w, const fb_res *available,
+              const FbTask *for_task, uint64_t now_ms, uint64_t *loss_ms)
 {
   g_autoptr (GPtrArray) candidates = g_ptr_array_new ();
   for (guint i = 0; i < w->tasks->len; i++)
@@ -63,35 +63,35 @@
     }
   g_ptr_array_sort (candidates, compare_youngest);
   GPtrArray *victims = g_ptr_array_new ();
-  fb_res room = *space;
+  fb_res freed = *available;
   *loss_ms = 0;
   for (guint i = 0; i < candidates->len; i++)
     {
       FbTask *task = g_ptr_array_index (candidates, i);
-      if (fb_res_fits (&for_task->spec.demand, &room))
+      if (fb_res_fits (&for_task->spec.demand, &freed))
         break;
       g_ptr_array_add (victims, task);
-      fb_res_add (&room, &task->charge);
+      fb_res_add (&freed, &task->charge);
       if (!(task->spec.flags & FB_FLAG_CHECKPOINT))
         *loss_ms += now_ms - task->started_ms;
     }
-  if (fb_res_fits (&for_task->spec.demand, &room))
+  if (fb_res_fits (&for_task->spec.demand, &freed))
     return victims;
   g_ptr_array_free (victims, TRUE);
   return NULL;
 }
 
 static fb_res
-upcoming_space (const FbWorker *w)
+upcoming_capacity (const FbWorker *w)
 {
-  fb_res space = fb_worker_free_space (w);
+  fb_res available = fb_worker_free_capacity (w);
   for (guint i = 0; i < w->tasks->len; i++)
     {
       const FbTask *task = g_ptr_array_index (w->tasks, i);
       if (task->state == FB_TASK_STOPPING)
-        fb_res_add (&space, &task->charge);
+        fb_res_add (&available, &task->charge);
     }
-  return space;
+  return available;
 }
 
 static void
@@ -115,7 +115,7 @@
 /* Chooses a worker for TASK and preempts what has to give way there. SPACES has, for each
  * worker, the capacity that is free or being freed and not yet assigned in this pass. */
 static void
-make_room (FbRack *self, uint64_t now_ms, const FbTask *task, fb_res *spaces)
+preempt_for_task (FbRack *self, uint64_t now_ms, const FbTask *task, fb_res *available)
 {
   guint best = FB_NO_WORKER;
   uint64_t best_loss_ms = G_MAXUINT64;
@@ -127,7 +127,7 @@
           || !fb_res_fits (&task->spec.demand, &w->capacity))
         continue;
       uint64_t loss_ms = 0;
-      GPtrArray *victims = find_victims (self, w, &spaces[i], task, now_ms, &loss_ms);
+      GPtrArray *victims = find_victims (self, w, &available[i], task, now_ms, &loss_ms);
       if (victims == NULL)
         continue;
       if (loss_ms < best_loss_ms)
@@ -144,8 +144,8 @@
     return;
   stop_victims (self, best_victims, task);
   for (guint i = 0; i < best_victims->len; i++)
-    fb_res_add (&spaces[best], &((FbTask *) g_ptr_array_index (best_victims, i))->charge);
-  fb_res_sub (&spaces[best], &task->spec.demand);
+    fb_res_add (&available[best], &((FbTask *) g_ptr_array_index (best_victims, i))->charge);
+  fb_res_sub (&available[best], &task->spec.demand);
   if (task->spec.partner == self->home)
     fb_rack_worker (self, best)->urgent_only = TRUE;
 }
@@ -163,18 +163,18 @@
 {
   if (!may_preempt (self, partner, kind))
     return;
-  g_autofree fb_res *spaces = g_new (fb_res, self->workers->len);
+  g_autofree fb_res *available = g_new (fb_res, self->workers->len);
   for (guint i = 0; i < self->workers->len; i++)
-    spaces[i] = upcoming_space (fb_rack_worker (self, i));
-  guint seen = 0;
+    available[i] = upcoming_capacity (fb_rack_worker (self, i));
+  guint examined = 0;
   const GPtrArray *queues = fb_task_queues_of (self->queues, partner, kind);
-  for (guint l = 0; l < queues->len && seen < WAITING_SEEN_MAX; l++)
+  for (guint l = 0; l < queues->len && examined < WAITING_EXAMINED_MAX; l++)
     {
       FbTaskQueue *queue = g_ptr_array_index (queues, l);
       GSequenceIter *iter = g_sequence_get_begin_iter (queue->tasks);
-      while (!g_sequence_iter_is_end (iter) && seen++ < WAITING_SEEN_MAX)
+      while (!g_sequence_iter_is_end (iter) && examined++ < WAITING_EXAMINED_MAX)
         {
-          make_room (self, now_ms, g_sequence_get (iter), spaces);
+          preempt_for_task (self, now_ms, g_sequence_get (iter), available);
           iter = g_sequence_iter_next (iter);
         }
     }
--- a/src/core/rack-commands.c
+++ b/src/core/rack-commands.c
@@ -11,7 +11,7 @@
 #include "fb-counter.h"
 #include "fb-event.h"
 
-#define GUEST_QUEUE_MAX 4
+#define BORROWER_QUEUE_MAX 4
 
 static gboolean
 fits_some_worker (const FbRack *self, const fb_res *demand)
@@ -66,14 +66,14 @@
   const FbTeam *team = fb_teams_get (self->policy.teams, spec->partner, spec->team);
   if (!fits_quota (&spec->demand, &team->quota_slice))
     return FB_REASON_QUOTA;
-  gboolean guest = spec->partner != self->home;
-  if (guest && (self->policy.lend_milli == 0 || !(spec->flags & FB_FLAG_PREEMPTIBLE)))
+  gboolean borrower = spec->partner != self->home;
+  if (borrower && (self->policy.lend_milli == 0 || !(spec->flags & FB_FLAG_PREEMPTIBLE)))
     return FB_REASON_NOT_LENT;
   /* Work of the other partner is sent here because capacity was free; a few tasks may
    * queue if it was taken meanwhile, but not more. */
-  if (guest
+  if (borrower
       && fb_task_queues_count_of (self->queues, spec->partner, (FbKind) spec->kind)
-             >= GUEST_QUEUE_MAX)
+             >= BORROWER_QUEUE_MAX)
     return FB_REASON_QUEUE_FULL;
   /* The limit is for each partner and kind, so that a flood of one fills only its own
    * queue. */
@@ -197,7 +197,7 @@
     return;
   if (task->sent_seq == 0)
     {
-      fb_rack_forget (self, task);
+      fb_rack_remove_task (self, task);
       return;
     }
   /* The worker may still list the end; the rack forgets it only once the worker does not,
--- a/src/core/rack-query.c
+++ b/src/core/rack-query.c
@@ -16,7 +16,7 @@
       const FbWorker *w = fb_rack_worker (self, i);
       if (!fb_worker_takes_work (w) || w->quarantined)
         continue;
-      fb_res free = fb_worker_free_space (w);
+      fb_res free = fb_worker_free_capacity (w);
       fb_res_add (&summary->free, &free);
       for (guint r = 0; r < FB_RES_N; r++)
         summary->largest.amount[r] = MAX (summary->largest.amount[r], free.amount[r]);
@@ -99,7 +99,7 @@
   for (guint i = 0; i < self->workers->len; i++)
     {
       const FbWorker *w = fb_rack_worker (self, i);
-      fb_res free = fb_worker_free_space (w);
+      fb_res free = fb_worker_free_capacity (w);
       fits = fits || (fb_worker_takes_work (w) && fb_res_fits (&task->spec.demand, &free));
     }
   if (!fits)
--- a/src/core/rack-sync.c
+++ b/src/core/rack-sync.c
@@ -137,7 +137,7 @@
 }
 
 static void
-note_live (FbRack *self, uint64_t now_ms, guint index, const FbSyncRun *run)
+handle_live_run (FbRack *self, uint64_t now_ms, guint index, const FbSyncRun *run)
 {
   FbTask *task = fb_rack_find (self, &run->spec.run);
   if (task == NULL)
@@ -168,7 +168,7 @@
 }
 
 static void
-note_ended (FbRack *self, uint64_t now_ms, guint index, const FbSyncRun *run)
+handle_ended_run (FbRack *self, uint64_t now_ms, guint index, const FbSyncRun *run)
 {
   FbWorker *w = fb_rack_worker (self, index);
   FbTask *task = fb_rack_find (self, &run->spec.run);
@@ -179,7 +179,7 @@
     }
   if (task->state == FB_TASK_ENDED)
     return;
-  fb_worker_health_note_end (self, now_ms, index, task, run->run_status);
+  fb_worker_health_record_end (self, now_ms, index, task, run->run_status);
   fb_rack_end_task (self, now_ms, task, run->run_status, end_reason (task, run->run_status),
                     run->answer, run->answer_len);
 }
@@ -189,8 +189,8 @@
  * first reply would report "not run" for a run that executes. Guard: a refusal counts
  * only if no later request, which may have contained the start, was sent. */
 static void
-note_refused (FbRack *self, uint64_t now_ms, guint index, const FbSyncReply *reply,
-              const FbSyncRun *run)
+handle_refused_start (FbRack *self, uint64_t now_ms, guint index, const FbSyncReply *reply,
+                      const FbSyncRun *run)
 {
   if (reply->seq != fb_rack_worker (self, index)->sent_seq)
     return;
@@ -241,7 +241,7 @@
 
 /* Forgets acknowledged ends that the worker does not list any more. */
 static void
-forget_acked (FbRack *self, const FbSyncReply *reply, guint index)
+remove_acked_tasks (FbRack *self, const FbSyncReply *reply, guint index)
 {
   GList *link = self->ended.head;
   while (link != NULL)
@@ -249,7 +249,7 @@
       GList *next = link->next;
       FbTask *task = link->data;
       if (task->acked && task->last_worker == index && !reply_lists (reply, &task->spec.run))
-        fb_rack_forget (self, task);
+        fb_rack_remove_task (self, task);
       link = next;
     }
 }
@@ -288,14 +288,14 @@
     {
       const FbSyncRun *run = &reply->runs[i];
       if (run->state == FB_SYNC_LIVE)
-        note_live (self, now_ms, worker, run);
+        handle_live_run (self, now_ms, worker, run);
       else if (run->state == FB_SYNC_ENDED)
-        note_ended (self, now_ms, worker, run);
+        handle_ended_run (self, now_ms, worker, run);
       else
-        note_refused (self, now_ms, worker, reply, run);
+        handle_refused_start (self, now_ms, worker, reply, run);
     }
   end_unlisted (self, now_ms, worker, reply, restarted);
-  forget_acked (self, reply, worker);
+  remove_acked_tasks (self, reply, worker);
   stop_if_over_memory (self, worker);
   self->wants_schedule = TRUE;
 }
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -203,7 +203,7 @@
 }
 
 void
-fb_rack_forget (FbRack *self, FbTask *task)
+fb_rack_remove_task (FbRack *self, FbTask *task)
 {
   g_queue_remove (&self->ended, task);
   g_hash_table_remove (self->tasks, &task->spec.run);
--- a/src/core/range-apply.c
+++ b/src/core/range-apply.c
@@ -8,7 +8,7 @@
 #include "fb-event.h"
 
 static void
-note_written (FbJob *job, uint64_t now_ms, const FbRecordPosition *position)
+record_written (FbJob *job, uint64_t now_ms, const FbRecordPosition *position)
 {
   job->written_ms = now_ms - MIN (now_ms, position->age_ms);
   job->written_offset = position->offset;
@@ -46,7 +46,7 @@
   if (job->admitted)
     return;
   job->admitted = TRUE;
-  note_written (job, now_ms, position);
+  record_written (job, now_ms, position);
   for (guint i = 0; i < job->task_n; i++)
     fb_range_set_timer (self, &job->tasks[i], now_ms);
   fb_event_log (FB_EVENT_JOB_ADMITTED, "job=%016" G_GINT64_MODIFIER "x kind=%s tasks=%u range=%u",
@@ -139,8 +139,8 @@
     }
   if (self->active && record->rack != FB_NO_RACK && record->outcome != FB_OUTCOME_UNKNOWN)
     {
-      fb_report about = { .run = fb_job_run (job, task), .rack = task->rack };
-      fb_range_send_ack (self, &about);
+      fb_report ended = { .run = fb_job_run (job, task), .rack = task->rack };
+      fb_range_send_ack (self, &ended);
     }
 }
 
@@ -192,7 +192,7 @@
   FbJob *job = fb_range_find (self, state->admit.job.id);
   if (job != NULL && job->admitted)
     {
-      note_written (job, now_ms, position);
+      record_written (job, now_ms, position);
       return;
     }
   apply_admit (self, now_ms, &state->admit, position->age_ms + state->age_ms, position);
--- a/src/core/range-report.c
+++ b/src/core/range-report.c
@@ -25,7 +25,7 @@
 }
 
 static void
-note_started (FbRange *self, uint64_t now_ms, FbJobTask *task)
+handle_started (FbRange *self, uint64_t now_ms, FbJobTask *task)
 {
   FbJob *job = task->job;
   if (task->state == FB_JOB_TASK_RUNNING)
@@ -40,7 +40,7 @@
 }
 
 static void
-note_reserved (FbRange *self, uint64_t now_ms, FbJobTask *task)
+handle_reserved (FbRange *self, uint64_t now_ms, FbJobTask *task)
 {
   FbJob *job = task->job;
   if (task->state != FB_JOB_TASK_PLACED && task->state != FB_JOB_TASK_RESERVED)
@@ -57,7 +57,7 @@
 }
 
 static void
-note_queued (FbRange *self, uint64_t now_ms, FbJobTask *task)
+handle_queued (FbRange *self, uint64_t now_ms, FbJobTask *task)
 {
   FbJob *job = task->job;
   if (fb_job_is_gang (job))
@@ -76,7 +76,7 @@
 }
 
 static void
-note_not_run (FbRange *self, uint64_t now_ms, FbJobTask *task, FbReason reason)
+handle_not_run (FbRange *self, uint64_t now_ms, FbJobTask *task, FbReason reason)
 {
   FbJob *job = task->job;
   if (reason == FB_REASON_PAST_DUE || job->due_ms <= now_ms)
@@ -97,7 +97,7 @@
 }
 
 static void
-note_stopped (FbRange *self, uint64_t now_ms, FbJobTask *task, FbReason reason)
+handle_stopped (FbRange *self, uint64_t now_ms, FbJobTask *task, FbReason reason)
 {
   FbJob *job = task->job;
   if ((job->spec.flags & FB_FLAG_AT_MOST_ONCE) || job->cancelled)
@@ -116,11 +116,11 @@
 
 /* Handles a run that may have run and cannot be running any more. */
 static void
-note_lost (FbRange *self, uint64_t now_ms, FbJobTask *task)
+handle_lost (FbRange *self, uint64_t now_ms, FbJobTask *task)
 {
   FbJob *job = task->job;
-  gboolean used_up = !fb_job_is_service (job) && task->lost_count >= FB_RANGE_LOST_RETRIES;
-  if ((job->spec.flags & FB_FLAG_AT_MOST_ONCE) || used_up)
+  gboolean retries_used = !fb_job_is_service (job) && task->lost_count >= FB_RANGE_LOST_RETRIES;
+  if ((job->spec.flags & FB_FLAG_AT_MOST_ONCE) || retries_used)
     {
       fb_range_end_task (self, task, FB_OUTCOME_UNKNOWN, FB_REASON_WORKER_LOST, NULL, 0);
       if (fb_job_is_gang (job))
@@ -142,19 +142,19 @@
  * successor of the range, the same epoch does not prove that repeatable work has not run:
  * its predecessor may have acknowledged an end that it did not write to the log. */
 static void
-note_not_found (FbRange *self, uint64_t now_ms, FbJobTask *task, const fb_report *report)
+handle_not_found (FbRange *self, uint64_t now_ms, FbJobTask *task, const fb_report *report)
 {
   if (report->rack_epoch < task->rack_epoch)
     return;
-  gboolean once = (task->job->spec.flags & FB_FLAG_AT_MOST_ONCE) != 0;
-  if (report->rack_epoch == task->rack_epoch && (once || !task->recovered))
-    note_not_run (self, now_ms, task, FB_REASON_NONE);
+  gboolean at_most_once = (task->job->spec.flags & FB_FLAG_AT_MOST_ONCE) != 0;
+  if (report->rack_epoch == task->rack_epoch && (at_most_once || !task->recovered))
+    handle_not_run (self, now_ms, task, FB_REASON_NONE);
   else
-    note_lost (self, now_ms, task);
+    handle_lost (self, now_ms, task);
 }
 
 static void
-note_completed (FbRange *self, uint64_t now_ms, FbJobTask *task, const fb_report *report)
+handle_completed (FbRange *self, uint64_t now_ms, FbJobTask *task, const fb_report *report)
 {
   FbJob *job = task->job;
   if (fb_job_is_service (job) && !job->cancelled && task->index < job->spec.count)
@@ -170,7 +170,7 @@
 }
 
 static void
-note_failed (FbRange *self, uint64_t now_ms, FbJobTask *task, const fb_report *report)
+handle_failed (FbRange *self, uint64_t now_ms, FbJobTask *task, const fb_report *report)
 {
   FbJob *job = task->job;
   gboolean service = fb_job_is_service (job);
@@ -191,37 +191,37 @@
 }
 
 static void
-note_live_task (FbRange *self, uint64_t now_ms, FbJobTask *task, const fb_report *report)
+handle_live_task (FbRange *self, uint64_t now_ms, FbJobTask *task, const fb_report *report)
 {
   switch ((FbRunStatus) report->run_status)
     {
     case FB_RUN_STATUS_QUEUED:
-      note_queued (self, now_ms, task);
+      handle_queued (self, now_ms, task);
       break;
     case FB_RUN_STATUS_RESERVED:
-      note_reserved (self, now_ms, task);
+      handle_reserved (self, now_ms, task);
       break;
     case FB_RUN_STATUS_STARTED:
-      note_started (self, now_ms, task);
+      handle_started (self, now_ms, task);
       break;
     case FB_RUN_STATUS_REFUSED:
     case FB_RUN_STATUS_NOT_RUN:
-      note_not_run (self, now_ms, task, (FbReason) report->reason);
+      handle_not_run (self, now_ms, task, (FbReason) report->reason);
       break;
     case FB_RUN_STATUS_COMPLETED:
-      note_completed (self, now_ms, task, report);
+      handle_completed (self, now_ms, task, report);
       break;
     case FB_RUN_STATUS_FAILED:
-      note_failed (self, now_ms, task, report);
+      handle_failed (self, now_ms, task, report);
       break;
     case FB_RUN_STATUS_STOPPED:
-      note_stopped (self, now_ms, task, (FbReason) report->reason);
+      handle_stopped (self, now_ms, task, (FbReason) report->reason);
       break;
     case FB_RUN_STATUS_LOST:
-      note_lost (self, now_ms, task);
+      handle_lost (self, now_ms, task);
       break;
     case FB_RUN_STATUS_NOT_FOUND:
-      note_not_found (self, now_ms, task, report);
+      handle_not_found (self, now_ms, task, report);
       break;
     case FB_RUN_STATUS_UNDETERMINED:
       break;
@@ -231,7 +231,7 @@
 /* Returns: TRUE and sets *OUTCOME if REPORT determines the outcome of a task that was
  * unknown. */
 static gboolean
-improves_unknown (const FbJobTask *task, const fb_report *report, FbOutcome *outcome)
+resolves_unknown (const FbJobTask *task, const fb_report *report, FbOutcome *outcome)
 {
   if (task->state != FB_JOB_TASK_DONE || task->outcome != FB_OUTCOME_UNKNOWN)
     return FALSE;
@@ -277,13 +277,13 @@
   gboolean current = task->attempt == report->run.attempt;
   gboolean live = task->state == FB_JOB_TASK_PLACED || task->state == FB_JOB_TASK_RESERVED
                   || task->state == FB_JOB_TASK_RUNNING;
-  FbOutcome better;
+  FbOutcome resolved;
   if (current && live)
-    note_live_task (self, now_ms, task, report);
-  else if (current && improves_unknown (task, report, &better))
+    handle_live_task (self, now_ms, task, report);
+  else if (current && resolves_unknown (task, report, &resolved))
     {
       task->rack = report->rack;
-      fb_range_end_task (self, task, better, (FbReason) report->reason, report->answer.answer_val,
+      fb_range_end_task (self, task, resolved, (FbReason) report->reason, report->answer.answer_val,
                          report->answer.answer_len);
       return;
     }
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -10,7 +10,7 @@
 #define CANCEL_CHUNK 256
 #define BACKOFF_FIRST_MS 100
 #define BACKOFF_MAX_MS 5000
-#define FORGET_CHUNK 64
+#define REMOVE_CHUNK 64
 #define GANG_RETRY_MS 1500
 #define ATTEMPTS_PER_CLAIM_BITS 8
 
@@ -91,7 +91,7 @@
 /* ---- answers ---------------------------------------------------------- */
 
 void
-fb_range_answer_one (FbRange *self, uint64_t now_ms, const FbJob *job, const char *front)
+fb_range_send_answer (FbRange *self, uint64_t now_ms, const FbJob *job, const char *front)
 {
   gsize len = 0;
   const char *data = job->body != NULL ? g_bytes_get_data (job->body, &len) : NULL;
@@ -113,13 +113,13 @@
   if (!self->active)
     return;
   for (guint i = 0; i < job->fronts->len; i++)
-    fb_range_answer_one (self, now_ms, job, g_ptr_array_index (job->fronts, i));
+    fb_range_send_answer (self, now_ms, job, g_ptr_array_index (job->fronts, i));
   if (fb_job_is_final (job))
     g_ptr_array_set_size (job->fronts, 0);
 }
 
 static void
-answer_plain (FbRange *self, uint64_t job, FbOutcome outcome, FbReason reason, uint32_t copy,
+send_outcome (FbRange *self, uint64_t job, FbOutcome outcome, FbReason reason, uint32_t copy,
               const char *front)
 {
   fb_answer answer = { .refused_copy = copy, .job = job, .outcome = outcome, .reason = reason };
@@ -131,9 +131,9 @@
 answer_unknown_job (FbRange *self, uint64_t now_ms, uint64_t job, const char *front)
 {
   if (now_ms < self->history_gap_until_ms)
-    answer_plain (self, job, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, front);
+    send_outcome (self, job, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, front);
   else
-    answer_plain (self, job, FB_OUTCOME_NO_SUCH_JOB, FB_REASON_NONE, 0, front);
+    send_outcome (self, job, FB_OUTCOME_NO_SUCH_JOB, FB_REASON_NONE, 0, front);
 }
 
 static void
@@ -150,7 +150,7 @@
 /* ---- commands --------------------------------------------------------- */
 
 static gboolean
-same_work (const fb_job *a, const fb_job *b)
+same_job (const fb_job *a, const fb_job *b)
 {
   return a->partner == b->partner && a->team == b->team && a->kind == b->kind
          && a->count == b->count && a->payload.payload_len == b->payload.payload_len
@@ -185,7 +185,7 @@
   if (fb_job_is_service (job))
     {
       gboolean changed
-          = job->cancelled || !same_work (&job->spec, spec) || job->spec.flags != spec->flags;
+          = job->cancelled || !same_job (&job->spec, spec) || job->spec.flags != spec->flags;
       if (changed && self->log_ok)
         {
           job->changing = TRUE;
@@ -195,19 +195,19 @@
         }
       return;
     }
-  if (!same_work (&job->spec, spec))
+  if (!same_job (&job->spec, spec))
     {
-      answer_plain (self, spec->id, FB_OUTCOME_NOT_RUN, FB_REASON_KEY_MISMATCH, copy, front);
+      send_outcome (self, spec->id, FB_OUTCOME_NOT_RUN, FB_REASON_KEY_MISMATCH, copy, front);
       return;
     }
   if (fb_job_is_final (job))
     {
-      fb_range_answer_one (self, now_ms, job, front);
+      fb_range_send_answer (self, now_ms, job, front);
       return;
     }
   add_front (job, front);
   if (job->admitted)
-    fb_range_answer_one (self, now_ms, job, front);
+    fb_range_send_answer (self, now_ms, job, front);
 }
 
 /* Failure: a job is forgotten together with its attempts and admitted again, and a late
@@ -248,7 +248,7 @@
     }
   if (now_ms < self->history_gap_until_ms && (spec->flags & FB_FLAG_AT_MOST_ONCE))
     {
-      answer_plain (self, spec->id, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, front);
+      send_outcome (self, spec->id, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, front);
       return;
     }
   FbReason refusal = refusal_of (self, spec);
@@ -257,7 +257,7 @@
       FbOutcome outcome = refusal_outcome (spec, refusal);
       fb_event_log (FB_EVENT_JOB_ENDED, "job=%016" G_GINT64_MODIFIER "x outcome=%s reason=%s",
                     spec->id, fb_outcome_name (outcome), fb_reason_name (refusal));
-      answer_plain (self, spec->id, outcome, refusal, copy, front);
+      send_outcome (self, spec->id, outcome, refusal, copy, front);
       return;
     }
   job = fb_job_new (now_ms, spec);
@@ -284,7 +284,7 @@
   if (job == NULL || job->spec.partner != command->partner)
     answer_unknown_job (self, now_ms, command->job, front);
   else if (job->admitted)
-    fb_range_answer_one (self, now_ms, job, front);
+    fb_range_send_answer (self, now_ms, job, front);
 }
 
 void
@@ -307,7 +307,7 @@
     }
   /* An answer would tell the caller that the job has been admitted. */
   if (job->admitted)
-    fb_range_answer_one (self, now_ms, job, front);
+    fb_range_send_answer (self, now_ms, job, front);
 }
 
 void
@@ -475,10 +475,10 @@
 }
 
 static void
-forget_expired_jobs (FbRange *self, uint64_t now_ms)
+remove_expired_jobs (FbRange *self, uint64_t now_ms)
 {
   const uint64_t keep_ms = self->durable ? FB_RANGE_KEEP_MS : 2 * FB_RANGE_DUE_GRACE_MS;
-  for (guint i = 0; i < FORGET_CHUNK; i++)
+  for (guint i = 0; i < REMOVE_CHUNK; i++)
     {
       FbJob *job = g_queue_peek_head (&self->ended);
       if (job == NULL || now_ms - job->ended_ms < keep_ms)
@@ -537,5 +537,5 @@
   if (self->surveyed == NULL)
     fb_range_dispatch (self, now_ms);
   cancel_next_tasks (self, now_ms);
-  forget_expired_jobs (self, now_ms);
+  remove_expired_jobs (self, now_ms);
 }
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -35,9 +35,9 @@
 #define REFUSED_WAIT_MS 500
 #define QUEUE_SOFT_MAX 32
 #define SAMPLE_N 48
-#define COST_GUEST 1000000
+#define COST_BORROWED 1000000
 #define COST_QUEUE 100000
-#define COST_QUEUE_GANG (2 * COST_GUEST)
+#define COST_QUEUE_GANG (2 * COST_BORROWED)
 #define COST_SPREAD_RACK 20000
 #define COST_SPREAD_DOMAIN 4000
 #define COST_ACCEL_UNUSED 2000
@@ -115,7 +115,7 @@
 }
 
 void
-fb_router_forget (FbRouter *self, uint32_t rack)
+fb_router_disable_rack (FbRouter *self, uint32_t rack)
 {
   if (rack < self->racks->len)
     rack_at (self, rack)->usable = FALSE;
@@ -185,7 +185,7 @@
   fb_res_add (&used, &rack->debit);
   uint64_t cost = fb_res_dominant_milli (&used, &rack->info.total);
   if (rack->info.partner != request->spec->partner)
-    cost += COST_GUEST;
+    cost += COST_BORROWED;
   if (!fits_now (rack, demand))
     cost += (request->spec->kind == FB_KIND_GANG ? COST_QUEUE_GANG : COST_QUEUE)
             + (uint64_t) queue_length_at (rack, request->spec) * 1000;
@@ -217,8 +217,8 @@
 }
 
 static gboolean
-choose_two (FbRouter *self, const FbRouteRequest *request, const GArray *candidates,
-            FbRouteChoice *choice)
+choose_two_choices (FbRouter *self, const FbRouteRequest *request, const GArray *candidates,
+                    FbRouteChoice *choice)
 {
   uint32_t a = pick (self, candidates);
   uint32_t b = pick (self, candidates);
@@ -252,7 +252,7 @@
 }
 
 const FbRoutePolicy fb_route_random = { "random", choose_random };
-const FbRoutePolicy fb_route_two_choices = { "two-choices", choose_two };
+const FbRoutePolicy fb_route_two_choices = { "two-choices", choose_two_choices };
 const FbRoutePolicy fb_route_best_known = { "best-known", choose_best };
 
 static void
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -43,7 +43,7 @@
     return FALSE;
   if (w->urgent_only && (task->spec.kind != FB_KIND_URGENT || task->spec.partner != self->home))
     return FALSE;
-  fb_res free = fb_worker_free_space (w);
+  fb_res free = fb_worker_free_capacity (w);
   return fb_res_fits (&task->spec.demand, &free) && fb_worker_health_allows (self, now_ms, w, task);
 }
 
@@ -76,7 +76,7 @@
       if (!may_take (self, now_ms, i, task))
         continue;
       const FbWorker *w = fb_rack_worker (self, i);
-      fb_res free = fb_worker_free_space (w);
+      fb_res free = fb_worker_free_capacity (w);
       FbPlaceCandidate candidate = { &w->capacity, &free, &task->spec.demand, i, guard_milli };
       int64_t cost = policy->cost (&candidate);
       if (cost < 0)
@@ -95,21 +95,21 @@
 }
 
 static gboolean
-within_shares (const FbRack *self, const FbTask *task)
+within_limits (const FbRack *self, const FbTask *task)
 {
   const FbTeam *team = fb_teams_get (self->policy.teams, task->spec.partner, task->spec.team);
-  fb_res team_then = *fb_rack_team_used (self, task->spec.partner, task->spec.team);
-  fb_res_add (&team_then, &task->spec.demand);
+  fb_res team_after = *fb_rack_team_used (self, task->spec.partner, task->spec.team);
+  fb_res_add (&team_after, &task->spec.demand);
   for (guint i = 0; i < FB_RES_N; i++)
     {
-      if (team->quota_slice.amount[i] > 0 && team_then.amount[i] > team->quota_slice.amount[i])
+      if (team->quota_slice.amount[i] > 0 && team_after.amount[i] > team->quota_slice.amount[i])
         return FALSE;
     }
   if (task->spec.partner == self->home)
     return TRUE;
-  fb_res partner_then = self->partner_used[task->spec.partner];
-  fb_res_add (&partner_then, &task->spec.demand);
-  return fb_res_dominant_milli (&partner_then, &self->total) <= self->policy.lend_milli;
+  fb_res partner_after = self->partner_used[task->spec.partner];
+  fb_res_add (&partner_after, &task->spec.demand);
+  return fb_res_dominant_milli (&partner_after, &self->total) <= self->policy.lend_milli;
 }
 
 static void
@@ -118,7 +118,7 @@
   fb_rack_dequeue (self, task);
   fb_ledger_charge (self, task, choice->best, &task->spec.demand);
   task->last_worker = choice->best;
-  fb_worker_health_note_start (fb_rack_worker (self, choice->best), now_ms);
+  fb_worker_health_record_start (fb_rack_worker (self, choice->best), now_ms);
   fb_counter_add (FB_COUNTER_PLACEMENTS, 1);
   fb_event_log (
       FB_EVENT_PLACED,
@@ -143,7 +143,7 @@
 static gboolean
 try_start (FbRack *self, uint64_t now_ms, FbTask *task)
 {
-  if (!within_shares (self, task))
+  if (!within_limits (self, task))
     return FALSE;
   Choice choice = choose_worker (self, now_ms, task, self->policy.place);
   /* Urgent work may use capacity that the policy would keep free. */
@@ -159,7 +159,7 @@
 hold_worker_for (FbRack *self, uint64_t now_ms, const FbTask *head)
 {
   if (self->hold_worker != FB_NO_WORKER || now_ms - head->arrived_ms < FB_RACK_HOLD_MS
-      || head->spec.partner != self->home || !within_shares (self, head))
+      || head->spec.partner != self->home || !within_limits (self, head))
     return;
   /* Work without accelerators may not start on accelerator hosts while accelerator work
    * waits: holding such a host would leave it idle and still not start the task. */
@@ -227,7 +227,7 @@
 }
 
 static void
-start_kind (FbRack *self, uint64_t now_ms, uint32_t partner, FbKind kind)
+start_tasks_of_kind (FbRack *self, uint64_t now_ms, uint32_t partner, FbKind kind)
 {
   FbTaskQueue *queue;
   while ((queue = next_queue (self, partner, kind)) != NULL)
@@ -250,7 +250,7 @@
     {
       for (guint kind = 0; kind < FB_KIND_N; kind++)
         {
-          start_kind (self, now_ms, order[p], (FbKind) kind);
+          start_tasks_of_kind (self, now_ms, order[p], (FbKind) kind);
           if (fb_task_queues_count_of (self->queues, order[p], (FbKind) kind) > 0)
             fb_preempt_for_waiting (self, now_ms, order[p], (FbKind) kind);
         }
--- a/src/core/stream.c
+++ b/src/core/stream.c
@@ -19,7 +19,7 @@
  * of an old claim (repeated because its answer was lost) had not. If that claim lost its
  * race, it does no harm, since a claimant that lost writes nothing under it.
  *
- * If no record is left to anchor on, a claim names the offset at which its writer began
+ * If no record is left to validate from, a claim names the offset at which its writer began
  * to read. A reader that knows the whole stream accepts it exactly if a reader that began
  * there had nothing to go by: no claim and no RENEW whose writer had read as far. */
 #include "internal/stream.h"
@@ -32,13 +32,13 @@
   uint64_t next;  /* next offset to read */
   uint64_t epoch; /* in force, or 0 if none is known */
   uint64_t first; /* offset at which reading began, or began again after a gap; 0 if at the start */
-  uint64_t anchor;        /* see fb_stream_validated_from() */
-  uint64_t last_claim;    /* offset of the last accepted claim */
-  uint64_t claim_read_to; /* offset up to which its writer had read */
-  uint64_t renewed_to;    /* offset up to which the writer of the last valid RENEW had read */
-  gboolean gap;           /* records were dropped before they were read */
-  gboolean anchored;      /* the claim in force is known, or that there is none */
-  GHashTable *last_seq;   /* writer -> last sequence number, uint64_t owned */
+  uint64_t validated_from; /* see fb_stream_validated_from() */
+  uint64_t last_claim;     /* offset of the last accepted claim */
+  uint64_t claim_read_to;  /* offset up to which its writer had read */
+  uint64_t renewed_to;     /* offset up to which the writer of the last valid RENEW had read */
+  gboolean gap;            /* records were dropped before they were read */
+  gboolean epoch_known;    /* the claim in force is known, or that there is none */
+  GHashTable *last_seq;    /* writer -> last sequence number, uint64_t owned */
 };
 
 uint64_t
@@ -58,7 +58,7 @@
 {
   FbStream *self = g_new0 (FbStream, 1);
   self->shard = shard;
-  self->anchored = TRUE;
+  self->epoch_known = TRUE;
   self->last_seq = g_hash_table_new_full (g_int64_hash, g_int64_equal, g_free, g_free);
   return self;
 }
@@ -90,7 +90,7 @@
   if (claim->shard != self->shard)
     return FB_STREAM_SUPERSEDED;
   gboolean follows = (claim->previous >> FB_EPOCH_SUB_BITS) == (self->epoch >> FB_EPOCH_SUB_BITS);
-  gboolean nothing_known = self->epoch == 0 && !self->anchored;
+  gboolean nothing_known = self->epoch == 0 && !self->epoch_known;
   gboolean first_after_gap = nothing_known && claim->read_to >= self->first;
   gboolean claims_after_loss = !nothing_known && claim->previous == 0
                                && claim->first > self->renewed_to
@@ -108,13 +108,13 @@
 {
   uint64_t read_to = record->body.fb_rec_body_u.renew.read_to;
   gboolean read_far_enough = read_to >= self->first && read_to > self->last_claim;
-  if (!self->anchored && read_far_enough)
+  if (!self->epoch_known && read_far_enough)
     {
       gboolean same = fb_epoch_same_claim (record->epoch, self->epoch);
       self->epoch = MAX (record->epoch, same ? self->epoch : 0);
-      self->anchored = TRUE;
+      self->epoch_known = TRUE;
       self->renewed_to = read_to;
-      self->anchor = offset;
+      self->validated_from = offset;
       return same ? FB_STREAM_OK : FB_STREAM_CLAIMED;
     }
   if (!fb_epoch_same_claim (record->epoch, self->epoch) || record->epoch < self->epoch)
@@ -154,15 +154,15 @@
 }
 
 void
-fb_stream_note_first_retained (FbStream *self, uint64_t first)
+fb_stream_set_first_retained (FbStream *self, uint64_t first)
 {
   if (first <= self->next)
     return;
   self->next = first;
   self->first = first;
-  self->anchor = G_MAXUINT64;
+  self->validated_from = G_MAXUINT64;
   self->gap = TRUE;
-  self->anchored = FALSE;
+  self->epoch_known = FALSE;
 }
 
 uint64_t
@@ -187,5 +187,5 @@
 uint64_t
 fb_stream_validated_from (const FbStream *self)
 {
-  return self->anchor;
+  return self->validated_from;
 }
--- a/src/core/worker-health.c
+++ b/src/core/worker-health.c
@@ -35,7 +35,7 @@
 }
 
 static void
-note_failure (FbRack *self, uint64_t now_ms, FbWorker *w, uint64_t job)
+record_failure (FbRack *self, uint64_t now_ms, FbWorker *w, uint64_t job)
 {
   if (w->quarantined)
     {
@@ -56,13 +56,13 @@
 }
 
 void
-fb_worker_health_note_end (FbRack *self, uint64_t now_ms, guint worker, const FbTask *task,
-                           FbRunStatus run_status)
+fb_worker_health_record_end (FbRack *self, uint64_t now_ms, guint worker, const FbTask *task,
+                             FbRunStatus run_status)
 {
   FbWorker *w = fb_rack_worker (self, worker);
   if (run_status == FB_RUN_STATUS_FAILED)
     {
-      note_failure (self, now_ms, w, task->spec.run.job);
+      record_failure (self, now_ms, w, task->spec.run.job);
       return;
     }
   if (run_status != FB_RUN_STATUS_COMPLETED)
@@ -85,7 +85,7 @@
 }
 
 void
-fb_worker_health_note_start (FbWorker *worker, uint64_t now_ms)
+fb_worker_health_record_start (FbWorker *worker, uint64_t now_ms)
 {
   if (worker->quarantined)
     worker->probe_at_ms = now_ms + worker->probe_wait_ms;
--- a/src/policy/policy.c
+++ b/src/policy/policy.c
@@ -105,7 +105,7 @@
   self->teams = g_ptr_array_new_with_free_func (team_free);
   self->classes = g_ptr_array_new_with_free_func (class_free);
   self->services = g_ptr_array_new_with_free_func (service_free);
-  self->drains = g_ptr_array_new_with_free_func (g_free);
+  self->drained_hosts = g_ptr_array_new_with_free_func (g_free);
   return self;
 }
 
@@ -116,7 +116,7 @@
   g_ptr_array_free (self->teams, TRUE);
   g_ptr_array_free (self->classes, TRUE);
   g_ptr_array_free (self->services, TRUE);
-  g_ptr_array_free (self->drains, TRUE);
+  g_ptr_array_free (self->drained_hosts, TRUE);
   g_free (self);
 }
 
@@ -294,20 +294,20 @@
 }
 
 gboolean
-fb_policy_drains (const FbPolicy *self, const char *host)
+fb_policy_is_drained (const FbPolicy *self, const char *host)
 {
-  return g_ptr_array_find_with_equal_func (self->drains, host, g_str_equal, NULL);
+  return g_ptr_array_find_with_equal_func (self->drained_hosts, host, g_str_equal, NULL);
 }
 
 static FbPolicyStatus
 add_drain (FbPolicy *self, GKeyFile *keys, const char *file, const char *group, const char *name)
 {
   static const FbIniField no_fields[] = { { NULL, 0, FALSE, 0, 0, NULL, 0 } };
-  if (fb_policy_drains (self, name))
+  if (fb_policy_is_drained (self, name))
     return declared_twice (file, group);
   FbPolicyStatus status = status_of_ini (fb_ini_read_group (keys, file, group, no_fields, NULL));
   if (status == FB_POLICY_OK)
-    g_ptr_array_add (self->drains, g_strdup (name));
+    g_ptr_array_add (self->drained_hosts, g_strdup (name));
   return status;
 }
 
--- a/tests/test-units.c
+++ b/tests/test-units.c
@@ -95,7 +95,7 @@
   FbPolicy *policy = NULL;
   CU_ASSERT_EQUAL (fb_policy_parse (0, &empty, 1, &policy), FB_POLICY_OK);
   CU_ASSERT_PTR_NOT_NULL_FATAL (policy);
-  CU_ASSERT_FALSE (fb_policy_drains (policy, "h1"));
+  CU_ASSERT_FALSE (fb_policy_is_drained (policy, "h1"));
   fb_policy_free (policy);
 }
 
@@ -201,11 +201,11 @@
   gsize len = 0;
   const void *data = g_bytes_get_data (bytes, &len);
   fb_record read;
-  FbStreamResult verdict = fb_stream_read (test->stream, test->offset++, data, len, &read);
-  if (verdict == FB_STREAM_OK || verdict == FB_STREAM_CLAIMED)
+  FbStreamResult result = fb_stream_read (test->stream, test->offset++, data, len, &read);
+  if (result == FB_STREAM_OK || result == FB_STREAM_CLAIMED)
     fb_codec_clear_record (&read);
   g_bytes_unref (bytes);
-  return verdict;
+  return result;
 }
 
 static FbStreamResult
@@ -250,7 +250,7 @@
 test_stream_validates_after_a_gap (void)
 {
   StreamTest test = { fb_stream_new (3), 100 };
-  fb_stream_note_first_retained (test.stream, 100);
+  fb_stream_set_first_retained (test.stream, 100);
   uint64_t epoch = fb_epoch_of_claim (50);
   fb_rec_body renew = { .type = FB_REC_RENEW };
   renew.fb_rec_body_u.renew.claim.owner = (char *) "d";
@@ -272,7 +272,7 @@
 test_stream_second_copy_of_a_claim (void)
 {
   StreamTest test = { fb_stream_new (3), 100 };
-  fb_stream_note_first_retained (test.stream, 100);
+  fb_stream_set_first_retained (test.stream, 100);
   fb_rec_body body = { .type = FB_REC_CLAIM };
   body.fb_rec_body_u.claim = (fb_rec_claim){ 3, 0, 0, 60, (char *) "d", 1 };
   CU_ASSERT_EQUAL (append (&test, 1, 1, 0, &body), FB_STREAM_SUPERSEDED);
@@ -314,7 +314,7 @@
 
 /* When one of seven daemons dies, only its own shards move. */
 static void
-test_rendezvous_moves_only_shards_of_the_dead_member (void)
+test_rendezvous_moves_only_shards_of_the_failed_member (void)
 {
   FbMembers *members = fb_members_new ();
   for (guint i = 0; i < 7; i++)
@@ -324,12 +324,12 @@
     }
   fb_members_set_self (members, 0, 1);
   for (guint i = 1; i < 7; i++)
-    fb_members_note_heartbeat (members, 1000, i, 1, FALSE);
+    fb_members_record_heartbeat (members, 1000, i, 1, FALSE);
   int before[200];
   for (guint s = 0; s < 200; s++)
     before[s] = fb_members_preferred_owner (members, s, 0, G_MAXUINT);
   for (guint i = 1; i < 6; i++)
-    fb_members_note_heartbeat (members, 9000, i, 1, FALSE);
+    fb_members_record_heartbeat (members, 9000, i, 1, FALSE);
   fb_members_tick (members, 9000);
   CU_ASSERT_EQUAL (fb_members_state (members, 6), FB_MEMBER_SUSPECTED);
   guint moved = 0;
@@ -425,7 +425,7 @@
   { "a stream is validated after a gap", test_stream_validates_after_a_gap },
   { "second copy of a claim", test_stream_second_copy_of_a_claim },
   { "accelerator guard", test_accel_guard_keeps_room_for_accelerators },
-  { "rendezvous moves few shards", test_rendezvous_moves_only_shards_of_the_dead_member },
+  { "rendezvous moves few shards", test_rendezvous_moves_only_shards_of_the_failed_member },
   { "progress with and without suspects", test_progress_with_and_without_suspects },
   { "quota slices", test_quota_slices_never_pass_the_quota },
   CU_TEST_INFO_NULL,
