--- a/src/core/gang.c
+++ b/src/core/gang.c
@@ -1,19 +1,19 @@
 /* Gangs: all members of a job start, or none.
  *
- * Members first reserve capacity and start only when all of them have it. Two gangs that
- * each hold what the other wants would deadlock. So a gang reserves on one rack after
- * another, in ascending order of rack ids, and asks the next rack only after the one
- * before has granted all its members. A gang can then only wait for a rack with a higher
- * id, so no cycle of waits can form. Within a rack, gangs are queued by arrival and
- * served before batch work, so small tasks cannot starve a gang.
+ * Members first reserve capacity and start only when all of them have a reservation. Two gangs
+ * that each hold capacity that the other one needs would deadlock. A gang therefore reserves on
+ * one rack after another, in ascending order of rack ids, and sends its members to the next rack
+ * only after the previous one has granted all its reservations. A gang can then only wait for a
+ * rack with a higher id, so no cycle of waits can form. Within a rack, gangs are queued by
+ * arrival and served before batch work, so small tasks cannot starve a gang.
  *
- * Reserved capacity is idle. The cost is bounded twice: a gang that has not reserved for
- * all members within FB_RANGE_GANG_RESERVE_MS gives up its reservations and tries again later,
- * and a rack drops a reservation that its range does not query any more.
+ * Reserved capacity is idle. This is limited in two ways: a gang that has not reserved for all
+ * members within FB_RANGE_GANG_RESERVE_MS gives up its reservations and tries again later, and a
+ * rack drops a reservation that its range no longer queries.
  *
- * The commit is not atomic across racks: a rack whose owner changed between reservation
- * and commit has forgotten the reservation. The gang is then broken up: members that have
- * started are stopped, and all members try again together. */
+ * The commit is not atomic across racks: if the owner of a rack changed between reservation and
+ * commit, the reservation is lost. The gang is then broken up: members that have started are
+ * stopped, and all members try again together. */
 #include "internal/range-private.h"
 
 #define RESERVE_RETRY_MS 1000
@@ -48,8 +48,8 @@
     }
 }
 
-/* Chooses a rack for each waiting member; each choice counts for the spread of the next.
- * Returns: FALSE if there is none for some member. */
+/* Chooses a rack for each waiting member. Each choice is taken into account when the next member
+ * is spread. Returns: FALSE if there is no rack for some member. */
 static gboolean
 choose_racks (FbRange *self, uint64_t now_ms, FbJob *job)
 {
@@ -71,8 +71,8 @@
   return found;
 }
 
-/* Returns: TRUE if a member has ended other than completed: the gang can never have all
- * its members again. */
+/* Returns: TRUE if a member has ended without completing, so that the gang can never be complete
+ * again. */
 static gboolean
 has_failed (const FbJob *job)
 {
@@ -182,8 +182,8 @@
       else if (task->state == FB_JOB_TASK_PLACED || task->state == FB_JOB_TASK_RESERVED
                || task->state == FB_JOB_TASK_RUNNING)
         {
-          /* The member is still queued there although the summary showed free capacity: choose
-           * another rack next time. */
+          /* The member is still queued although the rack's summary showed free capacity: avoid
+           * this rack next time. */
           if (task->state == FB_JOB_TASK_PLACED)
             task->avoid_rack = task->rack;
           fb_range_send_command (self, task, FB_MSG_WITHDRAW, TRUE);
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -75,8 +75,8 @@
   job->due_log_ms = admit->due_log_ms;
   if (admit->first_attempt_after_gap)
     fb_job_set_history_gap (job, admit->first_attempt_after_gap);
-  /* If the log's clock was not known at admission, due_log_ms is 0 and the job counts as
-   * past due, so that nothing starts too late. */
+  /* If the log's clock was not known at admission, due_log_ms is 0. The job then counts as past
+   * due, so that nothing starts too late. */
   if (admit->job.remaining_ms != FB_NO_DEADLINE_MS)
     job->due_ms = now_ms + fb_deadline_remaining (position->log_now_ms, admit->due_log_ms);
   return job;
@@ -113,8 +113,8 @@
     }
 }
 
-/* Sets the number of tasks of a service. A service shrinks by ending the tasks beyond its
- * count and keeps their entries, since a late report may still name them. */
+/* Sets the number of tasks of a service. If the service shrinks, the tasks beyond its count are
+ * ended but their entries are kept, since late reports may still refer to them. */
 void
 fb_job_resize (FbRange *self, uint64_t now_ms, FbJob *job, guint count)
 {
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -1,8 +1,8 @@
-/* The ledger: the capacity charged to each worker, partner and team.
+/* Accounting of the capacity charged to each worker, partner and team.
  *
- * Capacity is charged before a start is ordered and released only when the worker reports
- * that the run has ended, or when it is proven that it cannot run any more. A task is
- * charged the larger of its declared and its measured usage. */
+ * Capacity is charged before a start is ordered, and released only when the worker reports the
+ * end of the run or when it is proven that the run cannot be running any more. A task is charged
+ * the larger of its declared and its measured usage. */
 #include "internal/rack-private.h"
 
 static uint64_t
--- a/src/core/node-config.c
+++ b/src/core/node-config.c
@@ -1,14 +1,13 @@
 /* Revisions of the partners' configuration.
  *
- * A revision consists of all files of one partner and a serial number, signed with the
- * partner's key. In the log, the first revision with the next serial wins, so of two
- * operators who apply at the same time one is told of the conflict. A daemon never
- * returns to a lower serial, whatever it reads later: after a restart it reads the stream
- * again, and a daemon that starts while the log is unavailable takes the signed revision
- * from a peer.
+ * A revision consists of all files of one partner and a serial number, signed with the partner's
+ * key. The first revision in the log that has the next serial number takes effect; if two
+ * operators publish at the same time, the second one gets a conflict error. A daemon never
+ * returns to a lower serial number, whatever it reads later. After a restart it reads the stream
+ * again; if the log is unavailable then, it requests the signed revision from a peer.
  *
- * Heartbeats carry the serials in force, which costs 16 bytes for each heartbeat; a
- * daemon that is behind pulls the revision. */
+ * Heartbeats carry the serial numbers in force, which costs 16 bytes per heartbeat. A daemon
+ * that has an older revision requests the new one. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
@@ -99,8 +98,8 @@
   const FbConfigState *state = &self->config[revision->partner];
   if (revision->serial <= state->serial)
     {
-      fb_status_set_message ("revision %" G_GUINT64_FORMAT " of partner %s is in force already; "
-                             "look at it with diff and apply on top of it",
+      fb_status_set_message ("revision %" G_GUINT64_FORMAT " of partner %s is already in force; "
+                             "compare with \"diff\" and apply the change on top of it",
                              state->serial, self->cell->partners[revision->partner].name);
       return FB_NODE_CONFIG_CONFLICT;
     }
@@ -132,8 +131,7 @@
 static void
 log_ignored_revision (FbNodeConfigStatus status, const char *source)
 {
-  /* Every peer and every rewrite sends the revision that is already in force: this is not
-   * reported. */
+  /* Peers and rewrites often deliver the revision that is already in force; this is not logged. */
   if (status == FB_NODE_CONFIG_OK || status == FB_NODE_CONFIG_CONFLICT)
     return;
   fb_counter_add (FB_COUNTER_CONFIG_REJECTED, 1);
@@ -143,12 +141,13 @@
 
 /* ---- candidates -------------------------------------------------------- */
 
-/* Failure: two operators apply at the same time, the log drops the winner's record but
- * still has the loser's, and a daemon that starts then takes the loser's revision. Guard:
- * a daemon that has missed records takes a revision only if a daemon where it is in force
- * has written it again or sends it, until it has caught up: until all daemons are alive
- * and none has a higher serial than its own. If the log then has a revision that none of
- * them has, the first one of the highest serial is taken. */
+/* After records were missed, a revision read from the log may be the wrong one: of two revisions
+ * that were published at the same time, the log may have dropped the one that took effect and
+ * still have the other. A daemon that has missed records therefore applies a revision only if it
+ * is marked as rewritten by a daemon where it is in force, or comes from a peer. This lasts
+ * until the daemon has caught up, that is, until all daemons are alive and none has a higher
+ * serial number in force. If the log then has a revision that none of them has in force, the
+ * first one with the highest serial number is applied. */
 static void
 clear_candidate (FbConfigState *state)
 {
@@ -164,9 +163,10 @@
     self->config[p].behind = TRUE;
 }
 
-/* A record that the partner has not signed must not replace a candidate, so it is checked
- * before it is kept, not only when it is applied. Returns: TRUE if the state of the
- * partner is behind, so that the record is not applied now. */
+/* Stores CONFIG as the candidate if it is valid and has a higher serial number than the present
+ * candidate. The signature is verified here, not only when the revision is applied, because a
+ * record that the partner has not signed must not replace a candidate. Returns: TRUE if the
+ * state of the partner is behind, so that the record must not be applied now. */
 static gboolean
 keep_candidate_if_behind (FbNode *self, const fb_rec_config *config)
 {
@@ -193,9 +193,9 @@
   return behind;
 }
 
-/* Returns: TRUE if all daemons are alive and none has a revision of PARTNER with SERIAL
- * or above, so that no daemon knows better. A daemon that is cut off may have it in
- * force, and would never agree with the others again. */
+/* Returns: TRUE if all daemons are alive and none has a revision of PARTNER with SERIAL or above
+ * in force. An unreachable daemon may have one in force, and its configuration would then differ
+ * from that of the others permanently. */
 static gboolean
 no_member_has (const FbNode *self, uint32_t partner, uint64_t serial)
 {
@@ -422,8 +422,8 @@
   fb_range_cancel_unlisted_services (shard->range, self->now_ms, wanted);
 }
 
-/* Only a daemon that has the partner's revision may change its services: one that has
- * just started without a revision would end all of them as removed. */
+/* Skips partners of which this daemon has no revision yet, for example right after its start.
+ * Otherwise all their services would be cancelled as no longer declared. */
 void
 fb_node_services_tick (FbNode *self)
 {
--- a/src/core/node-front.c
+++ b/src/core/node-front.c
@@ -1,15 +1,15 @@
-/* Callers of this daemon: each gets one final answer.
+/* Submissions of the callers of this daemon. Each caller gets exactly one final answer.
  *
- * A submission is repeated until the owner of its range answers; the id of the job makes
- * every copy the same job.
+ * A submission is repeated until the owner of its range answers. All copies carry the same job
+ * id, so they are the same job to the owner.
  *
- * Failure: one copy is refused while another is still in transit; the caller is told "not
- * run", and the other copy is admitted. Guard: a refusal counts only if it refers to the
- * last copy and all copies were sent to one daemon. Connections keep the order of
- * messages, so the earlier copies have been refused too.
+ * A refusal is passed on only if it refers to the last copy and all copies were sent to the same
+ * incarnation of one daemon. Otherwise the caller could get the answer "not run" while another
+ * copy is still in transit and is admitted later. Connections preserve the order of messages, so
+ * a refusal of the last copy implies that the earlier ones were refused too.
  *
- * Without an answer, "not run" is certain only if no copy was ever sent and the job has
- * no key; a job with the same key may have been submitted to another daemon. */
+ * If no answer arrives, "not run" is certain only if no copy was ever sent and the job has no
+ * idempotency key; a job with the same key may have been submitted to another daemon. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
--- a/src/core/node-log.c
+++ b/src/core/node-log.c
@@ -1,13 +1,14 @@
 /* Appending to the log and reading of streams.
  *
- * Records of all streams are collected while an append is in progress and are written
- * together by the next one (group commit): the log handles some hundred appends a second
- * for the whole cell, so the number of calls matters, not the number of records.
+ * Records of all streams are collected while an append is in progress and are written together
+ * by the next one (group commit). The log handles a few hundred appends per second for the whole
+ * cell, so the number of calls is what limits the throughput, not the number of records.
  *
- * An append that failed, or whose answer was lost, is repeated unchanged. Its records may
- * then be in the log twice; readers drop the duplicate (stream.c). A record takes effect
- * here only when it is read at its position: directly if no other record precedes it,
- * otherwise by reading the gap, which may contain a successor's claim. */
+ * An append that failed, or whose answer was lost, is repeated unchanged. Its records may then
+ * be in the log twice; readers drop the duplicates (stream.c). A record takes effect in this
+ * daemon only when it is read at its position in the stream. If no unread record precedes it, it
+ * is applied directly; otherwise the records in between are read first, as they may contain a
+ * successor's claim. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
@@ -58,8 +59,9 @@
   g_free (entry);
 }
 
-/* Drops the records of a shard that was given up, which would be superseded. Those being
- * appended are kept, so that they still match the answer to the call. */
+/* Drops the pending records of a shard that this daemon no longer owns, which readers would skip
+ * as superseded. Those that are being appended are kept, since the answer to the call refers to
+ * them by position. */
 void
 fb_node_drop_pending (FbNode *self, uint32_t stream)
 {
@@ -193,10 +195,9 @@
   /* Upper bound of the log's clock now: its last reading plus the time that the read
    * took. */
   uint64_t log_now_ms = page->log_now_ms + (self->now_ms - shard->read_requested_ms);
-  /* Failure: an owner that was suspended for longer than the log keeps records does not
-   * see that another daemon owned the shard in the meantime, and continues without the
-   * jobs that it admitted. Guard: an owner that has missed records gives up the shard and
-   * claims it again like any other daemon. */
+  /* An owner that has missed records, for example because it was suspended for longer than the
+   * log keeps them, steps down and claims the shard again. Another daemon may have owned the
+   * shard in the meantime, and this owner would lack the jobs that it admitted. */
   if (page->first_retained > fb_stream_next (shard->stream) && fb_stream_next (shard->stream) > 0
       && fb_shard_is_owned (shard))
     {
@@ -268,7 +269,7 @@
       if (self->now_ms - shard->renewed_ms < age_max_ms)
         continue;
       shard->renewed_ms = self->now_ms;
-      /* The owner of a rack does not read its stream otherwise. */
+      /* The owner of a rack does not read its stream regularly. */
       if (shard->is_rack)
         fb_node_read_shard (self, shard);
       fb_rec_body body = { .type = FB_REC_RENEW };
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -1,14 +1,14 @@
-/* Ownership of shards: claims through the log, handover without it, and stepping down.
+/* Ownership of shards: claims through the log, handovers without it, and stepping down.
  *
- * A daemon that should own a shard by rendezvous hashing, and knows of no live owner,
- * reads the shard's stream to its end and appends a claim. It owns the shard once it has
- * read its own claim back as the one in force. Ownership does not expire: only a later
- * claim or a handover ends it, so owners are not affected by an outage of the log.
+ * A daemon that is the preferred owner of a shard by rendezvous hashing, while the shard has no
+ * live owner, reads the shard's stream to its end and appends a claim. It owns the shard once it
+ * has read its own claim back as the one in force. Ownership does not expire: only a later claim
+ * or a handover ends it, so owners are not affected by an outage of the log.
  *
- * A rack is handed over directly: the old owner returns the waiting work, stops, and the
- * new one continues at the next sub-epoch; the workers fence the old one. A range is
- * handed over as a permission to claim it, because its successor has to read the stream
- * anyway. */
+ * A rack is handed over directly: the old owner reports the waiting tasks as not run and stops,
+ * and the new one continues at the next sub-epoch; the workers fence the old one. The handover
+ * of a range only permits the successor to claim it, because the successor has to read the
+ * stream in any case. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
@@ -276,7 +276,7 @@
     }
   if (shard->role == FB_SHARD_CLAIMING && !fb_node_has_pending (self, shard->id))
     {
-      /* This daemon's claim is in the log and has lost. */
+      /* This daemon's claim is in the log, but another claim preceded it. */
       fb_node_step_down (self, shard);
       return;
     }
@@ -291,8 +291,8 @@
 
 /* ---- claims and handovers ----------------------------------------------- */
 
-/* An owner lists its shards in every heartbeat. One that sends heartbeats without this
- * shard has given it up, perhaps by a handover that never reached its receiver. */
+/* An owner lists its shards in every heartbeat. If its heartbeats do not contain this shard, it
+ * no longer owns it, for example after a handover message that was lost. */
 static gboolean
 owner_is_alive (const FbNode *self, const FbShard *shard)
 {
@@ -391,7 +391,7 @@
 {
   if (shard->successor >= 0)
     {
-      /* Repeat the handover until the successor announces the shard. */
+      /* Repeat the handover message until the successor announces the shard. */
       FbMemberState state = fb_members_state (self->members, (guint) shard->successor);
       if (state != FB_MEMBER_ALIVE)
         shard->successor = -1;
--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -156,8 +156,8 @@
 
 /* ---- messages --------------------------------------------------------- */
 
-/* An order is sent once, to one daemon. A daemon that receives it and does not own the
- * rack knows that it will never be executed. */
+/* A place message is sent once, to one daemon. If that daemon does not own the rack, it can
+ * report with certainty that the run will never start. */
 static void
 refuse_place (FbNode *self, const fb_place *place)
 {
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -1,9 +1,9 @@
 /* A node: construction, connections to peers, and dispatch of messages.
  *
  * Every entry point is enclosed in fb_node_enter() and fb_node_leave(). The outermost
- * fb_node_leave() delivers the messages that the node sent to itself, lets racks start
- * work and exchange with workers, and passes records to the log. So no part is called
- * from inside another call on the same object. */
+ * fb_node_leave() delivers the messages that the node sent to itself, lets racks start work and
+ * exchange with workers, and passes records to the log. As a result, no object is called from
+ * inside another call on the same object. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
@@ -30,10 +30,10 @@
 
 /* ---- connections to peers ---------------------------------------------- */
 
-/* Failure: a message that was buffered, or is a duplicate, is handled after newer ones:
- * an order is executed after it was withdrawn. Guard: messages from one incarnation to
- * another are numbered, and a message is accepted only if its number is higher than the
- * last one. Lost messages are made up for by the queries of ranges. */
+/* Messages from one incarnation of a daemon to another are numbered, and a message is accepted
+ * only if its number is higher than the last one. Otherwise a delayed or duplicated message
+ * could be handled after newer ones, and an order could be executed after it was withdrawn. Lost
+ * messages are made up for by the queries of ranges. */
 static gboolean
 link_accepts (FbNode *self, guint member, const fb_msg *msg)
 {
@@ -144,10 +144,10 @@
 
 /* ---- messages --------------------------------------------------------- */
 
-/* Failure: a message with a remaining time is buffered for seconds, and the work in it
- * starts after its due time. Guard: the echo of the receiver's own clock gives an upper
- * bound of the transit time, which is subtracted. Without an echo, a message with a due
- * time counts as past due. */
+/* Subtracts the transit time from the remaining time in MSG. Otherwise the work in a message
+ * that was buffered for seconds could start after its due time. The echo of the receiver's own
+ * clock gives an upper bound of the transit time. Without an echo, a message with a due time
+ * counts as past due. */
 static void
 subtract_transit_time (const FbNode *self, fb_msg *msg)
 {
@@ -340,9 +340,9 @@
   fb_node_flush_log (user);
 }
 
-/* Failure: the process was suspended and resumes with outdated state; it starts work on a
- * host that began to leave in the meantime. Guard: after a gap, nothing starts until the
- * host list has been read again. */
+/* Delays all starts until the host list has been read again. A process that resumes after a
+ * suspension has outdated state and could start work on a host that began to leave in the
+ * meantime. */
 static void
 delay_starts_after_suspension (FbNode *self)
 {
--- a/src/core/place.c
+++ b/src/core/place.c
@@ -1,25 +1,25 @@
 /* Choice of the worker in a rack for a task.
  *
- * A rack has few workers, so every policy examines all of them; the policies differ in
- * the cost.
+ * A rack has few workers, so every policy examines all of them; the policies differ in the cost.
  *
  *   first-fit    baseline: the lowest index that fits.
  *   best-fit     the least capacity left over, summed over the resources in thousandths
- *                of the worker's capacity. Keeps large gaps for large tasks.
- *   worst-fit    the most capacity left over. Spreads the load, and fragments every gap.
+ *                of the worker's capacity. Preserves large blocks of free capacity for
+ *                large tasks.
+ *   worst-fit    the most capacity left over. Spreads the load, but fragments the free
+ *                capacity.
  *   dot-product  the best alignment of demand and free capacity, so that a task that
  *                needs much of one resource goes where that resource is plentiful.
  *   accel-guard  best fit, but work without accelerators may not use the CPU, memory and
  *                slots that the free accelerators of a host will need. Each free
  *                accelerator keeps GUARD_MILLI of its even share.
  *
- * How much is kept depends on the demand (schedule.c): all of it while accelerator work
- * is queued at the rack; nothing for gangs; for work that cannot be preempted, the share
- * of the rack's accelerators that is in use; nothing for preemptible work, which can be
- * stopped when accelerators are wanted. A fixed half was tried first: accelerator
- * utilization was 59% where the demand was 98%, since half of the slots is not enough for
- * the accelerators, and gangs were kept off idle accelerator hosts. `./run bench`
- * compares all five on the same arrivals. */
+ * How much is kept depends on the demand (schedule.c): all of it while accelerator work is
+ * queued at the rack; nothing for gangs; for work that cannot be preempted, the share of the
+ * rack's accelerators that is in use; nothing for preemptible work, which can be stopped when
+ * accelerators are needed. With a fixed half, accelerator utilization was 59% at a demand of
+ * 98%: half of the slots is not enough for the accelerators, and gangs were kept off idle
+ * accelerator hosts. `./run bench` compares all five policies on the same arrivals. */
 #include "internal/place.h"
 
 static uint64_t
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -1,23 +1,22 @@
 /* Preemption.
  *
  * Running work may be stopped in three cases:
- *  - urgent work of a partner may stop batch work of the same partner;
- *  - work that needs accelerators may stop batch work of the same partner that needs none
- *    and occupies capacity on an accelerator host;
- *  - any work of the home partner may stop work of the guest, which runs on lent
- *    capacity.
+ * - urgent work of a partner may stop batch work of the same partner;
+ * - work that needs accelerators may stop batch work of the same partner that needs none
+ *   and occupies capacity on an accelerator host;
+ * - any work of the home partner may stop work of the other partner, the borrower, which
+ *   runs on lent capacity.
  *
- * For each waiting task, in rank order, the worker with the lowest cost is chosen: the
- * one where the least run time is lost. Runs that checkpoint lose nothing. Capacity that
- * is already being freed is counted first, so that ten urgent tasks do not stop one
- * victim each if a single victim makes room for all ten. The worker is marked as
- * urgent_only; otherwise batch work would take each part of the capacity as it becomes free,
- * and the urgent task would never fit.
+ * For each waiting task, in rank order, the worker with the lowest cost is chosen: the one where
+ * the least run time is lost. Runs that checkpoint lose nothing. Capacity that is already being
+ * freed is counted first, so that ten urgent tasks do not stop one victim each if stopping a
+ * single one frees enough capacity for all ten. The worker is marked as urgent_only; otherwise
+ * batch work would take each part of the capacity as it becomes free, and the urgent task would
+ * never fit.
  *
- * The loss is bounded: a run that was stopped FB_RACK_PREEMPT_MAX times is not stopped
- * for its own partner's urgent or accelerator work again. The set of victims is found
- * greedily (youngest first), not optimally: a rack has a few dozen runs, and the optimum
- * is a knapsack problem. */
+ * The loss is bounded: a run that was stopped FB_RACK_PREEMPT_MAX times is not stopped again for
+ * urgent or accelerator work of its own partner. The set of victims is found greedily (youngest
+ * first), not optimally: a rack has a few dozen runs, and the optimum is a knapsack problem. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
@@ -47,9 +46,9 @@
   return (x->started_ms < y->started_ms) - (x->started_ms > y->started_ms);
 }
 
-/* Returns: (transfer full): runs on one worker whose stop makes room for FOR_TASK, given
- * that SPACE is free or being freed; NULL if there are not enough. *LOSS_MS is the run
- * time lost. */
+/* Returns: (transfer full): runs on W that have to be stopped so that FOR_TASK fits, given that
+ * CAPACITY is free or being freed; NULL if stopping all candidates is not enough. *LOSS_MS is
+ * the run time lost. */
 static GPtrArray *
 find_victims (const FbRack *self, const FbWorker *w, const fb_res *available,
               const FbTask *for_task, uint64_t now_ms, uint64_t *loss_ms)
@@ -112,8 +111,8 @@
     }
 }
 
-/* Chooses a worker for TASK and preempts what has to give way there. SPACES has, for each
- * worker, the capacity that is free or being freed and not yet assigned in this pass. */
+/* Chooses a worker for TASK and stops the runs there that TASK displaces. AVAILABLE has, for
+ * each worker, the capacity that is free or being freed and not yet assigned in this pass. */
 static void
 preempt_for_task (FbRack *self, uint64_t now_ms, const FbTask *task, fb_res *available)
 {
--- a/src/core/rack-commands.c
+++ b/src/core/rack-commands.c
@@ -1,11 +1,10 @@
-/* Requests of range owners to a rack: place, withdraw, query, commit, acknowledge,
- * survey.
+/* Requests of range owners to a rack: place, withdraw, query, commit, acknowledge, survey.
  *
- * A run arrives only once: the range owner sends each attempt exactly once, addressed to
- * the epoch of this owner, over an ordered connection. A run is forgotten only after the
- * range owner has acknowledged its end; until then the rack repeats the report of the
- * end, and the worker remembers it too. A successor that reads the states of the workers
- * therefore finds every end that its range does not know yet. */
+ * A run arrives at most once: the range owner sends each attempt exactly once, addressed to the
+ * epoch of this owner, over an ordered connection. A run is removed only after the range owner
+ * has acknowledged its end. Until then the rack repeats the report of the end, and the worker
+ * also keeps it. A successor that reads the states of the workers therefore finds every end that
+ * the range owner does not have yet. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
@@ -36,10 +35,10 @@
   return TRUE;
 }
 
-/* Failure: the owner of a range is replaced while its order is in transit. Its successor
- * queries the rack, is told "not here" and starts the next attempt; then the order
- * arrives, and the task runs in two places. Guard: any message of an owner of a range
- * fences out all owners with a lower epoch. */
+/* Records the highest epoch of the owners of RANGE and rejects messages with a lower one.
+ * Otherwise a place message of a replaced owner could arrive after its successor has queried the
+ * rack, got the answer "not found" and started the next attempt, and the task would run twice at
+ * the same time. */
 static gboolean
 range_is_current (FbRack *self, uint32_t range, uint64_t epoch)
 {
@@ -69,14 +68,14 @@
   gboolean borrower = spec->partner != self->home;
   if (borrower && (self->policy.lend_milli == 0 || !(spec->flags & FB_FLAG_PREEMPTIBLE)))
     return FB_REASON_NOT_LENT;
-  /* Work of the other partner is sent here because capacity was free; a few tasks may
-   * queue if it was taken meanwhile, but not more. */
+  /* Work of the other partner is sent here because capacity was free. A few tasks may queue if
+   * it was taken in the meantime, but not more. */
   if (borrower
       && fb_task_queues_count_of (self->queues, spec->partner, (FbKind) spec->kind)
              >= BORROWER_QUEUE_MAX)
     return FB_REASON_QUEUE_FULL;
-  /* The limit is for each partner and kind, so that a flood of one fills only its own
-   * queue. */
+  /* The limit is per partner and kind, so that many tasks of one kind cannot fill the queues of
+   * the others. */
   if (fb_task_queues_count_of (self->queues, spec->partner, (FbKind) spec->kind)
       >= self->policy.queue_max)
     return FB_REASON_QUEUE_FULL;
@@ -155,7 +154,7 @@
       fb_rack_send_run_status (self, task, FB_RUN_STATUS_QUEUED, FB_REASON_NONE);
       break;
     case FB_TASK_RESERVED:
-      /* The range is still reserving for other members; its query extends the
+      /* The range is still reserving for other members of the gang; its query extends the
        * reservation. */
       task->reserved_until_ms = now_ms + FB_RACK_RESERVE_MS;
       fb_rack_send_run_status (self, task, FB_RUN_STATUS_RESERVED, FB_REASON_NONE);
@@ -200,8 +199,8 @@
       fb_rack_remove_task (self, task);
       return;
     }
-  /* The worker may still list the end; the rack forgets it only once the worker does not,
-   * see rack-sync.c. */
+  /* The worker may still list the end. The rack removes the task once the worker does not list
+   * it any more, see rack-sync.c. */
   task->acked = TRUE;
 }
 
--- a/src/core/rack-sync.c
+++ b/src/core/rack-sync.c
@@ -1,14 +1,14 @@
 /* Exchanges between the owner of a rack and its workers.
  *
- * Each request lists everything that the owner wants (leases, starts, stops, ends that
- * may be forgotten) and each reply lists the whole state of the worker, so a lost
- * exchange costs only a delay of one period. A worker whose state has not changed since
- * the last reply says only that: most replies of an idle worker carry no runs.
+ * Each request lists everything that is outstanding at the owner (lease, starts, stops, ends
+ * that the worker may drop), and each reply lists the complete state of the worker, so a lost
+ * exchange only delays this by one period. If the state of a worker has not changed since the
+ * last reply, the reply says so and carries no runs; this holds for most replies of an idle
+ * worker.
  *
- * Leases and starts are bounded on the worker's own clock: the owner adds the lease to
- * the last clock reading that it received. A request that lay in a buffer while the
- * worker was suspended therefore renews no lease and starts nothing when the worker
- * resumes. */
+ * Leases and starts are bounded on the worker's own clock: the owner adds the duration of the
+ * lease to the last clock reading that it received. A request that was buffered while the worker
+ * was suspended therefore neither renews a lease nor starts a run when the worker resumes. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
@@ -19,8 +19,8 @@
 {
   /* Lower bound of the worker's clock now. */
   uint64_t clock_now_ms = w->clock_ms + (now_ms - w->last_reply_ms);
-  /* A run that starts after the end of the lease would start after it has been declared
-   * lost. */
+  /* The lease limits the start too: the owner declares the worker's runs lost when the lease has
+   * expired. */
   uint64_t limit_ms = MIN (clock_now_ms + FB_RACK_START_MS, w->clock_ms + FB_RACK_LEASE_MS);
   uint64_t remaining_ms = fb_deadline_remaining (now_ms, task->due_ms);
   if (remaining_ms == FB_NO_DEADLINE_MS)
@@ -62,7 +62,7 @@
     }
 }
 
-/* Returns: (transfer full): the acknowledged ends that the worker still remembers. */
+/* Returns: (transfer full): the acknowledged ends that the worker still keeps. */
 static GArray *
 acks_for (const FbRack *self, guint index)
 {
@@ -184,10 +184,10 @@
                     run->answer, run->answer_len);
 }
 
-/* Failure: a request times out and the next one repeats the start. The worker refuses the
- * start in the first request, which came too late, and executes it in the second; the
- * first reply would report "not run" for a run that executes. Guard: a refusal counts
- * only if no later request, which may have contained the start, was sent. */
+/* Handles a start that the worker has refused. The refusal counts only if no later request was
+ * sent, since that one may have contained the start as well: after a timeout the start is
+ * repeated, and the worker may refuse it in the first request, which arrived too late, and
+ * execute it in the second. The run would be reported as not run although it executes. */
 static void
 handle_refused_start (FbRack *self, uint64_t now_ms, guint index, const FbSyncReply *reply,
                       const FbSyncRun *run)
@@ -212,10 +212,10 @@
   return FALSE;
 }
 
-/* Ends the tasks that the worker does not list although it has handled a request that
- * contained them. A run that was live, or that an earlier incarnation of the worker may
- * have started, is lost. A start that was cancelled before the worker handled it has not
- * run, nor has one that is not repeated to a leaving worker. */
+/* Ends the tasks that the worker does not list although it has handled a request that contained
+ * them. A run that was live, or that an earlier incarnation of the worker may have started, is
+ * lost. A start that was cancelled before the worker handled it has not run; nor has a start
+ * that is no longer sent because the worker is leaving. */
 static void
 end_unlisted (FbRack *self, uint64_t now_ms, guint index, const FbSyncReply *reply,
               gboolean restarted)
@@ -239,7 +239,7 @@
     }
 }
 
-/* Forgets acknowledged ends that the worker does not list any more. */
+/* Removes acknowledged ends that the worker does not list any more. */
 static void
 remove_acked_tasks (FbRack *self, const FbSyncReply *reply, guint index)
 {
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -230,7 +230,7 @@
   fb_rack_mark_dirty (self, task->worker);
 }
 
-/* A start that was in no request cannot have reached the worker. */
+/* A start that no request has contained cannot have reached the worker. */
 gboolean
 fb_task_never_sent (const FbTask *task)
 {
@@ -330,11 +330,12 @@
     }
 }
 
-/* Failure: a worker restarts and forgets the highest epoch that it has accepted. An owner
- * that was replaced, but does not know it yet, finds that the new incarnation accepts its
- * requests and starts work that its successor has declared not started: a run executes in
- * two places. Guard: nothing starts on an incarnation of a worker until the log, read
- * after the first reply of that incarnation, has confirmed this owner. */
+/* Confirms the incarnations of workers that were seen before the log was read. Nothing starts on
+ * a new incarnation of a worker until the log, read after the first reply of that incarnation,
+ * has confirmed this owner. A worker that restarts loses the highest epoch that it has accepted;
+ * its new incarnation would accept the requests of an owner that was replaced but has not
+ * noticed it yet, and that owner could start runs that its successor has reported as not
+ * started. */
 static void
 confirm_incarnations (FbRack *self, uint64_t requested_ms)
 {
@@ -353,11 +354,11 @@
   fb_rack_worker (self, worker)->confirmed_incarnation = incarnation;
 }
 
-/* Failure: this owner is cut off from the log and from its workers while a successor has
- * claimed the rack and renews the leases that this owner believes lapsed. When the range
- * starts such a run again, it executes in two places. Guard: a lease counts as lapsed
- * only if the log, read after the lapse, still names this owner. If a successor claims
- * the rack after that read, the worker has already stopped the run. */
+/* A lease counts as expired only if the log, read after the expiry, still names this daemon as
+ * the owner. Otherwise an owner that reaches neither the log nor its workers could report a run
+ * as lost although a successor has claimed the rack and renewed the lease; the range would start
+ * the run again, and it would run twice at the same time. If a successor claims the rack after
+ * that read, the worker has already stopped the run. */
 void
 fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t requested_ms)
 {
--- a/src/core/range-apply.c
+++ b/src/core/range-apply.c
@@ -1,7 +1,7 @@
 /* Application of the records of a range's stream, in log order.
  *
- * The same code applies the owner's own records when the log returns them, and the
- * records that a successor reads; only an active range sends and answers. */
+ * The same code applies the owner's own records when the log returns them, and the records that
+ * a successor reads; only an active range sends messages and answers. */
 #include "internal/range-private.h"
 
 #include "fb-counter.h"
@@ -21,7 +21,8 @@
 {
   const fb_job *spec = &admit->job;
   FbJob *job = fb_range_find (self, spec->id);
-  /* Without the records before it, the update would be taken for the complete job. */
+  /* An update does not contain the complete job, so it is not applied if the earlier records are
+   * missing. */
   if (job == NULL && admit->update)
     return;
   if (job == NULL)
@@ -184,7 +185,7 @@
   job->spec.count = count;
 }
 
-/* A rewritten state has an effect only for a reader that does not know the job yet. */
+/* A rewritten state only has an effect if the job is not known yet. */
 static void
 apply_state (FbRange *self, uint64_t now_ms, const fb_rec_state *state,
              const FbRecordPosition *position)
@@ -255,8 +256,8 @@
 static fb_rec_task
 record_of (const FbJobTask *task)
 {
-  /* An end that is being appended already counts: its own record precedes this one, and a
-   * reader that begins after it never sees it. */
+  /* An end that is being appended is included: its own record precedes this one in the log, so a
+   * reader that begins at this record does not get it. */
   gboolean ending = task->state == FB_JOB_TASK_ENDING;
   return (fb_rec_task){ .index = task->index,
                         .attempt = task->attempt,
@@ -321,8 +322,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbJob *job = value;
-      /* A reader that begins between a change and the new state in the log would miss the
-       * change. */
+      /* A reader that begins between the record of a change and the rewritten state would miss
+       * the change. */
       if (job->admitted && !job->rewriting && !job->changing
           && now_ms - job->written_ms >= age_max_ms)
         rewrite_job (self, now_ms, job);
--- a/src/core/range-dispatch.c
+++ b/src/core/range-dispatch.c
@@ -1,9 +1,9 @@
-/* Timed work of a range: routing, queries and giving up.
+/* Timed work of a range: routing, queries and timeouts.
  *
- * Each task has one timer. The timer of a waiting task is its next attempt; the timer of
- * a task at a rack is the next query about it, which makes up for lost reports. Kinds are
- * served in order, each with a budget for one pass, so that ten thousand batch tasks that
- * become due together do not delay an urgent one. */
+ * Each task has one timer. The timer of a waiting task is its next attempt; the timer of a task
+ * at a rack is the next query about it, which makes up for lost reports. Kinds are served in
+ * order of precedence, each with a limited number of tasks per pass, so that ten thousand batch
+ * tasks that become due together do not delay an urgent one. */
 #include "internal/range-private.h"
 
 #include "fb-event.h"
@@ -129,11 +129,11 @@
   g_array_append_val (job->intents, task->index);
 }
 
-/* Failure: the owner dies after sending a task and before knowing its result, and its
- * successor sends the task again: a reminder is sent twice. Guard: the attempt is in the
- * log, with the rack and its epoch, before it is sent. A successor queries that rack, and
- * starts no second attempt of an at-most-once task without proof that the first did not
- * run. */
+/* Appends the attempts to the log, with the rack and its epoch, before they are sent. Otherwise,
+ * if the owner fails after sending a task and before it gets the result, its successor would
+ * send the task again, and for example a reminder would be sent twice. A successor queries the
+ * recorded rack, and starts no second attempt of an at-most-once task without proof that the
+ * first one did not run. */
 static void
 write_intents (FbRange *self, FbJob *job)
 {
@@ -256,8 +256,7 @@
   if (unconfirmed && job->due_ms != FB_NO_DEADLINE_MS
       && now_ms >= job->due_ms + FB_RANGE_DUE_GRACE_MS)
     {
-      /* The rack should have ended the task by now but does not answer. The task may have
-       * run. */
+      /* The rack should have ended the task by now but does not answer. The task may have run. */
       fb_range_end_task (self, task, FB_OUTCOME_UNKNOWN, FB_REASON_WORKER_LOST, NULL, 0);
       if (fb_job_is_gang (job))
         fb_gang_break (self, now_ms, job);
--- a/src/core/range-report.c
+++ b/src/core/range-report.c
@@ -1,8 +1,8 @@
 /* Reports of rack owners about runs.
  *
- * A report is matched by job, task and attempt; the order of arrival has no meaning. A
- * task moves on to its next attempt only on evidence: a rack's report that the attempt
- * did not and will not run, or that it has ended. */
+ * A report is matched by job, task and attempt; the order of arrival is irrelevant. A task
+ * proceeds to its next attempt only on proof: a rack's report that the attempt did not run and
+ * will not, or that it has ended. */
 #include "internal/range-private.h"
 
 #include "fb-event.h"
@@ -134,13 +134,14 @@
     fb_gang_break (self, now_ms, job);
 }
 
-/* Failure: an outdated owner of the rack, or the owner after next, reports "not here" for
- * a run that did start; a second run starts. Guard: a report with an epoch below the one
- * that the run was sent to proves nothing. A report at the same epoch proves that the
- * order was never handled. A report at a later epoch proves that the run is not running
- * and never will, but not that it never ran, so an at-most-once run remains unknown. To a
- * successor of the range, the same epoch does not prove that repeatable work has not run:
- * its predecessor may have acknowledged an end that it did not write to the log. */
+/* Handles a report that the rack does not have the run. Such a report may come from a replaced
+ * owner of the rack or from a later owner, and the run may have started; it must not cause a
+ * second concurrent run. A report with an epoch below the one that the run was sent to proves
+ * nothing. A report at the same epoch proves that the order was never handled. A report at a
+ * later epoch proves that the run is not running and never will, but not that it never ran, so
+ * the outcome of an at-most-once run remains unknown. To a successor of the range's owner, the
+ * same epoch does not prove that repeatable work has not run: its predecessor may have
+ * acknowledged an end that it did not write to the log. */
 static void
 handle_not_found (FbRange *self, uint64_t now_ms, FbJobTask *task, const fb_report *report)
 {
@@ -253,8 +254,8 @@
     }
 }
 
-/* The rack may forget an end once the log has it, or if it left no outcome that the log
- * would have to keep. */
+/* Returns: TRUE if the end of TASK may be acknowledged, so that the rack drops it: the log has
+ * it, or it has no outcome that the log would have to keep. */
 static gboolean
 may_ack (const FbJobTask *task)
 {
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -1,4 +1,4 @@
-/* A range: requests of callers' daemons, and the end of tasks and jobs. */
+/* A range: requests of the daemons that serve callers, and the end of tasks and jobs. */
 #include "internal/range-private.h"
 #include "internal/stream.h"
 
@@ -126,7 +126,8 @@
   self->sink->answer (self->user, self, front, &answer);
 }
 
-/* Answers about a job that this range does not know and may have forgotten. */
+/* Answers about a job that this range does not have. If records were lost, the job may have
+ * existed. */
 static void
 answer_unknown_job (FbRange *self, uint64_t now_ms, uint64_t job, const char *front)
 {
@@ -210,22 +211,21 @@
     fb_range_send_answer (self, now_ms, job, front);
 }
 
-/* Failure: a job is forgotten together with its attempts and admitted again, and a late
- * report of an old attempt is taken for a report of a new attempt with the same number.
- * Guard: after a loss of records, attempts are numbered from a value that only this claim
- * uses. */
+/* Returns: the number of the first attempt after a loss of records: a value that only this claim
+ * uses. If a job was lost together with its attempts and is admitted again, a late report about
+ * an old attempt could otherwise be taken for a report about a new attempt with the same number. */
 static uint32_t
 first_attempt_of (uint64_t epoch)
 {
   return (uint32_t) ((epoch >> FB_EPOCH_SUB_BITS) << ATTEMPTS_PER_CLAIM_BITS) | 1;
 }
 
-/* Failure: an owner that was replaced, but does not know it yet, refuses a key that its
- * successor has admitted; the caller is told "not run" of work that runs. Guard: only a
- * job without a key, which cannot be the same as another job, is refused with "not run".
- * For a job with a key, what this owner knows is no proof until it has been read back
- * from the log, so the answer is "unknown" and the caller may repeat the job under the
- * same key. A job that never fits is refused by every owner. */
+/* Returns: the outcome of a job that is refused. A replaced owner that has not noticed its
+ * replacement may refuse a key that its successor has admitted, so "not run" would be wrong for
+ * work that runs. "Not run" is therefore answered only for a job without a key, which cannot be
+ * the same as another job. For a job with a key, the state of this owner proves nothing until it
+ * has been read back from the log; the answer is "unknown", and the caller may submit the job
+ * again under the same key. A job that never fits is refused by every owner. */
 static FbOutcome
 refusal_outcome (const fb_job *spec, FbReason reason)
 {
@@ -347,8 +347,7 @@
       wait_ms = task->backoff_ms / 2
                 + (uint32_t) g_rand_int_range (self->rand, 0, (gint32) task->backoff_ms);
     }
-  /* The router sees the capacity that the members have released only with the next
-   * summary. */
+  /* The capacity that the members have released reaches the router only with the next summary. */
   if (fb_job_is_gang (job))
     wait_ms
         = MAX (wait_ms, GANG_RETRY_MS + (uint32_t) g_rand_int_range (self->rand, 0, GANG_RETRY_MS));
@@ -396,8 +395,8 @@
   fb_range_end_task (self, task, outcome, FB_REASON_PAST_DUE, NULL, 0);
 }
 
-/* Returns: the outcome of a job whose tasks are all done: NOT_RUN only if no task ever
- * ran, UNKNOWN if it is not known of some task whether it ran. */
+/* Returns: the outcome of a job whose tasks are all done: NOT_RUN only if no task ever ran,
+ * UNKNOWN if some task may have run. */
 static FbOutcome
 outcome_of (const FbJob *job)
 {
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -1,33 +1,32 @@
 /* Routing by summaries, which lag behind.
  *
- * A summary is up to one heartbeat old when it arrives. If every daemon sends to the rack
- * that looks best, all of them send to the same one (herding). Three policies are
- * available; `./run bench` compares them:
+ * A summary is up to one heartbeat old when it arrives. If every daemon sends to the rack that
+ * looks best, all of them send to the same one (herding). Three policies are available; `./run
+ * bench` compares them:
  *
  *   random        any rack that fits according to its summary.
  *   two-choices   the better of two random racks: nearly as even as the best of all,
- *                without herding.
+ *                 without herding.
  *   best-known    the best of all, corrected by what this daemon itself has sent since
- *                the summary.
+ *                 the summary.
  *
- * In a large cell a choice examines SAMPLE_N racks drawn at random, and all racks only if
- * none of those is suitable: with 1,536 racks, examining all of them took four fifths of
- * the cost of a placement. The best of some fifty random racks is in the best two
- * percent, and the sampling prevents herding as two choices do.
+ * In a large cell a choice examines SAMPLE_N racks drawn at random, and all racks only if none
+ * of those is suitable: with 1,536 racks, examining all of them took four fifths of the cost of
+ * a placement. The best of some fifty random racks is in the best two percent, and the sampling
+ * prevents herding as two choices do.
  *
- * All three policies debit what they send from the summary, so that one daemon does not
- * overload a rack between two summaries, and none of them uses a rack for REFUSED_WAIT_MS
- * after it has refused a task, or until its next summary if its owner has changed or is
- * leaving. Racks that can start the work at once are preferred
- * to racks where it would queue, the partner's own racks to those of the other partner, and, for
- * work without accelerators, racks that have none to racks that have some.
+ * All three policies debit what they send from the summary, so that one daemon does not overload
+ * a rack between two summaries. None of them uses a rack for REFUSED_WAIT_MS after it has
+ * refused a task, or until its next summary if its owner has changed or is leaving. Racks that
+ * can start the work at once are preferred to racks where it would queue, the partner's own
+ * racks to those of the other partner, and, for work without accelerators, racks that have none
+ * to racks that have some.
  *
- * Preemptible work, which may run on the other partner's racks, queues at its own
- * partner's racks rather than run as a guest; its range moves it when it sees free
- * capacity elsewhere. A gang keeps its reservations while it queues, and none of its members can
- * move alone; so for a gang free capacity of the other partner is preferred to queueing
- * at its own: otherwise a gang whose own racks had permanently lost a host waited beside
- * an empty pool. */
+ * Preemptible work may run on the other partner's racks, but queues at its own partner's racks
+ * first; its range moves it when there is free capacity elsewhere. A gang keeps its reservations
+ * while it queues, and none of its members can move alone. For a gang, free capacity of the
+ * other partner is therefore preferred to queueing at its own: otherwise a gang whose own racks
+ * had permanently lost a host waited although the other partner's racks were idle. */
 #include "internal/router.h"
 
 #include <string.h>
@@ -169,8 +168,8 @@
     return TRUE;
   if (request->probe_only)
     return FALSE;
-  /* Only work of the home partner queues at a rack. Work of the guest would wait behind
-   * all of it; its range places it when it sees free capacity. */
+  /* Only work of the home partner queues at a rack. Work of the other partner would wait behind
+   * all of it; its range places it when there is free capacity. */
   return rack->info.partner == request->spec->partner
          && queue_length_at (rack, request->spec) < QUEUE_SOFT_MAX;
 }
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -1,18 +1,18 @@
 /* The scheduling pass of a rack: the order in which waiting tasks start.
  *
  * The order is by partner, kind, team and rank:
- *  - The home partner, which the rack belongs to, comes first. Capacity that it does not
- *    use is lent to the other partner, the guest, up to LEND_MILLI. Kinds and priorities
- *    of one partner have no influence on the order of the other's work.
- *  - Within a partner: urgent, service, gang, batch.
- *  - Within a kind: the team with the smallest dominant share in relation to its weight.
- *  - Within a team: the rank in the queue (task-queue.c).
+ * - The home partner, to which the rack belongs, comes first. Capacity that it does not use
+ *   is lent to the other partner, the borrower, up to LEND_MILLI. Kinds and priorities of
+ *   one partner have no influence on the order of the other's work.
+ * - Within a partner: urgent, service, gang, batch.
+ * - Within a kind: the team with the smallest dominant share in relation to its weight.
+ * - Within a team: the rank in the queue (task-queue.c).
  *
- * If the first task of a queue does not fit, the others among its first BACKFILL_MAX
- * tasks may start before it. With backfill alone, small tasks could starve a large one.
- * So once the large task has waited for FB_RACK_HOLD_MS, one worker is held for it: only
- * urgent work starts there until the large task has started. Only one worker is held at a
- * time, which bounds the capacity left idle for this to one worker of the rack. */
+ * If the first task of a queue does not fit, the others among its first BACKFILL_MAX tasks may
+ * start before it. With backfill alone, small tasks could starve a large one. So once the large
+ * task has waited for FB_RACK_HOLD_MS, one worker is held for it: only urgent work starts there
+ * until the large task has started. Only one worker is held at a time, so at most one worker of
+ * the rack is left idle for this. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
@@ -51,8 +51,8 @@
 static uint32_t
 guard_for (const FbRack *self, const FbTask *task)
 {
-  /* A gang member that waits until no accelerator work is queued keeps its whole gang
-   * waiting, and with it the capacity that the gang has reserved on other racks. */
+  /* A gang member that waited until no accelerator work is queued would delay its whole gang,
+   * and keep the capacity idle that the gang has reserved on other racks. */
   if (task->spec.kind == FB_KIND_GANG)
     return 0;
   if (fb_task_queues_accel_count (self->queues) > 0)
@@ -161,8 +161,8 @@
   if (self->hold_worker != FB_NO_WORKER || now_ms - head->arrived_ms < FB_RACK_HOLD_MS
       || head->spec.partner != self->home || !within_limits (self, head))
     return;
-  /* Work without accelerators may not start on accelerator hosts while accelerator work
-   * waits: holding such a host would leave it idle and still not start the task. */
+  /* Work without accelerators may not start on accelerator hosts while accelerator work waits.
+   * Holding such a host would leave it idle without starting the task. */
   gboolean guarded = fb_spec_wait_class (&head->spec) == FB_WAIT_CLASS_OTHER
                      && fb_task_queues_accel_count (self->queues) > 0;
   uint32_t least_milli = G_MAXUINT32;
--- a/src/core/stream.c
+++ b/src/core/stream.c
@@ -1,27 +1,28 @@
 /* Ownership by the order of the log.
  *
- * A claim names the claim that it follows. The first claim in the stream that names the
- * one in force wins; a second one, from a race, names a predecessor that is no longer in
- * force and is superseded. All readers reach the same result without a vote. Because the
- * claim is in the stream that it governs, a record that the old owner appends after it is
- * superseded for all readers.
+ * A claim names the claim that it follows. The first claim in the stream that names the one in
+ * force takes effect; a second one, from a race, names a predecessor that is no longer in force
+ * and is superseded. All readers reach the same result without a vote. Because the claim is in
+ * the stream that it governs, a record that the old owner appends after it is superseded for all
+ * readers.
  *
  * The epoch is the offset of the claim (plus one, so that 0 means none), shifted left by
- * FB_EPOCH_SUB_BITS; the low bits count handovers that did not go through the log. A
- * claim ends all of these epochs of its predecessor.
+ * FB_EPOCH_SUB_BITS; the low bits count handovers that did not go through the log. A claim ends
+ * all of these epochs of its predecessor.
  *
- * A reader that begins where the log has already dropped records does not know the claim
- * in force. It skips what it cannot validate until a RENEW anchors it: only owners write
- * RENEW records, once in every third of the retention time. An owner that was replaced
- * may write one late, so a RENEW counts only if its writer had read up to where this
- * reader began, and past every claim that this reader has met. A claim that comes before
- * such a RENEW is accepted provisionally if its writer had read as far too; a duplicate
- * of an old claim (repeated because its answer was lost) had not. If that claim lost its
- * race, it does no harm, since a claimant that lost writes nothing under it.
+ * A reader that begins where the log has already dropped records does not know the claim in
+ * force. It skips what it cannot validate until it reads a RENEW, from which it takes the epoch:
+ * only owners write RENEW records, once in every third of the retention time. An owner that was
+ * replaced may write one late, so a RENEW counts only if its writer had read up to where this
+ * reader began, and past every claim that this reader has read. A claim that comes before such a
+ * RENEW is accepted provisionally if its writer had read as far too; the writer of a duplicate
+ * of an old claim (repeated because its answer was lost) had not. If the accepted claim was not
+ * the first to name its predecessor, this has no consequences, since its writer appends nothing
+ * under it.
  *
- * If no record is left to validate from, a claim names the offset at which its writer began
- * to read. A reader that knows the whole stream accepts it exactly if a reader that began
- * there had nothing to go by: no claim and no RENEW whose writer had read as far. */
+ * If no RENEW is left, a claim names the offset at which its writer began to read. A reader that
+ * has the whole stream accepts it exactly if a reader that began there could not have known the
+ * epoch: if there is no claim and no RENEW whose writer had read as far. */
 #include "internal/stream.h"
 
 #include <string.h>
@@ -70,9 +71,10 @@
   g_free (self);
 }
 
-/* Failure: the answer to an append is lost, the writer repeats it, and the record is in
- * the log twice: a job is admitted or ended twice. Guard: a writer numbers its records,
- * and only the first record with a number counts. */
+/* Returns: TRUE if RECORD is a copy of an earlier record. If the answer to an append is lost,
+ * the writer repeats it, and the record is in the log twice; without this check a job could be
+ * admitted or ended twice. A writer numbers its records, and only the first record with a number
+ * counts. */
 static gboolean
 is_duplicate (FbStream *self, const fb_record *record)
 {
--- a/src/core/survey.c
+++ b/src/core/survey.c
@@ -1,17 +1,16 @@
-/* Survey of the racks after the log has dropped records that were still needed.
+/* Reconciliation with the racks after the log has dropped records that were still needed.
  *
- * Failure: the owner of a range is gone, the log is unavailable for longer than it keeps
- * records, and a successor finds the stream without some of its jobs. A service is
- * started beside its forgotten tasks, or a reminder is sent again under a key that was
- * used. Guard: lost records cannot be recovered, so the successor assumes nothing about
- * them:
- *  - before it admits or sends anything, it asks every rack for the runs of this range,
- *    and stops the runs that it does not know;
- *  - for as long as keys are kept, it answers "unknown" to an at-most-once job whose id
- *    it does not know, and to a query about one.
+ * If a range has no owner and the log is unavailable for longer than it keeps records, the next
+ * owner finds the stream without some of its jobs. It could then start a service in addition to
+ * tasks that still run, or send a reminder again under a key that was used. Lost records cannot
+ * be recovered, so the successor makes no assumption about them:
+ * - before it admits or sends anything, it requests the runs of this range from every rack,
+ *   and stops those that it does not know;
+ * - for as long as keys are kept, it answers "unknown" to an at-most-once job whose id it
+ *   does not know, and to a query about one.
  *
- * The last RENEW tells whether records were lost: it has the offset of the oldest record
- * that was still needed when it was written. */
+ * The last RENEW shows whether records were lost: it has the offset of the oldest record that
+ * was still needed when it was written. */
 #include "internal/range-private.h"
 #include "internal/range-query.h"
 
@@ -78,8 +77,8 @@
   (void) self->sink->send (self->user, self, rack, &ack);
 }
 
-/* The job may be known from a late record although its earlier ones are gone, so the run
- * itself has to be known. Its attempt number is not used again in either case. */
+/* The job may be known from a late record although its earlier records are missing, so it is the
+ * run that has to be known. Its attempt number is not used again in either case. */
 static gboolean
 is_known_run (const FbRange *self, uint32_t rack, const fb_run *run)
 {
--- a/src/core/task-queue.c
+++ b/src/core/task-queue.c
@@ -1,12 +1,11 @@
 /* Order of waiting work.
  *
- * Within a queue the order is earliest deadline first by a *virtual* due time: min (due,
- * arrival + ageing time of the kind). Plain EDF starves work without a deadline, and ageing
- * by sorting again costs a pass over the queue. With a virtual due time that is fixed at
- * arrival, work without a deadline moves forward because later arrivals get higher ranks,
- * and the queue remains a balanced tree: O(log n) to insert, O(log n) to remove, O(1) for
- * the first task. The cost: a deadline that is further away than the ageing time has no
- * influence. */
+ * Within a queue the order is earliest deadline first by a *virtual* due time: min (due, arrival
+ * + ageing time of the kind). Plain EDF starves work without a deadline, and ageing by sorting
+ * again costs a pass over the queue. With a virtual due time that is fixed at arrival, work
+ * without a deadline advances because later arrivals get higher ranks, and the queue remains a
+ * balanced tree: O(log n) to insert, O(log n) to remove, O(1) for the first task. The
+ * disadvantage: a deadline that is further away than the ageing time has no influence. */
 #include "internal/task-queue.h"
 
 #include "internal/rack-private.h"
