--- a/include/fb-cell.h
+++ b/include/fb-cell.h
@@ -68,7 +68,7 @@
 uint32_t fb_cell_shard_partner (const FbCell *self, uint32_t shard);
 /* Returns: the shard number of the range that JOB of PARTNER belongs to. */
 uint32_t fb_cell_range_of_job (const FbCell *self, uint32_t partner, uint64_t job);
-/* Returns: the part of a team's QUOTA that RACK may give: in proportion to the rack's
+/* Returns: the part of a team's QUOTA that may be used on RACK: in proportion to the rack's
  * share of its partner's hosts, so that all racks together never exceed the quota. */
 fb_res fb_cell_quota_slice (const FbCell *self, const FbCellRack *rack, const fb_res *quota);
 /* Returns: the index of the partner, or -1 if there is none of that NAME. */
--- a/include/fb-types.h
+++ b/include/fb-types.h
@@ -1,7 +1,7 @@
 /* Types shared by all layers: resources, runs, kinds, outcomes.
  *
- * The wire types (fb_run, fb_res, fb_spec, ...) come from rpc/peer.x. The decision code
- * uses them directly, so no conversion is needed. */
+ * The wire types (fb_run, fb_res, fb_spec, ...) come from rpc/peer.x. The scheduling code uses
+ * them directly, so no conversion is needed. */
 #pragma once
 
 #include <glib.h>
@@ -71,25 +71,26 @@
 typedef enum
 {
   FB_REASON_NONE,
-  FB_REASON_NEVER_FITS,     /* no host is large enough, or the job is invalid */
-  FB_REASON_QUEUE_FULL,     /* at the rack */
-  FB_REASON_QUOTA,          /* the demand exceeds the part of the quota that the rack gives */
-  FB_REASON_NOT_LENT,       /* the rack does not lend to such work of the other partner */
-  FB_REASON_WRONG_EPOCH,    /* sent to, or by, an owner that is not the current one */
-  FB_REASON_LEAVING,        /* the worker, or the owner of the rack, is leaving */
-  FB_REASON_PAST_DUE,       /* the latest start has passed */
-  FB_REASON_WITHDRAWN,      /* by the owner of its range, before it started */
-  FB_REASON_EXPIRED,        /* the reservation was neither committed nor queried in time */
-  FB_REASON_PREEMPTED,      /* for other work of its own partner, or for lack of memory */
-  FB_REASON_RECLAIMED,      /* preempted for the partner that the rack belongs to */
-  FB_REASON_WORKER_LOST,    /* the worker restarted, or its lease lapsed; or its rack is silent */
+  FB_REASON_NEVER_FITS,  /* no host is large enough, or the job is invalid */
+  FB_REASON_QUEUE_FULL,  /* at the rack */
+  FB_REASON_QUOTA,       /* the demand exceeds this rack's part of the quota */
+  FB_REASON_NOT_LENT,    /* the rack does not lend to such work of the other partner */
+  FB_REASON_WRONG_EPOCH, /* sent to, or by, an owner that is not the current one */
+  FB_REASON_LEAVING,     /* the worker, or the owner of the rack, is leaving */
+  FB_REASON_PAST_DUE,    /* the latest start has passed */
+  FB_REASON_WITHDRAWN,   /* by the owner of its range, before it started */
+  FB_REASON_EXPIRED,     /* the reservation was neither committed nor queried in time */
+  FB_REASON_PREEMPTED,   /* for other work of its own partner, or for lack of memory */
+  FB_REASON_RECLAIMED,   /* preempted for the partner that the rack belongs to */
+  FB_REASON_WORKER_LOST, /* the worker restarted or its lease expired; or its rack does not respond
+                          */
   FB_REASON_WORKER_REFUSED, /* the worker refused the start order */
   FB_REASON_CANCELLED,      /* at the request of its caller, or together with its gang */
   FB_REASON_OWNER_CHANGED,  /* the owner of its range did not answer in time */
   FB_REASON_OVERLOAD,       /* the range has FB_RANGE_JOB_MAX jobs */
   FB_REASON_KEY_MISMATCH,   /* the key was used for a different job */
   FB_REASON_LOG_DOWN,       /* appends to the log fail */
-  FB_REASON_RETENTION,      /* may have been forgotten: the log dropped records */
+  FB_REASON_RETENTION,      /* the job may have run before: the log dropped records */
   FB_REASON_N
 } FbReason;
 
--- a/include/internal/member.h
+++ b/include/internal/member.h
@@ -1,5 +1,5 @@
-/* Membership as seen by one daemon: which members are alive, and which one should own a
- * shard. Pure. */
+/* Membership as seen by one daemon: which members are alive, and which one should own a shard.
+ * Does no I/O. */
 #pragma once
 
 #include "fb-types.h"
@@ -15,7 +15,7 @@
   FB_MEMBER_UNHEARD, /* no heartbeat has arrived yet */
   FB_MEMBER_ALIVE,
   FB_MEMBER_LEAVING,  /* begins a planned stop: gets no shards */
-  FB_MEMBER_SUSPECTED /* silent for FB_MEMBER_SUSPECT_MS */
+  FB_MEMBER_SUSPECTED /* no heartbeat for FB_MEMBER_SUSPECT_MS */
 } FbMemberState;
 
 FbMembers *fb_members_new (void);
@@ -34,7 +34,7 @@
 /* Records a heartbeat. Returns: TRUE if it is the first of a new incarnation. */
 gboolean fb_members_record_heartbeat (FbMembers *self, uint64_t now_ms, guint index,
                                       uint64_t incarnation, gboolean leaving);
-/* Suspects the members that have been silent for FB_MEMBER_SUSPECT_MS. */
+/* Marks members without a heartbeat for FB_MEMBER_SUSPECT_MS as suspected. */
 void fb_members_tick (FbMembers *self, uint64_t now_ms);
 
 /* Returns: the index of the member that should own SHARD of PARTNER: by rendezvous
--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -34,8 +34,9 @@
   FbStream *stream; /* NULL unless reading or owned */
   FbRack *rack;     /* of an owned rack, else NULL */
   FbRange *range;   /* of a range that is read or owned, else NULL */
-  gboolean lost; /* given up: fb_node_free_lost_shards() frees its objects once no call uses them */
-  gboolean reading;              /* a read of the stream is not answered yet */
+  gboolean lost;    /* not owned any more: fb_node_free_lost_shards() frees its objects once no call
+                       uses them */
+  gboolean reading; /* a read of the stream is not answered yet */
   uint64_t read_requested_ms;    /* when the last read was requested */
   uint64_t read_until;           /* read until the next offset is at least this one */
   uint64_t confirm_requested_ms; /* when the rack asked to confirm the ownership, or 0 */
@@ -171,7 +172,7 @@
 void fb_node_config_record (FbNode *self, uint64_t offset, GBytes *data, uint64_t age_ms);
 void fb_node_config_tick (FbNode *self);
 void fb_node_config_clear (FbNode *self);
-/* The log has dropped records of the config stream before they were read. */
+/* To be called when the log has dropped records of the config stream before they were read. */
 void fb_node_config_gap (FbNode *self);
 void fb_node_config_pull (FbNode *self, const char *from, const fb_config_pull *pull);
 void fb_node_config_receive (FbNode *self, const fb_config_record *record);
--- a/include/internal/node-query.h
+++ b/include/internal/node-query.h
@@ -3,7 +3,7 @@
 
 #include "internal/node.h"
 
-/* Returns: TRUE if this daemon owns no shard and owes no answer any more. */
+/* Returns: TRUE if this daemon owns no shard and has no answer left to send. */
 gboolean fb_node_is_drained (const FbNode *self);
 
 uint64_t fb_node_config_serial (const FbNode *self, uint32_t partner);
@@ -23,6 +23,6 @@
  * heartbeat. */
 uint64_t fb_node_member_serial (const FbNode *self, guint member, uint32_t partner);
 
-/* Returns: (transfer full): lines that tell where the tasks of JOB are and why, as far as
- * this daemon knows, or NULL if it does not know the job. */
+/* Returns: (transfer full): a text with the state and place of each task of JOB and the reasons,
+ * as far as they are known to this daemon; NULL if it does not know the job. */
 char *fb_node_explain (const FbNode *self, uint64_t job);
--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -44,8 +44,8 @@
 {
   FB_WORKER_UNKNOWN, /* no reply yet; counts as full */
   FB_WORKER_OK,
-  FB_WORKER_SILENT, /* its lease should have lapsed, but the ownership is not confirmed yet */
-  FB_WORKER_LAPSED, /* its lease has lapsed: no run ordered by this owner can be running there */
+  FB_WORKER_SILENT, /* its lease should have expired, but the ownership is not confirmed yet */
+  FB_WORKER_LAPSED, /* its lease has expired: no run ordered by this owner can be running there */
   FB_WORKER_GONE    /* no reply yet, and off the host list for longer than a lease */
 } FbWorkerState;
 
@@ -91,7 +91,7 @@
   GHashTable *tasks;  /* fb_run * in the task -> FbTask owned */
   FbTaskQueues *queues;
   GSequence *by_due; /* queued FbTask that have a due time, earliest first */
-  GQueue ended;      /* ended FbTask that the rack still has to remember */
+  GQueue ended;      /* ended FbTask that are still kept */
   fb_res total;      /* capacity of all workers */
   fb_res partner_used[FB_PARTNER_N];
   GHashTable *team_used;    /* partner << 32 | team -> fb_res owned */
@@ -99,7 +99,7 @@
   gboolean wants_schedule;  /* run a scheduling pass at the next flush */
   uint64_t starts_paused_until_ms; /* 0 if never paused */
   uint64_t confirm_requested_ms;   /* when sink->confirm_ownership() was called last */
-  fb_run hold_run;                 /* the task that hold_worker is kept free for */
+  fb_run hold_run;                 /* the task for which hold_worker is held */
   guint hold_worker;               /* or FB_NO_WORKER */
 };
 
@@ -111,8 +111,8 @@
 gboolean fb_rack_is_complete (const FbRack *self);
 const fb_res *fb_rack_team_used (const FbRack *self, uint32_t partner, uint32_t team);
 
-/* ledger.c: the only functions that change FbWorker.used, FbRack.partner_used and
- * FbRack.team_used. */
+/* ledger.c: charged capacity. These are the only functions that change FbWorker.used,
+ * FbRack.partner_used and FbRack.team_used. */
 void fb_ledger_charge (FbRack *self, FbTask *task, guint worker, const fb_res *charge);
 void fb_ledger_release (FbRack *self, FbTask *task);
 void fb_ledger_recharge (FbRack *self, FbTask *task, const fb_res *charge);
@@ -126,7 +126,7 @@
 /* Reports to the owner of SPEC's range. ANSWER may be NULL. */
 void fb_rack_report (FbRack *self, const fb_spec *spec, guint worker, FbRunStatus run_status,
                      FbReason reason, GBytes *answer);
-/* Adds a task for a run that a worker lists and this owner does not know. */
+/* Adds a task for a run that a worker lists although this owner did not order it. */
 FbTask *fb_rack_adopt (FbRack *self, uint64_t now_ms, guint worker, const fb_spec *spec);
 void fb_rack_end_task (FbRack *self, uint64_t now_ms, FbTask *task, FbRunStatus run_status,
                        FbReason reason, const char *answer, uint32_t answer_len);
--- a/include/internal/rack-query.h
+++ b/include/internal/rack-query.h
@@ -22,6 +22,6 @@
  * static. */
 const char *fb_rack_worker_state (const FbRack *self, guint worker);
 
-/* Returns: (transfer full): one line that tells why RUN waits or where it runs, or NULL
- * if the rack does not have it. */
+/* Returns: (transfer full): one line with the reason why RUN waits, or with the place where it
+ * runs; NULL if the rack does not have it. */
 char *fb_rack_explain (const FbRack *self, uint64_t now_ms, const fb_run *run);
--- a/include/internal/rack.h
+++ b/include/internal/rack.h
@@ -1,11 +1,10 @@
-/* State of one rack as its owner keeps it. Only this object decides what runs on the
- * workers of the rack.
+/* State of one rack, kept by its owner. All decisions about what runs on the workers of the rack
+ * are made by this object.
  *
- * The code is pure: it has no clock, no I/O and no threads. The caller passes in the time
- * and all incoming messages through the functions below; outgoing requests and reports
- * leave through FbRackSink. Because every start is charged to the ledger of this object
- * first, it can check locally that no worker is given more than its capacity. Read-only
- * functions are in rack-query.h. */
+ * It has no clock, I/O or threads. The caller passes in the time and all incoming messages
+ * through the functions below; outgoing requests and reports leave through FbRackSink. Because
+ * the capacity of every start is charged here first, it can check locally that no worker is
+ * given more than its capacity. Read-only functions are in rack-query.h. */
 #pragma once
 
 #include "fb-types.h"
@@ -14,15 +13,15 @@
 typedef struct _FbRack FbRack;
 typedef struct _FbPlacePolicy FbPlacePolicy;
 
-/* How long a run may go on after the worker's last contact with the owner. Longer than a
- * successor needs to take over the rack (about 6 s), so that runs outlive their owner.
- * The runs of a lost worker are started again only after it. */
+/* How long a run may continue after the worker's last contact with the owner. Longer than a
+ * successor needs to take over the rack (about 6 s), so that runs survive their owner. The runs
+ * of a lost worker are started again only after this time. */
 #define FB_RACK_LEASE_MS 10000
 #define FB_RACK_START_MS 2000         /* a worker refuses a start order older than this */
 #define FB_RACK_CLOCK_DRIFT_PERCENT 2 /* added to the lease: clocks differ in their rate */
 #define FB_RACK_SYNC_PERIOD_MS 2500   /* period of exchanges with an idle worker */
 #define FB_RACK_REPORT_PERIOD_MS 1000 /* between repeats of a report or of a request to confirm */
-#define FB_RACK_RESERVE_MS 5000       /* a reservation lapses unless the range queries it */
+#define FB_RACK_RESERVE_MS 5000       /* a reservation expires unless the range queries it */
 #define FB_RACK_HOLD_MS 2000          /* waiting time after which a task may hold a worker */
 #define FB_RACK_QUEUE_MAX 256         /* queued tasks for each partner and kind */
 #define FB_RACK_PREEMPT_MAX 3         /* preemptions of one run by its own partner */
@@ -66,9 +65,9 @@
   gboolean checkpoint;
 } FbSyncStop;
 
-/* One request to a worker. It lists every outstanding start, stop and acknowledgement, so
- * that the next exchange makes up for a lost one. A worker handles requests in ascending
- * order of (epoch, seq) and refuses any other. */
+/* One request to a worker. It lists every outstanding start, stop and acknowledgement, so that
+ * the next exchange makes up for a lost one. A worker handles requests in ascending order of
+ * (epoch, seq) and rejects any other. */
 typedef struct
 {
   uint64_t epoch;
@@ -77,10 +76,10 @@
   uint64_t known_version;  /* version of the last complete state received, or 0 */
   uint64_t lease_until_ms; /* on the worker's clock; 0 does not renew the lease */
   GPtrArray *starts;       /* const fb_spec *, borrowed */
-  GArray *start_by_ms;     /* uint64_t, for each of starts: latest time on the worker's clock */
-  GArray *stops;           /* FbSyncStop */
-  GArray *throttles;       /* fb_run: to be slowed down */
-  GArray *acks;            /* fb_run: ended runs that the worker may forget */
+  GArray *start_by_ms; /* uint64_t, for each of starts: latest start time on the worker's clock */
+  GArray *stops;       /* FbSyncStop */
+  GArray *throttles;   /* fb_run: runs to be slowed down */
+  GArray *acks;        /* fb_run: ended runs that the worker may drop */
 } FbSyncRequest;
 
 typedef struct
@@ -131,16 +130,17 @@
 /* Replies and events of the workers. */
 void fb_rack_sync_done (FbRack *self, uint64_t now_ms, guint worker, const FbSyncReply *reply);
 void fb_rack_sync_failed (FbRack *self, uint64_t now_ms, guint worker);
-/* The worker has signalled a change: exchange with it at the next flush. */
+/* To be called when the worker has signalled a change: exchanges with it at the next flush. */
 void fb_rack_worker_changed (FbRack *self, guint worker);
 void fb_rack_set_leaving (FbRack *self, uint64_t now_ms, guint worker, gboolean leaving);
-/* The host list does not contain the worker any more. */
+/* To be called when the host list does not contain the worker any more. */
 void fb_rack_set_gone (FbRack *self, uint64_t now_ms, guint worker);
-/* The log, read from REQUESTED_MS on, still names this daemon as the owner. */
+/* To be called when the log, read at or after REQUESTED_MS, still names this daemon as the
+ * owner. */
 void fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t requested_ms);
 
-/* The previous owner had confirmed its ownership after it saw this INCARNATION of the
- * worker, before it handed the rack over. */
+/* Records that the previous owner, before it handed the rack over, had confirmed its ownership
+ * after it saw this INCARNATION of the worker. */
 void fb_rack_set_confirmed_incarnation (FbRack *self, guint worker, uint64_t incarnation);
 
 /* Delays all starts until UNTIL_MS. */
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -46,7 +46,7 @@
   fb_job spec;       /* owned */
   gboolean admitted; /* its ADMIT record is in the log */
   gboolean cancelled;
-  uint32_t first_attempt_after_gap; /* if above 0, earlier runs may have been forgotten; see
+  uint32_t first_attempt_after_gap; /* if above 0, records of earlier runs may be lost; see
                                        fb_rec_admit */
   uint64_t arrived_ms;
   uint64_t due_ms;
@@ -57,7 +57,7 @@
   gboolean rewriting;      /* a STATE record is being appended */
   gboolean changing;       /* a CANCEL record or an update of a service is being appended */
   uint64_t ended_ms;
-  uint64_t blocked_until_ms; /* no rack was found: no task looks for one before this */
+  uint64_t blocked_until_ms; /* no rack was found: no task of the job is routed before this */
   uint64_t reserve_until_ms; /* a gang gives up its reservations after this; 0 if none */
   FbOutcome outcome;
   FbReason reason;
@@ -67,7 +67,7 @@
   guint task_n;
   guint state_n[FB_JOB_TASK_DONE + 1]; /* number of tasks in each state */
   guint outcome_n[FB_OUTCOME_N];       /* number of done tasks with each outcome */
-  gboolean committed;                  /* the members of the gang were told to start */
+  gboolean committed;                  /* the commit was sent to the members of the gang */
   guint cancel_next;                   /* index of the next task to cancel */
   GPtrArray *fronts; /* char * owned: names of the daemons that wait for the answer */
   GArray *intents; /* uint32_t: indexes of the tasks whose INTENT record is written in this pass */
@@ -89,7 +89,7 @@
   guint survey_remaining; /* number of racks that have not replied */
   uint64_t survey_at_ms;  /* when the racks are asked again */
   uint64_t next_due_ms;   /* earliest expiry of the timers set since the last dispatch */
-  uint64_t history_gap_until_ms; /* until then, jobs and keys from before may have been forgotten */
+  uint64_t history_gap_until_ms; /* until then, jobs and keys from before may be unknown */
   GHashTable *jobs;              /* &job->spec.id -> FbJob owned */
   GSequence *timers[FB_KIND_N];  /* FbJobTask borrowed, earliest first */
   GQueue cancelling;             /* FbJob whose tasks are not all cancelled yet */
@@ -103,8 +103,8 @@
 FbJob *fb_job_new_recovered (uint64_t now_ms, const fb_rec_admit *admit, uint64_t age_ms,
                              const FbRecordPosition *position);
 void fb_job_free (gpointer job);
-/* Earlier runs of the job may have been forgotten: counts all its tasks as started, and
- * numbers their attempts from FIRST_ATTEMPT. */
+/* Marks that records of earlier runs of the job may be lost: counts all its tasks as started,
+ * and numbers their attempts from FIRST_ATTEMPT. */
 void fb_job_set_history_gap (FbJob *job, uint32_t first_attempt);
 void fb_job_resize (FbRange *self, uint64_t now_ms, FbJob *job, guint count);
 void fb_job_set_state (FbJob *job, FbJobTask *task, FbJobTaskState state);
@@ -119,8 +119,8 @@
 void fb_range_set_timer (FbRange *self, FbJobTask *task, uint64_t due_ms);
 void fb_range_clear_timer (FbRange *self, FbJobTask *task);
 
-/* The attempt is known to have ended without an outcome: schedules the next one, after a
- * delay if BACK_OFF. */
+/* Schedules the next attempt, after a delay if BACK_OFF. To be called when the last attempt is
+ * known to have ended without an outcome. */
 void fb_range_retry_task (FbRange *self, uint64_t now_ms, FbJobTask *task, gboolean back_off);
 /* Appends the final outcome of a task; it takes effect in fb_range_apply(). */
 void fb_range_end_task (FbRange *self, FbJobTask *task, FbOutcome outcome, FbReason reason,
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -1,13 +1,13 @@
-/* A range of job ids. Its owner alone decides the outcome of the jobs in it.
+/* A range of job ids. Only its owner decides the outcome of the jobs in it.
  *
- * The code is pure. The owner of a range admits jobs, sends each task to a rack in
- * numbered attempts, one at a time, and decides the final outcome. Everything that has to
- * outlive the process goes to the log through sink->append() and takes effect only when
- * the log returns it, in log order, through fb_range_apply(). A successor that applies
- * the same records reaches the same state.
+ * This code has no clock, I/O or threads. The owner of a range admits jobs, sends each task to a
+ * rack in numbered attempts, one at a time, and decides the final outcome. Everything that has
+ * to survive the process goes to the log through sink->append() and takes effect only when the
+ * log returns it, in log order, through fb_range_apply(). A successor that applies the same
+ * records reaches the same state.
  *
- * A range without a log (ephemeral) uses the same code, but its records are applied at
- * once: its jobs live as long as the daemon that serves their callers. */
+ * A range without a log (ephemeral) uses the same code, but its records are applied at once: its
+ * jobs live as long as the daemon that serves their callers. */
 #pragma once
 
 #include "internal/codec.h"
@@ -19,9 +19,9 @@
 #define FB_RANGE_REBALANCE_MS 3000     /* a task queued for longer may move to another rack */
 #define FB_RANGE_DUE_GRACE_MS 2000     /* wait for a rack's report after the due time */
 #define FB_RANGE_GANG_RESERVE_MS 15000 /* for all members of a gang to reserve capacity */
-#define FB_RANGE_JOB_MAX 20000  /* jobs in one range, ended ones that are remembered included */
+#define FB_RANGE_JOB_MAX 20000  /* jobs in one range, including ended ones that are still kept */
 #define FB_RANGE_TASK_MAX 20000 /* tasks of one job */
-#define FB_RANGE_KEEP_MS (60 * 60 * 1000) /* how long ended jobs and their keys are remembered */
+#define FB_RANGE_KEEP_MS (60 * 60 * 1000) /* how long ended jobs and their keys are kept */
 #define FB_RANGE_FAIL_RETRIES 1           /* of a task that its target failed */
 #define FB_RANGE_LOST_RETRIES 8           /* of a task whose worker was lost */
 
@@ -66,25 +66,25 @@
 void fb_range_apply (FbRange *self, uint64_t now_ms, const fb_rec_body *body,
                      const FbRecordPosition *position);
 
-/* The daemon owns the range at EPOCH and has applied all records before its claim. */
+/* Starts sending and answering. The daemon owns the range at EPOCH and has applied all records
+ * before its claim. */
 void fb_range_activate (FbRange *self, uint64_t now_ms, uint64_t epoch);
 /* Stops sending and answering. The state remains until the range is freed. */
 void fb_range_deactivate (FbRange *self);
 
-/* Records that are still needed may be missing, see survey.c. Asks RACK_N racks for the
- * runs that they hold; until all have replied no job is admitted. */
+/* Requests the runs of this range from RACK_N racks, because records that are still needed may
+ * be missing; see survey.c. No job is admitted until all racks have replied. */
 void fb_range_begin_survey (FbRange *self, uint64_t now_ms, guint rack_n);
-/* The predecessor could not rule out forgotten jobs for another HISTORY_GAP_MS; neither can
- * this owner. */
+/* Marks that jobs from before may be unknown for another HISTORY_GAP_MS, as at the predecessor. */
 void fb_range_set_history_gap (FbRange *self, uint64_t now_ms, uint64_t history_gap_ms);
 void fb_range_surveyed (FbRange *self, uint64_t now_ms, const fb_survey_reply *surveyed);
 
-/* Whether appends to the log succeed. While they do not, new durable jobs are refused at
+/* Sets whether appends to the log succeed. While they do not, new durable jobs are refused at
  * once instead of waiting. */
 void fb_range_set_log_ok (FbRange *self, gboolean ok);
 
-/* Requests of the daemons that serve callers; FRONT names the daemon. A refusal of a
- * submission carries COPY back, see fb_answer. */
+/* Requests of the daemons that serve callers; FRONT is the name of the daemon. A refusal of a
+ * submission has the value of COPY, see fb_answer. */
 void fb_range_submit (FbRange *self, uint64_t now_ms, const fb_job *job, uint32_t copy,
                       const char *front);
 void fb_range_query_job (FbRange *self, uint64_t now_ms, const fb_job_command *command,
--- a/include/internal/router.h
+++ b/include/internal/router.h
@@ -1,4 +1,4 @@
-/* Choice of the rack for a run, from the summaries of racks, which lag behind. Pure. */
+/* Choice of the rack for a run, from the summaries of racks, which lag behind. Does no I/O. */
 #pragma once
 
 #include "fb-types.h"
@@ -21,7 +21,8 @@
   const fb_spec *spec;
   uint64_t now_ms;
   uint32_t avoid_rack; /* the rack that refused last, or FB_NO_RACK */
-  gboolean probe_only; /* only asks whether some rack has free capacity now; nothing will be sent */
+  gboolean
+      probe_only; /* only checks whether some rack has free capacity now; nothing will be sent */
   /* Returns: the number of tasks of the same job in a rack or domain. Both NULL for work
    * that is not spread. */
   guint (*count_in_rack) (gpointer user, uint32_t rack);
@@ -59,12 +60,12 @@
 /* Returns: the properties of RACK, borrowed, or NULL if there is no such rack. */
 const FbRackInfo *fb_router_rack (const FbRouter *self, uint32_t rack);
 
-/* Stores a summary unless a newer epoch is known, and clears what this daemon has debited
- * since the last one: the owner has counted it. */
+/* Stores a summary unless one of a newer epoch is known, and resets what this daemon has debited
+ * since the last one: the owner has included it. */
 void fb_router_note_summary (FbRouter *self, uint64_t now_ms, const fb_summary *summary);
-/* The rack has no known owner: it is not chosen until the next summary. */
+/* Excludes a rack without a known owner until its next summary. */
 void fb_router_disable_rack (FbRouter *self, uint32_t rack);
-/* The rack has refused a task: it is not chosen for a while. */
+/* Excludes a rack that has refused a task for a short time, see router.c. */
 void fb_router_note_refusal (FbRouter *self, uint64_t now_ms, uint32_t rack, FbReason reason);
 
 /* Returns: TRUE and fills CHOICE, or FALSE if no rack is suitable now. Unless the request is
--- a/include/internal/stream.h
+++ b/include/internal/stream.h
@@ -1,5 +1,5 @@
-/* Interpretation of one shard's stream in the log: who owns the shard, and which records
- * are valid. Pure; records are passed in log order. */
+/* Interpretation of one shard's stream in the log: who owns the shard, and which records are
+ * valid. Does no I/O; records are passed in log order. */
 #pragma once
 
 #include "internal/codec.h"
@@ -15,7 +15,8 @@
    * force */
   FB_STREAM_CLAIMED,
   FB_STREAM_DUPLICATE,  /* duplicate of a record from a repeated append */
-  FB_STREAM_SUPERSEDED, /* from an epoch that a later claim has ended, or a claim that lost */
+  FB_STREAM_SUPERSEDED, /* from an epoch that a later claim has ended, or a claim that another one
+                           preceded */
   FB_STREAM_MALFORMED,
   FB_STREAM_OLD /* offset before the next one to read */
 } FbStreamResult;
@@ -28,7 +29,7 @@
 FbStreamResult fb_stream_read (FbStream *self, uint64_t offset, const void *data, gsize len,
                                fb_record *record);
 
-/* The log has dropped all records before FIRST. */
+/* To be called when the log has dropped all records before FIRST. */
 void fb_stream_set_first_retained (FbStream *self, uint64_t first);
 
 /* Returns: the next offset to read. */
--- a/include/internal/task-queue.h
+++ b/include/internal/task-queue.h
@@ -32,5 +32,6 @@
 /* Clears FbTaskQueue.blocked of all queues. */
 void fb_task_queues_unblock (FbTaskQueues *self);
 
-/* Returns: the sort key of a task that arrived at ARRIVED_MS and is due at DUE_MS. */
+/* Returns: the sort key of a task that arrived at ARRIVED_MS and is due at DUE_MS; smaller keys
+ * start first. */
 uint64_t fb_task_queue_rank (FbKind kind, uint64_t arrived_ms, uint64_t due_ms);
--- a/include/internal/team.h
+++ b/include/internal/team.h
@@ -1,5 +1,4 @@
-/* Teams of both partners: their weights and the part of their quotas that one rack may
- * give. */
+/* Teams of both partners: their weights and the parts of their quotas that apply to one rack. */
 #pragma once
 
 #include "fb-types.h"
--- a/rpc/record.x
+++ b/rpc/record.x
@@ -34,11 +34,10 @@
   unsigned int started_count;
 };
 
-/* Renewal of a claim, which an owner writes periodically. READ_TO: the epoch was in force
- * up to this offset. OLDEST: no job that is still needed has its full record before this
- * offset of the stream. HISTORY_GAP_MS, SURVEYING: for how long jobs may still be forgotten
- * (in ms), and whether a survey of the racks is in progress; both are 0 if no record was
- * lost. */
+/* Renewal of a claim, which an owner writes periodically. READ_TO: the epoch was in force up to
+ * this offset. OLDEST: no job that is still needed has its full record before this offset of the
+ * stream. HISTORY_GAP_MS, SURVEYING: for how long jobs from before may still be unknown (in ms),
+ * and whether a survey of the racks is in progress; both are 0 if no record was lost. */
 struct fb_rec_renew {
   fb_rec_claim claim;
   unsigned hyper read_to;
@@ -49,8 +48,8 @@
 
 /* DUE_LOG_MS: due time on the clock of the log, which all daemons can read, and not later than
  * the true due time; 0 for none. The remaining time in JOB would be too long for a reader if the
- * append was delayed. FIRST_ATTEMPT_AFTER_GAP: if above 0, the job may have run before and been
- * forgotten; attempts are numbered from this value, as lower ones may be in use. */
+ * append was delayed. FIRST_ATTEMPT_AFTER_GAP: if above 0, records of earlier runs of the job
+ * may be lost; attempts are numbered from this value, as lower numbers may be in use. */
 struct fb_rec_admit {
   fb_job job;
   unsigned int update; /* changes a service that readers already know */
@@ -97,7 +96,8 @@
   fb_rec_file files<FB_REC_MAX_FILES>;
 };
 
-/* RESTATED: written again by a daemon where the revision is in force, not by an operator. */
+/* RESTATED: written again by a daemon where the revision is in force, not published by an
+ * operator. */
 struct fb_rec_config {
   unsigned int restated;
   opaque revision<FB_MAX_CONFIG>;
--- a/rpc/work.x
+++ b/rpc/work.x
@@ -34,7 +34,7 @@
   bool checkpointing;
   bool speculative;
   bool long_running;
-  bool best_effort; /* uses only what other tasks leave; its cpu is not counted */
+  bool best_effort; /* uses only capacity that other tasks do not use; its cpu is not counted */
   string preferred_rack<FB_WORK_MAX_NAME>;
   string required_label<FB_WORK_MAX_NAME>;
   string image<FB_WORK_MAX_NAME>;
@@ -149,8 +149,8 @@
   FB_REQUEST_RELAY_ORDER = 10,      /* relay an order to a worker; 8 was one without the worker's
                                      * incarnation: daemons of both versions relay nothing for
                                      * each other */
-  FB_REQUEST_BACK_UP_SUSPECTS = 11, /* hold a copy of a job's crash suspects until the store has
-                                     * them */
+  FB_REQUEST_BACK_UP_SUSPECTS = 11, /* keep a copy of a job's crash suspects until the store
+                                     * has them */
   FB_REQUEST_SUSPECT_BACKUPS = 12   /* all such copies that the receiving daemon holds */
 };
 
@@ -219,8 +219,8 @@
   unsigned int answer_ms; /* allowance for the worker's answer after that */
 };
 
-/* Crash suspects of a job that the owner of its pool could not store yet; none: they are stored, or
- * nothing is suspected any more. */
+/* Crash suspects of a job that the owner of its pool could not store yet. An empty list means
+ * that they are stored, or that no task is suspected any more. */
 struct fb_suspects_backup {
   string job<FB_WORK_MAX_NAME>;
   unsigned hyper epoch; /* epoch of the owner */
--- a/tests/oracle.c
+++ b/tests/oracle.c
@@ -23,7 +23,7 @@
   guint count;
   uint64_t deadline_ms;
   guint daemon;
-  gboolean daemon_died;
+  gboolean daemon_killed;
   gboolean accepted; /* a daemon has confirmed the job to a caller */
   gboolean has_deadline;
   FbOutcome last_outcome;
@@ -155,7 +155,7 @@
 }
 
 void
-oracle_daemon_died (Oracle *self, guint daemon)
+oracle_daemon_killed (Oracle *self, guint daemon)
 {
   GHashTableIter iter;
   gpointer value;
@@ -164,7 +164,7 @@
     {
       JobRecord *job = value;
       if (job->daemon == daemon && (job->flags & FB_FLAG_EPHEMERAL))
-        job->daemon_died = TRUE;
+        job->daemon_killed = TRUE;
     }
 }
 
@@ -357,7 +357,7 @@
   if (job->kind == FB_KIND_SERVICE)
     return;
   /* An ephemeral job has no record and is lost with the daemon that holds its caller. */
-  if (job->accepted && !job->daemon_died && !is_final (job->last_outcome))
+  if (job->accepted && !job->daemon_killed && !is_final (job->last_outcome))
     oracle_report_violation (self, "job %" G_GUINT64_FORMAT " was accepted and has no final answer",
                              job->id);
   if (job->live > 0 && is_final (job->last_outcome) && job->last_outcome != FB_OUTCOME_UNKNOWN)
--- a/tests/oracle.h
+++ b/tests/oracle.h
@@ -1,6 +1,6 @@
-/* The oracle: checks the invariants of "What must always hold" against the starts and
- * ends at the fake workers and against the answers to callers.  It shares no code with
- * the scheduler. */
+/* The oracle: checks the invariants of the scheduler against the starts and ends at the fake
+ * workers and against the answers to callers. It shares no code with the scheduler, apart from
+ * the types and the arithmetic of fb-types.h. */
 #pragma once
 
 #include "fb-types.h"
@@ -11,8 +11,8 @@
 void oracle_free (Oracle *self);
 
 void oracle_submit (Oracle *self, uint64_t now_ms, guint daemon, const fb_job *job);
-/* DAEMON has died, and its open connections to callers with it. */
-void oracle_daemon_died (Oracle *self, guint daemon);
+/* DAEMON has been killed, and its open connections to callers were closed. */
+void oracle_daemon_killed (Oracle *self, guint daemon);
 /* Calls FUNC for each accepted job without a final answer, except ephemeral ones. */
 void oracle_foreach_unanswered (Oracle *self,
                                 void (*func) (gpointer user, uint64_t job, uint32_t partner),
--- a/tests/processes.sh
+++ b/tests/processes.sh
@@ -61,20 +61,20 @@
 
 step "a peer with a wrong key is rejected"
 sed 's/^peer-key=.*/peer-key=another/' "$OUT/cell.ini" > "$OUT/other-cell.ini"
-printf '[daemon]\nname=sofia-entry-2\ncell=other-cell.ini\n' > "$OUT/intruder.ini"
-start_daemon intruder
+printf '[daemon]\nname=sofia-entry-2\ncell=other-cell.ini\n' > "$OUT/wrong-key.ini"
+start_daemon wrong-key
 batch_rejected() { fetch "http://$sofia/metrics" | grep -qE '^flamingobarrow_peer_rejected_total [1-9]'; }
-until_true batch_rejected || { echo "the intruder's batches were not rejected"; exit 1; }
-kill "${DAEMON[intruder]}"
+until_true batch_rejected || { echo "the batches with the wrong key were not rejected"; exit 1; }
+kill "${DAEMON[wrong-key]}"
 
 step "a planned stop answers the requests in flight and hands over the shards"
 requests() { fetch "http://$sofia/metrics" | sed -n 's/^flamingobarrow_requests_total //p'; }
 requests_before=$(requests)
 request_arrived() { [ "$(requests)" -gt "$requests_before" ]; }
-send_request k3 "$sofia" "pull-request&run-ms=4000" > "$OUT/in-flight.txt" & flight=$!
+send_request k3 "$sofia" "pull-request&run-ms=4000" > "$OUT/in-flight.txt" & request_pid=$!
 until_true request_arrived || { echo "the request did not arrive"; exit 1; }
 kill -TERM "${DAEMON[sofia-entry-0]}"
-wait $flight || true
+wait $request_pid || true
 expect "the answer to the request in flight" "$(cat "$OUT/in-flight.txt")" 'X-Outcome: completed'
 code=0; wait "${DAEMON[sofia-entry-0]}" || code=$?
 [ $code = 0 ] || { echo "the daemon exited with status $code"; exit 1; }
--- a/tests/world-worker.h
+++ b/tests/world-worker.h
@@ -14,7 +14,7 @@
                     uint64_t clock_offset_ms);
 void worker_free (Worker *self);
 
-/* Returns: (transfer full): the reply, or NULL when a later exchange came before. */
+/* Returns: (transfer full): the reply, or NULL if a later exchange was handled before. */
 WorkerReply *worker_handle (Worker *self, uint64_t now_ms, const FbSyncRequest *request);
 /* Ends the runs that are due or whose lease has expired at NOW_MS. */
 void worker_tick (Worker *self, uint64_t now_ms);
--- a/tests/world.c
+++ b/tests/world.c
@@ -519,7 +519,7 @@
 {
   DaemonSlot *slot = &self->slots[node];
   g_clear_pointer (&slot->node, fb_node_free);
-  oracle_daemon_died (self->oracle, node);
+  oracle_daemon_killed (self->oracle, node);
   slot->incarnation++;
   slot->paused = FALSE;
   slot->draining = FALSE;
