--- a/include/fb-types.h
+++ b/include/fb-types.h
@@ -71,19 +71,18 @@
 typedef enum
 {
   FB_REASON_NONE,
-  FB_REASON_NEVER_FITS,  /* no host is large enough, or the job is invalid */
-  FB_REASON_QUEUE_FULL,  /* at the rack */
-  FB_REASON_QUOTA,       /* the demand exceeds this rack's part of the quota */
-  FB_REASON_NOT_LENT,    /* the rack does not lend to such work of the other partner */
-  FB_REASON_WRONG_EPOCH, /* sent to, or by, an owner that is not the current one */
-  FB_REASON_LEAVING,     /* the worker, or the owner of the rack, is leaving */
-  FB_REASON_PAST_DUE,    /* the latest start has passed */
-  FB_REASON_WITHDRAWN,   /* by the owner of its range, before it started */
-  FB_REASON_EXPIRED,     /* the reservation was neither committed nor queried in time */
-  FB_REASON_PREEMPTED,   /* for other work of its own partner, or for lack of memory */
-  FB_REASON_RECLAIMED,   /* preempted for the partner that the rack belongs to */
-  FB_REASON_WORKER_LOST, /* the worker restarted or its lease expired; or its rack does not respond
-                          */
+  FB_REASON_NEVER_FITS,     /* no host is large enough, or the job is invalid */
+  FB_REASON_QUEUE_FULL,     /* at the rack */
+  FB_REASON_QUOTA,          /* the demand exceeds this rack's part of the quota */
+  FB_REASON_NOT_LENT,       /* the rack does not lend to such work of the other partner */
+  FB_REASON_WRONG_EPOCH,    /* sent to, or by, an owner that is not the current one */
+  FB_REASON_LEAVING,        /* the worker, or the owner of the rack, is leaving */
+  FB_REASON_PAST_DUE,       /* the latest start has passed */
+  FB_REASON_WITHDRAWN,      /* by the owner of its range, before it started */
+  FB_REASON_EXPIRED,        /* the reservation was neither committed nor queried in time */
+  FB_REASON_PREEMPTED,      /* for other work of its own partner, or for lack of memory */
+  FB_REASON_RECLAIMED,      /* preempted for the partner that the rack belongs to */
+  FB_REASON_WORKER_LOST,    /* the worker restarted, its lease expired, or its rack is silent */
   FB_REASON_WORKER_REFUSED, /* the worker refused the start order */
   FB_REASON_CANCELLED,      /* at the request of its caller, or together with its gang */
   FB_REASON_OWNER_CHANGED,  /* the owner of its range did not answer in time */
--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -30,13 +30,12 @@
 
   /* The shard as held by this daemon. */
   FbShardRole role;
-  uint64_t epoch;   /* if OWNED or DRAINING: of this daemon */
-  FbStream *stream; /* NULL unless reading or owned */
-  FbRack *rack;     /* of an owned rack, else NULL */
-  FbRange *range;   /* of a range that is read or owned, else NULL */
-  gboolean lost;    /* not owned any more: fb_node_free_lost_shards() frees its objects once no call
-                       uses them */
-  gboolean reading; /* a read of the stream is not answered yet */
+  uint64_t epoch;                /* if OWNED or DRAINING: of this daemon */
+  FbStream *stream;              /* NULL unless reading or owned */
+  FbRack *rack;                  /* of an owned rack, else NULL */
+  FbRange *range;                /* of a range that is read or owned, else NULL */
+  gboolean lost;                 /* ownership has ended, see fb_node_free_lost_shards() */
+  gboolean reading;              /* a read of the stream is not answered yet */
   uint64_t read_requested_ms;    /* when the last read was requested */
   uint64_t read_until;           /* read until the next offset is at least this one */
   uint64_t confirm_requested_ms; /* when the rack asked to confirm the ownership, or 0 */
--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -94,9 +94,9 @@
   GQueue ended;      /* ended FbTask that are still kept */
   fb_res total;      /* capacity of all workers */
   fb_res partner_used[FB_PARTNER_N];
-  GHashTable *team_used;    /* partner << 32 | team -> fb_res owned */
-  GHashTable *range_epochs; /* range + 1 -> uint64_t owned: highest epoch seen of its owner */
-  gboolean wants_schedule;  /* run a scheduling pass at the next flush */
+  GHashTable *team_used;     /* partner << 32 | team -> fb_res owned */
+  GHashTable *range_epochs;  /* range + 1 -> uint64_t owned: highest epoch seen of its owner */
+  gboolean schedule_pending; /* run a scheduling pass at the next flush */
   uint64_t starts_paused_until_ms; /* 0 if never paused */
   uint64_t confirm_requested_ms;   /* when sink->confirm_ownership() was called last */
   fb_run hold_run;                 /* the task for which hold_worker is held */
--- a/include/internal/rack.h
+++ b/include/internal/rack.h
@@ -38,9 +38,10 @@
 {
   fb_spec spec; /* payload not set; borrowed */
   FbSyncState state;
-  FbRunStatus run_status; /* if state is ENDED: COMPLETED, FAILED, STOPPED or LOST (lease lapsed) */
-  fb_res usage;           /* measured; raises the charge above the declared demand */
-  const char *answer;     /* borrowed */
+  FbRunStatus
+      run_status;     /* if state is ENDED: COMPLETED, FAILED, STOPPED or LOST (lease expired) */
+  fb_res usage;       /* measured; raises the charge above the declared demand */
+  const char *answer; /* borrowed */
   uint32_t answer_len;
 } FbSyncRun;
 
@@ -89,8 +90,8 @@
   void (*sync) (gpointer user, FbRack *rack, guint worker, const FbSyncRequest *request);
   /* Sends the status of a run to the owner of its range. REPORT is borrowed for the call. */
   void (*report) (gpointer user, FbRack *rack, const fb_report *report);
-  /* Asks the caller to confirm from the log that this daemon still owns the rack. The
-   * caller answers with fb_rack_ownership_confirmed(), or frees the rack. */
+  /* Requests a confirmation from the log that this daemon still owns the rack. The caller
+   * answers with fb_rack_ownership_confirmed(), or frees the rack. */
   void (*confirm_ownership) (gpointer user, FbRack *rack);
   /* Sends the reply to fb_rack_survey() to the owner of the range. */
   void (*surveyed) (gpointer user, FbRack *rack, const fb_survey_reply *surveyed);
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -87,7 +87,7 @@
   gboolean *surveyed;     /* one for each rack: it has replied. NULL if no survey is in progress */
   guint survey_n;         /* number of racks in surveyed */
   guint survey_remaining; /* number of racks that have not replied */
-  uint64_t survey_at_ms;  /* when the racks are asked again */
+  uint64_t survey_at_ms;  /* when the request to the racks is repeated */
   uint64_t next_due_ms;   /* earliest expiry of the timers set since the last dispatch */
   uint64_t history_gap_until_ms; /* until then, jobs and keys from before may be unknown */
   GHashTable *jobs;              /* &job->spec.id -> FbJob owned */
@@ -146,6 +146,7 @@
 
 /* range-dispatch.c */
 gboolean fb_range_choose_rack (FbRange *self, uint64_t now_ms, FbJobTask *task);
-/* Returns: TRUE if a rack other than the task's own seems to have free capacity now. */
+/* Returns: TRUE if, according to the summaries, a rack other than the task's own has free
+ * capacity now. */
 gboolean fb_range_has_other_rack (FbRange *self, uint64_t now_ms, const FbJobTask *task);
 void fb_range_add_intent (FbRange *self, FbJobTask *task);
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -92,8 +92,8 @@
 void fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_command *command,
                       const char *front);
 
-/* Cancels the services of this range that are not in WANTED (a set of &job id). */
-void fb_range_cancel_unlisted_services (FbRange *self, uint64_t now_ms, GHashTable *wanted);
+/* Cancels the services of this range that are not in DECLARED (a set of &job id). */
+void fb_range_cancel_undeclared_services (FbRange *self, uint64_t now_ms, GHashTable *declared);
 
 /* Report of the owner of a rack. */
 void fb_range_report (FbRange *self, uint64_t now_ms, const fb_report *report);
--- a/include/internal/router.h
+++ b/include/internal/router.h
@@ -21,8 +21,7 @@
   const fb_spec *spec;
   uint64_t now_ms;
   uint32_t avoid_rack; /* the rack that refused last, or FB_NO_RACK */
-  gboolean
-      probe_only; /* only checks whether some rack has free capacity now; nothing will be sent */
+  gboolean probe_only; /* only checks for free capacity on some rack; nothing will be sent */
   /* Returns: the number of tasks of the same job in a rack or domain. Both NULL for work
    * that is not spread. */
   guint (*count_in_rack) (gpointer user, uint32_t rack);
--- a/include/internal/stream.h
+++ b/include/internal/stream.h
@@ -15,8 +15,8 @@
    * force */
   FB_STREAM_CLAIMED,
   FB_STREAM_DUPLICATE,  /* duplicate of a record from a repeated append */
-  FB_STREAM_SUPERSEDED, /* from an epoch that a later claim has ended, or a claim that another one
-                           preceded */
+  FB_STREAM_SUPERSEDED, /* from an epoch that a later claim has ended, or a claim that came second
+                         */
   FB_STREAM_MALFORMED,
   FB_STREAM_OLD /* offset before the next one to read */
 } FbStreamResult;
--- a/src/core/ledger.c
+++ b/src/core/ledger.c
@@ -63,7 +63,7 @@
   g_ptr_array_remove_fast (w->tasks, task);
   task->charge = (fb_res){ { 0 } };
   task->worker = FB_NO_WORKER;
-  self->wants_schedule = TRUE;
+  self->schedule_pending = TRUE;
 }
 
 void
--- a/src/core/node-config.c
+++ b/src/core/node-config.c
@@ -399,7 +399,7 @@
 submit_services (FbNode *self, FbShard *shard)
 {
   const FbPolicy *policy = self->config[shard->partner].policy;
-  g_autoptr (GHashTable) wanted = g_hash_table_new (g_int64_hash, g_int64_equal);
+  g_autoptr (GHashTable) declared = g_hash_table_new (g_int64_hash, g_int64_equal);
   g_autofree uint64_t *ids = g_new0 (uint64_t, policy->services->len + 1);
   for (guint i = 0; i < policy->services->len; i++)
     {
@@ -408,7 +408,7 @@
       if (service->count == 0
           || fb_cell_range_of_job (self->cell, shard->partner, ids[i]) != shard->id)
         continue;
-      g_hash_table_add (wanted, &ids[i]);
+      g_hash_table_add (declared, &ids[i]);
       fb_job job = { .id = ids[i],
                      .partner = shard->partner,
                      .team = fb_team_id (service->team),
@@ -419,7 +419,7 @@
                      .key = service->name };
       fb_range_submit (shard->range, self->now_ms, &job, 0, "");
     }
-  fb_range_cancel_unlisted_services (shard->range, self->now_ms, wanted);
+  fb_range_cancel_undeclared_services (shard->range, self->now_ms, declared);
 }
 
 /* Skips partners of which this daemon has no revision yet, for example right after its start.
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -91,8 +91,8 @@
     }
 }
 
-/* The shard's objects may be in use by a caller of this function, so fb_node_free_lost_shards()
- * frees them. */
+/* Only marks the shard: its objects may be in use by a caller of this function.
+ * fb_node_free_lost_shards() frees them. */
 void
 fb_node_step_down (FbNode *self, FbShard *shard)
 {
--- a/src/core/rack-sync.c
+++ b/src/core/rack-sync.c
@@ -280,7 +280,7 @@
   w->last_reply_ms = now_ms;
   w->clock_ms = reply->clock_ms;
   w->incarnation = reply->incarnation;
-  self->wants_schedule = TRUE;
+  self->schedule_pending = TRUE;
   if (reply->unchanged)
     return;
   w->known_version = reply->version;
@@ -297,7 +297,7 @@
   end_unlisted (self, now_ms, worker, reply, restarted);
   remove_acked_tasks (self, reply, worker);
   stop_if_over_memory (self, worker);
-  self->wants_schedule = TRUE;
+  self->schedule_pending = TRUE;
 }
 
 void
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -77,7 +77,7 @@
 fb_rack_set_policy (FbRack *self, const FbRackPolicy *policy)
 {
   self->policy = *policy;
-  self->wants_schedule = TRUE;
+  self->schedule_pending = TRUE;
 }
 
 guint
@@ -164,7 +164,7 @@
   fb_task_queues_insert (self->queues, task);
   if (task->due_ms != FB_NO_DEADLINE_MS)
     task->due_pos = g_sequence_insert_sorted (self->by_due, task, compare_due, NULL);
-  self->wants_schedule = TRUE;
+  self->schedule_pending = TRUE;
 }
 
 void
@@ -307,23 +307,24 @@
 static void
 check_leases (FbRack *self, uint64_t now_ms)
 {
-  const uint64_t lapse_ms = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
-  gboolean ask = FALSE;
+  const uint64_t lease_timeout_ms
+      = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
+  gboolean confirm = FALSE;
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state == FB_WORKER_OK && now_ms - w->last_reply_ms >= lapse_ms)
+      if (w->state == FB_WORKER_OK && now_ms - w->last_reply_ms >= lease_timeout_ms)
         {
           w->state = FB_WORKER_SILENT;
           fb_event_log (FB_EVENT_WORKER_SILENT, "rack=%s worker=%s", self->name, w->name);
         }
       if (w->state == FB_WORKER_UNKNOWN && w->unlisted_since_ms > 0
-          && now_ms - w->unlisted_since_ms >= lapse_ms)
+          && now_ms - w->unlisted_since_ms >= lease_timeout_ms)
         w->state = FB_WORKER_GONE;
       gboolean unconfirmed = w->state == FB_WORKER_OK && w->confirmed_incarnation != w->incarnation;
-      ask = ask || unconfirmed || w->state == FB_WORKER_SILENT;
+      confirm = confirm || unconfirmed || w->state == FB_WORKER_SILENT;
     }
-  if (ask && now_ms - self->confirm_requested_ms >= FB_RACK_REPORT_PERIOD_MS)
+  if (confirm && now_ms - self->confirm_requested_ms >= FB_RACK_REPORT_PERIOD_MS)
     {
       self->confirm_requested_ms = now_ms;
       self->sink->confirm_ownership (self->user, self);
@@ -345,7 +346,7 @@
       if (w->state == FB_WORKER_OK && w->incarnation_seen_ms <= requested_ms)
         w->confirmed_incarnation = w->incarnation;
     }
-  self->wants_schedule = TRUE;
+  self->schedule_pending = TRUE;
 }
 
 void
@@ -362,12 +363,13 @@
 void
 fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t requested_ms)
 {
-  const uint64_t lapse_ms = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
+  const uint64_t lease_timeout_ms
+      = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
   confirm_incarnations (self, requested_ms);
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state != FB_WORKER_SILENT || w->last_reply_ms + lapse_ms > requested_ms)
+      if (w->state != FB_WORKER_SILENT || w->last_reply_ms + lease_timeout_ms > requested_ms)
         continue;
       w->state = FB_WORKER_LAPSED;
       while (w->tasks->len > 0)
@@ -404,7 +406,7 @@
   w->leaving = leaving;
   if (!leaving)
     {
-      self->wants_schedule = TRUE;
+      self->schedule_pending = TRUE;
       return;
     }
   fb_event_log (FB_EVENT_WORKER_LEAVING, "rack=%s worker=%s", self->name, w->name);
@@ -435,7 +437,7 @@
   fb_worker_health_tick (self, now_ms);
   resend_reports (self, now_ms);
   if (fb_task_queues_count (self->queues) > 0)
-    self->wants_schedule = TRUE;
+    self->schedule_pending = TRUE;
 }
 
 void
@@ -447,9 +449,9 @@
 void
 fb_rack_flush (FbRack *self, uint64_t now_ms)
 {
-  if (self->wants_schedule && now_ms >= self->starts_paused_until_ms)
+  if (self->schedule_pending && now_ms >= self->starts_paused_until_ms)
     {
-      self->wants_schedule = FALSE;
+      self->schedule_pending = FALSE;
       fb_rack_schedule (self, now_ms);
     }
   fb_rack_exchange (self, now_ms);
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -305,20 +305,20 @@
       body.fb_rec_body_u.cancel.job = command->job;
       self->sink->append (self->user, self, &body);
     }
-  /* An answer would tell the caller that the job has been admitted. */
+  /* An answer implies that the job has been admitted. */
   if (job->admitted)
     fb_range_send_answer (self, now_ms, job, front);
 }
 
 void
-fb_range_cancel_unlisted_services (FbRange *self, uint64_t now_ms, GHashTable *wanted)
+fb_range_cancel_undeclared_services (FbRange *self, uint64_t now_ms, GHashTable *declared)
 {
   g_autoptr (GList) all = g_hash_table_get_values (self->jobs);
   for (GList *link = all; link != NULL; link = link->next)
     {
       const FbJob *job = link->data;
       if (!fb_job_is_service (job) || job->cancelled || !job->admitted
-          || g_hash_table_contains (wanted, &job->spec.id))
+          || g_hash_table_contains (declared, &job->spec.id))
         continue;
       fb_job_command command = { job->spec.id, job->spec.partner };
       fb_range_cancel (self, now_ms, &command, "");
--- a/tests/test-units.c
+++ b/tests/test-units.c
@@ -238,7 +238,7 @@
   uint64_t second = fb_stream_epoch (test.stream);
   CU_ASSERT_EQUAL (append_cancel (&test, 2, 2, second), FB_STREAM_OK);
   CU_ASSERT_EQUAL (append_cancel (&test, 2, 2, second), FB_STREAM_DUPLICATE);
-  /* A hand-over without the log raises the sub-epoch; it never goes back. */
+  /* A handover without the log increments the sub-epoch, which never decreases. */
   CU_ASSERT_EQUAL (append_cancel (&test, 4, 1, second + 1), FB_STREAM_OK);
   CU_ASSERT_EQUAL (append_cancel (&test, 2, 3, second), FB_STREAM_SUPERSEDED);
   fb_stream_free (test.stream);
@@ -285,7 +285,7 @@
 /* ---- placement -------------------------------------------------------- */
 
 static void
-test_accel_guard_keeps_room_for_accelerators (void)
+test_accel_guard_reserves_capacity_for_accelerators (void)
 {
   const fb_res host = { { 64000, 256ull << 30, 8, 8 } };
   static const struct
@@ -305,14 +305,14 @@
     {
       fb_res free = { { cases[i].cpu_free_milli, 256ull << 30, cases[i].accel_free, 8 } };
       fb_res demand = { { cases[i].cpu_milli, 1 << 30, cases[i].accel, 1 } };
-      FbPlaceCandidate view = { &host, &free, &demand, 0, 500 };
-      CU_ASSERT_EQUAL (fb_place_accel_guard.cost (&view) >= 0, cases[i].allowed);
+      FbPlaceCandidate candidate = { &host, &free, &demand, 0, 500 };
+      CU_ASSERT_EQUAL (fb_place_accel_guard.cost (&candidate) >= 0, cases[i].allowed);
     }
 }
 
 /* ---- membership ------------------------------------------------------- */
 
-/* When one of seven daemons dies, only its own shards move. */
+/* If one of seven daemons fails, only its own shards move. */
 static void
 test_rendezvous_moves_only_shards_of_the_failed_member (void)
 {
@@ -346,9 +346,9 @@
 
 /* ---- quotas ----------------------------------------------------------- */
 
-/* All racks together must not give a team more than its quota. */
+/* The sum of the quota slices of all racks does not exceed the quota. */
 static void
-test_quota_slices_never_pass_the_quota (void)
+test_quota_slices_never_exceed_the_quota (void)
 {
   FbCell *cell = fb_cell_new ();
   const fb_res host = { { 16000, 32ull << 30, 0, 8 } };
@@ -424,10 +424,10 @@
   { "first claim wins", test_stream_first_claim_wins },
   { "a stream is validated after a gap", test_stream_validates_after_a_gap },
   { "second copy of a claim", test_stream_second_copy_of_a_claim },
-  { "accelerator guard", test_accel_guard_keeps_room_for_accelerators },
+  { "accelerator guard", test_accel_guard_reserves_capacity_for_accelerators },
   { "rendezvous moves few shards", test_rendezvous_moves_only_shards_of_the_failed_member },
   { "progress with and without suspects", test_progress_with_and_without_suspects },
-  { "quota slices", test_quota_slices_never_pass_the_quota },
+  { "quota slices", test_quota_slices_never_exceed_the_quota },
   CU_TEST_INFO_NULL,
 };
 
--- a/tests/world.c
+++ b/tests/world.c
@@ -227,7 +227,7 @@
   World *self = slot->world;
   if (serial < slot->last_serial[partner])
     oracle_report_violation (self->oracle,
-                             "a daemon went back to a configuration with a lower serial");
+                             "a daemon reverted to a configuration with a lower serial");
   slot->last_serial[partner] = serial;
   oracle_check_config (self->oracle, partner, serial,
                        fb_node_config_revision (slot->node, partner));
@@ -495,9 +495,9 @@
 
 /* ---- faults ----------------------------------------------------------- */
 
-/* Marks revisions that no running daemon holds any more.  Such a revision is at most in the log,
- * and retention may drop it there before a daemon reads it.  This loss is allowed, because no
- * caller was told that the revision is in force. */
+/* Marks revisions that no running daemon has any more. Such a revision is at most in the log,
+ * and retention may drop it there before a daemon reads it. This loss is allowed, because no
+ * caller has received a confirmation that the revision is in force. */
 static void
 note_config_loss (World *self)
 {
@@ -726,7 +726,7 @@
         }
     }
   world_run (self, RECOVERY_MS);
-  /* Callers whose daemon died ask another one for the outcome. */
+  /* Callers whose daemon was killed query another one for the outcome. */
   oracle_foreach_unanswered (self->oracle, query_job, self);
   world_run (self, QUERY_MS);
 }
