--- a/bench/driver.c
+++ b/bench/driver.c
@@ -157,7 +157,7 @@
   g_hash_table_remove (self->jobs, &answer->job);
 }
 
-static const FbRangeSink range_sink
+static const FbRangeCallbacks range_callbacks
     = { range_append,  range_send,         range_choose,    range_ever_fits,
         range_refused, range_log_clock_ms, range_domain_of, range_answer };
 
@@ -300,14 +300,14 @@
   g_assert_not_reached ();
 }
 
-static const FbRackSink rack_sink
+static const FbRackCallbacks rack_callbacks
     = { rack_sync, rack_report, rack_confirm, rack_surveyed, rack_fenced };
 
 static void
 new_rack (Bench *self, guint id, uint64_t epoch)
 {
   RackSlot *slot = &self->racks[id];
-  slot->rack = fb_rack_new (id, "rack", slot->partner, epoch, &rack_sink, self);
+  slot->rack = fb_rack_new (id, "rack", slot->partner, epoch, &rack_callbacks, self);
   for (guint h = 0; h < slot->host_n; h++)
     fb_rack_add_worker (slot->rack, "host", &slot->hosts[h].capacity);
   FbRackPolicy policy = { self->scenario->lend_milli, self->place, FB_RACK_QUEUE_MAX, NULL };
@@ -634,7 +634,7 @@
     {
       users[i] = (RangeUser){ self, i };
       self->routers[i] = fb_router_new (route, s->seed + i);
-      self->ranges[i] = fb_range_new (i, FALSE, &range_sink, &users[i], s->seed + 100 + i);
+      self->ranges[i] = fb_range_new (i, FALSE, &range_callbacks, &users[i], s->seed + 100 + i);
       fb_range_activate (self->ranges[i], self->now_ms, 1);
     }
   self->racks = g_new0 (RackSlot, s->racks_small + s->racks_large + s->racks_accel);
--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -94,7 +94,7 @@
   const FbCell *cell;
   guint self_index;
   uint64_t incarnation;
-  const FbNodeSink *sink;
+  const FbNodeCallbacks *callbacks;
   gpointer user;
   FbTimer *timer;
   uint64_t now_ms;
@@ -161,9 +161,9 @@
 void fb_node_flush_log (FbNode *self);
 void fb_node_renew_tick (FbNode *self);
 
-/* node-work.c: sinks of racks and ranges */
-extern const FbRackSink fb_node_rack_sink;
-extern const FbRangeSink fb_node_range_sink;
+/* node-work.c: callbacks of racks and ranges */
+extern const FbRackCallbacks fb_node_rack_callbacks;
+extern const FbRangeCallbacks fb_node_range_callbacks;
 void fb_node_work_message (FbNode *self, const char *from, const fb_body *body);
 uint32_t fb_node_local_range_id (const FbNode *self);
 
--- a/include/internal/node.h
+++ b/include/internal/node.h
@@ -44,7 +44,7 @@
   void (*answer) (gpointer user, const fb_answer *answer);
   /* The revision SERIAL of PARTNER has come into force. */
   void (*config_changed) (gpointer user, uint32_t partner, uint64_t serial);
-} FbNodeSink;
+} FbNodeCallbacks;
 
 typedef struct
 {
@@ -52,7 +52,7 @@
   guint self_index;
   uint64_t incarnation; /* larger at each start of the process */
   uint32_t seed;
-  const FbNodeSink *sink;
+  const FbNodeCallbacks *callbacks;
   gpointer user;
 } FbNodeConfig;
 
@@ -104,7 +104,7 @@
  * admitted; otherwise until its final answer. */
 void fb_node_submit (FbNode *self, uint64_t now_ms, const fb_job *job, gboolean until_admitted);
 /* Returns: FALSE if the owner of the job's range is not known; nothing was sent then.
- * Otherwise an answer comes through the sink, unless a message is lost. */
+ * Otherwise an answer arrives through the callbacks, unless a message is lost. */
 gboolean fb_node_query_job (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job);
 gboolean fb_node_cancel (FbNode *self, uint64_t now_ms, uint32_t partner, uint64_t job);
 
--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -83,7 +83,7 @@
   const char *name;
   uint32_t home; /* the partner that the rack belongs to */
   uint64_t epoch;
-  const FbRackSink *sink;
+  const FbRackCallbacks *callbacks;
   gpointer user;
   FbRackPolicy policy;
   gboolean draining;  /* fb_rack_drain() was called: refuses new work */
@@ -98,7 +98,7 @@
   GHashTable *range_epochs;  /* range + 1 -> uint64_t owned: highest epoch seen of its owner */
   gboolean schedule_pending; /* run a scheduling pass at the next flush */
   uint64_t starts_paused_until_ms; /* 0 if never paused */
-  uint64_t confirm_requested_ms;   /* when sink->confirm_ownership() was called last */
+  uint64_t confirm_requested_ms;   /* when callbacks->confirm_ownership() was called last */
   fb_run hold_run;                 /* the task for which hold_worker is held */
   guint hold_worker;               /* or FB_NO_WORKER */
 };
--- a/include/internal/rack.h
+++ b/include/internal/rack.h
@@ -2,7 +2,7 @@
  * are made by this object.
  *
  * It has no clock, I/O or threads. The caller passes in the time and all incoming messages
- * through the functions below; outgoing requests and reports leave through FbRackSink. Because
+ * through the functions below; outgoing requests and reports leave through FbRackCallbacks. Because
  * the capacity of every start is charged here first, it can check locally that no worker is
  * given more than its capacity. Read-only functions are in rack-query.h. */
 #pragma once
@@ -97,7 +97,7 @@
   void (*surveyed) (gpointer user, FbRack *rack, const fb_survey_reply *surveyed);
   /* A worker has accepted a higher epoch: this daemon is no longer the owner. */
   void (*fenced) (gpointer user, FbRack *rack);
-} FbRackSink;
+} FbRackCallbacks;
 
 /* Operator settings; fb_rack_set_policy() replaces all of them. */
 typedef struct
@@ -109,21 +109,21 @@
 } FbRackPolicy;
 
 /* Returns: (transfer full): a rack owned at EPOCH; all workers are in state unknown. NAME
- * and SINK are borrowed for the lifetime of the rack. */
+ * and CALLBACKS are borrowed for the lifetime of the rack. */
 FbRack *fb_rack_new (uint32_t id, const char *name, uint32_t home_partner, uint64_t epoch,
-                     const FbRackSink *sink, gpointer user);
+                     const FbRackCallbacks *callbacks, gpointer user);
 void fb_rack_free (FbRack *self);
 void fb_rack_set_policy (FbRack *self, const FbRackPolicy *policy);
 
 /* Adds a worker with its declared CAPACITY. Returns: its index. */
 guint fb_rack_add_worker (FbRack *self, const char *name, const fb_res *capacity);
 
-/* Requests of range owners. The answer goes out through sink->report(). */
+/* Requests of range owners. The answer goes out through callbacks->report(). */
 void fb_rack_place (FbRack *self, uint64_t now_ms, const fb_place *place);
 void fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_run_command *command);
 void fb_rack_query (FbRack *self, uint64_t now_ms, const fb_run_command *command);
 void fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_run_command *command);
-/* Answers with all runs of a range through sink->surveyed(); does nothing until every
+/* Answers with all runs of a range through callbacks->surveyed(); does nothing until every
  * worker has replied. */
 void fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_run_command *command);
 void fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_run_command *command);
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -78,7 +78,7 @@
 {
   uint32_t id;
   gboolean durable;
-  const FbRangeSink *sink;
+  const FbRangeCallbacks *callbacks;
   gpointer user;
   GRand *rand;
   gboolean active; /* sends and answers; FALSE: only applies records read from the log */
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -2,7 +2,7 @@
  *
  * This code has no clock, I/O or threads. The owner of a range admits jobs, sends each task to a
  * rack in numbered attempts, one at a time, and decides the final outcome. Everything that has
- * to survive the process goes to the log through sink->append() and takes effect only when the
+ * to survive the process goes to the log through callbacks->append() and takes effect only when the
  * log returns it, in log order, through fb_range_apply(). A successor that applies the same
  * records reaches the same state.
  *
@@ -46,11 +46,11 @@
   /* Sends ANSWER to the daemon FRONT, which serves the caller. ANSWER is borrowed for the
    * call. */
   void (*answer) (gpointer user, FbRange *range, const char *front, const fb_answer *answer);
-} FbRangeSink;
+} FbRangeCallbacks;
 
 /* Returns: (transfer full): an empty range, not active. */
-FbRange *fb_range_new (uint32_t id, gboolean durable, const FbRangeSink *sink, gpointer user,
-                       uint32_t seed);
+FbRange *fb_range_new (uint32_t id, gboolean durable, const FbRangeCallbacks *callbacks,
+                       gpointer user, uint32_t seed);
 void fb_range_free (FbRange *self);
 
 /* Position and age of a record. LOG_NOW_MS is an upper bound of the log's current clock.
--- a/src/core/node-config.c
+++ b/src/core/node-config.c
@@ -78,7 +78,7 @@
           fb_node_apply_host_states (self, &self->shards[i]);
         }
     }
-  self->sink->config_changed (self->user, revision->partner, revision->serial);
+  self->callbacks->config_changed (self->user, revision->partner, revision->serial);
 }
 
 /* ---- checking --------------------------------------------------------- */
@@ -383,7 +383,7 @@
     return;
   self->config_reading = TRUE;
   self->config_read_at_ms = self->now_ms + CONFIG_READ_MS;
-  self->sink->log_read (self->user, FB_STREAM_CONFIG, self->config_next);
+  self->callbacks->log_read (self->user, FB_STREAM_CONFIG, self->config_next);
 }
 
 /* ---- services ----------------------------------------------------------- */
--- a/src/core/node-front.c
+++ b/src/core/node-front.c
@@ -125,7 +125,7 @@
       if (answer->outcome < FB_OUTCOME_PENDING || submission->until_admitted)
         g_hash_table_remove (self->submissions, &answer->job);
     }
-  self->sink->answer (self->user, answer);
+  self->callbacks->answer (self->user, answer);
 }
 
 static void
@@ -140,7 +140,7 @@
                 answer.job, fb_outcome_name ((FbOutcome) answer.outcome),
                 fb_reason_name ((FbReason) answer.reason));
   g_hash_table_remove (self->submissions, &answer.job);
-  self->sink->answer (self->user, &answer);
+  self->callbacks->answer (self->user, &answer);
 }
 
 static gboolean
--- a/src/core/node-log.c
+++ b/src/core/node-log.c
@@ -100,7 +100,7 @@
   self->in_flight = batch->len;
   self->appending = TRUE;
   fb_counter_add (FB_COUNTER_LOG_APPENDS, 1);
-  self->sink->log_append (self->user, (const FbLogRecord *) (void *) batch->data, batch->len);
+  self->callbacks->log_append (self->user, (const FbLogRecord *) (void *) batch->data, batch->len);
 }
 
 static void
@@ -172,7 +172,7 @@
     return;
   shard->reading = TRUE;
   shard->read_requested_ms = self->now_ms;
-  self->sink->log_read (self->user, shard->id, fb_stream_next (shard->stream));
+  self->callbacks->log_read (self->user, shard->id, fb_stream_next (shard->stream));
 }
 
 static void
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -40,8 +40,8 @@
 create_rack (FbNode *self, FbShard *shard)
 {
   const FbCellRack *info = fb_cell_rack (self->cell, shard->id);
-  shard->rack
-      = fb_rack_new (shard->id, info->name, info->partner, shard->epoch, &fb_node_rack_sink, self);
+  shard->rack = fb_rack_new (shard->id, info->name, info->partner, shard->epoch,
+                             &fb_node_rack_callbacks, self);
   for (guint i = 0; i < info->hosts->len; i++)
     {
       const FbCellHost *host = g_ptr_array_index (info->hosts, i);
@@ -312,7 +312,7 @@
   shard->stream = fb_stream_new (shard->id);
   shard->renew_read = FALSE;
   if (!shard->is_rack)
-    shard->range = fb_range_new (shard->id, TRUE, &fb_node_range_sink, self,
+    shard->range = fb_range_new (shard->id, TRUE, &fb_node_range_callbacks, self,
                                  (uint32_t) (self->incarnation ^ shard->id));
   fb_node_read_shard (self, shard);
 }
--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -1,4 +1,4 @@
-/* Sinks of racks and ranges, and dispatch of their messages. */
+/* Callbacks of racks and ranges, and dispatch of their messages. */
 #include "internal/node-private.h"
 
 #include "internal/rack-query.h"
@@ -12,13 +12,13 @@
   return fb_cell_shard_count (self->cell) + self->self_index;
 }
 
-/* ---- sink of racks ---------------------------------------------------- */
+/* ---- callbacks of racks ---------------------------------------------------- */
 
 static void
 rack_sync (gpointer user, FbRack *rack, guint worker, const FbSyncRequest *request)
 {
   FbNode *self = user;
-  self->sink->worker_sync (self->user, fb_rack_id (rack), worker, request);
+  self->callbacks->worker_sync (self->user, fb_rack_id (rack), worker, request);
 }
 
 static void
@@ -68,10 +68,10 @@
   fb_node_step_down (self, fb_node_shard (self, fb_rack_id (rack)));
 }
 
-const FbRackSink fb_node_rack_sink
+const FbRackCallbacks fb_node_rack_callbacks
     = { rack_sync, rack_report, rack_confirm_ownership, rack_surveyed, rack_fenced };
 
-/* ---- sink of ranges --------------------------------------------------- */
+/* ---- callbacks of ranges --------------------------------------------------- */
 
 static void
 range_append (gpointer user, FbRange *range, const fb_rec_body *body)
@@ -150,7 +150,7 @@
   fb_node_send (self, (guint) member, &body);
 }
 
-const FbRangeSink fb_node_range_sink
+const FbRangeCallbacks fb_node_range_callbacks
     = { range_append,  range_send,         range_choose,    range_ever_fits,
         range_refused, range_log_clock_ms, range_domain_of, range_answer };
 
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -72,7 +72,7 @@
   if (link->heartbeat_ms > 0)
     msg.echo_ms = link->peer_clock_ms + (self->now_ms - link->heartbeat_ms);
   fb_counter_add (FB_COUNTER_PEER_MESSAGES_SENT, 1);
-  self->sink->send (self->user, member, &msg);
+  self->callbacks->send (self->user, member, &msg);
 }
 
 gboolean
@@ -491,7 +491,7 @@
   self->cell = config->cell;
   self->self_index = config->self_index;
   self->incarnation = config->incarnation;
-  self->sink = config->sink;
+  self->callbacks = config->callbacks;
   self->user = config->user;
   self->now_ms = now_ms;
   self->started_ms = now_ms;
@@ -507,7 +507,7 @@
   self->links = g_new0 (FbLink, self->cell->members->len);
   self->router = fb_router_new (&fb_route_best_known, config->seed);
   add_shards (self);
-  self->local = fb_range_new (fb_node_local_range_id (self), FALSE, &fb_node_range_sink, self,
+  self->local = fb_range_new (fb_node_local_range_id (self), FALSE, &fb_node_range_callbacks, self,
                               config->seed + 1);
   fb_range_activate (self->local, now_ms, 1);
   self->log_ok = TRUE;
--- a/src/core/rack-commands.c
+++ b/src/core/rack-commands.c
@@ -224,5 +224,5 @@
   fb_survey_reply surveyed = { .rack = self->id, .range = command->range };
   surveyed.runs.runs_len = runs->len;
   surveyed.runs.runs_val = (fb_run *) (void *) runs->data;
-  self->sink->surveyed (self->user, self, &surveyed);
+  self->callbacks->surveyed (self->user, self, &surveyed);
 }
--- a/src/core/rack-sync.c
+++ b/src/core/rack-sync.c
@@ -94,7 +94,7 @@
   w->in_flight = TRUE;
   w->sync_at_ms = now_ms + FB_RACK_SYNC_PERIOD_MS;
   fb_counter_add (FB_COUNTER_WORKER_SYNCS, 1);
-  self->sink->sync (self->user, self, index, &request);
+  self->callbacks->sync (self->user, self, index, &request);
   g_ptr_array_free (request.starts, TRUE);
   g_array_free (request.start_by_ms, TRUE);
   g_array_free (request.stops, TRUE);
@@ -261,7 +261,7 @@
   w->in_flight = FALSE;
   if (reply->fenced && reply->epoch > self->epoch)
     {
-      self->sink->fenced (self->user, self);
+      self->callbacks->fenced (self->user, self);
       return;
     }
   gboolean new_incarnation = reply->incarnation != w->incarnation;
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -39,14 +39,14 @@
 
 FbRack *
 fb_rack_new (uint32_t id, const char *name, uint32_t home_partner, uint64_t epoch,
-             const FbRackSink *sink, gpointer user)
+             const FbRackCallbacks *callbacks, gpointer user)
 {
   FbRack *self = g_new0 (FbRack, 1);
   self->id = id;
   self->name = name;
   self->home = home_partner;
   self->epoch = epoch;
-  self->sink = sink;
+  self->callbacks = callbacks;
   self->user = user;
   self->policy = (FbRackPolicy){ 1000, &fb_place_accel_guard, FB_RACK_QUEUE_MAX, NULL };
   self->workers = g_ptr_array_new_with_free_func (worker_free);
@@ -139,7 +139,7 @@
                        .reason = reason,
                        .worker = worker,
                        .answer = { (u_int) len, (char *) data } };
-  self->sink->report (self->user, self, &report);
+  self->callbacks->report (self->user, self, &report);
 }
 
 void
@@ -327,7 +327,7 @@
   if (confirm && now_ms - self->confirm_requested_ms >= FB_RACK_REPORT_PERIOD_MS)
     {
       self->confirm_requested_ms = now_ms;
-      self->sink->confirm_ownership (self->user, self);
+      self->callbacks->confirm_ownership (self->user, self);
     }
 }
 
--- a/src/core/range-apply.c
+++ b/src/core/range-apply.c
@@ -294,7 +294,7 @@
   state->body.body_len = (u_int) len;
   state->body.body_val = (char *) data;
   job->rewriting = TRUE;
-  self->sink->append (self->user, self, &body);
+  self->callbacks->append (self->user, self, &body);
 }
 
 uint64_t
--- a/src/core/range-dispatch.c
+++ b/src/core/range-dispatch.c
@@ -44,7 +44,7 @@
   while (g_hash_table_iter_next (&iter, &key, &count))
     {
       uint32_t rack = GPOINTER_TO_UINT (key) - 1;
-      if (context->range->sink->domain_of (context->range->user, rack) == domain)
+      if (context->range->callbacks->domain_of (context->range->user, rack) == domain)
         sum += GPOINTER_TO_UINT (count);
     }
   return sum;
@@ -87,7 +87,7 @@
                              .count_in_domain = spread ? spread_in_domain : NULL,
                              .user = &context };
   FbRouteChoice choice;
-  if (!self->sink->choose (self->user, self, &request, &choice))
+  if (!self->callbacks->choose (self->user, self, &request, &choice))
     {
       fb_event_log (FB_EVENT_ROUTE_NONE, "job=%016" G_GINT64_MODIFIER "x task=%u", job->spec.id,
                     task->index);
@@ -111,7 +111,7 @@
   fill_spec (self, now_ms, task, &spec);
   FbRouteRequest request
       = { .spec = &spec, .now_ms = now_ms, .avoid_rack = task->rack, .probe_only = TRUE };
-  return self->sink->choose (self->user, self, &request, &choice);
+  return self->callbacks->choose (self->user, self, &request, &choice);
 }
 
 void
@@ -157,7 +157,7 @@
       body.fb_rec_body_u.intent.job = job->spec.id;
       body.fb_rec_body_u.intent.tasks.tasks_len = n;
       body.fb_rec_body_u.intent.tasks.tasks_val = tasks;
-      self->sink->append (self->user, self, &body);
+      self->callbacks->append (self->user, self, &body);
       done += n;
     }
   g_array_set_size (job->intents, 0);
@@ -177,7 +177,7 @@
   body.fb_body_u.place.rack = task->rack;
   body.fb_body_u.place.rack_epoch = task->rack_epoch;
   fill_spec (self, now_ms, task, &body.fb_body_u.place.spec);
-  if (!self->sink->send (self->user, self, task->rack, &body))
+  if (!self->callbacks->send (self->user, self, task->rack, &body))
     {
       fb_range_retry_task (self, now_ms, task, TRUE);
       return;
@@ -202,7 +202,7 @@
   /* All members of the union that are an fb_run_command share one layout, so any of them
    * can be used. */
   body.fb_body_u.query = command;
-  return self->sink->send (self->user, self, task->rack, &body);
+  return self->callbacks->send (self->user, self, task->rack, &body);
 }
 
 void
@@ -212,7 +212,7 @@
   body.fb_body_u.ack = (fb_run_command){
     .run = report->run, .rack = report->rack, .range = self->id, .range_epoch = self->epoch
   };
-  (void) self->sink->send (self->user, self, report->rack, &body);
+  (void) self->callbacks->send (self->user, self, report->rack, &body);
 }
 
 static void
--- a/src/core/range-report.c
+++ b/src/core/range-report.c
@@ -89,7 +89,7 @@
   if (reason != FB_REASON_NONE && reason != FB_REASON_WITHDRAWN)
     {
       task->avoid_rack = task->rack;
-      self->sink->refused (self->user, task->rack, reason);
+      self->callbacks->refused (self->user, task->rack, reason);
     }
   fb_range_retry_task (self, now_ms, task, reason != FB_REASON_WITHDRAWN);
   if (fb_job_is_gang (job) && !job->cancelled)
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -15,12 +15,13 @@
 #define ATTEMPTS_PER_CLAIM_BITS 8
 
 FbRange *
-fb_range_new (uint32_t id, gboolean durable, const FbRangeSink *sink, gpointer user, uint32_t seed)
+fb_range_new (uint32_t id, gboolean durable, const FbRangeCallbacks *callbacks, gpointer user,
+              uint32_t seed)
 {
   FbRange *self = g_new0 (FbRange, 1);
   self->id = id;
   self->durable = durable;
-  self->sink = sink;
+  self->callbacks = callbacks;
   self->user = user;
   self->log_ok = TRUE;
   self->next_due_ms = G_MAXUINT64;
@@ -104,7 +105,7 @@
           .running_count = job->state_n[FB_JOB_TASK_RUNNING],
           .wait_ms = job->first_wait_ms > 0 ? job->first_wait_ms : now_ms - job->arrived_ms,
           .body = { (u_int) len, (char *) data } };
-  self->sink->answer (self->user, self, front, &answer);
+  self->callbacks->answer (self->user, self, front, &answer);
 }
 
 void
@@ -123,7 +124,7 @@
               const char *front)
 {
   fb_answer answer = { .refused_copy = copy, .job = job, .outcome = outcome, .reason = reason };
-  self->sink->answer (self->user, self, front, &answer);
+  self->callbacks->answer (self->user, self, front, &answer);
 }
 
 /* Answers about a job that this range does not have. If records were lost, the job may have
@@ -168,7 +169,7 @@
       || job->count > FB_RANGE_TASK_MAX)
     return FB_REASON_NEVER_FITS;
   fb_spec spec = { .partner = job->partner, .flags = job->flags, .demand = job->demand };
-  if (!self->sink->ever_fits (self->user, &spec))
+  if (!self->callbacks->ever_fits (self->user, &spec))
     return FB_REASON_NEVER_FITS;
   if (self->durable && !self->log_ok)
     return FB_REASON_LOG_DOWN;
@@ -192,7 +193,7 @@
           job->changing = TRUE;
           fb_rec_body body = { .type = FB_REC_ADMIT };
           body.fb_rec_body_u.admit = (fb_rec_admit){ *spec, TRUE, 0, 0 };
-          self->sink->append (self->user, self, &body);
+          self->callbacks->append (self->user, self, &body);
         }
       return;
     }
@@ -263,7 +264,7 @@
   job = fb_job_new (now_ms, spec);
   if (now_ms < self->history_gap_until_ms)
     fb_job_set_history_gap (job, first_attempt_of (self->epoch));
-  uint64_t log_now_ms = self->sink->log_clock_ms (self->user);
+  uint64_t log_now_ms = self->callbacks->log_clock_ms (self->user);
   if (log_now_ms > 0 && spec->remaining_ms != FB_NO_DEADLINE_MS)
     job->due_log_ms = fb_deadline_after (log_now_ms, spec->remaining_ms);
   g_hash_table_insert (self->jobs, &job->spec.id, job);
@@ -271,7 +272,7 @@
   fb_rec_body body = { .type = FB_REC_ADMIT };
   body.fb_rec_body_u.admit
       = (fb_rec_admit){ job->spec, FALSE, job->first_attempt_after_gap, job->due_log_ms };
-  self->sink->append (self->user, self, &body);
+  self->callbacks->append (self->user, self, &body);
 }
 
 void
@@ -303,7 +304,7 @@
       job->changing = TRUE;
       fb_rec_body body = { .type = FB_REC_CANCEL };
       body.fb_rec_body_u.cancel.job = command->job;
-      self->sink->append (self->user, self, &body);
+      self->callbacks->append (self->user, self, &body);
     }
   /* An answer implies that the job has been admitted. */
   if (job->admitted)
@@ -383,7 +384,7 @@
   record.fb_rec_body_u.end.tasks.tasks_val = &end;
   record.fb_rec_body_u.end.body.body_len = body_len;
   record.fb_rec_body_u.end.body.body_val = (char *) body;
-  self->sink->append (self->user, self, &record);
+  self->callbacks->append (self->user, self, &record);
 }
 
 /* Ends a task that is past its due time and not running. If an earlier attempt ran or may
--- a/src/core/survey.c
+++ b/src/core/survey.c
@@ -60,7 +60,7 @@
       fb_body body = { .type = FB_MSG_SURVEY };
       body.fb_body_u.survey
           = (fb_run_command){ .rack = rack, .range = self->id, .range_epoch = self->epoch };
-      (void) self->sink->send (self->user, self, rack, &body);
+      (void) self->callbacks->send (self->user, self, rack, &body);
     }
 }
 
@@ -71,10 +71,10 @@
       = { .run = *run, .rack = rack, .range = self->id, .range_epoch = self->epoch, .force = TRUE };
   fb_body stop = { .type = FB_MSG_WITHDRAW };
   stop.fb_body_u.withdraw = command;
-  (void) self->sink->send (self->user, self, rack, &stop);
+  (void) self->callbacks->send (self->user, self, rack, &stop);
   fb_body ack = { .type = FB_MSG_ACK };
   ack.fb_body_u.ack = command;
-  (void) self->sink->send (self->user, self, rack, &ack);
+  (void) self->callbacks->send (self->user, self, rack, &ack);
 }
 
 /* The job may be known from a late record although its earlier records are missing, so it is the
--- a/src/daemon/core.c
+++ b/src/daemon/core.c
@@ -102,7 +102,7 @@
 }
 
 static void
-sink_log_append (gpointer user, const FbLogRecord *records, guint n)
+on_log_append (gpointer user, const FbLogRecord *records, guint n)
 {
   FbCore *self = user;
   LogCall *call = g_new0 (LogCall, 1);
@@ -143,7 +143,7 @@
 }
 
 static void
-sink_log_read (gpointer user, uint32_t stream, uint64_t from)
+on_log_read (gpointer user, uint32_t stream, uint64_t from)
 {
   FbCore *self = user;
   LogCall *call = g_new0 (LogCall, 1);
@@ -213,7 +213,7 @@
 }
 
 static void
-sink_worker_sync (gpointer user, uint32_t rack, guint host, const FbSyncRequest *request)
+on_worker_sync (gpointer user, uint32_t rack, guint host, const FbSyncRequest *request)
 {
   FbCore *self = user;
   Exchange *exchange = g_new0 (Exchange, 1);
@@ -367,7 +367,7 @@
 /* ---- peers and front -------------------------------------------------- */
 
 static void
-sink_send (gpointer user, guint member, const fb_msg *msg)
+on_send (gpointer user, guint member, const fb_msg *msg)
 {
   FbCore *self = user;
   fb_peers_send (self->peers, member, msg);
@@ -413,7 +413,7 @@
 }
 
 static void
-sink_answer (gpointer user, const fb_answer *answer)
+on_answer (gpointer user, const fb_answer *answer)
 {
   FbCore *self = user;
   if (self->listener != NULL)
@@ -421,15 +421,15 @@
 }
 
 static void
-sink_config_changed (gpointer user, uint32_t partner, uint64_t serial)
+on_config_changed (gpointer user, uint32_t partner, uint64_t serial)
 {
   (void) user;
   (void) partner;
   (void) serial;
 }
 
-static const FbNodeSink node_sink = { sink_send,     sink_worker_sync, sink_log_append,
-                                      sink_log_read, sink_answer,      sink_config_changed };
+static const FbNodeCallbacks node_callbacks
+    = { on_send, on_worker_sync, on_log_append, on_log_read, on_answer, on_config_changed };
 
 typedef struct
 {
@@ -521,7 +521,7 @@
                           .self_index = self_index,
                           .incarnation = (uint64_t) g_get_real_time (),
                           .seed = g_random_int (),
-                          .sink = &node_sink,
+                          .callbacks = &node_callbacks,
                           .user = self };
   self->node = fb_node_new (&config, fb_loop_now_ms ());
   return self;
--- a/tests/test-units.c
+++ b/tests/test-units.c
@@ -157,7 +157,7 @@
 static void
 test_config_foreign_record_displaces_no_revision (void)
 {
-  static const FbNodeSink sink
+  static const FbNodeCallbacks callbacks
       = { ignore_send, NULL, ignore_append, ignore_read, NULL, ignore_change };
   uint8_t secret[FB_SIGN_SECRET_BYTES];
   uint8_t foreign[FB_SIGN_SECRET_BYTES];
@@ -168,7 +168,7 @@
   cell->partners[0].name = g_strdup ("p");
   cell->partners[1].name = g_strdup ("q");
   fb_cell_add_member (cell, "d0", 0, 0);
-  FbNodeConfig config = { .cell = cell, .incarnation = 1, .sink = &sink };
+  FbNodeConfig config = { .cell = cell, .incarnation = 1, .callbacks = &callbacks };
   FbNode *node = fb_node_new (&config, 1000);
   FbLogRecord records[] = { { FB_STREAM_CONFIG, 5, 0, config_record (99, foreign) },
                             { FB_STREAM_CONFIG, 6, 0, config_record (2, secret) } };
--- a/tests/world.c
+++ b/tests/world.c
@@ -136,7 +136,7 @@
                                                : 0);
 }
 
-/* ---- the node's sink -------------------------------------------------- */
+/* ---- callbacks of the node -------------------------------------------------- */
 
 static void
 on_send (gpointer user, guint member, const fb_msg *msg)
@@ -233,7 +233,7 @@
                        fb_node_config_revision (slot->node, partner));
 }
 
-static const FbNodeSink node_sink
+static const FbNodeCallbacks node_callbacks
     = { on_send, on_worker_sync, on_log_append, on_log_read, on_answer, on_config_changed };
 
 /* ---- delivery --------------------------------------------------------- */
@@ -538,7 +538,7 @@
                           .self_index = node,
                           .incarnation = ++self->incarnation,
                           .seed = (uint32_t) g_rand_int (self->rand),
-                          .sink = &node_sink,
+                          .callbacks = &node_callbacks,
                           .user = slot };
   slot->node = fb_node_new (&config, self->now_ms);
 }
