--- a/bench/driver.c
+++ b/bench/driver.c
@@ -285,11 +285,11 @@
 }
 
 static void
-rack_surveyed (gpointer user, FbRack *rack, const fb_survey_reply *surveyed)
+rack_run_list (gpointer user, FbRack *rack, const fb_run_list *run_list)
 {
   (void) user;
   (void) rack;
-  (void) surveyed;
+  (void) run_list;
 }
 
 static void
@@ -301,7 +301,7 @@
 }
 
 static const FbRackCallbacks rack_callbacks
-    = { rack_sync, rack_report, rack_confirm, rack_surveyed, rack_fenced };
+    = { rack_sync, rack_report, rack_confirm, rack_run_list, rack_fenced };
 
 static void
 new_rack (Bench *self, guint id, uint64_t epoch)
--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -45,7 +45,7 @@
   gboolean renew_read; /* a RENEW was read; the next three members are those of fb_rec_renew */
   uint64_t renew_oldest;
   uint64_t renew_history_gap_ms;
-  gboolean renew_surveying;
+  gboolean renew_reconciling;
   int successor;                 /* index of a member, or -1 */
   uint64_t handover_epoch;       /* epoch at which it was handed over */
   GArray *handover_incarnations; /* uint64_t for each worker, see fb_handover; or NULL */
--- a/include/internal/rack.h
+++ b/include/internal/rack.h
@@ -93,8 +93,8 @@
   /* Requests a confirmation from the log that this daemon still owns the rack. The caller
    * answers with fb_rack_ownership_confirmed(), or frees the rack. */
   void (*confirm_ownership) (gpointer user, FbRack *rack);
-  /* Sends the reply to fb_rack_survey() to the owner of the range. */
-  void (*surveyed) (gpointer user, FbRack *rack, const fb_survey_reply *surveyed);
+  /* Sends the reply to fb_rack_list_runs() to the owner of the range. */
+  void (*run_list) (gpointer user, FbRack *rack, const fb_run_list *run_list);
   /* A worker has accepted a higher epoch: this daemon is no longer the owner. */
   void (*fenced) (gpointer user, FbRack *rack);
 } FbRackCallbacks;
@@ -123,9 +123,9 @@
 void fb_rack_withdraw (FbRack *self, uint64_t now_ms, const fb_run_command *command);
 void fb_rack_query (FbRack *self, uint64_t now_ms, const fb_run_command *command);
 void fb_rack_commit (FbRack *self, uint64_t now_ms, const fb_run_command *command);
-/* Answers with all runs of a range through callbacks->surveyed(); does nothing until every
+/* Answers with all runs of a range through callbacks->run_list(); does nothing until every
  * worker has replied. */
-void fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_run_command *command);
+void fb_rack_list_runs (FbRack *self, uint64_t now_ms, const fb_run_command *command);
 void fb_rack_ack (FbRack *self, uint64_t now_ms, const fb_run_command *command);
 
 /* Replies and events of the workers. */
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -73,11 +73,11 @@
 void fb_range_deactivate (FbRange *self);
 
 /* Requests the runs of this range from RACK_N racks, because records that are still needed may
- * be missing; see survey.c. No job is admitted until all racks have replied. */
-void fb_range_begin_survey (FbRange *self, uint64_t now_ms, guint rack_n);
+ * be missing; see reconcile.c. No job is admitted until all racks have replied. */
+void fb_range_begin_reconciliation (FbRange *self, uint64_t now_ms, guint rack_n);
 /* Marks that jobs from before may be unknown for another HISTORY_GAP_MS, as at the predecessor. */
 void fb_range_set_history_gap (FbRange *self, uint64_t now_ms, uint64_t history_gap_ms);
-void fb_range_surveyed (FbRange *self, uint64_t now_ms, const fb_survey_reply *surveyed);
+void fb_range_handle_run_list (FbRange *self, uint64_t now_ms, const fb_run_list *run_list);
 
 /* Sets whether appends to the log succeed. While they do not, new durable jobs are refused at
  * once instead of waiting. */
--- a/rpc/peer-xdr.c
+++ b/rpc/peer-xdr.c
@@ -258,7 +258,7 @@
 }
 
 bool_t
-xdr_fb_survey_reply (XDR *xdrs, fb_survey_reply *objp)
+xdr_fb_run_list (XDR *xdrs, fb_run_list *objp)
 {
 	register int32_t *buf;
 
@@ -721,12 +721,12 @@
 		 if (!xdr_fb_config_record (xdrs, &objp->fb_body_u.config))
 			 return FALSE;
 		break;
-	case FB_MSG_SURVEY:
-		 if (!xdr_fb_run_command (xdrs, &objp->fb_body_u.survey))
+	case FB_MSG_LIST_RUNS:
+		 if (!xdr_fb_run_command (xdrs, &objp->fb_body_u.list_runs))
 			 return FALSE;
 		break;
-	case FB_MSG_SURVEY_REPLY:
-		 if (!xdr_fb_survey_reply (xdrs, &objp->fb_body_u.surveyed))
+	case FB_MSG_RUN_LIST:
+		 if (!xdr_fb_run_list (xdrs, &objp->fb_body_u.run_list))
 			 return FALSE;
 		break;
 	default:
--- a/rpc/peer.h
+++ b/rpc/peer.h
@@ -87,7 +87,7 @@
 };
 typedef struct fb_run_command fb_run_command;
 
-struct fb_survey_reply {
+struct fb_run_list {
 	u_int rack;
 	u_int range;
 	struct {
@@ -95,7 +95,7 @@
 		fb_run *runs_val;
 	} runs;
 };
-typedef struct fb_survey_reply fb_survey_reply;
+typedef struct fb_run_list fb_run_list;
 
 struct fb_job {
 	u_quad_t id;
@@ -217,8 +217,8 @@
 	FB_MSG_HANDOVER = 12,
 	FB_MSG_CONFIG_PULL = 13,
 	FB_MSG_CONFIG_RECORD = 14,
-	FB_MSG_SURVEY = 15,
-	FB_MSG_SURVEY_REPLY = 16,
+	FB_MSG_LIST_RUNS = 15,
+	FB_MSG_RUN_LIST = 16,
 };
 typedef enum fb_msg_type fb_msg_type;
 
@@ -239,8 +239,8 @@
 		fb_handover handover;
 		fb_config_pull pull;
 		fb_config_record config;
-		fb_run_command survey;
-		fb_survey_reply surveyed;
+		fb_run_command list_runs;
+		fb_run_list run_list;
 	} fb_body_u;
 };
 typedef struct fb_body fb_body;
@@ -297,7 +297,7 @@
 extern  bool_t xdr_fb_place (XDR *, fb_place*);
 extern  bool_t xdr_fb_report (XDR *, fb_report*);
 extern  bool_t xdr_fb_run_command (XDR *, fb_run_command*);
-extern  bool_t xdr_fb_survey_reply (XDR *, fb_survey_reply*);
+extern  bool_t xdr_fb_run_list (XDR *, fb_run_list*);
 extern  bool_t xdr_fb_job (XDR *, fb_job*);
 extern  bool_t xdr_fb_submit (XDR *, fb_submit*);
 extern  bool_t xdr_fb_answer (XDR *, fb_answer*);
@@ -321,7 +321,7 @@
 extern bool_t xdr_fb_place ();
 extern bool_t xdr_fb_report ();
 extern bool_t xdr_fb_run_command ();
-extern bool_t xdr_fb_survey_reply ();
+extern bool_t xdr_fb_run_list ();
 extern bool_t xdr_fb_job ();
 extern bool_t xdr_fb_submit ();
 extern bool_t xdr_fb_answer ();
--- a/rpc/peer.x
+++ b/rpc/peer.x
@@ -63,8 +63,9 @@
   opaque answer<FB_MAX_PAYLOAD>;
 };
 
-/* Message of a range owner about a run: acknowledge, withdraw, query, commit or survey.
- * FORCE: a withdrawal that also stops a started run. */
+/* Message of a range owner about a run: acknowledge, withdraw, query or commit; or, with RUN
+ * unused, a request for all runs of the range. FORCE: a withdrawal that also stops a started
+ * run. */
 struct fb_run_command {
   fb_run run;
   unsigned int rack;
@@ -74,9 +75,8 @@
   unsigned int force;
 };
 
-/* Reply to a survey: all runs of RANGE that RACK has, in any state, except ends that are
- * acknowledged. */
-struct fb_survey_reply {
+/* All runs of RANGE that RACK has, in any state, except ends that are acknowledged. */
+struct fb_run_list {
   unsigned int rack;
   unsigned int range;
   fb_run runs<FB_MAX_MEMBERS>;
@@ -191,8 +191,8 @@
   FB_MSG_HANDOVER = 12,
   FB_MSG_CONFIG_PULL = 13,
   FB_MSG_CONFIG_RECORD = 14,
-  FB_MSG_SURVEY = 15,
-  FB_MSG_SURVEY_REPLY = 16
+  FB_MSG_LIST_RUNS = 15,
+  FB_MSG_RUN_LIST = 16
 };
 
 union fb_body switch (fb_msg_type type) {
@@ -210,8 +210,8 @@
 case FB_MSG_HANDOVER: fb_handover handover;
 case FB_MSG_CONFIG_PULL: fb_config_pull pull;
 case FB_MSG_CONFIG_RECORD: fb_config_record config;
-case FB_MSG_SURVEY: fb_run_command survey;
-case FB_MSG_SURVEY_REPLY: fb_survey_reply surveyed;
+case FB_MSG_LIST_RUNS: fb_run_command list_runs;
+case FB_MSG_RUN_LIST: fb_run_list run_list;
 };
 
 /* SEQ numbers the messages of one sender incarnation to one receiver; a receiver drops a
--- a/rpc/record-xdr.c
+++ b/rpc/record-xdr.c
@@ -133,7 +133,7 @@
 		 return FALSE;
 	 if (!xdr_u_quad_t (xdrs, &objp->history_gap_ms))
 		 return FALSE;
-	 if (!xdr_u_int (xdrs, &objp->surveying))
+	 if (!xdr_u_int (xdrs, &objp->reconciling))
 		 return FALSE;
 	return TRUE;
 }
--- a/rpc/record.h
+++ b/rpc/record.h
@@ -48,7 +48,7 @@
 	u_quad_t read_to;
 	u_quad_t oldest;
 	u_quad_t history_gap_ms;
-	u_int surveying;
+	u_int reconciling;
 };
 typedef struct fb_rec_renew fb_rec_renew;
 
--- a/rpc/record.x
+++ b/rpc/record.x
@@ -36,14 +36,15 @@
 
 /* Renewal of a claim, which an owner writes periodically. READ_TO: the epoch was in force up to
  * this offset. OLDEST: no job that is still needed has its full record before this offset of the
- * stream. HISTORY_GAP_MS, SURVEYING: for how long jobs from before may still be unknown (in ms),
- * and whether a survey of the racks is in progress; both are 0 if no record was lost. */
+ * stream. HISTORY_GAP_MS, RECONCILING: for how long jobs from before may still be unknown (in
+ * ms), and whether the reconciliation with the racks is in progress; both are 0 if no record was
+ * lost. */
 struct fb_rec_renew {
   fb_rec_claim claim;
   unsigned hyper read_to;
   unsigned hyper oldest;
   unsigned hyper history_gap_ms;
-  unsigned int surveying;
+  unsigned int reconciling;
 };
 
 /* DUE_LOG_MS: due time on the clock of the log, which all daemons can read, and not later than
--- a/src/core/node-log.c
+++ b/src/core/node-log.c
@@ -285,7 +285,7 @@
         {
           renew->oldest = fb_range_oldest_offset (shard->range, fb_stream_next (shard->stream));
           renew->history_gap_ms = fb_range_history_gap_ms (shard->range, self->now_ms);
-          renew->surveying = fb_range_is_surveying (shard->range);
+          renew->reconciling = fb_range_is_reconciling (shard->range);
         }
       fb_node_append (self, shard->id, shard->epoch, &body);
     }
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -53,7 +53,7 @@
 
 /* Returns: TRUE if the stream may lack records that are still needed. Every job that was
  * needed at the last RENEW has its full record at or after the offset that the RENEW
- * names. See survey.c. */
+ * names. See reconcile.c. */
 static gboolean
 lost_records (const FbShard *shard)
 {
@@ -82,11 +82,11 @@
       fb_range_activate (shard->range, self->now_ms, epoch);
       if (shard->renew_read)
         fb_range_set_history_gap (shard->range, self->now_ms, shard->renew_history_gap_ms);
-      if (lost_records (shard) || (shard->renew_read && shard->renew_surveying))
+      if (lost_records (shard) || (shard->renew_read && shard->renew_reconciling))
         {
           fb_counter_add (FB_COUNTER_RETENTION_ALARMS, 1);
           fb_event_log (FB_EVENT_LOG_RETENTION_PASSED, "shard=%u", shard->id);
-          fb_range_begin_survey (shard->range, self->now_ms, self->cell->racks->len);
+          fb_range_begin_reconciliation (shard->range, self->now_ms, self->cell->racks->len);
         }
     }
 }
@@ -213,7 +213,7 @@
       shard->renew_read = TRUE;
       shard->renew_oldest = record.body.fb_rec_body_u.renew.oldest;
       shard->renew_history_gap_ms = record.body.fb_rec_body_u.renew.history_gap_ms;
-      shard->renew_surveying = record.body.fb_rec_body_u.renew.surveying;
+      shard->renew_reconciling = record.body.fb_rec_body_u.renew.reconciling;
     }
   switch (result)
     {
--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -53,12 +53,12 @@
 }
 
 static void
-rack_surveyed (gpointer user, FbRack *rack, const fb_survey_reply *surveyed)
+rack_run_list (gpointer user, FbRack *rack, const fb_run_list *run_list)
 {
   (void) rack;
-  fb_body body = { .type = FB_MSG_SURVEY_REPLY };
-  body.fb_body_u.surveyed = *surveyed;
-  (void) fb_node_send_to_owner (user, surveyed->range, &body);
+  fb_body body = { .type = FB_MSG_RUN_LIST };
+  body.fb_body_u.run_list = *run_list;
+  (void) fb_node_send_to_owner (user, run_list->range, &body);
 }
 
 static void
@@ -69,7 +69,7 @@
 }
 
 const FbRackCallbacks fb_node_rack_callbacks
-    = { rack_sync, rack_report, rack_confirm_ownership, rack_surveyed, rack_fenced };
+    = { rack_sync, rack_report, rack_confirm_ownership, rack_run_list, rack_fenced };
 
 /* ---- callbacks of ranges --------------------------------------------------- */
 
@@ -214,8 +214,8 @@
     case FB_MSG_COMMIT:
       fb_rack_commit (rack, self->now_ms, command);
       break;
-    case FB_MSG_SURVEY:
-      fb_rack_survey (rack, self->now_ms, command);
+    case FB_MSG_LIST_RUNS:
+      fb_rack_list_runs (rack, self->now_ms, command);
       break;
     default:
       break;
@@ -266,12 +266,12 @@
           fb_range_submit (range, self->now_ms, job, body->fb_body_u.submit.copy, from);
         break;
       }
-    case FB_MSG_SURVEY_REPLY:
+    case FB_MSG_RUN_LIST:
       {
-        const fb_survey_reply *surveyed = &body->fb_body_u.surveyed;
-        FbRange *range = owned_range (self, surveyed->range);
+        const fb_run_list *run_list = &body->fb_body_u.run_list;
+        FbRange *range = owned_range (self, run_list->range);
         if (range != NULL)
-          fb_range_surveyed (range, self->now_ms, surveyed);
+          fb_range_handle_run_list (range, self->now_ms, run_list);
         break;
       }
     case FB_MSG_JOB_QUERY:
--- a/src/core/rack-commands.c
+++ b/src/core/rack-commands.c
@@ -1,4 +1,4 @@
-/* Requests of range owners to a rack: place, withdraw, query, commit, acknowledge, survey.
+/* Requests of range owners to a rack: place, withdraw, query, commit, acknowledge, list runs.
  *
  * A run arrives at most once: the range owner sends each attempt exactly once, addressed to the
  * epoch of this owner, over an ordered connection. A run is removed only after the range owner
@@ -205,7 +205,7 @@
 }
 
 void
-fb_rack_survey (FbRack *self, uint64_t now_ms, const fb_run_command *command)
+fb_rack_list_runs (FbRack *self, uint64_t now_ms, const fb_run_command *command)
 {
   (void) now_ms;
   if (!range_is_current (self, command->range, command->range_epoch) || !fb_rack_is_complete (self))
@@ -221,8 +221,8 @@
       if (task->spec.range == command->range && !done)
         g_array_append_val (runs, task->spec.run);
     }
-  fb_survey_reply surveyed = { .rack = self->id, .range = command->range };
-  surveyed.runs.runs_len = runs->len;
-  surveyed.runs.runs_val = (fb_run *) (void *) runs->data;
-  self->callbacks->surveyed (self->user, self, &surveyed);
+  fb_run_list run_list = { .rack = self->id, .range = command->range };
+  run_list.runs.runs_len = runs->len;
+  run_list.runs.runs_val = (fb_run *) (void *) runs->data;
+  self->callbacks->run_list (self->user, self, &run_list);
 }
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -45,7 +45,7 @@
     g_sequence_free (self->timers[k]);
   g_ptr_array_free (self->with_intents, TRUE);
   g_rand_free (self->rand);
-  g_free (self->surveyed);
+  g_free (self->reconciled_racks);
   g_free (self);
 }
 
@@ -173,7 +173,7 @@
     return FB_REASON_NEVER_FITS;
   if (self->durable && !self->log_ok)
     return FB_REASON_LOG_DOWN;
-  if (self->surveyed != NULL)
+  if (self->reconciled_racks != NULL)
     return FB_REASON_RETENTION;
   if (g_hash_table_size (self->jobs) >= FB_RANGE_JOB_MAX)
     return FB_REASON_OVERLOAD;
@@ -522,7 +522,7 @@
 void
 fb_range_flush (FbRange *self, uint64_t now_ms)
 {
-  if (!self->active || self->surveyed != NULL || self->next_due_ms > now_ms)
+  if (!self->active || self->reconciled_racks != NULL || self->next_due_ms > now_ms)
     return;
   self->next_due_ms = G_MAXUINT64;
   fb_range_dispatch (self, now_ms);
@@ -533,8 +533,8 @@
 {
   if (!self->active)
     return;
-  fb_range_survey_tick (self, now_ms);
-  if (self->surveyed == NULL)
+  fb_range_reconcile_tick (self, now_ms);
+  if (self->reconciled_racks == NULL)
     fb_range_dispatch (self, now_ms);
   cancel_next_tasks (self, now_ms);
   remove_expired_jobs (self, now_ms);
--- a/src/core/survey.c
+++ b/src/core/reconcile.c
@@ -16,16 +16,16 @@
 
 #include <string.h>
 
-#define SURVEY_PERIOD_MS 1000
+#define RECONCILE_PERIOD_MS 1000
 
 void
-fb_range_begin_survey (FbRange *self, uint64_t now_ms, guint rack_n)
+fb_range_begin_reconciliation (FbRange *self, uint64_t now_ms, guint rack_n)
 {
-  g_free (self->surveyed);
-  self->surveyed = g_new0 (gboolean, rack_n);
-  self->survey_n = rack_n;
-  self->survey_remaining = rack_n;
-  self->survey_at_ms = now_ms;
+  g_free (self->reconciled_racks);
+  self->reconciled_racks = g_new0 (gboolean, rack_n);
+  self->reconcile_rack_n = rack_n;
+  self->reconcile_remaining = rack_n;
+  self->reconcile_at_ms = now_ms;
   self->history_gap_until_ms = now_ms + FB_RANGE_KEEP_MS;
 }
 
@@ -42,23 +42,23 @@
 }
 
 gboolean
-fb_range_is_surveying (const FbRange *self)
+fb_range_is_reconciling (const FbRange *self)
 {
-  return self->surveyed != NULL;
+  return self->reconciled_racks != NULL;
 }
 
 void
-fb_range_survey_tick (FbRange *self, uint64_t now_ms)
+fb_range_reconcile_tick (FbRange *self, uint64_t now_ms)
 {
-  if (self->surveyed == NULL || now_ms < self->survey_at_ms)
+  if (self->reconciled_racks == NULL || now_ms < self->reconcile_at_ms)
     return;
-  self->survey_at_ms = now_ms + SURVEY_PERIOD_MS;
-  for (guint rack = 0; rack < self->survey_n; rack++)
+  self->reconcile_at_ms = now_ms + RECONCILE_PERIOD_MS;
+  for (guint rack = 0; rack < self->reconcile_rack_n; rack++)
     {
-      if (self->surveyed[rack])
+      if (self->reconciled_racks[rack])
         continue;
-      fb_body body = { .type = FB_MSG_SURVEY };
-      body.fb_body_u.survey
+      fb_body body = { .type = FB_MSG_LIST_RUNS };
+      body.fb_body_u.list_runs
           = (fb_run_command){ .rack = rack, .range = self->id, .range_epoch = self->epoch };
       (void) self->callbacks->send (self->user, self, rack, &body);
     }
@@ -93,24 +93,24 @@
 }
 
 void
-fb_range_surveyed (FbRange *self, uint64_t now_ms, const fb_survey_reply *surveyed)
+fb_range_handle_run_list (FbRange *self, uint64_t now_ms, const fb_run_list *run_list)
 {
   (void) now_ms;
-  if (!self->active || self->surveyed == NULL || surveyed->rack >= self->survey_n
-      || self->surveyed[surveyed->rack])
+  if (!self->active || self->reconciled_racks == NULL || run_list->rack >= self->reconcile_rack_n
+      || self->reconciled_racks[run_list->rack])
     return;
   guint unknown = 0;
-  for (guint i = 0; i < surveyed->runs.runs_len; i++)
+  for (guint i = 0; i < run_list->runs.runs_len; i++)
     {
-      const fb_run *run = &surveyed->runs.runs_val[i];
-      if (is_known_run (self, surveyed->rack, run))
+      const fb_run *run = &run_list->runs.runs_val[i];
+      if (is_known_run (self, run_list->rack, run))
         continue;
       unknown++;
-      stop_unknown_run (self, surveyed->rack, run);
+      stop_unknown_run (self, run_list->rack, run);
     }
   if (unknown > 0)
     return;
-  self->surveyed[surveyed->rack] = TRUE;
-  if (--self->survey_remaining == 0)
-    g_clear_pointer (&self->surveyed, g_free);
+  self->reconciled_racks[run_list->rack] = TRUE;
+  if (--self->reconcile_remaining == 0)
+    g_clear_pointer (&self->reconciled_racks, g_free);
 }
