--- a/bench/driver.c
+++ b/bench/driver.c
@@ -125,8 +125,8 @@
 {
   RangeUser *range_user = user;
   range_user->bench->result.refused++;
-  fb_router_note_refusal (range_user->bench->routers[range_user->index], range_user->bench->now_ms,
-                          rack, reason);
+  fb_router_record_refusal (range_user->bench->routers[range_user->index],
+                            range_user->bench->now_ms, rack, reason);
 }
 
 static uint64_t
@@ -518,7 +518,7 @@
       fb_summary summary;
       fb_rack_summary (self->racks[r].rack, &summary);
       for (guint i = 0; i < self->scenario->ranges; i++)
-        fb_router_note_summary (self->routers[i], self->now_ms, &summary);
+        fb_router_update_summary (self->routers[i], self->now_ms, &summary);
     }
 }
 
--- a/include/internal/router.h
+++ b/include/internal/router.h
@@ -61,11 +61,11 @@
 
 /* Stores a summary unless one of a newer epoch is known, and resets what this daemon has debited
  * since the last one: the owner has included it. */
-void fb_router_note_summary (FbRouter *self, uint64_t now_ms, const fb_summary *summary);
+void fb_router_update_summary (FbRouter *self, uint64_t now_ms, const fb_summary *summary);
 /* Excludes a rack without a known owner until its next summary. */
 void fb_router_disable_rack (FbRouter *self, uint32_t rack);
 /* Excludes a rack that has refused a task for a short time, see router.c. */
-void fb_router_note_refusal (FbRouter *self, uint64_t now_ms, uint32_t rack, FbReason reason);
+void fb_router_record_refusal (FbRouter *self, uint64_t now_ms, uint32_t rack, FbReason reason);
 
 /* Returns: TRUE and fills CHOICE, or FALSE if no rack is suitable now. Unless the request is
  * PROBE_ONLY, the demand is debited from the summary of the chosen rack. */
--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -117,7 +117,7 @@
 range_refused (gpointer user, uint32_t rack, FbReason reason)
 {
   FbNode *self = user;
-  fb_router_note_refusal (self->router, self->now_ms, rack, reason);
+  fb_router_record_refusal (self->router, self->now_ms, rack, reason);
 }
 
 /* Lower bound of the log's clock now: its last reading plus the time since that arrived. */
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -117,7 +117,7 @@
         continue;
       fb_summary *summary = &summaries[heartbeat->summaries.summaries_len++];
       fb_rack_summary (shard->rack, summary);
-      fb_router_note_summary (self->router, self->now_ms, summary);
+      fb_router_update_summary (self->router, self->now_ms, summary);
     }
   for (guint m = 0; m < fb_members_count (self->members); m++)
     {
@@ -139,7 +139,7 @@
   for (guint i = 0; i < heartbeat->claims.claims_len; i++)
     fb_node_handle_claim (self, member, &heartbeat->claims.claims_val[i]);
   for (guint i = 0; i < heartbeat->summaries.summaries_len; i++)
-    fb_router_note_summary (self->router, self->now_ms, &heartbeat->summaries.summaries_val[i]);
+    fb_router_update_summary (self->router, self->now_ms, &heartbeat->summaries.summaries_val[i]);
 }
 
 /* ---- messages --------------------------------------------------------- */
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -98,7 +98,7 @@
 }
 
 void
-fb_router_note_summary (FbRouter *self, uint64_t now_ms, const fb_summary *summary)
+fb_router_update_summary (FbRouter *self, uint64_t now_ms, const fb_summary *summary)
 {
   (void) now_ms;
   if (summary->rack >= self->racks->len)
@@ -121,7 +121,7 @@
 }
 
 void
-fb_router_note_refusal (FbRouter *self, uint64_t now_ms, uint32_t rack, FbReason reason)
+fb_router_record_refusal (FbRouter *self, uint64_t now_ms, uint32_t rack, FbReason reason)
 {
   if (rack >= self->racks->len)
     return;
