--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -111,11 +111,11 @@
 gboolean fb_rack_is_complete (const FbRack *self);
 const fb_res *fb_rack_team_used (const FbRack *self, uint32_t partner, uint32_t team);
 
-/* ledger.c: charged capacity. These are the only functions that change FbWorker.used,
+/* usage.c: charged capacity. These are the only functions that change FbWorker.used,
  * FbRack.partner_used and FbRack.team_used. */
-void fb_ledger_charge (FbRack *self, FbTask *task, guint worker, const fb_res *charge);
-void fb_ledger_release (FbRack *self, FbTask *task);
-void fb_ledger_recharge (FbRack *self, FbTask *task, const fb_res *charge);
+void fb_usage_charge (FbRack *self, FbTask *task, guint worker, const fb_res *charge);
+void fb_usage_release (FbRack *self, FbTask *task);
+void fb_usage_recharge (FbRack *self, FbTask *task, const fb_res *charge);
 
 /* rack.c: lifecycle of a task */
 FbTask *fb_task_new (uint64_t now_ms, const fb_spec *spec);
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -21,9 +21,10 @@
 #define FB_RANGE_GANG_RESERVE_MS 15000 /* for all members of a gang to reserve capacity */
 #define FB_RANGE_JOB_MAX 20000  /* jobs in one range, including ended ones that are still kept */
 #define FB_RANGE_TASK_MAX 20000 /* tasks of one job */
-#define FB_RANGE_KEEP_MS (60 * 60 * 1000) /* how long ended jobs and their keys are kept */
-#define FB_RANGE_FAIL_RETRIES 1           /* of a task that its target failed */
-#define FB_RANGE_LOST_RETRIES 8           /* of a task whose worker was lost */
+#define FB_RANGE_JOB_RETENTION_MS (60 * 60 * 1000) /* how long ended jobs and their keys are kept  \
+                                                    */
+#define FB_RANGE_FAIL_RETRIES 1                    /* of a task that its target failed */
+#define FB_RANGE_LOST_RETRIES 8                    /* of a task whose worker was lost */
 
 typedef struct
 {
--- a/src/core/rack-sync.c
+++ b/src/core/rack-sync.c
@@ -156,7 +156,7 @@
   fb_res charge = task->spec.demand;
   for (guint i = 0; i < FB_RES_N; i++)
     charge.amount[i] = MAX (charge.amount[i], run->usage.amount[i]);
-  fb_ledger_recharge (self, task, &charge);
+  fb_usage_recharge (self, task, &charge);
 }
 
 static FbReason
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -187,7 +187,7 @@
   if (task->state != FB_TASK_ENDED)
     g_queue_push_tail (&self->ended, task);
   fb_rack_dequeue (self, task);
-  fb_ledger_release (self, task);
+  fb_usage_release (self, task);
   task->state = FB_TASK_ENDED;
   task->run_status = run_status;
   task->reason = reason;
@@ -216,7 +216,7 @@
   task->state = FB_TASK_RUNNING;
   task->started_ms = now_ms;
   g_hash_table_insert (self->tasks, &task->spec.run, task);
-  fb_ledger_charge (self, task, worker, &spec->demand);
+  fb_usage_charge (self, task, worker, &spec->demand);
   task->last_worker = worker;
   return task;
 }
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -477,7 +477,7 @@
 static void
 remove_expired_jobs (FbRange *self, uint64_t now_ms)
 {
-  const uint64_t keep_ms = self->durable ? FB_RANGE_KEEP_MS : 2 * FB_RANGE_DUE_GRACE_MS;
+  const uint64_t keep_ms = self->durable ? FB_RANGE_JOB_RETENTION_MS : 2 * FB_RANGE_DUE_GRACE_MS;
   for (guint i = 0; i < REMOVE_CHUNK; i++)
     {
       FbJob *job = g_queue_peek_head (&self->ended);
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -26,7 +26,7 @@
   self->reconcile_rack_n = rack_n;
   self->reconcile_remaining = rack_n;
   self->reconcile_at_ms = now_ms;
-  self->history_gap_until_ms = now_ms + FB_RANGE_KEEP_MS;
+  self->history_gap_until_ms = now_ms + FB_RANGE_JOB_RETENTION_MS;
 }
 
 void
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -116,7 +116,7 @@
 start_task (FbRack *self, uint64_t now_ms, FbTask *task, const Choice *choice)
 {
   fb_rack_dequeue (self, task);
-  fb_ledger_charge (self, task, choice->best, &task->spec.demand);
+  fb_usage_charge (self, task, choice->best, &task->spec.demand);
   task->last_worker = choice->best;
   fb_worker_health_record_start (fb_rack_worker (self, choice->best), now_ms);
   fb_counter_add (FB_COUNTER_PLACEMENTS, 1);
--- a/src/core/ledger.c
+++ b/src/core/usage.c
@@ -34,7 +34,7 @@
 }
 
 void
-fb_ledger_charge (FbRack *self, FbTask *task, guint worker, const fb_res *charge)
+fb_usage_charge (FbRack *self, FbTask *task, guint worker, const fb_res *charge)
 {
   FbWorker *w = fb_rack_worker (self, worker);
   task->worker = worker;
@@ -46,7 +46,7 @@
 }
 
 void
-fb_ledger_release (FbRack *self, FbTask *task)
+fb_usage_release (FbRack *self, FbTask *task)
 {
   if (task->worker == FB_NO_WORKER)
     return;
@@ -67,7 +67,7 @@
 }
 
 void
-fb_ledger_recharge (FbRack *self, FbTask *task, const fb_res *charge)
+fb_usage_recharge (FbRack *self, FbTask *task, const fb_res *charge)
 {
   FbWorker *w = fb_rack_worker (self, task->worker);
   fb_res *const totals[]
