--- a/fuzz/fuzz-node.c
+++ b/fuzz/fuzz-node.c
@@ -78,10 +78,10 @@
       world_drain (run->world, node);
       break;
     case 4:
-      world_set_peers_cut (run->world, node, on);
+      world_set_peers_unreachable (run->world, node, on);
       break;
     default:
-      world_set_workers_cut (run->world, node, on);
+      world_set_workers_unreachable (run->world, node, on);
       break;
     }
 }
--- a/include/fb-types.h
+++ b/include/fb-types.h
@@ -123,7 +123,7 @@
 
 /* Returns: the largest USED/TOTAL over all resources, in thousandths. A resource whose
  * total is 0 counts as 1000 if some of it is used, otherwise not at all. */
-uint32_t fb_res_dominant_milli (const fb_res *used, const fb_res *total);
+uint32_t fb_res_dominant_share_milli (const fb_res *used, const fb_res *total);
 
 /* GHashTable functions for fb_run keys. */
 guint fb_run_hash (gconstpointer run);
--- a/include/internal/member.h
+++ b/include/internal/member.h
@@ -12,7 +12,7 @@
 
 typedef enum
 {
-  FB_MEMBER_UNHEARD, /* no heartbeat has arrived yet */
+  FB_MEMBER_NO_CONTACT, /* no heartbeat has arrived yet */
   FB_MEMBER_ALIVE,
   FB_MEMBER_LEAVING,  /* begins a planned stop: gets no shards */
   FB_MEMBER_SUSPECTED /* no heartbeat for FB_MEMBER_SUSPECT_MS */
--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -46,10 +46,10 @@
   uint64_t renew_oldest;
   uint64_t renew_history_gap_ms;
   gboolean renew_reconciling;
-  int successor;                 /* index of a member, or -1 */
-  uint64_t handover_epoch;       /* epoch at which it was handed over */
-  GArray *handover_incarnations; /* uint64_t for each worker, see fb_handover; or NULL */
-  gboolean handover_received;    /* the previous owner has handed the shard to this daemon */
+  int successor;                    /* index of a member, or -1 */
+  uint64_t handover_epoch;          /* epoch at which it was handed over */
+  GArray *handed_over_incarnations; /* uint64_t for each worker, see fb_handover; or NULL */
+  gboolean handover_received;       /* the previous owner has handed the shard to this daemon */
 } FbShard;
 
 typedef struct
--- a/include/internal/node-query.h
+++ b/include/internal/node-query.h
@@ -11,7 +11,7 @@
 /* Returns: the encoded revision in force, borrowed, or NULL if there is none. */
 GBytes *fb_node_config_revision (const FbNode *self, uint32_t partner);
 
-gboolean fb_node_log_ok (const FbNode *self);
+gboolean fb_node_log_is_available (const FbNode *self);
 /* Returns: the rack if this daemon owns it, borrowed, or NULL. */
 const FbRack *fb_node_rack (const FbNode *self, uint32_t rack);
 /* Returns: the epoch at which this daemon owns SHARD, or 0 if it does not. */
--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -45,8 +45,8 @@
   FB_WORKER_UNKNOWN, /* no reply yet; counts as full */
   FB_WORKER_OK,
   FB_WORKER_SILENT, /* its lease should have expired, but the ownership is not confirmed yet */
-  FB_WORKER_LAPSED, /* its lease has expired: no run ordered by this owner can be running there */
-  FB_WORKER_GONE    /* no reply yet, and off the host list for longer than a lease */
+  FB_WORKER_LEASE_EXPIRED, /* no run ordered by this owner can be running there any more */
+  FB_WORKER_GONE           /* no reply yet, and off the host list for longer than a lease */
 } FbWorkerState;
 
 struct _FbWorker
--- a/src/base/types.c
+++ b/src/base/types.c
@@ -99,7 +99,7 @@
 }
 
 uint32_t
-fb_res_dominant_milli (const fb_res *used, const fb_res *total)
+fb_res_dominant_share_milli (const fb_res *used, const fb_res *total)
 {
   uint64_t share_milli = 0;
   for (guint i = 0; i < FB_RES_N; i++)
--- a/src/core/node-query.c
+++ b/src/core/node-query.c
@@ -36,7 +36,7 @@
 }
 
 gboolean
-fb_node_log_ok (const FbNode *self)
+fb_node_log_is_available (const FbNode *self)
 {
   return self->log_ok;
 }
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -324,11 +324,11 @@
   fb_handover *handover = &body.fb_body_u.handover;
   handover->shard = shard->id;
   handover->epoch = shard->handover_epoch;
-  if (shard->handover_incarnations != NULL)
+  if (shard->handed_over_incarnations != NULL)
     {
-      handover->incarnations.incarnations_len = shard->handover_incarnations->len;
+      handover->incarnations.incarnations_len = shard->handed_over_incarnations->len;
       handover->incarnations.incarnations_val
-          = (u_quad_t *) (void *) shard->handover_incarnations->data;
+          = (u_quad_t *) (void *) shard->handed_over_incarnations->data;
     }
   fb_node_send (self, (guint) shard->successor, &body);
 }
@@ -336,14 +336,14 @@
 static void
 save_confirmed_incarnations (FbShard *shard)
 {
-  g_clear_pointer (&shard->handover_incarnations, g_array_unref);
+  g_clear_pointer (&shard->handed_over_incarnations, g_array_unref);
   if (shard->rack == NULL)
     return;
-  shard->handover_incarnations = g_array_new (FALSE, FALSE, sizeof (uint64_t));
+  shard->handed_over_incarnations = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   for (guint i = 0; i < fb_rack_worker_count (shard->rack); i++)
     {
       uint64_t incarnation = fb_rack_worker_confirmed_incarnation (shard->rack, i);
-      g_array_append_val (shard->handover_incarnations, incarnation);
+      g_array_append_val (shard->handed_over_incarnations, incarnation);
     }
 }
 
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -529,7 +529,7 @@
       g_clear_pointer (&self->shards[i].rack, fb_rack_free);
       g_clear_pointer (&self->shards[i].range, fb_range_free);
       g_clear_pointer (&self->shards[i].stream, fb_stream_free);
-      g_clear_pointer (&self->shards[i].handover_incarnations, g_array_unref);
+      g_clear_pointer (&self->shards[i].handed_over_incarnations, g_array_unref);
     }
   for (guint i = 0; i < self->cell->racks->len; i++)
     {
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -307,19 +307,19 @@
 static void
 check_leases (FbRack *self, uint64_t now_ms)
 {
-  const uint64_t lease_timeout_ms
+  const uint64_t lease_expiry_ms
       = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
   gboolean confirm = FALSE;
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state == FB_WORKER_OK && now_ms - w->last_reply_ms >= lease_timeout_ms)
+      if (w->state == FB_WORKER_OK && now_ms - w->last_reply_ms >= lease_expiry_ms)
         {
           w->state = FB_WORKER_SILENT;
           fb_event_log (FB_EVENT_WORKER_SILENT, "rack=%s worker=%s", self->name, w->name);
         }
       if (w->state == FB_WORKER_UNKNOWN && w->unlisted_since_ms > 0
-          && now_ms - w->unlisted_since_ms >= lease_timeout_ms)
+          && now_ms - w->unlisted_since_ms >= lease_expiry_ms)
         w->state = FB_WORKER_GONE;
       gboolean unconfirmed = w->state == FB_WORKER_OK && w->confirmed_incarnation != w->incarnation;
       confirm = confirm || unconfirmed || w->state == FB_WORKER_SILENT;
@@ -363,15 +363,15 @@
 void
 fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t requested_ms)
 {
-  const uint64_t lease_timeout_ms
+  const uint64_t lease_expiry_ms
       = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
   confirm_incarnations (self, requested_ms);
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state != FB_WORKER_SILENT || w->last_reply_ms + lease_timeout_ms > requested_ms)
+      if (w->state != FB_WORKER_SILENT || w->last_reply_ms + lease_expiry_ms > requested_ms)
         continue;
-      w->state = FB_WORKER_LAPSED;
+      w->state = FB_WORKER_LEASE_EXPIRED;
       while (w->tasks->len > 0)
         {
           FbTask *task = g_ptr_array_index (w->tasks, w->tasks->len - 1);
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -182,7 +182,7 @@
   fb_res used = rack->info.total;
   fb_res_sub (&used, &rack->summary.free);
   fb_res_add (&used, &rack->debit);
-  uint64_t cost = fb_res_dominant_milli (&used, &rack->info.total);
+  uint64_t cost = fb_res_dominant_share_milli (&used, &rack->info.total);
   if (rack->info.partner != request->spec->partner)
     cost += COST_BORROWED;
   if (!fits_now (rack, demand))
--- a/src/core/schedule.c
+++ b/src/core/schedule.c
@@ -109,7 +109,7 @@
     return TRUE;
   fb_res partner_after = self->partner_used[task->spec.partner];
   fb_res_add (&partner_after, &task->spec.demand);
-  return fb_res_dominant_milli (&partner_after, &self->total) <= self->policy.lend_milli;
+  return fb_res_dominant_share_milli (&partner_after, &self->total) <= self->policy.lend_milli;
 }
 
 static void
@@ -173,7 +173,7 @@
           || !fb_res_fits (&head->spec.demand, &w->capacity)
           || (guarded && w->capacity.amount[FB_RES_ACCEL_COUNT] > 0))
         continue;
-      uint32_t used_milli = fb_res_dominant_milli (&w->used, &w->capacity);
+      uint32_t used_milli = fb_res_dominant_share_milli (&w->used, &w->capacity);
       if (used_milli < least_milli)
         {
           least_milli = used_milli;
@@ -215,8 +215,8 @@
         continue;
       const FbTeam *team = fb_teams_get (self->policy.teams, partner, queue->team);
       const fb_res *used = fb_rack_team_used (self, partner, queue->team);
-      uint64_t share
-          = (uint64_t) fb_res_dominant_milli (used, &self->total) * 1000 / MAX (team->weight, 1);
+      uint64_t share = (uint64_t) fb_res_dominant_share_milli (used, &self->total) * 1000
+                       / MAX (team->weight, 1);
       if (best == NULL || share < best_share || (share == best_share && queue->team < best->team))
         {
           best = queue;
--- a/src/daemon/front-queries.c
+++ b/src/daemon/front-queries.c
@@ -105,7 +105,7 @@
       json_builder_begin_object (out);
       add_text (out, "name", fb_rack_worker_name (rack, i));
       add_text (out, "state", fb_rack_worker_state (rack, i));
-      add_number (out, "used_milli", fb_res_dominant_milli (&used, &capacity));
+      add_number (out, "used_milli", fb_res_dominant_share_milli (&used, &capacity));
       json_builder_end_object (out);
     }
   json_builder_end_array (out);
@@ -147,7 +147,7 @@
   add_text (out, "name", fb_cell_member (front->cell, front->self_index)->name);
   add_text (out, "partner", front->cell->partners[front->partner].name);
   add_number (out, "partner_index", front->partner);
-  add_text (out, "log", fb_node_log_ok (node) ? "up" : "down");
+  add_text (out, "log", fb_node_log_is_available (node) ? "up" : "down");
   add_members (out, front, node);
   add_shards (out, front, node);
   json_builder_end_object (out);
--- a/tests/test-script.c
+++ b/tests/test-script.c
@@ -173,9 +173,9 @@
   else if (g_str_equal (args[0], "drain"))
     world_drain (world, node_arg (args));
   else if (g_str_equal (args[0], "cut"))
-    world_set_peers_cut (world, node_arg (args), is_on (args));
+    world_set_peers_unreachable (world, node_arg (args), is_on (args));
   else if (g_str_equal (args[0], "cut-workers"))
-    world_set_workers_cut (world, node_arg (args), is_on (args));
+    world_set_workers_unreachable (world, node_arg (args), is_on (args));
   else if (g_str_equal (args[0], "noise"))
     world_set_message_faults (world, (guint) option (args, "lose", 0),
                               (guint) option (args, "twice", 0), (guint) option (args, "delay", 0));
--- a/tests/world.c
+++ b/tests/world.c
@@ -25,8 +25,8 @@
   gboolean paused;
   uint64_t hosts_sent_ms;
   gboolean draining;
-  gboolean peers_cut;
-  gboolean workers_cut;
+  gboolean peers_unreachable;
+  gboolean workers_unreachable;
   uint64_t last_serial[FB_PARTNER_N];
 } DaemonSlot;
 
@@ -144,7 +144,7 @@
   DaemonSlot *from = user;
   World *self = from->world;
   DaemonSlot *to = &self->slots[member];
-  if (from->peers_cut || to->peers_cut || chance (self, self->loss_per_256))
+  if (from->peers_unreachable || to->peers_unreachable || chance (self, self->loss_per_256))
     return;
   guint copies = chance (self, self->duplicate_per_256) ? 2 : 1;
   for (guint i = 0; i < copies; i++)
@@ -161,7 +161,7 @@
 {
   DaemonSlot *slot = user;
   World *self = slot->world;
-  gboolean lost = slot->workers_cut || chance (self, self->loss_per_256);
+  gboolean lost = slot->workers_unreachable || chance (self, self->loss_per_256);
   if (!lost)
     {
       Event *event = event_new (self, EVENT_EXCHANGE, slot, draw_delivery_delay (self));
@@ -264,7 +264,7 @@
   WorkerReply *reply = worker_handle (worker, self->now_ms, event->exchange);
   if (reply == NULL)
     return;
-  if (chance (self, self->loss_per_256) || slot->workers_cut)
+  if (chance (self, self->loss_per_256) || slot->workers_unreachable)
     {
       worker_reply_free (reply);
       return;
@@ -571,15 +571,15 @@
 }
 
 void
-world_set_peers_cut (World *self, guint node, gboolean peers_cut)
+world_set_peers_unreachable (World *self, guint node, gboolean peers_unreachable)
 {
-  self->slots[node].peers_cut = peers_cut;
+  self->slots[node].peers_unreachable = peers_unreachable;
 }
 
 void
-world_set_workers_cut (World *self, guint node, gboolean peers_cut)
+world_set_workers_unreachable (World *self, guint node, gboolean workers_unreachable)
 {
-  self->slots[node].workers_cut = peers_cut;
+  self->slots[node].workers_unreachable = workers_unreachable;
 }
 
 void
@@ -707,8 +707,8 @@
   world_set_log_state (self, WORLD_LOG_UP);
   for (guint i = 0; i < self->size.member_n; i++)
     {
-      world_set_peers_cut (self, i, FALSE);
-      world_set_workers_cut (self, i, FALSE);
+      world_set_peers_unreachable (self, i, FALSE);
+      world_set_workers_unreachable (self, i, FALSE);
       world_set_paused (self, i, FALSE);
       /* A drained daemon exits, and a new process replaces it. */
       if (self->slots[i].draining)
--- a/tests/world.h
+++ b/tests/world.h
@@ -35,9 +35,9 @@
 gboolean world_is_up (const World *self, guint node);
 FbNode *world_node (const World *self, guint node);
 
-/* Network.  Messages between a cut node and its peers are dropped. */
-void world_set_peers_cut (World *self, guint node, gboolean peers_cut);
-void world_set_workers_cut (World *self, guint node, gboolean peers_cut);
+/* Network.  Drops the messages between a node and its peers, or the workers. */
+void world_set_peers_unreachable (World *self, guint node, gboolean peers_unreachable);
+void world_set_workers_unreachable (World *self, guint node, gboolean workers_unreachable);
 /* How many of 256 messages are lost, duplicated or delayed. */
 void world_set_message_faults (World *self, guint loss_per_256, guint duplicate_per_256,
                                guint delay_per_256);
