--- a/src/entry/advice/advisor.c
+++ b/src/entry/advice/advisor.c
@@ -166,7 +166,7 @@
   request->daemon = g_strdup (daemon);
   request->step = g_strdup (step);
   request->sent_ms = fb_clock_ms ();
-  fb_counter_add (FB_COUNTER_ADVICE_ASKED, 1);
+  fb_counter_add (FB_COUNTER_ADVICE_REQUESTS, 1);
   request->workers = g_ptr_array_new_with_free_func (g_free);
   for (guint i = 0; i < n; i++)
     {
--- a/src/entry/loop-watch.c
+++ b/src/entry/loop-watch.c
@@ -63,7 +63,7 @@
 {
   uint32_t late_ms = late_at (self, now_ms);
   self->turn_ms = now_ms;
-  fb_histogram_add (FB_HISTOGRAM_LOOP_LATE, late_ms);
+  fb_histogram_add (FB_HISTOGRAM_LOOP_DELAY, late_ms);
   note_slot (self, now_ms, late_ms);
   if (late_ms > LATE_MS)
     {
--- a/src/entry/store/keepalive.c
+++ b/src/entry/store/keepalive.c
@@ -99,7 +99,7 @@
   const Renewal *renewal = membership->renewal;
   membership->call_open = TRUE;
   membership->repeated_ms = fb_clock_ms ();
-  fb_counter_add (FB_COUNTER_MEMBERSHIPS_KEPT, 1);
+  fb_counter_add (FB_COUNTER_KEEPALIVE_RENEWALS, 1);
   fb_http_client_exchange (membership->keepalive->client, &renewal->call,
                            renewal->ttl_ms / OVERDUE_FRACTION, on_repeated, membership);
 }
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -460,7 +460,7 @@
 fail_job (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms, uint64_t wall_ms)
 {
   const FbPoolTask *task = &step->tasks[index];
-  fb_counter_add (FB_COUNTER_TASKS_GIVEN_UP, 1);
+  fb_counter_add (FB_COUNTER_TASKS_OVER_CRASH_LIMIT, 1);
   fb_event_log (FB_EVENT_TASK_GIVEN_UP, "task=%s.%u.%u.%u queue=%s crashes=%u apart=%d",
                 step->job->id, step->occurrence, step->index, index, step->job->record.policy.queue,
                 fb_pool_task_crashes_n (task), sole_cause_n (self, task, FALSE) > 0);
--- a/src/work/pool-import-starts.c
+++ b/src/work/pool-import-starts.c
@@ -20,7 +20,7 @@
   FbPoolTask *task = &step->tasks[index];
   if (task->done || fb_pool_start_is_resolved (self, task, start->worker))
     return;
-  fb_counter_add (FB_COUNTER_STARTS_RECALLED, 1);
+  fb_counter_add (FB_COUNTER_STARTS_IMPORTED, 1);
   fb_event_log (FB_EVENT_START_RECALLED, "task=%s attempt=%u worker=%s seen=%d", start->task,
                 start->attempt, start->worker, start->seen);
   const FbPoolCrash crash = { fb_pool_worker_id_hash (start->worker), FALSE,
--- a/src/work/pool-long-running.c
+++ b/src/work/pool-long-running.c
@@ -156,7 +156,7 @@
     return;
   uint64_t for_ms = 0;
   const char *waited_for = last_wait_reason (self, step, interruption.ended_ms, now_ms, &for_ms);
-  fb_histogram_add (FB_HISTOGRAM_LASTING_AWAY, now_ms - interruption.ended_ms);
+  fb_histogram_add (FB_HISTOGRAM_LONG_RUNNING_DOWNTIME, now_ms - interruption.ended_ms);
   fb_event_log (FB_EVENT_LASTING_RESTARTED,
                 "task=%s attempt=%u away_ms=%u ended=\"%s\" waited_for=%s for_ms=%u"
                 " epoch=%" G_GUINT64_FORMAT,
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -102,7 +102,7 @@
   if (step->gang_broken)
     return;
   step->gang_broken = TRUE;
-  fb_counter_add (FB_COUNTER_GANGS_BROKEN, 1);
+  fb_counter_add (FB_COUNTER_GANGS_STOPPED, 1);
   fb_event_log (FB_EVENT_GANG_BROKEN, "job=%s step=%u attempt=%u", step->job->id, step->index,
                 step->gang_attempt);
   stop_runs (self, is_of_step, step, now_ms);
