--- a/bench/driver.c
+++ b/bench/driver.c
@@ -143,10 +143,10 @@
 }
 
 static void
-range_answer (gpointer user, FbRange *range, const char *front, const fb_answer *answer)
+range_answer (gpointer user, FbRange *range, const char *frontend, const fb_answer *answer)
 {
   (void) range;
-  (void) front;
+  (void) frontend;
   Bench *self = ((RangeUser *) user)->bench;
   JobSlot *job = g_hash_table_lookup (self->jobs, &answer->job);
   if (job == NULL || answer->outcome >= FB_OUTCOME_PENDING)
--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -178,7 +178,7 @@
 void fb_node_apply_policy (FbNode *self, FbShard *rack);
 void fb_node_services_tick (FbNode *self);
 
-/* node-front.c */
-void fb_node_front_answer (FbNode *self, const fb_answer *answer);
-void fb_node_front_tick (FbNode *self);
+/* node-frontend.c */
+void fb_node_frontend_answer (FbNode *self, const fb_answer *answer);
+void fb_node_frontend_tick (FbNode *self);
 void fb_submission_free (gpointer submission);
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -69,7 +69,7 @@
   guint outcome_n[FB_OUTCOME_N];       /* number of done tasks with each outcome */
   gboolean committed;                  /* the commit was sent to the members of the gang */
   guint cancel_next;                   /* index of the next task to cancel */
-  GPtrArray *fronts; /* char * owned: names of the daemons that wait for the answer */
+  GPtrArray *frontends; /* char * owned: names of the daemons that wait for the answer */
   GArray *intents; /* uint32_t: indexes of the tasks whose INTENT record is written in this pass */
   GHashTable *per_rack; /* rack + 1 -> number of tasks there, to spread the job */
 };
@@ -133,8 +133,8 @@
 void fb_range_send_place (FbRange *self, uint64_t now_ms, FbJobTask *task);
 gboolean fb_range_send_command (FbRange *self, FbJobTask *task, fb_msg_type type, gboolean force);
 void fb_range_send_ack (FbRange *self, const fb_report *report);
-void fb_range_answer_fronts (FbRange *self, uint64_t now_ms, FbJob *job);
-void fb_range_send_answer (FbRange *self, uint64_t now_ms, const FbJob *job, const char *front);
+void fb_range_answer_frontends (FbRange *self, uint64_t now_ms, FbJob *job);
+void fb_range_send_answer (FbRange *self, uint64_t now_ms, const FbJob *job, const char *frontend);
 void fb_range_dispatch (FbRange *self, uint64_t now_ms);
 
 /* gang.c: all members of a job start, or none */
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -21,10 +21,11 @@
 #define FB_RANGE_GANG_RESERVE_MS 15000 /* for all members of a gang to reserve capacity */
 #define FB_RANGE_JOB_MAX 20000  /* jobs in one range, including ended ones that are still kept */
 #define FB_RANGE_TASK_MAX 20000 /* tasks of one job */
-#define FB_RANGE_JOB_RETENTION_MS (60 * 60 * 1000) /* how long ended jobs and their keys are kept  \
-                                                    */
-#define FB_RANGE_FAIL_RETRIES 1                    /* of a task that its target failed */
-#define FB_RANGE_LOST_RETRIES 8                    /* of a task whose worker was lost */
+#define FB_RANGE_JOB_RETENTION_MS                                                                  \
+  (60 * 60 * 1000)              /* how long ended jobs and their keys are kept                     \
+                                 */
+#define FB_RANGE_FAIL_RETRIES 1 /* of a task that its target failed */
+#define FB_RANGE_LOST_RETRIES 8 /* of a task whose worker was lost */
 
 typedef struct
 {
@@ -44,9 +45,9 @@
   uint64_t (*log_clock_ms) (gpointer user);
   /* Returns: the failure domain of RACK. */
   uint32_t (*domain_of) (gpointer user, uint32_t rack);
-  /* Sends ANSWER to the daemon FRONT, which serves the caller. ANSWER is borrowed for the
+  /* Sends ANSWER to the daemon FRONTEND, which serves the caller. ANSWER is borrowed for the
    * call. */
-  void (*answer) (gpointer user, FbRange *range, const char *front, const fb_answer *answer);
+  void (*answer) (gpointer user, FbRange *range, const char *frontend, const fb_answer *answer);
 } FbRangeCallbacks;
 
 /* Returns: (transfer full): an empty range, not active. */
@@ -84,14 +85,14 @@
  * once instead of waiting. */
 void fb_range_set_log_ok (FbRange *self, gboolean ok);
 
-/* Requests of the daemons that serve callers; FRONT is the name of the daemon. A refusal of a
+/* Requests of the daemons that serve callers; FRONTEND is the name of the daemon. A refusal of a
  * submission has the value of COPY, see fb_answer. */
 void fb_range_submit (FbRange *self, uint64_t now_ms, const fb_job *job, uint32_t copy,
-                      const char *front);
+                      const char *frontend);
 void fb_range_query_job (FbRange *self, uint64_t now_ms, const fb_job_command *command,
-                         const char *front);
+                         const char *frontend);
 void fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_command *command,
-                      const char *front);
+                      const char *frontend);
 
 /* Cancels the services of this range that are not in DECLARED (a set of &job id). */
 void fb_range_cancel_undeclared_services (FbRange *self, uint64_t now_ms, GHashTable *declared);
--- a/src/core/job.c
+++ b/src/core/job.c
@@ -60,7 +60,7 @@
   job->task_n = spec->count;
   job->tasks = g_new0 (FbJobTask, MAX (spec->count, 1));
   job->per_rack = g_hash_table_new (NULL, NULL);
-  job->fronts = g_ptr_array_new_with_free_func (g_free);
+  job->frontends = g_ptr_array_new_with_free_func (g_free);
   job->intents = g_array_new (FALSE, FALSE, sizeof (uint32_t));
   init_tasks (job, 0, job->task_n);
   return job;
@@ -96,7 +96,7 @@
   g_clear_pointer (&job->body, g_bytes_unref);
   g_clear_pointer (&job->ending_body, g_bytes_unref);
   g_hash_table_destroy (job->per_rack);
-  g_ptr_array_free (job->fronts, TRUE);
+  g_ptr_array_free (job->frontends, TRUE);
   g_array_free (job->intents, TRUE);
   g_free (job);
 }
--- a/src/core/node-front.c
+++ b/src/core/node-frontend.c
@@ -111,7 +111,7 @@
 }
 
 void
-fb_node_front_answer (FbNode *self, const fb_answer *answer)
+fb_node_frontend_answer (FbNode *self, const fb_answer *answer)
 {
   FbSubmission *submission = g_hash_table_lookup (self->submissions, &answer->job);
   if (answer->refused_copy > 0
@@ -157,7 +157,7 @@
 }
 
 void
-fb_node_front_tick (FbNode *self)
+fb_node_frontend_tick (FbNode *self)
 {
   g_autoptr (GList) all = g_hash_table_get_values (self->submissions);
   for (GList *link = all; link != NULL; link = link->next)
--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -138,11 +138,11 @@
 }
 
 static void
-range_answer (gpointer user, FbRange *range, const char *front, const fb_answer *answer)
+range_answer (gpointer user, FbRange *range, const char *frontend, const fb_answer *answer)
 {
   (void) range;
   FbNode *self = user;
-  int member = fb_members_find (self->members, front);
+  int member = fb_members_find (self->members, frontend);
   if (member < 0)
     return;
   fb_body body = { .type = FB_MSG_ANSWER };
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -15,7 +15,7 @@
 #define RACK_TICK_MS 100
 #define RANGE_TICK_MS 100
 #define SHARD_TICK_MS 500
-#define FRONT_TICK_MS 250
+#define FRONTEND_TICK_MS 250
 #define CONFIG_TICK_MS 1000
 #define LOG_TICK_MS 250
 #define LOOPBACK_MESSAGES_MAX 1000000
@@ -181,7 +181,7 @@
       fb_node_config_receive (self, &msg->body.fb_body_u.config);
       break;
     case FB_MSG_ANSWER:
-      fb_node_front_answer (self, &msg->body.fb_body_u.answer);
+      fb_node_frontend_answer (self, &msg->body.fb_body_u.answer);
       break;
     default:
       fb_node_work_message (self, from, &msg->body);
@@ -318,10 +318,10 @@
 }
 
 static void
-tick_front (gpointer user, uint64_t now_ms)
+tick_frontend (gpointer user, uint64_t now_ms)
 {
   (void) now_ms;
-  fb_node_front_tick (user);
+  fb_node_frontend_tick (user);
 }
 
 static void
@@ -479,7 +479,7 @@
   fb_timer_subscribe (self->timer, SHARD_TICK_MS, tick_shards, self);
   fb_timer_subscribe (self->timer, RACK_TICK_MS, tick_racks, self);
   fb_timer_subscribe (self->timer, RANGE_TICK_MS, tick_ranges, self);
-  fb_timer_subscribe (self->timer, FRONT_TICK_MS, tick_front, self);
+  fb_timer_subscribe (self->timer, FRONTEND_TICK_MS, tick_frontend, self);
   fb_timer_subscribe (self->timer, CONFIG_TICK_MS, tick_config, self);
   fb_timer_subscribe (self->timer, LOG_TICK_MS, tick_log, self);
 }
--- a/src/core/range-apply.c
+++ b/src/core/range-apply.c
@@ -52,7 +52,7 @@
     fb_range_set_timer (self, &job->tasks[i], now_ms);
   fb_event_log (FB_EVENT_JOB_ADMITTED, "job=%016" G_GINT64_MODIFIER "x kind=%s tasks=%u range=%u",
                 spec->id, fb_kind_name ((FbKind) spec->kind), spec->count, self->id);
-  fb_range_answer_fronts (self, now_ms, job);
+  fb_range_answer_frontends (self, now_ms, job);
 }
 
 static FbJobTask *
--- a/src/core/range-report.c
+++ b/src/core/range-report.c
@@ -35,8 +35,8 @@
   if (job->first_wait_ms == 0)
     job->first_wait_ms = MAX (now_ms - job->arrived_ms, 1);
   fb_range_set_timer (self, task, now_ms + FB_RANGE_QUERY_MS);
-  if (job->fronts->len > 0 && job->state_n[FB_JOB_TASK_RUNNING] == 1)
-    fb_range_answer_fronts (self, now_ms, job);
+  if (job->frontends->len > 0 && job->state_n[FB_JOB_TASK_RUNNING] == 1)
+    fb_range_answer_frontends (self, now_ms, job);
 }
 
 static void
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -92,7 +92,7 @@
 /* ---- answers ---------------------------------------------------------- */
 
 void
-fb_range_send_answer (FbRange *self, uint64_t now_ms, const FbJob *job, const char *front)
+fb_range_send_answer (FbRange *self, uint64_t now_ms, const FbJob *job, const char *frontend)
 {
   gsize len = 0;
   const char *data = job->body != NULL ? g_bytes_get_data (job->body, &len) : NULL;
@@ -105,48 +105,48 @@
           .running_count = job->state_n[FB_JOB_TASK_RUNNING],
           .wait_ms = job->first_wait_ms > 0 ? job->first_wait_ms : now_ms - job->arrived_ms,
           .body = { (u_int) len, (char *) data } };
-  self->callbacks->answer (self->user, self, front, &answer);
+  self->callbacks->answer (self->user, self, frontend, &answer);
 }
 
 void
-fb_range_answer_fronts (FbRange *self, uint64_t now_ms, FbJob *job)
+fb_range_answer_frontends (FbRange *self, uint64_t now_ms, FbJob *job)
 {
   if (!self->active)
     return;
-  for (guint i = 0; i < job->fronts->len; i++)
-    fb_range_send_answer (self, now_ms, job, g_ptr_array_index (job->fronts, i));
+  for (guint i = 0; i < job->frontends->len; i++)
+    fb_range_send_answer (self, now_ms, job, g_ptr_array_index (job->frontends, i));
   if (fb_job_is_final (job))
-    g_ptr_array_set_size (job->fronts, 0);
+    g_ptr_array_set_size (job->frontends, 0);
 }
 
 static void
 send_outcome (FbRange *self, uint64_t job, FbOutcome outcome, FbReason reason, uint32_t copy,
-              const char *front)
+              const char *frontend)
 {
   fb_answer answer = { .refused_copy = copy, .job = job, .outcome = outcome, .reason = reason };
-  self->callbacks->answer (self->user, self, front, &answer);
+  self->callbacks->answer (self->user, self, frontend, &answer);
 }
 
 /* Answers about a job that this range does not have. If records were lost, the job may have
  * existed. */
 static void
-answer_unknown_job (FbRange *self, uint64_t now_ms, uint64_t job, const char *front)
+answer_unknown_job (FbRange *self, uint64_t now_ms, uint64_t job, const char *frontend)
 {
   if (now_ms < self->history_gap_until_ms)
-    send_outcome (self, job, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, front);
+    send_outcome (self, job, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, frontend);
   else
-    send_outcome (self, job, FB_OUTCOME_NO_SUCH_JOB, FB_REASON_NONE, 0, front);
+    send_outcome (self, job, FB_OUTCOME_NO_SUCH_JOB, FB_REASON_NONE, 0, frontend);
 }
 
 static void
-add_front (FbJob *job, const char *front)
+add_frontend (FbJob *job, const char *frontend)
 {
-  for (guint i = 0; i < job->fronts->len; i++)
+  for (guint i = 0; i < job->frontends->len; i++)
     {
-      if (g_str_equal (g_ptr_array_index (job->fronts, i), front))
+      if (g_str_equal (g_ptr_array_index (job->frontends, i), frontend))
         return;
     }
-  g_ptr_array_add (job->fronts, g_strdup (front));
+  g_ptr_array_add (job->frontends, g_strdup (frontend));
 }
 
 /* ---- commands --------------------------------------------------------- */
@@ -182,7 +182,7 @@
 
 static void
 submit_duplicate (FbRange *self, uint64_t now_ms, FbJob *job, const fb_job *spec, uint32_t copy,
-                  const char *front)
+                  const char *frontend)
 {
   if (fb_job_is_service (job))
     {
@@ -199,17 +199,17 @@
     }
   if (!same_job (&job->spec, spec))
     {
-      send_outcome (self, spec->id, FB_OUTCOME_NOT_RUN, FB_REASON_KEY_MISMATCH, copy, front);
+      send_outcome (self, spec->id, FB_OUTCOME_NOT_RUN, FB_REASON_KEY_MISMATCH, copy, frontend);
       return;
     }
   if (fb_job_is_final (job))
     {
-      fb_range_send_answer (self, now_ms, job, front);
+      fb_range_send_answer (self, now_ms, job, frontend);
       return;
     }
-  add_front (job, front);
+  add_frontend (job, frontend);
   if (job->admitted)
-    fb_range_send_answer (self, now_ms, job, front);
+    fb_range_send_answer (self, now_ms, job, frontend);
 }
 
 /* Returns: the number of the first attempt after a loss of records: a value that only this claim
@@ -237,19 +237,19 @@
 
 void
 fb_range_submit (FbRange *self, uint64_t now_ms, const fb_job *spec, uint32_t copy,
-                 const char *front)
+                 const char *frontend)
 {
   if (!self->active)
     return;
   FbJob *job = fb_range_find (self, spec->id);
   if (job != NULL)
     {
-      submit_duplicate (self, now_ms, job, spec, copy, front);
+      submit_duplicate (self, now_ms, job, spec, copy, frontend);
       return;
     }
   if (now_ms < self->history_gap_until_ms && (spec->flags & FB_FLAG_AT_MOST_ONCE))
     {
-      send_outcome (self, spec->id, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, front);
+      send_outcome (self, spec->id, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, frontend);
       return;
     }
   FbReason refusal = refusal_of (self, spec);
@@ -258,7 +258,7 @@
       FbOutcome outcome = refusal_outcome (spec, refusal);
       fb_event_log (FB_EVENT_JOB_ENDED, "job=%016" G_GINT64_MODIFIER "x outcome=%s reason=%s",
                     spec->id, fb_outcome_name (outcome), fb_reason_name (refusal));
-      send_outcome (self, spec->id, outcome, refusal, copy, front);
+      send_outcome (self, spec->id, outcome, refusal, copy, frontend);
       return;
     }
   job = fb_job_new (now_ms, spec);
@@ -268,7 +268,7 @@
   if (log_now_ms > 0 && spec->remaining_ms != FB_NO_DEADLINE_MS)
     job->due_log_ms = fb_deadline_after (log_now_ms, spec->remaining_ms);
   g_hash_table_insert (self->jobs, &job->spec.id, job);
-  add_front (job, front);
+  add_frontend (job, frontend);
   fb_rec_body body = { .type = FB_REC_ADMIT };
   body.fb_rec_body_u.admit
       = (fb_rec_admit){ job->spec, FALSE, job->first_attempt_after_gap, job->due_log_ms };
@@ -277,26 +277,27 @@
 
 void
 fb_range_query_job (FbRange *self, uint64_t now_ms, const fb_job_command *command,
-                    const char *front)
+                    const char *frontend)
 {
   if (!self->active)
     return;
   FbJob *job = fb_range_find (self, command->job);
   if (job == NULL || job->spec.partner != command->partner)
-    answer_unknown_job (self, now_ms, command->job, front);
+    answer_unknown_job (self, now_ms, command->job, frontend);
   else if (job->admitted)
-    fb_range_send_answer (self, now_ms, job, front);
+    fb_range_send_answer (self, now_ms, job, frontend);
 }
 
 void
-fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_command *command, const char *front)
+fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_command *command,
+                 const char *frontend)
 {
   if (!self->active)
     return;
   FbJob *job = fb_range_find (self, command->job);
   if (job == NULL || job->spec.partner != command->partner)
     {
-      answer_unknown_job (self, now_ms, command->job, front);
+      answer_unknown_job (self, now_ms, command->job, frontend);
       return;
     }
   if (!job->cancelled && !fb_job_is_final (job))
@@ -308,7 +309,7 @@
     }
   /* An answer implies that the job has been admitted. */
   if (job->admitted)
-    fb_range_send_answer (self, now_ms, job, front);
+    fb_range_send_answer (self, now_ms, job, frontend);
 }
 
 void
@@ -447,7 +448,7 @@
   fb_event_log (FB_EVENT_JOB_ENDED, "job=%016" G_GINT64_MODIFIER "x outcome=%s reason=%s tasks=%u",
                 job->spec.id, fb_outcome_name (job->outcome), fb_reason_name (job->reason),
                 job->task_n);
-  fb_range_answer_fronts (self, now_ms, job);
+  fb_range_answer_frontends (self, now_ms, job);
 }
 
 /* ---- time ------------------------------------------------------------- */
