--- a/include/internal/place.h
+++ b/include/internal/place.h
@@ -5,7 +5,7 @@
 
 typedef struct _FbWorker FbWorker;
 
-/* One candidate worker as a policy sees it. */
+/* One candidate worker, as passed to a policy. */
 typedef struct
 {
   const fb_res *capacity;
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -163,7 +163,7 @@
 }
 
 static void
-handle (FbNode *self, guint member, const fb_msg *msg)
+dispatch (FbNode *self, guint member, const fb_msg *msg)
 {
   const char *from = fb_members_name (self->members, member);
   switch (msg->body.type)
@@ -203,7 +203,7 @@
   if (link_accepts (self, (guint) member, msg))
     {
       subtract_transit_time (self, msg);
-      handle (self, (guint) member, msg);
+      dispatch (self, (guint) member, msg);
     }
   else
     fb_counter_add (FB_COUNTER_PEER_MESSAGES_DROPPED, 1);
@@ -229,7 +229,7 @@
       const void *data = g_bytes_get_data (bytes, &len);
       if (fb_codec_decode_msg (data, len, &offset, &msg))
         {
-          handle (self, self->self_index, &msg);
+          dispatch (self, self->self_index, &msg);
           fb_codec_clear_msg (&msg);
         }
       g_bytes_unref (bytes);
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -262,11 +262,11 @@
       for (guint t = w->tasks->len; t > 0; t--)
         {
           FbTask *task = g_ptr_array_index (w->tasks, t - 1);
-          gboolean late = task->due_ms <= now_ms;
-          if (task->state == FB_TASK_RESERVED && (late || task->reserved_until_ms <= now_ms))
+          gboolean past_due = task->due_ms <= now_ms;
+          if (task->state == FB_TASK_RESERVED && (past_due || task->reserved_until_ms <= now_ms))
             fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN,
-                              late ? FB_REASON_PAST_DUE : FB_REASON_EXPIRED, NULL, 0);
-          else if (task->state == FB_TASK_STARTING && task->sent_seq == 0 && late)
+                              past_due ? FB_REASON_PAST_DUE : FB_REASON_EXPIRED, NULL, 0);
+          else if (task->state == FB_TASK_STARTING && task->sent_seq == 0 && past_due)
             fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN, FB_REASON_PAST_DUE, NULL,
                               0);
         }
--- a/src/policy/settings.c
+++ b/src/policy/settings.c
@@ -147,7 +147,7 @@
   while (i < FB_PARTNER_N && cell->partners[i].name != NULL)
     i++;
   if (i == FB_PARTNER_N)
-    return report_expected (file, group, "name", "two partners in all", name);
+    return report_expected (file, group, "name", "exactly two partners", name);
   if (!fb_settings_parse_hex (raw->text, cell->partners[i].public_key, FB_SIGN_PUBLIC_BYTES))
     return report_expected (file, group, "public-key", "64 hexadecimal digits", raw->text);
   cell->partners[i].name = g_strdup (name);
@@ -171,7 +171,7 @@
     return FALSE;
   g_autoptr (GInetAddress) address = g_inet_address_new_from_string (raw->host);
   if (address == NULL)
-    return report_expected (file, group, "address", "an IP number", raw->host);
+    return report_expected (file, group, "address", "an IP address", raw->host);
   FbCellMember *member
       = fb_cell_add_member (cell, name, (uint32_t) partner, (uint32_t) raw->domain);
   member->host = g_steal_pointer (&raw->host);
--- a/tests/test-event.c
+++ b/tests/test-event.c
@@ -10,9 +10,9 @@
 
 static char *output; /* standard output while lines were logged */
 
-/* Guards against: important lines are dropped among many frequent ones. A daemon took over a pool
- * of 2,000 jobs within a second and logged a line for each; the limit per second then dropped the
- * line that reports the pool as recovered, so the pool seemed to make no progress. Seen:
+/* Rare lines must not be dropped among many frequent ones. A daemon took over a pool of 2,000
+ * jobs within a second and logged a line for each; the limit per second then dropped the line
+ * that reports the pool as recovered, so the pool seemed to make no progress. Symptom:
  * LINES_DROPPED n=366 instead of the missing line, and work that was started after it. */
 static void
 test_rare_lines_are_written (void)
@@ -33,7 +33,7 @@
   CU_ASSERT_TRUE (n <= 2 * LINES_PER_S);
 }
 
-/* Logs the take-over of a pool to a file instead of standard output. */
+/* Logs the takeover of a pool to a file instead of standard output. */
 static void
 log_takeover (void)
 {
--- a/tests/test-units.c
+++ b/tests/test-units.c
@@ -85,9 +85,9 @@
 
 /* ---- policy ----------------------------------------------------------- */
 
-/* Guards against: a daemon crashes on a file without text. An operator drained a host and ended the
- * drain again; the second revision contained an empty file, which the record codec decodes as a
- * NULL text, and every daemon that read it crashed. */
+/* An empty file in a record must not crash the daemon. The record codec decodes it as a NULL
+ * text. An operator drained a host and ended the drain again; the second revision contained an
+ * empty file, and every daemon that read it crashed. */
 static void
 test_policy_accepts_an_empty_file_from_a_record (void)
 {
@@ -150,10 +150,10 @@
   return fb_codec_encode_record (&record);
 }
 
-/* Guards against: a record with a foreign signature displaces a valid revision. The log has deleted
- * records that a daemon had not read yet; it still holds a valid revision and, before it, one with
- * a higher serial that another key has signed. The foreign one was kept as the best candidate, and
- * the partner's own revision was lost. */
+/* A record signed with a foreign key must not displace a valid revision. The log has deleted
+ * records that a daemon had not read yet; it still has a valid revision and, before it, one with
+ * a higher serial number that another key has signed. The foreign one was kept as the best
+ * candidate, and the partner's own revision was lost. */
 static void
 test_config_foreign_record_displaces_no_revision (void)
 {
@@ -223,8 +223,8 @@
   return append (test, writer, seq, epoch, &body);
 }
 
-/* Two daemons claim a shard on top of the same previous claim, and the old owner goes on writing.
- * Every reader takes the first claim, and drops later records of the old epoch. */
+/* Two daemons claim a shard after the same previous claim, and the old owner continues to write.
+ * Every reader accepts the first claim and drops later records of the old epoch. */
 static void
 test_stream_first_claim_wins (void)
 {
@@ -244,8 +244,8 @@
   fb_stream_free (test.stream);
 }
 
-/* The log has deleted the claim in force. A reader must not judge records before it reads a RENEW
- * record whose writer had read up to the offset where the reader began. */
+/* The log has deleted the claim in force. A reader must not accept records before it reads a
+ * RENEW record whose writer had read up to the offset where the reader began. */
 static void
 test_stream_validates_after_a_gap (void)
 {
@@ -266,8 +266,8 @@
 }
 
 /* The answer to an append of a claim was lost, so the claim was appended again, and the log has
- * deleted the first copy. A reader that began between the two must not take the second copy for a
- * claim at its own offset. */
+ * deleted the first copy. A reader that began between the two must not accept the second copy as
+ * a claim at its own offset. */
 static void
 test_stream_second_copy_of_a_claim (void)
 {
--- a/tests/world.c
+++ b/tests/world.c
@@ -499,7 +499,7 @@
  * and retention may drop it there before a daemon reads it. This loss is allowed, because no
  * caller has received a confirmation that the revision is in force. */
 static void
-note_config_loss (World *self)
+record_config_loss (World *self)
 {
   for (guint p = 0; p < FB_PARTNER_N; p++)
     {
@@ -523,7 +523,7 @@
   slot->incarnation++;
   slot->paused = FALSE;
   slot->draining = FALSE;
-  note_config_loss (self);
+  record_config_loss (self);
 }
 
 void
