--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -12,7 +12,7 @@
   return fb_cell_shard_count (self->cell) + self->self_index;
 }
 
-/* ---- callbacks of racks ---------------------------------------------------- */
+/* ---- callbacks of racks ----------------------------------------------- */
 
 static void
 rack_sync (gpointer user, FbRack *rack, guint worker, const FbSyncRequest *request)
@@ -71,7 +71,7 @@
 const FbRackCallbacks fb_node_rack_callbacks
     = { rack_sync, rack_report, rack_confirm_ownership, rack_run_list, rack_fenced };
 
-/* ---- callbacks of ranges --------------------------------------------------- */
+/* ---- callbacks of ranges ---------------------------------------------- */
 
 static void
 range_append (gpointer user, FbRange *range, const fb_rec_body *body)
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -327,7 +327,7 @@
     }
 }
 
-/* ---- ends ------------------------------------------------------------- */
+/* ---- end of tasks and jobs --------------------------------------------- */
 
 void
 fb_range_retry_task (FbRange *self, uint64_t now_ms, FbJobTask *task, gboolean back_off)
@@ -398,7 +398,7 @@
 }
 
 /* Returns: the outcome of a job whose tasks are all done: NOT_RUN only if no task ever ran,
- * UNKNOWN if some task may have run. */
+ * UNKNOWN if it is unknown for some task whether it ran. */
 static FbOutcome
 outcome_of (const FbJob *job)
 {
@@ -451,7 +451,7 @@
   fb_range_answer_frontends (self, now_ms, job);
 }
 
-/* ---- time ------------------------------------------------------------- */
+/* ---- periodic work ----------------------------------------------------- */
 
 static void
 cancel_next_tasks (FbRange *self, uint64_t now_ms)
--- a/tests/world.c
+++ b/tests/world.c
@@ -136,7 +136,7 @@
                                                : 0);
 }
 
-/* ---- callbacks of the node -------------------------------------------------- */
+/* ---- callbacks of the node -------------------------------------------- */
 
 static void
 on_send (gpointer user, guint member, const fb_msg *msg)
