--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -108,12 +108,12 @@
   FbRouter *router;
   FbShard *shards;
   guint shard_n;
-  FbRange *local;      /* the ephemeral jobs of this daemon's callers */
-  FbTeams **teams;     /* one for each rack */
-  FbHostState **hosts; /* [rack][worker], including racks owned by other daemons */
+  FbRange *ephemeral_range; /* the ephemeral jobs of this daemon's callers */
+  FbTeams **teams;          /* one for each rack */
+  FbHostState **hosts;      /* [rack][worker], including racks owned by other daemons */
 
-  GQueue loopback;      /* GBytes owned: encoded messages to this daemon itself */
-  GQueue local_records; /* GBytes owned: encoded records of the ephemeral range */
+  GQueue loopback;          /* GBytes owned: encoded messages to this daemon itself */
+  GQueue ephemeral_records; /* GBytes owned: encoded records of the ephemeral range */
 
   gboolean log_ok;          /* the last append succeeded */
   gboolean appending;       /* an append is not answered yet */
@@ -165,7 +165,7 @@
 extern const FbRackCallbacks fb_node_rack_callbacks;
 extern const FbRangeCallbacks fb_node_range_callbacks;
 void fb_node_work_message (FbNode *self, const char *from, const fb_body *body);
-uint32_t fb_node_local_range_id (const FbNode *self);
+uint32_t fb_node_ephemeral_range_id (const FbNode *self);
 
 /* node-config.c */
 void fb_node_config_record (FbNode *self, uint64_t offset, GBytes *data, uint64_t age_ms);
--- a/rpc/record-xdr.c
+++ b/rpc/record-xdr.c
@@ -244,7 +244,7 @@
 	register int32_t *buf;
 
 	int i;
-	 if (!xdr_u_int (xdrs, &objp->restated))
+	 if (!xdr_u_int (xdrs, &objp->rewritten))
 		 return FALSE;
 	 if (!xdr_bytes (xdrs, (char **)&objp->revision.revision_val, (u_int *) &objp->revision.revision_len, FB_MAX_CONFIG))
 		 return FALSE;
--- a/rpc/record.h
+++ b/rpc/record.h
@@ -122,7 +122,7 @@
 typedef struct fb_rec_revision fb_rec_revision;
 
 struct fb_rec_config {
-	u_int restated;
+	u_int rewritten;
 	struct {
 		u_int revision_len;
 		char *revision_val;
--- a/rpc/record.x
+++ b/rpc/record.x
@@ -97,10 +97,10 @@
   fb_rec_file files<FB_REC_MAX_FILES>;
 };
 
-/* RESTATED: written again by a daemon where the revision is in force, not published by an
+/* REWRITTEN: written again by a daemon where the revision is in force, not published by an
  * operator. */
 struct fb_rec_config {
-  unsigned int restated;
+  unsigned int rewritten;
   opaque revision<FB_MAX_CONFIG>;
   opaque signature[FB_REC_SIGNATURE_BYTES];
 };
--- a/src/core/node-config.c
+++ b/src/core/node-config.c
@@ -258,9 +258,9 @@
       return;
     }
   const fb_rec_config *config = &record.body.fb_rec_body_u.config;
-  gboolean kept = record.body.type == FB_REC_CONFIG && !config->restated
-                  && keep_candidate_if_behind (self, config);
-  if (record.body.type == FB_REC_CONFIG && !kept)
+  gboolean is_candidate = record.body.type == FB_REC_CONFIG && !config->rewritten
+                          && keep_candidate_if_behind (self, config);
+  if (record.body.type == FB_REC_CONFIG && !is_candidate)
     log_ignored_revision (apply_revision (self, config->revision.revision_val,
                                           config->revision.revision_len, config->signature),
                           "log");
@@ -363,7 +363,7 @@
   gsize len = 0;
   const void *bytes = g_bytes_get_data (state->revision, &len);
   fb_rec_body body = { .type = FB_REC_CONFIG };
-  body.fb_rec_body_u.config.restated = TRUE;
+  body.fb_rec_body_u.config.rewritten = TRUE;
   body.fb_rec_body_u.config.revision.revision_len = (u_int) len;
   body.fb_rec_body_u.config.revision.revision_val = (char *) bytes;
   memcpy (body.fb_rec_body_u.config.signature, state->signature, sizeof state->signature);
--- a/src/core/node-frontend.c
+++ b/src/core/node-frontend.c
@@ -54,7 +54,7 @@
     {
       record_sent (self, submission, (int) self->self_index);
       submission->resend_ms = FB_NO_DEADLINE_MS;
-      fb_range_submit (self->local, self->now_ms, &submit->job, submit->copy,
+      fb_range_submit (self->ephemeral_range, self->now_ms, &submit->job, submit->copy,
                        fb_members_name (self->members, self->self_index));
       return;
     }
--- a/src/core/node-query.c
+++ b/src/core/node-query.c
@@ -14,7 +14,8 @@
       if (self->shards[i].role != FB_SHARD_NOT_OWNED)
         return FALSE;
     }
-  return g_hash_table_size (self->submissions) == 0 && fb_range_open_count (self->local) == 0;
+  return g_hash_table_size (self->submissions) == 0
+         && fb_range_open_count (self->ephemeral_range) == 0;
 }
 
 uint64_t
@@ -107,7 +108,7 @@
 fb_node_explain (const FbNode *self, uint64_t job)
 {
   Explain explain = { self, job, g_string_new (NULL), 0 };
-  gboolean found = fb_range_foreach_task (self->local, job, explain_task, &explain);
+  gboolean found = fb_range_foreach_task (self->ephemeral_range, job, explain_task, &explain);
   for (guint i = 0; i < self->shard_n && !found; i++)
     {
       if (self->shards[i].range != NULL && fb_shard_is_owned (&self->shards[i]))
--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -7,7 +7,7 @@
 /* Returns: the id of this daemon's ephemeral range. Ids after those of the shards are the
  * ephemeral ranges of the members. */
 uint32_t
-fb_node_local_range_id (const FbNode *self)
+fb_node_ephemeral_range_id (const FbNode *self)
 {
   return fb_cell_shard_count (self->cell) + self->self_index;
 }
@@ -77,7 +77,7 @@
 range_append (gpointer user, FbRange *range, const fb_rec_body *body)
 {
   FbNode *self = user;
-  if (range != self->local)
+  if (range != self->ephemeral_range)
     {
       FbShard *shard = fb_node_shard (self, fb_range_id (range));
       if (fb_shard_is_owned (shard))
@@ -88,7 +88,7 @@
   record.body = *body;
   GBytes *data = fb_codec_encode_record (&record);
   if (data != NULL)
-    g_queue_push_tail (&self->local_records, data);
+    g_queue_push_tail (&self->ephemeral_records, data);
 }
 
 static gboolean
@@ -180,8 +180,8 @@
 static FbRange *
 owned_range (FbNode *self, uint32_t range)
 {
-  if (range == fb_node_local_range_id (self))
-    return self->local;
+  if (range == fb_node_ephemeral_range_id (self))
+    return self->ephemeral_range;
   FbShard *shard = fb_node_shard (self, range);
   return shard != NULL && shard->role == FB_SHARD_OWNED && !shard->lost ? shard->range : NULL;
 }
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -235,7 +235,7 @@
       g_bytes_unref (bytes);
       return TRUE;
     }
-  bytes = g_queue_pop_head (&self->local_records);
+  bytes = g_queue_pop_head (&self->ephemeral_records);
   if (bytes == NULL)
     return FALSE;
   fb_record record;
@@ -244,7 +244,7 @@
   if (fb_codec_decode_record (data, len, &record))
     {
       static const FbRecordPosition no_position;
-      fb_range_apply (self->local, self->now_ms, &record.body, &no_position);
+      fb_range_apply (self->ephemeral_range, self->now_ms, &record.body, &no_position);
       fb_codec_clear_record (&record);
     }
   g_bytes_unref (bytes);
@@ -257,7 +257,7 @@
   for (guint i = 0; i < LOOPBACK_MESSAGES_MAX && deliver_one (self); i++)
     ;
   fb_node_free_lost_shards (self);
-  fb_range_flush (self->local, self->now_ms);
+  fb_range_flush (self->ephemeral_range, self->now_ms);
   for (guint i = 0; i < self->shard_n; i++)
     {
       FbShard *shard = &self->shards[i];
@@ -281,7 +281,7 @@
       flush (self);
       fb_node_free_lost_shards (self);
     }
-  while (!g_queue_is_empty (&self->loopback) || !g_queue_is_empty (&self->local_records));
+  while (!g_queue_is_empty (&self->loopback) || !g_queue_is_empty (&self->ephemeral_records));
   fb_node_flush_log (self);
   self->depth--;
 }
@@ -301,7 +301,7 @@
 tick_ranges (gpointer user, uint64_t now_ms)
 {
   FbNode *self = user;
-  fb_range_tick (self->local, now_ms);
+  fb_range_tick (self->ephemeral_range, now_ms);
   for (guint i = 0; i < self->shard_n; i++)
     {
       if (self->shards[i].range != NULL && fb_shard_is_owned (&self->shards[i]))
@@ -507,12 +507,12 @@
   self->links = g_new0 (FbLink, self->cell->members->len);
   self->router = fb_router_new (&fb_route_best_known, config->seed);
   add_shards (self);
-  self->local = fb_range_new (fb_node_local_range_id (self), FALSE, &fb_node_range_callbacks, self,
-                              config->seed + 1);
-  fb_range_activate (self->local, now_ms, 1);
+  self->ephemeral_range = fb_range_new (fb_node_ephemeral_range_id (self), FALSE,
+                                        &fb_node_range_callbacks, self, config->seed + 1);
+  fb_range_activate (self->ephemeral_range, now_ms, 1);
   self->log_ok = TRUE;
   g_queue_init (&self->loopback);
-  g_queue_init (&self->local_records);
+  g_queue_init (&self->ephemeral_records);
   g_queue_init (&self->pending);
   for (guint p = 0; p < FB_PARTNER_N; p++)
     self->config[p].policy = fb_policy_new_default (p);
@@ -553,10 +553,10 @@
 fb_node_free (FbNode *self)
 {
   free_shards (self);
-  fb_range_free (self->local);
+  fb_range_free (self->ephemeral_range);
   g_queue_clear_full (&self->pending, log_record_free);
   g_queue_clear_full (&self->loopback, (GDestroyNotify) g_bytes_unref);
-  g_queue_clear_full (&self->local_records, (GDestroyNotify) g_bytes_unref);
+  g_queue_clear_full (&self->ephemeral_records, (GDestroyNotify) g_bytes_unref);
   fb_node_config_clear (self);
   g_hash_table_destroy (self->submissions);
   fb_router_free (self->router);
