--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -46,7 +46,7 @@
   uint64_t renew_oldest;
   uint64_t renew_history_gap_ms;
   gboolean renew_reconciling;
-  int successor;                    /* index of a member, or -1 */
+  int successor;                    /* member to which the shard was handed over, or -1 */
   uint64_t handover_epoch;          /* epoch at which it was handed over */
   GArray *handed_over_incarnations; /* uint64_t for each worker, see fb_handover; or NULL */
   gboolean handover_received;       /* the previous owner has handed the shard to this daemon */
