--- a/bench/driver.c
+++ b/bench/driver.c
@@ -125,8 +125,8 @@
 {
   RangeUser *range_user = user;
   range_user->bench->result.refused++;
-  fb_router_note_refusal (range_user->bench->routers[range_user->index], range_user->bench->now_ms,
-                          rack, reason);
+  fb_router_record_refusal (range_user->bench->routers[range_user->index],
+                            range_user->bench->now_ms, rack, reason);
 }
 
 static uint64_t
@@ -143,10 +143,10 @@
 }
 
 static void
-range_answer (gpointer user, FbRange *range, const char *front, const fb_answer *answer)
+range_answer (gpointer user, FbRange *range, const char *frontend, const fb_answer *answer)
 {
   (void) range;
-  (void) front;
+  (void) frontend;
   Bench *self = ((RangeUser *) user)->bench;
   JobSlot *job = g_hash_table_lookup (self->jobs, &answer->job);
   if (job == NULL || answer->outcome >= FB_OUTCOME_PENDING)
@@ -157,7 +157,7 @@
   g_hash_table_remove (self->jobs, &answer->job);
 }
 
-static const FbRangeSink range_sink
+static const FbRangeCallbacks range_callbacks
     = { range_append,  range_send,         range_choose,    range_ever_fits,
         range_refused, range_log_clock_ms, range_domain_of, range_answer };
 
@@ -285,11 +285,11 @@
 }
 
 static void
-rack_surveyed (gpointer user, FbRack *rack, const fb_survey_reply *surveyed)
+rack_run_list (gpointer user, FbRack *rack, const fb_run_list *run_list)
 {
   (void) user;
   (void) rack;
-  (void) surveyed;
+  (void) run_list;
 }
 
 static void
@@ -300,14 +300,14 @@
   g_assert_not_reached ();
 }
 
-static const FbRackSink rack_sink
-    = { rack_sync, rack_report, rack_confirm, rack_surveyed, rack_fenced };
+static const FbRackCallbacks rack_callbacks
+    = { rack_sync, rack_report, rack_confirm, rack_run_list, rack_fenced };
 
 static void
 new_rack (Bench *self, guint id, uint64_t epoch)
 {
   RackSlot *slot = &self->racks[id];
-  slot->rack = fb_rack_new (id, "rack", slot->partner, epoch, &rack_sink, self);
+  slot->rack = fb_rack_new (id, "rack", slot->partner, epoch, &rack_callbacks, self);
   for (guint h = 0; h < slot->host_n; h++)
     fb_rack_add_worker (slot->rack, "host", &slot->hosts[h].capacity);
   FbRackPolicy policy = { self->scenario->lend_milli, self->place, FB_RACK_QUEUE_MAX, NULL };
@@ -518,7 +518,7 @@
       fb_summary summary;
       fb_rack_summary (self->racks[r].rack, &summary);
       for (guint i = 0; i < self->scenario->ranges; i++)
-        fb_router_note_summary (self->routers[i], self->now_ms, &summary);
+        fb_router_update_summary (self->routers[i], self->now_ms, &summary);
     }
 }
 
@@ -634,7 +634,7 @@
     {
       users[i] = (RangeUser){ self, i };
       self->routers[i] = fb_router_new (route, s->seed + i);
-      self->ranges[i] = fb_range_new (i, FALSE, &range_sink, &users[i], s->seed + 100 + i);
+      self->ranges[i] = fb_range_new (i, FALSE, &range_callbacks, &users[i], s->seed + 100 + i);
       fb_range_activate (self->ranges[i], self->now_ms, 1);
     }
   self->racks = g_new0 (RackSlot, s->racks_small + s->racks_large + s->racks_accel);
--- a/include/internal/node-private.h
+++ b/include/internal/node-private.h
@@ -30,12 +30,12 @@
 
   /* The shard as held by this daemon. */
   FbShardRole role;
-  uint64_t epoch;   /* if OWNED or DRAINING: of this daemon */
-  FbStream *stream; /* NULL unless reading or owned */
-  FbRack *rack;     /* of an owned rack, else NULL */
-  FbRange *range;   /* of a range that is read or owned, else NULL */
-  gboolean lost;    /* given up: fb_node_reap() frees its objects once no call uses them */
-  gboolean reading; /* a read of the stream is not answered yet */
+  uint64_t epoch;                /* if OWNED or DRAINING: of this daemon */
+  FbStream *stream;              /* NULL unless reading or owned */
+  FbRack *rack;                  /* of an owned rack, else NULL */
+  FbRange *range;                /* of a range that is read or owned, else NULL */
+  gboolean lost;                 /* ownership has ended, see fb_node_free_lost_shards() */
+  gboolean reading;              /* a read of the stream is not answered yet */
   uint64_t read_requested_ms;    /* when the last read was requested */
   uint64_t read_until;           /* read until the next offset is at least this one */
   uint64_t confirm_requested_ms; /* when the rack asked to confirm the ownership, or 0 */
@@ -45,11 +45,11 @@
   gboolean renew_read; /* a RENEW was read; the next three members are those of fb_rec_renew */
   uint64_t renew_oldest;
   uint64_t renew_history_gap_ms;
-  gboolean renew_surveying;
-  int handed_to;               /* index of a member, or -1 */
-  uint64_t handed_epoch;       /* epoch at which it was handed over */
-  GArray *handed_incarnations; /* uint64_t for each worker, see fb_handover; or NULL */
-  gboolean handover_received;  /* the previous owner has handed the shard to this daemon */
+  gboolean renew_reconciling;
+  int successor;                    /* member to which the shard was handed over, or -1 */
+  uint64_t handover_epoch;          /* epoch at which it was handed over */
+  GArray *handed_over_incarnations; /* uint64_t for each worker, see fb_handover; or NULL */
+  gboolean handover_received;       /* the previous owner has handed the shard to this daemon */
 } FbShard;
 
 typedef struct
@@ -63,7 +63,7 @@
   uint64_t sent_to_incarnation;
   gboolean admitted;       /* the owner of the range has answered that the job is admitted */
   gboolean until_admitted; /* see fb_node_submit() */
-} FbCaller;
+} FbSubmission;
 
 /* Configuration of one partner. */
 typedef struct
@@ -94,7 +94,7 @@
   const FbCell *cell;
   guint self_index;
   uint64_t incarnation;
-  const FbNodeSink *sink;
+  const FbNodeCallbacks *callbacks;
   gpointer user;
   FbTimer *timer;
   uint64_t now_ms;
@@ -108,12 +108,12 @@
   FbRouter *router;
   FbShard *shards;
   guint shard_n;
-  FbRange *local;      /* the ephemeral jobs of this daemon's callers */
-  FbTeams **teams;     /* one for each rack */
-  FbHostState **hosts; /* [rack][worker], including racks owned by other daemons */
+  FbRange *ephemeral_range; /* the ephemeral jobs of this daemon's callers */
+  FbTeams **teams;          /* one for each rack */
+  FbHostState **hosts;      /* [rack][worker], including racks owned by other daemons */
 
-  GQueue loopback;      /* GBytes owned: encoded messages to this daemon itself */
-  GQueue local_records; /* GBytes owned: encoded records of the ephemeral range */
+  GQueue loopback;          /* GBytes owned: encoded messages to this daemon itself */
+  GQueue ephemeral_records; /* GBytes owned: encoded records of the ephemeral range */
 
   gboolean log_ok;          /* the last append succeeded */
   gboolean appending;       /* an append is not answered yet */
@@ -129,7 +129,7 @@
   gboolean config_reading;    /* a read of it is not answered yet */
   uint64_t config_read_at_ms; /* when it is read next */
 
-  GHashTable *callers; /* &job.id -> FbCaller owned */
+  GHashTable *submissions; /* &job.id -> FbSubmission owned */
 };
 
 /* node.c */
@@ -144,13 +144,13 @@
 
 /* node-shards.c: ownership */
 void fb_node_shards_tick (FbNode *self);
-void fb_node_note_claim (FbNode *self, guint member, const fb_claim_notice *claim);
-void fb_node_note_handover (FbNode *self, const fb_handover *handover);
+void fb_node_handle_claim (FbNode *self, guint member, const fb_claim_notice *claim);
+void fb_node_handle_handover (FbNode *self, const fb_handover *handover);
 void fb_node_shard_record (FbNode *self, FbShard *shard, GBytes *data,
                            const FbRecordPosition *position);
 void fb_node_shard_read_end (FbNode *self, FbShard *shard);
 void fb_node_step_down (FbNode *self, FbShard *shard);
-void fb_node_reap (FbNode *self);
+void fb_node_free_lost_shards (FbNode *self);
 gboolean fb_shard_is_owned (const FbShard *shard);
 
 /* node-log.c */
@@ -161,24 +161,24 @@
 void fb_node_flush_log (FbNode *self);
 void fb_node_renew_tick (FbNode *self);
 
-/* node-work.c: sinks of racks and ranges */
-extern const FbRackSink fb_node_rack_sink;
-extern const FbRangeSink fb_node_range_sink;
+/* node-work.c: callbacks of racks and ranges */
+extern const FbRackCallbacks fb_node_rack_callbacks;
+extern const FbRangeCallbacks fb_node_range_callbacks;
 void fb_node_work_message (FbNode *self, const char *from, const fb_body *body);
-uint32_t fb_node_local_range_id (const FbNode *self);
+uint32_t fb_node_ephemeral_range_id (const FbNode *self);
 
 /* node-config.c */
 void fb_node_config_record (FbNode *self, uint64_t offset, GBytes *data, uint64_t age_ms);
 void fb_node_config_tick (FbNode *self);
 void fb_node_config_clear (FbNode *self);
-/* The log has dropped records of the config stream before they were read. */
+/* To be called when the log has dropped records of the config stream before they were read. */
 void fb_node_config_gap (FbNode *self);
 void fb_node_config_pull (FbNode *self, const char *from, const fb_config_pull *pull);
-void fb_node_config_offer (FbNode *self, const fb_config_record *record);
+void fb_node_config_receive (FbNode *self, const fb_config_record *record);
 void fb_node_apply_policy (FbNode *self, FbShard *rack);
 void fb_node_services_tick (FbNode *self);
 
-/* node-front.c */
-void fb_node_front_answer (FbNode *self, const fb_answer *answer);
-void fb_node_front_tick (FbNode *self);
-void fb_caller_free (gpointer caller);
+/* node-frontend.c */
+void fb_node_frontend_answer (FbNode *self, const fb_answer *answer);
+void fb_node_frontend_tick (FbNode *self);
+void fb_submission_free (gpointer submission);
--- a/include/internal/rack-private.h
+++ b/include/internal/rack-private.h
@@ -44,9 +44,9 @@
 {
   FB_WORKER_UNKNOWN, /* no reply yet; counts as full */
   FB_WORKER_OK,
-  FB_WORKER_SILENT, /* its lease should have lapsed, but the ownership is not confirmed yet */
-  FB_WORKER_LAPSED, /* its lease has lapsed: no run ordered by this owner can be running there */
-  FB_WORKER_GONE    /* no reply yet, and off the host list for longer than a lease */
+  FB_WORKER_SILENT, /* its lease should have expired, but the ownership is not confirmed yet */
+  FB_WORKER_LEASE_EXPIRED, /* no run ordered by this owner can be running there any more */
+  FB_WORKER_GONE           /* no reply yet, and off the host list for longer than a lease */
 } FbWorkerState;
 
 struct _FbWorker
@@ -83,7 +83,7 @@
   const char *name;
   uint32_t home; /* the partner that the rack belongs to */
   uint64_t epoch;
-  const FbRackSink *sink;
+  const FbRackCallbacks *callbacks;
   gpointer user;
   FbRackPolicy policy;
   gboolean draining;  /* fb_rack_drain() was called: refuses new work */
@@ -91,31 +91,31 @@
   GHashTable *tasks;  /* fb_run * in the task -> FbTask owned */
   FbTaskQueues *queues;
   GSequence *by_due; /* queued FbTask that have a due time, earliest first */
-  GQueue ended;      /* ended FbTask that the rack still has to remember */
+  GQueue ended;      /* ended FbTask that are still kept */
   fb_res total;      /* capacity of all workers */
   fb_res partner_used[FB_PARTNER_N];
-  GHashTable *team_used;    /* partner << 32 | team -> fb_res owned */
-  GHashTable *range_epochs; /* range + 1 -> uint64_t owned: highest epoch seen of its owner */
-  gboolean wants_schedule;  /* run a scheduling pass at the next flush */
+  GHashTable *team_used;     /* partner << 32 | team -> fb_res owned */
+  GHashTable *range_epochs;  /* range + 1 -> uint64_t owned: highest epoch seen of its owner */
+  gboolean schedule_pending; /* run a scheduling pass at the next flush */
   uint64_t starts_paused_until_ms; /* 0 if never paused */
-  uint64_t confirm_requested_ms;   /* when sink->confirm_ownership() was called last */
-  fb_run hold_run;                 /* the task that hold_worker is kept free for */
+  uint64_t confirm_requested_ms;   /* when callbacks->confirm_ownership() was called last */
+  fb_run hold_run;                 /* the task for which hold_worker is held */
   guint hold_worker;               /* or FB_NO_WORKER */
 };
 
 FbWorker *fb_rack_worker (const FbRack *self, guint index);
 FbTask *fb_rack_find (const FbRack *self, const fb_run *run);
-fb_res fb_worker_free_space (const FbWorker *worker);
+fb_res fb_worker_free_capacity (const FbWorker *worker);
 gboolean fb_worker_takes_work (const FbWorker *worker);
 /* Returns: TRUE if every worker has replied at this epoch or is gone. */
 gboolean fb_rack_is_complete (const FbRack *self);
 const fb_res *fb_rack_team_used (const FbRack *self, uint32_t partner, uint32_t team);
 
-/* ledger.c: the only functions that change FbWorker.used, FbRack.partner_used and
- * FbRack.team_used. */
-void fb_ledger_charge (FbRack *self, FbTask *task, guint worker, const fb_res *charge);
-void fb_ledger_release (FbRack *self, FbTask *task);
-void fb_ledger_recharge (FbRack *self, FbTask *task, const fb_res *charge);
+/* usage.c: charged capacity. These are the only functions that change FbWorker.used,
+ * FbRack.partner_used and FbRack.team_used. */
+void fb_usage_charge (FbRack *self, FbTask *task, guint worker, const fb_res *charge);
+void fb_usage_release (FbRack *self, FbTask *task);
+void fb_usage_recharge (FbRack *self, FbTask *task, const fb_res *charge);
 
 /* rack.c: lifecycle of a task */
 FbTask *fb_task_new (uint64_t now_ms, const fb_spec *spec);
@@ -126,14 +126,14 @@
 /* Reports to the owner of SPEC's range. ANSWER may be NULL. */
 void fb_rack_report (FbRack *self, const fb_spec *spec, guint worker, FbRunStatus run_status,
                      FbReason reason, GBytes *answer);
-/* Adds a task for a run that a worker lists and this owner does not know. */
+/* Adds a task for a run that a worker lists although this owner did not order it. */
 FbTask *fb_rack_adopt (FbRack *self, uint64_t now_ms, guint worker, const fb_spec *spec);
 void fb_rack_end_task (FbRack *self, uint64_t now_ms, FbTask *task, FbRunStatus run_status,
                        FbReason reason, const char *answer, uint32_t answer_len);
 void fb_rack_send_run_status (FbRack *self, const FbTask *task, FbRunStatus run_status,
                               FbReason reason);
 void fb_rack_dequeue (FbRack *self, FbTask *task);
-void fb_rack_forget (FbRack *self, FbTask *task);
+void fb_rack_remove_task (FbRack *self, FbTask *task);
 void fb_rack_stop_task (FbRack *self, FbTask *task, FbReason reason);
 void fb_rack_mark_dirty (FbRack *self, guint worker);
 
@@ -147,11 +147,11 @@
 void fb_preempt_for_waiting (FbRack *self, uint64_t now_ms, uint32_t partner, FbKind kind);
 
 /* worker-health.c: quarantine of workers that fail the work they start */
-void fb_worker_health_note_end (FbRack *self, uint64_t now_ms, guint worker, const FbTask *task,
-                                FbRunStatus run_status);
+void fb_worker_health_record_end (FbRack *self, uint64_t now_ms, guint worker, const FbTask *task,
+                                  FbRunStatus run_status);
 /* Returns: the penalty to add to the cost of a placement. */
 int64_t fb_worker_health_cost (const FbWorker *worker, const FbTask *task);
-void fb_worker_health_note_start (FbWorker *worker, uint64_t now_ms);
+void fb_worker_health_record_start (FbWorker *worker, uint64_t now_ms);
 void fb_worker_health_tick (FbRack *self, uint64_t now_ms);
 gboolean fb_worker_health_allows (const FbRack *self, uint64_t now_ms, const FbWorker *worker,
                                   const FbTask *task);
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -46,7 +46,7 @@
   fb_job spec;       /* owned */
   gboolean admitted; /* its ADMIT record is in the log */
   gboolean cancelled;
-  uint32_t first_attempt_after_gap; /* if above 0, earlier runs may have been forgotten; see
+  uint32_t first_attempt_after_gap; /* if above 0, records of earlier runs may be lost; see
                                        fb_rec_admit */
   uint64_t arrived_ms;
   uint64_t due_ms;
@@ -57,7 +57,7 @@
   gboolean rewriting;      /* a STATE record is being appended */
   gboolean changing;       /* a CANCEL record or an update of a service is being appended */
   uint64_t ended_ms;
-  uint64_t blocked_until_ms; /* no rack was found: no task looks for one before this */
+  uint64_t blocked_until_ms; /* no rack was found: no task of the job is routed before this */
   uint64_t reserve_until_ms; /* a gang gives up its reservations after this; 0 if none */
   FbOutcome outcome;
   FbReason reason;
@@ -67,9 +67,9 @@
   guint task_n;
   guint state_n[FB_JOB_TASK_DONE + 1]; /* number of tasks in each state */
   guint outcome_n[FB_OUTCOME_N];       /* number of done tasks with each outcome */
-  gboolean committed;                  /* the members of the gang were told to start */
+  gboolean committed;                  /* the commit was sent to the members of the gang */
   guint cancel_next;                   /* index of the next task to cancel */
-  GPtrArray *fronts; /* char * owned: names of the daemons that wait for the answer */
+  GPtrArray *frontends; /* char * owned: names of the daemons that wait for the answer */
   GArray *intents; /* uint32_t: indexes of the tasks whose INTENT record is written in this pass */
   GHashTable *per_rack; /* rack + 1 -> number of tasks there, to spread the job */
 };
@@ -78,18 +78,19 @@
 {
   uint32_t id;
   gboolean durable;
-  const FbRangeSink *sink;
+  const FbRangeCallbacks *callbacks;
   gpointer user;
   GRand *rand;
   gboolean active; /* sends and answers; FALSE: only applies records read from the log */
   gboolean log_ok; /* the last append to the log succeeded */
   uint64_t epoch;
-  gboolean *surveyed;     /* one for each rack: it has replied. NULL if no survey is in progress */
-  guint survey_n;         /* number of racks in surveyed */
-  guint survey_remaining; /* number of racks that have not replied */
-  uint64_t survey_at_ms;  /* when the racks are asked again */
-  uint64_t next_due_ms;   /* earliest expiry of the timers set since the last dispatch */
-  uint64_t history_gap_until_ms; /* until then, jobs and keys from before may have been forgotten */
+  gboolean *reconciled_racks; /* one for each rack: it has replied without unknown runs; NULL unless
+                                 reconciling */
+  guint reconcile_rack_n;     /* number of racks in reconciled_racks */
+  guint reconcile_remaining;  /* number of racks that have not replied */
+  uint64_t reconcile_at_ms;   /* when the request to the racks is repeated */
+  uint64_t next_due_ms;       /* earliest expiry of the timers set since the last dispatch */
+  uint64_t history_gap_until_ms; /* until then, jobs and keys from before may be unknown */
   GHashTable *jobs;              /* &job->spec.id -> FbJob owned */
   GSequence *timers[FB_KIND_N];  /* FbJobTask borrowed, earliest first */
   GQueue cancelling;             /* FbJob whose tasks are not all cancelled yet */
@@ -103,8 +104,8 @@
 FbJob *fb_job_new_recovered (uint64_t now_ms, const fb_rec_admit *admit, uint64_t age_ms,
                              const FbRecordPosition *position);
 void fb_job_free (gpointer job);
-/* Earlier runs of the job may have been forgotten: counts all its tasks as started, and
- * numbers their attempts from FIRST_ATTEMPT. */
+/* Marks that records of earlier runs of the job may be lost: counts all its tasks as started,
+ * and numbers their attempts from FIRST_ATTEMPT. */
 void fb_job_set_history_gap (FbJob *job, uint32_t first_attempt);
 void fb_job_resize (FbRange *self, uint64_t now_ms, FbJob *job, guint count);
 void fb_job_set_state (FbJob *job, FbJobTask *task, FbJobTaskState state);
@@ -119,8 +120,8 @@
 void fb_range_set_timer (FbRange *self, FbJobTask *task, uint64_t due_ms);
 void fb_range_clear_timer (FbRange *self, FbJobTask *task);
 
-/* The attempt is known to have ended without an outcome: schedules the next one, after a
- * delay if BACK_OFF. */
+/* Schedules the next attempt, after a delay if BACK_OFF. To be called when the last attempt is
+ * known to have ended without an outcome. */
 void fb_range_retry_task (FbRange *self, uint64_t now_ms, FbJobTask *task, gboolean back_off);
 /* Appends the final outcome of a task; it takes effect in fb_range_apply(). */
 void fb_range_end_task (FbRange *self, FbJobTask *task, FbOutcome outcome, FbReason reason,
@@ -132,8 +133,8 @@
 void fb_range_send_place (FbRange *self, uint64_t now_ms, FbJobTask *task);
 gboolean fb_range_send_command (FbRange *self, FbJobTask *task, fb_msg_type type, gboolean force);
 void fb_range_send_ack (FbRange *self, const fb_report *report);
-void fb_range_answer_fronts (FbRange *self, uint64_t now_ms, FbJob *job);
-void fb_range_answer_one (FbRange *self, uint64_t now_ms, const FbJob *job, const char *front);
+void fb_range_answer_frontends (FbRange *self, uint64_t now_ms, FbJob *job);
+void fb_range_send_answer (FbRange *self, uint64_t now_ms, const FbJob *job, const char *frontend);
 void fb_range_dispatch (FbRange *self, uint64_t now_ms);
 
 /* gang.c: all members of a job start, or none */
@@ -141,11 +142,12 @@
 void fb_gang_advance (FbRange *self, uint64_t now_ms, FbJob *job);
 void fb_gang_break (FbRange *self, uint64_t now_ms, FbJob *job);
 
-/* survey.c */
-void fb_range_survey_tick (FbRange *self, uint64_t now_ms);
+/* reconcile.c */
+void fb_range_reconcile_tick (FbRange *self, uint64_t now_ms);
 
 /* range-dispatch.c */
 gboolean fb_range_choose_rack (FbRange *self, uint64_t now_ms, FbJobTask *task);
-/* Returns: TRUE if a rack other than the task's own seems to have free capacity now. */
+/* Returns: TRUE if, according to the summaries, a rack other than the task's own has free
+ * capacity now. */
 gboolean fb_range_has_other_rack (FbRange *self, uint64_t now_ms, const FbJobTask *task);
 void fb_range_add_intent (FbRange *self, FbJobTask *task);
--- a/rpc/record.h
+++ b/rpc/record.h
@@ -48,7 +48,7 @@
 	u_quad_t read_to;
 	u_quad_t oldest;
 	u_quad_t history_gap_ms;
-	u_int surveying;
+	u_int reconciling;
 };
 typedef struct fb_rec_renew fb_rec_renew;
 
@@ -122,7 +122,7 @@
 typedef struct fb_rec_revision fb_rec_revision;
 
 struct fb_rec_config {
-	u_int restated;
+	u_int rewritten;
 	struct {
 		u_int revision_len;
 		char *revision_val;
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -1,14 +1,14 @@
-/* Ownership of shards: claims through the log, handover without it, and stepping down.
+/* Ownership of shards: claims through the log, handovers without it, and stepping down.
  *
- * A daemon that should own a shard by rendezvous hashing, and knows of no live owner,
- * reads the shard's stream to its end and appends a claim. It owns the shard once it has
- * read its own claim back as the one in force. Ownership does not expire: only a later
- * claim or a handover ends it, so owners are not affected by an outage of the log.
+ * A daemon that is the preferred owner of a shard by rendezvous hashing, while the shard has no
+ * live owner, reads the shard's stream to its end and appends a claim. It owns the shard once it
+ * has read its own claim back as the one in force. Ownership does not expire: only a later claim
+ * or a handover ends it, so owners are not affected by an outage of the log.
  *
- * A rack is handed over directly: the old owner returns the waiting work, stops, and the
- * new one continues at the next sub-epoch; the workers fence the old one. A range is
- * handed over as a permission to claim it, because its successor has to read the stream
- * anyway. */
+ * A rack is handed over directly: the old owner reports the waiting tasks as not run and stops,
+ * and the new one continues at the next sub-epoch; the workers fence the old one. The handover
+ * of a range only permits the successor to claim it, because the successor has to read the
+ * stream in any case. */
 #include "internal/node-private.h"
 
 #include "fb-counter.h"
@@ -33,15 +33,15 @@
   shard->owner_incarnation = incarnation;
   shard->known_epoch = epoch;
   if (shard->is_rack && owner < 0)
-    fb_router_forget (self->router, shard->id);
+    fb_router_disable_rack (self->router, shard->id);
 }
 
 static void
 create_rack (FbNode *self, FbShard *shard)
 {
   const FbCellRack *info = fb_cell_rack (self->cell, shard->id);
-  shard->rack
-      = fb_rack_new (shard->id, info->name, info->partner, shard->epoch, &fb_node_rack_sink, self);
+  shard->rack = fb_rack_new (shard->id, info->name, info->partner, shard->epoch,
+                             &fb_node_rack_callbacks, self);
   for (guint i = 0; i < info->hosts->len; i++)
     {
       const FbCellHost *host = g_ptr_array_index (info->hosts, i);
@@ -53,7 +53,7 @@
 
 /* Returns: TRUE if the stream may lack records that are still needed. Every job that was
  * needed at the last RENEW has its full record at or after the offset that the RENEW
- * names. See survey.c. */
+ * names. See reconcile.c. */
 static gboolean
 lost_records (const FbShard *shard)
 {
@@ -68,7 +68,7 @@
 {
   shard->role = FB_SHARD_OWNED;
   shard->epoch = epoch;
-  shard->handed_to = -1;
+  shard->successor = -1;
   shard->handover_received = FALSE;
   shard->renewed_ms = 0;
   set_owner (self, shard, (int) self->self_index, self->incarnation, epoch);
@@ -82,17 +82,17 @@
       fb_range_activate (shard->range, self->now_ms, epoch);
       if (shard->renew_read)
         fb_range_set_history_gap (shard->range, self->now_ms, shard->renew_history_gap_ms);
-      if (lost_records (shard) || (shard->renew_read && shard->renew_surveying))
+      if (lost_records (shard) || (shard->renew_read && shard->renew_reconciling))
         {
           fb_counter_add (FB_COUNTER_RETENTION_ALARMS, 1);
           fb_event_log (FB_EVENT_LOG_RETENTION_PASSED, "shard=%u", shard->id);
-          fb_range_begin_survey (shard->range, self->now_ms, self->cell->racks->len);
+          fb_range_begin_reconciliation (shard->range, self->now_ms, self->cell->racks->len);
         }
     }
 }
 
-/* The shard's objects may be in use by a caller of this function, so fb_node_reap() frees
- * them. */
+/* Only marks the shard: its objects may be in use by a caller of this function.
+ * fb_node_free_lost_shards() frees them. */
 void
 fb_node_step_down (FbNode *self, FbShard *shard)
 {
@@ -112,7 +112,7 @@
 }
 
 void
-fb_node_reap (FbNode *self)
+fb_node_free_lost_shards (FbNode *self)
 {
   for (guint i = 0; i < self->shard_n; i++)
     {
@@ -135,7 +135,7 @@
 /* ---- messages of peers -------------------------------------------------- */
 
 void
-fb_node_note_claim (FbNode *self, guint member, const fb_claim_notice *claim)
+fb_node_handle_claim (FbNode *self, guint member, const fb_claim_notice *claim)
 {
   FbShard *shard = fb_node_shard (self, claim->shard);
   if (shard == NULL || claim->epoch < shard->known_epoch)
@@ -148,14 +148,14 @@
         return;
       fb_node_step_down (self, shard);
     }
-  if (shard->handed_to >= 0 && claim->epoch > shard->handed_epoch)
-    shard->handed_to = -1;
+  if (shard->successor >= 0 && claim->epoch > shard->handover_epoch)
+    shard->successor = -1;
   shard->announced_ms = self->now_ms;
   set_owner (self, shard, (int) member, claim->incarnation, claim->epoch);
 }
 
 void
-fb_node_note_handover (FbNode *self, const fb_handover *handover)
+fb_node_handle_handover (FbNode *self, const fb_handover *handover)
 {
   FbShard *shard = fb_node_shard (self, handover->shard);
   if (shard == NULL || shard->role != FB_SHARD_NOT_OWNED || shard->lost || self->draining
@@ -178,7 +178,7 @@
 /* ---- records of a shard's stream -------------------------------------- */
 
 static void
-note_claim_in_force (FbNode *self, FbShard *shard, const fb_rec_claim *claim)
+handle_claim_in_force (FbNode *self, FbShard *shard, const fb_rec_claim *claim)
 {
   uint64_t epoch = fb_stream_epoch (shard->stream);
   gboolean own = claim->incarnation == self->incarnation
@@ -213,7 +213,7 @@
       shard->renew_read = TRUE;
       shard->renew_oldest = record.body.fb_rec_body_u.renew.oldest;
       shard->renew_history_gap_ms = record.body.fb_rec_body_u.renew.history_gap_ms;
-      shard->renew_surveying = record.body.fb_rec_body_u.renew.surveying;
+      shard->renew_reconciling = record.body.fb_rec_body_u.renew.reconciling;
     }
   switch (result)
     {
@@ -222,9 +222,10 @@
         fb_range_apply (shard->range, self->now_ms, &record.body, position);
       break;
     case FB_STREAM_CLAIMED:
-      note_claim_in_force (self, shard,
-                           record.body.type == FB_REC_RENEW ? &record.body.fb_rec_body_u.renew.claim
-                                                            : &record.body.fb_rec_body_u.claim);
+      handle_claim_in_force (self, shard,
+                             record.body.type == FB_REC_RENEW
+                                 ? &record.body.fb_rec_body_u.renew.claim
+                                 : &record.body.fb_rec_body_u.claim);
       break;
     case FB_STREAM_SUPERSEDED:
     case FB_STREAM_MALFORMED:
@@ -275,7 +276,7 @@
     }
   if (shard->role == FB_SHARD_CLAIMING && !fb_node_has_pending (self, shard->id))
     {
-      /* This daemon's claim is in the log and has lost. */
+      /* This daemon's claim is in the log, but another claim preceded it. */
       fb_node_step_down (self, shard);
       return;
     }
@@ -290,8 +291,8 @@
 
 /* ---- claims and handovers ----------------------------------------------- */
 
-/* An owner lists its shards in every heartbeat. One that sends heartbeats without this
- * shard has given it up, perhaps by a handover that never reached its receiver. */
+/* An owner lists its shards in every heartbeat. If its heartbeats do not contain this shard, it
+ * no longer owns it, for example after a handover message that was lost. */
 static gboolean
 owner_is_alive (const FbNode *self, const FbShard *shard)
 {
@@ -311,7 +312,7 @@
   shard->stream = fb_stream_new (shard->id);
   shard->renew_read = FALSE;
   if (!shard->is_rack)
-    shard->range = fb_range_new (shard->id, TRUE, &fb_node_range_sink, self,
+    shard->range = fb_range_new (shard->id, TRUE, &fb_node_range_callbacks, self,
                                  (uint32_t) (self->incarnation ^ shard->id));
   fb_node_read_shard (self, shard);
 }
@@ -322,27 +323,27 @@
   fb_body body = { .type = FB_MSG_HANDOVER };
   fb_handover *handover = &body.fb_body_u.handover;
   handover->shard = shard->id;
-  handover->epoch = shard->handed_epoch;
-  if (shard->handed_incarnations != NULL)
+  handover->epoch = shard->handover_epoch;
+  if (shard->handed_over_incarnations != NULL)
     {
-      handover->incarnations.incarnations_len = shard->handed_incarnations->len;
+      handover->incarnations.incarnations_len = shard->handed_over_incarnations->len;
       handover->incarnations.incarnations_val
-          = (u_quad_t *) (void *) shard->handed_incarnations->data;
+          = (u_quad_t *) (void *) shard->handed_over_incarnations->data;
     }
-  fb_node_send (self, (guint) shard->handed_to, &body);
+  fb_node_send (self, (guint) shard->successor, &body);
 }
 
 static void
 save_confirmed_incarnations (FbShard *shard)
 {
-  g_clear_pointer (&shard->handed_incarnations, g_array_unref);
+  g_clear_pointer (&shard->handed_over_incarnations, g_array_unref);
   if (shard->rack == NULL)
     return;
-  shard->handed_incarnations = g_array_new (FALSE, FALSE, sizeof (uint64_t));
+  shard->handed_over_incarnations = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   for (guint i = 0; i < fb_rack_worker_count (shard->rack); i++)
     {
       uint64_t incarnation = fb_rack_worker_confirmed_incarnation (shard->rack, i);
-      g_array_append_val (shard->handed_incarnations, incarnation);
+      g_array_append_val (shard->handed_over_incarnations, incarnation);
     }
 }
 
@@ -352,8 +353,8 @@
   fb_counter_add (FB_COUNTER_HANDOVERS, 1);
   fb_event_log (FB_EVENT_SHARD_HANDED_OVER, "shard=%u to=%s epoch=%" G_GUINT64_FORMAT, shard->id,
                 fb_members_name (self->members, (guint) to), shard->epoch);
-  shard->handed_to = to;
-  shard->handed_epoch = shard->epoch;
+  shard->successor = to;
+  shard->handover_epoch = shard->epoch;
   save_confirmed_incarnations (shard);
   fb_node_step_down (self, shard);
   send_handover (self, shard);
@@ -388,12 +389,12 @@
 static void
 tick_not_owned (FbNode *self, FbShard *shard, int preferred)
 {
-  if (shard->handed_to >= 0)
+  if (shard->successor >= 0)
     {
-      /* Repeat the handover until the successor announces the shard. */
-      FbMemberState state = fb_members_state (self->members, (guint) shard->handed_to);
+      /* Repeat the handover message until the successor announces the shard. */
+      FbMemberState state = fb_members_state (self->members, (guint) shard->successor);
       if (state != FB_MEMBER_ALIVE)
-        shard->handed_to = -1;
+        shard->successor = -1;
       else
         {
           send_handover (self, shard);
--- a/src/core/node-work.c
+++ b/src/core/node-work.c
@@ -1,4 +1,4 @@
-/* Sinks of racks and ranges, and dispatch of their messages. */
+/* Callbacks of racks and ranges, and dispatch of their messages. */
 #include "internal/node-private.h"
 
 #include "internal/rack-query.h"
@@ -7,18 +7,18 @@
 /* Returns: the id of this daemon's ephemeral range. Ids after those of the shards are the
  * ephemeral ranges of the members. */
 uint32_t
-fb_node_local_range_id (const FbNode *self)
+fb_node_ephemeral_range_id (const FbNode *self)
 {
   return fb_cell_shard_count (self->cell) + self->self_index;
 }
 
-/* ---- sink of racks ---------------------------------------------------- */
+/* ---- callbacks of racks ----------------------------------------------- */
 
 static void
 rack_sync (gpointer user, FbRack *rack, guint worker, const FbSyncRequest *request)
 {
   FbNode *self = user;
-  self->sink->worker_sync (self->user, fb_rack_id (rack), worker, request);
+  self->callbacks->worker_sync (self->user, fb_rack_id (rack), worker, request);
 }
 
 static void
@@ -53,12 +53,12 @@
 }
 
 static void
-rack_surveyed (gpointer user, FbRack *rack, const fb_survey_reply *surveyed)
+rack_run_list (gpointer user, FbRack *rack, const fb_run_list *run_list)
 {
   (void) rack;
-  fb_body body = { .type = FB_MSG_SURVEY_REPLY };
-  body.fb_body_u.surveyed = *surveyed;
-  (void) fb_node_send_to_owner (user, surveyed->range, &body);
+  fb_body body = { .type = FB_MSG_RUN_LIST };
+  body.fb_body_u.run_list = *run_list;
+  (void) fb_node_send_to_owner (user, run_list->range, &body);
 }
 
 static void
@@ -68,16 +68,16 @@
   fb_node_step_down (self, fb_node_shard (self, fb_rack_id (rack)));
 }
 
-const FbRackSink fb_node_rack_sink
-    = { rack_sync, rack_report, rack_confirm_ownership, rack_surveyed, rack_fenced };
+const FbRackCallbacks fb_node_rack_callbacks
+    = { rack_sync, rack_report, rack_confirm_ownership, rack_run_list, rack_fenced };
 
-/* ---- sink of ranges --------------------------------------------------- */
+/* ---- callbacks of ranges ---------------------------------------------- */
 
 static void
 range_append (gpointer user, FbRange *range, const fb_rec_body *body)
 {
   FbNode *self = user;
-  if (range != self->local)
+  if (range != self->ephemeral_range)
     {
       FbShard *shard = fb_node_shard (self, fb_range_id (range));
       if (fb_shard_is_owned (shard))
@@ -88,7 +88,7 @@
   record.body = *body;
   GBytes *data = fb_codec_encode_record (&record);
   if (data != NULL)
-    g_queue_push_tail (&self->local_records, data);
+    g_queue_push_tail (&self->ephemeral_records, data);
 }
 
 static gboolean
@@ -117,7 +117,7 @@
 range_refused (gpointer user, uint32_t rack, FbReason reason)
 {
   FbNode *self = user;
-  fb_router_note_refusal (self->router, self->now_ms, rack, reason);
+  fb_router_record_refusal (self->router, self->now_ms, rack, reason);
 }
 
 /* Lower bound of the log's clock now: its last reading plus the time since that arrived. */
@@ -138,11 +138,11 @@
 }
 
 static void
-range_answer (gpointer user, FbRange *range, const char *front, const fb_answer *answer)
+range_answer (gpointer user, FbRange *range, const char *frontend, const fb_answer *answer)
 {
   (void) range;
   FbNode *self = user;
-  int member = fb_members_find (self->members, front);
+  int member = fb_members_find (self->members, frontend);
   if (member < 0)
     return;
   fb_body body = { .type = FB_MSG_ANSWER };
@@ -150,14 +150,14 @@
   fb_node_send (self, (guint) member, &body);
 }
 
-const FbRangeSink fb_node_range_sink
+const FbRangeCallbacks fb_node_range_callbacks
     = { range_append,  range_send,         range_choose,    range_ever_fits,
         range_refused, range_log_clock_ms, range_domain_of, range_answer };
 
 /* ---- messages --------------------------------------------------------- */
 
-/* An order is sent once, to one daemon. A daemon that receives it and does not own the
- * rack knows that it will never be executed. */
+/* A place message is sent once, to one daemon. If that daemon does not own the rack, it can
+ * report with certainty that the run will never start. */
 static void
 refuse_place (FbNode *self, const fb_place *place)
 {
@@ -180,8 +180,8 @@
 static FbRange *
 owned_range (FbNode *self, uint32_t range)
 {
-  if (range == fb_node_local_range_id (self))
-    return self->local;
+  if (range == fb_node_ephemeral_range_id (self))
+    return self->ephemeral_range;
   FbShard *shard = fb_node_shard (self, range);
   return shard != NULL && shard->role == FB_SHARD_OWNED && !shard->lost ? shard->range : NULL;
 }
@@ -214,8 +214,8 @@
     case FB_MSG_COMMIT:
       fb_rack_commit (rack, self->now_ms, command);
       break;
-    case FB_MSG_SURVEY:
-      fb_rack_survey (rack, self->now_ms, command);
+    case FB_MSG_LIST_RUNS:
+      fb_rack_list_runs (rack, self->now_ms, command);
       break;
     default:
       break;
@@ -266,12 +266,12 @@
           fb_range_submit (range, self->now_ms, job, body->fb_body_u.submit.copy, from);
         break;
       }
-    case FB_MSG_SURVEY_REPLY:
+    case FB_MSG_RUN_LIST:
       {
-        const fb_survey_reply *surveyed = &body->fb_body_u.surveyed;
-        FbRange *range = owned_range (self, surveyed->range);
+        const fb_run_list *run_list = &body->fb_body_u.run_list;
+        FbRange *range = owned_range (self, run_list->range);
         if (range != NULL)
-          fb_range_surveyed (range, self->now_ms, surveyed);
+          fb_range_handle_run_list (range, self->now_ms, run_list);
         break;
       }
     case FB_MSG_JOB_QUERY:
--- a/src/core/rack-sync.c
+++ b/src/core/rack-sync.c
@@ -1,14 +1,14 @@
 /* Exchanges between the owner of a rack and its workers.
  *
- * Each request lists everything that the owner wants (leases, starts, stops, ends that
- * may be forgotten) and each reply lists the whole state of the worker, so a lost
- * exchange costs only a delay of one period. A worker whose state has not changed since
- * the last reply says only that: most replies of an idle worker carry no runs.
+ * Each request lists everything that is outstanding at the owner (lease, starts, stops, ends
+ * that the worker may drop), and each reply lists the complete state of the worker, so a lost
+ * exchange only delays this by one period. If the state of a worker has not changed since the
+ * last reply, the reply says so and carries no runs; this holds for most replies of an idle
+ * worker.
  *
- * Leases and starts are bounded on the worker's own clock: the owner adds the lease to
- * the last clock reading that it received. A request that lay in a buffer while the
- * worker was suspended therefore renews no lease and starts nothing when the worker
- * resumes. */
+ * Leases and starts are bounded on the worker's own clock: the owner adds the duration of the
+ * lease to the last clock reading that it received. A request that was buffered while the worker
+ * was suspended therefore neither renews a lease nor starts a run when the worker resumes. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
@@ -19,8 +19,8 @@
 {
   /* Lower bound of the worker's clock now. */
   uint64_t clock_now_ms = w->clock_ms + (now_ms - w->last_reply_ms);
-  /* A run that starts after the end of the lease would start after it has been declared
-   * lost. */
+  /* The lease limits the start too: the owner declares the worker's runs lost when the lease has
+   * expired. */
   uint64_t limit_ms = MIN (clock_now_ms + FB_RACK_START_MS, w->clock_ms + FB_RACK_LEASE_MS);
   uint64_t remaining_ms = fb_deadline_remaining (now_ms, task->due_ms);
   if (remaining_ms == FB_NO_DEADLINE_MS)
@@ -62,7 +62,7 @@
     }
 }
 
-/* Returns: (transfer full): the acknowledged ends that the worker still remembers. */
+/* Returns: (transfer full): the acknowledged ends that the worker still keeps. */
 static GArray *
 acks_for (const FbRack *self, guint index)
 {
@@ -94,7 +94,7 @@
   w->in_flight = TRUE;
   w->sync_at_ms = now_ms + FB_RACK_SYNC_PERIOD_MS;
   fb_counter_add (FB_COUNTER_WORKER_SYNCS, 1);
-  self->sink->sync (self->user, self, index, &request);
+  self->callbacks->sync (self->user, self, index, &request);
   g_ptr_array_free (request.starts, TRUE);
   g_array_free (request.start_by_ms, TRUE);
   g_array_free (request.stops, TRUE);
@@ -137,7 +137,7 @@
 }
 
 static void
-note_live (FbRack *self, uint64_t now_ms, guint index, const FbSyncRun *run)
+handle_live_run (FbRack *self, uint64_t now_ms, guint index, const FbSyncRun *run)
 {
   FbTask *task = fb_rack_find (self, &run->spec.run);
   if (task == NULL)
@@ -156,7 +156,7 @@
   fb_res charge = task->spec.demand;
   for (guint i = 0; i < FB_RES_N; i++)
     charge.amount[i] = MAX (charge.amount[i], run->usage.amount[i]);
-  fb_ledger_recharge (self, task, &charge);
+  fb_usage_recharge (self, task, &charge);
 }
 
 static FbReason
@@ -168,7 +168,7 @@
 }
 
 static void
-note_ended (FbRack *self, uint64_t now_ms, guint index, const FbSyncRun *run)
+handle_ended_run (FbRack *self, uint64_t now_ms, guint index, const FbSyncRun *run)
 {
   FbWorker *w = fb_rack_worker (self, index);
   FbTask *task = fb_rack_find (self, &run->spec.run);
@@ -179,18 +179,18 @@
     }
   if (task->state == FB_TASK_ENDED)
     return;
-  fb_worker_health_note_end (self, now_ms, index, task, run->run_status);
+  fb_worker_health_record_end (self, now_ms, index, task, run->run_status);
   fb_rack_end_task (self, now_ms, task, run->run_status, end_reason (task, run->run_status),
                     run->answer, run->answer_len);
 }
 
-/* Failure: a request times out and the next one repeats the start. The worker refuses the
- * start in the first request, which came too late, and executes it in the second; the
- * first reply would report "not run" for a run that executes. Guard: a refusal counts
- * only if no later request, which may have contained the start, was sent. */
+/* Handles a start that the worker has refused. The refusal counts only if no later request was
+ * sent, since that one may have contained the start as well: after a timeout the start is
+ * repeated, and the worker may refuse it in the first request, which arrived too late, and
+ * execute it in the second. The run would be reported as not run although it executes. */
 static void
-note_refused (FbRack *self, uint64_t now_ms, guint index, const FbSyncReply *reply,
-              const FbSyncRun *run)
+handle_refused_start (FbRack *self, uint64_t now_ms, guint index, const FbSyncReply *reply,
+                      const FbSyncRun *run)
 {
   if (reply->seq != fb_rack_worker (self, index)->sent_seq)
     return;
@@ -212,10 +212,10 @@
   return FALSE;
 }
 
-/* Ends the tasks that the worker does not list although it has handled a request that
- * contained them. A run that was live, or that an earlier incarnation of the worker may
- * have started, is lost. A start that was cancelled before the worker handled it has not
- * run, nor has one that is not repeated to a leaving worker. */
+/* Ends the tasks that the worker does not list although it has handled a request that contained
+ * them. A run that was live, or that an earlier incarnation of the worker may have started, is
+ * lost. A start that was cancelled before the worker handled it has not run; nor has a start
+ * that is no longer sent because the worker is leaving. */
 static void
 end_unlisted (FbRack *self, uint64_t now_ms, guint index, const FbSyncReply *reply,
               gboolean restarted)
@@ -239,9 +239,9 @@
     }
 }
 
-/* Forgets acknowledged ends that the worker does not list any more. */
+/* Removes acknowledged ends that the worker does not list any more. */
 static void
-forget_acked (FbRack *self, const FbSyncReply *reply, guint index)
+remove_acked_tasks (FbRack *self, const FbSyncReply *reply, guint index)
 {
   GList *link = self->ended.head;
   while (link != NULL)
@@ -249,7 +249,7 @@
       GList *next = link->next;
       FbTask *task = link->data;
       if (task->acked && task->last_worker == index && !reply_lists (reply, &task->spec.run))
-        fb_rack_forget (self, task);
+        fb_rack_remove_task (self, task);
       link = next;
     }
 }
@@ -261,7 +261,7 @@
   w->in_flight = FALSE;
   if (reply->fenced && reply->epoch > self->epoch)
     {
-      self->sink->fenced (self->user, self);
+      self->callbacks->fenced (self->user, self);
       return;
     }
   gboolean new_incarnation = reply->incarnation != w->incarnation;
@@ -280,7 +280,7 @@
   w->last_reply_ms = now_ms;
   w->clock_ms = reply->clock_ms;
   w->incarnation = reply->incarnation;
-  self->wants_schedule = TRUE;
+  self->schedule_pending = TRUE;
   if (reply->unchanged)
     return;
   w->known_version = reply->version;
@@ -288,16 +288,16 @@
     {
       const FbSyncRun *run = &reply->runs[i];
       if (run->state == FB_SYNC_LIVE)
-        note_live (self, now_ms, worker, run);
+        handle_live_run (self, now_ms, worker, run);
       else if (run->state == FB_SYNC_ENDED)
-        note_ended (self, now_ms, worker, run);
+        handle_ended_run (self, now_ms, worker, run);
       else
-        note_refused (self, now_ms, worker, reply, run);
+        handle_refused_start (self, now_ms, worker, reply, run);
     }
   end_unlisted (self, now_ms, worker, reply, restarted);
-  forget_acked (self, reply, worker);
+  remove_acked_tasks (self, reply, worker);
   stop_if_over_memory (self, worker);
-  self->wants_schedule = TRUE;
+  self->schedule_pending = TRUE;
 }
 
 void
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -39,14 +39,14 @@
 
 FbRack *
 fb_rack_new (uint32_t id, const char *name, uint32_t home_partner, uint64_t epoch,
-             const FbRackSink *sink, gpointer user)
+             const FbRackCallbacks *callbacks, gpointer user)
 {
   FbRack *self = g_new0 (FbRack, 1);
   self->id = id;
   self->name = name;
   self->home = home_partner;
   self->epoch = epoch;
-  self->sink = sink;
+  self->callbacks = callbacks;
   self->user = user;
   self->policy = (FbRackPolicy){ 1000, &fb_place_accel_guard, FB_RACK_QUEUE_MAX, NULL };
   self->workers = g_ptr_array_new_with_free_func (worker_free);
@@ -77,7 +77,7 @@
 fb_rack_set_policy (FbRack *self, const FbRackPolicy *policy)
 {
   self->policy = *policy;
-  self->wants_schedule = TRUE;
+  self->schedule_pending = TRUE;
 }
 
 guint
@@ -139,7 +139,7 @@
                        .reason = reason,
                        .worker = worker,
                        .answer = { (u_int) len, (char *) data } };
-  self->sink->report (self->user, self, &report);
+  self->callbacks->report (self->user, self, &report);
 }
 
 void
@@ -164,7 +164,7 @@
   fb_task_queues_insert (self->queues, task);
   if (task->due_ms != FB_NO_DEADLINE_MS)
     task->due_pos = g_sequence_insert_sorted (self->by_due, task, compare_due, NULL);
-  self->wants_schedule = TRUE;
+  self->schedule_pending = TRUE;
 }
 
 void
@@ -187,7 +187,7 @@
   if (task->state != FB_TASK_ENDED)
     g_queue_push_tail (&self->ended, task);
   fb_rack_dequeue (self, task);
-  fb_ledger_release (self, task);
+  fb_usage_release (self, task);
   task->state = FB_TASK_ENDED;
   task->run_status = run_status;
   task->reason = reason;
@@ -203,7 +203,7 @@
 }
 
 void
-fb_rack_forget (FbRack *self, FbTask *task)
+fb_rack_remove_task (FbRack *self, FbTask *task)
 {
   g_queue_remove (&self->ended, task);
   g_hash_table_remove (self->tasks, &task->spec.run);
@@ -216,7 +216,7 @@
   task->state = FB_TASK_RUNNING;
   task->started_ms = now_ms;
   g_hash_table_insert (self->tasks, &task->spec.run, task);
-  fb_ledger_charge (self, task, worker, &spec->demand);
+  fb_usage_charge (self, task, worker, &spec->demand);
   task->last_worker = worker;
   return task;
 }
@@ -230,7 +230,7 @@
   fb_rack_mark_dirty (self, task->worker);
 }
 
-/* A start that was in no request cannot have reached the worker. */
+/* A start that no request has contained cannot have reached the worker. */
 gboolean
 fb_task_never_sent (const FbTask *task)
 {
@@ -262,11 +262,11 @@
       for (guint t = w->tasks->len; t > 0; t--)
         {
           FbTask *task = g_ptr_array_index (w->tasks, t - 1);
-          gboolean late = task->due_ms <= now_ms;
-          if (task->state == FB_TASK_RESERVED && (late || task->reserved_until_ms <= now_ms))
+          gboolean past_due = task->due_ms <= now_ms;
+          if (task->state == FB_TASK_RESERVED && (past_due || task->reserved_until_ms <= now_ms))
             fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN,
-                              late ? FB_REASON_PAST_DUE : FB_REASON_EXPIRED, NULL, 0);
-          else if (task->state == FB_TASK_STARTING && task->sent_seq == 0 && late)
+                              past_due ? FB_REASON_PAST_DUE : FB_REASON_EXPIRED, NULL, 0);
+          else if (task->state == FB_TASK_STARTING && task->sent_seq == 0 && past_due)
             fb_rack_end_task (self, now_ms, task, FB_RUN_STATUS_NOT_RUN, FB_REASON_PAST_DUE, NULL,
                               0);
         }
@@ -307,34 +307,36 @@
 static void
 check_leases (FbRack *self, uint64_t now_ms)
 {
-  const uint64_t lapse_ms = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
-  gboolean ask = FALSE;
+  const uint64_t lease_expiry_ms
+      = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
+  gboolean confirm = FALSE;
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state == FB_WORKER_OK && now_ms - w->last_reply_ms >= lapse_ms)
+      if (w->state == FB_WORKER_OK && now_ms - w->last_reply_ms >= lease_expiry_ms)
         {
           w->state = FB_WORKER_SILENT;
           fb_event_log (FB_EVENT_WORKER_SILENT, "rack=%s worker=%s", self->name, w->name);
         }
       if (w->state == FB_WORKER_UNKNOWN && w->unlisted_since_ms > 0
-          && now_ms - w->unlisted_since_ms >= lapse_ms)
+          && now_ms - w->unlisted_since_ms >= lease_expiry_ms)
         w->state = FB_WORKER_GONE;
       gboolean unconfirmed = w->state == FB_WORKER_OK && w->confirmed_incarnation != w->incarnation;
-      ask = ask || unconfirmed || w->state == FB_WORKER_SILENT;
+      confirm = confirm || unconfirmed || w->state == FB_WORKER_SILENT;
     }
-  if (ask && now_ms - self->confirm_requested_ms >= FB_RACK_REPORT_PERIOD_MS)
+  if (confirm && now_ms - self->confirm_requested_ms >= FB_RACK_REPORT_PERIOD_MS)
     {
       self->confirm_requested_ms = now_ms;
-      self->sink->confirm_ownership (self->user, self);
+      self->callbacks->confirm_ownership (self->user, self);
     }
 }
 
-/* Failure: a worker restarts and forgets the highest epoch that it has accepted. An owner
- * that was replaced, but does not know it yet, finds that the new incarnation accepts its
- * requests and starts work that its successor has declared not started: a run executes in
- * two places. Guard: nothing starts on an incarnation of a worker until the log, read
- * after the first reply of that incarnation, has confirmed this owner. */
+/* Confirms the incarnations of workers that were seen before the log was read. Nothing starts on
+ * a new incarnation of a worker until the log, read after the first reply of that incarnation,
+ * has confirmed this owner. A worker that restarts loses the highest epoch that it has accepted;
+ * its new incarnation would accept the requests of an owner that was replaced but has not
+ * noticed it yet, and that owner could start runs that its successor has reported as not
+ * started. */
 static void
 confirm_incarnations (FbRack *self, uint64_t requested_ms)
 {
@@ -344,7 +346,7 @@
       if (w->state == FB_WORKER_OK && w->incarnation_seen_ms <= requested_ms)
         w->confirmed_incarnation = w->incarnation;
     }
-  self->wants_schedule = TRUE;
+  self->schedule_pending = TRUE;
 }
 
 void
@@ -353,22 +355,23 @@
   fb_rack_worker (self, worker)->confirmed_incarnation = incarnation;
 }
 
-/* Failure: this owner is cut off from the log and from its workers while a successor has
- * claimed the rack and renews the leases that this owner believes lapsed. When the range
- * starts such a run again, it executes in two places. Guard: a lease counts as lapsed
- * only if the log, read after the lapse, still names this owner. If a successor claims
- * the rack after that read, the worker has already stopped the run. */
+/* A lease counts as expired only if the log, read after the expiry, still names this daemon as
+ * the owner. Otherwise an owner that reaches neither the log nor its workers could report a run
+ * as lost although a successor has claimed the rack and renewed the lease; the range would start
+ * the run again, and it would run twice at the same time. If a successor claims the rack after
+ * that read, the worker has already stopped the run. */
 void
 fb_rack_ownership_confirmed (FbRack *self, uint64_t now_ms, uint64_t requested_ms)
 {
-  const uint64_t lapse_ms = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
+  const uint64_t lease_expiry_ms
+      = FB_RACK_LEASE_MS + FB_RACK_LEASE_MS * FB_RACK_CLOCK_DRIFT_PERCENT / 100;
   confirm_incarnations (self, requested_ms);
   for (guint i = 0; i < self->workers->len; i++)
     {
       FbWorker *w = fb_rack_worker (self, i);
-      if (w->state != FB_WORKER_SILENT || w->last_reply_ms + lapse_ms > requested_ms)
+      if (w->state != FB_WORKER_SILENT || w->last_reply_ms + lease_expiry_ms > requested_ms)
         continue;
-      w->state = FB_WORKER_LAPSED;
+      w->state = FB_WORKER_LEASE_EXPIRED;
       while (w->tasks->len > 0)
         {
           FbTask *task = g_ptr_array_index (w->tasks, w->tasks->len - 1);
@@ -403,7 +406,7 @@
   w->leaving = leaving;
   if (!leaving)
     {
-      self->wants_schedule = TRUE;
+      self->schedule_pending = TRUE;
       return;
     }
   fb_event_log (FB_EVENT_WORKER_LEAVING, "rack=%s worker=%s", self->name, w->name);
@@ -434,7 +437,7 @@
   fb_worker_health_tick (self, now_ms);
   resend_reports (self, now_ms);
   if (fb_task_queues_count (self->queues) > 0)
-    self->wants_schedule = TRUE;
+    self->schedule_pending = TRUE;
 }
 
 void
@@ -446,9 +449,9 @@
 void
 fb_rack_flush (FbRack *self, uint64_t now_ms)
 {
-  if (self->wants_schedule && now_ms >= self->starts_paused_until_ms)
+  if (self->schedule_pending && now_ms >= self->starts_paused_until_ms)
     {
-      self->wants_schedule = FALSE;
+      self->schedule_pending = FALSE;
       fb_rack_schedule (self, now_ms);
     }
   fb_rack_exchange (self, now_ms);
--- a/src/core/range-apply.c
+++ b/src/core/range-apply.c
@@ -1,14 +1,14 @@
 /* Application of the records of a range's stream, in log order.
  *
- * The same code applies the owner's own records when the log returns them, and the
- * records that a successor reads; only an active range sends and answers. */
+ * The same code applies the owner's own records when the log returns them, and the records that
+ * a successor reads; only an active range sends messages and answers. */
 #include "internal/range-private.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
 
 static void
-note_written (FbJob *job, uint64_t now_ms, const FbRecordPosition *position)
+record_written (FbJob *job, uint64_t now_ms, const FbRecordPosition *position)
 {
   job->written_ms = now_ms - MIN (now_ms, position->age_ms);
   job->written_offset = position->offset;
@@ -21,7 +21,8 @@
 {
   const fb_job *spec = &admit->job;
   FbJob *job = fb_range_find (self, spec->id);
-  /* Without the records before it, the update would be taken for the complete job. */
+  /* An update does not contain the complete job, so it is not applied if the earlier records are
+   * missing. */
   if (job == NULL && admit->update)
     return;
   if (job == NULL)
@@ -46,12 +47,12 @@
   if (job->admitted)
     return;
   job->admitted = TRUE;
-  note_written (job, now_ms, position);
+  record_written (job, now_ms, position);
   for (guint i = 0; i < job->task_n; i++)
     fb_range_set_timer (self, &job->tasks[i], now_ms);
   fb_event_log (FB_EVENT_JOB_ADMITTED, "job=%016" G_GINT64_MODIFIER "x kind=%s tasks=%u range=%u",
                 spec->id, fb_kind_name ((FbKind) spec->kind), spec->count, self->id);
-  fb_range_answer_fronts (self, now_ms, job);
+  fb_range_answer_frontends (self, now_ms, job);
 }
 
 static FbJobTask *
@@ -139,8 +140,8 @@
     }
   if (self->active && record->rack != FB_NO_RACK && record->outcome != FB_OUTCOME_UNKNOWN)
     {
-      fb_report about = { .run = fb_job_run (job, task), .rack = task->rack };
-      fb_range_send_ack (self, &about);
+      fb_report ended = { .run = fb_job_run (job, task), .rack = task->rack };
+      fb_range_send_ack (self, &ended);
     }
 }
 
@@ -184,7 +185,7 @@
   job->spec.count = count;
 }
 
-/* A rewritten state has an effect only for a reader that does not know the job yet. */
+/* A rewritten state only has an effect if the job is not known yet. */
 static void
 apply_state (FbRange *self, uint64_t now_ms, const fb_rec_state *state,
              const FbRecordPosition *position)
@@ -192,7 +193,7 @@
   FbJob *job = fb_range_find (self, state->admit.job.id);
   if (job != NULL && job->admitted)
     {
-      note_written (job, now_ms, position);
+      record_written (job, now_ms, position);
       return;
     }
   apply_admit (self, now_ms, &state->admit, position->age_ms + state->age_ms, position);
@@ -255,8 +256,8 @@
 static fb_rec_task
 record_of (const FbJobTask *task)
 {
-  /* An end that is being appended already counts: its own record precedes this one, and a
-   * reader that begins after it never sees it. */
+  /* An end that is being appended is included: its own record precedes this one in the log, so a
+   * reader that begins at this record does not get it. */
   gboolean ending = task->state == FB_JOB_TASK_ENDING;
   return (fb_rec_task){ .index = task->index,
                         .attempt = task->attempt,
@@ -293,7 +294,7 @@
   state->body.body_len = (u_int) len;
   state->body.body_val = (char *) data;
   job->rewriting = TRUE;
-  self->sink->append (self->user, self, &body);
+  self->callbacks->append (self->user, self, &body);
 }
 
 uint64_t
@@ -321,8 +322,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbJob *job = value;
-      /* A reader that begins between a change and the new state in the log would miss the
-       * change. */
+      /* A reader that begins between the record of a change and the rewritten state would miss
+       * the change. */
       if (job->admitted && !job->rewriting && !job->changing
           && now_ms - job->written_ms >= age_max_ms)
         rewrite_job (self, now_ms, job);
--- a/src/core/range-dispatch.c
+++ b/src/core/range-dispatch.c
@@ -1,9 +1,9 @@
-/* Timed work of a range: routing, queries and giving up.
+/* Timed work of a range: routing, queries and timeouts.
  *
- * Each task has one timer. The timer of a waiting task is its next attempt; the timer of
- * a task at a rack is the next query about it, which makes up for lost reports. Kinds are
- * served in order, each with a budget for one pass, so that ten thousand batch tasks that
- * become due together do not delay an urgent one. */
+ * Each task has one timer. The timer of a waiting task is its next attempt; the timer of a task
+ * at a rack is the next query about it, which makes up for lost reports. Kinds are served in
+ * order of precedence, each with a limited number of tasks per pass, so that ten thousand batch
+ * tasks that become due together do not delay an urgent one. */
 #include "internal/range-private.h"
 
 #include "fb-event.h"
@@ -44,7 +44,7 @@
   while (g_hash_table_iter_next (&iter, &key, &count))
     {
       uint32_t rack = GPOINTER_TO_UINT (key) - 1;
-      if (context->range->sink->domain_of (context->range->user, rack) == domain)
+      if (context->range->callbacks->domain_of (context->range->user, rack) == domain)
         sum += GPOINTER_TO_UINT (count);
     }
   return sum;
@@ -87,7 +87,7 @@
                              .count_in_domain = spread ? spread_in_domain : NULL,
                              .user = &context };
   FbRouteChoice choice;
-  if (!self->sink->choose (self->user, self, &request, &choice))
+  if (!self->callbacks->choose (self->user, self, &request, &choice))
     {
       fb_event_log (FB_EVENT_ROUTE_NONE, "job=%016" G_GINT64_MODIFIER "x task=%u", job->spec.id,
                     task->index);
@@ -111,7 +111,7 @@
   fill_spec (self, now_ms, task, &spec);
   FbRouteRequest request
       = { .spec = &spec, .now_ms = now_ms, .avoid_rack = task->rack, .probe_only = TRUE };
-  return self->sink->choose (self->user, self, &request, &choice);
+  return self->callbacks->choose (self->user, self, &request, &choice);
 }
 
 void
@@ -129,11 +129,11 @@
   g_array_append_val (job->intents, task->index);
 }
 
-/* Failure: the owner dies after sending a task and before knowing its result, and its
- * successor sends the task again: a reminder is sent twice. Guard: the attempt is in the
- * log, with the rack and its epoch, before it is sent. A successor queries that rack, and
- * starts no second attempt of an at-most-once task without proof that the first did not
- * run. */
+/* Appends the attempts to the log, with the rack and its epoch, before they are sent. Otherwise,
+ * if the owner fails after sending a task and before it gets the result, its successor would
+ * send the task again, and for example a reminder would be sent twice. A successor queries the
+ * recorded rack, and starts no second attempt of an at-most-once task without proof that the
+ * first one did not run. */
 static void
 write_intents (FbRange *self, FbJob *job)
 {
@@ -157,7 +157,7 @@
       body.fb_rec_body_u.intent.job = job->spec.id;
       body.fb_rec_body_u.intent.tasks.tasks_len = n;
       body.fb_rec_body_u.intent.tasks.tasks_val = tasks;
-      self->sink->append (self->user, self, &body);
+      self->callbacks->append (self->user, self, &body);
       done += n;
     }
   g_array_set_size (job->intents, 0);
@@ -177,7 +177,7 @@
   body.fb_body_u.place.rack = task->rack;
   body.fb_body_u.place.rack_epoch = task->rack_epoch;
   fill_spec (self, now_ms, task, &body.fb_body_u.place.spec);
-  if (!self->sink->send (self->user, self, task->rack, &body))
+  if (!self->callbacks->send (self->user, self, task->rack, &body))
     {
       fb_range_retry_task (self, now_ms, task, TRUE);
       return;
@@ -202,7 +202,7 @@
   /* All members of the union that are an fb_run_command share one layout, so any of them
    * can be used. */
   body.fb_body_u.query = command;
-  return self->sink->send (self->user, self, task->rack, &body);
+  return self->callbacks->send (self->user, self, task->rack, &body);
 }
 
 void
@@ -212,7 +212,7 @@
   body.fb_body_u.ack = (fb_run_command){
     .run = report->run, .rack = report->rack, .range = self->id, .range_epoch = self->epoch
   };
-  (void) self->sink->send (self->user, self, report->rack, &body);
+  (void) self->callbacks->send (self->user, self, report->rack, &body);
 }
 
 static void
@@ -256,8 +256,7 @@
   if (unconfirmed && job->due_ms != FB_NO_DEADLINE_MS
       && now_ms >= job->due_ms + FB_RANGE_DUE_GRACE_MS)
     {
-      /* The rack should have ended the task by now but does not answer. The task may have
-       * run. */
+      /* The rack should have ended the task by now but does not answer. The task may have run. */
       fb_range_end_task (self, task, FB_OUTCOME_UNKNOWN, FB_REASON_WORKER_LOST, NULL, 0);
       if (fb_job_is_gang (job))
         fb_gang_break (self, now_ms, job);
--- a/src/core/range.c
+++ b/src/core/range.c
@@ -1,4 +1,4 @@
-/* A range: requests of callers' daemons, and the end of tasks and jobs. */
+/* A range: requests of the daemons that serve callers, and the end of tasks and jobs. */
 #include "internal/range-private.h"
 #include "internal/stream.h"
 
@@ -10,17 +10,18 @@
 #define CANCEL_CHUNK 256
 #define BACKOFF_FIRST_MS 100
 #define BACKOFF_MAX_MS 5000
-#define FORGET_CHUNK 64
+#define REMOVE_CHUNK 64
 #define GANG_RETRY_MS 1500
 #define ATTEMPTS_PER_CLAIM_BITS 8
 
 FbRange *
-fb_range_new (uint32_t id, gboolean durable, const FbRangeSink *sink, gpointer user, uint32_t seed)
+fb_range_new (uint32_t id, gboolean durable, const FbRangeCallbacks *callbacks, gpointer user,
+              uint32_t seed)
 {
   FbRange *self = g_new0 (FbRange, 1);
   self->id = id;
   self->durable = durable;
-  self->sink = sink;
+  self->callbacks = callbacks;
   self->user = user;
   self->log_ok = TRUE;
   self->next_due_ms = G_MAXUINT64;
@@ -44,7 +45,7 @@
     g_sequence_free (self->timers[k]);
   g_ptr_array_free (self->with_intents, TRUE);
   g_rand_free (self->rand);
-  g_free (self->surveyed);
+  g_free (self->reconciled_racks);
   g_free (self);
 }
 
@@ -91,7 +92,7 @@
 /* ---- answers ---------------------------------------------------------- */
 
 void
-fb_range_answer_one (FbRange *self, uint64_t now_ms, const FbJob *job, const char *front)
+fb_range_send_answer (FbRange *self, uint64_t now_ms, const FbJob *job, const char *frontend)
 {
   gsize len = 0;
   const char *data = job->body != NULL ? g_bytes_get_data (job->body, &len) : NULL;
@@ -104,53 +105,54 @@
           .running_count = job->state_n[FB_JOB_TASK_RUNNING],
           .wait_ms = job->first_wait_ms > 0 ? job->first_wait_ms : now_ms - job->arrived_ms,
           .body = { (u_int) len, (char *) data } };
-  self->sink->answer (self->user, self, front, &answer);
+  self->callbacks->answer (self->user, self, frontend, &answer);
 }
 
 void
-fb_range_answer_fronts (FbRange *self, uint64_t now_ms, FbJob *job)
+fb_range_answer_frontends (FbRange *self, uint64_t now_ms, FbJob *job)
 {
   if (!self->active)
     return;
-  for (guint i = 0; i < job->fronts->len; i++)
-    fb_range_answer_one (self, now_ms, job, g_ptr_array_index (job->fronts, i));
+  for (guint i = 0; i < job->frontends->len; i++)
+    fb_range_send_answer (self, now_ms, job, g_ptr_array_index (job->frontends, i));
   if (fb_job_is_final (job))
-    g_ptr_array_set_size (job->fronts, 0);
+    g_ptr_array_set_size (job->frontends, 0);
 }
 
 static void
-answer_plain (FbRange *self, uint64_t job, FbOutcome outcome, FbReason reason, uint32_t copy,
-              const char *front)
+send_outcome (FbRange *self, uint64_t job, FbOutcome outcome, FbReason reason, uint32_t copy,
+              const char *frontend)
 {
   fb_answer answer = { .refused_copy = copy, .job = job, .outcome = outcome, .reason = reason };
-  self->sink->answer (self->user, self, front, &answer);
+  self->callbacks->answer (self->user, self, frontend, &answer);
 }
 
-/* Answers about a job that this range does not know and may have forgotten. */
+/* Answers about a job that this range does not have. If records were lost, the job may have
+ * existed. */
 static void
-answer_unknown_job (FbRange *self, uint64_t now_ms, uint64_t job, const char *front)
+answer_unknown_job (FbRange *self, uint64_t now_ms, uint64_t job, const char *frontend)
 {
   if (now_ms < self->history_gap_until_ms)
-    answer_plain (self, job, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, front);
+    send_outcome (self, job, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, frontend);
   else
-    answer_plain (self, job, FB_OUTCOME_NO_SUCH_JOB, FB_REASON_NONE, 0, front);
+    send_outcome (self, job, FB_OUTCOME_NO_SUCH_JOB, FB_REASON_NONE, 0, frontend);
 }
 
 static void
-add_front (FbJob *job, const char *front)
+add_frontend (FbJob *job, const char *frontend)
 {
-  for (guint i = 0; i < job->fronts->len; i++)
+  for (guint i = 0; i < job->frontends->len; i++)
     {
-      if (g_str_equal (g_ptr_array_index (job->fronts, i), front))
+      if (g_str_equal (g_ptr_array_index (job->frontends, i), frontend))
         return;
     }
-  g_ptr_array_add (job->fronts, g_strdup (front));
+  g_ptr_array_add (job->frontends, g_strdup (frontend));
 }
 
 /* ---- commands --------------------------------------------------------- */
 
 static gboolean
-same_work (const fb_job *a, const fb_job *b)
+same_job (const fb_job *a, const fb_job *b)
 {
   return a->partner == b->partner && a->team == b->team && a->kind == b->kind
          && a->count == b->count && a->payload.payload_len == b->payload.payload_len
@@ -167,11 +169,11 @@
       || job->count > FB_RANGE_TASK_MAX)
     return FB_REASON_NEVER_FITS;
   fb_spec spec = { .partner = job->partner, .flags = job->flags, .demand = job->demand };
-  if (!self->sink->ever_fits (self->user, &spec))
+  if (!self->callbacks->ever_fits (self->user, &spec))
     return FB_REASON_NEVER_FITS;
   if (self->durable && !self->log_ok)
     return FB_REASON_LOG_DOWN;
-  if (self->surveyed != NULL)
+  if (self->reconciled_racks != NULL)
     return FB_REASON_RETENTION;
   if (g_hash_table_size (self->jobs) >= FB_RANGE_JOB_MAX)
     return FB_REASON_OVERLOAD;
@@ -180,52 +182,51 @@
 
 static void
 submit_duplicate (FbRange *self, uint64_t now_ms, FbJob *job, const fb_job *spec, uint32_t copy,
-                  const char *front)
+                  const char *frontend)
 {
   if (fb_job_is_service (job))
     {
       gboolean changed
-          = job->cancelled || !same_work (&job->spec, spec) || job->spec.flags != spec->flags;
+          = job->cancelled || !same_job (&job->spec, spec) || job->spec.flags != spec->flags;
       if (changed && self->log_ok)
         {
           job->changing = TRUE;
           fb_rec_body body = { .type = FB_REC_ADMIT };
           body.fb_rec_body_u.admit = (fb_rec_admit){ *spec, TRUE, 0, 0 };
-          self->sink->append (self->user, self, &body);
+          self->callbacks->append (self->user, self, &body);
         }
       return;
     }
-  if (!same_work (&job->spec, spec))
+  if (!same_job (&job->spec, spec))
     {
-      answer_plain (self, spec->id, FB_OUTCOME_NOT_RUN, FB_REASON_KEY_MISMATCH, copy, front);
+      send_outcome (self, spec->id, FB_OUTCOME_NOT_RUN, FB_REASON_KEY_MISMATCH, copy, frontend);
       return;
     }
   if (fb_job_is_final (job))
     {
-      fb_range_answer_one (self, now_ms, job, front);
+      fb_range_send_answer (self, now_ms, job, frontend);
       return;
     }
-  add_front (job, front);
+  add_frontend (job, frontend);
   if (job->admitted)
-    fb_range_answer_one (self, now_ms, job, front);
+    fb_range_send_answer (self, now_ms, job, frontend);
 }
 
-/* Failure: a job is forgotten together with its attempts and admitted again, and a late
- * report of an old attempt is taken for a report of a new attempt with the same number.
- * Guard: after a loss of records, attempts are numbered from a value that only this claim
- * uses. */
+/* Returns: the number of the first attempt after a loss of records: a value that only this claim
+ * uses. If a job was lost together with its attempts and is admitted again, a late report about
+ * an old attempt could otherwise be taken for a report about a new attempt with the same number. */
 static uint32_t
 first_attempt_of (uint64_t epoch)
 {
   return (uint32_t) ((epoch >> FB_EPOCH_SUB_BITS) << ATTEMPTS_PER_CLAIM_BITS) | 1;
 }
 
-/* Failure: an owner that was replaced, but does not know it yet, refuses a key that its
- * successor has admitted; the caller is told "not run" of work that runs. Guard: only a
- * job without a key, which cannot be the same as another job, is refused with "not run".
- * For a job with a key, what this owner knows is no proof until it has been read back
- * from the log, so the answer is "unknown" and the caller may repeat the job under the
- * same key. A job that never fits is refused by every owner. */
+/* Returns: the outcome of a job that is refused. A replaced owner that has not noticed its
+ * replacement may refuse a key that its successor has admitted, so "not run" would be wrong for
+ * work that runs. "Not run" is therefore answered only for a job without a key, which cannot be
+ * the same as another job. For a job with a key, the state of this owner proves nothing until it
+ * has been read back from the log; the answer is "unknown", and the caller may submit the job
+ * again under the same key. A job that never fits is refused by every owner. */
 static FbOutcome
 refusal_outcome (const fb_job *spec, FbReason reason)
 {
@@ -236,19 +237,19 @@
 
 void
 fb_range_submit (FbRange *self, uint64_t now_ms, const fb_job *spec, uint32_t copy,
-                 const char *front)
+                 const char *frontend)
 {
   if (!self->active)
     return;
   FbJob *job = fb_range_find (self, spec->id);
   if (job != NULL)
     {
-      submit_duplicate (self, now_ms, job, spec, copy, front);
+      submit_duplicate (self, now_ms, job, spec, copy, frontend);
       return;
     }
   if (now_ms < self->history_gap_until_ms && (spec->flags & FB_FLAG_AT_MOST_ONCE))
     {
-      answer_plain (self, spec->id, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, front);
+      send_outcome (self, spec->id, FB_OUTCOME_UNKNOWN, FB_REASON_RETENTION, 0, frontend);
       return;
     }
   FbReason refusal = refusal_of (self, spec);
@@ -257,45 +258,46 @@
       FbOutcome outcome = refusal_outcome (spec, refusal);
       fb_event_log (FB_EVENT_JOB_ENDED, "job=%016" G_GINT64_MODIFIER "x outcome=%s reason=%s",
                     spec->id, fb_outcome_name (outcome), fb_reason_name (refusal));
-      answer_plain (self, spec->id, outcome, refusal, copy, front);
+      send_outcome (self, spec->id, outcome, refusal, copy, frontend);
       return;
     }
   job = fb_job_new (now_ms, spec);
   if (now_ms < self->history_gap_until_ms)
     fb_job_set_history_gap (job, first_attempt_of (self->epoch));
-  uint64_t log_now_ms = self->sink->log_clock_ms (self->user);
+  uint64_t log_now_ms = self->callbacks->log_clock_ms (self->user);
   if (log_now_ms > 0 && spec->remaining_ms != FB_NO_DEADLINE_MS)
     job->due_log_ms = fb_deadline_after (log_now_ms, spec->remaining_ms);
   g_hash_table_insert (self->jobs, &job->spec.id, job);
-  add_front (job, front);
+  add_frontend (job, frontend);
   fb_rec_body body = { .type = FB_REC_ADMIT };
   body.fb_rec_body_u.admit
       = (fb_rec_admit){ job->spec, FALSE, job->first_attempt_after_gap, job->due_log_ms };
-  self->sink->append (self->user, self, &body);
+  self->callbacks->append (self->user, self, &body);
 }
 
 void
 fb_range_query_job (FbRange *self, uint64_t now_ms, const fb_job_command *command,
-                    const char *front)
+                    const char *frontend)
 {
   if (!self->active)
     return;
   FbJob *job = fb_range_find (self, command->job);
   if (job == NULL || job->spec.partner != command->partner)
-    answer_unknown_job (self, now_ms, command->job, front);
+    answer_unknown_job (self, now_ms, command->job, frontend);
   else if (job->admitted)
-    fb_range_answer_one (self, now_ms, job, front);
+    fb_range_send_answer (self, now_ms, job, frontend);
 }
 
 void
-fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_command *command, const char *front)
+fb_range_cancel (FbRange *self, uint64_t now_ms, const fb_job_command *command,
+                 const char *frontend)
 {
   if (!self->active)
     return;
   FbJob *job = fb_range_find (self, command->job);
   if (job == NULL || job->spec.partner != command->partner)
     {
-      answer_unknown_job (self, now_ms, command->job, front);
+      answer_unknown_job (self, now_ms, command->job, frontend);
       return;
     }
   if (!job->cancelled && !fb_job_is_final (job))
@@ -303,29 +305,29 @@
       job->changing = TRUE;
       fb_rec_body body = { .type = FB_REC_CANCEL };
       body.fb_rec_body_u.cancel.job = command->job;
-      self->sink->append (self->user, self, &body);
+      self->callbacks->append (self->user, self, &body);
     }
-  /* An answer would tell the caller that the job has been admitted. */
+  /* An answer implies that the job has been admitted. */
   if (job->admitted)
-    fb_range_answer_one (self, now_ms, job, front);
+    fb_range_send_answer (self, now_ms, job, frontend);
 }
 
 void
-fb_range_cancel_unlisted_services (FbRange *self, uint64_t now_ms, GHashTable *wanted)
+fb_range_cancel_undeclared_services (FbRange *self, uint64_t now_ms, GHashTable *declared)
 {
   g_autoptr (GList) all = g_hash_table_get_values (self->jobs);
   for (GList *link = all; link != NULL; link = link->next)
     {
       const FbJob *job = link->data;
       if (!fb_job_is_service (job) || job->cancelled || !job->admitted
-          || g_hash_table_contains (wanted, &job->spec.id))
+          || g_hash_table_contains (declared, &job->spec.id))
         continue;
       fb_job_command command = { job->spec.id, job->spec.partner };
       fb_range_cancel (self, now_ms, &command, "");
     }
 }
 
-/* ---- ends ------------------------------------------------------------- */
+/* ---- end of tasks and jobs --------------------------------------------- */
 
 void
 fb_range_retry_task (FbRange *self, uint64_t now_ms, FbJobTask *task, gboolean back_off)
@@ -347,8 +349,7 @@
       wait_ms = task->backoff_ms / 2
                 + (uint32_t) g_rand_int_range (self->rand, 0, (gint32) task->backoff_ms);
     }
-  /* The router sees the capacity that the members have released only with the next
-   * summary. */
+  /* The capacity that the members have released reaches the router only with the next summary. */
   if (fb_job_is_gang (job))
     wait_ms
         = MAX (wait_ms, GANG_RETRY_MS + (uint32_t) g_rand_int_range (self->rand, 0, GANG_RETRY_MS));
@@ -384,7 +385,7 @@
   record.fb_rec_body_u.end.tasks.tasks_val = &end;
   record.fb_rec_body_u.end.body.body_len = body_len;
   record.fb_rec_body_u.end.body.body_val = (char *) body;
-  self->sink->append (self->user, self, &record);
+  self->callbacks->append (self->user, self, &record);
 }
 
 /* Ends a task that is past its due time and not running. If an earlier attempt ran or may
@@ -396,8 +397,8 @@
   fb_range_end_task (self, task, outcome, FB_REASON_PAST_DUE, NULL, 0);
 }
 
-/* Returns: the outcome of a job whose tasks are all done: NOT_RUN only if no task ever
- * ran, UNKNOWN if it is not known of some task whether it ran. */
+/* Returns: the outcome of a job whose tasks are all done: NOT_RUN only if no task ever ran,
+ * UNKNOWN if it is unknown for some task whether it ran. */
 static FbOutcome
 outcome_of (const FbJob *job)
 {
@@ -447,10 +448,10 @@
   fb_event_log (FB_EVENT_JOB_ENDED, "job=%016" G_GINT64_MODIFIER "x outcome=%s reason=%s tasks=%u",
                 job->spec.id, fb_outcome_name (job->outcome), fb_reason_name (job->reason),
                 job->task_n);
-  fb_range_answer_fronts (self, now_ms, job);
+  fb_range_answer_frontends (self, now_ms, job);
 }
 
-/* ---- time ------------------------------------------------------------- */
+/* ---- periodic work ----------------------------------------------------- */
 
 static void
 cancel_next_tasks (FbRange *self, uint64_t now_ms)
@@ -475,10 +476,10 @@
 }
 
 static void
-forget_expired_jobs (FbRange *self, uint64_t now_ms)
+remove_expired_jobs (FbRange *self, uint64_t now_ms)
 {
-  const uint64_t keep_ms = self->durable ? FB_RANGE_KEEP_MS : 2 * FB_RANGE_DUE_GRACE_MS;
-  for (guint i = 0; i < FORGET_CHUNK; i++)
+  const uint64_t keep_ms = self->durable ? FB_RANGE_JOB_RETENTION_MS : 2 * FB_RANGE_DUE_GRACE_MS;
+  for (guint i = 0; i < REMOVE_CHUNK; i++)
     {
       FbJob *job = g_queue_peek_head (&self->ended);
       if (job == NULL || now_ms - job->ended_ms < keep_ms)
@@ -522,7 +523,7 @@
 void
 fb_range_flush (FbRange *self, uint64_t now_ms)
 {
-  if (!self->active || self->surveyed != NULL || self->next_due_ms > now_ms)
+  if (!self->active || self->reconciled_racks != NULL || self->next_due_ms > now_ms)
     return;
   self->next_due_ms = G_MAXUINT64;
   fb_range_dispatch (self, now_ms);
@@ -533,9 +534,9 @@
 {
   if (!self->active)
     return;
-  fb_range_survey_tick (self, now_ms);
-  if (self->surveyed == NULL)
+  fb_range_reconcile_tick (self, now_ms);
+  if (self->reconciled_racks == NULL)
     fb_range_dispatch (self, now_ms);
   cancel_next_tasks (self, now_ms);
-  forget_expired_jobs (self, now_ms);
+  remove_expired_jobs (self, now_ms);
 }
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -1,33 +1,32 @@
 /* Routing by summaries, which lag behind.
  *
- * A summary is up to one heartbeat old when it arrives. If every daemon sends to the rack
- * that looks best, all of them send to the same one (herding). Three policies are
- * available; `./run bench` compares them:
+ * A summary is up to one heartbeat old when it arrives. If every daemon sends to the rack that
+ * looks best, all of them send to the same one (herding). Three policies are available; `./run
+ * bench` compares them:
  *
  *   random        any rack that fits according to its summary.
  *   two-choices   the better of two random racks: nearly as even as the best of all,
- *                without herding.
+ *                 without herding.
  *   best-known    the best of all, corrected by what this daemon itself has sent since
- *                the summary.
+ *                 the summary.
  *
- * In a large cell a choice examines SAMPLE_N racks drawn at random, and all racks only if
- * none of those is suitable: with 1,536 racks, examining all of them took four fifths of
- * the cost of a placement. The best of some fifty random racks is in the best two
- * percent, and the sampling prevents herding as two choices do.
+ * In a large cell a choice examines SAMPLE_N racks drawn at random, and all racks only if none
+ * of those is suitable: with 1,536 racks, examining all of them took four fifths of the cost of
+ * a placement. The best of some fifty random racks is in the best two percent, and the sampling
+ * prevents herding as two choices do.
  *
- * All three policies debit what they send from the summary, so that one daemon does not
- * overload a rack between two summaries, and none of them uses a rack for REFUSED_WAIT_MS
- * after it has refused a task, or until its next summary if its owner has changed or is
- * leaving. Racks that can start the work at once are preferred
- * to racks where it would queue, the partner's own racks to those of the other partner, and, for
- * work without accelerators, racks that have none to racks that have some.
+ * All three policies debit what they send from the summary, so that one daemon does not overload
+ * a rack between two summaries. None of them uses a rack for REFUSED_WAIT_MS after it has
+ * refused a task, or until its next summary if its owner has changed or is leaving. Racks that
+ * can start the work at once are preferred to racks where it would queue, the partner's own
+ * racks to those of the other partner, and, for work without accelerators, racks that have none
+ * to racks that have some.
  *
- * Preemptible work, which may run on the other partner's racks, queues at its own
- * partner's racks rather than run as a guest; its range moves it when it sees free
- * capacity elsewhere. A gang keeps its reservations while it queues, and none of its members can
- * move alone; so for a gang free capacity of the other partner is preferred to queueing
- * at its own: otherwise a gang whose own racks had permanently lost a host waited beside
- * an empty pool. */
+ * Preemptible work may run on the other partner's racks, but queues at its own partner's racks
+ * first; its range moves it when there is free capacity elsewhere. A gang keeps its reservations
+ * while it queues, and none of its members can move alone. For a gang, free capacity of the
+ * other partner is therefore preferred to queueing at its own: otherwise a gang whose own racks
+ * had permanently lost a host waited although the other partner's racks were idle. */
 #include "internal/router.h"
 
 #include <string.h>
@@ -35,9 +34,9 @@
 #define REFUSED_WAIT_MS 500
 #define QUEUE_SOFT_MAX 32
 #define SAMPLE_N 48
-#define COST_GUEST 1000000
+#define COST_BORROWED 1000000
 #define COST_QUEUE 100000
-#define COST_QUEUE_GANG (2 * COST_GUEST)
+#define COST_QUEUE_GANG (2 * COST_BORROWED)
 #define COST_SPREAD_RACK 20000
 #define COST_SPREAD_DOMAIN 4000
 #define COST_ACCEL_UNUSED 2000
@@ -99,7 +98,7 @@
 }
 
 void
-fb_router_note_summary (FbRouter *self, uint64_t now_ms, const fb_summary *summary)
+fb_router_update_summary (FbRouter *self, uint64_t now_ms, const fb_summary *summary)
 {
   (void) now_ms;
   if (summary->rack >= self->racks->len)
@@ -115,14 +114,14 @@
 }
 
 void
-fb_router_forget (FbRouter *self, uint32_t rack)
+fb_router_disable_rack (FbRouter *self, uint32_t rack)
 {
   if (rack < self->racks->len)
     rack_at (self, rack)->usable = FALSE;
 }
 
 void
-fb_router_note_refusal (FbRouter *self, uint64_t now_ms, uint32_t rack, FbReason reason)
+fb_router_record_refusal (FbRouter *self, uint64_t now_ms, uint32_t rack, FbReason reason)
 {
   if (rack >= self->racks->len)
     return;
@@ -169,8 +168,8 @@
     return TRUE;
   if (request->probe_only)
     return FALSE;
-  /* Only work of the home partner queues at a rack. Work of the guest would wait behind
-   * all of it; its range places it when it sees free capacity. */
+  /* Only work of the home partner queues at a rack. Work of the other partner would wait behind
+   * all of it; its range places it when there is free capacity. */
   return rack->info.partner == request->spec->partner
          && queue_length_at (rack, request->spec) < QUEUE_SOFT_MAX;
 }
@@ -183,9 +182,9 @@
   fb_res used = rack->info.total;
   fb_res_sub (&used, &rack->summary.free);
   fb_res_add (&used, &rack->debit);
-  uint64_t cost = fb_res_dominant_milli (&used, &rack->info.total);
+  uint64_t cost = fb_res_dominant_share_milli (&used, &rack->info.total);
   if (rack->info.partner != request->spec->partner)
-    cost += COST_GUEST;
+    cost += COST_BORROWED;
   if (!fits_now (rack, demand))
     cost += (request->spec->kind == FB_KIND_GANG ? COST_QUEUE_GANG : COST_QUEUE)
             + (uint64_t) queue_length_at (rack, request->spec) * 1000;
@@ -217,8 +216,8 @@
 }
 
 static gboolean
-choose_two (FbRouter *self, const FbRouteRequest *request, const GArray *candidates,
-            FbRouteChoice *choice)
+choose_two_choices (FbRouter *self, const FbRouteRequest *request, const GArray *candidates,
+                    FbRouteChoice *choice)
 {
   uint32_t a = pick (self, candidates);
   uint32_t b = pick (self, candidates);
@@ -252,7 +251,7 @@
 }
 
 const FbRoutePolicy fb_route_random = { "random", choose_random };
-const FbRoutePolicy fb_route_two_choices = { "two-choices", choose_two };
+const FbRoutePolicy fb_route_two_choices = { "two-choices", choose_two_choices };
 const FbRoutePolicy fb_route_best_known = { "best-known", choose_best };
 
 static void
--- a/src/core/ledger.c
+++ b/src/core/usage.c
@@ -1,8 +1,8 @@
-/* The ledger: the capacity charged to each worker, partner and team.
+/* Accounting of the capacity charged to each worker, partner and team.
  *
- * Capacity is charged before a start is ordered and released only when the worker reports
- * that the run has ended, or when it is proven that it cannot run any more. A task is
- * charged the larger of its declared and its measured usage. */
+ * Capacity is charged before a start is ordered, and released only when the worker reports the
+ * end of the run or when it is proven that the run cannot be running any more. A task is charged
+ * the larger of its declared and its measured usage. */
 #include "internal/rack-private.h"
 
 static uint64_t
@@ -34,7 +34,7 @@
 }
 
 void
-fb_ledger_charge (FbRack *self, FbTask *task, guint worker, const fb_res *charge)
+fb_usage_charge (FbRack *self, FbTask *task, guint worker, const fb_res *charge)
 {
   FbWorker *w = fb_rack_worker (self, worker);
   task->worker = worker;
@@ -46,7 +46,7 @@
 }
 
 void
-fb_ledger_release (FbRack *self, FbTask *task)
+fb_usage_release (FbRack *self, FbTask *task)
 {
   if (task->worker == FB_NO_WORKER)
     return;
@@ -63,11 +63,11 @@
   g_ptr_array_remove_fast (w->tasks, task);
   task->charge = (fb_res){ { 0 } };
   task->worker = FB_NO_WORKER;
-  self->wants_schedule = TRUE;
+  self->schedule_pending = TRUE;
 }
 
 void
-fb_ledger_recharge (FbRack *self, FbTask *task, const fb_res *charge)
+fb_usage_recharge (FbRack *self, FbTask *task, const fb_res *charge)
 {
   FbWorker *w = fb_rack_worker (self, task->worker);
   fb_res *const totals[]
@@ -81,7 +81,7 @@
 }
 
 fb_res
-fb_worker_free_space (const FbWorker *worker)
+fb_worker_free_capacity (const FbWorker *worker)
 {
   fb_res free = worker->capacity;
   fb_res_sub (&free, &worker->used);
--- a/tests/test-units.c
+++ b/tests/test-units.c
@@ -85,9 +85,9 @@
 
 /* ---- policy ----------------------------------------------------------- */
 
-/* Guards against: a daemon crashes on a file without text. An operator drained a host and ended the
- * drain again; the second revision contained an empty file, which the record codec decodes as a
- * NULL text, and every daemon that read it crashed. */
+/* An empty file in a record must not crash the daemon. The record codec decodes it as a NULL
+ * text. An operator drained a host and ended the drain again; the second revision contained an
+ * empty file, and every daemon that read it crashed. */
 static void
 test_policy_accepts_an_empty_file_from_a_record (void)
 {
@@ -95,7 +95,7 @@
   FbPolicy *policy = NULL;
   CU_ASSERT_EQUAL (fb_policy_parse (0, &empty, 1, &policy), FB_POLICY_OK);
   CU_ASSERT_PTR_NOT_NULL_FATAL (policy);
-  CU_ASSERT_FALSE (fb_policy_drains (policy, "h1"));
+  CU_ASSERT_FALSE (fb_policy_is_drained (policy, "h1"));
   fb_policy_free (policy);
 }
 
@@ -150,14 +150,14 @@
   return fb_codec_encode_record (&record);
 }
 
-/* Guards against: a record with a foreign signature displaces a valid revision. The log has deleted
- * records that a daemon had not read yet; it still holds a valid revision and, before it, one with
- * a higher serial that another key has signed. The foreign one was kept as the best candidate, and
- * the partner's own revision was lost. */
+/* A record signed with a foreign key must not displace a valid revision. The log has deleted
+ * records that a daemon had not read yet; it still has a valid revision and, before it, one with
+ * a higher serial number that another key has signed. The foreign one was kept as the best
+ * candidate, and the partner's own revision was lost. */
 static void
 test_config_foreign_record_displaces_no_revision (void)
 {
-  static const FbNodeSink sink
+  static const FbNodeCallbacks callbacks
       = { ignore_send, NULL, ignore_append, ignore_read, NULL, ignore_change };
   uint8_t secret[FB_SIGN_SECRET_BYTES];
   uint8_t foreign[FB_SIGN_SECRET_BYTES];
@@ -168,7 +168,7 @@
   cell->partners[0].name = g_strdup ("p");
   cell->partners[1].name = g_strdup ("q");
   fb_cell_add_member (cell, "d0", 0, 0);
-  FbNodeConfig config = { .cell = cell, .incarnation = 1, .sink = &sink };
+  FbNodeConfig config = { .cell = cell, .incarnation = 1, .callbacks = &callbacks };
   FbNode *node = fb_node_new (&config, 1000);
   FbLogRecord records[] = { { FB_STREAM_CONFIG, 5, 0, config_record (99, foreign) },
                             { FB_STREAM_CONFIG, 6, 0, config_record (2, secret) } };
@@ -201,11 +201,11 @@
   gsize len = 0;
   const void *data = g_bytes_get_data (bytes, &len);
   fb_record read;
-  FbStreamResult verdict = fb_stream_read (test->stream, test->offset++, data, len, &read);
-  if (verdict == FB_STREAM_OK || verdict == FB_STREAM_CLAIMED)
+  FbStreamResult result = fb_stream_read (test->stream, test->offset++, data, len, &read);
+  if (result == FB_STREAM_OK || result == FB_STREAM_CLAIMED)
     fb_codec_clear_record (&read);
   g_bytes_unref (bytes);
-  return verdict;
+  return result;
 }
 
 static FbStreamResult
@@ -223,8 +223,8 @@
   return append (test, writer, seq, epoch, &body);
 }
 
-/* Two daemons claim a shard on top of the same previous claim, and the old owner goes on writing.
- * Every reader takes the first claim, and drops later records of the old epoch. */
+/* Two daemons claim a shard after the same previous claim, and the old owner continues to write.
+ * Every reader accepts the first claim and drops later records of the old epoch. */
 static void
 test_stream_first_claim_wins (void)
 {
@@ -238,19 +238,19 @@
   uint64_t second = fb_stream_epoch (test.stream);
   CU_ASSERT_EQUAL (append_cancel (&test, 2, 2, second), FB_STREAM_OK);
   CU_ASSERT_EQUAL (append_cancel (&test, 2, 2, second), FB_STREAM_DUPLICATE);
-  /* A hand-over without the log raises the sub-epoch; it never goes back. */
+  /* A handover without the log increments the sub-epoch, which never decreases. */
   CU_ASSERT_EQUAL (append_cancel (&test, 4, 1, second + 1), FB_STREAM_OK);
   CU_ASSERT_EQUAL (append_cancel (&test, 2, 3, second), FB_STREAM_SUPERSEDED);
   fb_stream_free (test.stream);
 }
 
-/* The log has deleted the claim in force. A reader must not judge records before it reads a RENEW
- * record whose writer had read up to the offset where the reader began. */
+/* The log has deleted the claim in force. A reader must not accept records before it reads a
+ * RENEW record whose writer had read up to the offset where the reader began. */
 static void
 test_stream_validates_after_a_gap (void)
 {
   StreamTest test = { fb_stream_new (3), 100 };
-  fb_stream_note_first_retained (test.stream, 100);
+  fb_stream_set_first_retained (test.stream, 100);
   uint64_t epoch = fb_epoch_of_claim (50);
   fb_rec_body renew = { .type = FB_REC_RENEW };
   renew.fb_rec_body_u.renew.claim.owner = (char *) "d";
@@ -266,13 +266,13 @@
 }
 
 /* The answer to an append of a claim was lost, so the claim was appended again, and the log has
- * deleted the first copy. A reader that began between the two must not take the second copy for a
- * claim at its own offset. */
+ * deleted the first copy. A reader that began between the two must not accept the second copy as
+ * a claim at its own offset. */
 static void
 test_stream_second_copy_of_a_claim (void)
 {
   StreamTest test = { fb_stream_new (3), 100 };
-  fb_stream_note_first_retained (test.stream, 100);
+  fb_stream_set_first_retained (test.stream, 100);
   fb_rec_body body = { .type = FB_REC_CLAIM };
   body.fb_rec_body_u.claim = (fb_rec_claim){ 3, 0, 0, 60, (char *) "d", 1 };
   CU_ASSERT_EQUAL (append (&test, 1, 1, 0, &body), FB_STREAM_SUPERSEDED);
@@ -285,7 +285,7 @@
 /* ---- placement -------------------------------------------------------- */
 
 static void
-test_accel_guard_keeps_room_for_accelerators (void)
+test_accel_guard_reserves_capacity_for_accelerators (void)
 {
   const fb_res host = { { 64000, 256ull << 30, 8, 8 } };
   static const struct
@@ -305,16 +305,16 @@
     {
       fb_res free = { { cases[i].cpu_free_milli, 256ull << 30, cases[i].accel_free, 8 } };
       fb_res demand = { { cases[i].cpu_milli, 1 << 30, cases[i].accel, 1 } };
-      FbPlaceCandidate view = { &host, &free, &demand, 0, 500 };
-      CU_ASSERT_EQUAL (fb_place_accel_guard.cost (&view) >= 0, cases[i].allowed);
+      FbPlaceCandidate candidate = { &host, &free, &demand, 0, 500 };
+      CU_ASSERT_EQUAL (fb_place_accel_guard.cost (&candidate) >= 0, cases[i].allowed);
     }
 }
 
 /* ---- membership ------------------------------------------------------- */
 
-/* When one of seven daemons dies, only its own shards move. */
+/* If one of seven daemons fails, only its own shards move. */
 static void
-test_rendezvous_moves_only_shards_of_the_dead_member (void)
+test_rendezvous_moves_only_shards_of_the_failed_member (void)
 {
   FbMembers *members = fb_members_new ();
   for (guint i = 0; i < 7; i++)
@@ -324,12 +324,12 @@
     }
   fb_members_set_self (members, 0, 1);
   for (guint i = 1; i < 7; i++)
-    fb_members_note_heartbeat (members, 1000, i, 1, FALSE);
+    fb_members_record_heartbeat (members, 1000, i, 1, FALSE);
   int before[200];
   for (guint s = 0; s < 200; s++)
     before[s] = fb_members_preferred_owner (members, s, 0, G_MAXUINT);
   for (guint i = 1; i < 6; i++)
-    fb_members_note_heartbeat (members, 9000, i, 1, FALSE);
+    fb_members_record_heartbeat (members, 9000, i, 1, FALSE);
   fb_members_tick (members, 9000);
   CU_ASSERT_EQUAL (fb_members_state (members, 6), FB_MEMBER_SUSPECTED);
   guint moved = 0;
@@ -346,9 +346,9 @@
 
 /* ---- quotas ----------------------------------------------------------- */
 
-/* All racks together must not give a team more than its quota. */
+/* The sum of the quota slices of all racks does not exceed the quota. */
 static void
-test_quota_slices_never_pass_the_quota (void)
+test_quota_slices_never_exceed_the_quota (void)
 {
   FbCell *cell = fb_cell_new ();
   const fb_res host = { { 16000, 32ull << 30, 0, 8 } };
@@ -424,10 +424,10 @@
   { "first claim wins", test_stream_first_claim_wins },
   { "a stream is validated after a gap", test_stream_validates_after_a_gap },
   { "second copy of a claim", test_stream_second_copy_of_a_claim },
-  { "accelerator guard", test_accel_guard_keeps_room_for_accelerators },
-  { "rendezvous moves few shards", test_rendezvous_moves_only_shards_of_the_dead_member },
+  { "accelerator guard", test_accel_guard_reserves_capacity_for_accelerators },
+  { "rendezvous moves few shards", test_rendezvous_moves_only_shards_of_the_failed_member },
   { "progress with and without suspects", test_progress_with_and_without_suspects },
-  { "quota slices", test_quota_slices_never_pass_the_quota },
+  { "quota slices", test_quota_slices_never_exceed_the_quota },
   CU_TEST_INFO_NULL,
 };
 
--- a/tests/world.c
+++ b/tests/world.c
@@ -25,8 +25,8 @@
   gboolean paused;
   uint64_t hosts_sent_ms;
   gboolean draining;
-  gboolean peers_cut;
-  gboolean workers_cut;
+  gboolean peers_unreachable;
+  gboolean workers_unreachable;
   uint64_t last_serial[FB_PARTNER_N];
 } DaemonSlot;
 
@@ -136,7 +136,7 @@
                                                : 0);
 }
 
-/* ---- the node's sink -------------------------------------------------- */
+/* ---- callbacks of the node -------------------------------------------- */
 
 static void
 on_send (gpointer user, guint member, const fb_msg *msg)
@@ -144,7 +144,7 @@
   DaemonSlot *from = user;
   World *self = from->world;
   DaemonSlot *to = &self->slots[member];
-  if (from->peers_cut || to->peers_cut || chance (self, self->loss_per_256))
+  if (from->peers_unreachable || to->peers_unreachable || chance (self, self->loss_per_256))
     return;
   guint copies = chance (self, self->duplicate_per_256) ? 2 : 1;
   for (guint i = 0; i < copies; i++)
@@ -161,7 +161,7 @@
 {
   DaemonSlot *slot = user;
   World *self = slot->world;
-  gboolean lost = slot->workers_cut || chance (self, self->loss_per_256);
+  gboolean lost = slot->workers_unreachable || chance (self, self->loss_per_256);
   if (!lost)
     {
       Event *event = event_new (self, EVENT_EXCHANGE, slot, draw_delivery_delay (self));
@@ -227,13 +227,13 @@
   World *self = slot->world;
   if (serial < slot->last_serial[partner])
     oracle_report_violation (self->oracle,
-                             "a daemon went back to a configuration with a lower serial");
+                             "a daemon reverted to a configuration with a lower serial");
   slot->last_serial[partner] = serial;
   oracle_check_config (self->oracle, partner, serial,
                        fb_node_config_revision (slot->node, partner));
 }
 
-static const FbNodeSink node_sink
+static const FbNodeCallbacks node_callbacks
     = { on_send, on_worker_sync, on_log_append, on_log_read, on_answer, on_config_changed };
 
 /* ---- delivery --------------------------------------------------------- */
@@ -264,7 +264,7 @@
   WorkerReply *reply = worker_handle (worker, self->now_ms, event->exchange);
   if (reply == NULL)
     return;
-  if (chance (self, self->loss_per_256) || slot->workers_cut)
+  if (chance (self, self->loss_per_256) || slot->workers_unreachable)
     {
       worker_reply_free (reply);
       return;
@@ -495,11 +495,11 @@
 
 /* ---- faults ----------------------------------------------------------- */
 
-/* Marks revisions that no running daemon holds any more.  Such a revision is at most in the log,
- * and retention may drop it there before a daemon reads it.  This loss is allowed, because no
- * caller was told that the revision is in force. */
+/* Marks revisions that no running daemon has any more. Such a revision is at most in the log,
+ * and retention may drop it there before a daemon reads it. This loss is allowed, because no
+ * caller has received a confirmation that the revision is in force. */
 static void
-note_config_loss (World *self)
+record_config_loss (World *self)
 {
   for (guint p = 0; p < FB_PARTNER_N; p++)
     {
@@ -519,11 +519,11 @@
 {
   DaemonSlot *slot = &self->slots[node];
   g_clear_pointer (&slot->node, fb_node_free);
-  oracle_daemon_died (self->oracle, node);
+  oracle_daemon_killed (self->oracle, node);
   slot->incarnation++;
   slot->paused = FALSE;
   slot->draining = FALSE;
-  note_config_loss (self);
+  record_config_loss (self);
 }
 
 void
@@ -538,7 +538,7 @@
                           .self_index = node,
                           .incarnation = ++self->incarnation,
                           .seed = (uint32_t) g_rand_int (self->rand),
-                          .sink = &node_sink,
+                          .callbacks = &node_callbacks,
                           .user = slot };
   slot->node = fb_node_new (&config, self->now_ms);
 }
@@ -571,15 +571,15 @@
 }
 
 void
-world_set_peers_cut (World *self, guint node, gboolean peers_cut)
+world_set_peers_unreachable (World *self, guint node, gboolean peers_unreachable)
 {
-  self->slots[node].peers_cut = peers_cut;
+  self->slots[node].peers_unreachable = peers_unreachable;
 }
 
 void
-world_set_workers_cut (World *self, guint node, gboolean peers_cut)
+world_set_workers_unreachable (World *self, guint node, gboolean workers_unreachable)
 {
-  self->slots[node].workers_cut = peers_cut;
+  self->slots[node].workers_unreachable = workers_unreachable;
 }
 
 void
@@ -707,8 +707,8 @@
   world_set_log_state (self, WORLD_LOG_UP);
   for (guint i = 0; i < self->size.member_n; i++)
     {
-      world_set_peers_cut (self, i, FALSE);
-      world_set_workers_cut (self, i, FALSE);
+      world_set_peers_unreachable (self, i, FALSE);
+      world_set_workers_unreachable (self, i, FALSE);
       world_set_paused (self, i, FALSE);
       /* A drained daemon exits, and a new process replaces it. */
       if (self->slots[i].draining)
@@ -726,7 +726,7 @@
         }
     }
   world_run (self, RECOVERY_MS);
-  /* Callers whose daemon died ask another one for the outcome. */
+  /* Callers whose daemon was killed query another one for the outcome. */
   oracle_foreach_unanswered (self->oracle, query_job, self);
   world_run (self, QUERY_MS);
 }
