--- a/src/entry/advice/advice-balancer.c
+++ b/src/entry/advice/advice-balancer.c
@@ -2,30 +2,31 @@
 
 #include <math.h>
 
-/* Number of classes of requests; the class is the binary logarithm of the expected duration. */
+/* Number of size classes of requests; the class is the binary logarithm of the expected
+ * duration. */
 #define CLASS_N 16
 /* Daemons are reserved against a request for those that take less than a quarter of its duration:
  * waiting behind a request of half its own length costs a caller little more than its own
  * duration. */
 #define CLASS_DISTANCE 2
-/* Failure: two owners do not know of each other's requests, and a daemon's calls queue; a short
- * request of one waits behind a long one of the other, and its callers are late.  In load tests of
- * a deployment with two services the mean value of the jobs completed in time was lower by 0.008.
- * Guard: long requests are assigned from the end of the list of daemons, short ones from the
- * beginning (FB_ADVICE_LONG_MS). */
-
-/* Failure: another owner has a long request at every daemon, and a daemon that has answered a short
- * one begins a long one while the next short one is still in transit; it shows as short requests
- * that get one answer for each long one.  Guard: a second short request is already queued at the
- * daemon. */
-#define SHORT_MAX 2 /* short requests open at one daemon */
-
-/* Half-life of the load of sent requests: bursts last some seconds. */
+/* Long requests are assigned from the end of the list of daemons, short ones from the beginning
+ * (FB_ADVICE_LONG_MS).  Two owners do not know each other's requests, so that otherwise a short
+ * request of one queues behind a long one of the other and its callers get late answers.  In load
+ * tests of a deployment with two services this lowered the mean value of the jobs completed in time
+ * by 0.008. */
+
+/* Maximum number of short requests open at one daemon.  With one, when another owner has a long
+ * request at every daemon, a daemon that has answered a short request begins a long one while the
+ * next short one is in transit, so that only one short request is answered for each long one.  With
+ * two, a second short request is already queued. */
+#define SHORT_MAX 2
+
+/* Half-life of the load caused by sent requests; bursts last some seconds. */
 #define HALF_LIFE_MS 1000
 
 typedef struct
 {
-  double busy_ms; /* expected duration of requests sent, halved every HALF_LIFE_MS */
+  double busy_ms; /* total expected duration of sent requests, with a half-life of HALF_LIFE_MS */
   uint64_t as_of_ms;
 } Load;
 
@@ -71,7 +72,8 @@
   load->as_of_ms = MAX (load->as_of_ms, now_ms);
 }
 
-/* Returns: how many daemons were recently kept busy by requests much shorter than CLASS. */
+/* Returns: the mean number of daemons that were recently busy with requests much shorter than
+ * CLASS. */
 static double
 shorter_load (FbAdviceBalancer *self, guint class, uint64_t now_ms)
 {
@@ -81,22 +83,22 @@
       decay (&self->loads[i], now_ms);
       busy_ms += self->loads[i].busy_ms;
     }
-  /* A constantly busy daemon adds up to HALF_LIFE_MS / ln 2. */
+  /* The value of a constantly busy daemon converges to HALF_LIFE_MS / ln 2. */
   return busy_ms / (HALF_LIFE_MS / G_LN2);
 }
 
-/* With 38 requests of 16 ms a second, 10 of 89 ms and 2 of 875 ms at nine daemons, the long ones
- * may use seven daemons, and six during a burst of 2.3 times the short ones.  Reserving half as
- * many again and one more was too much: gangs waited, and the mean value of the jobs completed in
- * time was 0.006 lower over 20 load tests of two deployments in which processor time was not
- * modelled (the daemons' computation cost nothing). */
+/* Example: with 38 requests of 16 ms a second, 10 of 89 ms and 2 of 875 ms at nine daemons, the
+ * long ones may use seven daemons, and six during a burst of 2.3 times the short ones.  Reserving
+ * half as many more plus one delayed gangs too much: the mean value of the jobs completed in time
+ * was 0.006 lower over 20 load tests of two deployments that did not model the daemons' processor
+ * time. */
 guint
 fb_advice_balancer_reserved (FbAdviceBalancer *self, guint daemons_n, uint32_t expected_ms,
                              uint64_t now_ms)
 {
   double load = shorter_load (self, class_of (expected_ms), now_ms);
-  /* Below a hundredth of a daemon nothing is reserved: the last short request was some seconds
-   * ago. */
+  /* Nothing is reserved below a load of 0.01, which means that the last short request was some
+   * seconds ago. */
   if (load < 0.01 || daemons_n < 2)
     return 0;
   return MIN (MAX ((guint) (load + 0.5), 1), daemons_n - 1);
--- a/src/entry/advice/advice-balancer.h
+++ b/src/entry/advice/advice-balancer.h
@@ -1,18 +1,17 @@
-/* Chooses the daemon that sends a request to the advice service, or makes the request wait.
+/* Chooses the daemon that forwards a request to the advice service, or makes the request wait.
  *
- * The service handles one call at a time for each calling daemon, and requests take from a
- * hundredth of a second to a second.  Any free daemon takes any request, but long requests leave as
- * many daemons free as shorter ones have recently kept busy.  This serves a load of short tasks
- * whose callers allow half a second beside gangs whose request takes most of a second.  No I/O,
- * clock or thread. */
+ * The service handles one call at a time for each calling daemon, and a request takes between 10 ms
+ * and 1 s.  Any idle daemon can take any request, but long requests leave as many daemons idle as
+ * shorter ones have recently kept busy.  This serves a load of short tasks whose callers allow half
+ * a second together with gangs whose request takes most of a second.  No I/O, clock or thread. */
 #pragma once
 
 #include <glib.h>
 #include <stdint.h>
 
-/* Requests that take this long are long, others short.  All owners have to use the same value,
- * which is otherwise free; it is half of the 250 ms that the tightest callers allow, so that a
- * request for a hundred workers of such a queue (68 ms) is short. */
+/* Minimum expected duration of a long request; shorter requests are short.  All owners have to use
+ * the same value.  It is half of the 250 ms that the strictest callers allow, so that a request for
+ * a hundred workers of such a queue (68 ms) is short. */
 #define FB_ADVICE_LONG_MS 128
 
 typedef struct _FbAdviceBalancer FbAdviceBalancer;
@@ -20,8 +19,8 @@
 FbAdviceBalancer *fb_advice_balancer_new (void);
 void fb_advice_balancer_free (FbAdviceBalancer *self);
 
-/* Returns: how many of DAEMONS_N daemons a request of EXPECTED_MS has to leave to shorter ones; 0
- * when none. */
+/* Returns: how many of DAEMONS_N daemons a request of EXPECTED_MS has to leave idle for shorter
+ * requests. */
 guint fb_advice_balancer_reserved (FbAdviceBalancer *self, guint daemons_n, uint32_t expected_ms,
                                    uint64_t now_ms);
 /* DAEMONS: addresses, of const char.
--- a/src/entry/advice/advice-queue.c
+++ b/src/entry/advice/advice-queue.c
@@ -2,15 +2,16 @@
 
 #include "advice-balancer.h"
 
-/* Failure: two pools send requests, one of them long ones to every daemon.  A daemon that sends
- * them in order of arrival returns one short answer for each long one: 50 a second in all instead
- * of 300 with 30 daemons.  It shows as one service whose tasks are all late for as long as the
- * other has a backlog, and as long-running tasks that wait for seconds.  Guard: a request becomes
- * due DUE_FACTOR times its own duration after its arrival, and the earliest due goes first.  When
- * both kinds wait, short requests get three fifths of the time, and a long request waits at most
- * DUE_FACTOR times its own duration. */
+/* Earliest deadline first: a request is due DUE_FACTOR times its own expected duration after its
+ * arrival.  While both kinds wait, short requests get three fifths of the time, and a long request
+ * waits at most DUE_FACTOR times its own duration.
+ *
+ * With two pools, one of which sends long requests to every daemon, sending in order of arrival
+ * gives one short answer for each long one: with 30 daemons 50 a second in total instead of 300.
+ * All tasks of the service with short requests are then late for as long as the other has a
+ * backlog, and long-running tasks wait for seconds. */
 #define DUE_FACTOR 1.5
-/* Two short requests may be open at the service at once, to hide the round trip. */
+/* Maximum number of short requests that are open at the service, to hide the round-trip time. */
 #define SHORT_MAX 2
 
 typedef struct
--- a/src/entry/advice/advice-queue.h
+++ b/src/entry/advice/advice-queue.h
@@ -1,7 +1,8 @@
-/* Queue of this daemon's calls to the advice service, which decides their order.
+/* Queue of this daemon's calls to the advice service, which determines their order.
  *
  * The service handles the calls of one daemon one after the other, and every owner of a pool
- * spreads its requests over all daemons, so requests of several owners wait in the same queue. */
+ * spreads its requests over all daemons, so that requests of several owners wait in the same
+ * queue. */
 #pragma once
 
 #include <glib.h>
@@ -10,7 +11,7 @@
 typedef struct _FbAdviceQueue FbAdviceQueue;
 
 FbAdviceQueue *fb_advice_queue_new (void);
-/* Drops waiting requests, which are borrowed. */
+/* Requests that still wait are borrowed and are not freed. */
 void fb_advice_queue_free (FbAdviceQueue *self);
 /* Adds REQUEST (borrowed), which arrived at NOW_MS; the service is expected to take EXPECTED_MS to
  * decide on it. */
--- a/src/entry/advice/advisor.c
+++ b/src/entry/advice/advisor.c
@@ -1,11 +1,11 @@
 /* Requests to the advice service.  The service handles one call at a time for each calling daemon,
- * and a call takes up to a second.  The owner of a pool therefore spreads its requests over all
+ * and a call takes up to a second.  The owner of a pool therefore distributes its requests over all
  * daemons, with one open at each, or two short ones (advice-balancer.h); at a daemon, requests of
  * several owners wait in one queue (advice-queue.h).
  *
- * Failure: one daemon is left and owns two pools; the pool that has just got its answer always asks
- * again first, and no task of the other pool is started any more.  Guard: pools that wait for a
- * daemon take turns, by the service time that their requests have used. */
+ * Pools that wait for a daemon are served in the order of the service time that their requests have
+ * used.  Otherwise, when one daemon is left and owns two pools, the pool that has just received its
+ * answer always sends the next request first, and no task of the other pool is started. */
 #include "advice-balancer.h"
 #include "advice-queue.h"
 #include "fair-share.h"
@@ -15,9 +15,9 @@
 #include "fb-event.h"
 #include "fb-histogram.h"
 
-/* How long a request may wait at a daemon behind those of other pools: long enough for one of 1.8 s
- * that has just begun and for short ones that go first meanwhile; a long request may wait for twice
- * its own duration. */
+/* Maximum time for which a request waits at a daemon behind those of other pools: long enough for
+ * one of 1.8 s that has just begun and for short ones that are sent first meanwhile.  A long
+ * request may wait for WAIT_MAX_FACTOR times its own duration. */
 #define WAIT_MAX_MS 3000
 #define WAIT_MAX_FACTOR 2
 /* Upper bound of a request's expected duration: a hundred workers at 100 ms each. */
@@ -28,8 +28,8 @@
 struct _FbAdvisor
 {
   FbEntry *entry;
-  FbFairShare *fair_share;      /* fair shares of pools among requests that reserve no daemons */
-  FbFairShare *long_fair_share; /* the same for requests that leave daemons to shorter ones */
+  FbFairShare *fair_share;      /* sharing among requests that reserve no daemons */
+  FbFairShare *long_fair_share; /* sharing among requests that leave daemons to shorter ones */
   FbAdviceBalancer *balancer;
   FbAdviceQueue *queue; /* of AdviceCall */
 };
@@ -59,7 +59,7 @@
   g_free (request);
 }
 
-/* Returns: (nullable): the incarnation of worker ID that REQUEST named; borrowed. */
+/* Returns: (nullable): the incarnation of worker ID in REQUEST; borrowed. */
 static char *
 incarnation_of (const AdviceRequest *request, const char *id)
 {
@@ -72,8 +72,8 @@
   return NULL;
 }
 
-/* Passes the answer to OWNER.  Tickets name workers by id; they are assigned to the incarnations
- * that the request named.  PEER_REPLY: NULL without an answer. */
+/* Passes the answer to OWNER.  Tickets contain worker ids; they are assigned to the incarnations
+ * that the request contained.  PEER_REPLY: NULL without an answer. */
 static void
 pass_to_owner (FbOwner *owner, const AdviceRequest *request, const fb_advice_reply *peer_reply)
 {
@@ -104,7 +104,7 @@
     fb_event_log (FB_EVENT_CALL_FAILED, "advice step=%s daemon=%s", request->step, request->daemon);
   if (owner != NULL)
     pass_to_owner (owner, request, answered ? &peer_reply->fb_peer_reply_u.advice : NULL);
-  /* Lets the pool whose turn it is send its request. */
+  /* Lets the next pool by fair share send its request. */
   fb_entry_foreach_owner (request->entry, fb_owner_schedule_tick);
   advice_request_free (request);
 }
@@ -127,8 +127,8 @@
   return daemons;
 }
 
-/* Returns: (nullable): the daemon for a request; NULL when none is free or another pool is to go
- * first. */
+/* Returns: (nullable): the daemon for a request; NULL when none is available or another pool is
+ * served first. */
 static const char *
 choose_daemon (FbAdvisor *self, uint32_t partition, uint32_t expected_ms)
 {
@@ -225,8 +225,8 @@
   call_next (self);
 }
 
-/* TRUE when the requester has given up already: calling the service would only delay other
- * requests. */
+/* Returns: TRUE when the requester no longer waits for the answer; calling the service would only
+ * delay other requests. */
 static gboolean
 has_timed_out (const AdviceCall *call)
 {
--- a/src/entry/advice/advisor.h
+++ b/src/entry/advice/advisor.h
@@ -1,4 +1,5 @@
-/* Spreads requests for advice over the daemons, and calls the service on behalf of any daemon. */
+/* Distributes requests for advice over the daemons, and calls the advice service on behalf of any
+ * daemon. */
 #pragma once
 
 #include "src/entry/peers/relay.h"
@@ -11,7 +12,7 @@
  * Returns: FALSE when no daemon can take the request now, or there is no advice service. */
 gboolean fb_advisor_ask (FbAdvisor *self, uint32_t partition, const char *step,
                          const char *const *workers, guint n, uint32_t expected_ms);
-/* Calls the advice service from this daemon, after requests that are due earlier.  DONE is called
- * once. */
+/* Calls the advice service from this daemon, after queued requests with an earlier deadline.  DONE
+ * is called once. */
 void fb_advisor_call (FbEntry *entry, const fb_advice_request *peer_request, FbPeerReplyDone done,
                       gpointer user);
--- a/src/entry/advice/fair-share.c
+++ b/src/entry/advice/fair-share.c
@@ -1,15 +1,16 @@
 #include "fair-share.h"
 
-/* A waiting user asks again every 25 ms; one that has not asked for this long no longer waits. */
+/* A waiting user repeats its request every 25 ms; after this time without a request it is no longer
+ * considered waiting. */
 #define WAIT_EXPIRY_MS 100
-/* A user that asked for nothing for this long gets no credit for that time. */
+/* A user without a request for this long gets no credit for that time. */
 #define IDLE_MS 1000
 
 typedef struct
 {
   uint64_t used_ms;
   uint64_t asked_ms;
-  uint64_t waited_ms; /* when it last had to wait; 0: not since it was last served */
+  uint64_t waited_ms; /* time when it last had to wait; 0: not since it was last served */
 } Share;
 
 struct _FbFairShare
@@ -44,8 +45,8 @@
   return share;
 }
 
-/* Returns: the least time used by any waiting user other than EXCEPT; G_MAXUINT64 when none waits.
- */
+/* Returns: the shortest time used by any waiting user other than EXCEPT; G_MAXUINT64 when none
+ * waits. */
 static uint64_t
 least_used_by_waiting_ms (const FbFairShare *self, const Share *except, uint64_t now_ms)
 {
--- a/src/entry/clock.h
+++ b/src/entry/clock.h
@@ -3,7 +3,7 @@
 
 #include <stdint.h>
 
-/* Returns: monotonic time in ms, which includes time while the host is suspended. */
+/* Returns: monotonic time in ms, including time while the host is suspended. */
 uint64_t fb_clock_ms (void);
-/* Returns: time since 1970 in ms, by this host's clock. */
+/* Returns: wall-clock time of this host in ms since 1970. */
 uint64_t fb_clock_wall_ms (void);
--- a/src/entry/entry-private.h
+++ b/src/entry/entry-private.h
@@ -1,8 +1,8 @@
 /* Internal definitions of the daemon that is deployed on the platform.
  *
  * All components except the keepalive run on one thread's main loop: a daemon has a fraction of one
- * core, and its callbacks are short.  Each component owns its open calls; a component that is freed
- * while a call is open leaves freeing of the call's state to the call's completion. */
+ * core, and its callbacks are short.  Each component owns its open calls.  When a component is
+ * freed while a call is open, the completion of the call frees the call's state. */
 #pragma once
 
 #include "clock.h"
@@ -51,7 +51,7 @@
   FbTopicReader *worker_reader; /* NULL until this daemon owns a partition */
   FbWorkerList *workers;
   GHashTable *malformed_ids; /* ids of malformed worker entries that have been logged */
-  GHashTable *listed_ids;    /* ids in the current listing; NULL: none in progress */
+  GHashTable *listed_ids;    /* ids in the listing in progress; NULL: none in progress */
   FbKeepalive *keepalive;
   FbDaemons *daemons;
   FbGroup *group;
@@ -65,28 +65,28 @@
   FbPayloadDedup *payload_dedup;     /* payloads sent to other daemons */
   FbPayloadCache *payload_cache;     /* payloads received from other daemons */
   FbRecentStarts *recent_starts;     /* starts sent to workers from this daemon */
-  FbSuspectBackups *suspect_backups; /* held for owners that the store does not serve */
+  FbSuspectBackups *suspect_backups; /* held for owners that cannot write to the store */
   FbJoinWatch joins;
   gboolean stopping;
-  gboolean refusing_callers; /* shutting down: new callers are refused immediately */
+  gboolean refusing_callers; /* new callers are refused because the process is about to exit */
   guint open_calls;          /* number of callers' requests without an answer */
   uint64_t answered_ms;      /* time of the last answer to a caller */
-  uint64_t store_ok_ms;      /* time of the store's last answer that was no error */
+  uint64_t store_ok_ms;      /* time of the last successful answer of the store */
   gboolean store_lost;
   FbStoreHealth store_health; /* latency and failures of this daemon's calls to the store */
-  gboolean store_degraded;    /* as last logged; see fb_append_proxy_store_is_degraded() */
+  gboolean store_degraded;    /* last logged state; see fb_append_proxy_store_is_degraded() */
 };
 
 uint32_t fb_entry_partition_of (const FbEntry *self, const char *service);
 FbOwner *fb_entry_owner (const FbEntry *self, uint32_t partition);
 FbAppender *fb_entry_appender (FbEntry *self, uint32_t partition);
-/* Sets which partitions this daemon owns; new ones are taken over with an epoch of the group's
- * GENERATION.  WHY is logged for partitions that it no longer owns. */
+/* Sets the partitions that this daemon owns.  New ones are taken over with an epoch of the group's
+ * GENERATION.  WHY: logged as the reason for partitions that are no longer owned. */
 void fb_entry_set_owned_partitions (FbEntry *self, const GArray *partitions, uint64_t generation,
                                     const char *why);
 void fb_entry_release_partition (FbEntry *self, uint32_t partition);
 void fb_entry_foreach_owner (FbEntry *self, void (*func) (FbOwner *owner));
-/* Starts following the configuration, and the periodic release of partitions whose ownership was
+/* Starts reading the configuration, and the periodic release of partitions whose ownership was
  * lost. */
 void fb_entry_start_watching (FbEntry *self);
 /* Returns: (transfer full): ages of the last joins and the largest main loop delay, for log lines
@@ -100,7 +100,7 @@
 void fb_entry_membership_renewed (FbEntry *self, const FbHttpReply *reply, uint64_t sent_ms);
 /* To be called with the REPLY to a call of the store: records whether the store serves. */
 void fb_entry_store_answered (FbEntry *self, const FbHttpReply *reply);
-/* TRUE when the store has not answered for so long that a call would most likely time out; callers
- * are then refused before anything is sent. */
+/* Returns: TRUE when the store has not answered for so long that a call would probably time out;
+ * callers are then refused before anything is sent. */
 gboolean fb_entry_store_is_silent (const FbEntry *self);
 gboolean fb_entry_is_ready (const FbEntry *self);
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -22,13 +22,15 @@
 
 #define TIMER_MS 25
 #define SETTINGS_CHECK_MS 1000
-/* Interval at which the use of the network link is checked: bursts of a take-over last 1 to 2 s. */
+/* Interval at which the utilization of the network link is checked; bursts of traffic after a
+ * takeover last 1 to 2 s. */
 #define LINK_CHECK_MS 2000
 /* Phases of a planned stop: progress is flushed, then partitions are released, then callers on open
  * connections are served until shortly before the process would be killed. */
-/* Failure: with steps of 50 ms and a caller that sends a request every 50 ms, every step sees an
- * answer that was just given, so the process does not end until it has to refuse callers.  Guard:
- * the step is shorter than STOP_SETTLE_MS, the quiet time that it checks for. */
+/* Interval of the checks whether the process can exit; must be shorter than STOP_SETTLE_MS, the
+ * period without answers that they require.  With an interval of 50 ms and a caller that sends a
+ * request every 50 ms, each check saw a recent answer, and the process ran until it had to refuse
+ * callers. */
 #define STOP_STEP_MS 10
 #define STOP_MARGIN_MS 1200
 #define STOP_FLUSH_MS 800
@@ -38,7 +40,7 @@
 /* Size of the cache of payloads received from other owners: some 700 payloads of 1.4 KB, 1 MB of a
  * daemon's 64 MB. */
 #define PAYLOAD_CACHE_BYTES (1024 * 1024)
-/* Limit of log lines per second; the daily peak of decisions is below it. */
+/* Maximum number of log lines per second, above the daily peak of decisions. */
 #define LOG_LINES_PER_S 2000
 
 typedef struct
@@ -49,7 +51,7 @@
   SoupServer *internal;
   uint64_t stop_began_ms;
   gboolean leave_requested;
-  uint64_t released_ms; /* when the partitions were released; 0: not yet */
+  uint64_t released_ms; /* time of the release of the partitions; 0: not released */
 } Daemon;
 
 /* ---- servers ---------------------------------------------------------------------- */
@@ -212,8 +214,8 @@
       fb_entry_set_owned_partitions (entry, none, 0, "planned stop");
       fb_group_release_partitions (entry->group, on_left, self);
     }
-  /* Failure: the process ends while calls are open; it shows as requests that were read and get no
-   * answer.  Guard: a request that could last beyond the end of the process is refused. */
+  /* Refuses requests that could outlast the process; otherwise they would be read and never
+   * answered. */
   if (spent_ms + STOP_MARGIN_MS + FB_FRONT_LONGEST_CALL_MS >= entry->settings->grace_ms)
     entry->refusing_callers = TRUE;
   gboolean done = self->released_ms != 0 && now_ms > self->released_ms + STOP_LINGER_MS
--- a/src/entry/front/append-proxy.c
+++ b/src/entry/front/append-proxy.c
@@ -7,8 +7,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Up to this number of daemons each appends by itself: nine appends of 120 ms take 1.1 s, which
- * callers can wait until it is known that the store is slow. */
+/* Maximum number of daemons that append their own records: nine appends of 120 ms take 1.1 s, which
+ * is within the time for which callers wait until the store is known to be slow. */
 #define DIRECT_MAX 9
 /* Number of daemons per partition that append for the others.  Four appends of 120 ms take half a
  * second; with only one daemon, its failure would block all callers until it is detected. */
@@ -16,13 +16,13 @@
 /* Time limit of an append through another daemon: long enough for the append, short enough to ask
  * one more daemon. */
 #define TIMEOUT_MS 400
-/* The same while the store is slow, where more appends are queued; the rest of a caller's time is
+/* The same while the store is slow and more appends are queued; the rest of a caller's time is left
  * for the answer. */
 #define SLOW_TIMEOUT_MS 2300
-/* Number of other daemons that are asked to append one record. */
+/* Maximum number of proxies that are tried for one record. */
 #define ASKED_MAX 2
-/* Age of a request from which there is no time left to ask another daemon and then store the record
- * from this one. */
+/* Age of a request beyond which no proxy is tried, because the remaining time is needed for
+ * appending the record from this daemon. */
 #define PROXY_UNTIL_MS (FB_FRONT_LONGEST_CALL_MS - TIMEOUT_MS - FB_FRONT_STORE_MS)
 
 static gboolean
@@ -72,7 +72,7 @@
          || fb_store_health_is_slow (store_health);
 }
 
-/* Returns: (nullable): address of the daemon to ask, borrowed; NULL when none is to be asked. */
+/* Returns: (nullable): address of the proxy to try, borrowed; NULL when none is to be tried. */
 static const char *
 next_proxy (const FbAppendProxyRecord *record, const FbStoreHealth *store_health,
             const GPtrArray *members, uint64_t now_ms)
@@ -99,9 +99,9 @@
       return (FbAppendRoute){ FB_APPEND_ROUTE_PROXY, address,
                               (uint32_t) MIN (timeout_ms, remaining_ms) };
     }
-  /* Failure: a record that a slow store has refused is sent by other daemons, each attempt being
-   * one more append in the queue for which it was refused; it shows as callers without an answer
-   * for as long as the store is slow.  Guard: the caller is refused at once, and retries later. */
+  /* A record that a slow store has refused is not sent again by other daemons, because each attempt
+   * adds an append to the queue for which it was refused, and callers get no answer for as long as
+   * the store is slow.  Its caller is refused immediately and retries later. */
   gboolean give_up = slow && record->asked->len > 0;
   return (FbAppendRoute){ .step = give_up ? FB_APPEND_ROUTE_GIVE_UP : FB_APPEND_ROUTE_LOCAL };
 }
--- a/src/entry/front/front-store.c
+++ b/src/entry/front/front-store.c
@@ -1,7 +1,6 @@
 /* Stores a caller's record: from this daemon, through a daemon that appends for many
- * (append-proxy.h), or through peers while the store rejects this daemon's calls.  The caller is
- * told that its record is not stored only if no call that may have stored it is without an answer.
- */
+ * (append-proxy.h), or through peers while the store rejects this daemon's calls.  A caller is told
+ * that its record is not stored only if every call that may have stored it was answered. */
 #include "append-proxy.h"
 #include "front-private.h"
 
@@ -14,8 +13,8 @@
 #define PEER_APPEND_MS 700
 #define PEERS_UNTIL_MS (FB_FRONT_LONGEST_CALL_MS - PEER_APPEND_MS)
 #define PEERS_MAX 3
-/* How long a daemon that failed to append a record is not used: long enough to spare most callers
- * the same failed attempt, short enough for a daemon that has recovered. */
+/* Time for which a daemon that failed to append a record is not used: long enough to spare most
+ * callers the same failed attempt, short enough for a daemon that has recovered. */
 #define BACKOFF_MS 1000
 
 static void
@@ -107,9 +106,9 @@
   store_by_peer (request);
 }
 
-/* Failure: the store rejects this daemon's calls and serves the other daemons; it shows as refused
- * callers while workers are free.  Guard: peers are asked to store the job, one after the other;
- * the record's key makes storing it again harmless. */
+/* Asks peers to store the job, one after the other, because the store may reject this daemon's
+ * calls while it serves other daemons; otherwise callers would be refused while workers are idle.
+ * The record has a key, so storing it again is harmless. */
 static void
 store_by_peer (FbFrontRequest *request)
 {
@@ -159,8 +158,8 @@
 
 static void store_by_proxy (FbFrontRequest *request);
 
-/* Records that the daemon that was asked last did not store the record, so that others are
- * preferred for a while. */
+/* Makes the proxy that was tried last be skipped for a while, because it did not store the
+ * record. */
 static void
 note_append_failure (FbFrontRequest *request)
 {
@@ -178,7 +177,8 @@
   store_by_proxy (request);
 }
 
-/* Stores the record through another daemon, or from this one if that is better. */
+/* Stores the record through another daemon, or from this one, as fb_append_proxy_route()
+ * decides. */
 static void
 store_by_proxy (FbFrontRequest *request)
 {
@@ -216,10 +216,10 @@
   request->records = g_byte_array_new ();
   fb_wire_encode_record (request->records, request->key, value);
   request->stored_since_ms = fb_clock_ms ();
-  /* Failure: the store accepts calls and answers none; it shows as callers who wait for 2 s and are
-   * then told that the outcome is unknown.  Guard: a daemon that has received nothing from the
-   * store sends it nothing, so that its refusal is correct, and asks peers that may still reach the
-   * store. */
+  /* A daemon that has received nothing from the store for a while sends it nothing, and asks peers
+   * that may still reach the store.  If the store accepted calls without answering them, callers
+   * would wait for 2 s and then get an unknown outcome; without a call, the answer that nothing is
+   * stored is correct. */
   if (fb_entry_store_is_silent (request->entry))
     store_by_peer (request);
   else
--- a/src/entry/front/front.c
+++ b/src/entry/front/front.c
@@ -1,8 +1,9 @@
 /* HTTP front end for callers: accepts jobs and cancels, and returns states and counts.
  *
- * Any daemon stores a job itself and answers when the store has it, so jobs are accepted while an
- * owner is being replaced.  A refusal is final: it is given only when the job is certainly not
- * stored.  When that is not known the caller gets 504 and submits again under the same id. */
+ * Any daemon stores a job itself and answers when the store has confirmed it, so that jobs are
+ * accepted while an owner is being replaced.  An error that says that the job is not stored is sent
+ * only when this is certain.  Otherwise the caller gets status 504 and submits the job again under
+ * the same id. */
 #include "front-private.h"
 
 #include "fb-counter.h"
@@ -18,8 +19,8 @@
 /* Time limit of a request to the owner: callers wait about 3 s for the answer. */
 #define OWNER_TIMEOUT_MS 2000
 #define BODY_MAX_BYTES (256 * 1024)
-/* Bounds of Retry-After, which is the time for which the store has been unavailable already, so
- * that a caller's few attempts outlast an outage of seconds. */
+/* Bounds of Retry-After, which is set to the time for which the store has been unavailable, so that
+ * a caller's few attempts outlast an outage of seconds. */
 #define RETRY_AFTER_MIN_S 1
 #define RETRY_AFTER_MAX_S 4
 
@@ -141,7 +142,7 @@
     fb_front_finish (request, SOUP_STATUS_GONE, "{\"error\":\"no such job\"}");
   else if (request->is_delete)
     {
-      /* The value must not be empty: a record without a value drops its key. */
+      /* The value must not be empty, because a record without a value deletes its key. */
       g_autoptr (GBytes) mark = g_bytes_new_static ("x", 1);
       fb_front_store (request, FB_KEY_CANCEL, mark);
     }
--- a/src/entry/front/front.h
+++ b/src/entry/front/front.h
@@ -1,13 +1,13 @@
-/* HTTP front end for callers: jobs, cancels, states and counts. */
+/* HTTP front end for callers: submits and cancels jobs, returns their states and the number of
+ * pending jobs. */
 #pragma once
 
 #include <libsoup/soup.h>
 
 void fb_entry_front_serve (SoupServer *server, SoupServerMessage *message, const char *path,
                            GHashTable *query, gpointer entry);
-/* Longest time that a caller waits for an answer, with all ways to store a job tried one after the
- * other. */
+/* Maximum time until a caller is answered, if all ways to store a job are tried in sequence. */
 #define FB_FRONT_LONGEST_CALL_MS 2600
-/* How long an append in doubt is repeated from this daemon before peers are asked; callers wait
- * about 3 s. */
+/* Maximum time for which an append of unknown outcome is repeated from this daemon before peers are
+ * asked to append; callers wait about 3 s. */
 #define FB_FRONT_STORE_MS 700
--- a/src/entry/link-watch.c
+++ b/src/entry/link-watch.c
@@ -1,12 +1,12 @@
 #include "link-watch.h"
 
-/* Above this utilization bursts wait for longer than a membership renewal may. */
+/* Above this utilization, bursts are queued for longer than a membership renewal may be delayed. */
 #define BUSY_PERCENT 50
 
 struct _FbLinkWatch
 {
   uint32_t link_kbit_s;
-  uint64_t turn_ms;     /* time of the last call of fb_link_watch_turn() */
+  uint64_t turn_ms;     /* time of the last sample */
   FbTrafficTotals last; /* totals at that time */
 };
 
@@ -25,7 +25,6 @@
   g_free (self);
 }
 
-/* Bits per millisecond are kilobits per second. */
 static uint32_t
 rate_kbit_s (uint64_t bytes, uint64_t span_ms)
 {
--- a/src/entry/link-watch.h
+++ b/src/entry/link-watch.h
@@ -1,8 +1,8 @@
-/* Utilization of a daemon's network link by kind of traffic.  No I/O, clock or thread.
+/* Measures the utilization of a daemon's network link by kind of traffic.  No I/O, clock or thread.
  *
- * Failure: the link of an owner is full, and the renewals of its membership queue behind its orders
- * to workers; it shows as a pool that moves from daemon to daemon while the processors are idle.
- * This report distinguishes that from a lack of processor time. */
+ * When an owner's link is saturated, renewals of its membership queue behind orders to workers, and
+ * its pool moves from daemon to daemon while the processors are idle.  The report distinguishes
+ * this from a lack of processor time. */
 #pragma once
 
 #include "fb-traffic.h"
@@ -21,7 +21,7 @@
 FbLinkWatch *fb_link_watch_new (uint32_t link_kbit_s, uint64_t now_ms);
 void fb_link_watch_free (FbLinkWatch *self);
 /* To be called every few seconds with TOTALS as of NOW_MS.
- * Returns: TRUE when more than half of the link was used in either direction since the last call;
- * SENT and RECEIVED hold the figures. */
+ * Returns: TRUE when more than half of the link's capacity was used in either direction since the
+ * last call; SENT and RECEIVED are set in any case unless no time has passed. */
 gboolean fb_link_watch_turn (FbLinkWatch *self, const FbTrafficTotals *totals, uint64_t now_ms,
                              FbLinkUse *sent, FbLinkUse *received);
--- a/src/entry/loop-watch.c
+++ b/src/entry/loop-watch.c
@@ -2,26 +2,26 @@
 
 #include "fb-histogram.h"
 
-/* A daemon joins its group every 250 ms to stay a member; a main loop that is later than this
+/* A daemon joins its group every 250 ms to remain a member; with a larger delay of the main loop it
  * misses a join. */
 #define LATE_MS 250
 #define REPORT_INTERVAL_MS 1000
-/* Slots that cover the last 2 s; part of the oldest one is older. */
+/* Time slots that cover the last 2 s; the oldest one also covers earlier time. */
 #define SLOT_MS 250
 #define SLOT_N 9
 
 typedef struct
 {
-  uint64_t number;  /* time that the slot covers, in units of SLOT_MS */
-  uint32_t late_ms; /* largest delay in that time */
+  uint64_t number;  /* index of the covered interval, in units of SLOT_MS */
+  uint32_t late_ms; /* largest delay in that interval */
 } Slot;
 
 struct _FbLoopWatch
 {
   uint32_t period_ms;
-  uint64_t turn_ms;      /* time of the last turn */
-  uint64_t reported_ms;  /* when late turns were last reported; 0: never */
-  FbLoopLate unreported; /* late turns since then */
+  uint64_t turn_ms;      /* time of the last iteration */
+  uint64_t reported_ms;  /* time of the last report; 0: never */
+  FbLoopLate unreported; /* delayed iterations since the last report */
   Slot slots[SLOT_N];
 };
 
@@ -40,7 +40,7 @@
   g_free (self);
 }
 
-/* Returns: the delay of a turn that comes at NOW_MS. */
+/* Returns: the delay of an iteration that begins at NOW_MS. */
 static uint32_t
 late_at (const FbLoopWatch *self, uint64_t now_ms)
 {
--- a/src/entry/owner/owner-import.c
+++ b/src/entry/owner/owner-import.c
@@ -1,11 +1,12 @@
-/* After a take-over, requests from the other daemons what no record holds: recent starts of earlier
- * owners, and crash suspects that those could not store. */
+/* After a takeover, requests from the other daemons what no record contains: recent starts by
+ * earlier owners, and crash suspects that those owners could not store. */
 #include "owner-private.h"
 
-/* The answer is needed before the first tasks are started again, some 1 s after a take-over. */
+/* Time limit of an answer, which is needed before the first tasks are restarted, some 1 s after a
+ * takeover. */
 #define ANSWER_MS 1000
-/* A daemon learns that a worker is unresponsive when its last poll of that worker times out; hence
- * a second request. */
+/* Delay of the second request.  A daemon detects an unresponsive worker only when its last poll of
+ * that worker times out. */
 #define REPEAT_MS 1500
 #define REQUESTS_MAX 2
 
@@ -81,7 +82,7 @@
       const FbDaemon *daemon = daemons->pdata[i];
       if (g_str_equal (daemon->address, self->entry->settings->peers))
         continue;
-      /* Requested only once: the owner may have cleared a task of suspicion since. */
+      /* Requested only once, because the owner may have cleared a task of suspicion since then. */
       if (self->start_requests_n == 1)
         request_from (self, daemon->address, FB_REQUEST_SUSPECT_BACKUPS);
       request_from (self, daemon->address, FB_REQUEST_RECENT_STARTS);
--- a/src/entry/owner/owner-load.c
+++ b/src/entry/owner/owner-load.c
@@ -1,8 +1,8 @@
 /* Loads the records of a partition when it is taken over, and applies records that arrive later.
  *
- * The order matters: first the previous writer is fenced off, then its progress is read, then the
- * jobs.  Only then are workers contacted, because their lists of runs can be interpreted only with
- * the jobs known. */
+ * The order of the steps matters: the previous writer is fenced, then its progress is read, then
+ * the jobs.  Workers are contacted only after that, because the runs that they report can be
+ * interpreted only when the jobs are known. */
 #include "owner-private.h"
 
 #include "fb-counter.h"
@@ -11,7 +11,8 @@
 
 #include <string.h>
 
-/* Records applied in one turn of the main loop: some 10 ms of processor time. */
+/* Number of records applied in one iteration of the main loop, which takes some 10 ms of processor
+ * time. */
 #define LOAD_PER_TURN 32
 
 static void
@@ -30,7 +31,7 @@
   xdr_free ((xdrproc_t) xdr_fb_work_admit, (char *) &record);
 }
 
-/* VALUE is not used: the key alone identifies the cancelled job. */
+/* VALUE is unused: the key identifies the cancelled job. */
 static void
 cancel (FbOwner *self, const char *job, GBytes *value)
 {
@@ -111,7 +112,7 @@
 typedef void (*ApplyRecord) (FbOwner *self, const char *key, GBytes *value);
 
 /* Applies and removes up to MOST records of TABLE.
- * Returns: how many were applied. */
+ * Returns: the number of records that were applied. */
 static guint
 apply_some (FbOwner *self, GHashTable *table, ApplyRecord apply, guint most)
 {
@@ -141,10 +142,9 @@
   fb_owner_schedule_tick (self);
 }
 
-/* Failure: a pool of hundreds of jobs is loaded in one turn of the main loop, 0.4 s on 0.12 of
- * a core; it shows as callers, orders of other owners and membership renewals that wait for it.
- * Guard: each turn loads a few records: all jobs before their progress, and the progress
- * before the cancels. */
+/* Applies a limited number of records in each iteration: all jobs, then their progress, then the
+ * cancels.  Loading a pool of hundreds of jobs in one iteration takes 0.4 s on 0.12 of a core,
+ * which delays callers, orders of other owners and membership renewals. */
 static gboolean
 on_load_some (gpointer data)
 {
--- a/src/entry/owner/owner-orders.c
+++ b/src/entry/owner/owner-orders.c
@@ -1,5 +1,5 @@
-/* Sends the orders of pools to workers.  An order in flight may outlive its owner, so it holds
- * names and looks the pool up again when its answer arrives. */
+/* Sends the orders of pools to workers.  An order in flight may outlive its owner, so it contains
+ * names, and the pool is looked up when the answer arrives. */
 #include "owner-private.h"
 
 #include "fb-counter.h"
--- a/src/entry/owner/owner-private.h
+++ b/src/entry/owner/owner-private.h
@@ -25,23 +25,24 @@
   GHashTable *service_pools; /* service -> FbServicePool */
   guint load_source;         /* source that applies the records read; 0 when none is scheduled */
   gboolean loaded;
-  gboolean workers_known; /* the list of workers was read after fenced_ms */
-  gboolean lost;          /* stepped down: does not act any more */
+  gboolean workers_known; /* the worker list was read after fenced_ms */
+  gboolean lost;          /* has stepped down and takes no further action */
   gboolean quiesced;      /* starts no tasks, because the daemon is stopping */
   uint64_t take_over_began_ms;
-  uint64_t fenced_ms;     /* when the previous owner was fenced off */
-  uint64_t progress_ms;   /* when the recorded progress had been read */
-  uint64_t jobs_ms;       /* when the jobs had been read; they are applied from then on */
+  uint64_t fenced_ms;     /* time at which the previous owner was fenced */
+  uint64_t progress_ms;   /* time at which the progress records had been read */
+  uint64_t jobs_ms;       /* time at which the jobs had been read; applying them starts then */
   guint loaded_n;         /* number of jobs that were loaded */
   gsize loaded_bytes;     /* size of all records that were loaded */
-  uint64_t confirmed_ms;  /* when its ownership was last confirmed */
+  uint64_t confirmed_ms;  /* time at which its ownership was last confirmed */
   guint start_requests_n; /* number of requests for recent starts sent to each other daemon */
   uint64_t next_start_request_ms; /* time of the next such request */
-  guint tick_source;              /* source of a tick that is scheduled; 0: none */
+  guint tick_source;              /* source of the scheduled tick; 0: none */
   guint tick_timer;               /* subscription for the periodic tick */
-  guint open_flushes;             /* number of appends of progress without a result */
-  GPtrArray *ended_jobs; /* ids of jobs whose end is stored: their records can be dropped */
-  uint64_t dropped_ms;   /* when such records were last dropped */
+  guint open_flushes;             /* number of appends of progress without a result yet */
+  GPtrArray *ended_jobs; /* ids of jobs whose end is stored, so that their admission records can be
+                          * deleted */
+  uint64_t dropped_ms;   /* time at which such records were last deleted */
 };
 
 /* Keys of FB_TOPIC_PROGRESS are job ids, or this prefix and the name of a service. */
@@ -49,25 +50,25 @@
 
 /* owner-orders.c: sends the orders of pools and passes the answers back. */
 extern const FbPoolSink fb_owner_sink;
-/* Marks SELF as no longer the owner: it stops acting at once, and the daemon frees it soon. */
+/* Ends the ownership: SELF takes no further action, and the daemon frees it soon. */
 void fb_owner_step_down (FbOwner *self, const char *why);
 
 /* owner-load.c: loads the records of previous owners. */
 
-/* Completion of the append that fences off the previous writer. */
+/* Completion of the append that fences the previous writer. */
 void fb_owner_writer_fenced (gpointer self, FbAppendResult result);
 
 /* owner-suspect-backups.c */
 
 /* Sends crash suspects that the store does not accept to other daemons. */
 void fb_owner_back_up_suspects (const FbServicePool *service_pool);
-/* Applies PEER_REPLY, the copies of suspects that a daemon has held for earlier owners. */
+/* Applies PEER_REPLY, a daemon's copies of crash suspects of earlier owners. */
 void fb_owner_import_suspects (FbOwner *self, const fb_suspect_backups_reply *peer_reply);
 
 /* owner-import.c */
 
-/* Requests the recent starts of earlier owners from all daemons, twice, and the suspects that they
- * hold for earlier owners, once.  To be called in every tick once the owner has loaded. */
+/* Requests the recent starts of earlier owners from all daemons, twice, and the suspects held for
+ * earlier owners, once.  To be called in every tick after loading. */
 void fb_owner_request_starts (FbOwner *self, uint64_t now_ms);
 
 /* owner.c */
--- a/src/entry/owner/owner-suspect-backups.c
+++ b/src/entry/owner/owner-suspect-backups.c
@@ -26,8 +26,8 @@
          && !g_ptr_array_find_with_equal_func (choice->chosen, daemon->address, g_str_equal, NULL);
 }
 
-/* Sends PEER_REQUEST to the daemons chosen for its job.  A job's copies always go to the same
- * daemons while these are alive. */
+/* Sends PEER_REQUEST to the daemons chosen for its job, which are always the same while they are
+ * members. */
 static void
 send_backups (const FbOwner *self, const fb_peer_request *peer_request)
 {
--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -8,16 +8,16 @@
 #include <string.h>
 
 #define WRITER "owner"
-/* Events within this time are handled in one tick. */
+/* Delay within which events are combined into one tick. */
 #define TICK_DELAY_MS 4
 #define TICK_INTERVAL_MS 25
-/* MAJORITY_MS: maximum age of answers by a majority of the workers that confirm ownership.
- * STEP_DOWN_MS: how long an owner without any confirmation keeps its state. */
+/* MAJORITY_MS: maximum age of the answers by a majority of the workers that confirm the ownership.
+ * STEP_DOWN_MS: time without any confirmation after which an owner steps down. */
 #define MAJORITY_MS 1500
 #define STEP_DOWN_MS 2000
-/* Interval at which records of ended jobs are dropped together. */
+/* Interval at which records of ended jobs are deleted in a batch. */
 #define DROP_INTERVAL_MS 1000
-/* "No such job" is answered only when the jobs were read at most this long ago. */
+/* Maximum age of the list of jobs for answering that a job does not exist. */
 #define JOBS_FRESH_MS 1500
 
 /* ---- pools --------------------------------------------------------------------- */
@@ -105,14 +105,13 @@
 ignore_dropped (gpointer user, FbAppendResult result)
 {
   (void) user;
-  (void) result; /* a record that remains is dropped when the pool forgets the job */
+  (void) result; /* a remaining record is deleted when the pool removes the job */
 }
 
-/* Failure: an owner is replaced after minutes of work; its successor reads every job that has ended
- * since, each with its full specification, and places nothing meanwhile: 0.35 to 0.49 s with 2,200
- * jobs, on a quarter of a core.  Guard: once the end of a job is stored its admission is dropped
- * and only the end is kept, a tenth of the bytes.  Records are dropped in batches because each
- * append is a call of the store. */
+/* Deletes the admission of each job whose end is stored, and keeps only the end, which has a tenth
+ * of the bytes.  Otherwise, after minutes of work, the successor of an owner reads every ended job
+ * with its full specification and places nothing meanwhile: 0.35 to 0.49 s with 2,200 jobs, on a
+ * quarter of a core.  Records are deleted in batches because each append is a call of the store. */
 static void
 drop_ended_jobs (FbOwner *self, uint64_t now_ms)
 {
@@ -173,10 +172,10 @@
   return TRUE;
 }
 
-/* Failure: a daemon that was partitioned from the store reconnects and takes a pool over; its list
- * of workers dates from before the partition and lacks a worker that the previous owner used.  It
- * shows as a second run of the tasks on that worker.  Guard: only a list that was read after the
- * previous owner was fenced off counts. */
+/* Accepts the worker list only if it was read after the previous owner was fenced.  A daemon that
+ * was partitioned from the store and takes over a pool after reconnecting may have a list from
+ * before the partition that lacks a worker used by the previous owner; the tasks on that worker
+ * would be started a second time. */
 static void
 check_worker_list (FbOwner *self)
 {
--- a/src/entry/peers/link-connection.c
+++ b/src/entry/peers/link-connection.c
@@ -1,9 +1,9 @@
-/* One connection between two daemons: sends and receives frames, and holds the calls that wait for
- * an answer on it.
+/* One connection between two daemons: sends and receives frames, and keeps the calls that wait for
+ * an answer.
  *
- * A frame consists of a header of three 32-bit words in network byte order (length of what follows
- * the first word, number of the call, kind) and a body.  Call numbers are chosen by the caller and
- * are unique on its connection. */
+ * A frame consists of a header of three 32-bit words in network byte order (length of the data
+ * after the first word, number of the call, kind) and a body.  Call numbers are chosen by the
+ * calling side and are unique on its connection. */
 #include "links-private.h"
 
 #include "fb-counter.h"
@@ -19,10 +19,11 @@
 #define HEADER_BYTES 12
 #define KIND_CALL 1
 #define KIND_ANSWER 2
-/* Limit of unsent bytes; beyond it new frames for a peer that does not read are refused. */
+/* Maximum number of unwritten bytes; beyond it, new frames for a peer that does not read are
+ * refused. */
 #define OUT_MAX_BYTES (8 * 1024 * 1024)
 #define READ_BYTES (64 * 1024)
-/* Time limit of connecting, which takes some 5 ms between failure domains. */
+/* Timeout of connecting, which takes some 5 ms between failure domains. */
 #define CONNECT_MS 400
 /* TCP keepalive, which closes connections from peers that lost power. */
 #define KEEPALIVE_IDLE_S 10
@@ -143,9 +144,9 @@
   g_ptr_array_add (self->links->dirty, self);
 }
 
-/* Failure: a daemon is suspended before it has written a call to a peer, and writes it after it
- * resumes, although the caller has timed out; it shows as a second run of a task.  Guard: a
- * connection with an unwritten call past its time limit is closed. */
+/* Returns: TRUE when a call has timed out before any of it was written.  The connection is then
+ * closed, because a daemon that was suspended would otherwise write the call after it resumes,
+ * although the caller has given it up, and a task could run twice. */
 static gboolean
 has_overdue_call (const FbLinkConnection *self)
 {
@@ -213,7 +214,7 @@
       g_free (pending);
       return;
     }
-  /* The call has timed out already. */
+  /* The call has already timed out. */
 }
 
 static uint32_t
@@ -225,7 +226,7 @@
 }
 
 /* Handles all complete frames in the input buffer.
- * Returns: FALSE when the peer does not speak this protocol. */
+ * Returns: FALSE when the peer violates the protocol. */
 static gboolean
 handle_frames (FbLinkConnection *self)
 {
@@ -255,7 +256,7 @@
 }
 
 /* Reads and handles all available input.
- * Returns: FALSE when the connection has ended. */
+ * Returns: FALSE when the connection is to be closed. */
 static gboolean
 read_in (FbLinkConnection *self)
 {
@@ -326,7 +327,7 @@
       if (now_ms >= pending->until_ms)
         {
           silent = self->received_ms <= pending->sent_ms;
-          /* If the connection is silent it is closed and the frame is never written; otherwise the
+          /* If the connection is silent, it is closed and the frame is never written; otherwise the
            * frame may still be written. */
           FbLinkResult result
               = silent && self->written <= pending->frame_from ? FB_LINK_NOT_SENT : FB_LINK_LOST;
--- a/src/entry/peers/links-private.h
+++ b/src/entry/peers/links-private.h
@@ -3,15 +3,15 @@
 
 #include "links.h"
 
-/* Largest body: a batch of records that a peer is to append, with its encoding. */
+/* Maximum size of a body: a batch of records that a peer is asked to append, with its encoding. */
 #define FB_LINK_BODY_MAX_BYTES (2 * 1024 * 1024)
 
 typedef struct
 {
   uint32_t number;     /* of the call, unique on its connection */
-  uint64_t frame_from; /* offset of its frame in the bytes written to the connection */
+  uint64_t frame_from; /* offset of its frame in the stream of bytes written to the connection */
   uint64_t sent_ms;
-  uint64_t until_ms; /* when the call times out */
+  uint64_t until_ms; /* time at which the call times out */
   FbLinkDone done;
   gpointer user;
 } Pending;
@@ -20,18 +20,18 @@
 {
   FbLinks *links;
   int fd;
-  char *address; /* of the peer that was called; NULL when the peer connected */
+  char *address; /* address of the peer; NULL when the peer initiated the connection */
   gboolean connecting;
-  gboolean dirty; /* has bytes to write and is in the links' dirty list */
+  gboolean dirty; /* has bytes to write and is contained in FbLinks.dirty */
   gboolean closed;
-  guint refs; /* references: one of the links, one of each call being served */
+  guint refs; /* references: one by FbLinks, one by each call being served */
   uint64_t created_ms;
-  uint64_t received_ms; /* when data was last received, or created_ms */
-  uint32_t last_number; /* of the last call sent */
-  uint64_t written;     /* bytes written so far */
+  uint64_t received_ms; /* time at which data was last received, initially created_ms */
+  uint32_t last_number; /* number of the last call sent */
+  uint64_t written;     /* number of bytes written to the socket */
   GByteArray *out;      /* output buffer */
   gsize out_from;       /* offset of its first unwritten byte */
-  GByteArray *in;       /* input buffer, without complete frames */
+  GByteArray *in;       /* input buffer; contains no complete frame */
   GQueue pending;       /* of Pending, in the order of their numbers */
 } FbLinkConnection;
 
@@ -50,16 +50,16 @@
 
 /* link-connection.c */
 
-/* Creates a connection on FD, which it owns.  ADDRESS: of the peer that is called; NULL when the
- * peer connected.
+/* Creates a connection on FD, which it owns.  ADDRESS: of the peer that this daemon connects to;
+ * NULL when the peer initiated the connection.
  * Returns: the connection, owned by LINKS until it is closed. */
 FbLinkConnection *fb_link_connection_new (FbLinks *links, int fd, const char *address);
-/* Registers SELF with epoll by OPERATION (EPOLL_CTL_*) for input, and with FOR_ROOM also for room
- * to write. */
+/* Registers SELF with epoll by OPERATION (EPOLL_CTL_*) for input and, with FOR_ROOM, also for
+ * output. */
 void fb_link_connection_watch (const FbLinkConnection *self, int operation, gboolean for_room);
 void fb_link_connection_ref (FbLinkConnection *self);
 void fb_link_connection_unref (FbLinkConnection *self);
-/* Closes SELF: calls of which nothing was written end with FB_LINK_NOT_SENT, the others with
+/* Closes SELF.  Calls of which nothing was written end with FB_LINK_NOT_SENT, the others with
  * FB_LINK_LOST. */
 void fb_link_connection_close (FbLinkConnection *self);
 /* Writes as much as the socket accepts.
@@ -71,6 +71,6 @@
  * Returns: FALSE when too many bytes are unwritten already, or BODY is too large. */
 gboolean fb_link_connection_call (FbLinkConnection *self, GBytes *body, uint32_t timeout_ms,
                                   FbLinkDone done, gpointer user);
-/* Ends calls whose time limit has passed.
- * Returns: FALSE when the connection is silent and is to be closed. */
+/* Ends calls that have timed out.
+ * Returns: FALSE when nothing was received in time and the connection is to be closed. */
 gboolean fb_link_connection_check_timeouts (FbLinkConnection *self, uint64_t now_ms);
--- a/src/entry/peers/links.c
+++ b/src/entry/peers/links.c
@@ -1,12 +1,13 @@
-/* A daemon on a quarter of a core answers some hundred calls of its peers a second.  Over HTTP each
- * call cost it 0.3 ms, and each connection was one more source of the main loop, which checks every
- * source in each turn.  Here one epoll descriptor covers all connections, and the frames for a
- * peer from one turn leave in one system call.
+/* Connections between daemons.
  *
- * Failure: a connection goes silent for good while new ones work; it shows as calls that get no
- * answer.  Guard: each call has a time limit.  When a call passes its limit and nothing was
- * received on the connection since the call was sent, the connection is closed; the next call opens
- * another. */
+ * A daemon on a quarter of a core answers some hundred calls of its peers a second.  Over HTTP each
+ * call took 0.3 ms of processor time, and each connection added a source that the main loop checks
+ * in every iteration.  Here one epoll descriptor covers all connections, and the frames for a peer
+ * from one iteration are written in one system call.
+ *
+ * A connection may stop delivering data permanently while new connections work.  Therefore each
+ * call has a timeout; when it expires and nothing was received on the connection since the call was
+ * sent, the connection is closed, and the next call opens a new one. */
 #define _GNU_SOURCE /* accept4() */
 #include "links-private.h"
 #include "src/entry/clock.h"
@@ -55,12 +56,13 @@
     {
       int fd = accept4 (self->listener, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
       if (fd < 0)
-        return; /* no connection is waiting, or the peer has closed it again */
+        return; /* no connection is pending, or the peer has closed it */
       fb_link_connection_watch (fb_link_connection_new (self, fd, NULL), EPOLL_CTL_ADD, FALSE);
     }
 }
 
-/* FALSE for a connection that an earlier event of the same turn of the main loop has closed. */
+/* Returns: FALSE for a connection that was closed by an earlier event of the same epoll_wait()
+ * call. */
 static gboolean
 is_open (const FbLinks *self, gconstpointer connection)
 {
@@ -170,7 +172,7 @@
   for (guint i = self->all->len; i > 0; i--)
     {
       if (i > self->all->len)
-        continue; /* callbacks have closed some */
+        continue; /* callbacks have closed some connections */
       FbLinkConnection *connection = self->all->pdata[i - 1];
       fb_link_connection_ref (connection);
       if (!fb_link_connection_check_timeouts (connection, now_ms) && !connection->closed)
--- a/src/entry/peers/links.h
+++ b/src/entry/peers/links.h
@@ -1,9 +1,9 @@
-/* Connections between daemons: calls and answers in frames over TCP, many on one connection, in any
- * order.
+/* Connections between daemons: calls and answers are sent as frames over TCP, many on one
+ * connection and in any order.
  *
- * Each call ends once: answered by the peer, not sent (the peer has certainly not read it), or lost
- * (it may have been executed).  This module handles bytes and connections only; the contents of
- * calls are up to the callers.  It belongs to the thread of the main context in which it was
+ * Each call ends once: answered by the peer, not sent (the peer has certainly not received it), or
+ * lost (it may have been executed).  This module only transports bytes; the contents of calls are
+ * defined by its users.  It may be used only on the thread of the main context in which it was
  * created. */
 #pragma once
 
@@ -23,11 +23,11 @@
 /* Completion of a call.  BODY is borrowed; NULL unless the call was answered. */
 typedef void (*FbLinkDone) (gpointer user, FbLinkResult result, gconstpointer body, gsize len);
 /* Handles the call of a peer.  BODY is borrowed.  CALL has to be passed to fb_link_call_answer()
- * once. */
+ * exactly once. */
 typedef void (*FbLinkServe) (gpointer user, FbLinkCall *call, gconstpointer body, gsize len);
 
 /* Listens on ADDRESS, "IP:PORT".
- * Returns: (transfer full): NULL when that fails; fb_status_message() says why. */
+ * Returns: (transfer full): NULL on failure; fb_status_message() contains the reason. */
 FbLinks *fb_links_new (const char *address, FbLinkServe serve, gpointer user);
 /* Open calls are dropped without a callback. */
 void fb_links_free (FbLinks *self);
@@ -37,5 +37,5 @@
                     FbLinkDone done, gpointer user);
 /* Answers CALL with BODY and frees CALL.  The answer is dropped when the connection is closed. */
 void fb_link_call_answer (FbLinkCall *call, GBytes *body);
-/* Ends calls that have passed their time limit.  To be called about every 25 ms. */
+/* Ends calls that have timed out.  To be called about every 25 ms. */
 void fb_links_check_timeouts (FbLinks *self, uint64_t now_ms);
--- a/src/entry/peers/payload-cache.c
+++ b/src/entry/peers/payload-cache.c
@@ -8,7 +8,7 @@
   gsize max_bytes;
   gsize bytes;
   GHashTable *payloads; /* FbPayloadDigest -> char * */
-  GQueue oldest;        /* keys of the table, borrowed; the oldest at its head */
+  GQueue oldest;        /* keys of PAYLOADS, borrowed, oldest first */
 };
 
 void
--- a/src/entry/peers/payload-cache.h
+++ b/src/entry/peers/payload-cache.h
@@ -1,5 +1,6 @@
-/* Cache of job payloads that a daemon has received with orders to relay, for later orders that only
- * name a payload.  Bounded by bytes: the oldest is evicted first.  No I/O, clock or thread. */
+/* Cache of job payloads that a daemon has received with orders to relay, for later orders that
+ * contain only a payload's digest.  Bounded by size: the oldest payload is evicted first.  No I/O,
+ * clock or thread. */
 #pragma once
 
 #include "fb-types.h"
--- a/src/entry/peers/payload-dedup.c
+++ b/src/entry/peers/payload-dedup.c
@@ -3,18 +3,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Share of the link that payloads may use before it counts as constrained; three quarters are left
- * for polls, records and renewals. */
+/* Share of the link's capacity above which payloads make it count as constrained; three quarters
+ * are left for polls, records and renewals. */
 #define PAYLOAD_PERCENT 25
 /* Number of a job's tasks that are relayed through the same daemon of each failure domain: with
  * three to five domains a daemon starts four to seven of them, some 2 ms of work each on 0.12 of a
  * core. */
 #define TASKS_PER_RELAY 20
-/* How long a payload is assumed to be cached.  A daemon caches some 700 payloads
+/* Time for which a payload is assumed to be cached.  A daemon caches some 700 payloads
  * (PAYLOAD_CACHE_BYTES), those of 20 s at 30 jobs a second. */
 #define CACHED_FOR_MS 10000
-/* Number of payloads remembered per daemon: 66 jobs a second, each through a dozen of 147 daemons,
- * are 54 for each daemon in CACHED_FOR_MS.  Beyond that number payloads are sent again. */
+/* Maximum number of payloads recorded per daemon: 66 jobs a second, each relayed through a dozen of
+ * 147 daemons, are 54 for each daemon in CACHED_FOR_MS.  Beyond it, payloads are sent again. */
 #define SENT_MAX 250
 /* Period over which the rate is measured; the rate is that of the last complete period, or of the
  * current one if that is higher. */
--- a/src/entry/peers/peers.c
+++ b/src/entry/peers/peers.c
@@ -1,21 +1,21 @@
 /* Requests between daemons: one XDR value in each direction, over the links between them.
  *
- * ONC RPC's client blocks a thread for each open call, but here hundreds of calls are open on one
- * thread with a fraction of a core, so only its encoding is used. */
+ * Only the encoding of ONC RPC is used: its client blocks a thread for each open call, and here
+ * hundreds of calls are open on one thread with a fraction of a core. */
 #include "src/entry/entry-private.h"
 
 #include "fb-event.h"
 #include "fb-traffic.h"
 #include "internal/codec.h"
 
-/* Time limit of appending a caller's record for a daemon that the store rejects. */
+/* Timeout of appending a caller's record for a daemon that the store rejects. */
 #define APPEND_MS 1500
-/* Time limit of one append of an owner's progress, which the owner repeats. */
+/* Timeout of one append of an owner's progress, which the owner repeats. */
 #define APPEND_PROGRESS_MS 500
-/* Time limit of the notification of a stored record; after it the owner has read the record
- * itself. */
+/* Timeout of the notification of a stored record; by then the owner has read the record from the
+ * store. */
 #define NOTIFY_MS 700
-/* Time limit of one attempt to reach an owner. */
+/* Timeout of one attempt to reach an owner. */
 #define OWNER_ATTEMPT_MS 700
 /* Retry interval while an owner is being replaced. */
 #define RETRY_MS 120
@@ -71,7 +71,7 @@
     }
   else if (result == FB_LINK_NOT_SENT)
     {
-      /* The peer is down, so it has done nothing. */
+      /* The peer is down, so that nothing was executed. */
       static const fb_peer_reply unavailable = { .type = FB_REPLY_UNAVAILABLE };
       open->done (open->user, &unavailable);
     }
@@ -187,9 +187,9 @@
   (void) peer_reply;
 }
 
-/* The owner reads the record from the store too, but later: a poll costs a call of the store (4 ms,
- * 100 ms and more when it is slow), and a poll may return nothing for a second while the store
- * cleans up its log. */
+/* Without the notification the owner reads the record from the store later: a poll costs a call of
+ * the store (4 ms, 100 ms and more when it is slow), and may return nothing for a second while the
+ * store cleans up its log. */
 void
 fb_peers_notify_stored (FbEntry *entry, uint32_t partition, const char *key, GBytes *value)
 {
@@ -216,7 +216,7 @@
 
 /* ---- appending through a peer ------------------------------------------------------- */
 
-/* Results of an append and the replies that denote them. */
+/* Results of an append and the corresponding replies. */
 static const struct
 {
   FbAppendResult result;
@@ -270,8 +270,7 @@
   FbTraffic traffic;
 } Answer;
 
-/* Sends the reply; PEER_REPLY of NULL means that none is available.  DATA: the Answer, which is
- * freed. */
+/* Sends the reply and frees DATA, the Answer.  PEER_REPLY: NULL when none is available. */
 static void
 on_answer_ready (gpointer data, const fb_peer_reply *peer_reply)
 {
@@ -304,7 +303,7 @@
   on_appended (data, fb_wire_parse_append (reply));
 }
 
-/* Appends immediately, under the owner's own sequence number, so that a repeat by the owner is
+/* Appends immediately under the owner's sequence number, so that a repeat by the owner is
  * harmless. */
 static void
 append_for_owner (FbEntry *entry, const fb_progress_append_request *peer_request, Answer *answer)
--- a/src/entry/peers/recent-starts.c
+++ b/src/entry/peers/recent-starts.c
@@ -1,12 +1,13 @@
 #include "recent-starts.h"
 
-/* How long a start is remembered.  An owner is replaced some 2 s after its last order, and its
- * successor may take some more seconds to ask; older starts have ended or were recorded. */
+/* Maximum age of a start.  An owner is replaced some 2 s after its last order, and its successor
+ * may take some more seconds until it sends its request; older starts have ended or were
+ * recorded. */
 #define START_MAX_AGE_MS 10000
-/* The same for a start that the worker has confirmed.  While the store is unavailable nothing is
- * recorded and no daemon takes over, and a confirmed start is still sufficient evidence later. */
+/* The same for a start that the worker has confirmed.  While the store is unavailable, nothing is
+ * recorded and no daemon takes over; a confirmed start is still sufficient evidence afterwards. */
 #define CONFIRMED_MAX_AGE_MS 40000
-/* Number of consecutive run lists of a worker without the run that prove that it has ended. */
+/* Number of consecutive lists of a worker's runs without the run that prove that it has ended. */
 #define MISSING_MAX 2
 
 typedef struct
@@ -22,14 +23,14 @@
 
 typedef struct
 {
-  GQueue starts;         /* of Start, borrowed; the oldest at its head */
+  GQueue starts;         /* of Start, borrowed, oldest first */
   gboolean unresponsive; /* the last order to the worker got no answer */
 } WorkerStarts;
 
 struct _FbRecentStarts
 {
   GHashTable *workers; /* id of a worker -> WorkerStarts, only for workers with starts */
-  GQueue starts;       /* of Start; the oldest at its head */
+  GQueue starts;       /* of Start, oldest first */
 };
 
 static void
@@ -131,7 +132,7 @@
     g_hash_table_remove (self->workers, worker);
 }
 
-/* TRUE when RESULT of an order shows that the worker is alive. */
+/* Returns: TRUE when RESULT of an order implies that the worker is running. */
 static gboolean
 is_alive (FbOrderResult result)
 {
@@ -154,7 +155,7 @@
       if (start->attempt != attempt || !g_str_equal (start->task, task))
         continue;
       start->confirmed |= result == FB_ORDER_DONE;
-      /* The worker may have a run although the attempt is superseded. */
+      /* The worker may have a run even if the attempt is superseded. */
       if (result != FB_ORDER_DONE && result != FB_ORDER_UNKNOWN && result != FB_ORDER_SUPERSEDED)
         drop_start (self, worker_starts, l);
     }
@@ -185,8 +186,8 @@
   return FALSE;
 }
 
-/* Compares the starts with the list of runs.  A run that is no longer listed has ended, and another
- * daemon has received the end.  A single list without the run may be older than the run. */
+/* Compares the starts with the list of runs.  A run that is no longer listed has ended, and its end
+ * was reported to another daemon.  A single list without the run may be older than the run. */
 static void
 apply_running (FbRecentStarts *self, WorkerStarts *worker_starts, const GArray *running)
 {
--- a/src/entry/peers/recent-starts.h
+++ b/src/entry/peers/recent-starts.h
@@ -1,10 +1,10 @@
 /* Recent starts of tasks that this daemon sent to workers, for the next owner of their pool.
  *
- * Failure: an owner starts a task that crashes its worker, and is replaced before it learns of the
- * crash; no record contains that start, so the next owner counts from zero, and it shows as workers
- * that go on crashing while owners change.  Guard: other daemons have relayed the starts and
- * outlive the owner.  They report to the next owner which starts went to workers that no longer
- * answer.  The report is a hint: when it is lost, one more crash is the only cost.
+ * An owner may start a task that crashes its worker, and be replaced before it detects the crash.
+ * No record contains that start, so the next owner would count crashes from zero, and workers would
+ * continue to crash while owners change.  The daemons that relayed the starts outlive the owner,
+ * and report to the next owner which starts went to workers that no longer answer.  The report is a
+ * hint: if it is lost, the only cost is one more crash.
  *
  * Bounded by age and number.  No I/O, clock or thread. */
 #pragma once
@@ -23,7 +23,7 @@
                                 uint32_t attempt, FbOrderResult result);
 /* Records the answer to a poll of WORKER. */
 void fb_recent_starts_polled (FbRecentStarts *self, const char *worker, const FbPollAnswer *answer);
-/* Fills in PEER_REPLY with the starts at workers that did not answer the last order to them.  The
- * caller frees the array; its strings are borrowed until SELF changes. */
+/* Fills in PEER_REPLY with the starts on workers that did not answer their last order.  The caller
+ * frees the array; its strings are borrowed until SELF changes. */
 void fb_recent_starts_list (const FbRecentStarts *self, uint64_t now_ms,
                             fb_recent_starts_reply *peer_reply);
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -1,18 +1,19 @@
 /* Relays orders to workers through other daemons on behalf of the owner of a pool.
  *
- * One daemon makes all decisions for a service, which is cheap; the calls to workers are not: each
- * takes a request, parsing of the answer and several system calls.  So each worker has a daemon in
- * its own failure domain that relays the owner's orders to it, chosen by rendezvous hashing
- * weighted by processor, and the owner exchanges frames of a few hundred bytes with that daemon.
- * When the owner's link is slow, the starts of one job go through few daemons (payload-dedup.h).
+ * One daemon makes all decisions for a service, which is cheap.  The calls to workers are not: each
+ * takes a request, parsing of the answer and several system calls.  Therefore a daemon in the
+ * failure domain of each worker relays the owner's orders to it.  It is chosen by rendezvous
+ * hashing weighted by processor share, and the owner exchanges frames of a few hundred bytes with
+ * it.  When the owner's link is slow, the starts of one job are relayed through few daemons
+ * (payload-dedup.h).
  *
  * A relay makes no decisions and no retries.  An order that it delays is equivalent to one that the
  * network delays: it contains the owner's epoch and a deadline on the worker's clock.
  *
- * Failure: a relay dies, hangs or is partitioned from the network; it shows as workers of one
- * domain that seem unresponsive together.  Guard: a relay that does not answer is not used for a
- * while, its workers are served by the next relay or by the owner itself, and an order that was
- * certainly not sent counts as not done and is repeated. */
+ * When a relay crashes, hangs or is partitioned from the network, all workers that it serves seem
+ * unresponsive together.  Therefore a relay that does not answer is not used for a while, its
+ * workers are served by the next relay or by the owner itself, and an order that was certainly not
+ * sent counts as not done and is repeated. */
 #include "relay.h"
 
 #include "src/entry/entry-private.h"
@@ -23,15 +24,15 @@
 
 #include <string.h>
 
-/* How long a relay that did not answer is not used. */
+/* Time for which a relay that did not answer is not used. */
 #define BACKOFF_MS 3000
-/* Added to an order's own time limit for the network to the relay and back. */
+/* Added to an order's own timeout for the network delay to the relay and back. */
 #define NETWORK_MS 150
-/* Time limit of a start or stop.  An answer takes a few ms; a worker that hangs should not block
- * its caller for long. */
+/* Timeout of a start or stop.  An answer takes a few ms; a worker that hangs should not block its
+ * caller for long. */
 #define ORDER_MS 600
-/* Shorter payloads are always sent: naming a payload takes 20 bytes, and it may have to be sent
- * after all. */
+/* Minimum size of a payload that is replaced by its digest, which takes 20 bytes; the payload may
+ * have to be sent later all the same. */
 #define NAMED_MIN_BYTES 64
 
 /* ---- choosing a relay ----------------------------------------------------------- */
@@ -226,7 +227,7 @@
   char *daemon;
   FbRelayDone done;
   gpointer user;
-  GBytes *full_request; /* request with its payload, if that was left out; else NULL */
+  GBytes *full_request; /* request including its payload, if the payload was omitted; else NULL */
   FbPayloadDigest digest;
   uint64_t until_ms;
 } RelayedOrder;
@@ -234,7 +235,7 @@
 static void on_peer_reply (gpointer data, const fb_peer_reply *peer_reply);
 
 /* Sends the order again with its payload, because the relay has restarted or evicted the payload.
- * Returns: FALSE when that is not possible any more. */
+ * Returns: FALSE when the order has timed out. */
 static gboolean
 send_with_payload (RelayedOrder *relayed)
 {
@@ -279,7 +280,8 @@
   g_free (relayed);
 }
 
-/* If the relay has the payload of PEER_REQUEST, a start, replaces it by its digest. */
+/* Replaces the payload of PEER_REQUEST, if it is a start, by its digest when the relay has cached
+ * the payload. */
 static void
 omit_sent_payload (RelayedOrder *relayed, fb_peer_request *peer_request, uint64_t now_ms)
 {
@@ -373,8 +375,9 @@
   g_free (order);
 }
 
-/* Caches the payload of PEER_REQUEST, or fills in the cached one that PEER_REQUEST names, borrowed.
- * Returns: FALSE when the named payload is not cached. */
+/* Caches the payload of PEER_REQUEST, or fills in the cached one (borrowed) that PEER_REQUEST
+ * refers to by its digest.
+ * Returns: FALSE when that payload is not cached. */
 static gboolean
 complete_payload (FbEntry *entry, fb_relay_request *peer_request)
 {
--- a/src/entry/peers/relay.h
+++ b/src/entry/peers/relay.h
@@ -14,11 +14,11 @@
 
 /* Completion of a relayed order.  PEER_REPLY is borrowed; NULL unless the relay answered. */
 typedef void (*FbRelayDone) (gpointer user, FbRelayResult result, const fb_relay_reply *peer_reply);
-/* Completion of a request to a peer.  PEER_REPLY is borrowed; NULL when no reply came; of type
- * FB_REPLY_UNAVAILABLE also when nothing was sent. */
+/* Completion of a request to a peer.  PEER_REPLY is borrowed; NULL when no reply arrived, and of
+ * type FB_REPLY_UNAVAILABLE also when nothing was sent. */
 typedef void (*FbPeerReplyDone) (gpointer user, const fb_peer_reply *peer_reply);
 
-/* MEMBERS: of FbDaemon.  EXCEPT: an address that is not to be chosen.
+/* MEMBERS: of FbDaemon.  EXCEPT: an address that is excluded.
  * Returns: (nullable): the member of DOMAIN that relays orders with KEY; borrowed. */
 const FbDaemon *fb_relay_choose (const GPtrArray *members, const char *domain, const char *key,
                                  const char *except, uint64_t now_ms);
--- a/src/entry/peers/suspect-backups.c
+++ b/src/entry/peers/suspect-backups.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How long a copy is held.  An outage of the store lasts some tens of seconds; a live owner sends
- * changes again. */
+/* Maximum age of a copy.  An outage of the store lasts some tens of seconds; an owner that still
+ * exists sends changes again. */
 #define BACKUP_MAX_AGE_MS 60000
 
 typedef struct
--- a/src/entry/routes.h
+++ b/src/entry/routes.h
@@ -1,4 +1,4 @@
-/* Routes in force: map a caller's host and path to a queue. */
+/* Active routes: map the host and path of a caller's request to a queue. */
 #pragma once
 
 #include "rpc/work.h"
@@ -22,9 +22,9 @@
 
 FbRoutes *fb_routes_new (uint64_t version);
 void fb_routes_free (FbRoutes *self);
-/* Adds ROUTE and takes it over with its strings. */
+/* Adds ROUTE (transfer full). */
 void fb_routes_add (FbRoutes *self, FbRoute *route);
-/* Returns: (nullable): the route of HOST (a port is ignored) with the longest
- * prefix of PATH, borrowed. */
+/* Returns: (nullable): the route for HOST, whose port is ignored, with the longest matching prefix
+ * of PATH; borrowed. */
 const FbRoute *fb_routes_find (const FbRoutes *self, const char *host, const char *path);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC (FbRoutes, fb_routes_free)
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -1,4 +1,4 @@
-/* Settings of a daemon on the platform: an INI file that the platform fills in. */
+/* Settings of a daemon on the platform, read from an INI file that the platform generates. */
 #pragma once
 
 #include "fb-types.h"
@@ -19,15 +19,16 @@
   uint64_t max_lease_ms;    /* limits of workers; see FbPoolLimits */
   uint64_t max_stop_ms;
   uint64_t gang_wait_ms;
-  uint64_t
-      max_isolated_crashes;    /* isolated crashes under a task before it is given up; 0: default */
-  uint64_t max_shared_crashes; /* the same if other tasks ran on the workers; 0: default */
-  uint64_t grace_ms;           /* time from the stop signal until the process would be killed */
+  uint64_t max_isolated_crashes; /* isolated crashes at which a task's job fails; 0: default */
+  uint64_t max_shared_crashes;   /* the same for crashes while other tasks ran on the worker; 0:
+                                  * default */
+  uint64_t grace_ms;             /* time between the stop signal and the kill of the process */
   uint64_t link_kbit_s; /* capacity of the network link, each way; Mbit/s in the file; 0: unknown */
   uint64_t cpu_milli;   /* processor share, in thousandths of a core; 1000 by default */
 } FbEntrySettings;
 
-/* Returns: TRUE when the file at PATH holds settings of this kind, not those of a cell's daemon. */
+/* Returns: TRUE when the file at PATH contains settings of this kind rather than of a cell's
+ * daemon. */
 gboolean fb_entry_settings_recognize (const char *path);
 /* Returns: (transfer full): NULL on an error; fb_status_message() names file, group and key. */
 FbEntrySettings *fb_entry_settings_load (const char *path);
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -11,19 +11,22 @@
 #include <xxhash.h>
 
 #define RELEASE_INTERVAL_MS 100
-/* Number of malformed worker entries remembered as logged; beyond it some are logged again. */
+/* Maximum number of malformed worker entries that are remembered as logged; beyond it, entries may
+ * be logged again. */
 #define MALFORMED_IDS_MAX 1000
-/* The store answers a poll every 0.4 s, up to 0.25 s later when it is slow, and a join every
+/* Time without an answer after which the store is considered silent.  Normally an answer to a poll
+ * arrives every 0.4 s, up to 0.25 s later when the store is slow, and an answer to a join every
  * 0.25 s. */
 #define STORE_SILENT_MS 1000
-/* Without an answer for this long the store counts as lost; polls time out sooner. */
+/* Time without an answer after which the store is considered unavailable; longer than the timeout
+ * of polls. */
 #define STORE_LOST_MS 2500
 /* Number of epochs that one daemon can use for a partition within one generation of the group: at
  * one take-over every 350 ms they last 6 minutes. */
 #define EPOCHS_PER_GENERATION 1024
-/* Every worker rewrites its entry each 1.5 s, and a poll returns at the first change: without a
- * pause 48 workers would cost 32 polls a second.  A worker that leaves has to be noticed within 2
- * s. */
+/* Pause between polls of the worker list.  Every worker rewrites its entry each 1.5 s, and a poll
+ * returns at the first change, so that without a pause 48 workers would cause 32 polls a second.  A
+ * worker that leaves has to be detected within 2 s. */
 #define WORKER_LIST_PAUSE_MS 300
 
 uint64_t
@@ -131,7 +134,8 @@
     fb_owner_worker_listed (owner, worker);
 }
 
-/* A malformed entry lists no worker.  It is logged once: its writer may repeat it every second. */
+/* Removes the worker of a malformed entry.  The entry is logged once, because its writer may repeat
+ * it every second. */
 static void
 skip_malformed_entry (FbEntry *self, const char *id)
 {
@@ -192,12 +196,12 @@
 
 /* ---- partitions --------------------------------------------------------------------- */
 
-/* Epochs of a partition grow with each owner: with the group's generation, and within a generation
- * with each take-over by the same daemon. */
+/* Epochs of a partition increase with each owner: with the group's generation, and within a
+ * generation with each takeover by the same daemon. */
 typedef struct
 {
   uint64_t generation; /* of the group at the last take-over */
-  uint64_t n;          /* number of the last epoch used in it, from 0 */
+  uint64_t n;          /* index of the last epoch used in that generation */
 } FbPartitionEpochs;
 
 uint32_t
@@ -224,7 +228,7 @@
   return appender;
 }
 
-/* Returns: the time since AT_MS; 0 when AT_MS is 0, that is, the event has not happened. */
+/* Returns: the time since AT_MS; 0 when AT_MS is 0, which means that the event has not occurred. */
 static guint
 ms_ago (uint64_t at_ms, uint64_t now_ms)
 {
@@ -360,8 +364,8 @@
   (void) user;
 }
 
-/* Keeps the highest version that was read: a slow read may return an older version after a newer
- * one. */
+/* Ignores versions that are not newer than the current one: a slow read may return an older version
+ * after a newer one. */
 static void
 on_config_record (gpointer user, const FbStoreRecord *record)
 {
--- a/src/entry/store/appender.c
+++ b/src/entry/store/appender.c
@@ -1,10 +1,10 @@
-/* Appends records to one partition with one call at a time; records that arrive meanwhile go into
- * the next call (group commit).
+/* Appends records to one partition with one call at a time; records that arrive meanwhile are
+ * combined into the next call (group commit).
  *
- * An append without an answer may have been stored, or may be stored later.  A writer repeats it
- * under its sequence number until the outcome is known.  Without a writer the records are keyed, so
- * a repeat is harmless: it is repeated too, and if the outcome is still unknown at the end the
- * caller is told so, never that nothing was stored. */
+ * An append without an answer may have been stored, or may be stored later.  With a writer, it is
+ * repeated under its sequence number until the outcome is known.  Without a writer the records are
+ * keyed, so that a repeat is harmless: it is repeated too, and if the outcome is still unknown at
+ * the end, the caller is informed of that and not that nothing was stored. */
 #include "src/entry/entry-private.h"
 
 #include "fb-counter.h"
@@ -15,7 +15,8 @@
 #define PEER_ANSWER_MS 900
 #define RETRY_FIRST_MS 40
 #define RETRY_LAST_MS 300
-/* Largest body that the store accepts in one call, less room for one record. */
+/* Maximum size of a batch, beyond which no record is added: the largest body that the store accepts
+ * in one call, less room for one record. */
 #define BATCH_MAX_BYTES (1024 * 1024)
 
 typedef struct
@@ -37,9 +38,9 @@
   GQueue waiting; /* of Item */
   GQueue batch;   /* of Item: records in the open call or its repeat */
   GBytes *body;
-  uint64_t begun_ms; /* when the batch was first sent */
-  gboolean in_doubt; /* a call with this body got no answer, so it may be stored */
-  guint failures_n;  /* number of calls with this body that failed */
+  uint64_t begun_ms; /* time at which the batch was first sent */
+  gboolean in_doubt; /* an unanswered call may have stored this body */
+  guint failures_n;  /* number of failed calls with this body */
   uint32_t retry_ms;
   guint timer;
   gboolean call_open;
@@ -140,7 +141,7 @@
   finish_batch (self, result);
 }
 
-/* Ends the open call with RESULT; CODE is the store's HTTP status, 0 when a peer made the call. */
+/* Ends the open call with RESULT.  CODE: the store's HTTP status; 0 when a peer made the call. */
 static void
 end_call (FbAppender *self, FbAppendResult result, guint code)
 {
@@ -189,10 +190,11 @@
   self->begun_ms = fb_clock_ms ();
 }
 
-/* Failure: the store rejects the owner's calls and serves the other daemons; until another daemon
- * has taken the pool over, 1 to 1.5 s, no end is recorded and therefore none is reported: short
- * jobs that end meanwhile are late.  Guard: every second attempt goes through a peer; the store
- * accepts a sequence number once, whoever sends it. */
+/* Sends every second attempt through a peer, because the store may reject the owner's calls while
+ * it serves other daemons.  Without that, no end is recorded and therefore none is reported until
+ * another daemon has taken over the pool, 1 to 1.5 s later, and short jobs that end meanwhile are
+ * late.  The store accepts each sequence number once, whoever sends it.
+ * Returns: FALSE when the attempt is to be sent by this daemon. */
 static gboolean
 append_by_peer (FbAppender *self)
 {
--- a/src/entry/store/appender.h
+++ b/src/entry/store/appender.h
@@ -8,13 +8,13 @@
 
 typedef void (*FbAppendDone) (gpointer user, FbAppendResult result);
 
-/* WRITER of NULL: appends without fencing, and repeats a call only while its outcome is unknown.
- * Otherwise a call is repeated until it is stored or rejected for good. */
+/* WRITER: name under which appends are fenced; each call is repeated until it is stored or finally
+ * rejected.  NULL: no fencing; a call is repeated only while its outcome is unknown. */
 FbAppender *fb_appender_new (FbEntry *entry, const char *topic, uint32_t partition,
                              const char *writer, uint64_t epoch);
 void fb_appender_free (FbAppender *self);
-/* Takes over RECORDS, which are encoded.  DONE is called once unless the appender is freed.
- * Without a writer, a call of unknown outcome is not repeated after the latest GIVE_UP_MS of its
- * records. */
+/* Appends RECORDS (transfer full), which are encoded.  DONE is called once unless the appender is
+ * freed.  Without a writer, a call of unknown outcome is not repeated after the latest GIVE_UP_MS
+ * of its records. */
 void fb_appender_put (FbAppender *self, GByteArray *records, uint64_t give_up_ms, FbAppendDone done,
                       gpointer user);
--- a/src/entry/store/daemons.c
+++ b/src/entry/store/daemons.c
@@ -10,49 +10,51 @@
 #include <string.h>
 
 #define GROUP "daemons"
-/* A dead member is removed after this time; until then calls to it fail at once or time out, and it
- * is not used for a while (relay_backoff_until_ms).  A shorter time to live costs more calls of the
- * store. */
+/* Time to live of a membership, after which a crashed member is removed.  Until then calls to it
+ * fail immediately or time out, and it is not used for a while (relay_backoff_until_ms).  A shorter
+ * time to live requires more calls of the store. */
 #define TTL_MS 2000
 #define JOIN_EVERY_MS 600
-/* The store reassigns partitions once each member has joined with the new generation: a member that
- * learns of a new generation joins again soon. */
+/* Delay of the next join after a change of the group.  The store reassigns partitions once each
+ * member has joined with the new generation, so a member that receives a new generation joins again
+ * soon. */
 #define JOIN_CHANGED_MS 100
 #define ANSWER_MS 500
-/* Members are read when the group has changed, and at this interval in any case. */
+/* Members are read when the group has changed, and at least at this interval. */
 #define READ_EVERY_MS 3000
 #define READ_SOON_MS 300
-/* Retry interval until a list counts, because pools wait for it. */
+/* Retry interval until a list is accepted, because pools wait for it. */
 #define READ_FIRST_MS 100
-/* Failure: all daemons start at the same moment, and the first list that each of them reads names
- * two of 33: each takes itself for a strong one.  It shows as pools that daemons of 0.12 of a core
- * take over and lose 0.5 to 1.3 s later to those of 0.5 of a core, which begin anew.  Guard: a list
- * that does not name the reader's address does not count, because it was made after the loss of the
- * old members and before the reader was added.  A list that names the reader's previous process
- * counts, because it was made before the loss.  After this time any list counts, because the store
- * may never get to assign a partition to the reader. */
+/* A list is accepted only if it contains the reader's address.  A list without it was made after
+ * the old members expired and before the reader was added: when all daemons start at the same time,
+ * the first list that each one reads contains two of 33, and each considers itself strong enough to
+ * own partitions.  Daemons of 0.12 of a core then take over pools and lose them 0.5 to 1.3 s later
+ * to those of 0.5 of a core, which start loading again.  A list that contains the reader's previous
+ * process is accepted, because it was made before that process expired.  After this time any list
+ * is accepted, because the store may never assign a partition to the reader. */
 #define FIRST_LIST_MS 1500
-/* Number of topics whose partitions the group assigns at first.  The store names only members that
+/* Initial number of topics whose partitions the group assigns.  The store lists only members that
  * hold a partition, so there have to be more partitions than daemons; see
  * fb_daemons_needed_topics(). */
 #define TOPICS_FIRST 4
 #define TOPICS_MAX 64
-/* A daemon with less than half of the strongest one's processor owns nothing: an owner's load
- * depends on its pool, not on the owner's own size. */
+/* Minimum processor share of an owner, as a percentage of the largest share: the load of an owner
+ * depends on its pool, not on its own capacity. */
 #define STRONG_PERCENT 50
 
 struct _FbDaemons
 {
   FbEntry *entry;
-  char *name; /* of this process as a member: ADDRESS/DOMAIN/CPU/START */
+  char *name; /* member name of this process: ADDRESS/DOMAIN/CPU/START */
   uint64_t began_ms;
   uint64_t join_sent_ms;
   GPtrArray *members;     /* of FbDaemon */
   gboolean list_complete; /* see fb_daemons_is_list_complete() */
-  guint topics_n;         /* number of topics of the next join */
+  guint topics_n;         /* number of topics in the next join */
   FbGroupLeave *group_leave;
   uint64_t generation;
-  uint64_t read_generation; /* generation when the members were last requested */
+  uint64_t read_generation; /* generation at the last request for the members; 0: they have to be
+                             * requested again */
   uint64_t read_ms;         /* when the members were last requested */
   gboolean read_open;
   gboolean leaving;
@@ -124,9 +126,9 @@
   return find (members, address) != NULL;
 }
 
-/* Failure: a group of more daemons than partitions names only some of them; the others relay no
- * orders and send no requests for advice.  Guard: once as many members are named as there are
- * partitions, the number of topics is doubled. */
+/* Doubles the number of topics once as many members are listed as there are partitions.  With more
+ * daemons than partitions only some are listed, and the others relay no orders and send no requests
+ * for advice. */
 guint
 fb_daemons_needed_topics (guint topics_n, guint partitions_n, guint members_n)
 {
@@ -140,9 +142,9 @@
   return strncmp (name, own_name, address_len + 1) == 0 && !g_str_equal (name, own_name);
 }
 
-/* Failure: all daemons lose power and come back within their time to live; the store assigns
- * nothing to the new processes until the previous ones have expired, so that new lists come 1.2 s
- * after the restart.  Guard: each daemon removes its previous processes from the group. */
+/* Removes the previous processes of this daemon from the group.  When all daemons lose power and
+ * restart within their time to live, the store assigns nothing to the new processes until the
+ * previous ones have expired, and new lists are available only 1.2 s after the restart. */
 static void
 remove_predecessors (FbDaemons *self, const GArray *rows)
 {
--- a/src/entry/store/group-leave.c
+++ b/src/entry/store/group-leave.c
@@ -9,7 +9,7 @@
   FbEntry *entry;
   const char *group;
   const char *name;
-  GHashTable *removed; /* names of earlier processes that were removed */
+  GHashTable *removed; /* member names of previous processes that were removed */
 };
 
 FbGroupLeave *
@@ -27,7 +27,7 @@
 on_removed (gpointer data, const FbHttpReply *reply)
 {
   (void) data;
-  (void) reply; /* without an answer the member expires after its time to live */
+  (void) reply; /* without an answer the member is removed after its time to live */
 }
 
 static void
--- a/src/entry/store/group-leave.h
+++ b/src/entry/store/group-leave.h
@@ -1,6 +1,6 @@
 /* Removes processes of this daemon from a group of the store: this process when it leaves, and
- * earlier ones, to which the store would assign partitions until their time to live is over.  This
- * process listens at the same address, so the earlier ones are dead. */
+ * previous processes, to which the store would assign partitions until their time to live expires.
+ * This process listens at the same address, so the previous ones no longer run. */
 #pragma once
 
 #include "src/net/http-client.h"
@@ -10,9 +10,9 @@
 
 /* GROUP: a static string.  NAME: this process's member name, borrowed while SELF exists. */
 FbGroupLeave *fb_group_leave_new (FbEntry *entry, const char *group, const char *name);
-/* Removes this process.  DONE, which may be NULL, is called with the store's answer, or when none
- * came. */
+/* Removes this process.  DONE, which may be NULL, is called with the store's answer or after a
+ * timeout. */
 void fb_group_leave_self (FbGroupLeave *self, FbHttpReplyDone done, gpointer user);
-/* Removes MEMBER if it is an earlier process of this daemon.
- * Returns: FALSE when it is not one, or was removed before. */
+/* Removes MEMBER if it is a previous process of this daemon.
+ * Returns: FALSE when it is not one, or was already removed. */
 gboolean fb_group_leave_predecessor (FbGroupLeave *self, const char *member);
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -1,8 +1,8 @@
-/* Ownership of partitions, as the store assigns them to the members of a group.
+/* Ownership of partitions, as assigned by the store to the members of a group.
  *
- * The partitions of a daemon whose joins no longer reach the store are reassigned after its time to
- * live.  A member's name contains the start time of its process: a restarted process must not be
- * taken for its predecessor, whose orders may still be in transit. */
+ * When the joins of a daemon no longer reach the store, its partitions are reassigned after its
+ * time to live.  A member name contains the start time of the process: a restarted process must not
+ * be confused with its predecessor, whose orders may still be in transit. */
 #include "group-leave.h"
 
 #include "src/entry/entry-private.h"
@@ -12,27 +12,29 @@
 #include <string.h>
 
 #define GROUP "owners"
-/* A dead owner is replaced after this time, if the store allows so short a time to live; a
- * take-over adds some 0.3 s.  A daemon on a quarter of a core completes three joins within it. */
+/* Time to live of a membership, after which a crashed owner is replaced, if the store allows so
+ * short a time.  A takeover takes some 0.3 s more.  A daemon on a quarter of a core completes three
+ * joins within this time. */
 #define TTL_MS 1000
 #define JOIN_EVERY_MS 250
-/* The store reassigns partitions once each member has joined with the new generation; after a loss
- * of all daemons that takes several rounds.  With 62 ms pools were operational 0.8 s after the last
- * start, with this 0.25 s. */
+/* Delay of the next join after a change of the group.  The store reassigns partitions once each
+ * member has joined with the new generation, which takes several rounds after a crash of all
+ * daemons.  Pools were operational 0.25 s after the last start with this value, and 0.8 s with 62
+ * ms. */
 #define JOIN_CHANGED_MS 30
-/* Retry interval until the members are known, some 10 ms after the start. */
+/* Retry interval until the members are known, which takes some 10 ms after the start. */
 #define MEMBERS_RETRY_MS 10
 #define ANSWER_MS 500
-/* Failure: a store that was silent answers again, but callers are refused until a call that was
- * sent after its return is answered; with 0.5 s for a join this added 0.4 to 0.6 s of refusals, a
- * fifth of the time in which a caller retries.  Guard: while the store is silent a join times out
- * and is repeated soon; every second one has the usual time limit, for a slow store. */
+/* Timeout and pause of joins while the store is silent.  Every second join has the usual timeout
+ * instead, for a store that is slow.  When the store answers again, callers are refused until a
+ * call sent after that is answered; a timeout of 0.5 s for each join added 0.4 to 0.6 s of
+ * refusals, a fifth of the time in which a caller retries. */
 #define PROBE_ANSWER_MS 150
 #define PROBE_PAUSE_MS 30
-/* Owners are requested when the group has changed, and at this interval in any case. */
+/* Owners are requested when the group has changed, and at least at this interval. */
 #define OWNERS_EVERY_MS 3000
 #define OWNERS_SOON_MS 200
-/* Age up to which the owners are passed on to peers; they are read every OWNERS_EVERY_MS. */
+/* Maximum age of the owners that are sent to peers; they are read every OWNERS_EVERY_MS. */
 #define OWNERS_FRESH_MS 3800
 
 struct _FbGroup
@@ -41,18 +43,19 @@
   char *member;
   uint32_t ttl_ms;
   uint64_t generation;
-  uint64_t ok_sent_ms; /* when the last answered join was sent; 0: not a member */
+  uint64_t ok_sent_ms; /* time at which the last answered join was sent; 0: not a member */
   uint64_t join_sent_ms;
-  uint64_t owners_ms;         /* when the store last returned the owners */
+  uint64_t owners_ms;         /* time at which the store last returned the owners */
   guint probes_n;             /* number of joins since the store stopped answering */
   GHashTable *owner_of;       /* partition -> address */
-  uint64_t owners_generation; /* at the last such request; 0: they have to be requested again */
+  uint64_t owners_generation; /* generation at the last request to the store for the owners; 0: they
+                               * have to be requested again */
   uint64_t owners_requested_ms;
   gboolean owners_open; /* a request to the store for the owners is open */
   gboolean peer_open;   /* a request to a peer for the owners is open */
   FbGroupLeave *group_leave;
   guint timer;
-  gboolean keepalive_active; /* the keepalive repeats the joins */
+  gboolean keepalive_active; /* the keepalive thread repeats the joins */
   gboolean leaving;
   void (*on_released) (gpointer user);
   gpointer on_released_user;
@@ -79,9 +82,10 @@
 
 /* ---- earlier processes of this daemon ------------------------------------------ */
 
-/* Failure: a daemon is killed and starts again within its time to live; the store still regards the
- * previous process as the owner of its partitions, and their pools make no progress for the rest of
- * that time (0.5 s when all are killed).  Guard: the previous process is removed from the group. */
+/* Removes the previous processes of this daemon from the group.  When a daemon is killed and
+ * restarts within its time to live, the store still regards the previous process as the owner of
+ * its partitions, and their pools make no progress for the rest of that time (0.5 s when all
+ * daemons are killed). */
 static void
 remove_predecessors (FbGroup *self, const GArray *owners)
 {
@@ -101,7 +105,7 @@
   FbGroup *self = data;
   self->peer_open = FALSE;
   if (peer_reply == NULL || peer_reply->type != FB_REPLY_PARTITION_OWNERS)
-    return; /* a caller that needs the owners asks again */
+    return; /* the owners are requested again when they are needed */
   const fb_owners_reply *owners = &peer_reply->fb_peer_reply_u.owners;
   fb_event_log (FB_EVENT_OWNERS_FROM_PEER, "partitions=%u store_ok_ms_ago=%u",
                 owners->owners.owners_len, (guint) (fb_clock_ms () - self->entry->store_ok_ms));
@@ -114,9 +118,9 @@
     }
 }
 
-/* Failure: the store rejects this daemon's calls and its partitions have new owners; it shows as
- * callers of this daemon who request a job's state, wait for 2 s and are told that the owner is
- * away.  Guard: a peer that the store serves knows the owners. */
+/* Requests the owners from a peer, for the case that the store rejects this daemon's calls but
+ * serves the peer.  Otherwise, after partitions have new owners, callers of this daemon that
+ * request a job's state wait for 2 s and are answered that the owner is unavailable. */
 static void
 request_owners_from_peer (FbGroup *self)
 {
@@ -164,10 +168,9 @@
   fb_http_call_clear (&call);
 }
 
-/* Failure: a daemon that has left sends no joins, and the owners were requested along with joins
- * only; it shows as callers in its last seconds who wait for 2 s and are refused, or cut off when
- * the process ends.  Guard: a component that finds an owner to be wrong requests the owners
- * itself. */
+/* Owners are also requested along with joins, but a daemon that has left the group sends none:
+ * without this function, callers in its last seconds would wait for 2 s and be refused, or be
+ * disconnected when the process exits. */
 void
 fb_group_refresh_owners (FbGroup *self)
 {
@@ -205,10 +208,10 @@
   return g_hash_table_lookup (self->owner_of, GUINT_TO_POINTER (partition));
 }
 
-/* Failure: a daemon whose calls the store rejected for 2 s is no member for its peers.  A daemon
- * that reads the members just then, and is rejected next, knows of no peer that could append for
- * it, and reports no end of a job until the store serves it again.  Guard: owners are included too,
- * which the store lists separately from the members. */
+/* Includes the owners, which the store lists separately from the members.  A daemon whose calls
+ * were rejected for 2 s is not listed as a member.  A daemon that reads the members at that moment,
+ * and is rejected next, would know no peer that could append for it, and would report no end of a
+ * job until the store serves it again. */
 GPtrArray *
 fb_group_daemons (const FbGroup *self)
 {
@@ -251,8 +254,9 @@
 
 /* ---- membership ---------------------------------------------------------------- */
 
-/* Returns: the time until which no other daemon can have been assigned this daemon's partitions, by
- * the last renewal that the main loop or the keepalive has sent; 0: not a member. */
+/* Returns: the time until which no other daemon can have been assigned this daemon's partitions,
+ * according to the last renewal that was sent by the main loop or the keepalive thread; 0: not a
+ * member. */
 static uint64_t
 member_until_ms (const FbGroup *self)
 {
@@ -268,9 +272,9 @@
   return now_ms < member_until_ms (self);
 }
 
-/* Failure: a daemon does not join for longer than its time to live and is assigned the same
- * partitions again; it shows as an owner whose state lacks the changes that another owner made in
- * between.  Guard: it releases its partitions and takes them over anew. */
+/* Releases all partitions, to take them over again, when this daemon has not joined for longer than
+ * its time to live and is assigned partitions again.  Another owner may have made changes in
+ * between that its state lacks. */
 static void
 release_after_absence (FbGroup *self, uint64_t generation)
 {
@@ -309,11 +313,11 @@
   request_owners (self, now_ms);
 }
 
-/* Releases all partitions, and checks again later whether to join: the members are not known yet,
- * or this daemon is not strong enough to be an owner.  One daemon makes all decisions for the pool
- * of a service, so pools are left to the daemons with the most processor time.  In a deployment
- * whose daemons have 0.5 or 0.12 of a core, one with 0.12 got the pool of 350 workers in four of
- * five cases, and had used up its processor time after 4 s. */
+/* Releases all partitions and checks again later whether to join.  To be called while the members
+ * are not known yet, or this daemon has too little processor time to be an owner.  One daemon makes
+ * all decisions for the pool of a service, so pools are left to the daemons with the most processor
+ * time.  In a deployment whose daemons have 0.5 or 0.12 of a core, one with 0.12 was assigned the
+ * pool of 350 workers in four of five cases, and had used up its processor time after 4 s. */
 static void
 stay_non_owner (FbGroup *self)
 {
@@ -373,7 +377,7 @@
 on_left (gpointer data, const FbHttpReply *reply)
 {
   FbGroup *self = data;
-  (void) reply; /* without an answer the membership expires after its time to live */
+  (void) reply; /* without an answer the membership ends after its time to live */
   self->on_released (self->on_released_user);
 }
 
--- a/src/entry/store/keepalive.c
+++ b/src/entry/store/keepalive.c
@@ -7,13 +7,14 @@
 
 #include <stdatomic.h>
 
-/* Fractions of the time to live: the first repeat is sent after two renewals of the main loop are
+/* Divisors of the time to live: the first repeat is sent after two renewals of the main loop are
  * missing, and two repeats may be lost. */
 #define OVERDUE_FRACTION 2
 #define REPEAT_FRACTION 4
-/* A main loop without a renewal for this long hangs, or is too slow for the leases of its workers,
- * which last 4 s: its pools are better owned by another daemon.  The longest turn seen is
- * 0.5 s, on a daemon of 0.12 of a core that took over 2,300 jobs at once. */
+/* Time without a renewal after which the main loop is considered hung, or too slow for the leases
+ * of its workers, which last 4 s: its pools are better owned by another daemon.  The longest
+ * iteration observed took 0.5 s, on a daemon of 0.12 of a core that took over 2,300 jobs at
+ * once. */
 #define HANG_MS 3000
 #define HTTP_OK 200
 
@@ -32,9 +33,9 @@
 {
   FbKeepalive *keepalive;
   Renewal *renewal; /* last renewal; NULL: not a member */
-  GSource *timer;   /* fires when the main loop is overdue; NULL: none */
+  GSource *timer;   /* expires when the main loop is overdue; NULL: none */
   gboolean call_open;
-  uint64_t repeated_ms; /* when the last repeat was sent */
+  uint64_t repeated_ms; /* time at which the last repeat was sent */
   _Atomic uint64_t renewed_ms;
 } Membership;
 
@@ -73,8 +74,9 @@
   g_source_attach (membership->timer, fb_loop_context (membership->keepalive->loop));
 }
 
-/* Records that a repeat has extended the membership.  A repeat sent after the time to live had run
- * out extends nothing: the store may have assigned the partitions to another daemon and back. */
+/* Records that a repeat has extended the membership.  A repeat that was sent after the time to live
+ * had expired extends nothing: the store may have assigned the partitions to another daemon and
+ * back. */
 static void
 note_renewed (Membership *membership)
 {
--- a/src/entry/store/rendezvous.h
+++ b/src/entry/store/rendezvous.h
@@ -1,6 +1,7 @@
-/* Weighted rendezvous hashing: chooses the daemon that serves a key.  All daemons that know the
- * same members choose alike; each member's probability is its share of the processor, and when one
- * leaves only the keys that it served move.  No I/O, clock or thread. */
+/* Weighted rendezvous hashing: chooses the daemon that serves a key.  All daemons with the same
+ * list of members choose the same one.  Each member's probability is its fraction of the total
+ * processor share, and when a member leaves only the keys that it served move.  No I/O, clock or
+ * thread. */
 #pragma once
 
 #include "daemons.h"
@@ -9,7 +10,7 @@
 typedef gboolean (*FbRendezvousMay) (const FbDaemon *member, gconstpointer user);
 
 /* MEMBERS: of FbDaemon.
- * Returns: (nullable): the member with the largest weight for KEY among those that MAY allows;
- * borrowed. */
+ * Returns: (nullable): the member with the largest weight for KEY among those for which MAY returns
+ * TRUE; borrowed. */
 const FbDaemon *fb_rendezvous_choose (const GPtrArray *members, const char *key,
                                       FbRendezvousMay may, gconstpointer user);
--- a/src/entry/store/store-health.c
+++ b/src/entry/store/store-health.c
@@ -1,19 +1,21 @@
 #include "store-health.h"
 
-/* Appends usually take 10 to 20 ms; from this latency on the store counts as slow. */
+/* Latency of an append from which the store is considered slow; appends usually take 10 to 20
+ * ms. */
 #define SLOW_APPEND_MS 50
-/* Renewals usually take some 10 ms; the main loop of a weak daemon adds up to 50 ms when it is
- * busy, and a store that is 50 times slower takes 200 ms. */
+/* Latency of a renewal from which the store is considered slow.  Renewals usually take some 10 ms;
+ * the main loop of a daemon with little processor time adds up to 50 ms when it is busy, and with a
+ * store that is 50 times slower renewals take 200 ms. */
 #define SLOW_RENEWAL_MS 120
-/* After a failed append other daemons are tried first for this long: the store may reject just this
+/* Time for which other daemons are preferred after a failed append: the store may reject only this
  * daemon, which lasts some seconds. */
 #define FAILED_FOR_MS 1000
 
-/* Time limit of an append.  The store's answers take some 10 ms, also with some tens of appends
+/* Timeout of an append.  The store answers within some 10 ms, also with some tens of appends
  * queued. */
 #define TIMEOUT_MS 900
-/* Time limit of an append while the store is slow: callers wait for 2.6 s, less the time for the
- * network. */
+/* Timeout of an append while the store is slow: the 2.6 s for which callers wait, less the network
+ * delay. */
 #define SLOW_TIMEOUT_MS 2400
 
 void
--- a/src/entry/store/topic-reader.c
+++ b/src/entry/store/topic-reader.c
@@ -1,28 +1,27 @@
-/* Follows one partition of a keyed topic: first the newest record of each key, then each later
- * record, by long polls.
+/* Reads one partition of a keyed topic by long polls: first the newest record of each key, then
+ * each later record.
  *
- * Failure: a connection goes silent for good; it shows as a poll that never ends.  Guard: a poll
- * times out shortly after the time that it asked the store to wait, and the next poll uses another
- * connection. */
+ * A connection may stop delivering data permanently.  Therefore a poll times out shortly after the
+ * time that it asked the store to wait, and the next poll uses another connection. */
 #include "src/entry/entry-private.h"
 
 #include "fb-event.h"
 
-/* Wait time of a poll at the store.  It is short enough that a silent connection is detected and a
- * new one has answered within the 2 s in which a configuration has to be in force. */
+/* Time for which the store may delay its answer to a poll: short enough that a silent connection is
+ * detected and a new one has delivered data within the 2 s in which a new configuration has to take
+ * effect. */
 #define POLL_WAIT_MS 400
-/* Allowance for the store's answer, which takes 4 ms, and 60 times as long when the store is
+/* Time allowed for the store's answer, which takes 4 ms, and 60 times as long when the store is
  * slow. */
 #define ANSWER_MS 800
-/* Limits of the time without data while a page is read.  Its first bytes arrive after some 20 ms,
- * and after 0.3 s when the store is slow.
- *
- * Failure: a daemon starts while the store is silent; a listing that it requested just before the
- * store came back is never answered, so that for 1.5 s it knows neither configuration nor jobs.
- * Guard: the first attempt times out after a short silence, and each repeat waits twice as long. */
+/* Bounds of the time without data after which reading a page times out.  The first bytes arrive
+ * after some 20 ms, and after 0.3 s when the store is slow.  The first attempt times out after a
+ * short silence, and each repeat waits twice as long: a listing that was requested just before a
+ * silent store recovers is never answered, and with a long timeout a daemon that starts then has
+ * neither configuration nor jobs for 1.5 s. */
 #define PAGE_FIRST_MS 300
 #define PAGE_LAST_MS 2400
-/* Time limit of a whole call.  A page of 1 MB, a third more when encoded, takes 1.1 s at 10 Mbit/s,
+/* Timeout of a whole call.  A page of 1 MB, a third more when encoded, takes 1.1 s at 10 Mbit/s,
  * the slowest link of a daemon; four pools may be listed at once, and callers' jobs use the link as
  * well. */
 #define CALL_TIMEOUT_MS 6000
@@ -38,13 +37,14 @@
   const FbTopicReaderOps *ops;
   gpointer user;
   char *after;         /* last key of the listing so far; NULL before its first page */
-  gboolean listing;    /* reads the newest records; else later ones */
+  gboolean listing;    /* a listing is in progress; otherwise later records are read */
   uint64_t from;       /* offset of the next record to read */
-  uint64_t sent_ms;    /* when the open or last call was sent */
-  uint64_t listing_ms; /* when the first page of the current listing was requested */
-  uint64_t fresh_ms;   /* every record stored before it is known; 0: none yet */
+  uint64_t sent_ms;    /* time at which the open or last call was sent */
+  uint64_t listing_ms; /* time at which the first page of the current listing was requested */
+  uint64_t fresh_ms;   /* every record that was stored before this time has been read; 0: none
+                        * yet */
   uint32_t retry_ms;
-  uint32_t page_ms; /* silence after which the next page of a listing times out */
+  uint32_t page_ms; /* time without data after which the next page of a listing times out */
   guint timer;
   gboolean skip_pause; /* the next pause is skipped */
   gboolean call_open;
@@ -107,7 +107,7 @@
       retry_later (self);
       return;
     }
-  /* The pages are no snapshot: changes since the first page are read again. */
+  /* The pages are not a consistent snapshot: changes since the first page are read afterwards. */
   if (self->after == NULL)
     {
       self->from = end;
@@ -122,10 +122,9 @@
     }
   else
     {
-      /* Failure: a record is stored in a part of the listing that was read already, so that it is
-       * not known when the last page arrives; with the time of the last page as its age, the
-       * listing proved that there is no such job, and its caller was told so.  Guard: a listing is
-       * as old as its first page. */
+      /* A listing is as old as its first page: a record may be stored at a key that an earlier page
+       * has passed.  With the time of the last page, the listing would prove that there is no such
+       * job, and its caller would be told so. */
       self->listing = FALSE;
       self->fresh_ms = self->listing_ms;
       self->ops->listed (self->user);
--- a/src/entry/store/topic-reader.h
+++ b/src/entry/store/topic-reader.h
@@ -8,7 +8,7 @@
 
 typedef struct
 {
-  /* A full listing begins; keys that it does not contain no longer exist. */
+  /* A full listing begins; keys that it does not contain do not exist any more. */
   void (*begin) (gpointer user);
   void (*record) (gpointer user, const FbStoreRecord *record);
   /* The listing is complete; later records follow as they are stored. */
@@ -21,6 +21,6 @@
 void fb_topic_reader_free (FbTopicReader *self);
 /* Skips the pause before the next poll. */
 void fb_topic_reader_read_now (FbTopicReader *self);
-/* Returns: when the last answered read was sent: every record stored before that time is known; 0
- * while the first listing is incomplete. */
+/* Returns: the time at which the last answered read was sent: every record that was stored before
+ * then has been read; 0 while the first listing is incomplete. */
 uint64_t fb_topic_reader_fresh_ms (const FbTopicReader *self);
--- a/src/entry/store/worker-list.c
+++ b/src/entry/store/worker-list.c
@@ -6,7 +6,7 @@
 {
   GHashTable *by_incarnation; /* incarnation -> FbListedWorker */
   GHashTable *by_id;          /* id of a worker -> FbListedWorker, borrowed */
-  GHashTable *ignored;        /* id -> uint64_t: start time in its last ignored entry */
+  GHashTable *ignored;        /* id -> uint64_t: start time in the last ignored entry */
 };
 
 FbWorkerList *
--- a/src/entry/store/worker-list.h
+++ b/src/entry/store/worker-list.h
@@ -1,10 +1,11 @@
 /* The workers that the platform lists, with one incarnation each.
  *
- * Failure: an entry written by an earlier incarnation of a worker arrives after the entry of the
- * incarnation that restarted under the same id; if it were applied, the worker would appear to be
- * gone.  Guard: an entry with an earlier start time than the listed one counts only when it is
- * repeated without an entry of the listed incarnation in between, as happens when the host's clock
- * was set back; an entry without a start time never replaces one with it. */
+ * An entry that was written by a previous incarnation of a worker may arrive after the entry of the
+ * incarnation that restarted under the same id; if it were applied, the running incarnation would
+ * be removed.  Therefore an entry with an earlier start time than the listed one is applied only
+ * when it is repeated without an entry of the listed incarnation in between, as happens after the
+ * host's clock was set back.  An entry without a start time never replaces one with a start
+ * time. */
 #pragma once
 
 #include "platform/wire.h"
@@ -18,7 +19,7 @@
 /* Returns: (nullable): the worker listed with INCARNATION; borrowed. */
 const FbListedWorker *fb_worker_list_by_incarnation (const FbWorkerList *self,
                                                      const char *incarnation);
-/* TRUE when WORKER, an entry that was just read, is to be ignored as one of an earlier
+/* Returns: TRUE when WORKER, an entry that was just read, is to be ignored as one of a previous
  * incarnation. */
 gboolean fb_worker_list_ignores (FbWorkerList *self, const FbListedWorker *worker);
 /* Lists WORKER (transfer full) in place of the entry of the same incarnation. */
