--- a/src/entry/advice/advice-balancer.c
+++ b/src/entry/advice/advice-balancer.c
@@ -41,7 +41,7 @@
 {
   guint class; /* class of the last request */
   guint n;
-} Open;
+} OpenRequests;
 
 FbAdviceBalancer *
 fb_advice_balancer_new (void)
@@ -59,7 +59,7 @@
 }
 
 static guint
-class_of (uint32_t expected_ms)
+size_class (uint32_t expected_ms)
 {
   return MIN (g_bit_storage (expected_ms), CLASS_N - 1);
 }
@@ -96,7 +96,7 @@
 fb_advice_balancer_reserved (FbAdviceBalancer *self, guint daemons_n, uint32_t expected_ms,
                              uint64_t now_ms)
 {
-  double load = shorter_load (self, class_of (expected_ms), now_ms);
+  double load = shorter_load (self, size_class (expected_ms), now_ms);
   /* Nothing is reserved below a load of 0.01, which means that the last short request was some
    * seconds ago. */
   if (load < 0.01 || daemons_n < 2)
@@ -105,28 +105,28 @@
 }
 
 static guint
-open_n (const FbAdviceBalancer *self, guint from_class)
+count_open (const FbAdviceBalancer *self, guint min_class)
 {
   guint n = 0;
   GHashTableIter iter;
   gpointer open;
   g_hash_table_iter_init (&iter, self->open);
   while (g_hash_table_iter_next (&iter, NULL, &open))
-    n += ((const Open *) open)->class >= from_class;
+    n += ((const OpenRequests *) open)->class >= min_class;
   return n;
 }
 
 /* Returns: (nullable): a daemon with OPEN_N open requests, all of them short. */
 static const char *
-daemon_with (const FbAdviceBalancer *self, const GPtrArray *daemons, guint open_n,
+find_daemon (const FbAdviceBalancer *self, const GPtrArray *daemons, guint open_n,
              gboolean from_end)
 {
   for (guint i = 0; i < daemons->len; i++)
     {
       const char *daemon = daemons->pdata[from_end ? daemons->len - 1 - i : i];
-      const Open *open = g_hash_table_lookup (self->open, daemon);
+      const OpenRequests *open = g_hash_table_lookup (self->open, daemon);
       if (open_n == (open != NULL ? open->n : 0)
-          && (open == NULL || open->class < class_of (FB_ADVICE_LONG_MS)))
+          && (open == NULL || open->class < size_class (FB_ADVICE_LONG_MS)))
         return daemon;
     }
   return NULL;
@@ -136,16 +136,16 @@
 fb_advice_balancer_choose (FbAdviceBalancer *self, const GPtrArray *daemons, uint32_t expected_ms,
                            uint64_t now_ms)
 {
-  guint class = class_of (expected_ms);
+  guint class = size_class (expected_ms);
   guint reserved = fb_advice_balancer_reserved (self, daemons->len, expected_ms, now_ms);
-  guint from_class = class + 1 > CLASS_DISTANCE ? class + 1 - CLASS_DISTANCE : 0;
-  if (reserved > 0 && open_n (self, from_class) + reserved >= daemons->len)
+  guint min_class = class + 1 > CLASS_DISTANCE ? class + 1 - CLASS_DISTANCE : 0;
+  if (reserved > 0 && count_open (self, min_class) + reserved >= daemons->len)
     return NULL;
   gboolean is_long = expected_ms >= FB_ADVICE_LONG_MS;
-  guint most = is_long ? 1 : SHORT_MAX;
+  guint max_open = is_long ? 1 : SHORT_MAX;
   const char *daemon = NULL;
-  for (guint open_n = 0; open_n < most && daemon == NULL; open_n++)
-    daemon = daemon_with (self, daemons, open_n, is_long);
+  for (guint open_n = 0; open_n < max_open && daemon == NULL; open_n++)
+    daemon = find_daemon (self, daemons, open_n, is_long);
   return daemon;
 }
 
@@ -153,13 +153,13 @@
 fb_advice_balancer_began (FbAdviceBalancer *self, const char *daemon, uint32_t expected_ms,
                           uint64_t now_ms)
 {
-  guint class = class_of (expected_ms);
+  guint class = size_class (expected_ms);
   decay (&self->loads[class], now_ms);
   self->loads[class].busy_ms += expected_ms;
-  Open *open = g_hash_table_lookup (self->open, daemon);
+  OpenRequests *open = g_hash_table_lookup (self->open, daemon);
   if (open == NULL)
     {
-      open = g_new0 (Open, 1);
+      open = g_new0 (OpenRequests, 1);
       g_hash_table_insert (self->open, g_strdup (daemon), open);
     }
   open->class = class;
@@ -169,7 +169,7 @@
 void
 fb_advice_balancer_ended (FbAdviceBalancer *self, const char *daemon)
 {
-  Open *open = g_hash_table_lookup (self->open, daemon);
+  OpenRequests *open = g_hash_table_lookup (self->open, daemon);
   if (open != NULL && --open->n == 0)
     g_hash_table_remove (self->open, daemon);
 }
--- a/src/entry/advice/advice-queue.c
+++ b/src/entry/advice/advice-queue.c
@@ -19,20 +19,20 @@
   gpointer request;
   uint32_t expected_ms;
   uint64_t due_ms; /* the earliest due is sent first */
-} Waiting;
+} QueuedRequest;
 
 struct _FbAdviceQueue
 {
-  GArray *waiting; /* of Waiting */
-  GArray *called;  /* of Waiting: open calls to the service */
+  GArray *waiting; /* of QueuedRequest */
+  GArray *open;    /* of QueuedRequest: open calls to the service */
 };
 
 FbAdviceQueue *
 fb_advice_queue_new (void)
 {
   FbAdviceQueue *self = g_new0 (FbAdviceQueue, 1);
-  self->waiting = g_array_new (FALSE, FALSE, sizeof (Waiting));
-  self->called = g_array_new (FALSE, FALSE, sizeof (Waiting));
+  self->waiting = g_array_new (FALSE, FALSE, sizeof (QueuedRequest));
+  self->open = g_array_new (FALSE, FALSE, sizeof (QueuedRequest));
   return self;
 }
 
@@ -40,21 +40,21 @@
 fb_advice_queue_free (FbAdviceQueue *self)
 {
   g_array_unref (self->waiting);
-  g_array_unref (self->called);
+  g_array_unref (self->open);
   g_free (self);
 }
 
 void
 fb_advice_queue_add (FbAdviceQueue *self, gpointer request, uint32_t expected_ms, uint64_t now_ms)
 {
-  const Waiting waiting = { .request = request,
-                            .expected_ms = expected_ms,
-                            .due_ms = now_ms + (uint64_t) (DUE_FACTOR * expected_ms) };
+  const QueuedRequest waiting = { .request = request,
+                                  .expected_ms = expected_ms,
+                                  .due_ms = now_ms + (uint64_t) (DUE_FACTOR * expected_ms) };
   g_array_append_val (self->waiting, waiting);
 }
 
 static gboolean
-is_short (const Waiting *waiting)
+is_short (const QueuedRequest *waiting)
 {
   return waiting->expected_ms < FB_ADVICE_LONG_MS;
 }
@@ -66,20 +66,20 @@
   guint first = 0;
   for (guint i = 1; i < self->waiting->len; i++)
     {
-      if (g_array_index (self->waiting, Waiting, i).due_ms
-          < g_array_index (self->waiting, Waiting, first).due_ms)
+      if (g_array_index (self->waiting, QueuedRequest, i).due_ms
+          < g_array_index (self->waiting, QueuedRequest, first).due_ms)
         first = i;
     }
   return first;
 }
 
 static gboolean
-may_send (const FbAdviceQueue *self, const Waiting *next)
+may_send_next (const FbAdviceQueue *self, const QueuedRequest *next)
 {
-  if (self->called->len == 0)
+  if (self->open->len == 0)
     return TRUE;
-  return self->called->len < SHORT_MAX && is_short (next)
-         && is_short (&g_array_index (self->called, Waiting, 0));
+  return self->open->len < SHORT_MAX && is_short (next)
+         && is_short (&g_array_index (self->open, QueuedRequest, 0));
 }
 
 gpointer
@@ -88,22 +88,22 @@
   guint at = first_due (self);
   if (at >= self->waiting->len)
     return NULL;
-  const Waiting next = g_array_index (self->waiting, Waiting, at);
-  if (!may_send (self, &next))
+  const QueuedRequest next = g_array_index (self->waiting, QueuedRequest, at);
+  if (!may_send_next (self, &next))
     return NULL;
   g_array_remove_index (self->waiting, at);
-  g_array_append_val (self->called, next);
+  g_array_append_val (self->open, next);
   return next.request;
 }
 
 void
 fb_advice_queue_ended (FbAdviceQueue *self, gconstpointer request)
 {
-  for (guint i = 0; i < self->called->len; i++)
+  for (guint i = 0; i < self->open->len; i++)
     {
-      if (g_array_index (self->called, Waiting, i).request != request)
+      if (g_array_index (self->open, QueuedRequest, i).request != request)
         continue;
-      g_array_remove_index (self->called, i);
+      g_array_remove_index (self->open, i);
       return;
     }
 }
--- a/src/entry/advice/advisor.c
+++ b/src/entry/advice/advisor.c
@@ -23,7 +23,7 @@
 /* Upper bound of a request's expected duration: a hundred workers at 100 ms each. */
 #define EXPECTED_MAX_MS 10000
 /* Allowance for the network on top of the time that the decision takes. */
-#define CALL_SLACK_MS 1500
+#define CALL_NETWORK_MS 1500
 
 struct _FbAdvisor
 {
@@ -65,8 +65,8 @@
 {
   for (guint i = 0; i < request->workers->len; i++)
     {
-      g_autofree char *asked = fb_wire_incarnation_worker_id (request->workers->pdata[i]);
-      if (g_str_equal (asked, id))
+      g_autofree char *requested = fb_wire_incarnation_worker_id (request->workers->pdata[i]);
+      if (g_str_equal (requested, id))
         return request->workers->pdata[i];
     }
   return NULL;
@@ -75,7 +75,7 @@
 /* Passes the answer to OWNER.  Tickets contain worker ids; they are assigned to the incarnations
  * that the request contained.  PEER_REPLY: NULL without an answer. */
 static void
-pass_to_owner (FbOwner *owner, const AdviceRequest *request, const fb_advice_reply *peer_reply)
+deliver_to_owner (FbOwner *owner, const AdviceRequest *request, const fb_advice_reply *peer_reply)
 {
   guint n = peer_reply != NULL ? peer_reply->tickets.tickets_len : 0;
   g_autofree fb_ticket *tickets = g_new0 (fb_ticket, n + 1);
@@ -103,7 +103,7 @@
   if (!answered)
     fb_event_log (FB_EVENT_CALL_FAILED, "advice step=%s daemon=%s", request->step, request->daemon);
   if (owner != NULL)
-    pass_to_owner (owner, request, answered ? &peer_reply->fb_peer_reply_u.advice : NULL);
+    deliver_to_owner (owner, request, answered ? &peer_reply->fb_peer_reply_u.advice : NULL);
   /* Lets the next pool by fair share send its request. */
   fb_entry_foreach_owner (request->entry, fb_owner_schedule_tick);
   advice_request_free (request);
@@ -118,7 +118,7 @@
 /* Returns: (transfer container): addresses of the daemons that may take a request, in the same
  * order at every owner, so that short requests of two owners are sent to the same daemons. */
 static GPtrArray *
-all_daemons (const FbAdvisor *self)
+sorted_daemons (const FbAdvisor *self)
 {
   GPtrArray *daemons = fb_group_daemons (self->entry->group);
   if (daemons->len == 0)
@@ -133,7 +133,7 @@
 choose_daemon (FbAdvisor *self, uint32_t partition, uint32_t expected_ms)
 {
   uint64_t now_ms = fb_clock_ms ();
-  g_autoptr (GPtrArray) daemons = all_daemons (self);
+  g_autoptr (GPtrArray) daemons = sorted_daemons (self);
   gboolean reserves
       = fb_advice_balancer_reserved (self->balancer, daemons->len, expected_ms, now_ms) > 0;
   FbFairShare *fair_share = reserves ? self->long_fair_share : self->fair_share;
@@ -151,8 +151,8 @@
 }
 
 gboolean
-fb_advisor_ask (FbAdvisor *self, uint32_t partition, const char *step, const char *const *workers,
-                guint n, uint32_t expected_ms)
+fb_advisor_request (FbAdvisor *self, uint32_t partition, const char *step,
+                    const char *const *workers, guint n, uint32_t expected_ms)
 {
   if (self->entry->settings->advice == NULL)
     return FALSE;
@@ -195,7 +195,7 @@
   FbAdvisor *advisor;
   FbHttpCall call;
   uint32_t expected_ms;
-  uint64_t since_ms;
+  uint64_t queued_ms;
   FbPeerReplyDone done;
   gpointer user;
 } AdviceCall;
@@ -230,7 +230,7 @@
 static gboolean
 has_timed_out (const AdviceCall *call)
 {
-  return fb_clock_ms () > call->since_ms + wait_max_ms (call->expected_ms);
+  return fb_clock_ms () > call->queued_ms + wait_max_ms (call->expected_ms);
 }
 
 static void
@@ -243,7 +243,7 @@
         end_call (call, NULL);
       else
         fb_http_client_exchange (self->entry->advice_client, &call->call,
-                                 2 * call->expected_ms + CALL_SLACK_MS, on_advised, call);
+                                 2 * call->expected_ms + CALL_NETWORK_MS, on_advised, call);
     }
 }
 
@@ -255,11 +255,11 @@
   AdviceCall *call = g_new0 (AdviceCall, 1);
   call->advisor = self;
   call->expected_ms = MIN (peer_request->expected_ms, EXPECTED_MAX_MS);
-  call->since_ms = fb_clock_ms ();
+  call->queued_ms = fb_clock_ms ();
   call->done = done;
   call->user = user;
   fb_wire_advise (&call->call, entry->settings->advice, peer_request);
-  fb_advice_queue_add (self->queue, call, call->expected_ms, call->since_ms);
+  fb_advice_queue_add (self->queue, call, call->expected_ms, call->queued_ms);
   call_next (self);
 }
 
--- a/src/entry/entry-private.h
+++ b/src/entry/entry-private.h
@@ -6,8 +6,8 @@
 #pragma once
 
 #include "clock.h"
-#include "link-watch.h"
-#include "loop-watch.h"
+#include "link-monitor.h"
+#include "loop-monitor.h"
 #include "routes.h"
 #include "settings.h"
 
@@ -22,7 +22,7 @@
 #include "src/entry/store/appender.h"
 #include "src/entry/store/daemons.h"
 #include "src/entry/store/group.h"
-#include "src/entry/store/join-watch.h"
+#include "src/entry/store/join-monitor.h"
 #include "src/entry/store/keepalive.h"
 #include "src/entry/store/store-health.h"
 #include "src/entry/store/topic-reader.h"
@@ -60,13 +60,13 @@
   GHashTable *appenders;        /* partition -> FbAppender for callers' records */
   GHashTable *partition_epochs; /* partition -> FbPartitionEpochs: epochs used by this daemon */
   FbTimer *timer;
-  FbLoopWatch *loop;
-  FbLinkWatch *link;
+  FbLoopMonitor *loop;
+  FbLinkMonitor *link;
   FbPayloadDedup *payload_dedup;     /* payloads sent to other daemons */
   FbPayloadCache *payload_cache;     /* payloads received from other daemons */
   FbRecentStarts *recent_starts;     /* starts sent to workers from this daemon */
   FbSuspectBackups *suspect_backups; /* held for owners that cannot write to the store */
-  FbJoinWatch joins;
+  FbJoinMonitor joins;
   gboolean stopping;
   gboolean refusing_callers; /* new callers are refused because the process is about to exit */
   guint open_calls;          /* number of callers' requests without an answer */
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -171,16 +171,16 @@
 {
   FbEntry *self = data;
   uint64_t now_ms = fb_clock_ms ();
-  FbLoopLate late;
-  if (fb_loop_watch_turn (self->loop, now_ms, &late))
-    fb_event_log (FB_EVENT_LOOP_LATE, "late_ms=%u turns=%u partitions=%u open=%u", late.late_ms,
-                  late.turns_n, g_hash_table_size (self->owners), self->open_calls);
+  FbLoopDelays delays;
+  if (fb_loop_monitor_iteration (self->loop, now_ms, &delays))
+    fb_event_log (FB_EVENT_LOOP_LATE, "late_ms=%u turns=%u partitions=%u open=%u", delays.delay_ms,
+                  delays.iterations_n, g_hash_table_size (self->owners), self->open_calls);
   fb_timer_advance (self->timer, now_ms);
   return G_SOURCE_CONTINUE;
 }
 
 static void
-on_left (gpointer data)
+on_group_left (gpointer data)
 {
   Daemon *self = data;
   self->released_ms = fb_clock_ms ();
@@ -212,7 +212,7 @@
       g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
       self->leave_requested = TRUE;
       fb_entry_set_owned_partitions (entry, none, 0, "planned stop");
-      fb_group_release_partitions (entry->group, on_left, self);
+      fb_group_release_partitions (entry->group, on_group_left, self);
     }
   /* Refuses requests that could outlast the process; otherwise they would be read and never
    * answered. */
@@ -243,21 +243,21 @@
 }
 
 static void
-check_link_use (gpointer data, uint64_t now_ms)
+check_link_utilization (gpointer data, uint64_t now_ms)
 {
   FbEntry *self = data;
   FbTrafficTotals totals;
-  FbLinkUse sent;
-  FbLinkUse received;
+  FbLinkUtilization sent;
+  FbLinkUtilization received;
   fb_traffic_totals (&totals);
-  if (!fb_link_watch_turn (self->link, &totals, now_ms, &sent, &received))
+  if (!fb_link_monitor_sample (self->link, &totals, now_ms, &sent, &received))
     return;
   fb_event_log (FB_EVENT_LINK_BUSY,
                 "link_kbit_s=%u sent_kbit_s=%u most=%s most_kbit_s=%u received_kbit_s=%u most=%s"
                 " most_kbit_s=%u partitions=%u",
-                (guint) self->settings->link_kbit_s, sent.kbit_s, fb_traffic_name (sent.most),
-                sent.most_kbit_s, received.kbit_s, fb_traffic_name (received.most),
-                received.most_kbit_s, g_hash_table_size (self->owners));
+                (guint) self->settings->link_kbit_s, sent.kbit_s, fb_traffic_name (sent.busiest),
+                sent.busiest_kbit_s, received.kbit_s, fb_traffic_name (received.busiest),
+                received.busiest_kbit_s, g_hash_table_size (self->owners));
 }
 
 static void
@@ -267,16 +267,16 @@
 }
 
 static void
-start_parts (FbEntry *self)
+start_components (FbEntry *self)
 {
   self->store_ok_ms = fb_clock_ms ();
   self->timer = fb_timer_new (self->store_ok_ms);
-  self->loop = fb_loop_watch_new (TIMER_MS, self->store_ok_ms);
+  self->loop = fb_loop_monitor_new (TIMER_MS, self->store_ok_ms);
   self->payload_dedup = fb_payload_dedup_new ((uint32_t) self->settings->link_kbit_s);
   self->payload_cache = fb_payload_cache_new (PAYLOAD_CACHE_BYTES);
   self->recent_starts = fb_recent_starts_new ();
   self->suspect_backups = fb_suspect_backups_new ();
-  self->link = fb_link_watch_new ((uint32_t) self->settings->link_kbit_s, self->store_ok_ms);
+  self->link = fb_link_monitor_new ((uint32_t) self->settings->link_kbit_s, self->store_ok_ms);
   self->store_client = fb_http_client_new ();
   self->worker_client = fb_http_client_new ();
   self->advice_client = fb_http_client_new ();
@@ -292,7 +292,7 @@
   fb_entry_start_watching (self);
   fb_timer_subscribe (self->timer, TIMER_MS, check_link_timeouts, self);
   fb_timer_subscribe (self->timer, SETTINGS_CHECK_MS, check_settings, self);
-  fb_timer_subscribe (self->timer, LINK_CHECK_MS, check_link_use, self);
+  fb_timer_subscribe (self->timer, LINK_CHECK_MS, check_link_utilization, self);
   g_timeout_add (TIMER_MS, on_timer, self);
 }
 
@@ -308,7 +308,7 @@
       fprintf (stderr, "flamingobarrowd: %s\n", fb_status_message ());
       return EXIT_ADDRESS;
     }
-  start_parts (&self->entry);
+  start_components (&self->entry);
   self->loop = g_main_loop_new (NULL, FALSE);
   g_unix_signal_add (SIGTERM, on_stop_signal, self);
   g_unix_signal_add (SIGINT, on_stop_signal, self);
--- a/src/entry/front/append-proxy.c
+++ b/src/entry/front/append-proxy.c
@@ -13,27 +13,27 @@
 /* Number of daemons per partition that append for the others.  Four appends of 120 ms take half a
  * second; with only one daemon, its failure would block all callers until it is detected. */
 #define PROXY_N 4
-/* Time limit of an append through another daemon: long enough for the append, short enough to ask
- * one more daemon. */
+/* Timeout of an append through another daemon: long enough for the append, short enough to try
+ * another daemon afterwards. */
 #define TIMEOUT_MS 400
 /* The same while the store is slow and more appends are queued; the rest of a caller's time is left
  * for the answer. */
 #define SLOW_TIMEOUT_MS 2300
 /* Maximum number of proxies that are tried for one record. */
-#define ASKED_MAX 2
+#define PROXIES_MAX 2
 /* Age of a request beyond which no proxy is tried, because the remaining time is needed for
  * appending the record from this daemon. */
-#define PROXY_UNTIL_MS (FB_FRONT_LONGEST_CALL_MS - TIMEOUT_MS - FB_FRONT_STORE_MS)
+#define PROXY_MAX_AGE_MS (FB_FRONT_LONGEST_CALL_MS - TIMEOUT_MS - FB_FRONT_STORE_MS)
 
 static gboolean
-was_asked (const GPtrArray *asked, const char *address)
+was_tried (const GPtrArray *tried, const char *address)
 {
-  return g_ptr_array_find_with_equal_func ((GPtrArray *) asked, address, g_str_equal, NULL);
+  return g_ptr_array_find_with_equal_func ((GPtrArray *) tried, address, g_str_equal, NULL);
 }
 
 typedef struct
 {
-  const GPtrArray *asked;
+  const GPtrArray *tried;
   uint64_t now_ms;
 } Choice;
 
@@ -42,25 +42,25 @@
 {
   const Choice *choice = user;
   return choice->now_ms >= MAX (member->relay_backoff_until_ms, member->append_backoff_until_ms)
-         && !was_asked (choice->asked, member->address);
+         && !was_tried (choice->tried, member->address);
 }
 
 gboolean
-fb_append_proxy_always (const GPtrArray *members)
+fb_append_proxy_is_always_used (const GPtrArray *members)
 {
   return members->len > DIRECT_MAX;
 }
 
 const char *
-fb_append_proxy_for (const GPtrArray *members, const char *owner, const char *front,
-                     const GPtrArray *asked, uint32_t partition, uint64_t now_ms)
+fb_append_proxy_choose (const GPtrArray *members, const char *owner, const char *front,
+                        const GPtrArray *tried, uint32_t partition, uint64_t now_ms)
 {
-  gboolean always = fb_append_proxy_always (members);
-  if (!always && owner != NULL && !was_asked (asked, owner))
+  gboolean always_used = fb_append_proxy_is_always_used (members);
+  if (!always_used && owner != NULL && !was_tried (tried, owner))
     return owner;
-  guint group = always ? (guint) (XXH64 (front, strlen (front), 0) % PROXY_N) : 0;
+  guint group = always_used ? (guint) (XXH64 (front, strlen (front), 0) % PROXY_N) : 0;
   g_autofree char *key = g_strdup_printf ("partition-%u/%u", partition, group);
-  const Choice choice = { asked, now_ms };
+  const Choice choice = { tried, now_ms };
   const FbDaemon *member = fb_rendezvous_choose (members, key, may_append, &choice);
   return member != NULL ? member->address : NULL;
 }
@@ -78,11 +78,11 @@
             const GPtrArray *members, uint64_t now_ms)
 {
   if ((!fb_append_proxy_store_is_degraded (store_health, now_ms)
-       && !fb_append_proxy_always (members))
-      || record->asked->len >= ASKED_MAX || now_ms >= record->since_ms + PROXY_UNTIL_MS)
+       && !fb_append_proxy_is_always_used (members))
+      || record->tried->len >= PROXIES_MAX || now_ms >= record->received_ms + PROXY_MAX_AGE_MS)
     return NULL;
-  const char *address = fb_append_proxy_for (members, record->owner, record->front, record->asked,
-                                             record->partition, now_ms);
+  const char *address = fb_append_proxy_choose (members, record->owner, record->front,
+                                                record->tried, record->partition, now_ms);
   return address != NULL && !g_str_equal (address, record->front) ? address : NULL;
 }
 
@@ -91,17 +91,17 @@
                        const GPtrArray *members, uint64_t now_ms)
 {
   const char *address = next_proxy (record, store_health, members, now_ms);
-  gboolean slow = fb_store_health_is_slow (store_health);
+  gboolean is_slow = fb_store_health_is_slow (store_health);
   if (address != NULL)
     {
-      uint64_t remaining_ms = record->since_ms + FB_FRONT_LONGEST_CALL_MS - now_ms;
-      uint32_t timeout_ms = slow ? SLOW_TIMEOUT_MS : TIMEOUT_MS;
+      uint64_t remaining_ms = record->received_ms + FB_FRONT_LONGEST_CALL_MS - now_ms;
+      uint32_t timeout_ms = is_slow ? SLOW_TIMEOUT_MS : TIMEOUT_MS;
       return (FbAppendRoute){ FB_APPEND_ROUTE_PROXY, address,
                               (uint32_t) MIN (timeout_ms, remaining_ms) };
     }
   /* A record that a slow store has refused is not sent again by other daemons, because each attempt
    * adds an append to the queue for which it was refused, and callers get no answer for as long as
    * the store is slow.  Its caller is refused immediately and retries later. */
-  gboolean give_up = slow && record->asked->len > 0;
+  gboolean give_up = is_slow && record->tried->len > 0;
   return (FbAppendRoute){ .step = give_up ? FB_APPEND_ROUTE_GIVE_UP : FB_APPEND_ROUTE_LOCAL };
 }
--- a/src/entry/front/append-proxy.h
+++ b/src/entry/front/append-proxy.h
@@ -19,9 +19,9 @@
 {
   const char *front;      /* address of the daemon that received the record */
   const char *owner;      /* address of the partition's owner; NULL: not known */
-  const GPtrArray *asked; /* addresses of daemons that have been tried as proxies */
+  const GPtrArray *tried; /* addresses of daemons that have been tried as proxies */
   uint32_t partition;
-  uint64_t since_ms; /* time at which the record was received */
+  uint64_t received_ms; /* time at which the record was received */
 } FbAppendProxyRecord;
 
 typedef enum
@@ -29,11 +29,11 @@
   FB_APPEND_ROUTE_LOCAL,  /* append from this daemon */
   FB_APPEND_ROUTE_PROXY,  /* append through another daemon */
   FB_APPEND_ROUTE_GIVE_UP /* no further attempt */
-} FbAppendProxyStep;
+} FbAppendStep;
 
 typedef struct
 {
-  FbAppendProxyStep step;
+  FbAppendStep step;
   const char *address; /* of the other daemon for FB_APPEND_ROUTE_PROXY, borrowed; else NULL */
   uint32_t timeout_ms; /* time limit of its reply */
 } FbAppendRoute;
@@ -52,8 +52,8 @@
  * owner; NULL: not known.  TRIED: addresses that are excluded.
  *
  * Returns: (nullable): the address of the daemon, borrowed. */
-const char *fb_append_proxy_for (const GPtrArray *members, const char *owner, const char *front,
-                                 const GPtrArray *asked, uint32_t partition, uint64_t now_ms);
+const char *fb_append_proxy_choose (const GPtrArray *members, const char *owner, const char *front,
+                                    const GPtrArray *tried, uint32_t partition, uint64_t now_ms);
 /* Returns: TRUE when records are appended through proxies at all times, not only while the store is
  * slow. */
-gboolean fb_append_proxy_always (const GPtrArray *members);
+gboolean fb_append_proxy_is_always_used (const GPtrArray *members);
--- a/src/entry/front/front-private.h
+++ b/src/entry/front/front-private.h
@@ -16,11 +16,11 @@
   char *key; /* key of the record to store */
   GBytes *value;
   GByteArray *records; /* the record, encoded; also sent to peers */
-  GPtrArray *asked;    /* addresses of peers that have been tried for storing the record */
+  GPtrArray *tried;    /* addresses of peers that have been tried for storing the record */
   gboolean in_doubt;   /* an unanswered call may have stored the record */
   uint32_t partition;
-  uint64_t since_ms;
-  uint64_t stored_since_ms; /* time at which storing the record began */
+  uint64_t received_ms;
+  uint64_t store_began_ms; /* time at which storing the record began */
   gboolean is_delete;
 } FbFrontRequest;
 
--- a/src/entry/front/front-store.c
+++ b/src/entry/front/front-store.c
@@ -10,8 +10,8 @@
 #include <string.h>
 #include <talloc.h>
 
-#define PEER_APPEND_MS 700
-#define PEERS_UNTIL_MS (FB_FRONT_LONGEST_CALL_MS - PEER_APPEND_MS)
+#define PEER_APPEND_TIMEOUT_MS 700
+#define PEERS_MAX_AGE_MS (FB_FRONT_LONGEST_CALL_MS - PEER_APPEND_TIMEOUT_MS)
 #define PEERS_MAX 3
 /* Time for which a daemon that failed to append a record is not used: long enough to spare most
  * callers the same failed attempt, short enough for a daemon that has recovered. */
@@ -22,7 +22,7 @@
 {
   fb_event_log (stored ? FB_EVENT_JOB_ACCEPTED : FB_EVENT_JOB_REFUSED,
                 "job=%s queue=%s how=%s after_ms=%u store_ok_ms_ago=%u", request->job,
-                request->queue, how, (guint) (fb_clock_ms () - request->since_ms),
+                request->queue, how, (guint) (fb_clock_ms () - request->received_ms),
                 (guint) (fb_clock_ms () - request->entry->store_ok_ms));
 }
 
@@ -60,10 +60,10 @@
 }
 
 static void
-note_append (FbFrontRequest *request, gboolean stored, gboolean locally)
+record_append_result (FbFrontRequest *request, gboolean stored, gboolean locally)
 {
   uint64_t now_ms = fb_clock_ms ();
-  uint64_t took_ms = now_ms - request->stored_since_ms;
+  uint64_t took_ms = now_ms - request->store_began_ms;
   fb_store_health_appended (&request->entry->store_health, stored, locally,
                             (uint32_t) MIN (took_ms, G_MAXUINT32), now_ms);
 }
@@ -88,7 +88,7 @@
 {
   if (peer_reply != NULL && peer_reply->type == FB_REPLY_STORED)
     {
-      note_append (request, TRUE, FALSE);
+      record_append_result (request, TRUE, FALSE);
       answer_stored (request, FB_APPEND_STORED);
       return TRUE;
     }
@@ -112,22 +112,22 @@
 static void
 store_by_peer (FbFrontRequest *request)
 {
-  const char *peer = fb_group_any_peer (request->entry->group, request->asked);
-  uint64_t spent_ms = fb_clock_ms () - request->since_ms;
-  if (peer == NULL || spent_ms >= PEERS_UNTIL_MS || request->asked->len >= PEERS_MAX)
+  const char *peer = fb_group_any_peer (request->entry->group, request->tried);
+  uint64_t spent_ms = fb_clock_ms () - request->received_ms;
+  if (peer == NULL || spent_ms >= PEERS_MAX_AGE_MS || request->tried->len >= PEERS_MAX)
     {
       answer_not_stored (request);
       return;
     }
-  g_ptr_array_add (request->asked, g_strdup (peer));
-  request_append (request, peer, PEER_APPEND_MS, on_peer_stored);
+  g_ptr_array_add (request->tried, g_strdup (peer));
+  request_append (request, peer, PEER_APPEND_TIMEOUT_MS, on_peer_stored);
 }
 
 static void
 on_stored (gpointer data, FbAppendResult result)
 {
   FbFrontRequest *request = data;
-  note_append (request, result == FB_APPEND_STORED, TRUE);
+  record_append_result (request, result == FB_APPEND_STORED, TRUE);
   request->in_doubt = request->in_doubt || result == FB_APPEND_IN_DOUBT;
   if (result == FB_APPEND_STORED)
     answer_stored (request, result);
@@ -139,12 +139,12 @@
 store_locally (FbFrontRequest *request)
 {
   fb_appender_put (fb_entry_appender (request->entry, request->partition),
-                   g_byte_array_ref (request->records), request->since_ms + FB_FRONT_STORE_MS,
+                   g_byte_array_ref (request->records), request->received_ms + FB_FRONT_STORE_MS,
                    on_stored, request);
 }
 
 static void
-note_store_health (FbEntry *entry, uint64_t now_ms)
+log_store_health_change (FbEntry *entry, uint64_t now_ms)
 {
   const FbStoreHealth *store_health = &entry->store_health;
   gboolean store_degraded = fb_append_proxy_store_is_degraded (store_health, now_ms);
@@ -161,9 +161,9 @@
 /* Makes the proxy that was tried last be skipped for a while, because it did not store the
  * record. */
 static void
-note_append_failure (FbFrontRequest *request)
+back_off_last_proxy (FbFrontRequest *request)
 {
-  const char *daemon = request->asked->pdata[request->asked->len - 1];
+  const char *daemon = request->tried->pdata[request->tried->len - 1];
   fb_daemons_back_off_append (request->entry->daemons, daemon, fb_clock_ms () + BACKOFF_MS);
 }
 
@@ -173,7 +173,7 @@
   FbFrontRequest *request = data;
   if (is_stored_by_other (request, peer_reply))
     return;
-  note_append_failure (request);
+  back_off_last_proxy (request);
   store_by_proxy (request);
 }
 
@@ -187,10 +187,10 @@
   const FbAppendProxyRecord record
       = { .front = entry->settings->peers,
           .owner = fb_group_owner_of (entry->group, request->partition),
-          .asked = request->asked,
+          .tried = request->tried,
           .partition = request->partition,
-          .since_ms = request->since_ms };
-  note_store_health (entry, now_ms);
+          .received_ms = request->received_ms };
+  log_store_health_change (entry, now_ms);
   FbAppendRoute route = fb_append_proxy_route (&record, &entry->store_health,
                                                fb_daemons_all (entry->daemons), now_ms);
   switch (route.step)
@@ -199,7 +199,7 @@
       store_locally (request);
       break;
     case FB_APPEND_ROUTE_PROXY:
-      g_ptr_array_add (request->asked, g_strdup (route.address));
+      g_ptr_array_add (request->tried, g_strdup (route.address));
       request_append (request, route.address, route.timeout_ms, on_proxy_stored);
       break;
     case FB_APPEND_ROUTE_GIVE_UP:
@@ -215,7 +215,7 @@
   request->value = g_bytes_ref (value);
   request->records = g_byte_array_new ();
   fb_wire_encode_record (request->records, request->key, value);
-  request->stored_since_ms = fb_clock_ms ();
+  request->store_began_ms = fb_clock_ms ();
   /* A daemon that has received nothing from the store for a while sends it nothing, and asks peers
    * that may still reach the store.  If the store accepted calls without answering them, callers
    * would wait for 2 s and then get an unknown outcome; without a call, the answer that nothing is
--- a/src/entry/front/front.c
+++ b/src/entry/front/front.c
@@ -36,24 +36,24 @@
   request->queue = talloc_strdup (request, route->policy.queue);
   request->service = talloc_strdup (request, route->policy.service);
   request->partition = fb_entry_partition_of (entry, route->policy.service);
-  request->since_ms = fb_clock_ms ();
-  request->asked = g_ptr_array_new_with_free_func (g_free);
+  request->received_ms = fb_clock_ms ();
+  request->tried = g_ptr_array_new_with_free_func (g_free);
   soup_server_message_pause (message);
   entry->open_calls++;
   return request;
 }
 
 static void
-set_answer (FbEntry *entry, SoupServerMessage *message, guint status, const char *body)
+set_response (FbEntry *entry, SoupServerMessage *message, guint status, const char *body)
 {
   SoupMessageHeaders *headers = soup_server_message_get_response_headers (message);
   entry->answered_ms = fb_clock_ms ();
   if (status == SOUP_STATUS_SERVICE_UNAVAILABLE)
     {
-      uint64_t away_s = (fb_clock_ms () - entry->store_ok_ms + 999) / 1000;
-      g_autofree char *wait_s
-          = g_strdup_printf ("%u", (guint) CLAMP (away_s, RETRY_AFTER_MIN_S, RETRY_AFTER_MAX_S));
-      soup_message_headers_replace (headers, "Retry-After", wait_s);
+      uint64_t unavailable_s = (fb_clock_ms () - entry->store_ok_ms + 999) / 1000;
+      g_autofree char *retry_after_s = g_strdup_printf (
+          "%u", (guint) CLAMP (unavailable_s, RETRY_AFTER_MIN_S, RETRY_AFTER_MAX_S));
+      soup_message_headers_replace (headers, "Retry-After", retry_after_s);
     }
   if (entry->stopping)
     soup_message_headers_replace (headers, "Connection", "close");
@@ -64,26 +64,26 @@
 void
 fb_front_finish (FbFrontRequest *request, guint status, const char *body)
 {
-  fb_histogram_add (FB_HISTOGRAM_CALLER_ANSWER, fb_clock_ms () - request->since_ms);
-  set_answer (request->entry, request->message, status, body);
+  fb_histogram_add (FB_HISTOGRAM_CALLER_ANSWER, fb_clock_ms () - request->received_ms);
+  set_response (request->entry, request->message, status, body);
   soup_server_message_unpause (request->message);
   request->entry->open_calls--;
   g_object_unref (request->message);
   g_clear_pointer (&request->records, g_byte_array_unref);
   g_clear_pointer (&request->value, g_bytes_unref);
-  g_ptr_array_unref (request->asked);
+  g_ptr_array_unref (request->tried);
   talloc_free (request);
 }
 
 static void
-refuse (FbEntry *entry, SoupServerMessage *message, guint status, const char *why)
+refuse (FbEntry *entry, SoupServerMessage *message, guint status, const char *reason)
 {
-  g_autofree char *escaped = g_strescape (why, NULL);
+  g_autofree char *escaped = g_strescape (reason, NULL);
   g_autofree char *body = g_strdup_printf ("{\"error\":\"%s\"}", escaped);
   fb_event_log (FB_EVENT_CALLER_REFUSED, "path=%s status=%u why=\"%s\" routes=%u",
-                g_uri_get_path (soup_server_message_get_uri (message)), status, why,
+                g_uri_get_path (soup_server_message_get_uri (message)), status, reason,
                 entry->routes != NULL ? (guint) entry->routes->version : 0);
-  set_answer (entry, message, status, body);
+  set_response (entry, message, status, body);
 }
 
 /* ---- submit ------------------------------------------------------------------------ */
@@ -137,14 +137,14 @@
                 peer_reply != NULL && peer_reply->type == FB_REPLY_JOB_STATE
                     ? (int) peer_reply->fb_peer_reply_u.state
                     : -1,
-                (guint) (fb_clock_ms () - request->since_ms));
+                (guint) (fb_clock_ms () - request->received_ms));
   if (peer_reply != NULL && peer_reply->type == FB_REPLY_NO_SUCH_JOB)
     fb_front_finish (request, SOUP_STATUS_GONE, "{\"error\":\"no such job\"}");
   else if (request->is_delete)
     {
       /* The value must not be empty, because a record without a value deletes its key. */
-      g_autoptr (GBytes) mark = g_bytes_new_static ("x", 1);
-      fb_front_store (request, FB_KEY_CANCEL, mark);
+      g_autoptr (GBytes) non_empty = g_bytes_new_static ("x", 1);
+      fb_front_store (request, FB_KEY_CANCEL, non_empty);
     }
   else if (peer_reply != NULL && peer_reply->type == FB_REPLY_JOB_STATE)
     {
--- a/src/entry/loop-watch.h
+++ b/src/entry/loop-monitor.h
@@ -5,22 +5,22 @@
 #include <glib.h>
 #include <stdint.h>
 
-typedef struct _FbLoopWatch FbLoopWatch;
+typedef struct _FbLoopMonitor FbLoopMonitor;
 
 /* Delayed iterations since the last report. */
 typedef struct
 {
-  uint32_t late_ms; /* largest delay */
-  uint32_t turns_n; /* number of delayed iterations */
-} FbLoopLate;
+  uint32_t delay_ms;     /* largest delay */
+  uint32_t iterations_n; /* number of delayed iterations */
+} FbLoopDelays;
 
 /* PERIOD_MS: expected interval between two iterations. */
-FbLoopWatch *fb_loop_watch_new (uint32_t period_ms, uint64_t now_ms);
-void fb_loop_watch_free (FbLoopWatch *self);
+FbLoopMonitor *fb_loop_monitor_new (uint32_t period_ms, uint64_t now_ms);
+void fb_loop_monitor_free (FbLoopMonitor *self);
 /* To be called in each iteration.
  * Returns: TRUE when *DELAYS is to be logged, at most once a second; every delayed iteration is
  * included in exactly one report. */
-gboolean fb_loop_watch_turn (FbLoopWatch *self, uint64_t now_ms, FbLoopLate *late);
+gboolean fb_loop_monitor_iteration (FbLoopMonitor *self, uint64_t now_ms, FbLoopDelays *delays);
 /* Returns: the largest delay of the last 2 s, including that of an iteration that is overdue
  * now. */
-uint32_t fb_loop_watch_longest_ms (const FbLoopWatch *self, uint64_t now_ms);
+uint32_t fb_loop_monitor_max_delay_ms (const FbLoopMonitor *self, uint64_t now_ms);
--- a/src/entry/owner/owner-import.c
+++ b/src/entry/owner/owner-import.c
@@ -4,10 +4,10 @@
 
 /* Time limit of an answer, which is needed before the first tasks are restarted, some 1 s after a
  * takeover. */
-#define ANSWER_MS 1000
+#define ANSWER_TIMEOUT_MS 1000
 /* Delay of the second request.  A daemon detects an unresponsive worker only when its last poll of
  * that worker times out. */
-#define REPEAT_MS 1500
+#define REPEAT_DELAY_MS 1500
 #define REQUESTS_MAX 2
 
 typedef struct
@@ -42,14 +42,14 @@
 }
 
 static void
-request_from (const FbOwner *self, const char *address, fb_peer_request_type what)
+request_from (const FbOwner *self, const char *address, fb_peer_request_type type)
 {
-  const fb_peer_request peer_request = { .type = what };
+  const fb_peer_request peer_request = { .type = type };
   ImportRequest *request = g_new0 (ImportRequest, 1);
   request->entry = self->entry;
   request->partition = self->partition;
   request->epoch = self->epoch;
-  fb_peers_request (self->entry, address, &peer_request, ANSWER_MS, on_peer_reply, request);
+  fb_peers_request (self->entry, address, &peer_request, ANSWER_TIMEOUT_MS, on_peer_reply, request);
 }
 
 static void
@@ -95,6 +95,6 @@
   if (self->start_requests_n >= REQUESTS_MAX || now_ms < self->next_start_request_ms)
     return;
   self->start_requests_n++;
-  self->next_start_request_ms = now_ms + REPEAT_MS;
+  self->next_start_request_ms = now_ms + REPEAT_DELAY_MS;
   request_from_all (self);
 }
--- a/src/entry/owner/owner-load.c
+++ b/src/entry/owner/owner-load.c
@@ -13,10 +13,10 @@
 
 /* Number of records applied in one iteration of the main loop, which takes some 10 ms of processor
  * time. */
-#define LOAD_PER_TURN 32
+#define LOAD_PER_ITERATION 32
 
 static void
-admit (FbOwner *self, const char *job, GBytes *value)
+apply_admission (FbOwner *self, const char *job, GBytes *value)
 {
   gsize len = 0;
   gconstpointer data = g_bytes_get_data (value, &len);
@@ -33,7 +33,7 @@
 
 /* VALUE is unused: the key identifies the cancelled job. */
 static void
-cancel (FbOwner *self, const char *job, GBytes *value)
+apply_cancel (FbOwner *self, const char *job, GBytes *value)
 {
   (void) value;
   GHashTableIter iter;
@@ -45,7 +45,7 @@
 }
 
 static void
-restore_workers (FbOwner *self, const char *service, GBytes *value)
+apply_worker_list (FbOwner *self, const char *service, GBytes *value)
 {
   gsize len = 0;
   gconstpointer data = g_bytes_get_data (value, &len);
@@ -60,11 +60,11 @@
 }
 
 static void
-restore (FbOwner *self, const char *job, GBytes *value)
+apply_progress (FbOwner *self, const char *job, GBytes *value)
 {
   if (g_str_has_prefix (job, FB_KEY_WORKERS))
     {
-      restore_workers (self, job + strlen (FB_KEY_WORKERS), value);
+      apply_worker_list (self, job + strlen (FB_KEY_WORKERS), value);
       return;
     }
   gsize len = 0;
@@ -94,34 +94,34 @@
 }
 
 static void
-log_take_over (const FbOwner *self)
+log_takeover (const FbOwner *self)
 {
   uint64_t now_ms = fb_clock_ms ();
   fb_event_log (FB_EVENT_POOL_TAKEN,
                 "partition=%u epoch=%" G_GUINT64_FORMAT
                 " load_ms=%u shut_out_ms=%u progress_ms=%u jobs_ms=%u admit_ms=%u jobs=%u"
                 " bytes=%" G_GSIZE_FORMAT " loop_late_ms=%u",
-                self->partition, self->epoch, (guint) (now_ms - self->take_over_began_ms),
-                (guint) (self->fenced_ms - self->take_over_began_ms),
+                self->partition, self->epoch, (guint) (now_ms - self->takeover_began_ms),
+                (guint) (self->fenced_ms - self->takeover_began_ms),
                 (guint) (self->progress_ms - self->fenced_ms),
                 (guint) (self->jobs_ms - self->progress_ms), (guint) (now_ms - self->jobs_ms),
                 self->loaded_n, self->loaded_bytes,
-                fb_loop_watch_longest_ms (self->entry->loop, now_ms));
+                fb_loop_monitor_max_delay_ms (self->entry->loop, now_ms));
 }
 
 typedef void (*ApplyRecord) (FbOwner *self, const char *key, GBytes *value);
 
-/* Applies and removes up to MOST records of TABLE.
+/* Applies and removes up to MAX_N records of TABLE.
  * Returns: the number of records that were applied. */
 static guint
-apply_some (FbOwner *self, GHashTable *table, ApplyRecord apply, guint most)
+apply_up_to (FbOwner *self, GHashTable *table, ApplyRecord apply, guint max_n)
 {
   GHashTableIter iter;
   gpointer key;
   gpointer value;
   guint n = 0;
   g_hash_table_iter_init (&iter, table);
-  while (n < most && g_hash_table_iter_next (&iter, &key, &value))
+  while (n < max_n && g_hash_table_iter_next (&iter, &key, &value))
     {
       apply (self, key, value);
       self->loaded_bytes += g_bytes_get_size (value);
@@ -137,7 +137,7 @@
   self->loaded = TRUE;
   fb_counter_add (FB_COUNTER_TAKE_OVERS, 1);
   self->confirmed_ms = fb_clock_ms ();
-  log_take_over (self);
+  log_takeover (self);
   fb_owner_routes_changed (self);
   fb_owner_schedule_tick (self);
 }
@@ -146,16 +146,16 @@
  * cancels.  Loading a pool of hundreds of jobs in one iteration takes 0.4 s on 0.12 of a core,
  * which delays callers, orders of other owners and membership renewals. */
 static gboolean
-on_load_some (gpointer data)
+on_load_next (gpointer data)
 {
   FbOwner *self = data;
-  guint left = LOAD_PER_TURN;
-  guint jobs_n = apply_some (self, self->admissions, admit, left);
+  guint budget = LOAD_PER_ITERATION;
+  guint jobs_n = apply_up_to (self, self->admissions, apply_admission, budget);
   self->loaded_n += jobs_n;
-  left -= jobs_n;
-  left -= apply_some (self, self->progress, restore, left);
-  left -= apply_some (self, self->cancelled, cancel, left);
-  if (left == 0)
+  budget -= jobs_n;
+  budget -= apply_up_to (self, self->progress, apply_progress, budget);
+  budget -= apply_up_to (self, self->cancelled, apply_cancel, budget);
+  if (budget == 0)
     return G_SOURCE_CONTINUE;
   self->load_source = 0;
   finish_loading (self);
@@ -168,9 +168,9 @@
   if (!self->loaded || value == NULL || strlen (key) < 2)
     return;
   if (key[0] == FB_KEY_JOB)
-    admit (self, key + 1, value);
+    apply_admission (self, key + 1, value);
   else
-    cancel (self, key + 1, value);
+    apply_cancel (self, key + 1, value);
   fb_owner_schedule_tick (self);
 }
 
@@ -196,7 +196,7 @@
   if (self->loaded || self->load_source != 0)
     return;
   self->jobs_ms = fb_clock_ms ();
-  self->load_source = g_idle_add_full (G_PRIORITY_DEFAULT, on_load_some, self, NULL);
+  self->load_source = g_idle_add_full (G_PRIORITY_DEFAULT, on_load_next, self, NULL);
 }
 
 static const FbTopicReaderOps job_ops = { ignore_begin, on_job_record, on_jobs_listed };
@@ -225,7 +225,7 @@
     = { ignore_begin, on_progress_record, on_progress_listed };
 
 void
-fb_owner_writer_fenced (gpointer data, FbAppendResult result)
+fb_owner_previous_writer_fenced (gpointer data, FbAppendResult result)
 {
   FbOwner *self = data;
   if (result != FB_APPEND_STORED)
@@ -234,7 +234,7 @@
       return;
     }
   self->fenced_ms = fb_clock_ms ();
-  fb_topic_reader_read_now (self->entry->worker_reader);
+  fb_topic_reader_skip_pause (self->entry->worker_reader);
   self->progress_reader = fb_topic_reader_new (self->entry, FB_TOPIC_PROGRESS, self->partition, 0,
                                                &progress_ops, self);
 }
--- a/src/entry/owner/owner-orders.c
+++ b/src/entry/owner/owner-orders.c
@@ -121,7 +121,7 @@
 {
   FbEntry *entry = service_pool->owner->entry;
   Order *order = order_new (service_pool, peer_request->worker, id, peer_request->kind);
-  const char *relay = fb_relay_for (entry, peer_request);
+  const char *relay = fb_relay_address_for (entry, peer_request);
   fb_counter_add (FB_COUNTER_WORKER_SYNCS, 1);
   if (relay != NULL)
     fb_relay_send (entry, relay, peer_request, on_relayed, order);
@@ -184,15 +184,16 @@
              uint32_t expected_ms)
 {
   const FbOwner *owner = ((FbServicePool *) user)->owner;
-  return fb_advisor_ask (owner->entry->advisor, owner->partition, step, workers, n, expected_ms);
+  return fb_advisor_request (owner->entry->advisor, owner->partition, step, workers, n,
+                             expected_ms);
 }
 
 void
 fb_owner_step_down (FbOwner *self, const char *why)
 {
-  if (self->lost)
+  if (self->stepped_down)
     return;
-  self->lost = TRUE;
+  self->stepped_down = TRUE;
   g_autofree char *ages = fb_entry_format_timing (self->entry);
   fb_event_log (FB_EVENT_POOL_LOST, "partition=%u epoch=%" G_GUINT64_FORMAT " why=\"%s\" %s",
                 self->partition, self->epoch, why, ages);
--- a/src/entry/owner/owner-private.h
+++ b/src/entry/owner/owner-private.h
@@ -26,9 +26,9 @@
   guint load_source;         /* source that applies the records read; 0 when none is scheduled */
   gboolean loaded;
   gboolean workers_known; /* the worker list was read after fenced_ms */
-  gboolean lost;          /* has stepped down and takes no further action */
+  gboolean stepped_down;  /* has stepped down and takes no further action */
   gboolean quiesced;      /* starts no tasks, because the daemon is stopping */
-  uint64_t take_over_began_ms;
+  uint64_t takeover_began_ms;
   uint64_t fenced_ms;     /* time at which the previous owner was fenced */
   uint64_t progress_ms;   /* time at which the progress records had been read */
   uint64_t jobs_ms;       /* time at which the jobs had been read; applying them starts then */
@@ -42,10 +42,10 @@
   guint open_flushes;             /* number of appends of progress without a result yet */
   GPtrArray *ended_jobs; /* ids of jobs whose end is stored, so that their admission records can be
                           * deleted */
-  uint64_t dropped_ms;   /* time at which such records were last deleted */
+  uint64_t deleted_ms;   /* time at which such records were last deleted */
 };
 
-/* Keys of FB_TOPIC_PROGRESS are job ids, or this prefix and the name of a service. */
+/* Keys of FB_TOPIC_PROGRESS are job ids, or this prefix followed by the name of a service. */
 #define FB_KEY_WORKERS "workers."
 
 /* owner-orders.c: sends the orders of pools and passes the answers back. */
@@ -56,7 +56,7 @@
 /* owner-load.c: loads the records of previous owners. */
 
 /* Completion of the append that fences the previous writer. */
-void fb_owner_writer_fenced (gpointer self, FbAppendResult result);
+void fb_owner_previous_writer_fenced (gpointer self, FbAppendResult result);
 
 /* owner-suspect-backups.c */
 
--- a/src/entry/owner/owner-suspect-backups.c
+++ b/src/entry/owner/owner-suspect-backups.c
@@ -1,5 +1,5 @@
 /* Copies crash suspects that the store does not accept to other daemons, and restores them after a
- * take-over. */
+ * takeover. */
 #include "owner-private.h"
 
 #include "src/entry/store/rendezvous.h"
@@ -10,7 +10,7 @@
 /* Number of daemons that hold a copy: one may be killed together with the owner, and another may be
  * partitioned from the network. */
 #define BACKUPS_N 3
-#define ANSWER_MS 1000
+#define ANSWER_TIMEOUT_MS 1000
 
 typedef struct
 {
@@ -41,7 +41,7 @@
                 != NULL)
     {
       g_ptr_array_add (chosen, daemon->address);
-      fb_peers_request (self->entry, daemon->address, peer_request, ANSWER_MS,
+      fb_peers_request (self->entry, daemon->address, peer_request, ANSWER_TIMEOUT_MS,
                         fb_peers_ignore_reply, NULL);
     }
   fb_event_log (FB_EVENT_SUSPECTS_HANDED, "job=%s epoch=%" G_GUINT64_FORMAT " tasks=%u daemons=%u",
@@ -74,7 +74,7 @@
     back_up_job (service_pool->owner, unstored->pdata[i]);
 }
 
-/* ---- after a take-over ------------------------------------------------------------------- */
+/* ---- after a takeover -------------------------------------------------------------------- */
 
 void
 fb_owner_import_suspects (FbOwner *self, const fb_suspect_backups_reply *peer_reply)
--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -11,14 +11,14 @@
 /* Delay within which events are combined into one tick. */
 #define TICK_DELAY_MS 4
 #define TICK_INTERVAL_MS 25
-/* MAJORITY_MS: maximum age of the answers by a majority of the workers that confirm the ownership.
- * STEP_DOWN_MS: time without any confirmation after which an owner steps down. */
-#define MAJORITY_MS 1500
-#define STEP_DOWN_MS 2000
+/* MAJORITY_MAX_AGE_MS: maximum age of the answers by a majority of the workers that confirm the
+ * ownership. UNCONFIRMED_MAX_MS: time without any confirmation after which an owner steps down. */
+#define MAJORITY_MAX_AGE_MS 1500
+#define UNCONFIRMED_MAX_MS 2000
 /* Interval at which records of ended jobs are deleted in a batch. */
-#define DROP_INTERVAL_MS 1000
+#define DELETE_INTERVAL_MS 1000
 /* Maximum age of the list of jobs for answering that a job does not exist. */
-#define JOBS_FRESH_MS 1500
+#define JOBS_MAX_AGE_MS 1500
 
 /* ---- pools --------------------------------------------------------------------- */
 
@@ -32,7 +32,7 @@
 }
 
 static void
-list_known_workers (const FbServicePool *service_pool)
+add_listed_workers (const FbServicePool *service_pool)
 {
   const FbWorkerList *workers = service_pool->owner->entry->workers;
   g_autoptr (GList) ids = fb_worker_list_ids (workers);
@@ -62,7 +62,7 @@
   service_pool->pool
       = fb_pool_new (service, self->epoch, &limits, &fb_owner_sink, service_pool, fb_clock_ms ());
   g_hash_table_insert (self->service_pools, service_pool->service, service_pool);
-  list_known_workers (service_pool);
+  add_listed_workers (service_pool);
   if (self->workers_known)
     fb_pool_workers_complete (service_pool->pool);
   return service_pool;
@@ -77,12 +77,12 @@
   uint64_t epoch;
   char *service;
   GPtrArray *ended; /* ids of jobs whose end is part of this flush */
-} Flush;
+} OpenFlush;
 
 static void
 on_flushed (gpointer data, FbAppendResult result)
 {
-  Flush *flush = data;
+  OpenFlush *flush = data;
   FbOwner *owner = fb_entry_owner (flush->entry, flush->partition);
   if (owner != NULL && owner->epoch == flush->epoch)
     {
@@ -102,7 +102,7 @@
 }
 
 static void
-ignore_dropped (gpointer user, FbAppendResult result)
+on_records_deleted (gpointer user, FbAppendResult result)
 {
   (void) user;
   (void) result; /* a remaining record is deleted when the pool removes the job */
@@ -113,11 +113,11 @@
  * with its full specification and places nothing meanwhile: 0.35 to 0.49 s with 2,200 jobs, on a
  * quarter of a core.  Records are deleted in batches because each append is a call of the store. */
 static void
-drop_ended_jobs (FbOwner *self, uint64_t now_ms)
+delete_ended_jobs (FbOwner *self, uint64_t now_ms)
 {
-  if (self->ended_jobs->len == 0 || now_ms < self->dropped_ms + DROP_INTERVAL_MS)
+  if (self->ended_jobs->len == 0 || now_ms < self->deleted_ms + DELETE_INTERVAL_MS)
     return;
-  self->dropped_ms = now_ms;
+  self->deleted_ms = now_ms;
   GByteArray *body = g_byte_array_new ();
   for (guint i = 0; i < self->ended_jobs->len; i++)
     {
@@ -128,7 +128,8 @@
       fb_wire_encode_record (body, cancel_key, NULL);
     }
   g_ptr_array_set_size (self->ended_jobs, 0);
-  fb_appender_put (fb_entry_appender (self->entry, self->partition), body, 0, ignore_dropped, NULL);
+  fb_appender_put (fb_entry_appender (self->entry, self->partition), body, 0, on_records_deleted,
+                   NULL);
 }
 
 static void
@@ -150,7 +151,7 @@
       if (record->progress == NULL || record->ended)
         g_ptr_array_add (ended, g_strdup (record->job));
     }
-  Flush *flush = g_new0 (Flush, 1);
+  OpenFlush *flush = g_new0 (OpenFlush, 1);
   flush->entry = self->entry;
   flush->partition = self->partition;
   flush->epoch = self->epoch;
@@ -166,7 +167,7 @@
 confirm_ownership (FbOwner *self, const FbServicePool *service_pool, uint64_t now_ms)
 {
   if (!fb_group_is_member (self->entry->group, now_ms)
-      && !fb_pool_holds_majority (service_pool->pool, MAJORITY_MS, now_ms))
+      && !fb_pool_holds_majority (service_pool->pool, MAJORITY_MAX_AGE_MS, now_ms))
     return FALSE;
   self->confirmed_ms = now_ms;
   return TRUE;
@@ -180,10 +181,10 @@
 check_worker_list (FbOwner *self)
 {
   const FbTopicReader *list = self->entry->worker_reader;
-  if (self->workers_known || fb_topic_reader_fresh_ms (list) <= self->fenced_ms)
+  if (self->workers_known || fb_topic_reader_synced_ms (list) <= self->fenced_ms)
     return;
   self->workers_known = TRUE;
-  fb_histogram_add (FB_HISTOGRAM_TAKE_OVER, fb_clock_ms () - self->take_over_began_ms);
+  fb_histogram_add (FB_HISTOGRAM_TAKE_OVER, fb_clock_ms () - self->takeover_began_ms);
   GHashTableIter iter;
   gpointer service_pool;
   g_hash_table_iter_init (&iter, self->service_pools);
@@ -200,17 +201,17 @@
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, self->service_pools);
-  while (!self->lost && g_hash_table_iter_next (&iter, NULL, &value))
+  while (!self->stepped_down && g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbServicePool *service_pool = value;
       gboolean may_start = confirm_ownership (self, service_pool, now_ms) && !self->quiesced;
-      fb_pool_jobs_read (service_pool->pool, fb_topic_reader_fresh_ms (self->job_reader));
+      fb_pool_jobs_read (service_pool->pool, fb_topic_reader_synced_ms (self->job_reader));
       fb_pool_tick (service_pool->pool, may_start, now_ms, fb_clock_wall_ms ());
       flush_pool (service_pool);
       fb_owner_back_up_suspects (service_pool);
     }
-  drop_ended_jobs (self, now_ms);
-  if (self->loaded && now_ms > self->confirmed_ms + STEP_DOWN_MS)
+  delete_ended_jobs (self, now_ms);
+  if (self->loaded && now_ms > self->confirmed_ms + UNCONFIRMED_MAX_MS)
     fb_owner_step_down (self,
                         "neither the store nor a majority of the workers confirms the ownership");
 }
@@ -220,7 +221,7 @@
 {
   FbOwner *self = data;
   self->tick_source = 0;
-  if (self->loaded && !self->lost)
+  if (self->loaded && !self->stepped_down)
     run_tick (self);
   return G_SOURCE_REMOVE;
 }
@@ -237,7 +238,7 @@
 {
   (void) now_ms;
   FbOwner *self = data;
-  if (self->loaded && !self->lost)
+  if (self->loaded && !self->stepped_down)
     run_tick (self);
 }
 
@@ -250,7 +251,7 @@
   self->entry = entry;
   self->partition = partition;
   self->epoch = epoch;
-  self->take_over_began_ms = fb_clock_ms ();
+  self->takeover_began_ms = fb_clock_ms ();
   self->progress
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify) g_bytes_unref);
   self->admissions
@@ -261,7 +262,7 @@
   self->ended_jobs = g_ptr_array_new_with_free_func (g_free);
   self->appender = fb_appender_new (entry, FB_TOPIC_PROGRESS, partition, WRITER, epoch);
   self->tick_timer = fb_timer_subscribe (entry->timer, TICK_INTERVAL_MS, on_tick, self);
-  fb_appender_put (self->appender, g_byte_array_new (), 0, fb_owner_writer_fenced, self);
+  fb_appender_put (self->appender, g_byte_array_new (), 0, fb_owner_previous_writer_fenced, self);
   return self;
 }
 
@@ -285,9 +286,9 @@
 }
 
 gboolean
-fb_owner_lost (const FbOwner *self)
+fb_owner_has_stepped_down (const FbOwner *self)
 {
-  return self->lost;
+  return self->stepped_down;
 }
 
 /* ---- events of the daemon -------------------------------------------------------------- */
@@ -335,14 +336,14 @@
 }
 
 void
-fb_owner_advised (FbOwner *self, const char *step, const char *const *asked, guint n,
+fb_owner_advised (FbOwner *self, const char *step, const char *const *requested, guint n,
                   const fb_advice_reply *peer_reply)
 {
   GHashTableIter iter;
   gpointer service_pool;
   g_hash_table_iter_init (&iter, self->service_pools);
   while (g_hash_table_iter_next (&iter, NULL, &service_pool))
-    fb_pool_advised (((FbServicePool *) service_pool)->pool, step, asked, n, peer_reply,
+    fb_pool_advised (((FbServicePool *) service_pool)->pool, step, requested, n, peer_reply,
                      fb_clock_ms ());
   fb_owner_schedule_tick (self);
 }
@@ -375,7 +376,7 @@
       return;
     }
   uint64_t now_ms = fb_clock_ms ();
-  if (now_ms < fb_topic_reader_fresh_ms (self->job_reader) + JOBS_FRESH_MS)
+  if (now_ms < fb_topic_reader_synced_ms (self->job_reader) + JOBS_MAX_AGE_MS)
     peer_reply->type = FB_REPLY_NO_SUCH_JOB;
 }
 
@@ -393,7 +394,7 @@
 fb_owner_answer (FbOwner *self, const fb_peer_request *peer_request, fb_peer_reply *peer_reply)
 {
   peer_reply->type = FB_REPLY_UNAVAILABLE;
-  if (!self->loaded || self->lost)
+  if (!self->loaded || self->stepped_down)
     return;
   if (peer_request->type == FB_REQUEST_JOB_STATE)
     answer_job_state (self, &peer_request->fb_peer_request_u.job, peer_reply);
--- a/src/entry/owner/owner.h
+++ b/src/entry/owner/owner.h
@@ -9,7 +9,7 @@
 FbOwner *fb_owner_new (FbEntry *entry, uint32_t partition, uint64_t epoch);
 void fb_owner_free (FbOwner *self);
 /* Returns: TRUE when SELF has stepped down and is to be freed. */
-gboolean fb_owner_lost (const FbOwner *self);
+gboolean fb_owner_has_stepped_down (const FbOwner *self);
 /* Answers a request about a job or a queue. */
 void fb_owner_answer (FbOwner *self, const fb_peer_request *peer_request,
                       fb_peer_reply *peer_reply);
@@ -24,7 +24,7 @@
 /* Starts no further tasks; progress is still stored. */
 void fb_owner_quiesce (FbOwner *self);
 gboolean fb_owner_is_flushed (const FbOwner *self);
-/* Passes an answer of the advice service to the pools.  ASKED: the N workers in the request.
+/* Passes an answer of the advice service to the pools.  REQUESTED: the N workers in the request.
  * PEER_REPLY: NULL when the request failed. */
-void fb_owner_advised (FbOwner *self, const char *step, const char *const *asked, guint n,
+void fb_owner_advised (FbOwner *self, const char *step, const char *const *requested, guint n,
                        const fb_advice_reply *peer_reply);
--- a/src/entry/peers/link-connection.c
+++ b/src/entry/peers/link-connection.c
@@ -27,7 +27,7 @@
 #define CONNECT_MS 400
 /* TCP keepalive, which closes connections from peers that lost power. */
 #define KEEPALIVE_IDLE_S 10
-#define KEEPALIVE_EVERY_S 2
+#define KEEPALIVE_INTERVAL_S 2
 #define KEEPALIVE_N 3
 
 struct _FbLinkCall
@@ -66,7 +66,7 @@
   } options[] = { { IPPROTO_TCP, TCP_NODELAY, 1 },
                   { SOL_SOCKET, SO_KEEPALIVE, 1 },
                   { IPPROTO_TCP, TCP_KEEPIDLE, KEEPALIVE_IDLE_S },
-                  { IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_EVERY_S },
+                  { IPPROTO_TCP, TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S },
                   { IPPROTO_TCP, TCP_KEEPCNT, KEEPALIVE_N } };
   for (gsize i = 0; i < G_N_ELEMENTS (options); i++)
     (void) setsockopt (fd, options[i].level, options[i].name, &options[i].value, sizeof (int));
@@ -90,10 +90,10 @@
 }
 
 void
-fb_link_connection_watch (const FbLinkConnection *self, int operation, gboolean for_room)
+fb_link_connection_watch (const FbLinkConnection *self, int operation, gboolean for_output)
 {
   struct epoll_event event
-      = { .events = EPOLLIN | (for_room ? EPOLLOUT : 0), .data.ptr = (gpointer) self };
+      = { .events = EPOLLIN | (for_output ? EPOLLOUT : 0), .data.ptr = (gpointer) self };
   (void) epoll_ctl (self->links->epoll, operation, self->fd, &event);
 }
 
@@ -113,7 +113,8 @@
   Pending *pending = NULL;
   while ((pending = g_queue_pop_head (&self->pending)) != NULL)
     {
-      FbLinkResult result = self->written <= pending->frame_from ? FB_LINK_NOT_SENT : FB_LINK_LOST;
+      FbLinkResult result
+          = self->written_bytes <= pending->frame_offset ? FB_LINK_NOT_SENT : FB_LINK_LOST;
       pending->done (pending->user, result, NULL, 0);
       g_free (pending);
     }
@@ -123,13 +124,13 @@
 /* ---- writing --------------------------------------------------------------------- */
 
 static gsize
-unwritten (const FbLinkConnection *self)
+unwritten_bytes (const FbLinkConnection *self)
 {
-  return self->out->len - self->out_from;
+  return self->out->len - self->out_offset;
 }
 
 static void
-put_frame (FbLinkConnection *self, uint32_t number, uint32_t kind, GBytes *body)
+queue_frame (FbLinkConnection *self, uint32_t number, uint32_t kind, GBytes *body)
 {
   gsize len = 0;
   gconstpointer data = g_bytes_get_data (body, &len);
@@ -148,14 +149,14 @@
  * closed, because a daemon that was suspended would otherwise write the call after it resumes,
  * although the caller has given it up, and a task could run twice. */
 static gboolean
-has_overdue_call (const FbLinkConnection *self)
+has_expired_unwritten_call (const FbLinkConnection *self)
 {
   for (const GList *l = self->pending.tail; l != NULL; l = l->prev)
     {
       const Pending *pending = l->data;
-      if (pending->frame_from < self->written)
+      if (pending->frame_offset < self->written_bytes)
         return FALSE;
-      if (self->links->now_ms >= pending->until_ms)
+      if (self->links->now_ms >= pending->timeout_at_ms)
         return TRUE;
     }
   return FALSE;
@@ -166,11 +167,12 @@
 {
   if (self->connecting)
     return TRUE;
-  if (has_overdue_call (self))
+  if (has_expired_unwritten_call (self))
     return FALSE;
-  while (unwritten (self) > 0)
+  while (unwritten_bytes (self) > 0)
     {
-      ssize_t n = send (self->fd, self->out->data + self->out_from, unwritten (self), MSG_NOSIGNAL);
+      ssize_t n = send (self->fd, self->out->data + self->out_offset, unwritten_bytes (self),
+                        MSG_NOSIGNAL);
       if (n < 0 && errno == EINTR)
         continue;
       if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK))
@@ -180,12 +182,12 @@
         }
       if (n <= 0)
         return FALSE;
-      self->out_from += (gsize) n;
-      self->written += (gsize) n;
+      self->out_offset += (gsize) n;
+      self->written_bytes += (gsize) n;
       fb_counter_add (FB_COUNTER_PEER_BYTES_SENT, (uint64_t) n);
     }
   g_byte_array_set_size (self->out, 0);
-  self->out_from = 0;
+  self->out_offset = 0;
   return TRUE;
 }
 
@@ -218,7 +220,7 @@
 }
 
 static uint32_t
-word_at (const GByteArray *bytes, gsize at)
+read_word (const GByteArray *bytes, gsize at)
 {
   uint32_t word = 0;
   memcpy (&word, bytes->data + at, sizeof word);
@@ -233,14 +235,14 @@
   gsize at = 0;
   while (!self->closed && self->in->len - at >= HEADER_BYTES)
     {
-      uint32_t len = word_at (self->in, at);
+      uint32_t len = read_word (self->in, at);
       if (len < HEADER_BYTES - sizeof (uint32_t) || len > FB_LINK_BODY_MAX_BYTES)
         return FALSE;
       gsize frame = len + sizeof (uint32_t);
       if (self->in->len - at < frame)
         break;
-      uint32_t number = word_at (self->in, at + sizeof (uint32_t));
-      uint32_t kind = word_at (self->in, at + 2 * sizeof (uint32_t));
+      uint32_t number = read_word (self->in, at + sizeof (uint32_t));
+      uint32_t kind = read_word (self->in, at + 2 * sizeof (uint32_t));
       const guint8 *body = self->in->data + at + HEADER_BYTES;
       at += frame;
       if (kind == KIND_CALL)
@@ -258,7 +260,7 @@
 /* Reads and handles all available input.
  * Returns: FALSE when the connection is to be closed. */
 static gboolean
-read_in (FbLinkConnection *self)
+read_input (FbLinkConnection *self)
 {
   static guint8 buffer[READ_BYTES];
   for (;;)
@@ -297,18 +299,18 @@
 void
 fb_link_connection_handle (FbLinkConnection *self, uint32_t events)
 {
-  gboolean fine = TRUE;
+  gboolean ok = TRUE;
   self->refs++; /* callbacks may close the connection */
   if (self->connecting && (events & (EPOLLOUT | EPOLLERR | EPOLLHUP)))
-    fine = finish_connecting (self) && fb_link_connection_write (self);
+    ok = finish_connecting (self) && fb_link_connection_write (self);
   else if (events & EPOLLOUT)
     {
       fb_link_connection_watch (self, EPOLL_CTL_MOD, FALSE);
-      fine = fb_link_connection_write (self);
+      ok = fb_link_connection_write (self);
     }
-  if (fine && (events & (EPOLLIN | EPOLLERR | EPOLLHUP)) && !self->connecting)
-    fine = read_in (self);
-  if (!fine)
+  if (ok && (events & (EPOLLIN | EPOLLERR | EPOLLHUP)) && !self->connecting)
+    ok = read_input (self);
+  if (!ok)
     fb_link_connection_close (self);
   fb_link_connection_unref (self);
 }
@@ -324,13 +326,14 @@
     {
       Pending *pending = l->data;
       GList *next = l->next;
-      if (now_ms >= pending->until_ms)
+      if (now_ms >= pending->timeout_at_ms)
         {
           silent = self->received_ms <= pending->sent_ms;
           /* If the connection is silent, it is closed and the frame is never written; otherwise the
            * frame may still be written. */
-          FbLinkResult result
-              = silent && self->written <= pending->frame_from ? FB_LINK_NOT_SENT : FB_LINK_LOST;
+          FbLinkResult result = silent && self->written_bytes <= pending->frame_offset
+                                    ? FB_LINK_NOT_SENT
+                                    : FB_LINK_LOST;
           g_queue_delete_link (&self->pending, l);
           pending->done (pending->user, result, NULL, 0);
           g_free (pending);
@@ -346,18 +349,18 @@
 fb_link_connection_call (FbLinkConnection *self, GBytes *body, uint32_t timeout_ms, FbLinkDone done,
                          gpointer user)
 {
-  if (unwritten (self) > OUT_MAX_BYTES
+  if (unwritten_bytes (self) > OUT_MAX_BYTES
       || g_bytes_get_size (body) > FB_LINK_BODY_MAX_BYTES - HEADER_BYTES)
     return FALSE;
   Pending *pending = g_new0 (Pending, 1);
   pending->number = ++self->last_number;
-  pending->frame_from = self->written + unwritten (self);
+  pending->frame_offset = self->written_bytes + unwritten_bytes (self);
   pending->sent_ms = self->links->now_ms;
-  pending->until_ms = self->links->now_ms + timeout_ms;
+  pending->timeout_at_ms = self->links->now_ms + timeout_ms;
   pending->done = done;
   pending->user = user;
   g_queue_push_tail (&self->pending, pending);
-  put_frame (self, pending->number, KIND_CALL, body);
+  queue_frame (self, pending->number, KIND_CALL, body);
   return TRUE;
 }
 
@@ -365,8 +368,8 @@
 fb_link_call_answer (FbLinkCall *call, GBytes *body)
 {
   FbLinkConnection *connection = call->connection;
-  if (!connection->closed && unwritten (connection) <= OUT_MAX_BYTES)
-    put_frame (connection, call->number, KIND_ANSWER, body);
+  if (!connection->closed && unwritten_bytes (connection) <= OUT_MAX_BYTES)
+    queue_frame (connection, call->number, KIND_ANSWER, body);
   fb_link_connection_unref (connection);
   g_free (call);
 }
--- a/src/entry/peers/links-private.h
+++ b/src/entry/peers/links-private.h
@@ -3,15 +3,15 @@
 
 #include "links.h"
 
-/* Maximum size of a body: a batch of records that a peer is asked to append, with its encoding. */
+/* Maximum size of a body: a batch of records to be appended by a peer, with its encoding. */
 #define FB_LINK_BODY_MAX_BYTES (2 * 1024 * 1024)
 
 typedef struct
 {
-  uint32_t number;     /* of the call, unique on its connection */
-  uint64_t frame_from; /* offset of its frame in the stream of bytes written to the connection */
+  uint32_t number;       /* of the call, unique on its connection */
+  uint64_t frame_offset; /* offset of its frame in the stream of bytes written to the connection */
   uint64_t sent_ms;
-  uint64_t until_ms; /* time at which the call times out */
+  uint64_t timeout_at_ms; /* time at which the call times out */
   FbLinkDone done;
   gpointer user;
 } Pending;
@@ -26,13 +26,13 @@
   gboolean closed;
   guint refs; /* references: one by FbLinks, one by each call being served */
   uint64_t created_ms;
-  uint64_t received_ms; /* time at which data was last received, initially created_ms */
-  uint32_t last_number; /* number of the last call sent */
-  uint64_t written;     /* number of bytes written to the socket */
-  GByteArray *out;      /* output buffer */
-  gsize out_from;       /* offset of its first unwritten byte */
-  GByteArray *in;       /* input buffer; contains no complete frame */
-  GQueue pending;       /* of Pending, in the order of their numbers */
+  uint64_t received_ms;   /* time at which data was last received, initially created_ms */
+  uint32_t last_number;   /* number of the last call sent */
+  uint64_t written_bytes; /* number of bytes written to the socket */
+  GByteArray *out;        /* output buffer */
+  gsize out_offset;       /* offset of its first unwritten byte */
+  GByteArray *in;         /* input buffer; contains no complete frame */
+  GQueue pending;         /* of Pending, in the order of their numbers */
 } FbLinkConnection;
 
 struct _FbLinks
@@ -54,9 +54,9 @@
  * NULL when the peer initiated the connection.
  * Returns: the connection, owned by LINKS until it is closed. */
 FbLinkConnection *fb_link_connection_new (FbLinks *links, int fd, const char *address);
-/* Registers SELF with epoll by OPERATION (EPOLL_CTL_*) for input and, with FOR_ROOM, also for
+/* Registers SELF with epoll by OPERATION (EPOLL_CTL_*) for input and, with FOR_OUTPUT, also for
  * output. */
-void fb_link_connection_watch (const FbLinkConnection *self, int operation, gboolean for_room);
+void fb_link_connection_watch (const FbLinkConnection *self, int operation, gboolean for_output);
 void fb_link_connection_ref (FbLinkConnection *self);
 void fb_link_connection_unref (FbLinkConnection *self);
 /* Closes SELF.  Calls of which nothing was written end with FB_LINK_NOT_SENT, the others with
--- a/src/entry/peers/payload-cache.c
+++ b/src/entry/peers/payload-cache.c
@@ -8,7 +8,7 @@
   gsize max_bytes;
   gsize bytes;
   GHashTable *payloads; /* FbPayloadDigest -> char * */
-  GQueue oldest;        /* keys of PAYLOADS, borrowed, oldest first */
+  GQueue by_age;        /* keys of PAYLOADS, borrowed, oldest first */
 };
 
 void
@@ -40,22 +40,22 @@
   self->max_bytes = max_bytes;
   self->payloads
       = g_hash_table_new_full (fb_payload_digest_hash, fb_payload_digest_equal, g_free, g_free);
-  g_queue_init (&self->oldest);
+  g_queue_init (&self->by_age);
   return self;
 }
 
 void
 fb_payload_cache_free (FbPayloadCache *self)
 {
-  g_queue_clear (&self->oldest);
+  g_queue_clear (&self->by_age);
   g_hash_table_unref (self->payloads);
   g_free (self);
 }
 
 static void
-drop_oldest (FbPayloadCache *self)
+evict_oldest (FbPayloadCache *self)
 {
-  const FbPayloadDigest *digest = g_queue_pop_head (&self->oldest);
+  const FbPayloadDigest *digest = g_queue_pop_head (&self->by_age);
   self->bytes -= strlen (g_hash_table_lookup (self->payloads, digest)) + 1;
   g_hash_table_remove (self->payloads, digest);
 }
@@ -67,10 +67,10 @@
   if (size > self->max_bytes || g_hash_table_contains (self->payloads, digest))
     return;
   while (self->bytes + size > self->max_bytes)
-    drop_oldest (self);
+    evict_oldest (self);
   FbPayloadDigest *key = g_memdup2 (digest, sizeof *digest);
   g_hash_table_insert (self->payloads, key, g_strdup (payload));
-  g_queue_push_tail (&self->oldest, key);
+  g_queue_push_tail (&self->by_age, key);
   self->bytes += size;
 }
 
--- a/src/entry/peers/payload-dedup.c
+++ b/src/entry/peers/payload-dedup.c
@@ -18,15 +18,15 @@
 #define SENT_MAX 250
 /* Period over which the rate is measured; the rate is that of the last complete period, or of the
  * current one if that is higher. */
-#define PERIOD_MS 1000
+#define RATE_PERIOD_MS 1000
 
 struct _FbPayloadDedup
 {
   uint32_t link_kbit_s;
   uint64_t period; /* number of the current period */
   uint64_t period_bytes;
-  uint64_t last_bytes; /* bytes of the previous period */
-  GHashTable *daemons; /* address -> GHashTable: FbPayloadDigest -> when it was sent */
+  uint64_t previous_bytes; /* bytes of the previous period */
+  GHashTable *daemons;     /* address -> GHashTable: FbPayloadDigest -> when it was sent */
 };
 
 FbPayloadDedup *
@@ -49,10 +49,10 @@
 static void
 advance_period (FbPayloadDedup *self, uint64_t now_ms)
 {
-  uint64_t period = now_ms / PERIOD_MS;
+  uint64_t period = now_ms / RATE_PERIOD_MS;
   if (period == self->period)
     return;
-  self->last_bytes = period == self->period + 1 ? self->period_bytes : 0;
+  self->previous_bytes = period == self->period + 1 ? self->period_bytes : 0;
   self->period_bytes = 0;
   self->period = period;
 }
@@ -62,8 +62,8 @@
 {
   advance_period (self, now_ms);
   self->period_bytes += payload_bytes;
-  uint64_t bytes = MAX (self->period_bytes, self->last_bytes);
-  return bytes * 8 / PERIOD_MS * 100 > (uint64_t) self->link_kbit_s * PAYLOAD_PERCENT
+  uint64_t bytes = MAX (self->period_bytes, self->previous_bytes);
+  return bytes * 8 / RATE_PERIOD_MS * 100 > (uint64_t) self->link_kbit_s * PAYLOAD_PERCENT
          && self->link_kbit_s > 0;
 }
 
@@ -77,8 +77,8 @@
 }
 
 gboolean
-fb_payload_dedup_sent (FbPayloadDedup *self, const char *daemon, const FbPayloadDigest *digest,
-                       uint64_t now_ms)
+fb_payload_dedup_check_sent (FbPayloadDedup *self, const char *daemon,
+                             const FbPayloadDigest *digest, uint64_t now_ms)
 {
   GHashTable *sent = g_hash_table_lookup (self->daemons, daemon);
   if (sent == NULL)
--- a/src/entry/peers/payload-dedup.h
+++ b/src/entry/peers/payload-dedup.h
@@ -26,8 +26,8 @@
 char *fb_payload_dedup_relay_key (const char *task);
 /* Checks whether DAEMON was sent the payload recently; if not, records that it is sent now.
  * Returns: FALSE when the payload has to be sent. */
-gboolean fb_payload_dedup_sent (FbPayloadDedup *self, const char *daemon,
-                                const FbPayloadDigest *digest, uint64_t now_ms);
+gboolean fb_payload_dedup_check_sent (FbPayloadDedup *self, const char *daemon,
+                                      const FbPayloadDigest *digest, uint64_t now_ms);
 /* Records that DAEMON has not cached the payload. */
 void fb_payload_dedup_forget (FbPayloadDedup *self, const char *daemon,
                               const FbPayloadDigest *digest);
--- a/src/entry/peers/peers.c
+++ b/src/entry/peers/peers.c
@@ -9,16 +9,16 @@
 #include "internal/codec.h"
 
 /* Timeout of appending a caller's record for a daemon that the store rejects. */
-#define APPEND_MS 1500
+#define APPEND_TIMEOUT_MS 1500
 /* Timeout of one append of an owner's progress, which the owner repeats. */
-#define APPEND_PROGRESS_MS 500
+#define APPEND_PROGRESS_TIMEOUT_MS 500
 /* Timeout of the notification of a stored record; by then the owner has read the record from the
  * store. */
-#define NOTIFY_MS 700
+#define NOTIFY_TIMEOUT_MS 700
 /* Timeout of one attempt to reach an owner. */
-#define OWNER_ATTEMPT_MS 700
+#define OWNER_ATTEMPT_TIMEOUT_MS 700
 /* Retry interval while an owner is being replaced. */
-#define RETRY_MS 120
+#define RETRY_INTERVAL_MS 120
 
 /* ---- traffic accounting ------------------------------------------------------- */
 
@@ -100,7 +100,7 @@
   FbEntry *entry;
   uint32_t partition;
   GBytes *peer_request;
-  uint64_t until_ms;
+  uint64_t deadline_ms;
   FbPeerReplyDone done;
   gpointer user;
 } OwnerRequest;
@@ -132,8 +132,8 @@
       return;
     }
   fb_group_refresh_owners (request->entry->group);
-  if (fb_clock_ms () + RETRY_MS < request->until_ms)
-    g_timeout_add (RETRY_MS, on_retry, request);
+  if (fb_clock_ms () + RETRY_INTERVAL_MS < request->deadline_ms)
+    g_timeout_add (RETRY_INTERVAL_MS, on_retry, request);
   else
     finish (request, NULL);
 }
@@ -145,7 +145,7 @@
   gsize len = 0;
   gconstpointer data = g_bytes_get_data (request->peer_request, &len);
   fb_peer_request peer_request;
-  if (now_ms >= request->until_ms || !fb_codec_decode_peer_request (data, len, &peer_request))
+  if (now_ms >= request->deadline_ms || !fb_codec_decode_peer_request (data, len, &peer_request))
     {
       finish (request, NULL);
       return;
@@ -153,12 +153,13 @@
   FbOwner *owner = fb_entry_owner (request->entry, request->partition);
   const char *address = fb_group_owner_of (request->entry->group, request->partition);
   fb_peer_reply peer_reply = { .type = FB_REPLY_UNAVAILABLE };
-  uint64_t remaining_ms = request->until_ms - now_ms;
+  uint64_t remaining_ms = request->deadline_ms - now_ms;
   if (owner != NULL)
     fb_owner_answer (owner, &peer_request, &peer_reply);
   if (owner == NULL && address != NULL && !g_str_equal (address, request->entry->settings->peers))
     fb_peers_request (request->entry, address, &peer_request,
-                      (uint32_t) MIN (remaining_ms, OWNER_ATTEMPT_MS), on_owner_reply, request);
+                      (uint32_t) MIN (remaining_ms, OWNER_ATTEMPT_TIMEOUT_MS), on_owner_reply,
+                      request);
   else
     on_owner_reply (request, &peer_reply);
   xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &peer_request);
@@ -172,7 +173,7 @@
   request->entry = entry;
   request->partition = fb_entry_partition_of (entry, service);
   request->peer_request = fb_codec_encode_peer_request (peer_request);
-  request->until_ms = fb_clock_ms () + timeout_ms;
+  request->deadline_ms = fb_clock_ms () + timeout_ms;
   request->done = done;
   request->user = user;
   send_to_owner (request);
@@ -211,7 +212,7 @@
   peer_request.fb_peer_request_u.stored.key = (char *) key;
   peer_request.fb_peer_request_u.stored.value.value_val = (char *) g_bytes_get_data (value, &len);
   peer_request.fb_peer_request_u.stored.value.value_len = (u_int) len;
-  fb_peers_request (entry, address, &peer_request, NOTIFY_MS, fb_peers_ignore_reply, NULL);
+  fb_peers_request (entry, address, &peer_request, NOTIFY_TIMEOUT_MS, fb_peers_ignore_reply, NULL);
 }
 
 /* ---- appending through a peer ------------------------------------------------------- */
@@ -268,21 +269,21 @@
 {
   FbLinkCall *call;
   FbTraffic traffic;
-} Answer;
+} ServedRequest;
 
 /* Sends the reply and frees DATA, the Answer.  PEER_REPLY: NULL when none is available. */
 static void
-on_answer_ready (gpointer data, const fb_peer_reply *peer_reply)
+send_reply (gpointer data, const fb_peer_reply *peer_reply)
 {
-  Answer *answer = data;
+  ServedRequest *served = data;
   static const fb_peer_reply unavailable = { .type = FB_REPLY_UNAVAILABLE };
   g_autoptr (GBytes) body
       = fb_codec_encode_peer_reply (peer_reply != NULL ? peer_reply : &unavailable);
   if (body == NULL) /* the reply is larger than the limit */
     body = fb_codec_encode_peer_reply (&unavailable);
-  fb_traffic_add (answer->traffic, g_bytes_get_size (body), 0);
-  fb_link_call_answer (answer->call, body);
-  g_free (answer);
+  fb_traffic_add (served->traffic, g_bytes_get_size (body), 0);
+  fb_link_call_answer (served->call, body);
+  g_free (served);
 }
 
 static void
@@ -294,7 +295,7 @@
       if (append_results[i].result == result)
         peer_reply.type = append_results[i].peer_reply;
     }
-  on_answer_ready (data, &peer_reply);
+  send_reply (data, &peer_reply);
 }
 
 static void
@@ -306,11 +307,12 @@
 /* Appends immediately under the owner's sequence number, so that a repeat by the owner is
  * harmless. */
 static void
-append_for_owner (FbEntry *entry, const fb_progress_append_request *peer_request, Answer *answer)
+append_for_owner (FbEntry *entry, const fb_progress_append_request *peer_request,
+                  ServedRequest *served)
 {
   if (peer_request->partition >= entry->settings->partitions)
     {
-      on_answer_ready (answer, NULL);
+      send_reply (served, NULL);
       return;
     }
   g_autoptr (GBytes) body
@@ -318,29 +320,29 @@
   FbHttpCall call;
   fb_wire_append (&call, entry->settings->store, FB_TOPIC_PROGRESS, peer_request->partition, body,
                   peer_request->writer, peer_request->epoch, peer_request->sequence);
-  fb_http_client_exchange (entry->store_client, &call, APPEND_PROGRESS_MS, on_progress_appended,
-                           answer);
+  fb_http_client_exchange (entry->store_client, &call, APPEND_PROGRESS_TIMEOUT_MS,
+                           on_progress_appended, served);
   fb_http_call_clear (&call);
 }
 
 static void
-append_for_peer (FbEntry *entry, const fb_append_request *peer_request, Answer *answer)
+append_for_peer (FbEntry *entry, const fb_append_request *peer_request, ServedRequest *served)
 {
   if (peer_request->partition >= entry->settings->partitions)
     {
-      on_answer_ready (answer, NULL);
+      send_reply (served, NULL);
       return;
     }
   if (fb_entry_store_is_silent (entry))
     {
-      on_appended (answer, FB_APPEND_NOT_STORED);
+      on_appended (served, FB_APPEND_NOT_STORED);
       return;
     }
   GByteArray *records = g_byte_array_new ();
   g_byte_array_append (records, (const guint8 *) peer_request->records.records_val,
                        peer_request->records.records_len);
   fb_appender_put (fb_entry_appender (entry, peer_request->partition), records,
-                   fb_clock_ms () + APPEND_MS, on_appended, answer);
+                   fb_clock_ms () + APPEND_TIMEOUT_MS, on_appended, served);
 }
 
 static void
@@ -354,21 +356,21 @@
 }
 
 static void
-answer_starts (FbEntry *entry, Answer *answer)
+reply_with_starts (FbEntry *entry, ServedRequest *served)
 {
   fb_peer_reply peer_reply = { .type = FB_REPLY_RECENT_STARTS };
   fb_recent_starts_list (entry->recent_starts, fb_clock_ms (), &peer_reply.fb_peer_reply_u.starts);
-  on_answer_ready (answer, &peer_reply);
+  send_reply (served, &peer_reply);
   g_free (peer_reply.fb_peer_reply_u.starts.starts.starts_val);
 }
 
 static void
-answer_suspect_backups (FbEntry *entry, Answer *answer)
+reply_with_suspect_backups (FbEntry *entry, ServedRequest *served)
 {
   fb_peer_reply peer_reply = { .type = FB_REPLY_SUSPECT_BACKUPS };
   fb_suspect_backups_list (entry->suspect_backups, fb_clock_ms (),
                            &peer_reply.fb_peer_reply_u.backups);
-  on_answer_ready (answer, &peer_reply);
+  send_reply (served, &peer_reply);
   xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &peer_reply);
 }
 
@@ -380,7 +382,7 @@
 }
 
 static void
-serve_request (FbEntry *entry, const fb_peer_request *peer_request, Answer *answer)
+serve_request (FbEntry *entry, const fb_peer_request *peer_request, ServedRequest *served)
 {
   fb_peer_reply peer_reply = { .type = FB_REPLY_UNAVAILABLE };
   FbOwner *owner = NULL;
@@ -389,25 +391,25 @@
     case FB_REQUEST_ADVICE:
       if (entry->settings->advice == NULL)
         break;
-      fb_advisor_call (entry, &peer_request->fb_peer_request_u.advice, on_answer_ready, answer);
+      fb_advisor_call (entry, &peer_request->fb_peer_request_u.advice, send_reply, served);
       return;
     case FB_REQUEST_APPEND_JOB_RECORD:
-      append_for_peer (entry, &peer_request->fb_peer_request_u.append, answer);
+      append_for_peer (entry, &peer_request->fb_peer_request_u.append, served);
       return;
     case FB_REQUEST_APPEND_PROGRESS:
-      append_for_owner (entry, &peer_request->fb_peer_request_u.write, answer);
+      append_for_owner (entry, &peer_request->fb_peer_request_u.write, served);
       return;
     case FB_REQUEST_PARTITION_OWNERS:
-      fb_group_send_owners (entry->group, on_answer_ready, answer);
+      fb_group_send_owners (entry->group, send_reply, served);
       return;
     case FB_REQUEST_RELAY_ORDER:
-      fb_relay_serve (entry, &peer_request->fb_peer_request_u.order, on_answer_ready, answer);
+      fb_relay_serve (entry, &peer_request->fb_peer_request_u.order, send_reply, served);
       return;
     case FB_REQUEST_RECENT_STARTS:
-      answer_starts (entry, answer);
+      reply_with_starts (entry, served);
       return;
     case FB_REQUEST_SUSPECT_BACKUPS:
-      answer_suspect_backups (entry, answer);
+      reply_with_suspect_backups (entry, served);
       return;
     case FB_REQUEST_BACK_UP_SUSPECTS:
       fb_suspect_backups_put (entry->suspect_backups, &peer_request->fb_peer_request_u.backup,
@@ -423,24 +425,24 @@
         fb_owner_answer (owner, peer_request, &peer_reply);
       break;
     }
-  on_answer_ready (answer, &peer_reply);
+  send_reply (served, &peer_reply);
 }
 
 void
 fb_peers_serve (gpointer data, FbLinkCall *call, gconstpointer body, gsize len)
 {
   fb_peer_request peer_request;
-  Answer *answer = g_new0 (Answer, 1);
-  answer->call = call;
-  answer->traffic = FB_TRAFFIC_OTHER;
+  ServedRequest *served = g_new0 (ServedRequest, 1);
+  served->call = call;
+  served->traffic = FB_TRAFFIC_OTHER;
   if (!fb_codec_decode_peer_request (body, len, &peer_request))
     {
       fb_event_log (FB_EVENT_PEER_REFUSED, "bytes=%u", (guint) len);
-      on_answer_ready (answer, NULL);
+      send_reply (served, NULL);
       return;
     }
-  answer->traffic = traffic_of (&peer_request);
-  fb_traffic_add (answer->traffic, 0, len);
-  serve_request (data, &peer_request, answer);
+  served->traffic = traffic_of (&peer_request);
+  fb_traffic_add (served->traffic, 0, len);
+  serve_request (data, &peer_request, served);
   xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &peer_request);
 }
--- a/src/entry/peers/recent-starts.c
+++ b/src/entry/peers/recent-starts.c
@@ -81,7 +81,7 @@
 }
 
 static void
-drop_oldest (FbRecentStarts *self)
+evict_oldest (FbRecentStarts *self)
 {
   Start *start = g_queue_pop_head (&self->starts);
   WorkerStarts *worker_starts = g_hash_table_lookup (self->workers, start->worker);
@@ -104,7 +104,7 @@
   const Start *oldest = NULL;
   while ((oldest = g_queue_peek_head (&self->starts)) != NULL
          && (!is_recent (oldest, now_ms) || self->starts.length >= FB_WORK_MAX_STARTS))
-    drop_oldest (self);
+    evict_oldest (self);
   Start *start = g_new0 (Start, 1);
   start->worker = g_strdup (worker);
   start->address = g_strdup (address);
@@ -117,7 +117,7 @@
 
 /* Removes the start at LINK of WORKER_STARTS, whose run has ended or was never created. */
 static void
-drop_start (FbRecentStarts *self, WorkerStarts *worker_starts, GList *link)
+remove_start (FbRecentStarts *self, WorkerStarts *worker_starts, GList *link)
 {
   Start *start = link->data;
   g_queue_delete_link (&worker_starts->starts, link);
@@ -126,7 +126,7 @@
 }
 
 static void
-drop_if_empty (FbRecentStarts *self, const char *worker, WorkerStarts *worker_starts)
+remove_if_empty (FbRecentStarts *self, const char *worker, WorkerStarts *worker_starts)
 {
   if (g_queue_is_empty (&worker_starts->starts))
     g_hash_table_remove (self->workers, worker);
@@ -134,7 +134,7 @@
 
 /* Returns: TRUE when RESULT of an order implies that the worker is running. */
 static gboolean
-is_alive (FbOrderResult result)
+implies_running (FbOrderResult result)
 {
   return result != FB_ORDER_UNKNOWN && result != FB_ORDER_OTHER_INCARNATION
          && result != FB_ORDER_NO_LISTENER;
@@ -147,7 +147,7 @@
   WorkerStarts *worker_starts = g_hash_table_lookup (self->workers, worker);
   if (worker_starts == NULL)
     return;
-  worker_starts->unresponsive = !is_alive (result);
+  worker_starts->unresponsive = !implies_running (result);
   for (GList *l = worker_starts->starts.head, *next = NULL; l != NULL; l = next)
     {
       Start *start = l->data;
@@ -157,20 +157,20 @@
       start->confirmed |= result == FB_ORDER_DONE;
       /* The worker may have a run even if the attempt is superseded. */
       if (result != FB_ORDER_DONE && result != FB_ORDER_UNKNOWN && result != FB_ORDER_SUPERSEDED)
-        drop_start (self, worker_starts, l);
+        remove_start (self, worker_starts, l);
     }
-  drop_if_empty (self, worker, worker_starts);
+  remove_if_empty (self, worker, worker_starts);
 }
 
 static void
-apply_end (FbRecentStarts *self, WorkerStarts *worker_starts, const FbReportedEnd *end)
+remove_ended (FbRecentStarts *self, WorkerStarts *worker_starts, const FbReportedEnd *end)
 {
   for (GList *l = worker_starts->starts.head, *next = NULL; l != NULL; l = next)
     {
       const Start *start = l->data;
       next = l->next;
       if (start->attempt <= end->attempt && g_str_equal (start->task, end->task))
-        drop_start (self, worker_starts, l);
+        remove_start (self, worker_starts, l);
     }
 }
 
@@ -201,7 +201,7 @@
           start->missing_n = 0;
         }
       else if (start->confirmed && ++start->missing_n == MISSING_MAX)
-        drop_start (self, worker_starts, l);
+        remove_start (self, worker_starts, l);
     }
 }
 
@@ -211,12 +211,12 @@
   WorkerStarts *worker_starts = g_hash_table_lookup (self->workers, worker);
   if (worker_starts == NULL)
     return;
-  worker_starts->unresponsive = !is_alive (answer->result);
+  worker_starts->unresponsive = !implies_running (answer->result);
   if (answer->result == FB_ORDER_DONE)
     apply_running (self, worker_starts, answer->running);
   for (guint i = 0; answer->finished != NULL && i < answer->finished->len; i++)
-    apply_end (self, worker_starts, &g_array_index (answer->finished, FbReportedEnd, i));
-  drop_if_empty (self, worker, worker_starts);
+    remove_ended (self, worker_starts, &g_array_index (answer->finished, FbReportedEnd, i));
+  remove_if_empty (self, worker, worker_starts);
 }
 
 void
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -27,13 +27,13 @@
 /* Time for which a relay that did not answer is not used. */
 #define BACKOFF_MS 3000
 /* Added to an order's own timeout for the network delay to the relay and back. */
-#define NETWORK_MS 150
+#define NETWORK_DELAY_MS 150
 /* Timeout of a start or stop.  An answer takes a few ms; a worker that hangs should not block its
  * caller for long. */
-#define ORDER_MS 600
+#define ORDER_TIMEOUT_MS 600
 /* Minimum size of a payload that is replaced by its digest, which takes 20 bytes; the payload may
  * have to be sent later all the same. */
-#define NAMED_MIN_BYTES 64
+#define DIGEST_MIN_BYTES 64
 
 /* ---- choosing a relay ----------------------------------------------------------- */
 
@@ -62,7 +62,7 @@
 }
 
 const char *
-fb_relay_for (FbEntry *entry, const fb_relay_request *order)
+fb_relay_address_for (FbEntry *entry, const fb_relay_request *order)
 {
   const FbListedWorker *listed = fb_worker_list_by_incarnation (entry->workers, order->worker);
   if (listed == NULL)
@@ -81,13 +81,13 @@
 /* ---- calls to workers --------------------------------------------------------------- */
 
 static uint32_t
-limit_ms (const fb_relay_request *order)
+order_timeout_ms (const fb_relay_request *order)
 {
-  return order->kind == FB_ORDER_KIND_POLL ? order->wait_ms + order->answer_ms : ORDER_MS;
+  return order->kind == FB_ORDER_KIND_POLL ? order->wait_ms + order->answer_ms : ORDER_TIMEOUT_MS;
 }
 
 static void
-make_call (FbHttpCall *call, const fb_relay_request *order)
+build_call (FbHttpCall *call, const fb_relay_request *order)
 {
   switch (order->kind)
     {
@@ -196,14 +196,14 @@
                       gpointer user)
 {
   FbHttpCall call;
-  make_call (&call, order);
+  build_call (&call, order);
   if (order->kind == FB_ORDER_KIND_START)
     fb_recent_starts_sent (entry->recent_starts, order->worker, order->address, order->task,
                            order->attempt, fb_clock_ms ());
   if (order->kind == FB_ORDER_KIND_POLL)
-    fb_http_client_exchange (entry->worker_client, &call, limit_ms (order), done, user);
+    fb_http_client_exchange (entry->worker_client, &call, order_timeout_ms (order), done, user);
   else
-    fb_http_client_exchange (entry->worker_client, &call, limit_ms (order), on_worker_reply,
+    fb_http_client_exchange (entry->worker_client, &call, order_timeout_ms (order), on_worker_reply,
                              worker_call_new (entry, order, done, user));
   fb_http_call_clear (&call);
 }
@@ -229,7 +229,7 @@
   gpointer user;
   GBytes *full_request; /* request including its payload, if the payload was omitted; else NULL */
   FbPayloadDigest digest;
-  uint64_t until_ms;
+  uint64_t timeout_at_ms;
 } RelayedOrder;
 
 static void on_peer_reply (gpointer data, const fb_peer_reply *peer_reply);
@@ -245,13 +245,13 @@
   gconstpointer data = full_request != NULL ? g_bytes_get_data (full_request, &len) : NULL;
   fb_peer_request peer_request;
   fb_payload_dedup_forget (relayed->entry->payload_dedup, relayed->daemon, &relayed->digest);
-  if (data == NULL || now_ms >= relayed->until_ms
+  if (data == NULL || now_ms >= relayed->timeout_at_ms
       || !fb_codec_decode_peer_request (data, len, &peer_request))
     return FALSE;
-  (void) fb_payload_dedup_sent (relayed->entry->payload_dedup, relayed->daemon, &relayed->digest,
-                                now_ms);
+  (void) fb_payload_dedup_check_sent (relayed->entry->payload_dedup, relayed->daemon,
+                                      &relayed->digest, now_ms);
   fb_peers_request (relayed->entry, relayed->daemon, &peer_request,
-                    (uint32_t) (relayed->until_ms - now_ms), on_peer_reply, relayed);
+                    (uint32_t) (relayed->timeout_at_ms - now_ms), on_peer_reply, relayed);
   xdr_free ((xdrproc_t) xdr_fb_peer_request, (char *) &peer_request);
   return TRUE;
 }
@@ -286,13 +286,13 @@
 omit_sent_payload (RelayedOrder *relayed, fb_peer_request *peer_request, uint64_t now_ms)
 {
   fb_relay_request *order = &peer_request->fb_peer_request_u.order;
-  if (order->kind != FB_ORDER_KIND_START || strlen (order->payload) < NAMED_MIN_BYTES)
+  if (order->kind != FB_ORDER_KIND_START || strlen (order->payload) < DIGEST_MIN_BYTES)
     return;
   fb_payload_digest (order->payload, &relayed->digest);
   order->payload_digest.payload_digest_val = (char *) relayed->digest.bytes;
   order->payload_digest.payload_digest_len = sizeof relayed->digest.bytes;
-  if (!fb_payload_dedup_sent (relayed->entry->payload_dedup, relayed->daemon, &relayed->digest,
-                              now_ms))
+  if (!fb_payload_dedup_check_sent (relayed->entry->payload_dedup, relayed->daemon,
+                                    &relayed->digest, now_ms))
     return;
   relayed->full_request = fb_codec_encode_peer_request (peer_request);
   order->payload = "";
@@ -308,8 +308,8 @@
   relayed->done = done;
   relayed->user = user;
   uint64_t now_ms = fb_clock_ms ();
-  uint32_t timeout_ms = limit_ms (order) + NETWORK_MS;
-  relayed->until_ms = now_ms + timeout_ms;
+  uint32_t timeout_ms = order_timeout_ms (order) + NETWORK_DELAY_MS;
+  relayed->timeout_at_ms = now_ms + timeout_ms;
   fb_peer_request peer_request = { .type = FB_REQUEST_RELAY_ORDER };
   peer_request.fb_peer_request_u.order = *order;
   omit_sent_payload (relayed, &peer_request, now_ms);
@@ -325,7 +325,7 @@
   gpointer user;
   fb_order_kind kind;
   char *worker;
-} Order;
+} ServedOrder;
 
 /* Fills in PEER_REPLY from ANSWER; ROWS and ENDS are its arrays, whose strings are borrowed from
  * ANSWER. */
@@ -353,7 +353,7 @@
 static void
 on_reply (gpointer data, const FbHttpReply *reply)
 {
-  Order *order = data;
+  ServedOrder *order = data;
   FbPollAnswer answer;
   fb_relay_parse_worker_answer (order->kind, order->worker, reply, &answer);
   if (order->kind == FB_ORDER_KIND_POLL)
@@ -379,7 +379,7 @@
  * refers to by its digest.
  * Returns: FALSE when that payload is not cached. */
 static gboolean
-complete_payload (FbEntry *entry, fb_relay_request *peer_request)
+resolve_payload (FbEntry *entry, fb_relay_request *peer_request)
 {
   FbPayloadDigest digest;
   if (peer_request->payload_digest.payload_digest_len != sizeof digest.bytes)
@@ -398,20 +398,20 @@
 fb_relay_serve (FbEntry *entry, const fb_relay_request *peer_request, FbPeerReplyDone done,
                 gpointer user)
 {
-  fb_relay_request complete = *peer_request;
-  if (!complete_payload (entry, &complete))
+  fb_relay_request resolved = *peer_request;
+  if (!resolve_payload (entry, &resolved))
     {
-      static const fb_peer_reply no_payload = { .type = FB_REPLY_PAYLOAD_MISSING };
-      done (user, &no_payload);
+      static const fb_peer_reply payload_missing = { .type = FB_REPLY_PAYLOAD_MISSING };
+      done (user, &payload_missing);
       return;
     }
-  Order *order = g_new0 (Order, 1);
+  ServedOrder *order = g_new0 (ServedOrder, 1);
   order->entry = entry;
   order->done = done;
   order->user = user;
   order->kind = peer_request->kind;
   order->worker = g_strdup (peer_request->worker);
-  fb_relay_call_worker (entry, &complete, on_reply, order);
+  fb_relay_call_worker (entry, &resolved, on_reply, order);
 }
 
 void
--- a/src/entry/peers/relay.h
+++ b/src/entry/peers/relay.h
@@ -24,7 +24,7 @@
                                  const char *except, uint64_t now_ms);
 /* Returns: (nullable): the address of the daemon that relays ORDER to its worker, borrowed; NULL
  * when this daemon sends it itself. */
-const char *fb_relay_for (FbEntry *entry, const fb_relay_request *order);
+const char *fb_relay_address_for (FbEntry *entry, const fb_relay_request *order);
 /* Sends ORDER through DAEMON; everything that ORDER points to is borrowed for the call. */
 void fb_relay_send (FbEntry *entry, const char *daemon, const fb_relay_request *order,
                     FbRelayDone done, gpointer user);
--- a/src/entry/peers/suspect-backups.c
+++ b/src/entry/peers/suspect-backups.c
@@ -51,7 +51,7 @@
 }
 
 static gboolean
-drop_if_expired (gpointer id, gpointer backup, gpointer now_ms)
+is_expired_entry (gpointer id, gpointer backup, gpointer now_ms)
 {
   (void) id;
   return has_expired (backup, *(const uint64_t *) now_ms);
@@ -60,10 +60,10 @@
 void
 fb_suspect_backups_put (FbSuspectBackups *self, const fb_suspects_backup *backup, uint64_t now_ms)
 {
-  const Backup *before = g_hash_table_lookup (self->jobs, backup->job);
-  if (before != NULL && before->epoch > backup->epoch)
+  const Backup *previous = g_hash_table_lookup (self->jobs, backup->job);
+  if (previous != NULL && previous->epoch > backup->epoch)
     return;
-  g_hash_table_foreach_remove (self->jobs, drop_if_expired, &now_ms);
+  g_hash_table_foreach_remove (self->jobs, is_expired_entry, &now_ms);
   g_hash_table_remove (self->jobs, backup->job);
   if (backup->suspects.tasks.tasks_len == 0
       || g_hash_table_size (self->jobs) >= FB_WORK_MAX_SUSPECT_BACKUPS)
--- a/src/entry/settings.c
+++ b/src/entry/settings.c
@@ -9,8 +9,8 @@
 #define NAME_MAX_LEN 128
 #define PARTITIONS_MAX 65536
 #define CPU_MILLI_DEFAULT 1000
-/* A job's record names at most this many workers (FB_WORK_MAX_CRASHES). */
-#define CRASHES_MAX 8
+/* Maximum number of crashed workers in a job's record (FB_WORK_MAX_CRASHES). */
+#define CRASH_LIMIT_MAX 8
 
 static const FbIniField daemon_fields[]
     = { { "name", FB_INI_STRING, TRUE, 0, NAME_MAX_LEN, NULL, offsetof (FbEntrySettings, name) },
@@ -49,9 +49,9 @@
     offsetof (FbEntrySettings, max_lease_ms) },
   { "longest-stop", FB_INI_DURATION, TRUE, 0, 0, NULL, offsetof (FbEntrySettings, max_stop_ms) },
   { "gang-patience", FB_INI_DURATION, TRUE, 0, 0, NULL, offsetof (FbEntrySettings, gang_wait_ms) },
-  { "crashes", FB_INI_UINT, FALSE, 2, CRASHES_MAX, NULL,
+  { "crashes", FB_INI_UINT, FALSE, 2, CRASH_LIMIT_MAX, NULL,
     offsetof (FbEntrySettings, max_isolated_crashes) },
-  { "shared-crashes", FB_INI_UINT, FALSE, 2, CRASHES_MAX, NULL,
+  { "shared-crashes", FB_INI_UINT, FALSE, 2, CRASH_LIMIT_MAX, NULL,
     offsetof (FbEntrySettings, max_shared_crashes) },
   { NULL, 0, FALSE, 0, 0, NULL, 0 }
 };
@@ -87,7 +87,7 @@
 }
 
 static gboolean
-is_known (const char *group)
+is_known_group (const char *group)
 {
   for (guint i = 0; i < G_N_ELEMENTS (groups); i++)
     {
@@ -103,7 +103,7 @@
   g_auto (GStrv) names = g_key_file_get_groups (keys, NULL);
   for (guint i = 0; names[i] != NULL; i++)
     {
-      if (is_known (names[i]))
+      if (is_known_group (names[i]))
         continue;
       fb_status_set_message ("%s: [%s]: unknown group", path, names[i]);
       return FALSE;
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -15,7 +15,7 @@
   char *store;              /* address of the platform's store */
   char *advice;             /* IP:PORT of the advice service; NULL: no queue has advice */
   uint64_t partitions;      /* number of partitions of the job and progress topics */
-  uint64_t shortest_ttl_ms; /* shortest time to live of a member of a group */
+  uint64_t shortest_ttl_ms; /* shortest time to live that a group of the store allows */
   uint64_t max_lease_ms;    /* limits of workers; see FbPoolLimits */
   uint64_t max_stop_ms;
   uint64_t gang_wait_ms;
@@ -30,7 +30,7 @@
 /* Returns: TRUE when the file at PATH contains settings of this kind rather than of a cell's
  * daemon. */
 gboolean fb_entry_settings_recognize (const char *path);
-/* Returns: (transfer full): NULL on an error; fb_status_message() names file, group and key. */
+/* Returns: (transfer full): NULL on an error; fb_status_message() contains file, group and key. */
 FbEntrySettings *fb_entry_settings_load (const char *path);
 void fb_entry_settings_free (FbEntrySettings *self);
 gboolean fb_entry_settings_same_listeners (const FbEntrySettings *a, const FbEntrySettings *b);
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -22,7 +22,7 @@
  * of polls. */
 #define STORE_LOST_MS 2500
 /* Number of epochs that one daemon can use for a partition within one generation of the group: at
- * one take-over every 350 ms they last 6 minutes. */
+ * one takeover every 350 ms they suffice for 6 minutes. */
 #define EPOCHS_PER_GENERATION 1024
 /* Pause between polls of the worker list.  Every worker rewrites its entry each 1.5 s, and a poll
  * returns at the first change, so that without a pause 48 workers would cause 32 polls a second.  A
@@ -72,7 +72,7 @@
 }
 
 static void
-check_store (FbEntry *self, uint64_t now_ms)
+check_store_lost (FbEntry *self, uint64_t now_ms)
 {
   if (self->store_lost || now_ms < self->store_ok_ms + STORE_LOST_MS)
     return;
@@ -107,7 +107,7 @@
 
 /* Removes the listed incarnation of the worker with this ID. */
 static void
-unlist_worker (FbEntry *self, const char *id)
+remove_worker (FbEntry *self, const char *id)
 {
   const FbListedWorker *worker = fb_worker_list_by_id (self->workers, id);
   if (worker == NULL)
@@ -121,11 +121,11 @@
 }
 
 static void
-list_worker (FbEntry *self, FbListedWorker *worker)
+apply_worker_entry (FbEntry *self, FbListedWorker *worker)
 {
   const FbListedWorker *before = fb_worker_list_by_id (self->workers, worker->id);
   if (before != NULL && before->incarnation_started_ms != worker->incarnation_started_ms)
-    unlist_worker (self, worker->id);
+    remove_worker (self, worker->id);
   fb_worker_list_put (self->workers, worker);
   GHashTableIter iter;
   gpointer owner;
@@ -137,10 +137,10 @@
 /* Removes the worker of a malformed entry.  The entry is logged once, because its writer may repeat
  * it every second. */
 static void
-skip_malformed_entry (FbEntry *self, const char *id)
+remove_malformed_worker (FbEntry *self, const char *id)
 {
   fb_counter_add (FB_COUNTER_LOG_SKIPPED, 1);
-  unlist_worker (self, id);
+  remove_worker (self, id);
   if (g_hash_table_size (self->malformed_ids) >= MALFORMED_IDS_MAX)
     g_hash_table_remove_all (self->malformed_ids);
   if (g_hash_table_add (self->malformed_ids, g_strdup (id)))
@@ -153,21 +153,21 @@
   FbEntry *self = user;
   if (record->value == NULL)
     {
-      unlist_worker (self, record->key);
+      remove_worker (self, record->key);
       return;
     }
   FbListedWorker *worker = fb_wire_parse_worker (record->key, record->value);
   if (worker == NULL)
     {
-      skip_malformed_entry (self, record->key);
+      remove_malformed_worker (self, record->key);
       return;
     }
   if (self->listed_ids != NULL)
     g_hash_table_add (self->listed_ids, g_strdup (record->key));
-  if (fb_worker_list_ignores (self->workers, worker))
+  if (fb_worker_list_is_outdated (self->workers, worker))
     fb_listed_worker_free (worker);
   else
-    list_worker (self, worker);
+    apply_worker_entry (self, worker);
 }
 
 static void
@@ -186,7 +186,7 @@
   for (GList *l = ids; l != NULL; l = l->next)
     {
       if (!g_hash_table_contains (self->listed_ids, l->data))
-        unlist_worker (self, l->data);
+        remove_worker (self, l->data);
     }
   g_clear_pointer (&self->listed_ids, g_hash_table_unref);
 }
@@ -200,7 +200,7 @@
  * generation with each takeover by the same daemon. */
 typedef struct
 {
-  uint64_t generation; /* of the group at the last take-over */
+  uint64_t generation; /* generation of the group at the last takeover */
   uint64_t n;          /* index of the last epoch used in that generation */
 } FbPartitionEpochs;
 
@@ -230,7 +230,7 @@
 
 /* Returns: the time since AT_MS; 0 when AT_MS is 0, which means that the event has not occurred. */
 static guint
-ms_ago (uint64_t at_ms, uint64_t now_ms)
+elapsed_ms (uint64_t at_ms, uint64_t now_ms)
 {
   return at_ms != 0 ? (guint) (now_ms - at_ms) : 0;
 }
@@ -241,23 +241,23 @@
   uint64_t now_ms = fb_clock_ms ();
   return g_strdup_printf (
       "join_sent_ms_ago=%u join_answered_ms_ago=%u join_gap_ms=%u kept_ms_ago=%u loop_late_ms=%u",
-      ms_ago (self->joins.sent_ms, now_ms), ms_ago (self->joins.answered_ms, now_ms),
+      elapsed_ms (self->joins.sent_ms, now_ms), elapsed_ms (self->joins.answered_ms, now_ms),
       self->joins.gap_ms,
-      ms_ago (fb_keepalive_renewed_ms (self->keepalive, FB_MEMBERSHIP_OWNERS), now_ms),
-      fb_loop_watch_longest_ms (self->loop, now_ms));
+      elapsed_ms (fb_keepalive_renewed_ms (self->keepalive, FB_MEMBERSHIP_OWNERS), now_ms),
+      fb_loop_monitor_max_delay_ms (self->loop, now_ms));
 }
 
 void
 fb_entry_join_answered (FbEntry *self, uint32_t ttl_ms)
 {
-  if (!fb_join_watch_answered (&self->joins, ttl_ms, fb_clock_ms ()))
+  if (!fb_join_monitor_answered (&self->joins, ttl_ms, fb_clock_ms ()))
     return;
   g_autofree char *ages = fb_entry_format_timing (self);
   fb_event_log (FB_EVENT_JOIN_LATE, "ttl_ms=%u %s", ttl_ms, ages);
 }
 
 static void
-log_lost (const FbEntry *self, uint32_t partition, uint64_t generation, const char *why)
+log_lost_partition (const FbEntry *self, uint32_t partition, uint64_t generation, const char *why)
 {
   g_autofree char *ages = fb_entry_format_timing (self);
   fb_event_log (FB_EVENT_POOL_LOST, "partition=%u generation=%" G_GUINT64_FORMAT " why=\"%s\" %s",
@@ -279,7 +279,7 @@
   if (epochs->n >= EPOCHS_PER_GENERATION)
     {
       /* The group's next generation allows new epochs. */
-      log_lost (self, partition, generation, "taken over too often in one generation");
+      log_lost_partition (self, partition, generation, "taken over too often in one generation");
       return;
     }
   if (self->worker_reader == NULL)
@@ -312,7 +312,7 @@
 }
 
 static gboolean
-contains (const GArray *partitions, uint32_t partition)
+contains_partition (const GArray *partitions, uint32_t partition)
 {
   for (guint i = 0; i < partitions->len; i++)
     {
@@ -330,9 +330,9 @@
   for (GList *l = owned; l != NULL; l = l->next)
     {
       uint32_t partition = GPOINTER_TO_UINT (l->data);
-      if (contains (partitions, partition))
+      if (contains_partition (partitions, partition))
         continue;
-      log_lost (self, partition, generation, why);
+      log_lost_partition (self, partition, generation, why);
       fb_entry_release_partition (self, partition);
     }
   for (guint i = 0; i < partitions->len && !self->stopping; i++)
@@ -347,11 +347,11 @@
 release_lost_partitions (gpointer data, uint64_t now_ms)
 {
   FbEntry *self = data;
-  check_store (self, now_ms);
+  check_store_lost (self, now_ms);
   g_autoptr (GList) owned = g_hash_table_get_keys (self->owners);
   for (GList *l = owned; l != NULL; l = l->next)
     {
-      if (fb_owner_lost (fb_entry_owner (self, GPOINTER_TO_UINT (l->data))))
+      if (fb_owner_has_stepped_down (fb_entry_owner (self, GPOINTER_TO_UINT (l->data))))
         fb_entry_release_partition (self, GPOINTER_TO_UINT (l->data));
     }
 }
--- a/src/entry/store/appender.c
+++ b/src/entry/store/appender.c
@@ -12,9 +12,9 @@
 #include "fb-histogram.h"
 
 /* Time limit of an append through another daemon. */
-#define PEER_ANSWER_MS 900
-#define RETRY_FIRST_MS 40
-#define RETRY_LAST_MS 300
+#define PEER_TIMEOUT_MS 900
+#define RETRY_MIN_MS 40
+#define RETRY_MAX_MS 300
 /* Maximum size of a batch, beyond which no record is added: the largest body that the store accepts
  * in one call, less room for one record. */
 #define BATCH_MAX_BYTES (1024 * 1024)
@@ -22,10 +22,10 @@
 typedef struct
 {
   GByteArray *records;
-  uint64_t give_up_ms; /* see fb_appender_put() */
+  uint64_t retry_until_ms; /* see fb_appender_put() */
   FbAppendDone done;
   gpointer user;
-} Item;
+} PendingAppend;
 
 struct _FbAppender
 {
@@ -35,12 +35,12 @@
   char *writer;
   uint64_t epoch;
   uint64_t sequence;
-  GQueue waiting; /* of Item */
-  GQueue batch;   /* of Item: records in the open call or its repeat */
+  GQueue pending; /* of PendingAppend */
+  GQueue batch;   /* of PendingAppend: records in the open call or its repeat */
   GBytes *body;
-  uint64_t begun_ms; /* time at which the batch was first sent */
-  gboolean in_doubt; /* an unanswered call may have stored this body */
-  guint failures_n;  /* number of failed calls with this body */
+  uint64_t batch_sent_ms; /* time at which the batch was first sent */
+  gboolean in_doubt;      /* an unanswered call may have stored this body */
+  guint failures_n;       /* number of failed calls with this body */
   uint32_t retry_ms;
   guint timer;
   gboolean call_open;
@@ -48,21 +48,21 @@
   gboolean freed;
 };
 
-static void proceed (FbAppender *self);
+static void send_next (FbAppender *self);
 
 static void
-item_free (gpointer data)
+pending_append_free (gpointer data)
 {
-  Item *item = data;
-  g_byte_array_unref (item->records);
-  g_free (item);
+  PendingAppend *append = data;
+  g_byte_array_unref (append->records);
+  g_free (append);
 }
 
 static void
 destroy (FbAppender *self)
 {
-  g_queue_clear_full (&self->waiting, item_free);
-  g_queue_clear_full (&self->batch, item_free);
+  g_queue_clear_full (&self->pending, pending_append_free);
+  g_queue_clear_full (&self->batch, pending_append_free);
   g_clear_pointer (&self->body, g_bytes_unref);
   g_free (self->writer);
   g_free (self->topic);
@@ -74,18 +74,18 @@
 {
   GQueue batch = self->batch;
   g_queue_init (&self->batch);
-  fb_histogram_add (FB_HISTOGRAM_STORE_APPEND, fb_clock_ms () - self->begun_ms);
+  fb_histogram_add (FB_HISTOGRAM_STORE_APPEND, fb_clock_ms () - self->batch_sent_ms);
   g_clear_pointer (&self->body, g_bytes_unref);
   self->in_doubt = FALSE;
   self->failures_n = 0;
-  self->retry_ms = RETRY_FIRST_MS;
+  self->retry_ms = RETRY_MIN_MS;
   self->sequence++;
-  Item *item = NULL;
-  while ((item = g_queue_pop_head (&batch)) != NULL)
+  PendingAppend *append = NULL;
+  while ((append = g_queue_pop_head (&batch)) != NULL)
     {
       if (!self->freed)
-        item->done (item->user, result);
-      item_free (item);
+        append->done (append->user, result);
+      pending_append_free (append);
     }
 }
 
@@ -94,7 +94,7 @@
 {
   FbAppender *self = data;
   self->timer = 0;
-  proceed (self);
+  send_next (self);
   return G_SOURCE_REMOVE;
 }
 
@@ -102,7 +102,7 @@
 retry_later (FbAppender *self)
 {
   self->timer = g_timeout_add (self->retry_ms, on_retry, self);
-  self->retry_ms = MIN (self->retry_ms * 2, RETRY_LAST_MS);
+  self->retry_ms = MIN (self->retry_ms * 2, RETRY_MAX_MS);
 }
 
 static gboolean
@@ -111,7 +111,7 @@
   uint64_t now_ms = fb_clock_ms ();
   for (GList *l = self->batch.head; l != NULL; l = l->next)
     {
-      if (now_ms < ((Item *) l->data)->give_up_ms)
+      if (now_ms < ((PendingAppend *) l->data)->retry_until_ms)
         return TRUE;
     }
   return FALSE;
@@ -158,7 +158,7 @@
   if (self->freed && !self->call_open)
     destroy (self);
   else if (self->timer == 0)
-    proceed (self);
+    send_next (self);
 }
 
 static void
@@ -177,17 +177,17 @@
 }
 
 static void
-fill_batch (FbAppender *self)
+begin_batch (FbAppender *self)
 {
   GByteArray *body = g_byte_array_new ();
-  while (!g_queue_is_empty (&self->waiting) && body->len < BATCH_MAX_BYTES)
+  while (!g_queue_is_empty (&self->pending) && body->len < BATCH_MAX_BYTES)
     {
-      Item *item = g_queue_pop_head (&self->waiting);
-      g_byte_array_append (body, item->records->data, item->records->len);
-      g_queue_push_tail (&self->batch, item);
+      PendingAppend *append = g_queue_pop_head (&self->pending);
+      g_byte_array_append (body, append->records->data, append->records->len);
+      g_queue_push_tail (&self->batch, append);
     }
   self->body = g_byte_array_free_to_bytes (body);
-  self->begun_ms = fb_clock_ms ();
+  self->batch_sent_ms = fb_clock_ms ();
 }
 
 /* Sends every second attempt through a peer, because the store may reject the owner's calls while
@@ -196,7 +196,7 @@
  * late.  The store accepts each sequence number once, whoever sends it.
  * Returns: FALSE when the attempt is to be sent by this daemon. */
 static gboolean
-append_by_peer (FbAppender *self)
+append_through_peer (FbAppender *self)
 {
   const char *peer = self->writer != NULL && self->failures_n % 2 == 1
                          ? fb_group_any_peer (self->entry->group, NULL)
@@ -210,21 +210,21 @@
                                              .epoch = self->epoch,
                                              .sequence = self->sequence,
                                              .records = { (u_int) len, (char *) records } };
-  fb_peers_append_progress (self->entry, peer, &write, PEER_ANSWER_MS, on_peer_appended, self);
+  fb_peers_append_progress (self->entry, peer, &write, PEER_TIMEOUT_MS, on_peer_appended, self);
   return TRUE;
 }
 
 static void
-proceed (FbAppender *self)
+send_next (FbAppender *self)
 {
   if (self->freed || self->call_open)
     return;
-  if (self->body == NULL && g_queue_is_empty (&self->waiting))
+  if (self->body == NULL && g_queue_is_empty (&self->pending))
     return;
   if (self->body == NULL)
-    fill_batch (self);
+    begin_batch (self);
   self->call_open = TRUE;
-  if (append_by_peer (self))
+  if (append_through_peer (self))
     return;
   FbHttpCall call;
   fb_wire_append (&call, self->entry->settings->store, self->topic, self->partition, self->body,
@@ -245,7 +245,7 @@
   self->partition = partition;
   self->writer = g_strdup (writer);
   self->epoch = epoch;
-  self->retry_ms = RETRY_FIRST_MS;
+  self->retry_ms = RETRY_MIN_MS;
   return self;
 }
 
@@ -263,15 +263,15 @@
 }
 
 void
-fb_appender_put (FbAppender *self, GByteArray *records, uint64_t give_up_ms, FbAppendDone done,
+fb_appender_put (FbAppender *self, GByteArray *records, uint64_t retry_until_ms, FbAppendDone done,
                  gpointer user)
 {
-  Item *item = g_new0 (Item, 1);
-  item->records = records;
-  item->give_up_ms = give_up_ms;
-  item->done = done;
-  item->user = user;
-  g_queue_push_tail (&self->waiting, item);
+  PendingAppend *append = g_new0 (PendingAppend, 1);
+  append->records = records;
+  append->retry_until_ms = retry_until_ms;
+  append->done = done;
+  append->user = user;
+  g_queue_push_tail (&self->pending, append);
   if (self->timer == 0)
-    proceed (self);
+    send_next (self);
 }
--- a/src/entry/store/appender.h
+++ b/src/entry/store/appender.h
@@ -14,7 +14,7 @@
                              const char *writer, uint64_t epoch);
 void fb_appender_free (FbAppender *self);
 /* Appends RECORDS (transfer full), which are encoded.  DONE is called once unless the appender is
- * freed.  Without a writer, a call of unknown outcome is not repeated after the latest GIVE_UP_MS
- * of its records. */
-void fb_appender_put (FbAppender *self, GByteArray *records, uint64_t give_up_ms, FbAppendDone done,
-                      gpointer user);
+ * freed.  Without a writer, a call of unknown outcome is not repeated after the latest
+ * RETRY_UNTIL_MS of its records. */
+void fb_appender_put (FbAppender *self, GByteArray *records, uint64_t retry_until_ms,
+                      FbAppendDone done, gpointer user);
--- a/src/entry/store/daemons.c
+++ b/src/entry/store/daemons.c
@@ -14,33 +14,34 @@
  * fail immediately or time out, and it is not used for a while (relay_backoff_until_ms).  A shorter
  * time to live requires more calls of the store. */
 #define TTL_MS 2000
-#define JOIN_EVERY_MS 600
+#define JOIN_INTERVAL_MS 600
 /* Delay of the next join after a change of the group.  The store reassigns partitions once each
  * member has joined with the new generation, so a member that receives a new generation joins again
  * soon. */
-#define JOIN_CHANGED_MS 100
-#define ANSWER_MS 500
+#define JOIN_AFTER_CHANGE_MS 100
+#define ANSWER_TIMEOUT_MS 500
 /* Members are read when the group has changed, and at least at this interval. */
-#define READ_EVERY_MS 3000
-#define READ_SOON_MS 300
+#define READ_INTERVAL_MS 3000
+#define READ_AFTER_CHANGE_MS 300
 /* Retry interval until a list is accepted, because pools wait for it. */
-#define READ_FIRST_MS 100
+#define READ_RETRY_MS 100
 /* A list is accepted only if it contains the reader's address.  A list without it was made after
  * the old members expired and before the reader was added: when all daemons start at the same time,
- * the first list that each one reads contains two of 33, and each considers itself strong enough to
- * own partitions.  Daemons of 0.12 of a core then take over pools and lose them 0.5 to 1.3 s later
- * to those of 0.5 of a core, which start loading again.  A list that contains the reader's previous
- * process is accepted, because it was made before that process expired.  After this time any list
- * is accepted, because the store may never assign a partition to the reader. */
-#define FIRST_LIST_MS 1500
+ * the first list that each one reads contains two of 33, and each daemon concludes that it has
+ * enough processor time to own partitions.  Daemons of 0.12 of a core then take over pools and lose
+ * them 0.5 to 1.3 s later to those of 0.5 of a core, which start loading again.  A list that
+ * contains the reader's previous process is accepted, because it was made before that process
+ * expired.  After this time any list is accepted, because the store may never assign a partition to
+ * the reader. */
+#define ANY_LIST_AFTER_MS 1500
 /* Initial number of topics whose partitions the group assigns.  The store lists only members that
  * hold a partition, so there have to be more partitions than daemons; see
  * fb_daemons_needed_topics(). */
-#define TOPICS_FIRST 4
+#define TOPICS_MIN 4
 #define TOPICS_MAX 64
 /* Minimum processor share of an owner, as a percentage of the largest share: the load of an owner
  * depends on its pool, not on its own capacity. */
-#define STRONG_PERCENT 50
+#define OWNER_CPU_MIN_PERCENT 50
 
 struct _FbDaemons
 {
@@ -75,7 +76,7 @@
 /* NAME: ADDRESS/DOMAIN/CPU/START.
  * Returns: (transfer full) (nullable): the member; NULL when NAME is malformed. */
 static FbDaemon *
-member_from (const char *name)
+parse_member (const char *name)
 {
   g_auto (GStrv) parts = g_strsplit (name, "/", 4);
   if (g_strv_length (parts) != 4 || *parts[0] == '\0')
@@ -89,7 +90,7 @@
 }
 
 static FbDaemon *
-find (const GPtrArray *members, const char *address)
+find_member (const GPtrArray *members, const char *address)
 {
   for (guint i = 0; i < members->len; i++)
     {
@@ -104,8 +105,8 @@
 {
   for (guint i = 0; i < rows->len; i++)
     {
-      FbDaemon *member = member_from (g_array_index (rows, FbPartitionOwner, i).member);
-      FbDaemon *other = member != NULL ? find (members, member->address) : NULL;
+      FbDaemon *member = parse_member (g_array_index (rows, FbPartitionOwner, i).member);
+      FbDaemon *other = member != NULL ? find_member (members, member->address) : NULL;
       if (member != NULL && other == NULL)
         g_ptr_array_add (members, member);
       else if (member != NULL)
@@ -123,7 +124,7 @@
 gboolean
 fb_daemons_contain (const GPtrArray *members, const char *address)
 {
-  return find (members, address) != NULL;
+  return find_member (members, address) != NULL;
 }
 
 /* Doubles the number of topics once as many members are listed as there are partitions.  With more
@@ -154,26 +155,26 @@
 }
 
 static void
-note_members (FbDaemons *self, GPtrArray *members, guint partitions_n)
+replace_members (FbDaemons *self, GPtrArray *members, guint partitions_n)
 {
-  guint before_n = self->members->len;
+  guint previous_n = self->members->len;
   for (guint i = 0; i < members->len; i++)
     {
       FbDaemon *member = members->pdata[i];
-      const FbDaemon *before = find (self->members, member->address);
-      member->relay_backoff_until_ms = before != NULL ? before->relay_backoff_until_ms : 0;
-      member->append_backoff_until_ms = before != NULL ? before->append_backoff_until_ms : 0;
+      const FbDaemon *previous = find_member (self->members, member->address);
+      member->relay_backoff_until_ms = previous != NULL ? previous->relay_backoff_until_ms : 0;
+      member->append_backoff_until_ms = previous != NULL ? previous->append_backoff_until_ms : 0;
     }
   g_ptr_array_unref (self->members);
   self->members = members;
   self->list_complete = self->list_complete
                         || fb_daemons_contain (members, self->entry->settings->peers)
-                        || fb_clock_ms () > self->began_ms + FIRST_LIST_MS;
+                        || fb_clock_ms () > self->began_ms + ANY_LIST_AFTER_MS;
   self->topics_n = fb_daemons_needed_topics (self->topics_n, partitions_n, members->len);
-  if (members->len != before_n)
+  if (members->len != previous_n)
     fb_event_log (FB_EVENT_DAEMONS_READ,
                   "members=%u before=%u generation=%" G_GUINT64_FORMAT " partitions=%u complete=%d",
-                  members->len, before_n, self->generation, partitions_n, self->list_complete);
+                  members->len, previous_n, self->generation, partitions_n, self->list_complete);
 }
 
 static void
@@ -191,23 +192,24 @@
   GPtrArray *members = g_ptr_array_new_with_free_func (fb_daemon_free);
   fb_daemons_parse (members, rows);
   remove_predecessors (self, rows);
-  note_members (self, members, rows->len);
+  replace_members (self, members, rows->len);
 }
 
 static void
 read_members (FbDaemons *self, uint64_t now_ms)
 {
-  uint64_t every_ms = self->read_generation != self->generation ? READ_SOON_MS : READ_EVERY_MS;
+  uint64_t interval_ms
+      = self->read_generation != self->generation ? READ_AFTER_CHANGE_MS : READ_INTERVAL_MS;
   if (!self->list_complete)
-    every_ms = READ_FIRST_MS;
-  if (self->read_open || (self->read_ms != 0 && now_ms < self->read_ms + every_ms))
+    interval_ms = READ_RETRY_MS;
+  if (self->read_open || (self->read_ms != 0 && now_ms < self->read_ms + interval_ms))
     return;
   self->read_open = TRUE;
   self->read_ms = now_ms;
   self->read_generation = self->generation;
   FbHttpCall call;
   fb_wire_owners (&call, self->entry->settings->store, GROUP);
-  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_MS, on_read, self);
+  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_TIMEOUT_MS, on_read, self);
   fb_http_call_clear (&call);
 }
 
@@ -226,8 +228,8 @@
   if (joined)
     self->generation = generation;
   read_members (self, fb_clock_ms ());
-  gboolean soon = changed || !self->list_complete;
-  self->timer = g_timeout_add (soon ? JOIN_CHANGED_MS : JOIN_EVERY_MS, join, self);
+  gboolean join_soon = changed || !self->list_complete;
+  self->timer = g_timeout_add (join_soon ? JOIN_AFTER_CHANGE_MS : JOIN_INTERVAL_MS, join, self);
 }
 
 /* Returns: (transfer full): the names of the first N topics of the group. */
@@ -252,7 +254,7 @@
                 (const char *const *) topics, ttl_ms, self->generation);
   self->join_sent_ms = fb_clock_ms ();
   fb_keepalive_set_renewal (self->entry->keepalive, FB_MEMBERSHIP_DAEMONS, &call, ttl_ms, 0);
-  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_MS, on_joined, self);
+  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_TIMEOUT_MS, on_joined, self);
   fb_http_call_clear (&call);
   return G_SOURCE_REMOVE;
 }
@@ -286,16 +288,16 @@
 fb_daemons_may_own (const FbDaemons *self)
 {
   uint64_t own_milli = self->entry->settings->cpu_milli;
-  uint64_t most_milli = own_milli;
+  uint64_t max_milli = own_milli;
   for (guint i = 0; i < self->members->len; i++)
-    most_milli = MAX (most_milli, ((FbDaemon *) self->members->pdata[i])->cpu_milli);
-  return own_milli * 100 >= most_milli * STRONG_PERCENT;
+    max_milli = MAX (max_milli, ((FbDaemon *) self->members->pdata[i])->cpu_milli);
+  return own_milli * 100 >= max_milli * OWNER_CPU_MIN_PERCENT;
 }
 
 void
 fb_daemons_back_off_relay (FbDaemons *self, const char *address, uint64_t until_ms)
 {
-  FbDaemon *member = find (self->members, address);
+  FbDaemon *member = find_member (self->members, address);
   if (member != NULL)
     member->relay_backoff_until_ms = until_ms;
 }
@@ -303,7 +305,7 @@
 void
 fb_daemons_back_off_append (FbDaemons *self, const char *address, uint64_t until_ms)
 {
-  FbDaemon *member = find (self->members, address);
+  FbDaemon *member = find_member (self->members, address);
   if (member != NULL)
     member->append_backoff_until_ms = until_ms;
 }
@@ -316,7 +318,7 @@
   self->entry = entry;
   self->members = g_ptr_array_new_with_free_func (fb_daemon_free);
   self->began_ms = fb_clock_ms ();
-  self->topics_n = TOPICS_FIRST;
+  self->topics_n = TOPICS_MIN;
   self->name = g_strdup_printf ("%s/%s/%u/%" G_GINT64_FORMAT, settings->peers, settings->domain,
                                 (guint) settings->cpu_milli, g_get_real_time ());
   self->group_leave = fb_group_leave_new (entry, GROUP, self->name);
--- a/src/entry/store/daemons.h
+++ b/src/entry/store/daemons.h
@@ -1,4 +1,4 @@
-/* The live daemons according to a group in the store: their addresses and capacities.
+/* The running daemons according to a group in the store: their addresses and capacities.
  *
  * Every daemon is a member.  Ownership of pools is assigned only to daemons with enough processor
  * time (group.c); work that any daemon can do is distributed over all. */
@@ -30,7 +30,7 @@
  * largest one among the members. */
 gboolean fb_daemons_may_own (const FbDaemons *self);
 /* Returns: FALSE until a list of the members was read that contains this daemon's address or, after
- * FIRST_LIST_MS, any list. */
+ * ANY_LIST_AFTER_MS, any list. */
 gboolean fb_daemons_is_list_complete (const FbDaemons *self);
 /* Records that the member at ADDRESS did not answer: no orders are relayed through it until
  * UNTIL_MS. */
--- a/src/entry/store/group-leave.c
+++ b/src/entry/store/group-leave.c
@@ -2,7 +2,7 @@
 
 #include "src/entry/entry-private.h"
 
-#define ANSWER_MS 500
+#define ANSWER_TIMEOUT_MS 500
 
 struct _FbGroupLeave
 {
@@ -35,7 +35,7 @@
 {
   FbHttpCall call;
   fb_wire_leave (&call, self->entry->settings->store, self->group, member);
-  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_MS, done, user);
+  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_TIMEOUT_MS, done, user);
   fb_http_call_clear (&call);
 }
 
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -16,26 +16,26 @@
  * short a time.  A takeover takes some 0.3 s more.  A daemon on a quarter of a core completes three
  * joins within this time. */
 #define TTL_MS 1000
-#define JOIN_EVERY_MS 250
+#define JOIN_INTERVAL_MS 250
 /* Delay of the next join after a change of the group.  The store reassigns partitions once each
  * member has joined with the new generation, which takes several rounds after a crash of all
  * daemons.  Pools were operational 0.25 s after the last start with this value, and 0.8 s with 62
  * ms. */
-#define JOIN_CHANGED_MS 30
+#define JOIN_AFTER_CHANGE_MS 30
 /* Retry interval until the members are known, which takes some 10 ms after the start. */
 #define MEMBERS_RETRY_MS 10
-#define ANSWER_MS 500
+#define ANSWER_TIMEOUT_MS 500
 /* Timeout and pause of joins while the store is silent.  Every second join has the usual timeout
  * instead, for a store that is slow.  When the store answers again, callers are refused until a
  * call sent after that is answered; a timeout of 0.5 s for each join added 0.4 to 0.6 s of
  * refusals, a fifth of the time in which a caller retries. */
-#define PROBE_ANSWER_MS 150
+#define PROBE_TIMEOUT_MS 150
 #define PROBE_PAUSE_MS 30
 /* Owners are requested when the group has changed, and at least at this interval. */
-#define OWNERS_EVERY_MS 3000
-#define OWNERS_SOON_MS 200
-/* Maximum age of the owners that are sent to peers; they are read every OWNERS_EVERY_MS. */
-#define OWNERS_FRESH_MS 3800
+#define OWNERS_INTERVAL_MS 3000
+#define OWNERS_AFTER_CHANGE_MS 200
+/* Maximum age of the owners that are sent to peers; they are read every OWNERS_INTERVAL_MS. */
+#define OWNERS_MAX_AGE_MS 3800
 
 struct _FbGroup
 {
@@ -43,7 +43,8 @@
   char *member;
   uint32_t ttl_ms;
   uint64_t generation;
-  uint64_t ok_sent_ms; /* time at which the last answered join was sent; 0: not a member */
+  uint64_t
+      last_renewal_sent_ms; /* time at which the last answered join was sent; 0: not a member */
   uint64_t join_sent_ms;
   uint64_t owners_ms;         /* time at which the store last returned the owners */
   guint probes_n;             /* number of joins since the store stopped answering */
@@ -129,7 +130,8 @@
     return;
   static const fb_peer_request peer_request = { .type = FB_REQUEST_PARTITION_OWNERS };
   self->peer_open = TRUE;
-  fb_peers_request (self->entry, peer, &peer_request, ANSWER_MS, on_peer_owners_reply, self);
+  fb_peers_request (self->entry, peer, &peer_request, ANSWER_TIMEOUT_MS, on_peer_owners_reply,
+                    self);
 }
 
 static void
@@ -156,15 +158,16 @@
 request_owners (FbGroup *self, uint64_t now_ms)
 {
   gboolean changed = self->owners_generation != self->generation;
-  uint64_t every_ms = changed ? OWNERS_SOON_MS : OWNERS_EVERY_MS;
-  if (self->owners_open || now_ms < self->owners_requested_ms + every_ms)
+  uint64_t interval_ms = changed ? OWNERS_AFTER_CHANGE_MS : OWNERS_INTERVAL_MS;
+  if (self->owners_open || now_ms < self->owners_requested_ms + interval_ms)
     return;
   self->owners_open = TRUE;
   self->owners_requested_ms = now_ms;
   self->owners_generation = self->generation;
   FbHttpCall call;
   fb_wire_owners (&call, self->entry->settings->store, GROUP);
-  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_MS, on_owners_reply, self);
+  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_TIMEOUT_MS, on_owners_reply,
+                           self);
   fb_http_call_clear (&call);
 }
 
@@ -182,7 +185,7 @@
 fb_group_send_owners (const FbGroup *self, FbPeerReplyDone done, gpointer user)
 {
   fb_peer_reply peer_reply = { .type = FB_REPLY_UNAVAILABLE };
-  if (fb_clock_ms () > self->owners_ms + OWNERS_FRESH_MS || self->owners_generation == 0)
+  if (fb_clock_ms () > self->owners_ms + OWNERS_MAX_AGE_MS || self->owners_generation == 0)
     {
       done (user, &peer_reply);
       return;
@@ -260,10 +263,10 @@
 static uint64_t
 member_until_ms (const FbGroup *self)
 {
-  if (self->ok_sent_ms == 0)
+  if (self->last_renewal_sent_ms == 0)
     return 0;
   uint64_t renewed_ms = fb_keepalive_renewed_ms (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
-  return MAX (self->ok_sent_ms, renewed_ms) + self->ttl_ms;
+  return MAX (self->last_renewal_sent_ms, renewed_ms) + self->ttl_ms;
 }
 
 gboolean
@@ -300,16 +303,16 @@
   if (!fb_wire_parse_join (reply, &generation, partitions))
     {
       gboolean silent = fb_entry_store_is_silent (self->entry);
-      self->timer = g_timeout_add (silent ? PROBE_PAUSE_MS : JOIN_EVERY_MS / 2, join, self);
+      self->timer = g_timeout_add (silent ? PROBE_PAUSE_MS : JOIN_INTERVAL_MS / 2, join, self);
       return;
     }
   fb_entry_join_answered (self->entry, self->ttl_ms);
   release_after_absence (self, generation);
   gboolean changed = generation != self->generation;
   self->generation = generation;
-  self->ok_sent_ms = self->join_sent_ms;
+  self->last_renewal_sent_ms = self->join_sent_ms;
   fb_entry_set_owned_partitions (self->entry, partitions, generation, "assigned to another daemon");
-  self->timer = g_timeout_add (changed ? JOIN_CHANGED_MS : JOIN_EVERY_MS, join, self);
+  self->timer = g_timeout_add (changed ? JOIN_AFTER_CHANGE_MS : JOIN_INTERVAL_MS, join, self);
   request_owners (self, now_ms);
 }
 
@@ -321,30 +324,30 @@
 static void
 stay_non_owner (FbGroup *self)
 {
-  if (self->ok_sent_ms != 0)
+  if (self->last_renewal_sent_ms != 0)
     {
       g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
       fb_entry_set_owned_partitions (self->entry, none, self->generation,
                                      "too little processor to own partitions");
-      fb_join_watch_left (&self->entry->joins);
+      fb_join_monitor_left (&self->entry->joins);
       fb_group_leave_self (self->group_leave, NULL, NULL);
-      self->ok_sent_ms = 0;
+      self->last_renewal_sent_ms = 0;
       self->generation = 0;
     }
   if (self->keepalive_active)
     fb_keepalive_cancel (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
   self->keepalive_active = FALSE;
   request_owners (self, fb_clock_ms ());
-  guint again_ms
-      = fb_daemons_is_list_complete (self->entry->daemons) ? JOIN_EVERY_MS : MEMBERS_RETRY_MS;
-  self->timer = g_timeout_add (again_ms, join, self);
+  guint retry_ms
+      = fb_daemons_is_list_complete (self->entry->daemons) ? JOIN_INTERVAL_MS : MEMBERS_RETRY_MS;
+  self->timer = g_timeout_add (retry_ms, join, self);
 }
 
 static guint
 join_timeout_ms (FbGroup *self)
 {
   self->probes_n = fb_entry_store_is_silent (self->entry) ? self->probes_n + 1 : 0;
-  return self->probes_n % 2 == 1 ? PROBE_ANSWER_MS : ANSWER_MS;
+  return self->probes_n % 2 == 1 ? PROBE_TIMEOUT_MS : ANSWER_TIMEOUT_MS;
 }
 
 static gboolean
@@ -363,10 +366,10 @@
   fb_wire_join (&call, self->entry->settings->store, GROUP, self->member, topics, self->ttl_ms,
                 self->generation);
   self->join_sent_ms = fb_clock_ms ();
-  fb_join_watch_sent (&self->entry->joins, self->join_sent_ms);
+  fb_join_monitor_sent (&self->entry->joins, self->join_sent_ms);
   self->keepalive_active = TRUE;
   fb_keepalive_set_renewal (self->entry->keepalive, FB_MEMBERSHIP_OWNERS, &call, self->ttl_ms,
-                            self->ok_sent_ms);
+                            self->last_renewal_sent_ms);
   fb_http_client_exchange (self->entry->store_client, &call, join_timeout_ms (self), on_joined,
                            self);
   fb_http_call_clear (&call);
--- a/src/entry/store/join-watch.c
+++ b/src/entry/store/join-monitor.c
@@ -1,13 +1,13 @@
-#include "join-watch.h"
+#include "join-monitor.h"
 
 void
-fb_join_watch_sent (FbJoinWatch *self, uint64_t now_ms)
+fb_join_monitor_sent (FbJoinMonitor *self, uint64_t now_ms)
 {
   self->sent_ms = now_ms;
 }
 
 gboolean
-fb_join_watch_answered (FbJoinWatch *self, uint32_t ttl_ms, uint64_t now_ms)
+fb_join_monitor_answered (FbJoinMonitor *self, uint32_t ttl_ms, uint64_t now_ms)
 {
   gboolean late = self->answered_ms != 0 && now_ms > self->answered_ms + ttl_ms;
   self->gap_ms = self->answered_ms != 0 ? (uint32_t) (now_ms - self->answered_ms) : 0;
@@ -16,7 +16,7 @@
 }
 
 void
-fb_join_watch_left (FbJoinWatch *self)
+fb_join_monitor_left (FbJoinMonitor *self)
 {
   self->answered_ms = 0;
   self->gap_ms = 0;
--- a/src/entry/store/keepalive.c
+++ b/src/entry/store/keepalive.c
@@ -9,13 +9,13 @@
 
 /* Divisors of the time to live: the first repeat is sent after two renewals of the main loop are
  * missing, and two repeats may be lost. */
-#define OVERDUE_FRACTION 2
-#define REPEAT_FRACTION 4
+#define OVERDUE_DIVISOR 2
+#define REPEAT_DIVISOR 4
 /* Time without a renewal after which the main loop is considered hung, or too slow for the leases
  * of its workers, which last 4 s: its pools are better owned by another daemon.  The longest
  * iteration observed took 0.5 s, on a daemon of 0.12 of a core that took over 2,300 jobs at
  * once. */
-#define HANG_MS 3000
+#define HANG_TIMEOUT_MS 3000
 #define HTTP_OK 200
 
 /* The main loop's last renewal, as passed to the keepalive thread. */
@@ -78,11 +78,11 @@
  * had expired extends nothing: the store may have assigned the partitions to another daemon and
  * back. */
 static void
-note_renewed (Membership *membership)
+extend_membership (Membership *membership)
 {
   const Renewal *renewal = membership->renewal;
-  uint64_t before_ms = MAX (atomic_load (&membership->renewed_ms), renewal->ok_sent_ms);
-  if (membership->repeated_ms <= before_ms + renewal->ttl_ms)
+  uint64_t previous_ms = MAX (atomic_load (&membership->renewed_ms), renewal->ok_sent_ms);
+  if (membership->repeated_ms <= previous_ms + renewal->ttl_ms)
     atomic_store (&membership->renewed_ms, membership->repeated_ms);
 }
 
@@ -92,18 +92,18 @@
   Membership *membership = data;
   membership->call_open = FALSE;
   if (membership->renewal != NULL && reply->status == FB_HTTP_OK && reply->code == HTTP_OK)
-    note_renewed (membership);
+    extend_membership (membership);
 }
 
 static void
-repeat (Membership *membership)
+send_repeat (Membership *membership)
 {
   const Renewal *renewal = membership->renewal;
   membership->call_open = TRUE;
   membership->repeated_ms = fb_clock_ms ();
   fb_counter_add (FB_COUNTER_MEMBERSHIPS_KEPT, 1);
   fb_http_client_exchange (membership->keepalive->client, &renewal->call,
-                           renewal->ttl_ms / OVERDUE_FRACTION, on_repeated, membership);
+                           renewal->ttl_ms / OVERDUE_DIVISOR, on_repeated, membership);
 }
 
 static gboolean
@@ -111,14 +111,14 @@
 {
   Membership *membership = data;
   const Renewal *renewal = membership->renewal;
-  if (fb_clock_ms () > renewal->sent_ms + HANG_MS)
+  if (fb_clock_ms () > renewal->sent_ms + HANG_TIMEOUT_MS)
     {
       stop_timer (membership);
       return G_SOURCE_REMOVE;
     }
   if (!membership->call_open)
-    repeat (membership);
-  start_timer (membership, renewal->ttl_ms / REPEAT_FRACTION);
+    send_repeat (membership);
+  start_timer (membership, renewal->ttl_ms / REPEAT_DIVISOR);
   return G_SOURCE_REMOVE;
 }
 
@@ -131,7 +131,7 @@
   Membership *membership = &renewal->keepalive->memberships[renewal->which];
   g_clear_pointer (&membership->renewal, renewal_free);
   membership->renewal = renewal;
-  start_timer (membership, renewal->ttl_ms / OVERDUE_FRACTION);
+  start_timer (membership, renewal->ttl_ms / OVERDUE_DIVISOR);
 }
 
 static void
--- a/src/entry/store/keepalive.h
+++ b/src/entry/store/keepalive.h
@@ -6,7 +6,7 @@
  * happens: two daemons take a pool from each other every few seconds, leases expire, callers of
  * that service get no results, and the pool does not recover.  When the process crashes or is
  * suspended, the thread stops too, and it stops renewing beside a main loop that hangs for
- * HANG_MS. */
+ * HANG_TIMEOUT_MS. */
 #pragma once
 
 #include "src/net/http-client.h"
@@ -34,5 +34,5 @@
 /* Stops renewing WHICH.  A call that is open may still reach the store. */
 void fb_keepalive_cancel (FbKeepalive *self, FbMembership which);
 /* Returns: the time at which the last repeat was sent in an unbroken sequence of renewals of WHICH,
- * each within the time to live of the previous one; 0: no repeat was answered. */
+ * each within the time to live of the previous one; 0: there is none. */
 uint64_t fb_keepalive_renewed_ms (const FbKeepalive *self, FbMembership which);
--- a/src/entry/store/rendezvous.h
+++ b/src/entry/store/rendezvous.h
@@ -7,10 +7,10 @@
 #include "daemons.h"
 
 /* Returns: TRUE when MEMBER may be chosen; USER is passed through. */
-typedef gboolean (*FbRendezvousMay) (const FbDaemon *member, gconstpointer user);
+typedef gboolean (*FbRendezvousFilter) (const FbDaemon *member, gconstpointer user);
 
 /* MEMBERS: of FbDaemon.
- * Returns: (nullable): the member with the largest weight for KEY among those for which MAY returns
- * TRUE; borrowed. */
+ * Returns: (nullable): the member with the largest weight for KEY among those for which IS_ELIGIBLE
+ * returns TRUE; borrowed. */
 const FbDaemon *fb_rendezvous_choose (const GPtrArray *members, const char *key,
-                                      FbRendezvousMay may, gconstpointer user);
+                                      FbRendezvousFilter is_eligible, gconstpointer user);
--- a/src/entry/store/store-health.c
+++ b/src/entry/store/store-health.c
@@ -9,7 +9,7 @@
 #define SLOW_RENEWAL_MS 120
 /* Time for which other daemons are preferred after a failed append: the store may reject only this
  * daemon, which lasts some seconds. */
-#define FAILED_FOR_MS 1000
+#define FAILURE_AGE_MS 1000
 
 /* Timeout of an append.  The store answers within some 10 ms, also with some tens of appends
  * queued. */
@@ -21,7 +21,7 @@
 void
 fb_store_health_failed (FbStoreHealth *self, uint64_t now_ms)
 {
-  self->failed_until_ms = now_ms + FAILED_FOR_MS;
+  self->failed_until_ms = now_ms + FAILURE_AGE_MS;
 }
 
 void
--- a/src/entry/store/topic-reader.c
+++ b/src/entry/store/topic-reader.c
@@ -13,20 +13,20 @@
 #define POLL_WAIT_MS 400
 /* Time allowed for the store's answer, which takes 4 ms, and 60 times as long when the store is
  * slow. */
-#define ANSWER_MS 800
+#define ANSWER_ALLOWANCE_MS 800
 /* Bounds of the time without data after which reading a page times out.  The first bytes arrive
  * after some 20 ms, and after 0.3 s when the store is slow.  The first attempt times out after a
  * short silence, and each repeat waits twice as long: a listing that was requested just before a
  * silent store recovers is never answered, and with a long timeout a daemon that starts then has
  * neither configuration nor jobs for 1.5 s. */
-#define PAGE_FIRST_MS 300
-#define PAGE_LAST_MS 2400
+#define PAGE_SILENCE_MIN_MS 300
+#define PAGE_SILENCE_MAX_MS 2400
 /* Timeout of a whole call.  A page of 1 MB, a third more when encoded, takes 1.1 s at 10 Mbit/s,
  * the slowest link of a daemon; four pools may be listed at once, and callers' jobs use the link as
  * well. */
 #define CALL_TIMEOUT_MS 6000
-#define RETRY_FIRST_MS 50
-#define RETRY_LAST_MS 400
+#define RETRY_MIN_MS 50
+#define RETRY_MAX_MS 400
 
 struct _FbTopicReader
 {
@@ -36,15 +36,15 @@
   uint32_t pause_ms; /* pause between a page of changes and the next poll */
   const FbTopicReaderOps *ops;
   gpointer user;
-  char *after;         /* last key of the listing so far; NULL before its first page */
-  gboolean listing;    /* a listing is in progress; otherwise later records are read */
-  uint64_t from;       /* offset of the next record to read */
-  uint64_t sent_ms;    /* time at which the open or last call was sent */
-  uint64_t listing_ms; /* time at which the first page of the current listing was requested */
-  uint64_t fresh_ms;   /* every record that was stored before this time has been read; 0: none
-                        * yet */
+  char *last_key;       /* last key of the listing so far; NULL before its first page */
+  gboolean listing;     /* a listing is in progress; otherwise later records are read */
+  uint64_t next_offset; /* offset of the next record to read */
+  uint64_t sent_ms;     /* time at which the open or last call was sent */
+  uint64_t listing_ms;  /* time at which the first page of the current listing was requested */
+  uint64_t synced_ms;   /* every record that was stored before this time has been read; 0: none
+                         * yet */
   uint32_t retry_ms;
-  uint32_t page_ms; /* time without data after which the next page of a listing times out */
+  uint32_t page_silence_ms; /* time without data after which the next page of a listing times out */
   guint timer;
   gboolean skip_pause; /* the next pause is skipped */
   gboolean call_open;
@@ -52,13 +52,13 @@
   gboolean freed;
 };
 
-static void proceed (FbTopicReader *self);
+static void send_call (FbTopicReader *self);
 
 static void
 destroy (FbTopicReader *self)
 {
   fb_http_client_cancel (self->entry->store_client, self);
-  g_free (self->after);
+  g_free (self->last_key);
   g_free (self->topic);
   g_free (self);
 }
@@ -68,20 +68,20 @@
 {
   FbTopicReader *self = data;
   self->timer = 0;
-  proceed (self);
+  send_call (self);
   return G_SOURCE_REMOVE;
 }
 
 static void
 retry_later (FbTopicReader *self)
 {
-  uint32_t wait_ms = self->retry_ms + (uint32_t) g_random_int_range (0, RETRY_FIRST_MS);
-  self->retry_ms = MIN (self->retry_ms * 2, RETRY_LAST_MS);
+  uint32_t wait_ms = self->retry_ms + (uint32_t) g_random_int_range (0, RETRY_MIN_MS);
+  self->retry_ms = MIN (self->retry_ms * 2, RETRY_MAX_MS);
   self->timer = g_timeout_add (wait_ms, on_retry, self);
 }
 
 static void
-pass_records (FbTopicReader *self, GPtrArray *records)
+deliver_records (FbTopicReader *self, GPtrArray *records)
 {
   for (guint i = 0; i < records->len && !self->freed; i++)
     self->ops->record (self->user, records->pdata[i]);
@@ -91,7 +91,7 @@
 begin_listing (FbTopicReader *self)
 {
   self->listing = TRUE;
-  g_clear_pointer (&self->after, g_free);
+  g_clear_pointer (&self->last_key, g_free);
 }
 
 static void
@@ -103,22 +103,22 @@
   if (!fb_wire_parse_newest (reply, records, &more, &end))
     {
       begin_listing (self);
-      self->page_ms = MIN (self->page_ms * 2, PAGE_LAST_MS);
+      self->page_silence_ms = MIN (self->page_silence_ms * 2, PAGE_SILENCE_MAX_MS);
       retry_later (self);
       return;
     }
   /* The pages are not a consistent snapshot: changes since the first page are read afterwards. */
-  if (self->after == NULL)
+  if (self->last_key == NULL)
     {
-      self->from = end;
+      self->next_offset = end;
       self->listing_ms = self->sent_ms;
       self->ops->begin (self->user);
     }
-  pass_records (self, records);
+  deliver_records (self, records);
   if (more && records->len > 0)
     {
-      g_free (self->after);
-      self->after = g_strdup (((FbStoreRecord *) records->pdata[records->len - 1])->key);
+      g_free (self->last_key);
+      self->last_key = g_strdup (((FbStoreRecord *) records->pdata[records->len - 1])->key);
     }
   else
     {
@@ -126,11 +126,11 @@
        * has passed.  With the time of the last page, the listing would prove that there is no such
        * job, and its caller would be told so. */
       self->listing = FALSE;
-      self->fresh_ms = self->listing_ms;
+      self->synced_ms = self->listing_ms;
       self->ops->listed (self->user);
     }
-  self->retry_ms = RETRY_FIRST_MS;
-  proceed (self);
+  self->retry_ms = RETRY_MIN_MS;
+  send_call (self);
 }
 
 static void
@@ -138,7 +138,7 @@
 {
   g_autoptr (GPtrArray) records = g_ptr_array_new_with_free_func (fb_store_record_free);
   uint64_t end = 0;
-  switch (fb_wire_parse_read (reply, self->from, records, &self->from, &end))
+  switch (fb_wire_parse_read (reply, self->next_offset, records, &self->next_offset, &end))
     {
     case FB_READ_FAILED:
       retry_later (self);
@@ -147,10 +147,10 @@
       begin_listing (self);
       break;
     case FB_READ_OK:
-      self->retry_ms = RETRY_FIRST_MS;
-      pass_records (self, records);
-      if (self->from >= end)
-        self->fresh_ms = self->sent_ms;
+      self->retry_ms = RETRY_MIN_MS;
+      deliver_records (self, records);
+      if (self->next_offset >= end)
+        self->synced_ms = self->sent_ms;
       break;
     }
   gboolean pause = self->pause_ms > 0 && !self->listing && !self->skip_pause && !self->freed;
@@ -158,7 +158,7 @@
   if (pause)
     self->timer = g_timeout_add (self->pause_ms, on_retry, self);
   else
-    proceed (self);
+    send_call (self);
 }
 
 static void
@@ -181,17 +181,17 @@
 }
 
 static void
-proceed (FbTopicReader *self)
+send_call (FbTopicReader *self)
 {
   if (self->freed)
     return;
   FbHttpCall call;
   const char *store = self->entry->settings->store;
   if (self->listing)
-    fb_wire_newest (&call, store, self->topic, self->partition, self->after);
+    fb_wire_newest (&call, store, self->topic, self->partition, self->last_key);
   else
-    fb_wire_read (&call, store, self->topic, self->partition, self->from, POLL_WAIT_MS);
-  call.idle_timeout_ms = self->listing ? self->page_ms : POLL_WAIT_MS + ANSWER_MS;
+    fb_wire_read (&call, store, self->topic, self->partition, self->next_offset, POLL_WAIT_MS);
+  call.idle_timeout_ms = self->listing ? self->page_silence_ms : POLL_WAIT_MS + ANSWER_ALLOWANCE_MS;
   self->call_open = TRUE;
   self->sent_ms = fb_clock_ms ();
   fb_http_client_exchange (self->entry->store_client, &call, CALL_TIMEOUT_MS, on_reply, self);
@@ -209,10 +209,10 @@
   self->pause_ms = pause_ms;
   self->ops = ops;
   self->user = user;
-  self->retry_ms = RETRY_FIRST_MS;
-  self->page_ms = PAGE_FIRST_MS;
+  self->retry_ms = RETRY_MIN_MS;
+  self->page_silence_ms = PAGE_SILENCE_MIN_MS;
   begin_listing (self);
-  proceed (self);
+  send_call (self);
   return self;
 }
 
@@ -230,18 +230,18 @@
 }
 
 void
-fb_topic_reader_read_now (FbTopicReader *self)
+fb_topic_reader_skip_pause (FbTopicReader *self)
 {
   self->skip_pause = TRUE;
   if (self->call_open || self->timer == 0)
     return;
   g_source_remove (self->timer);
   self->timer = 0;
-  proceed (self);
+  send_call (self);
 }
 
 uint64_t
-fb_topic_reader_fresh_ms (const FbTopicReader *self)
+fb_topic_reader_synced_ms (const FbTopicReader *self)
 {
-  return self->fresh_ms;
+  return self->synced_ms;
 }
--- a/src/entry/store/topic-reader.h
+++ b/src/entry/store/topic-reader.h
@@ -20,7 +20,7 @@
                                     uint32_t pause_ms, const FbTopicReaderOps *ops, gpointer user);
 void fb_topic_reader_free (FbTopicReader *self);
 /* Skips the pause before the next poll. */
-void fb_topic_reader_read_now (FbTopicReader *self);
+void fb_topic_reader_skip_pause (FbTopicReader *self);
 /* Returns: the time at which the last answered read was sent: every record that was stored before
  * then has been read; 0 while the first listing is incomplete. */
-uint64_t fb_topic_reader_fresh_ms (const FbTopicReader *self);
+uint64_t fb_topic_reader_synced_ms (const FbTopicReader *self);
--- a/src/entry/store/worker-list.c
+++ b/src/entry/store/worker-list.c
@@ -42,14 +42,14 @@
 }
 
 gboolean
-fb_worker_list_ignores (FbWorkerList *self, const FbListedWorker *worker)
+fb_worker_list_is_outdated (FbWorkerList *self, const FbListedWorker *worker)
 {
   const FbListedWorker *listed = fb_worker_list_by_id (self, worker->id);
   if (listed == NULL || worker->incarnation_started_ms >= listed->incarnation_started_ms)
     return FALSE;
-  const uint64_t *before = g_hash_table_lookup (self->ignored, worker->id);
-  if (worker->incarnation_started_ms != 0 && before != NULL
-      && *before == worker->incarnation_started_ms)
+  const uint64_t *previous = g_hash_table_lookup (self->ignored, worker->id);
+  if (worker->incarnation_started_ms != 0 && previous != NULL
+      && *previous == worker->incarnation_started_ms)
     return FALSE;
   g_hash_table_replace (
       self->ignored, g_strdup (worker->id),
--- a/src/entry/store/worker-list.h
+++ b/src/entry/store/worker-list.h
@@ -21,7 +21,7 @@
                                                      const char *incarnation);
 /* Returns: TRUE when WORKER, an entry that was just read, is to be ignored as one of a previous
  * incarnation. */
-gboolean fb_worker_list_ignores (FbWorkerList *self, const FbListedWorker *worker);
+gboolean fb_worker_list_is_outdated (FbWorkerList *self, const FbListedWorker *worker);
 /* Lists WORKER (transfer full) in place of the entry of the same incarnation. */
 void fb_worker_list_put (FbWorkerList *self, FbListedWorker *worker);
 void fb_worker_list_remove (FbWorkerList *self, const char *id);
--- a/tests/test-entry.c
+++ b/tests/test-entry.c
@@ -1,9 +1,9 @@
 /* Unit tests of components of the platform's daemon that need no network. */
 #include "src/entry/advice/advice-balancer.h"
 #include "src/entry/advice/fair-share.h"
-#include "src/entry/loop-watch.h"
+#include "src/entry/loop-monitor.h"
 #include "src/entry/settings.h"
-#include "src/entry/store/join-watch.h"
+#include "src/entry/store/join-monitor.h"
 
 #include <CUnit/Basic.h>
 #include <glib/gstdio.h>
@@ -287,12 +287,12 @@
 /* Simulates turns in time from FROM_MS to UNTIL_MS.
  * Returns: the time of the last one. */
 static uint64_t
-turns_in_time (FbLoopWatch *watch, uint64_t from_ms, uint64_t until_ms)
+turns_in_time (FbLoopMonitor *watch, uint64_t from_ms, uint64_t until_ms)
 {
-  FbLoopLate late;
+  FbLoopDelays delays;
   uint64_t now_ms = from_ms;
   for (; now_ms + TURN_MS <= until_ms; now_ms += TURN_MS)
-    CU_ASSERT_FALSE (fb_loop_watch_turn (watch, now_ms + TURN_MS, &late));
+    CU_ASSERT_FALSE (fb_loop_monitor_iteration (watch, now_ms + TURN_MS, &delays));
   return now_ms;
 }
 
@@ -301,16 +301,16 @@
 static void
 test_a_late_turn_is_reported (void)
 {
-  FbLoopWatch *watch = fb_loop_watch_new (TURN_MS, 1000);
-  FbLoopLate late;
+  FbLoopMonitor *watch = fb_loop_monitor_new (TURN_MS, 1000);
+  FbLoopDelays delays;
   uint64_t now_ms = turns_in_time (watch, 1000, 3000);
-  CU_ASSERT_EQUAL (fb_loop_watch_longest_ms (watch, now_ms), 0);
-  CU_ASSERT_FALSE (fb_loop_watch_turn (watch, now_ms + TURN_MS + 250, &late));
+  CU_ASSERT_EQUAL (fb_loop_monitor_max_delay_ms (watch, now_ms), 0);
+  CU_ASSERT_FALSE (fb_loop_monitor_iteration (watch, now_ms + TURN_MS + 250, &delays));
   now_ms += TURN_MS + 250;
-  CU_ASSERT_TRUE_FATAL (fb_loop_watch_turn (watch, now_ms + TURN_MS + 1200, &late));
-  CU_ASSERT_EQUAL (late.late_ms, 1200);
-  CU_ASSERT_EQUAL (late.turns_n, 1);
-  fb_loop_watch_free (watch);
+  CU_ASSERT_TRUE_FATAL (fb_loop_monitor_iteration (watch, now_ms + TURN_MS + 1200, &delays));
+  CU_ASSERT_EQUAL (delays.delay_ms, 1200);
+  CU_ASSERT_EQUAL (delays.iterations_n, 1);
+  fb_loop_monitor_free (watch);
 }
 
 /* A daemon that lacks processor time has late turns all the time: one report a second covers all of
@@ -318,27 +318,27 @@
 static void
 test_late_turns_are_reported_once_a_second (void)
 {
-  static const uint32_t late_ms[] = { 300, 700, 260 };
-  FbLoopWatch *watch = fb_loop_watch_new (TURN_MS, 1000);
+  static const uint32_t delay_ms[] = { 300, 700, 260 };
+  FbLoopMonitor *watch = fb_loop_monitor_new (TURN_MS, 1000);
   uint64_t now_ms = 1000;
   uint64_t told_ms = 0;
   guint told_n = 0;
-  guint turns_n = 0;
+  guint iterations_n = 0;
   for (guint i = 0; i < 300; i++)
     {
-      FbLoopLate late;
-      now_ms += TURN_MS + late_ms[i % G_N_ELEMENTS (late_ms)];
-      if (!fb_loop_watch_turn (watch, now_ms, &late))
+      FbLoopDelays delays;
+      now_ms += TURN_MS + delay_ms[i % G_N_ELEMENTS (delay_ms)];
+      if (!fb_loop_monitor_iteration (watch, now_ms, &delays))
         continue;
       CU_ASSERT (told_ms == 0 || now_ms >= told_ms + 1000);
-      CU_ASSERT (told_ms == 0 || late.late_ms == 700);
+      CU_ASSERT (told_ms == 0 || delays.delay_ms == 700);
       told_ms = now_ms;
       told_n++;
-      turns_n += late.turns_n;
+      iterations_n += delays.iterations_n;
     }
   CU_ASSERT (told_n > 60 && told_n <= (now_ms - 1000) / 1000 + 1);
-  CU_ASSERT (turns_n >= 298);
-  fb_loop_watch_free (watch);
+  CU_ASSERT (iterations_n >= 298);
+  fb_loop_monitor_free (watch);
 }
 
 /* When a pool is lost the largest delay of the last 2 s is logged, including a turn that is
@@ -346,16 +346,16 @@
 static void
 test_the_latest_turn_is_kept (void)
 {
-  FbLoopWatch *watch = fb_loop_watch_new (TURN_MS, 1000);
-  FbLoopLate late;
-  CU_ASSERT_EQUAL (fb_loop_watch_longest_ms (watch, 1000 + TURN_MS + 900), 900);
-  CU_ASSERT_TRUE (fb_loop_watch_turn (watch, 1000 + TURN_MS + 1400, &late));
+  FbLoopMonitor *watch = fb_loop_monitor_new (TURN_MS, 1000);
+  FbLoopDelays delays;
+  CU_ASSERT_EQUAL (fb_loop_monitor_max_delay_ms (watch, 1000 + TURN_MS + 900), 900);
+  CU_ASSERT_TRUE (fb_loop_monitor_iteration (watch, 1000 + TURN_MS + 1400, &delays));
   uint64_t late_at_ms = 1000 + TURN_MS + 1400;
   uint64_t now_ms = turns_in_time (watch, late_at_ms, late_at_ms + 2000);
-  CU_ASSERT_EQUAL (fb_loop_watch_longest_ms (watch, now_ms), 1400);
+  CU_ASSERT_EQUAL (fb_loop_monitor_max_delay_ms (watch, now_ms), 1400);
   now_ms = turns_in_time (watch, now_ms, late_at_ms + 2250 + TURN_MS);
-  CU_ASSERT_EQUAL (fb_loop_watch_longest_ms (watch, now_ms), 0);
-  fb_loop_watch_free (watch);
+  CU_ASSERT_EQUAL (fb_loop_monitor_max_delay_ms (watch, now_ms), 0);
+  fb_loop_monitor_free (watch);
 }
 
 /* ---- late joins ------------------------------------------------------------------- */
@@ -365,14 +365,14 @@
 static void
 test_a_late_join_is_reported (void)
 {
-  FbJoinWatch watch = { 0 };
-  fb_join_watch_sent (&watch, 1000);
-  CU_ASSERT_FALSE (fb_join_watch_answered (&watch, 1000, 1010));
-  fb_join_watch_sent (&watch, 1260);
-  CU_ASSERT_FALSE (fb_join_watch_answered (&watch, 1000, 2010));
+  FbJoinMonitor watch = { 0 };
+  fb_join_monitor_sent (&watch, 1000);
+  CU_ASSERT_FALSE (fb_join_monitor_answered (&watch, 1000, 1010));
+  fb_join_monitor_sent (&watch, 1260);
+  CU_ASSERT_FALSE (fb_join_monitor_answered (&watch, 1000, 2010));
   CU_ASSERT_EQUAL (watch.gap_ms, 1000);
-  fb_join_watch_sent (&watch, 3400);
-  CU_ASSERT_TRUE (fb_join_watch_answered (&watch, 1000, 3410));
+  fb_join_monitor_sent (&watch, 3400);
+  CU_ASSERT_TRUE (fb_join_monitor_answered (&watch, 1000, 3410));
   CU_ASSERT_EQUAL (watch.gap_ms, 1400);
   CU_ASSERT_EQUAL (watch.sent_ms, 3400);
 }
@@ -381,12 +381,12 @@
 static void
 test_a_join_after_leaving_is_not_late (void)
 {
-  FbJoinWatch watch = { 0 };
-  fb_join_watch_sent (&watch, 1000);
-  CU_ASSERT_FALSE (fb_join_watch_answered (&watch, 1000, 1010));
-  fb_join_watch_left (&watch);
-  fb_join_watch_sent (&watch, 60000);
-  CU_ASSERT_FALSE (fb_join_watch_answered (&watch, 1000, 60010));
+  FbJoinMonitor watch = { 0 };
+  fb_join_monitor_sent (&watch, 1000);
+  CU_ASSERT_FALSE (fb_join_monitor_answered (&watch, 1000, 1010));
+  fb_join_monitor_left (&watch);
+  fb_join_monitor_sent (&watch, 60000);
+  CU_ASSERT_FALSE (fb_join_monitor_answered (&watch, 1000, 60010));
   CU_ASSERT_EQUAL (watch.gap_ms, 0);
 }
 
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -471,7 +471,7 @@
     g_main_context_iteration (NULL, TRUE);
   CU_ASSERT_EQUAL (listing.records_n, 2 * JOB_N);
   /* The time that the first page took to arrive. */
-  CU_ASSERT_TRUE (fb_topic_reader_fresh_ms (reader)
+  CU_ASSERT_TRUE (fb_topic_reader_synced_ms (reader)
                   < started_ms + LISTING_CHUNKS * CHUNK_INTERVAL_MS);
   fb_topic_reader_free (reader);
   fb_http_client_free (entry.store_client);
--- a/tests/test-relay.c
+++ b/tests/test-relay.c
@@ -55,7 +55,7 @@
           gboolean link_full = fb_payload_dedup_link_is_constrained (dedup, PAYLOAD_BYTES, now_ms);
           g_autofree char *key = link_full ? fb_payload_dedup_relay_key (task) : g_strdup (worker);
           const FbDaemon *daemon = fb_relay_choose (daemons, domain, key, "", now_ms);
-          if (!fb_payload_dedup_sent (dedup, daemon->address, &digest, now_ms))
+          if (!fb_payload_dedup_check_sent (dedup, daemon->address, &digest, now_ms))
             sent_bytes += PAYLOAD_BYTES;
         }
     }
@@ -235,34 +235,34 @@
 static void
 test_a_busy_link_is_reported (void)
 {
-  FbLinkWatch *watch = fb_link_watch_new (2000, 1000);
+  FbLinkMonitor *watch = fb_link_monitor_new (2000, 1000);
   FbTrafficTotals totals = { 0 };
-  FbLinkUse sent;
-  FbLinkUse received;
+  FbLinkUtilization sent;
+  FbLinkUtilization received;
   totals.sent_bytes[FB_TRAFFIC_GROUP] = 1000;
   totals.sent_bytes[FB_TRAFFIC_RELAYED_ORDERS] = 200000;
-  CU_ASSERT_FALSE (fb_link_watch_turn (watch, &totals, 3000, &sent, &received));
+  CU_ASSERT_FALSE (fb_link_monitor_sample (watch, &totals, 3000, &sent, &received));
   totals.sent_bytes[FB_TRAFFIC_GROUP] += 1000;
   totals.sent_bytes[FB_TRAFFIC_RELAYED_ORDERS] += 300000;
-  CU_ASSERT_TRUE (fb_link_watch_turn (watch, &totals, 5000, &sent, &received));
+  CU_ASSERT_TRUE (fb_link_monitor_sample (watch, &totals, 5000, &sent, &received));
   CU_ASSERT_EQUAL (sent.kbit_s, 1204);
-  CU_ASSERT_EQUAL (sent.most, FB_TRAFFIC_RELAYED_ORDERS);
-  CU_ASSERT_EQUAL (sent.most_kbit_s, 1200);
+  CU_ASSERT_EQUAL (sent.busiest, FB_TRAFFIC_RELAYED_ORDERS);
+  CU_ASSERT_EQUAL (sent.busiest_kbit_s, 1200);
   CU_ASSERT_EQUAL (received.kbit_s, 0);
-  CU_ASSERT_FALSE (fb_link_watch_turn (watch, &totals, 7000, &sent, &received));
-  fb_link_watch_free (watch);
+  CU_ASSERT_FALSE (fb_link_monitor_sample (watch, &totals, 7000, &sent, &received));
+  fb_link_monitor_free (watch);
 }
 
 /* A link of unknown capacity is never reported as busy. */
 static void
 test_a_link_of_unknown_capacity (void)
 {
-  FbLinkWatch *watch = fb_link_watch_new (0, 1000);
+  FbLinkMonitor *watch = fb_link_monitor_new (0, 1000);
   FbTrafficTotals totals = { .sent_bytes = { 1000000 } };
-  FbLinkUse sent;
-  FbLinkUse received;
-  CU_ASSERT_FALSE (fb_link_watch_turn (watch, &totals, 3000, &sent, &received));
-  fb_link_watch_free (watch);
+  FbLinkUtilization sent;
+  FbLinkUtilization received;
+  CU_ASSERT_FALSE (fb_link_monitor_sample (watch, &totals, 3000, &sent, &received));
+  fb_link_monitor_free (watch);
 }
 
 int
--- a/tests/test-slow-store.c
+++ b/tests/test-slow-store.c
@@ -48,7 +48,7 @@
   guint at; /* index of the daemon whose appender has it */
   JobState state;
   gboolean stored;
-  GPtrArray *asked;
+  GPtrArray *tried;
 } Job;
 
 typedef struct
@@ -97,9 +97,9 @@
   const FbStoreHealth *health = &simulation->daemons[job->front].health;
   const FbAppendProxyRecord record = { .front = own->address,
                                        .owner = "10.0.0.0:7",
-                                       .asked = job->asked,
+                                       .tried = job->tried,
                                        .partition = PARTITION,
-                                       .since_ms = job->submitted_ms };
+                                       .received_ms = job->submitted_ms };
   FbAppendRoute route = { .step = FB_APPEND_ROUTE_LOCAL };
   if (simulation->uses_health || fb_append_proxy_store_is_degraded (health, now_ms))
     route = fb_append_proxy_route (&record, health, simulation->members, now_ms);
@@ -108,7 +108,7 @@
   job->state = route.step != FB_APPEND_ROUTE_GIVE_UP ? JOB_WAITS : JOB_ENDED;
   if (route.step != FB_APPEND_ROUTE_PROXY)
     return;
-  g_ptr_array_add (job->asked, g_strdup (route.address));
+  g_ptr_array_add (job->tried, g_strdup (route.address));
   job->at = (guint) atoi (route.address + strlen ("10.0.0."));
   job->until_ms = now_ms + route.timeout_ms;
 }
@@ -242,7 +242,7 @@
     simulation.jobs[j] = (Job){ .submitted_ms = j * 1000 / JOBS_PER_S,
                                 .until_ms = G_MAXUINT64,
                                 .front = j * 2654435761U % 4294967295U % daemons_n,
-                                .asked = g_ptr_array_new_with_free_func (g_free) };
+                                .tried = g_ptr_array_new_with_free_func (g_free) };
   for (uint64_t now_ms = 0; now_ms < 12000; now_ms++)
     simulation_tick (&simulation, now_ms);
   guint asked_n = 0;
@@ -251,7 +251,7 @@
     {
       asked_n += is_slow (simulation.jobs[j].submitted_ms);
       stored_n += is_slow (simulation.jobs[j].submitted_ms) && simulation.jobs[j].stored;
-      g_ptr_array_unref (simulation.jobs[j].asked);
+      g_ptr_array_unref (simulation.jobs[j].tried);
     }
   g_ptr_array_unref (simulation.members);
   return stored_n * 100 / asked_n;
@@ -279,10 +279,10 @@
 
 /* Returns: the proxy that FRONT chooses; there has to be one. */
 static const char *
-proxy_for (const GPtrArray *members, const char *owner, const char *front, const GPtrArray *asked,
+proxy_for (const GPtrArray *members, const char *owner, const char *front, const GPtrArray *tried,
            uint64_t now_ms)
 {
-  const char *address = fb_append_proxy_for (members, owner, front, asked, PARTITION, now_ms);
+  const char *address = fb_append_proxy_choose (members, owner, front, tried, PARTITION, now_ms);
   CU_ASSERT_PTR_NOT_NULL_FATAL (address);
   return address != NULL ? address : "";
 }
@@ -292,17 +292,17 @@
 test_all_choose_alike_without_an_owner (void)
 {
   g_autoptr (GPtrArray) members = make_members (7);
-  g_autoptr (GPtrArray) asked = g_ptr_array_new ();
-  const char *first = proxy_for (members, NULL, "10.0.0.1:7", asked, 1000);
-  CU_ASSERT_FALSE (fb_append_proxy_always (members));
-  CU_ASSERT_STRING_EQUAL (proxy_for (members, "10.0.0.9:7", "10.0.0.1:7", asked, 1000),
+  g_autoptr (GPtrArray) tried = g_ptr_array_new ();
+  const char *first = proxy_for (members, NULL, "10.0.0.1:7", tried, 1000);
+  CU_ASSERT_FALSE (fb_append_proxy_is_always_used (members));
+  CU_ASSERT_STRING_EQUAL (proxy_for (members, "10.0.0.9:7", "10.0.0.1:7", tried, 1000),
                           "10.0.0.9:7");
-  g_ptr_array_add (asked, "10.0.0.9:7");
-  CU_ASSERT_STRING_EQUAL (proxy_for (members, "10.0.0.9:7", "10.0.0.2:7", asked, 1000), first);
-  g_ptr_array_add (asked, (gpointer) first);
-  CU_ASSERT_STRING_NOT_EQUAL (proxy_for (members, NULL, "10.0.0.1:7", asked, 1000), first);
+  g_ptr_array_add (tried, "10.0.0.9:7");
+  CU_ASSERT_STRING_EQUAL (proxy_for (members, "10.0.0.9:7", "10.0.0.2:7", tried, 1000), first);
+  g_ptr_array_add (tried, (gpointer) first);
+  CU_ASSERT_STRING_NOT_EQUAL (proxy_for (members, NULL, "10.0.0.1:7", tried, 1000), first);
   g_autoptr (GPtrArray) nobody = g_ptr_array_new ();
-  CU_ASSERT_PTR_NULL (fb_append_proxy_for (nobody, NULL, "10.0.0.1:7", asked, PARTITION, 1000));
+  CU_ASSERT_PTR_NULL (fb_append_proxy_choose (nobody, NULL, "10.0.0.1:7", tried, PARTITION, 1000));
 }
 
 /* With many daemons at most four append for all. When one of them cannot reach the store, those
@@ -311,33 +311,33 @@
 test_few_append_for_many (void)
 {
   g_autoptr (GPtrArray) members = make_members (DAEMON_MAX);
-  g_autoptr (GPtrArray) asked = g_ptr_array_new ();
+  g_autoptr (GPtrArray) tried = g_ptr_array_new ();
   g_autoptr (GHashTable) chosen = g_hash_table_new (g_str_hash, g_str_equal);
-  CU_ASSERT_TRUE (fb_append_proxy_always (members));
+  CU_ASSERT_TRUE (fb_append_proxy_is_always_used (members));
   for (guint i = 0; i < DAEMON_MAX; i++)
     {
       const FbDaemon *front = members->pdata[i];
-      g_hash_table_add (chosen, (gpointer) fb_append_proxy_for (
-                                    members, "10.0.0.9:7", front->address, asked, PARTITION, 1000));
+      g_hash_table_add (chosen, (gpointer) fb_append_proxy_choose (
+                                    members, "10.0.0.9:7", front->address, tried, PARTITION, 1000));
     }
   CU_ASSERT_TRUE (g_hash_table_size (chosen) <= 4);
   const FbDaemon *front = members->pdata[0];
-  const char *first = proxy_for (members, NULL, front->address, asked, 1000);
+  const char *first = proxy_for (members, NULL, front->address, tried, 1000);
   for (guint i = 0; i < members->len; i++)
     {
       FbDaemon *member = members->pdata[i];
       member->append_backoff_until_ms = g_str_equal (member->address, first) ? 2000 : 0;
     }
-  CU_ASSERT_STRING_NOT_EQUAL (proxy_for (members, NULL, front->address, asked, 1999), first);
-  CU_ASSERT_STRING_EQUAL (proxy_for (members, NULL, front->address, asked, 2000), first);
+  CU_ASSERT_STRING_NOT_EQUAL (proxy_for (members, NULL, front->address, tried, 1999), first);
+  CU_ASSERT_STRING_EQUAL (proxy_for (members, NULL, front->address, tried, 2000), first);
 }
 
 /* Returns: the proxy that the front end of RECORD chooses; there has to be one. */
 static const char *
 proxy_of (const GPtrArray *members, const FbAppendProxyRecord *record, uint64_t now_ms)
 {
-  const char *address = fb_append_proxy_for (members, record->owner, record->front, record->asked,
-                                             record->partition, now_ms);
+  const char *address = fb_append_proxy_choose (members, record->owner, record->front,
+                                                record->tried, record->partition, now_ms);
   CU_ASSERT_PTR_NOT_NULL_FATAL (address);
   return address != NULL ? address : "";
 }
@@ -346,14 +346,14 @@
 
 /* Returns: the route of a record that 10.0.0.1 accepted at 1000. */
 static FbAppendRoute
-route_of (const GPtrArray *members, const FbStoreHealth *health, const GPtrArray *asked,
+route_of (const GPtrArray *members, const FbStoreHealth *health, const GPtrArray *tried,
           uint64_t now_ms)
 {
   const FbAppendProxyRecord record = { .front = "10.0.0.1:7",
                                        .owner = "10.0.0.0:7",
-                                       .asked = asked,
+                                       .tried = tried,
                                        .partition = PARTITION,
-                                       .since_ms = 1000 };
+                                       .received_ms = 1000 };
   return fb_append_proxy_route (&record, health, members, now_ms);
 }
 
@@ -363,20 +363,20 @@
 test_failed_store_is_bypassed (void)
 {
   g_autoptr (GPtrArray) members = make_members (7);
-  g_autoptr (GPtrArray) asked = g_ptr_array_new ();
+  g_autoptr (GPtrArray) tried = g_ptr_array_new ();
   FbStoreHealth health = { 0 };
-  CU_ASSERT_EQUAL (route_of (members, &health, asked, 1000).step, FB_APPEND_ROUTE_LOCAL);
+  CU_ASSERT_EQUAL (route_of (members, &health, tried, 1000).step, FB_APPEND_ROUTE_LOCAL);
   fb_store_health_failed (&health, 1000);
-  FbAppendRoute route = route_of (members, &health, asked, 1000);
+  FbAppendRoute route = route_of (members, &health, tried, 1000);
   CU_ASSERT_EQUAL (route.step, FB_APPEND_ROUTE_PROXY);
   CU_ASSERT_STRING_EQUAL (route.address, "10.0.0.0:7");
   CU_ASSERT_EQUAL (route.timeout_ms, 400);
-  g_ptr_array_add (asked, (gpointer) route.address);
-  route = route_of (members, &health, asked, 1400);
+  g_ptr_array_add (tried, (gpointer) route.address);
+  route = route_of (members, &health, tried, 1400);
   CU_ASSERT_EQUAL (route.step, FB_APPEND_ROUTE_PROXY);
   CU_ASSERT_STRING_NOT_EQUAL (route.address, "10.0.0.0:7");
-  g_ptr_array_add (asked, (gpointer) route.address);
-  CU_ASSERT_EQUAL (route_of (members, &health, asked, 1800).step, FB_APPEND_ROUTE_LOCAL);
+  g_ptr_array_add (tried, (gpointer) route.address);
+  CU_ASSERT_EQUAL (route_of (members, &health, tried, 1800).step, FB_APPEND_ROUTE_LOCAL);
 }
 
 /* A slow store gets nearly all of the caller's time on one route, and no second append: a record
@@ -385,17 +385,17 @@
 test_slow_store_gets_one_append (void)
 {
   g_autoptr (GPtrArray) members = make_members (7);
-  g_autoptr (GPtrArray) asked = g_ptr_array_new ();
+  g_autoptr (GPtrArray) tried = g_ptr_array_new ();
   FbStoreHealth health = { 0 };
   fb_store_health_renewed (&health, 200);
   CU_ASSERT_TRUE (fb_append_proxy_store_is_degraded (&health, 1000));
-  FbAppendRoute route = route_of (members, &health, asked, 1000);
+  FbAppendRoute route = route_of (members, &health, tried, 1000);
   CU_ASSERT_EQUAL (route.step, FB_APPEND_ROUTE_PROXY);
   CU_ASSERT_EQUAL (route.timeout_ms, 2300);
-  CU_ASSERT_EQUAL (route_of (members, &health, asked, 2000).timeout_ms, 1600);
-  g_ptr_array_add (asked, "10.0.0.0:7");
-  CU_ASSERT_EQUAL (route_of (members, &health, asked, 2499).step, FB_APPEND_ROUTE_PROXY);
-  CU_ASSERT_EQUAL (route_of (members, &health, asked, 2500).step, FB_APPEND_ROUTE_GIVE_UP);
+  CU_ASSERT_EQUAL (route_of (members, &health, tried, 2000).timeout_ms, 1600);
+  g_ptr_array_add (tried, "10.0.0.0:7");
+  CU_ASSERT_EQUAL (route_of (members, &health, tried, 2499).step, FB_APPEND_ROUTE_PROXY);
+  CU_ASSERT_EQUAL (route_of (members, &health, tried, 2500).step, FB_APPEND_ROUTE_GIVE_UP);
 }
 
 /* Many daemons always use one of the four proxies; a daemon that is the chosen one stores its
@@ -404,16 +404,16 @@
 test_many_daemons_always_use_a_proxy (void)
 {
   g_autoptr (GPtrArray) members = make_members (33);
-  g_autoptr (GPtrArray) asked = g_ptr_array_new ();
+  g_autoptr (GPtrArray) tried = g_ptr_array_new ();
   FbStoreHealth health = { 0 };
-  FbAppendRoute route = route_of (members, &health, asked, 1000);
+  FbAppendRoute route = route_of (members, &health, tried, 1000);
   CU_ASSERT_EQUAL (route.step, FB_APPEND_ROUTE_PROXY);
   CU_ASSERT_EQUAL (route.timeout_ms, 400);
   guint self_n = 0;
   for (uint32_t partition = 0; partition < 1000; partition++)
     {
       const FbAppendProxyRecord record
-          = { .front = "10.0.0.1:7", .asked = asked, .partition = partition, .since_ms = 1000 };
+          = { .front = "10.0.0.1:7", .tried = tried, .partition = partition, .received_ms = 1000 };
       const char *chosen = proxy_of (members, &record, 1000);
       route = fb_append_proxy_route (&record, &health, members, 1000);
       gboolean is_self = g_str_equal (chosen, record.front);
--- a/tests/test-worker-list.c
+++ b/tests/test-worker-list.c
@@ -21,7 +21,7 @@
 take (FbWorkerList *self, uint64_t incarnation_started_ms)
 {
   FbListedWorker *worker = entry_of (incarnation_started_ms);
-  if (fb_worker_list_ignores (self, worker))
+  if (fb_worker_list_is_outdated (self, worker))
     {
       fb_listed_worker_free (worker);
       return FALSE;
