--- a/src/entry/front/front-store.c
+++ b/src/entry/front/front-store.c
@@ -43,7 +43,7 @@
     {
       fb_counter_add (FB_COUNTER_JOBS_IN_DOUBT, 1);
       fb_front_finish (request, SOUP_STATUS_GATEWAY_TIMEOUT,
-                       "{\"error\":\"not known whether it is stored\"}");
+                       "{\"error\":\"unknown whether the request is stored\"}");
     }
   else
     {
--- a/src/entry/front/front.c
+++ b/src/entry/front/front.c
@@ -152,7 +152,8 @@
       fb_front_finish (request, SOUP_STATUS_OK, body);
     }
   else
-    fb_front_finish (request, SOUP_STATUS_SERVICE_UNAVAILABLE, "{\"error\":\"the owner is away\"}");
+    fb_front_finish (request, SOUP_STATUS_SERVICE_UNAVAILABLE,
+                     "{\"error\":\"the owner is unavailable\"}");
 }
 
 static void
@@ -179,7 +180,8 @@
       fb_front_finish (data, SOUP_STATUS_OK, body);
     }
   else
-    fb_front_finish (data, SOUP_STATUS_SERVICE_UNAVAILABLE, "{\"error\":\"the owner is away\"}");
+    fb_front_finish (data, SOUP_STATUS_SERVICE_UNAVAILABLE,
+                     "{\"error\":\"the owner is unavailable\"}");
 }
 
 static void
@@ -238,7 +240,8 @@
   if (entry->refusing_callers || entry->routes == NULL)
     {
       refuse (entry, message, SOUP_STATUS_SERVICE_UNAVAILABLE,
-              entry->refusing_callers ? "the daemon is about to end" : "no configuration yet");
+              entry->refusing_callers ? "the daemon is shutting down"
+                                      : "no configuration has been read");
       return;
     }
   SoupMessageHeaders *headers = soup_server_message_get_request_headers (message);
--- a/src/entry/owner/owner-load.c
+++ b/src/entry/owner/owner-load.c
@@ -230,7 +230,7 @@
   FbOwner *self = data;
   if (result != FB_APPEND_STORED)
     {
-      fb_owner_step_down (self, "a later owner writes");
+      fb_owner_step_down (self, "fenced by a later owner");
       return;
     }
   self->fenced_ms = fb_clock_ms ();
--- a/src/entry/owner/owner-orders.c
+++ b/src/entry/owner/owner-orders.c
@@ -203,7 +203,7 @@
 sink_fenced (gpointer user, const char *worker)
 {
   (void) worker;
-  fb_owner_step_down (((FbServicePool *) user)->owner, "a worker has seen a later owner");
+  fb_owner_step_down (((FbServicePool *) user)->owner, "a worker has received a higher epoch");
 }
 
 const FbPoolSink fb_owner_sink
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -266,7 +266,7 @@
   gboolean answered = peer_reply != NULL && peer_reply->type == FB_REPLY_ORDER_RESULT;
   if (!answered)
     {
-      fb_event_log (FB_EVENT_CALL_FAILED, "order by daemon=%s lost=%d", relayed->daemon,
+      fb_event_log (FB_EVENT_CALL_FAILED, "relayed order daemon=%s lost=%d", relayed->daemon,
                     peer_reply == NULL);
       fb_daemons_back_off_relay (relayed->entry->daemons, relayed->daemon,
                                  fb_clock_ms () + BACKOFF_MS);
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -286,7 +286,7 @@
     return;
   g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
   fb_entry_set_owned_partitions (self->entry, none, generation,
-                                 "joined later than its time to live");
+                                 "joined after its time to live had expired");
 }
 
 static void
@@ -328,7 +328,7 @@
     {
       g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
       fb_entry_set_owned_partitions (self->entry, none, self->generation,
-                                     "too little processor to own partitions");
+                                     "too little processor time to own partitions");
       fb_join_monitor_left (&self->entry->joins);
       fb_group_leave_self (self->group_leave, NULL, NULL);
       self->last_renewal_sent_ms = 0;
