--- a/tests/suspended-clock.h
+++ b/tests/suspended-clock.h
@@ -3,5 +3,5 @@
 
 #include <glib.h>
 
-/* Advances CLOCK_BOOTTIME, which also counts suspended time, by SECONDS.  Thread safe. */
+/* Advances CLOCK_BOOTTIME, which includes suspended time, by SECONDS.  Thread-safe. */
 void suspended_clock_add (guint seconds);
--- a/tests/test-advice.c
+++ b/tests/test-advice.c
@@ -1,4 +1,4 @@
-/* Two owners that send requests to the advice service through the same daemons. */
+/* Two owners send requests to the advice service through the same daemons. */
 #include "src/entry/advice/advice-balancer.h"
 #include "src/entry/advice/advice-queue.h"
 
@@ -14,7 +14,7 @@
 typedef struct
 {
   FbAdviceBalancer *balancer;
-  uint32_t takes_ms;
+  uint32_t duration_ms;
   guint waiting;
   guint answered;
 } Owner;
@@ -23,7 +23,7 @@
 {
   Owner *owner;
   guint daemon;
-  uint64_t answered_ms; /* when its owner has the answer; 0: not yet */
+  uint64_t answered_ms; /* time at which its owner receives the answer; 0: not answered yet */
 } Request;
 
 /* A daemon and its calls at the service, which handles them one after the other. */
@@ -31,7 +31,7 @@
 {
   FbAdviceQueue *queue;
   GQueue calls;     /* of Request */
-  uint64_t ends_ms; /* end of the call at the head; 0: it has not begun */
+  uint64_t ends_ms; /* end time of the call at the head; 0: none is being processed */
 } Daemon;
 
 typedef struct
@@ -47,15 +47,15 @@
 {
   const char *name = NULL;
   while (owner->waiting > 0
-         && (name = fb_advice_balancer_choose (owner->balancer, simulation->names, owner->takes_ms,
-                                               now_ms))
+         && (name = fb_advice_balancer_choose (owner->balancer, simulation->names,
+                                               owner->duration_ms, now_ms))
                 != NULL)
     {
       Request *request = g_new0 (Request, 1);
       request->owner = owner;
       g_ptr_array_find (simulation->names, name, &request->daemon);
-      fb_advice_balancer_began (owner->balancer, name, owner->takes_ms, now_ms);
-      fb_advice_queue_add (simulation->daemons[request->daemon].queue, request, owner->takes_ms,
+      fb_advice_balancer_began (owner->balancer, name, owner->duration_ms, now_ms);
+      fb_advice_queue_add (simulation->daemons[request->daemon].queue, request, owner->duration_ms,
                            now_ms);
       owner->waiting--;
     }
@@ -72,13 +72,13 @@
       request->answered_ms = now_ms + NETWORK_MS;
       g_queue_push_tail (&simulation->answers, request);
       request = g_queue_peek_head (&daemon->calls);
-      daemon->ends_ms = request != NULL ? now_ms + request->owner->takes_ms : 0;
+      daemon->ends_ms = request != NULL ? now_ms + request->owner->duration_ms : 0;
     }
   gpointer next = NULL;
   while ((next = fb_advice_queue_next (daemon->queue)) != NULL)
     {
       if (g_queue_is_empty (&daemon->calls))
-        daemon->ends_ms = now_ms + ((Request *) next)->owner->takes_ms;
+        daemon->ends_ms = now_ms + ((Request *) next)->owner->duration_ms;
       g_queue_push_tail (&daemon->calls, next);
     }
 }
@@ -108,9 +108,9 @@
       simulation->daemons[i].queue = fb_advice_queue_new ();
     }
   simulation->owners[0]
-      = (Owner){ .balancer = fb_advice_balancer_new (), .takes_ms = short_ms, .waiting = 5000 };
+      = (Owner){ .balancer = fb_advice_balancer_new (), .duration_ms = short_ms, .waiting = 5000 };
   simulation->owners[1]
-      = (Owner){ .balancer = fb_advice_balancer_new (), .takes_ms = LONG_MS, .waiting = 500 };
+      = (Owner){ .balancer = fb_advice_balancer_new (), .duration_ms = LONG_MS, .waiting = 500 };
 }
 
 static void
@@ -137,34 +137,33 @@
       receive_answers (&simulation, now_ms);
       for (guint i = 0; i < DAEMON_N; i++)
         serve (&simulation, &simulation.daemons[i], now_ms);
-      /* Long requests are first at each daemon. */
+      /* Long requests arrive first at each daemon. */
       send_requests (&simulation, &simulation.owners[1], now_ms);
       send_requests (&simulation, &simulation.owners[0], now_ms);
     }
   printf ("    in 3 s: %u short answers, %u long ones\n", simulation.owners[0].answered,
           simulation.owners[1].answered);
   CU_ASSERT_TRUE (simulation.owners[0].answered >= 3 * 200);
-  /* A quarter of the answers that they would get alone. */
+  /* A quarter of the answers that they would get without the short requests. */
   CU_ASSERT_TRUE (simulation.owners[1].answered >= 3 * DAEMON_N / 4);
   simulation_clear (&simulation);
 }
 
 /* Guards against: short requests of one owner wait for long ones of another at every daemon,
  * because each owner has a request open at each daemon and the service handles a daemon's calls one
- * after the other.  It showed, after all daemons had been killed, as hundreds of short jobs of one
- * service that started 10 s late, and long-running tasks that stayed away as long, while the other
- * service had a backlog.  Evidence: 48 to 69 answers a second to each of the two owners for 8 s,
- * and 198 to 335 once the long backlog was done. */
+ * after the other.  While one service had a backlog, after all daemons had been killed, hundreds of
+ * short jobs of the other started 10 s late, and long-running tasks did not run for as long.
+ * Measured: 48 to 69 answers a second for each of the two owners during 8 s, and 198 to 335 after
+ * the long backlog was processed. */
 static void
 test_long_requests_of_another_owner (void)
 {
   simulate_two_owners (36);
 }
 
-/* The same with requests that name a hundred workers, which took 68 ms each on the site of the
- * trace. */
+/* The same with requests for a hundred workers each, which took 68 ms in the traced deployment. */
 static void
-test_long_requests_and_large_ones (void)
+test_long_requests_and_large_requests (void)
 {
   simulate_two_owners (68);
 }
@@ -172,24 +171,24 @@
 /* ---- a long request beside short ones --------------------------------------------------- */
 
 #define VERY_LONG_MS 2100
-/* A request that has waited for longer, or for twice its own duration, is dropped without a
- * call. */
-#define CALLED_UNTIL_MS 3000
+/* A request that has waited for longer than this, or for twice its own duration, is dropped without
+ * a call. */
+#define WAIT_MAX_MS 3000
 
 /* Guards against: a long request is never sent to the service while four short ones are always
- * waiting at the daemon, as with two owners.  It has to be sent before it counts as too late. */
+ * waiting at the daemon, as with two owners.  It has to be sent before it expires. */
 static void
-test_a_long_request_is_sent (void)
+test_long_request_is_not_starved (void)
 {
-  static const uint32_t takes_ms[] = { 1000, 1800, VERY_LONG_MS };
-  for (guint i = 0; i < G_N_ELEMENTS (takes_ms); i++)
+  static const uint32_t duration_ms[] = { 1000, 1800, VERY_LONG_MS };
+  for (guint i = 0; i < G_N_ELEMENTS (duration_ms); i++)
     {
       FbAdviceQueue *queue = fb_advice_queue_new ();
       char long_request = 0;
       char short_requests[4] = { 0 };
       uint64_t now_ms = 1;
       gpointer next = NULL;
-      fb_advice_queue_add (queue, &long_request, takes_ms[i], now_ms);
+      fb_advice_queue_add (queue, &long_request, duration_ms[i], now_ms);
       for (guint k = 0; k < G_N_ELEMENTS (short_requests); k++)
         fb_advice_queue_add (queue, &short_requests[k], 68, now_ms);
       while ((next = fb_advice_queue_next (queue)) != &long_request)
@@ -198,8 +197,8 @@
           fb_advice_queue_ended (queue, next);
           fb_advice_queue_add (queue, next, 68, now_ms);
         }
-      printf ("    a request of %u ms is sent after %u ms\n", takes_ms[i], (guint) now_ms - 1);
-      CU_ASSERT_TRUE (now_ms <= 1 + MAX (CALLED_UNTIL_MS, 2 * takes_ms[i]));
+      printf ("    a request of %u ms is sent after %u ms\n", duration_ms[i], (guint) now_ms - 1);
+      CU_ASSERT_TRUE (now_ms <= 1 + MAX (WAIT_MAX_MS, 2 * duration_ms[i]));
       fb_advice_queue_ended (queue, next);
       fb_advice_queue_free (queue);
     }
@@ -212,8 +211,8 @@
     return 1;
   CU_pSuite suite = CU_add_suite ("advice", NULL, NULL);
   CU_add_test (suite, "long requests of another owner", test_long_requests_of_another_owner);
-  CU_add_test (suite, "long requests and large ones", test_long_requests_and_large_ones);
-  CU_add_test (suite, "a long request is sent", test_a_long_request_is_sent);
+  CU_add_test (suite, "long requests and large requests", test_long_requests_and_large_requests);
+  CU_add_test (suite, "a long request is not starved", test_long_request_is_not_starved);
   CU_basic_set_mode (CU_BRM_VERBOSE);
   CU_basic_run_tests ();
   guint failed = CU_get_number_of_failures ();
--- a/tests/test-daemons.c
+++ b/tests/test-daemons.c
@@ -18,8 +18,8 @@
   return daemons;
 }
 
-/* A daemon is killed and restarted, and the store still names its previous process.  Both have one
- * address, and only the later one is alive. */
+/* A daemon is killed and restarted, and the store still lists its previous process.  Both have the
+ * same address, and only the one that started later is running. */
 static void
 test_one_daemon_per_address (void)
 {
@@ -39,26 +39,27 @@
   CU_ASSERT_EQUAL (first->started_us, 200);
 }
 
-/* Guards against: a daemon acts on a list that does not name itself.  All 33 daemons were killed
- * and restarted; the first list that each of them read named two daemons of 0.12 of a core, so that
- * each took itself for a strong one, and weak daemons took the pools over and lost them 0.5 to
- * 1.3 s later.  A list counts that names the reader's address, also by its previous process, as it
- * was made before the loss.  Evidence: members=2 in the first list of each of 31 daemons, 31 in the
- * second, 1.2 s later. */
+/* Guards against: a daemon uses a list that does not contain itself.  All 33 daemons were killed
+ * and restarted; the first list that 31 of them read contained two daemons of 0.12 of a core, and
+ * the second one, 1.2 s later, 31 daemons.  Each concluded that it had enough processor time to be
+ * an owner, and daemons with little processor time took over pools and lost them 0.5 to 1.3 s
+ * later.  A list is accepted if it contains the reader's address, also with its previous process,
+ * because such a list was made before that process expired. */
 static void
-test_a_list_without_the_reader_does_not_count (void)
+test_list_without_the_reader_is_rejected (void)
 {
   static const char *const before[]
       = { "10.0.0.1:7/z1/120/100", "10.0.0.2:7/z1/120/100", "10.0.0.3:7/z1/500/100", NULL };
-  static const char *const between[] = { "10.0.0.1:7/z1/120/100", "10.0.0.2:7/z1/120/100", NULL };
+  static const char *const partial_names[]
+      = { "10.0.0.1:7/z1/120/100", "10.0.0.2:7/z1/120/100", NULL };
   g_autoptr (GPtrArray) old = daemons_from (before);
-  g_autoptr (GPtrArray) partial = daemons_from (between);
+  g_autoptr (GPtrArray) partial = daemons_from (partial_names);
   CU_ASSERT_FALSE (fb_daemons_contain (partial, "10.0.0.3:7"));
   CU_ASSERT_TRUE (fb_daemons_contain (old, "10.0.0.3:7"));
 }
 
-/* Guards against: all daemons lost power and came back within 0.7 s, and the group waited for their
- * previous processes until their time to live was over.  Each daemon removes its own previous
+/* Guards against: all daemons lose power and restart within 0.7 s, and the group waits for their
+ * previous processes until their time to live expires.  Each daemon removes its own previous
  * processes, and no others. */
 static void
 test_only_predecessors_are_removed (void)
@@ -72,9 +73,9 @@
   CU_ASSERT_FALSE (fb_daemons_is_predecessor ("", own));
 }
 
-/* Guards against: of 300 daemons the store names only 128, as many as the group has partitions; the
- * others would relay nothing, and a strong one among them own nothing.  The number of topics grows
- * until all daemons are named; for few daemons it stays. */
+/* Guards against: of 300 daemons the store lists only 128, as many as the group has partitions; the
+ * others relay nothing, and those among them with enough processor time own nothing.  The number of
+ * topics is increased until all daemons are listed; with few daemons it remains unchanged. */
 static void
 test_each_daemon_has_a_partition (void)
 {
@@ -102,16 +103,17 @@
   return daemon != NULL ? daemon->address : NULL;
 }
 
-/* Orders to 350 workers are spread over the daemons of the workers' failure domain by processor,
- * without the owner itself.  When a relay does not answer only its workers move to others. */
+/* Orders to 350 workers are distributed over the daemons in the workers' failure domain in
+ * proportion to their processor share, excluding the owner itself.  When a relay does not answer,
+ * only its workers move to other daemons. */
 static void
-test_relays_share_the_workers (void)
+test_workers_are_distributed_over_relays (void)
 {
   static const char *const names[]
       = { "10.0.0.1:7/z1/500/1", "10.0.0.2:7/z1/125/1", "10.0.0.3:7/z1/125/1",
           "10.0.0.4:7/z2/500/1", "10.0.0.9:7/z1/500/1", NULL };
   g_autoptr (GPtrArray) daemons = daemons_from (names);
-  guint strong_n = 0;
+  guint large_n = 0;
   guint moved_n = 0;
   FbDaemon *backed_off = daemons->pdata[1];
   for (guint i = 0; i < WORKER_N; i++)
@@ -120,15 +122,15 @@
       const char *before = relay_of (daemons, i, 1000);
       CU_ASSERT_STRING_NOT_EQUAL (before, "10.0.0.4:7");
       CU_ASSERT_STRING_NOT_EQUAL (before, "10.0.0.9:7");
-      strong_n += g_str_equal (before, "10.0.0.1:7");
+      large_n += g_str_equal (before, "10.0.0.1:7");
       backed_off->relay_backoff_until_ms = 2000;
       const char *after = relay_of (daemons, i, 1000);
       CU_ASSERT_STRING_NOT_EQUAL (after, backed_off->address);
       moved_n += !g_str_equal (before, after);
       CU_ASSERT (g_str_equal (before, after) || g_str_equal (before, backed_off->address));
     }
-  /* It has two thirds of the processor; the bounds allow for random variation. */
-  CU_ASSERT (strong_n > WORKER_N * 6 / 10 && strong_n < WORKER_N * 73 / 100);
+  /* It has two thirds of the total processor share; the bounds allow for random variation. */
+  CU_ASSERT (large_n > WORKER_N * 6 / 10 && large_n < WORKER_N * 73 / 100);
   CU_ASSERT (moved_n > WORKER_N / 10 && moved_n < WORKER_N / 4);
 }
 
@@ -141,9 +143,9 @@
   CU_ASSERT_PTR_NULL (relay_of (daemons, 1, 1000));
 }
 
-/* A worker's lists of runs and ends are unchanged by the relay. */
+/* A worker's lists of runs and ends are unchanged after relaying. */
 static void
-test_a_relayed_poll (void)
+test_relayed_poll_is_unchanged (void)
 {
   fb_reported_run run = { (char *) "j.0.0.1", 3, (char *) "c1" };
   fb_reported_end end = { 7, (char *) "j.0.0.2", 2, FB_END_LEASE_EXPIRED, (char *) "" };
@@ -177,13 +179,14 @@
     return 2;
   CU_pSuite suite = CU_add_suite ("daemons", NULL, NULL);
   CU_add_test (suite, "one daemon per address", test_one_daemon_per_address);
-  CU_add_test (suite, "a list without the reader does not count",
-               test_a_list_without_the_reader_does_not_count);
+  CU_add_test (suite, "a list without the reader is rejected",
+               test_list_without_the_reader_is_rejected);
   CU_add_test (suite, "only predecessors are removed", test_only_predecessors_are_removed);
   CU_add_test (suite, "each daemon has a partition", test_each_daemon_has_a_partition);
-  CU_add_test (suite, "relays share the workers", test_relays_share_the_workers);
+  CU_add_test (suite, "workers are distributed over relays",
+               test_workers_are_distributed_over_relays);
   CU_add_test (suite, "no relay in the domain", test_no_relay_in_the_domain);
-  CU_add_test (suite, "a relayed poll", test_a_relayed_poll);
+  CU_add_test (suite, "a relayed poll is unchanged", test_relayed_poll_is_unchanged);
   CU_basic_run_tests ();
   unsigned failures = CU_get_number_of_failures ();
   CU_cleanup_registry ();
--- a/tests/test-entry.c
+++ b/tests/test-entry.c
@@ -13,65 +13,66 @@
 #define SHORT_MS 30
 #define RETRY_MS 25
 
-/* Guards against: of two pools that share one daemon, one gets no answers and starts nothing for
- * 40 s.  Pool 1 asks again as soon as its answer arrives, and pool 2, which asks every 25 ms,
- * always finds the daemon busy.  Pool 2 has to go first once it has used less time. */
+/* Guards against: of two pools that share one daemon, one gets no answers and starts nothing for 40
+ * s, because pool 1 sends a request as soon as its answer arrives and pool 2, which retries every
+ * 25 ms, always finds the daemon busy.  Pool 2 has to be served first once it has used less
+ * time. */
 static void
 test_neither_pool_starves (void)
 {
-  FbFairShare *turns = fb_fair_share_new ();
+  FbFairShare *fair_share = fb_fair_share_new ();
   uint64_t busy_until_ms = 0;
   uint32_t used_ms[3] = { 0 };
   for (uint64_t now_ms = 1000; now_ms < 31000; now_ms += RETRY_MS)
     {
-      /* Pool 1 always asks first. */
+      /* Pool 1 always sends its request first. */
       for (uint32_t pool = 1; pool <= 2; pool++)
         {
-          uint32_t takes_ms = pool == 1 ? LONG_MS : SHORT_MS;
-          if (fb_fair_share_is_next (turns, pool, now_ms) && now_ms >= busy_until_ms)
+          uint32_t duration_ms = pool == 1 ? LONG_MS : SHORT_MS;
+          if (fb_fair_share_is_next (fair_share, pool, now_ms) && now_ms >= busy_until_ms)
             {
-              busy_until_ms = now_ms + takes_ms;
-              used_ms[pool] += takes_ms;
-              fb_fair_share_served (turns, pool, takes_ms);
+              busy_until_ms = now_ms + duration_ms;
+              used_ms[pool] += duration_ms;
+              fb_fair_share_served (fair_share, pool, duration_ms);
             }
           else
-            fb_fair_share_wait (turns, pool, now_ms);
+            fb_fair_share_wait (fair_share, pool, now_ms);
         }
     }
   CU_ASSERT_TRUE (used_ms[1] > 9000);
   CU_ASSERT_TRUE (used_ms[2] > 9000);
-  fb_fair_share_free (turns);
+  fb_fair_share_free (fair_share);
 }
 
-/* Guards against: a pool that stopped asking keeps another one waiting. */
+/* Guards against: a pool that no longer sends requests blocks another one. */
 static void
-test_a_pool_that_stopped_asking (void)
+test_pool_without_further_requests (void)
 {
-  FbFairShare *turns = fb_fair_share_new ();
-  CU_ASSERT_TRUE (fb_fair_share_is_next (turns, 1, 1000));
-  fb_fair_share_served (turns, 1, LONG_MS);
-  fb_fair_share_wait (turns, 2, 1000);
-  CU_ASSERT_FALSE (fb_fair_share_is_next (turns, 1, 1050));
-  CU_ASSERT_TRUE (fb_fair_share_is_next (turns, 1, 1200));
-  fb_fair_share_free (turns);
+  FbFairShare *fair_share = fb_fair_share_new ();
+  CU_ASSERT_TRUE (fb_fair_share_is_next (fair_share, 1, 1000));
+  fb_fair_share_served (fair_share, 1, LONG_MS);
+  fb_fair_share_wait (fair_share, 2, 1000);
+  CU_ASSERT_FALSE (fb_fair_share_is_next (fair_share, 1, 1050));
+  CU_ASSERT_TRUE (fb_fair_share_is_next (fair_share, 1, 1200));
+  fb_fair_share_free (fair_share);
 }
 
-/* Guards against: a pool that was idle for long takes all daemons until it has used as much as the
- * others. */
+/* Guards against: a pool that was idle for a long time gets all daemons until it has used as much
+ * time as the others. */
 static void
-test_idle_time_gives_no_claim (void)
+test_idle_time_gives_no_credit (void)
 {
-  FbFairShare *turns = fb_fair_share_new ();
-  CU_ASSERT_TRUE (fb_fair_share_is_next (turns, 2, 1000));
-  fb_fair_share_served (turns, 2, SHORT_MS);
-  CU_ASSERT_TRUE (fb_fair_share_is_next (turns, 1, 1000));
-  fb_fair_share_served (turns, 1, 20 * LONG_MS);
-  fb_fair_share_wait (turns, 1, 9000);
-  CU_ASSERT_TRUE (fb_fair_share_is_next (turns, 2, 9000));
-  fb_fair_share_served (turns, 2, SHORT_MS);
-  fb_fair_share_wait (turns, 2, 9001);
-  CU_ASSERT_TRUE (fb_fair_share_is_next (turns, 1, 9001));
-  fb_fair_share_free (turns);
+  FbFairShare *fair_share = fb_fair_share_new ();
+  CU_ASSERT_TRUE (fb_fair_share_is_next (fair_share, 2, 1000));
+  fb_fair_share_served (fair_share, 2, SHORT_MS);
+  CU_ASSERT_TRUE (fb_fair_share_is_next (fair_share, 1, 1000));
+  fb_fair_share_served (fair_share, 1, 20 * LONG_MS);
+  fb_fair_share_wait (fair_share, 1, 9000);
+  CU_ASSERT_TRUE (fb_fair_share_is_next (fair_share, 2, 9000));
+  fb_fair_share_served (fair_share, 2, SHORT_MS);
+  fb_fair_share_wait (fair_share, 2, 9001);
+  CU_ASSERT_TRUE (fb_fair_share_is_next (fair_share, 1, 9001));
+  fb_fair_share_free (fair_share);
 }
 
 /* ---- requests for advice ---------------------------------------------------------- */
@@ -82,20 +83,20 @@
 /* One kind of request of the simulated load. */
 typedef struct
 {
-  uint32_t takes_ms;
-  uint32_t per_s;      /* rate outside of the burst */
-  uint32_t in_burst_s; /* rate in the burst, from 5 to 9 s */
-  GQueue waiting;      /* arrival times in ms */
-  GArray *waits_ms;    /* of uint32_t: waits of the requests that were sent */
-} Kind;
+  uint32_t duration_ms;
+  uint32_t per_s;          /* rate outside of the burst */
+  uint32_t per_s_in_burst; /* rate in the burst, from 5 to 9 s */
+  GQueue waiting;          /* arrival times in ms */
+  GArray *waits_ms;        /* of uint32_t: waits of the requests that were sent */
+} RequestKind;
 
 typedef struct
 {
   uint64_t busy_until_ms[DAEMON_N];
-  GQueue ends_ms[DAEMON_N]; /* end times of the requests at the daemon, in their order */
+  GQueue ends_ms[DAEMON_N]; /* end times of the requests at the daemon, in order */
   GPtrArray *names;
-  FbAdviceBalancer *
-      balancer; /* NULL: a third of the daemons serves requests under 100 ms, the rest the others */
+  FbAdviceBalancer *balancer; /* NULL: a third of the daemons serves requests under 100 ms, the
+                               * others serve the rest */
 } Simulation;
 
 static gint
@@ -105,17 +106,17 @@
 }
 
 static uint32_t
-wait_of (Kind *kind, double part)
+wait_quantile (RequestKind *kind, double quantile)
 {
   g_array_sort (kind->waits_ms, compare_waits);
-  return g_array_index (kind->waits_ms, uint32_t, (guint) ((kind->waits_ms->len - 1) * part));
+  return g_array_index (kind->waits_ms, uint32_t, (guint) ((kind->waits_ms->len - 1) * quantile));
 }
 
 static int
-daemon_by_split (const Simulation *simulation, uint32_t takes_ms, uint64_t now_ms)
+choose_by_split (const Simulation *simulation, uint32_t duration_ms, uint64_t now_ms)
 {
-  guint from = takes_ms > 100 ? 3 : 0;
-  guint to = takes_ms > 100 ? DAEMON_N : 3;
+  guint from = duration_ms > 100 ? 3 : 0;
+  guint to = duration_ms > 100 ? DAEMON_N : 3;
   for (guint i = from; i < to; i++)
     {
       if (now_ms >= simulation->busy_until_ms[i])
@@ -125,10 +126,10 @@
 }
 
 static int
-daemon_by_balancer (const Simulation *simulation, uint32_t takes_ms, uint64_t now_ms)
+choose_by_balancer (const Simulation *simulation, uint32_t duration_ms, uint64_t now_ms)
 {
   const char *name
-      = fb_advice_balancer_choose (simulation->balancer, simulation->names, takes_ms, now_ms);
+      = fb_advice_balancer_choose (simulation->balancer, simulation->names, duration_ms, now_ms);
   for (guint i = 0; name != NULL && i < DAEMON_N; i++)
     {
       if (simulation->names->pdata[i] == name)
@@ -138,31 +139,31 @@
 }
 
 static void
-send_waiting (Simulation *simulation, Kind *kind, uint64_t now_ms)
+send_waiting (Simulation *simulation, RequestKind *kind, uint64_t now_ms)
 {
   while (!g_queue_is_empty (&kind->waiting))
     {
       int at = simulation->balancer != NULL
-                   ? daemon_by_balancer (simulation, kind->takes_ms, now_ms)
-                   : daemon_by_split (simulation, kind->takes_ms, now_ms);
+                   ? choose_by_balancer (simulation, kind->duration_ms, now_ms)
+                   : choose_by_split (simulation, kind->duration_ms, now_ms);
       if (at < 0)
         return;
       uint64_t begins_ms = MAX (simulation->busy_until_ms[at], now_ms);
       uint32_t waited_ms
           = (uint32_t) (begins_ms - GPOINTER_TO_UINT (g_queue_pop_head (&kind->waiting)));
       g_array_append_val (kind->waits_ms, waited_ms);
-      simulation->busy_until_ms[at] = begins_ms + kind->takes_ms;
+      simulation->busy_until_ms[at] = begins_ms + kind->duration_ms;
       g_queue_push_tail (&simulation->ends_ms[at],
                          GUINT_TO_POINTER ((guint) simulation->busy_until_ms[at]));
       if (simulation->balancer != NULL)
         fb_advice_balancer_began (simulation->balancer, simulation->names->pdata[at],
-                                  kind->takes_ms, now_ms);
+                                  kind->duration_ms, now_ms);
     }
 }
 
-/* Simulates the requests of KINDS, the most urgent kind first. */
+/* Simulates the requests of KINDS, in order of decreasing urgency. */
 static void
-simulate_requests (Simulation *simulation, Kind *kinds, guint n)
+simulate_requests (Simulation *simulation, RequestKind *kinds, guint n)
 {
   g_autoptr (GRand) rand = g_rand_new_with_seed (7);
   for (uint64_t now_ms = 1; now_ms < SIMULATION_MS; now_ms++)
@@ -179,7 +180,7 @@
         {
           gboolean burst = now_ms >= 5000 && now_ms < 9000;
           if ((uint32_t) g_rand_int_range (rand, 0, 1000)
-              < (burst ? kinds[k].in_burst_s : kinds[k].per_s))
+              < (burst ? kinds[k].per_s_in_burst : kinds[k].per_s))
             g_queue_push_tail (&kinds[k].waiting, GUINT_TO_POINTER ((guint) now_ms));
           send_waiting (simulation, &kinds[k], now_ms);
         }
@@ -187,12 +188,12 @@
 }
 
 static void
-simulation_init (Simulation *simulation, gboolean shared)
+simulation_init (Simulation *simulation, gboolean balanced)
 {
   *simulation = (Simulation){ .names = g_ptr_array_new_with_free_func (g_free) };
   for (guint i = 0; i < DAEMON_N; i++)
     g_ptr_array_add (simulation->names, g_strdup_printf ("daemon-%u", i));
-  simulation->balancer = shared ? fb_advice_balancer_new () : NULL;
+  simulation->balancer = balanced ? fb_advice_balancer_new () : NULL;
 }
 
 static void
@@ -205,7 +206,7 @@
 }
 
 static void
-kinds_clear (Kind *kinds, guint n)
+kinds_clear (RequestKind *kinds, guint n)
 {
   for (guint i = 0; i < n; i++)
     {
@@ -215,26 +216,26 @@
 }
 
 /* Guards against: short requests wait behind long ones while other daemons are idle, and callers
- * who allow some 600 ms get late answers.  Short requests arrive at 2.3 times their rate for four
- * seconds, beside batches and gangs; a fixed split that reserves a third of the daemons for
- * requests under 100 ms is the reference. */
+ * that allow some 600 ms get late answers.  Short requests arrive at 2.3 times their rate for four
+ * seconds, together with batches and gangs.  The reference is a fixed split that reserves a third
+ * of the daemons for requests under 100 ms. */
 static void
 test_short_requests_in_a_burst (void)
 {
   uint32_t p95_ms[2];
   uint32_t gang_p95_ms[2];
-  for (guint shared = 0; shared < 2; shared++)
+  for (guint balanced = 0; balanced < 2; balanced++)
     {
-      Kind kinds[] = { { .takes_ms = 16, .per_s = 40, .in_burst_s = 92 },
-                       { .takes_ms = 89, .per_s = 15, .in_burst_s = 26 },
-                       { .takes_ms = 875, .per_s = 2, .in_burst_s = 3 } };
+      RequestKind kinds[] = { { .duration_ms = 16, .per_s = 40, .per_s_in_burst = 92 },
+                              { .duration_ms = 89, .per_s = 15, .per_s_in_burst = 26 },
+                              { .duration_ms = 875, .per_s = 2, .per_s_in_burst = 3 } };
       for (guint k = 0; k < G_N_ELEMENTS (kinds); k++)
         kinds[k].waits_ms = g_array_new (FALSE, FALSE, sizeof (uint32_t));
       Simulation simulation;
-      simulation_init (&simulation, shared == 1);
+      simulation_init (&simulation, balanced == 1);
       simulate_requests (&simulation, kinds, G_N_ELEMENTS (kinds));
-      p95_ms[shared] = wait_of (&kinds[0], 0.95);
-      gang_p95_ms[shared] = wait_of (&kinds[2], 0.95);
+      p95_ms[balanced] = wait_quantile (&kinds[0], 0.95);
+      gang_p95_ms[balanced] = wait_quantile (&kinds[2], 0.95);
       simulation_clear (&simulation);
       kinds_clear (kinds, G_N_ELEMENTS (kinds));
     }
@@ -246,7 +247,7 @@
   CU_ASSERT_TRUE (gang_p95_ms[1] <= gang_p95_ms[0] + 300);
 }
 
-/* Guards against: daemons stay reserved for short requests when only long ones arrive. */
+/* Guards against: daemons remain reserved for short requests when only long ones arrive. */
 static void
 test_reservation_expires (void)
 {
@@ -267,7 +268,7 @@
   simulation_clear (&simulation);
 }
 
-/* Of two daemons a long request leaves one to short requests; a single daemon serves all. */
+/* A long request leaves one of two daemons to short requests; a single daemon serves all. */
 static void
 test_few_daemons (void)
 {
@@ -280,114 +281,115 @@
   simulation_clear (&simulation);
 }
 
-/* ---- late turns of the loop -------------------------------------------------------- */
+/* ---- delayed iterations of the main loop -------------------------------------------- */
 
-#define TURN_MS 25
+#define PERIOD_MS 25
 
-/* Simulates turns in time from FROM_MS to UNTIL_MS.
+/* Simulates iterations without delay from FROM_MS to UNTIL_MS.
  * Returns: the time of the last one. */
 static uint64_t
-turns_in_time (FbLoopMonitor *watch, uint64_t from_ms, uint64_t until_ms)
+simulate_iterations (FbLoopMonitor *monitor, uint64_t from_ms, uint64_t until_ms)
 {
   FbLoopDelays delays;
   uint64_t now_ms = from_ms;
-  for (; now_ms + TURN_MS <= until_ms; now_ms += TURN_MS)
-    CU_ASSERT_FALSE (fb_loop_monitor_iteration (watch, now_ms + TURN_MS, &delays));
+  for (; now_ms + PERIOD_MS <= until_ms; now_ms += PERIOD_MS)
+    CU_ASSERT_FALSE (fb_loop_monitor_iteration (monitor, now_ms + PERIOD_MS, &delays));
   return now_ms;
 }
 
-/* Guards against: a daemon that processed a long list for 1.2 s joins the group too late, and its
- * log reports only that the pool was lost.  The late turn has to be reported with its delay. */
+/* Guards against: a daemon processes a long list for 1.2 s and joins the group too late, and its
+ * log reports only that the pool was lost.  The delayed iteration has to be reported with its
+ * delay. */
 static void
-test_a_late_turn_is_reported (void)
+test_delayed_iteration_is_reported (void)
 {
-  FbLoopMonitor *watch = fb_loop_monitor_new (TURN_MS, 1000);
+  FbLoopMonitor *monitor = fb_loop_monitor_new (PERIOD_MS, 1000);
   FbLoopDelays delays;
-  uint64_t now_ms = turns_in_time (watch, 1000, 3000);
-  CU_ASSERT_EQUAL (fb_loop_monitor_max_delay_ms (watch, now_ms), 0);
-  CU_ASSERT_FALSE (fb_loop_monitor_iteration (watch, now_ms + TURN_MS + 250, &delays));
-  now_ms += TURN_MS + 250;
-  CU_ASSERT_TRUE_FATAL (fb_loop_monitor_iteration (watch, now_ms + TURN_MS + 1200, &delays));
+  uint64_t now_ms = simulate_iterations (monitor, 1000, 3000);
+  CU_ASSERT_EQUAL (fb_loop_monitor_max_delay_ms (monitor, now_ms), 0);
+  CU_ASSERT_FALSE (fb_loop_monitor_iteration (monitor, now_ms + PERIOD_MS + 250, &delays));
+  now_ms += PERIOD_MS + 250;
+  CU_ASSERT_TRUE_FATAL (fb_loop_monitor_iteration (monitor, now_ms + PERIOD_MS + 1200, &delays));
   CU_ASSERT_EQUAL (delays.delay_ms, 1200);
   CU_ASSERT_EQUAL (delays.iterations_n, 1);
-  fb_loop_monitor_free (watch);
+  fb_loop_monitor_free (monitor);
 }
 
-/* A daemon that lacks processor time has late turns all the time: one report a second covers all of
- * them. */
+/* A daemon that lacks processor time has delayed iterations all the time; one report per second
+ * covers all of them. */
 static void
-test_late_turns_are_reported_once_a_second (void)
+test_delays_are_reported_once_a_second (void)
 {
   static const uint32_t delay_ms[] = { 300, 700, 260 };
-  FbLoopMonitor *watch = fb_loop_monitor_new (TURN_MS, 1000);
+  FbLoopMonitor *monitor = fb_loop_monitor_new (PERIOD_MS, 1000);
   uint64_t now_ms = 1000;
-  uint64_t told_ms = 0;
-  guint told_n = 0;
+  uint64_t reported_ms = 0;
+  guint reported_n = 0;
   guint iterations_n = 0;
   for (guint i = 0; i < 300; i++)
     {
       FbLoopDelays delays;
-      now_ms += TURN_MS + delay_ms[i % G_N_ELEMENTS (delay_ms)];
-      if (!fb_loop_monitor_iteration (watch, now_ms, &delays))
+      now_ms += PERIOD_MS + delay_ms[i % G_N_ELEMENTS (delay_ms)];
+      if (!fb_loop_monitor_iteration (monitor, now_ms, &delays))
         continue;
-      CU_ASSERT (told_ms == 0 || now_ms >= told_ms + 1000);
-      CU_ASSERT (told_ms == 0 || delays.delay_ms == 700);
-      told_ms = now_ms;
-      told_n++;
+      CU_ASSERT (reported_ms == 0 || now_ms >= reported_ms + 1000);
+      CU_ASSERT (reported_ms == 0 || delays.delay_ms == 700);
+      reported_ms = now_ms;
+      reported_n++;
       iterations_n += delays.iterations_n;
     }
-  CU_ASSERT (told_n > 60 && told_n <= (now_ms - 1000) / 1000 + 1);
+  CU_ASSERT (reported_n > 60 && reported_n <= (now_ms - 1000) / 1000 + 1);
   CU_ASSERT (iterations_n >= 298);
-  fb_loop_monitor_free (watch);
+  fb_loop_monitor_free (monitor);
 }
 
-/* When a pool is lost the largest delay of the last 2 s is logged, including a turn that is
- * overdue, as the event that loses the pool may be handled before that turn. */
+/* When a pool is lost, the largest delay of the last 2 s is logged, including that of an overdue
+ * iteration, because the event that loses the pool may be handled before that iteration. */
 static void
-test_the_latest_turn_is_kept (void)
+test_max_delay_covers_two_seconds (void)
 {
-  FbLoopMonitor *watch = fb_loop_monitor_new (TURN_MS, 1000);
+  FbLoopMonitor *monitor = fb_loop_monitor_new (PERIOD_MS, 1000);
   FbLoopDelays delays;
-  CU_ASSERT_EQUAL (fb_loop_monitor_max_delay_ms (watch, 1000 + TURN_MS + 900), 900);
-  CU_ASSERT_TRUE (fb_loop_monitor_iteration (watch, 1000 + TURN_MS + 1400, &delays));
-  uint64_t late_at_ms = 1000 + TURN_MS + 1400;
-  uint64_t now_ms = turns_in_time (watch, late_at_ms, late_at_ms + 2000);
-  CU_ASSERT_EQUAL (fb_loop_monitor_max_delay_ms (watch, now_ms), 1400);
-  now_ms = turns_in_time (watch, now_ms, late_at_ms + 2250 + TURN_MS);
-  CU_ASSERT_EQUAL (fb_loop_monitor_max_delay_ms (watch, now_ms), 0);
-  fb_loop_monitor_free (watch);
+  CU_ASSERT_EQUAL (fb_loop_monitor_max_delay_ms (monitor, 1000 + PERIOD_MS + 900), 900);
+  CU_ASSERT_TRUE (fb_loop_monitor_iteration (monitor, 1000 + PERIOD_MS + 1400, &delays));
+  uint64_t delayed_ms = 1000 + PERIOD_MS + 1400;
+  uint64_t now_ms = simulate_iterations (monitor, delayed_ms, delayed_ms + 2000);
+  CU_ASSERT_EQUAL (fb_loop_monitor_max_delay_ms (monitor, now_ms), 1400);
+  now_ms = simulate_iterations (monitor, now_ms, delayed_ms + 2250 + PERIOD_MS);
+  CU_ASSERT_EQUAL (fb_loop_monitor_max_delay_ms (monitor, now_ms), 0);
+  fb_loop_monitor_free (monitor);
 }
 
 /* ---- late joins ------------------------------------------------------------------- */
 
-/* Guards against: a daemon with a time to live of 1 s is busy with a take-over for 1.4 s, the group
- * reassigns the pool, and no log line names the late join as the cause. */
+/* Guards against: a daemon with a time to live of 1 s is busy with a takeover for 1.4 s, the group
+ * reassigns the pool, and no log line reports the late join as the cause. */
 static void
-test_a_late_join_is_reported (void)
+test_late_join_is_reported (void)
 {
-  FbJoinMonitor watch = { 0 };
-  fb_join_monitor_sent (&watch, 1000);
-  CU_ASSERT_FALSE (fb_join_monitor_answered (&watch, 1000, 1010));
-  fb_join_monitor_sent (&watch, 1260);
-  CU_ASSERT_FALSE (fb_join_monitor_answered (&watch, 1000, 2010));
-  CU_ASSERT_EQUAL (watch.gap_ms, 1000);
-  fb_join_monitor_sent (&watch, 3400);
-  CU_ASSERT_TRUE (fb_join_monitor_answered (&watch, 1000, 3410));
-  CU_ASSERT_EQUAL (watch.gap_ms, 1400);
-  CU_ASSERT_EQUAL (watch.sent_ms, 3400);
+  FbJoinMonitor monitor = { 0 };
+  fb_join_monitor_sent (&monitor, 1000);
+  CU_ASSERT_FALSE (fb_join_monitor_answered (&monitor, 1000, 1010));
+  fb_join_monitor_sent (&monitor, 1260);
+  CU_ASSERT_FALSE (fb_join_monitor_answered (&monitor, 1000, 2010));
+  CU_ASSERT_EQUAL (monitor.gap_ms, 1000);
+  fb_join_monitor_sent (&monitor, 3400);
+  CU_ASSERT_TRUE (fb_join_monitor_answered (&monitor, 1000, 3410));
+  CU_ASSERT_EQUAL (monitor.gap_ms, 1400);
+  CU_ASSERT_EQUAL (monitor.sent_ms, 3400);
 }
 
-/* A daemon that left the group itself and joins it again is not late. */
+/* A join after the daemon has left the group on its own is not late. */
 static void
-test_a_join_after_leaving_is_not_late (void)
+test_join_after_leaving_is_not_late (void)
 {
-  FbJoinMonitor watch = { 0 };
-  fb_join_monitor_sent (&watch, 1000);
-  CU_ASSERT_FALSE (fb_join_monitor_answered (&watch, 1000, 1010));
-  fb_join_monitor_left (&watch);
-  fb_join_monitor_sent (&watch, 60000);
-  CU_ASSERT_FALSE (fb_join_monitor_answered (&watch, 1000, 60010));
-  CU_ASSERT_EQUAL (watch.gap_ms, 0);
+  FbJoinMonitor monitor = { 0 };
+  fb_join_monitor_sent (&monitor, 1000);
+  CU_ASSERT_FALSE (fb_join_monitor_answered (&monitor, 1000, 1010));
+  fb_join_monitor_left (&monitor);
+  fb_join_monitor_sent (&monitor, 60000);
+  CU_ASSERT_FALSE (fb_join_monitor_answered (&monitor, 1000, 60010));
+  CU_ASSERT_EQUAL (monitor.gap_ms, 0);
 }
 
 /* ---- settings --------------------------------------------------------------------- */
@@ -413,8 +415,8 @@
   return settings;
 }
 
-/* Guards against: peers connect to the bound address of a host that is reached at another address.
- * The advertised address is used. */
+/* Guards against: peers connect to the bound address of a host that is reachable only at another
+ * address.  They have to use the advertised address. */
 static void
 test_peers_use_the_advertised_address (void)
 {
@@ -431,7 +433,7 @@
 }
 
 static void
-test_an_advertised_address_is_checked (void)
+test_advertised_address_is_validated (void)
 {
   CU_ASSERT_PTR_NULL (settings_with ("advertised-peers=192.0.2.7"));
   CU_ASSERT_PTR_NULL (settings_with ("advertised-peers=:33"));
@@ -446,19 +448,18 @@
     return 2;
   CU_pSuite suite = CU_add_suite ("entry", NULL, NULL);
   CU_add_test (suite, "neither pool starves", test_neither_pool_starves);
-  CU_add_test (suite, "a pool that stopped asking", test_a_pool_that_stopped_asking);
-  CU_add_test (suite, "idle time gives no claim", test_idle_time_gives_no_claim);
+  CU_add_test (suite, "pool without further requests", test_pool_without_further_requests);
+  CU_add_test (suite, "idle time gives no credit", test_idle_time_gives_no_credit);
   CU_add_test (suite, "short requests in a burst", test_short_requests_in_a_burst);
   CU_add_test (suite, "reservation expires", test_reservation_expires);
   CU_add_test (suite, "few daemons", test_few_daemons);
-  CU_add_test (suite, "a late turn is reported", test_a_late_turn_is_reported);
-  CU_add_test (suite, "late turns are reported once a second",
-               test_late_turns_are_reported_once_a_second);
-  CU_add_test (suite, "the latest turn is kept", test_the_latest_turn_is_kept);
-  CU_add_test (suite, "a late join is reported", test_a_late_join_is_reported);
-  CU_add_test (suite, "a join after leaving is not late", test_a_join_after_leaving_is_not_late);
+  CU_add_test (suite, "a delayed iteration is reported", test_delayed_iteration_is_reported);
+  CU_add_test (suite, "delays are reported once a second", test_delays_are_reported_once_a_second);
+  CU_add_test (suite, "the maximum delay covers two seconds", test_max_delay_covers_two_seconds);
+  CU_add_test (suite, "a late join is reported", test_late_join_is_reported);
+  CU_add_test (suite, "a join after leaving is not late", test_join_after_leaving_is_not_late);
   CU_add_test (suite, "peers use the advertised address", test_peers_use_the_advertised_address);
-  CU_add_test (suite, "an advertised address is checked", test_an_advertised_address_is_checked);
+  CU_add_test (suite, "an advertised address is validated", test_advertised_address_is_validated);
   CU_basic_run_tests ();
   unsigned failures = CU_get_number_of_failures ();
   CU_cleanup_registry ();
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -1,4 +1,4 @@
-/* The HTTP client, group memberships and topic readers against a store whose answers are slow or
+/* The HTTP client, group memberships and topic readers with a store whose answers are slow or
  * stop. */
 #include "suspended-clock.h"
 
@@ -24,7 +24,8 @@
   GBytes *body;
   GBytes *second_page; /* the second page of a listing; NULL: the listing has one page */
   guint chunks_n;
-  guint chunks_until_stop; /* chunks; then it sends nothing more and keeps the connection open */
+  guint chunks_until_stop; /* number of chunks after which it sends nothing more and keeps the
+                            * connection open */
   gint calls_n;            /* requests received; atomic */
   GThread *thread;
 } Server;
@@ -189,8 +190,7 @@
     }
 }
 
-/* Guards against: a daemon that was suspended sends an order after its caller has given the call
- * up. */
+/* Guards against: a daemon that was suspended sends an order whose call has already timed out. */
 static void
 test_call_past_its_deadline_is_not_sent (void)
 {
@@ -243,7 +243,7 @@
     }
 }
 
-/* Freeing a client with an open call leaves no timer or callback behind. */
+/* Freeing a client with an open call also removes its timers and callbacks. */
 static void
 test_client_freed_with_an_open_call (void)
 {
@@ -301,9 +301,8 @@
   fb_http_client_cancel (cancelling_client, user);
 }
 
-/* Guards against: the callback of a call cancels the calls of its user, as a topic reader does when
- * its listing is complete. The call was freed twice, and every daemon that took a pool over
- * crashed. */
+/* Guards against: a call is freed twice when its callback cancels the calls of the same user, as a
+ * topic reader does when its listing is complete. Every daemon that took over a pool crashed. */
 static void
 test_callback_cancels_its_calls (void)
 {
@@ -341,11 +340,11 @@
   fb_http_call_clear (&call);
 }
 
-/* Guards against: an owner works through a backlog, its membership renewals wait behind that work
- * for longer than the time to live, and the store assigns the pool to the next daemon, which has
- * the same backlog: the service made no progress for the rest of the day. Seen: 14 of 14 changes of
- * owner came 1.1 to 1.35 s after the previous owner's last join. The main loop is blocked here, and
- * the join has to be repeated all the same. */
+/* Guards against: an owner processes a backlog, its membership renewals are delayed for longer than
+ * the time to live, and the store assigns the pool to the next daemon, which has the same backlog.
+ * The service made no progress for the rest of the day; 14 of 14 changes of owner occurred 1.1 to
+ * 1.35 s after the previous owner's last join. Here the main loop is blocked, and the join has to
+ * be repeated nevertheless. */
 static void
 test_membership_is_renewed_while_the_loop_is_busy (void)
 {
@@ -357,18 +356,18 @@
   CU_ASSERT_TRUE (g_atomic_int_get (&server->calls_n) >= 2);
   CU_ASSERT_TRUE (fb_keepalive_renewed_ms (keepalive, FB_MEMBERSHIP_OWNERS) > started_ms);
   fb_keepalive_cancel (keepalive, FB_MEMBERSHIP_OWNERS);
-  g_usleep (TTL_MS * 1000 / 4); /* a renewal may have been in flight */
+  g_usleep (TTL_MS * 1000 / 4); /* a renewal may be in flight */
   gint calls_n = g_atomic_int_get (&server->calls_n);
   g_usleep (TTL_MS * 1000);
   CU_ASSERT_EQUAL (g_atomic_int_get (&server->calls_n), calls_n);
   fb_keepalive_free (keepalive);
 }
 
-/* When the time to live had passed before the first renewal, the store may have assigned the
- * partitions to another daemon and back, so the membership does not count as kept. A membership is
- * not renewed forever beside a main loop that hangs. */
+/* When the time to live has expired before the first renewal, the store may have assigned the
+ * partitions to another daemon and back, so the membership is not considered renewed. A membership
+ * is not renewed indefinitely while the main loop hangs. */
 static void
-test_expired_membership_is_not_kept (void)
+test_expired_membership_is_not_renewed (void)
 {
   Server *server = server_new (g_bytes_new_static ("{}", 2), 1, G_MAXUINT);
   FbKeepalive *keepalive = fb_keepalive_new ();
@@ -428,11 +427,11 @@
   return g_string_free_to_bytes (page);
 }
 
-/* Guards against: a listing is larger than the link can carry within the timeout. A new owner with
- * a link of 10 Mbit/s listed 372 jobs, a page of 0.7 MB that takes 0.6 s. It gave the page up after
- * 0.3 s ("status=timeout after_ms=305") and after 0.6 s ("after_ms=601"), and succeeded at the
- * third attempt ("bytes=718348 after_ms=718"): 2.2 s without starts, more than twice the time that
- * the store waits for a daemon, and longer with more jobs. One call has to be enough. */
+/* Guards against: a listing takes longer over the link than the timeout. A new owner with a link of
+ * 10 Mbit/s listed 372 jobs, a page of 0.7 MB that takes 0.6 s. It timed out after 0.3 s
+ * ("status=timeout after_ms=305") and after 0.6 s ("after_ms=601"), and succeeded at the third
+ * attempt ("bytes=718348 after_ms=718"). For 2.2 s nothing was started, more than twice the time to
+ * live of a membership, and longer with more jobs. One call has to be sufficient. */
 static void
 test_listing_over_a_slow_link (void)
 {
@@ -451,12 +450,12 @@
   fb_http_client_free (entry.store_client);
 }
 
-/* Guards against: an accepted job is reported as unknown. A new owner listed jobs in several pages;
- * the job was stored after the first page had been read, at a key that the first page had passed.
- * The owner considered its list as recent as the last page, and answered the caller before it had
- * read the changes since the first page. Seen: a job accepted at 9.259 s, a listing in three pages
- * until 9.416 s, and the answer "no such job" at 9.425 s. A listing is only as recent as its first
- * page. */
+/* Guards against: an accepted job is reported as unknown. A new owner listed jobs in several pages,
+ * and the job was stored after the first page had been read, at a key that the first page had
+ * passed. The owner considered its list as recent as the last page, and answered the caller before
+ * it had read the changes since the first page: a job was accepted at 9.259 s, the listing took
+ * three pages until 9.416 s, and "no such job" was answered at 9.425 s. A listing is only as recent
+ * as its first page. */
 static void
 test_listing_is_as_old_as_its_first_page (void)
 {
@@ -470,7 +469,7 @@
   while (!listing.listed && fb_clock_ms () < started_ms + TEST_TIMEOUT_MS)
     g_main_context_iteration (NULL, TRUE);
   CU_ASSERT_EQUAL (listing.records_n, 2 * JOB_N);
-  /* The time that the first page took to arrive. */
+  /* The time that the first page takes to arrive. */
   CU_ASSERT_TRUE (fb_topic_reader_synced_ms (reader)
                   < started_ms + LISTING_CHUNKS * CHUNK_INTERVAL_MS);
   fb_topic_reader_free (reader);
@@ -493,7 +492,8 @@
   CU_add_test (suite, "a callback cancels its calls", test_callback_cancels_its_calls);
   CU_add_test (suite, "membership is renewed while the loop is busy",
                test_membership_is_renewed_while_the_loop_is_busy);
-  CU_add_test (suite, "an expired membership is not kept", test_expired_membership_is_not_kept);
+  CU_add_test (suite, "an expired membership is not renewed",
+               test_expired_membership_is_not_renewed);
   CU_add_test (suite, "listing over a slow link", test_listing_over_a_slow_link);
   CU_add_test (suite, "listing is as old as its first page",
                test_listing_is_as_old_as_its_first_page);
--- a/tests/test-links.c
+++ b/tests/test-links.c
@@ -21,11 +21,12 @@
   guint answered_n;
   guint not_sent_n;
   guint lost_n;
-  char last[64];
+  char last_body[64];
 } Results;
 
 static guint served_n;
-static FbLinkCall *held_call; /* the call with the body "keep", which is not answered at once */
+static FbLinkCall
+    *unanswered_call; /* the call with the body "keep", which is not answered immediately */
 
 static void
 serve (gpointer user, FbLinkCall *call, gconstpointer body, gsize len)
@@ -34,7 +35,7 @@
   served_n++;
   if (len == 4 && memcmp (body, "keep", 4) == 0)
     {
-      held_call = call;
+      unanswered_call = call;
       return;
     }
   g_autoptr (GBytes) answer = g_bytes_new (body, len);
@@ -50,7 +51,8 @@
   results->not_sent_n += result == FB_LINK_NOT_SENT;
   results->lost_n += result == FB_LINK_LOST;
   if (result == FB_LINK_ANSWERED)
-    g_snprintf (results->last, sizeof results->last, "%.*s", (int) len, (const char *) body);
+    g_snprintf (results->last_body, sizeof results->last_body, "%.*s", (int) len,
+                (const char *) body);
 }
 
 static FbLinks *
@@ -69,7 +71,7 @@
 }
 
 static uint64_t
-boot_ms (void)
+boottime_ms (void)
 {
   struct timespec now;
   clock_gettime (CLOCK_BOOTTIME, &now);
@@ -79,7 +81,7 @@
 static gboolean
 on_check_timeouts (gpointer links)
 {
-  fb_links_check_timeouts (links, boot_ms ());
+  fb_links_check_timeouts (links, boottime_ms ());
   return G_SOURCE_CONTINUE;
 }
 
@@ -87,100 +89,100 @@
 static void
 run_until (FbLinks *links, const Results *results, guint n)
 {
-  guint tick = g_timeout_add (5, on_check_timeouts, links);
-  uint64_t until_ms = boot_ms () + LONG_TIMEOUT_MS;
-  while (results->done_n < n && boot_ms () < until_ms)
+  guint timer = g_timeout_add (5, on_check_timeouts, links);
+  uint64_t until_ms = boottime_ms () + LONG_TIMEOUT_MS;
+  while (results->done_n < n && boottime_ms () < until_ms)
     g_main_context_iteration (NULL, TRUE);
-  g_source_remove (tick);
+  g_source_remove (timer);
 }
 
 static void
 test_answers_go_to_their_calls (void)
 {
-  g_autofree char *here = test_unused_address ();
-  g_autofree char *there = test_unused_address ();
-  FbLinks *a = links_at (here);
-  FbLinks *b = links_at (there);
+  g_autofree char *own_address = test_unused_address ();
+  g_autofree char *peer_address = test_unused_address ();
+  FbLinks *a = links_at (own_address);
+  FbLinks *b = links_at (peer_address);
   Results first = { 0 };
   Results others = { 0 };
-  call (a, there, "keep", LONG_TIMEOUT_MS, &first);
+  call (a, peer_address, "keep", LONG_TIMEOUT_MS, &first);
   for (guint i = 0; i < 200; i++)
-    call (a, there, "other", LONG_TIMEOUT_MS, &others);
+    call (a, peer_address, "other", LONG_TIMEOUT_MS, &others);
   run_until (a, &others, 200);
   CU_ASSERT_EQUAL (others.answered_n, 200);
-  CU_ASSERT_STRING_EQUAL (others.last, "other");
+  CU_ASSERT_STRING_EQUAL (others.last_body, "other");
   CU_ASSERT_EQUAL (first.done_n, 0);
-  g_autoptr (GBytes) late = g_bytes_new_static ("late", 4);
-  fb_link_call_answer (held_call, late);
+  g_autoptr (GBytes) late_answer = g_bytes_new_static ("late", 4);
+  fb_link_call_answer (unanswered_call, late_answer);
   run_until (a, &first, 1);
-  CU_ASSERT_STRING_EQUAL (first.last, "late");
+  CU_ASSERT_STRING_EQUAL (first.last_body, "late");
   fb_links_free (a);
   fb_links_free (b);
 }
 
-/* A peer's process is dead and its host refuses the connection.  The caller must learn at once that
- * nothing was sent, so that it can do the work itself. */
+/* A peer's process does not run and its host refuses the connection.  The caller must be informed
+ * immediately that nothing was sent, so that it can do the work itself. */
 static void
 test_connection_refused (void)
 {
-  g_autofree char *here = test_unused_address ();
-  g_autofree char *there = test_unused_address ();
-  FbLinks *a = links_at (here);
+  g_autofree char *own_address = test_unused_address ();
+  g_autofree char *peer_address = test_unused_address ();
+  FbLinks *a = links_at (own_address);
   Results results = { 0 };
-  uint64_t began_ms = boot_ms ();
-  call (a, there, "x", LONG_TIMEOUT_MS, &results);
+  uint64_t began_ms = boottime_ms ();
+  call (a, peer_address, "x", LONG_TIMEOUT_MS, &results);
   run_until (a, &results, 1);
   CU_ASSERT_EQUAL (results.not_sent_n, 1);
-  CU_ASSERT_TRUE (boot_ms () < began_ms + LONG_TIMEOUT_MS / 2);
+  CU_ASSERT_TRUE (boottime_ms () < began_ms + LONG_TIMEOUT_MS / 2);
   fb_links_free (a);
 }
 
-/* A peer is killed after it has read calls.  They may have been executed, so they are lost, not
- * unsent.  The next call reaches its successor at the same address. */
+/* A peer is killed after it has read calls.  They may have been executed, so their result is lost,
+ * not unsent.  The next call reaches the new process at the same address. */
 static void
 test_peer_restarts (void)
 {
-  g_autofree char *here = test_unused_address ();
-  g_autofree char *there = test_unused_address ();
-  FbLinks *a = links_at (here);
-  FbLinks *b = links_at (there);
+  g_autofree char *own_address = test_unused_address ();
+  g_autofree char *peer_address = test_unused_address ();
+  FbLinks *a = links_at (own_address);
+  FbLinks *b = links_at (peer_address);
   Results results = { 0 };
   served_n = 0;
-  call (a, there, "keep", LONG_TIMEOUT_MS, &results);
-  uint64_t until_ms = boot_ms () + LONG_TIMEOUT_MS;
-  while (served_n == 0 && boot_ms () < until_ms)
+  call (a, peer_address, "keep", LONG_TIMEOUT_MS, &results);
+  uint64_t until_ms = boottime_ms () + LONG_TIMEOUT_MS;
+  while (served_n == 0 && boottime_ms () < until_ms)
     g_main_context_iteration (NULL, TRUE);
   fb_links_free (b);
   run_until (a, &results, 1);
   CU_ASSERT_EQUAL (results.lost_n, 1);
-  g_autoptr (GBytes) late = g_bytes_new_static ("late", 4);
-  fb_link_call_answer (held_call, late); /* its connection is closed */
-  b = links_at (there);
-  call (a, there, "again", LONG_TIMEOUT_MS, &results);
+  g_autoptr (GBytes) late_answer = g_bytes_new_static ("late", 4);
+  fb_link_call_answer (unanswered_call, late_answer); /* its connection is closed */
+  b = links_at (peer_address);
+  call (a, peer_address, "again", LONG_TIMEOUT_MS, &results);
   run_until (a, &results, 2);
   CU_ASSERT_EQUAL (results.answered_n, 1);
   fb_links_free (a);
   fb_links_free (b);
 }
 
-/* A connection goes silent: writes succeed and nothing is received.  The call with the first
- * expired time limit detects it, and the next call has to use a new connection. */
+/* A connection stops delivering data: writes succeed and nothing is received.  The first call that
+ * times out detects it, and the next call has to use a new connection. */
 static void
 test_silent_connection_is_closed (void)
 {
   uint16_t port = 0;
   int listener = test_socket_at (&port);
   CU_ASSERT_TRUE_FATAL (listener >= 0 && listen (listener, 8) == 0);
-  g_autofree char *here = test_unused_address ();
-  g_autofree char *there = g_strdup_printf ("127.0.0.1:%u", port);
-  FbLinks *a = links_at (here);
+  g_autofree char *own_address = test_unused_address ();
+  g_autofree char *peer_address = g_strdup_printf ("127.0.0.1:%u", port);
+  FbLinks *a = links_at (own_address);
   Results results = { 0 };
-  call (a, there, "x", SHORT_TIMEOUT_MS, &results);
-  call (a, there, "y", LONG_TIMEOUT_MS, &results);
+  call (a, peer_address, "x", SHORT_TIMEOUT_MS, &results);
+  call (a, peer_address, "y", LONG_TIMEOUT_MS, &results);
   int first = accept (listener, NULL, NULL);
   run_until (a, &results, 2);
   CU_ASSERT_EQUAL (results.lost_n, 2);
-  call (a, there, "z", SHORT_TIMEOUT_MS, &results);
+  call (a, peer_address, "z", SHORT_TIMEOUT_MS, &results);
   g_main_context_iteration (NULL, FALSE);
   int second = accept (listener, NULL, NULL);
   CU_ASSERT_TRUE (second >= 0 && second != first);
@@ -197,29 +199,28 @@
   CU_ASSERT_EQUAL (send (fd, frame, sizeof frame, 0), sizeof frame);
 }
 
-/* Guards against: a caller is told that its job is not stored, and the job runs.  A peer that was
- * asked to store it read slowly; the call's time limit passed before its bytes were written, the
- * call counted as not sent, and the bytes were written later.  A call whose bytes may still be
- * written is lost, not unsent.  Evidence: the bytes of a call that had timed out arrive at the
- * peer. */
+/* Guards against: a caller is informed that its job is not stored, and the job runs.  A peer that
+ * was requested to store it read slowly; the call timed out before its bytes were written and was
+ * reported as not sent, but the bytes were written later and reached the peer.  A call whose bytes
+ * may still be written is lost, not unsent. */
 static void
 test_timed_out_before_it_is_written (void)
 {
   uint16_t port = 0;
   int listener = test_socket_at (&port);
   CU_ASSERT_TRUE_FATAL (listener >= 0 && listen (listener, 8) == 0);
-  g_autofree char *here = test_unused_address ();
-  g_autofree char *there = g_strdup_printf ("127.0.0.1:%u", port);
+  g_autofree char *own_address = test_unused_address ();
+  g_autofree char *peer_address = g_strdup_printf ("127.0.0.1:%u", port);
   g_autofree char *large = g_strnfill (LARGE_BYTES, 'b');
-  FbLinks *a = links_at (here);
+  FbLinks *a = links_at (own_address);
   Results before = { 0 };
   Results results = { 0 };
   for (guint i = 0; i < 6; i++)
-    call (a, there, large, 10 * LONG_TIMEOUT_MS, &before);
+    call (a, peer_address, large, 10 * LONG_TIMEOUT_MS, &before);
   int peer = accept (listener, NULL, NULL);
   for (guint i = 0; i < 20; i++)
     g_main_context_iteration (NULL, FALSE);
-  call (a, there, "x", SHORT_TIMEOUT_MS, &results);
+  call (a, peer_address, "x", SHORT_TIMEOUT_MS, &results);
   g_usleep (SHORT_TIMEOUT_MS * 1000
             / 4); /* so that the peer's answer arrives after the call was sent */
   answer_first_call (peer);
@@ -233,23 +234,23 @@
   fb_links_free (a);
 }
 
-/* A client of another protocol connects to the port of the links: its connection is closed, and
+/* A client with another protocol connects to the port of the links: its connection is closed, and
  * peers are still served. */
 static void
-test_other_protocols_are_closed (void)
+test_other_protocols_are_rejected (void)
 {
-  g_autofree char *here = test_unused_address ();
-  g_autofree char *there = test_unused_address ();
-  FbLinks *a = links_at (here);
-  FbLinks *b = links_at (there);
+  g_autofree char *own_address = test_unused_address ();
+  g_autofree char *peer_address = test_unused_address ();
+  FbLinks *a = links_at (own_address);
+  FbLinks *b = links_at (peer_address);
   struct sockaddr_in address = { .sin_family = AF_INET };
   address.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
-  address.sin_port = htons ((uint16_t) atoi (strchr (there, ':') + 1));
+  address.sin_port = htons ((uint16_t) atoi (strchr (peer_address, ':') + 1));
   int fd = socket (AF_INET, SOCK_STREAM, 0);
   CU_ASSERT_EQUAL_FATAL (connect (fd, (struct sockaddr *) &address, sizeof address), 0);
   CU_ASSERT_EQUAL (send (fd, "GET / HTTP/1.1\r\n\r\n", 18, 0), 18);
   Results results = { 0 };
-  call (a, there, "x", LONG_TIMEOUT_MS, &results);
+  call (a, peer_address, "x", LONG_TIMEOUT_MS, &results);
   run_until (a, &results, 1);
   CU_ASSERT_EQUAL (results.answered_n, 1);
   char byte = 0;
@@ -259,27 +260,27 @@
   fb_links_free (b);
 }
 
-/* Guards against: a daemon that was suspended sends an order after the caller's time limit. */
+/* Guards against: a daemon that was suspended sends an order whose call has already timed out. */
 static void
-test_an_overdue_call_is_not_sent (void)
+test_expired_call_is_not_sent (void)
 {
-  g_autofree char *here = test_unused_address ();
-  g_autofree char *there = test_unused_address ();
-  FbLinks *a = links_at (here);
-  FbLinks *b = links_at (there);
+  g_autofree char *own_address = test_unused_address ();
+  g_autofree char *peer_address = test_unused_address ();
+  FbLinks *a = links_at (own_address);
+  FbLinks *b = links_at (peer_address);
   Results first = { 0 };
   Results results = { 0 };
-  call (a, there, "x", LONG_TIMEOUT_MS, &first);
+  call (a, peer_address, "x", LONG_TIMEOUT_MS, &first);
   run_until (a, &first, 1);
   guint served_before_n = served_n;
-  call (a, there, "y", SHORT_TIMEOUT_MS, &results);
+  call (a, peer_address, "y", SHORT_TIMEOUT_MS, &results);
   suspended_clock_add (1);
   run_until (a, &results, 1);
   CU_ASSERT_EQUAL (results.not_sent_n, 1);
-  Results last = { 0 };
-  call (a, there, "z", LONG_TIMEOUT_MS, &last);
-  run_until (a, &last, 1);
-  CU_ASSERT_EQUAL (last.answered_n, 1);
+  Results final_call = { 0 };
+  call (a, peer_address, "z", LONG_TIMEOUT_MS, &final_call);
+  run_until (a, &final_call, 1);
+  CU_ASSERT_EQUAL (final_call.answered_n, 1);
   CU_ASSERT_EQUAL (served_n, served_before_n + 1);
   fb_links_free (a);
   fb_links_free (b);
@@ -296,8 +297,8 @@
   CU_add_test (suite, "peer restarts", test_peer_restarts);
   CU_add_test (suite, "silent connection is closed", test_silent_connection_is_closed);
   CU_add_test (suite, "timed out before it is written", test_timed_out_before_it_is_written);
-  CU_add_test (suite, "an overdue call is not sent", test_an_overdue_call_is_not_sent);
-  CU_add_test (suite, "other protocols are closed", test_other_protocols_are_closed);
+  CU_add_test (suite, "an expired call is not sent", test_expired_call_is_not_sent);
+  CU_add_test (suite, "other protocols are rejected", test_other_protocols_are_rejected);
   CU_basic_run_tests ();
   unsigned failures = CU_get_number_of_failures ();
   CU_cleanup_registry ();
--- a/tests/test-recent-starts.c
+++ b/tests/test-recent-starts.c
@@ -1,4 +1,4 @@
-/* Recent starts that a daemon remembers for the next owner of a pool. */
+/* Recent starts that a daemon keeps for the next owner of a pool. */
 #include "src/entry/peers/recent-starts.h"
 
 #include <CUnit/Basic.h>
@@ -34,9 +34,9 @@
   fb_recent_starts_polled (self, "w1", &answer);
 }
 
-/* Guards against: a start on a crashed worker is forgotten when its owner is lost. */
+/* Guards against: a start on a crashed worker is lost together with its owner. */
 static void
-test_start_on_silent_worker (void)
+test_start_on_unresponsive_worker (void)
 {
   FbRecentStarts *self = fb_recent_starts_new ();
   fb_recent_start first = { .worker = "", .address = "", .task = "" };
@@ -53,7 +53,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: an unanswered start is reported as seen by the worker. */
+/* Guards against: an unanswered start is reported as confirmed by the worker. */
 static void
 test_unanswered_start (void)
 {
@@ -71,7 +71,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: a job is failed for runs that had ended, or never began, before the crash. */
+/* Guards against: a job fails because of runs that had ended, or never began, before the crash. */
 static void
 test_ended_start_is_not_reported (void)
 {
@@ -91,9 +91,9 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: a start that was seen expires before the next owner asks. */
+/* Guards against: a confirmed start expires before the next owner requests it. */
 static void
-test_seen_start_is_reported_longer (void)
+test_confirmed_start_is_reported_longer (void)
 {
   FbRecentStarts *self = fb_recent_starts_new ();
   fb_recent_start first = { .worker = "", .address = "", .task = "" };
@@ -108,10 +108,9 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: a run whose end was reported to another daemon is taken for one that still
- * runs. */
+/* Guards against: a run whose end was reported to another daemon is considered to be running. */
 static void
-test_unlisted_run_is_over (void)
+test_unlisted_run_has_ended (void)
 {
   FbRecentStarts *self = fb_recent_starts_new ();
   fb_recent_starts_sent (self, "w1", "a", TASK, 1, NOW_MS);
@@ -125,9 +124,9 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: starts that are over displace those that are not. */
+/* Guards against: starts whose runs have ended evict others. */
 static void
-test_ended_starts_displace_no_others (void)
+test_ended_starts_evict_no_others (void)
 {
   FbRecentStarts *self = fb_recent_starts_new ();
   fb_recent_starts_sent (self, "w1", "a", OTHER_TASK, 1, NOW_MS);
@@ -142,7 +141,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: remembered starts exhaust the memory of a daemon. */
+/* Guards against: recorded starts exhaust the memory of a daemon. */
 static void
 test_oldest_start_is_evicted (void)
 {
@@ -166,12 +165,13 @@
   if (CU_initialize_registry () != CUE_SUCCESS)
     return 2;
   CU_pSuite suite = CU_add_suite ("recent starts", NULL, NULL);
-  CU_add_test (suite, "a start on a silent worker", test_start_on_silent_worker);
+  CU_add_test (suite, "a start on an unresponsive worker", test_start_on_unresponsive_worker);
   CU_add_test (suite, "an unanswered start", test_unanswered_start);
   CU_add_test (suite, "an ended start is not reported", test_ended_start_is_not_reported);
-  CU_add_test (suite, "a seen start is reported longer", test_seen_start_is_reported_longer);
-  CU_add_test (suite, "an unlisted run is over", test_unlisted_run_is_over);
-  CU_add_test (suite, "ended starts displace no others", test_ended_starts_displace_no_others);
+  CU_add_test (suite, "a confirmed start is reported longer",
+               test_confirmed_start_is_reported_longer);
+  CU_add_test (suite, "an unlisted run has ended", test_unlisted_run_has_ended);
+  CU_add_test (suite, "ended starts evict no others", test_ended_starts_evict_no_others);
   CU_add_test (suite, "the oldest start is evicted", test_oldest_start_is_evicted);
   CU_basic_run_tests ();
   unsigned failures = CU_get_number_of_failures ();
--- a/tests/test-relay.c
+++ b/tests/test-relay.c
@@ -1,5 +1,5 @@
-/* Orders that other daemons relay over slow links: which payloads are sent, and how link
- * utilization is reported. */
+/* Orders that other daemons relay over slow links: which payloads are sent, and how the utilization
+ * of the link is reported. */
 #include "test-ports.h"
 
 #include "internal/codec.h"
@@ -52,8 +52,10 @@
           g_autofree char *task = g_strdup_printf ("%016x.0.0.%u", job, i);
           g_autofree char *worker = g_strdup_printf ("i-%08x", (job * 31 + i) * 2654435761U);
           g_autofree char *domain = g_strdup_printf ("z%u", (job + i) % DOMAIN_N);
-          gboolean link_full = fb_payload_dedup_link_is_constrained (dedup, PAYLOAD_BYTES, now_ms);
-          g_autofree char *key = link_full ? fb_payload_dedup_relay_key (task) : g_strdup (worker);
+          gboolean is_constrained
+              = fb_payload_dedup_link_is_constrained (dedup, PAYLOAD_BYTES, now_ms);
+          g_autofree char *key
+              = is_constrained ? fb_payload_dedup_relay_key (task) : g_strdup (worker);
           const FbDaemon *daemon = fb_relay_choose (daemons, domain, key, "", now_ms);
           if (!fb_payload_dedup_check_sent (dedup, daemon->address, &digest, now_ms))
             sent_bytes += PAYLOAD_BYTES;
@@ -63,23 +65,24 @@
   return sent_bytes;
 }
 
-/* Guards against: payloads fill the owner's link of 2 Mbit/s, one with each of 160 starts a second,
- * and the renewals of its membership wait in it for longer than its time to live.  It showed as
- * three owners that took the pool from each other each 3 s, long-running tasks that did not run and
- * seven of ten checks dropped, while no processor was busy.  Evidence: 2.2 of 2.7 Mbit/s sent were
- * payloads; the target is half of the link, the rest is for traffic that must not wait. */
+/* Guards against: payloads saturate the owner's link of 2 Mbit/s, one with each of 160 starts a
+ * second, and the renewals of its membership are queued for longer than its time to live.  Three
+ * owners took over the pool from each other each 3 s, long-running tasks did not run and seven of
+ * ten checks were dropped, while no processor was busy; 2.2 of 2.7 Mbit/s sent were payloads.
+ * Payloads may use half of the link; the rest is for traffic that must not be delayed. */
 static void
 test_payloads_leave_half_of_a_slow_link (void)
 {
-  uint64_t each_bytes = (uint64_t) SIMULATION_S * JOBS_PER_S * TASKS_PER_JOB * PAYLOAD_BYTES;
-  CU_ASSERT_TRUE (each_bytes * 8 / SIMULATION_S / 1000 > 1000);
+  uint64_t undeduplicated_bytes
+      = (uint64_t) SIMULATION_S * JOBS_PER_S * TASKS_PER_JOB * PAYLOAD_BYTES;
+  CU_ASSERT_TRUE (undeduplicated_bytes * 8 / SIMULATION_S / 1000 > 1000);
   CU_ASSERT_TRUE (simulate_starts (2000) * 8 / SIMULATION_S / 1000 < 1000);
 }
 
-/* On a fast link the starts of a job are spread by worker, as relaying each start costs a daemon
- * processor time. */
+/* On a fast link the starts of a job are distributed by worker, because relaying each start costs a
+ * daemon processor time. */
 static void
-test_a_fast_link_spreads_the_work (void)
+test_fast_link_distributes_by_worker (void)
 {
   CU_ASSERT_TRUE (simulate_starts (200000) > 2 * simulate_starts (2000));
   CU_ASSERT_EQUAL (simulate_starts (200000), simulate_starts (0));
@@ -87,7 +90,7 @@
 
 /* ---- payload cache -------------------------------------------------------------------- */
 
-/* Guards against: payloads of a busy day fill the memory of a daemon.  The oldest are evicted. */
+/* Guards against: cached payloads exhaust the memory of a daemon.  The oldest are evicted. */
 static void
 test_the_oldest_payload_is_evicted (void)
 {
@@ -112,7 +115,7 @@
 {
   FbEntry entry;
   guint with_payload_n; /* starts received with their payload */
-  guint by_digest_n;    /* starts received with its digest only */
+  guint by_digest_n;    /* starts received with only the digest */
   guint missing_n;
 } Relay;
 
@@ -184,18 +187,18 @@
                                    .ticket = "" };
   guint before_n = results->done_n;
   fb_relay_send (entry, address, &order, on_relayed, results);
-  guint tend = g_timeout_add (10, on_check_timeouts, entry->links);
+  guint timer = g_timeout_add (10, on_check_timeouts, entry->links);
   while (results->done_n == before_n)
     g_main_context_iteration (NULL, TRUE);
-  g_source_remove (tend);
+  g_source_remove (timer);
 }
 
-/* A relay was killed and restarted while an owner assumes that it has cached a payload: it replies
- * that a start naming the payload was not executed, and gets the start again with the payload.
- * Guards against: the task starts 0.3 s later at the earliest, and again for each start until the
- * owner's record expires. */
+/* Guards against: an owner assumes that a relay has cached a payload, but the relay was killed and
+ * restarted; the task starts at least 0.3 s later, and the same happens for each start until the
+ * owner's record expires.  The relay has to reply that a start with only a digest was not executed,
+ * and gets the start again with the payload. */
 static void
-test_a_restarted_relay_gets_the_payload_again (void)
+test_restarted_relay_gets_the_payload_again (void)
 {
   g_autofree char *payload = g_strdup_printf ("%0*u", PAYLOAD_BYTES, 7U);
   g_autofree char *address = test_unused_address ();
@@ -230,39 +233,39 @@
 
 /* ---- reports of link utilization ------------------------------------------------------- */
 
-/* Guards against: the owner's link is full while its processor is idle, and no log line says so.
- * The report names the kind of traffic. */
+/* Guards against: the owner's link is saturated while its processor is idle, and no log line
+ * reports it.  The report contains the kind of traffic with the highest rate. */
 static void
-test_a_busy_link_is_reported (void)
+test_busy_link_is_reported (void)
 {
-  FbLinkMonitor *watch = fb_link_monitor_new (2000, 1000);
+  FbLinkMonitor *monitor = fb_link_monitor_new (2000, 1000);
   FbTrafficTotals totals = { 0 };
   FbLinkUtilization sent;
   FbLinkUtilization received;
   totals.sent_bytes[FB_TRAFFIC_GROUP] = 1000;
   totals.sent_bytes[FB_TRAFFIC_RELAYED_ORDERS] = 200000;
-  CU_ASSERT_FALSE (fb_link_monitor_sample (watch, &totals, 3000, &sent, &received));
+  CU_ASSERT_FALSE (fb_link_monitor_sample (monitor, &totals, 3000, &sent, &received));
   totals.sent_bytes[FB_TRAFFIC_GROUP] += 1000;
   totals.sent_bytes[FB_TRAFFIC_RELAYED_ORDERS] += 300000;
-  CU_ASSERT_TRUE (fb_link_monitor_sample (watch, &totals, 5000, &sent, &received));
+  CU_ASSERT_TRUE (fb_link_monitor_sample (monitor, &totals, 5000, &sent, &received));
   CU_ASSERT_EQUAL (sent.kbit_s, 1204);
   CU_ASSERT_EQUAL (sent.busiest, FB_TRAFFIC_RELAYED_ORDERS);
   CU_ASSERT_EQUAL (sent.busiest_kbit_s, 1200);
   CU_ASSERT_EQUAL (received.kbit_s, 0);
-  CU_ASSERT_FALSE (fb_link_monitor_sample (watch, &totals, 7000, &sent, &received));
-  fb_link_monitor_free (watch);
+  CU_ASSERT_FALSE (fb_link_monitor_sample (monitor, &totals, 7000, &sent, &received));
+  fb_link_monitor_free (monitor);
 }
 
 /* A link of unknown capacity is never reported as busy. */
 static void
 test_a_link_of_unknown_capacity (void)
 {
-  FbLinkMonitor *watch = fb_link_monitor_new (0, 1000);
+  FbLinkMonitor *monitor = fb_link_monitor_new (0, 1000);
   FbTrafficTotals totals = { .sent_bytes = { 1000000 } };
   FbLinkUtilization sent;
   FbLinkUtilization received;
-  CU_ASSERT_FALSE (fb_link_monitor_sample (watch, &totals, 3000, &sent, &received));
-  fb_link_monitor_free (watch);
+  CU_ASSERT_FALSE (fb_link_monitor_sample (monitor, &totals, 3000, &sent, &received));
+  fb_link_monitor_free (monitor);
 }
 
 int
@@ -270,14 +273,14 @@
 {
   if (CU_initialize_registry () != CUE_SUCCESS)
     return 2;
-  CU_pSuite suite = CU_add_suite ("carry", NULL, NULL);
+  CU_pSuite suite = CU_add_suite ("relay", NULL, NULL);
   CU_add_test (suite, "payloads leave half of a slow link",
                test_payloads_leave_half_of_a_slow_link);
-  CU_add_test (suite, "a fast link spreads the work", test_a_fast_link_spreads_the_work);
+  CU_add_test (suite, "a fast link distributes by worker", test_fast_link_distributes_by_worker);
   CU_add_test (suite, "the oldest payload is evicted", test_the_oldest_payload_is_evicted);
   CU_add_test (suite, "a restarted relay gets the payload again",
-               test_a_restarted_relay_gets_the_payload_again);
-  CU_add_test (suite, "a busy link is reported", test_a_busy_link_is_reported);
+               test_restarted_relay_gets_the_payload_again);
+  CU_add_test (suite, "a busy link is reported", test_busy_link_is_reported);
   CU_add_test (suite, "a link of unknown capacity", test_a_link_of_unknown_capacity);
   CU_basic_run_tests ();
   unsigned failures = CU_get_number_of_failures ();
--- a/tests/test-signals.c
+++ b/tests/test-signals.c
@@ -15,7 +15,7 @@
 
 #define TEST_TIMEOUT_MS 20000
 
-/* Signal that the daemon sends to itself when it first loads its settings; 0: none. */
+/* Signal that the daemon sends to itself when it loads its settings for the first time; 0: none. */
 static int early_signal;
 
 FbEntrySettings *__real_fb_entry_settings_load (const char *path);
@@ -54,8 +54,8 @@
   return path;
 }
 
-/* Returns: the process id of a daemon that receives SIGNAL while it starts; its log is read from
- * *LOG_FD. */
+/* Returns: the process id of a daemon that receives SIGNAL while it starts.  Its log can be read
+ * from *LOG_FD. */
 static pid_t
 start_daemon (char *settings_path, int signal, int *log_fd)
 {
--- a/tests/test-slow-store.c
+++ b/tests/test-slow-store.c
@@ -1,12 +1,12 @@
-/* A simulation of callers' jobs while the store is slow: daemons that commit in groups, and a
- * partition that processes one append after the other.
+/* Simulation of callers' jobs while the store is slow: daemons with group commit, and a partition
+ * that processes one append after the other.
  *
- * Guards against: 133 of 149 jobs submitted within two seconds got no answer in time, and clients
- * may not retry them, while workers were idle. The store's answers took 50 times as long at the
- * moment of a burst; each of 33 daemons appended its callers' records by itself, and the queue of
- * the partition grew beyond the callers' timeout. A daemon considered the store slow only after one
- * of its own appends had been taken, and none was. Seen: 504 for 214 attempts, and 249 past the
- * deadline, between 9.6 and 13.8 s of such a run. */
+ * Guards against: 133 of 149 jobs submitted within two seconds get no answer in time, and clients
+ * may not retry them, while workers are idle. The store's answers took 50 times as long at the
+ * beginning of a burst; each of 33 daemons appended its own callers' records, and the queue of the
+ * partition exceeded the callers' timeout. A daemon considered the store slow only after one of its
+ * own appends was stored, and none was. Measured between 9.6 and 13.8 s of such a run: status 504
+ * for 214 attempts, and 249 attempts past their deadline. */
 #include "src/entry/front/append-proxy.h"
 #include "src/entry/store/store-health.h"
 
@@ -20,32 +20,32 @@
 #define JOB_N 480
 #define PARTITION 8
 
-/* The store: 2 ms per append and 4 ms per answer, 50 times as long while it is slow. It refuses an
- * append that would wait longer than 2 s. */
+/* The store takes 2 ms for each append and 4 ms for each answer, and 50 times as long while it is
+ * slow. It refuses an append that would wait longer than 2 s. */
 #define APPEND_MS 2
 #define ANSWER_MS 4
 #define SLOWDOWN 50
-#define QUEUE_MS 2000
+#define QUEUE_MAX_MS 2000
 #define SLOW_FROM_MS 2000
 #define SLOW_UNTIL_MS 6000
-#define RENEW_EVERY_MS 600
+#define RENEWAL_INTERVAL_MS 600
 
-/* How long a caller waits. */
-#define CALLER_MS 2600
+/* Time for which a caller waits. */
+#define CALLER_TIMEOUT_MS 2600
 
 typedef enum
 {
-  JOB_WAITS, /* queued at the appender of a daemon */
-  JOB_SENT,  /* in an append */
+  JOB_QUEUED, /* queued at the appender of a daemon */
+  JOB_SENT,   /* in an append */
   JOB_ENDED
 } JobState;
 
 typedef struct
 {
   uint64_t submitted_ms;
-  uint64_t until_ms; /* the current route is abandoned at this time */
+  uint64_t timeout_at_ms; /* the current route is abandoned at this time */
   guint front;
-  guint at; /* index of the daemon whose appender has it */
+  guint appender; /* index of the daemon whose appender has it */
   JobState state;
   gboolean stored;
   GPtrArray *tried;
@@ -54,7 +54,7 @@
 typedef struct
 {
   FbStoreHealth health;
-  uint64_t append_ends_ms; /* 0: none is in flight */
+  uint64_t append_ends_ms; /* end time of the append in flight; 0: none */
   uint64_t append_began_ms;
   gboolean append_refused;
 } Daemon;
@@ -66,7 +66,7 @@
   Daemon daemons[DAEMON_MAX];
   Job jobs[JOB_N];
   uint64_t queue_until_ms; /* end of the partition's queue */
-  gboolean uses_health;    /* daemons also learn from renewals and failures, and use a proxy */
+  gboolean uses_health;    /* daemons also use renewals and failures, and append through proxies */
 } Simulation;
 
 static gboolean
@@ -76,22 +76,23 @@
 }
 
 static uint64_t
-times (uint64_t ms, uint64_t now_ms)
+slowed (uint64_t ms, uint64_t now_ms)
 {
   return is_slow (now_ms) ? ms * SLOWDOWN : ms;
 }
 
 static void
-local_append_ended (Simulation *simulation, const Job *job, gboolean taken, uint64_t now_ms)
+local_append_ended (Simulation *simulation, const Job *job, gboolean stored, uint64_t now_ms)
 {
   FbStoreHealth *health = &simulation->daemons[job->front].health;
-  if (taken || simulation->uses_health)
-    fb_store_health_appended (health, taken, TRUE, (uint32_t) (now_ms - job->submitted_ms), now_ms);
+  if (stored || simulation->uses_health)
+    fb_store_health_appended (health, stored, TRUE, (uint32_t) (now_ms - job->submitted_ms),
+                              now_ms);
 }
 
-/* Takes the next route for JOB: through a proxy daemon, or from its own front end. */
+/* Selects the next route for JOB: through a proxy, or from the daemon that received it. */
 static void
-take_route (Simulation *simulation, Job *job, uint64_t now_ms)
+select_route (Simulation *simulation, Job *job, uint64_t now_ms)
 {
   const FbDaemon *own = simulation->members->pdata[job->front];
   const FbStoreHealth *health = &simulation->daemons[job->front].health;
@@ -103,28 +104,28 @@
   FbAppendRoute route = { .step = FB_APPEND_ROUTE_LOCAL };
   if (simulation->uses_health || fb_append_proxy_store_is_degraded (health, now_ms))
     route = fb_append_proxy_route (&record, health, simulation->members, now_ms);
-  job->at = job->front;
-  job->until_ms = job->submitted_ms + CALLER_MS;
-  job->state = route.step != FB_APPEND_ROUTE_GIVE_UP ? JOB_WAITS : JOB_ENDED;
+  job->appender = job->front;
+  job->timeout_at_ms = job->submitted_ms + CALLER_TIMEOUT_MS;
+  job->state = route.step != FB_APPEND_ROUTE_GIVE_UP ? JOB_QUEUED : JOB_ENDED;
   if (route.step != FB_APPEND_ROUTE_PROXY)
     return;
   g_ptr_array_add (job->tried, g_strdup (route.address));
-  job->at = (guint) atoi (route.address + strlen ("10.0.0."));
-  job->until_ms = now_ms + route.timeout_ms;
+  job->appender = (guint) atoi (route.address + strlen ("10.0.0."));
+  job->timeout_at_ms = now_ms + route.timeout_ms;
 }
 
-/* Puts the append of DAEMON into the partition's queue, a second time if the daemon gave it up: the
- * earlier one stays queued. */
+/* Adds the append of DAEMON to the partition's queue, once more if the previous one has timed out
+ * and remains queued. */
 static void
 queue_append (Simulation *simulation, Daemon *daemon, uint64_t now_ms)
 {
   uint64_t begins_ms = MAX (simulation->queue_until_ms, now_ms);
   daemon->append_began_ms = now_ms;
-  daemon->append_refused = begins_ms > now_ms + QUEUE_MS;
+  daemon->append_refused = begins_ms > now_ms + QUEUE_MAX_MS;
   if (!daemon->append_refused)
-    simulation->queue_until_ms = begins_ms + times (APPEND_MS, now_ms);
+    simulation->queue_until_ms = begins_ms + slowed (APPEND_MS, now_ms);
   daemon->append_ends_ms
-      = (daemon->append_refused ? now_ms : simulation->queue_until_ms) + times (ANSWER_MS, now_ms);
+      = (daemon->append_refused ? now_ms : simulation->queue_until_ms) + slowed (ANSWER_MS, now_ms);
 }
 
 static uint32_t
@@ -142,11 +143,11 @@
   for (guint j = 0; j < JOB_N; j++)
     {
       Job *job = &simulation->jobs[j];
-      if (job->state != JOB_SENT || job->at != i)
+      if (job->state != JOB_SENT || job->appender != i)
         continue;
       job->state = JOB_ENDED;
-      job->stored = !daemon->append_refused && now_ms <= job->submitted_ms + CALLER_MS;
-      if (job->at == job->front)
+      job->stored = !daemon->append_refused && now_ms <= job->submitted_ms + CALLER_TIMEOUT_MS;
+      if (job->appender == job->front)
         local_append_ended (simulation, job, !daemon->append_refused, now_ms);
     }
 }
@@ -159,7 +160,7 @@
   for (guint j = 0; j < JOB_N; j++)
     {
       Job *job = &simulation->jobs[j];
-      if (job->state != JOB_WAITS || job->at != i || job->submitted_ms > now_ms)
+      if (job->state != JOB_QUEUED || job->appender != i || job->submitted_ms > now_ms)
         continue;
       job->state = JOB_SENT;
       n++;
@@ -169,20 +170,20 @@
   queue_append (simulation, daemon, now_ms);
 }
 
-/* Jobs whose route has timed out take the next one. The record may be stored all the same, but the
- * caller is not told in time. */
+/* Jobs whose route has timed out use the next one. The record may be stored all the same, but the
+ * caller is not informed in time. */
 static void
 expire_routes (Simulation *simulation, uint64_t now_ms)
 {
   for (guint j = 0; j < JOB_N; j++)
     {
       Job *job = &simulation->jobs[j];
-      if (job->state == JOB_ENDED || now_ms < job->until_ms || job->submitted_ms > now_ms)
+      if (job->state == JOB_ENDED || now_ms < job->timeout_at_ms || job->submitted_ms > now_ms)
         continue;
-      gboolean own = job->at == job->front;
+      gboolean own = job->appender == job->front;
       if (!own)
         {
-          take_route (simulation, job, now_ms);
+          select_route (simulation, job, now_ms);
           continue;
         }
       local_append_ended (simulation, job, FALSE, now_ms);
@@ -196,14 +197,14 @@
   for (guint j = 0; j < JOB_N; j++)
     {
       if (simulation->jobs[j].submitted_ms == now_ms)
-        take_route (simulation, &simulation->jobs[j], now_ms);
+        select_route (simulation, &simulation->jobs[j], now_ms);
     }
   for (guint i = 0; i < simulation->daemons_n; i++)
     {
       Daemon *daemon = &simulation->daemons[i];
       if (simulation->uses_health
-          && now_ms % RENEW_EVERY_MS == i * RENEW_EVERY_MS / simulation->daemons_n)
-        fb_store_health_renewed (&daemon->health, (uint32_t) times (ANSWER_MS, now_ms));
+          && now_ms % RENEWAL_INTERVAL_MS == i * RENEWAL_INTERVAL_MS / simulation->daemons_n)
+        fb_store_health_renewed (&daemon->health, (uint32_t) slowed (ANSWER_MS, now_ms));
       if (daemon->append_ends_ms != 0 && now_ms >= daemon->append_ends_ms)
         end_append (simulation, i, now_ms);
       if (daemon->append_ends_ms == 0)
@@ -240,25 +241,25 @@
                              .uses_health = uses_health };
   for (guint j = 0; j < JOB_N; j++)
     simulation.jobs[j] = (Job){ .submitted_ms = j * 1000 / JOBS_PER_S,
-                                .until_ms = G_MAXUINT64,
+                                .timeout_at_ms = G_MAXUINT64,
                                 .front = j * 2654435761U % 4294967295U % daemons_n,
                                 .tried = g_ptr_array_new_with_free_func (g_free) };
   for (uint64_t now_ms = 0; now_ms < 12000; now_ms++)
     simulation_tick (&simulation, now_ms);
-  guint asked_n = 0;
+  guint submitted_n = 0;
   guint stored_n = 0;
   for (guint j = 0; j < JOB_N; j++)
     {
-      asked_n += is_slow (simulation.jobs[j].submitted_ms);
+      submitted_n += is_slow (simulation.jobs[j].submitted_ms);
       stored_n += is_slow (simulation.jobs[j].submitted_ms) && simulation.jobs[j].stored;
       g_ptr_array_unref (simulation.jobs[j].tried);
     }
   g_ptr_array_unref (simulation.members);
-  return stored_n * 100 / asked_n;
+  return stored_n * 100 / submitted_n;
 }
 
-/* 90 % of callers are answered while the store is slow, whatever the number of daemons. The rest is
- * the time that a few daemons need to notice it. */
+/* 90 % of the callers are answered while the store is slow, with any number of daemons. The rest
+ * corresponds to the time until a few daemons detect that the store is slow. */
 static void
 test_callers_are_answered_by_a_slow_store (void)
 {
@@ -267,9 +268,10 @@
     {
       guint before = simulate (sizes[i], FALSE);
       guint after = simulate (sizes[i], TRUE);
-      printf ("%u daemons: stored in time while the store is slow: %u of 100, %u where each appends"
-              " by itself and learns from that only\n",
-              sizes[i], after, before);
+      printf (
+          "%u daemons: stored in time while the store is slow: %u of 100, %u if each appends its"
+          " own records and uses only their latency\n",
+          sizes[i], after, before);
       CU_ASSERT_TRUE (after >= 90);
       CU_ASSERT_TRUE (after >= before);
     }
@@ -277,7 +279,7 @@
 
 /* ---- choice of the append proxy ---------------------------------------------------- */
 
-/* Returns: the proxy that FRONT chooses; there has to be one. */
+/* Returns: the proxy that FRONT chooses; fails the test if there is none. */
 static const char *
 proxy_for (const GPtrArray *members, const char *owner, const char *front, const GPtrArray *tried,
            uint64_t now_ms)
@@ -287,9 +289,9 @@
   return address != NULL ? address : "";
 }
 
-/* With few daemons all choose the owner, and without an owner all choose the same other daemon. */
+/* With few daemons all choose the owner, or without an owner the same other daemon. */
 static void
-test_all_choose_alike_without_an_owner (void)
+test_all_choose_the_same_proxy (void)
 {
   g_autoptr (GPtrArray) members = make_members (7);
   g_autoptr (GPtrArray) tried = g_ptr_array_new ();
@@ -305,8 +307,8 @@
   CU_ASSERT_PTR_NULL (fb_append_proxy_choose (nobody, NULL, "10.0.0.1:7", tried, PARTITION, 1000));
 }
 
-/* With many daemons at most four append for all. When one of them cannot reach the store, those
- * that chose it agree on the next. */
+/* With many daemons at most four append for all. When one of them cannot reach the store, the
+ * daemons that chose it all choose the same next one. */
 static void
 test_few_append_for_many (void)
 {
@@ -332,7 +334,7 @@
   CU_ASSERT_STRING_EQUAL (proxy_for (members, NULL, front->address, tried, 2000), first);
 }
 
-/* Returns: the proxy that the front end of RECORD chooses; there has to be one. */
+/* Returns: the proxy that the receiver of RECORD chooses; fails the test if there is none. */
 static const char *
 proxy_of (const GPtrArray *members, const FbAppendProxyRecord *record, uint64_t now_ms)
 {
@@ -344,7 +346,7 @@
 
 /* ---- route of a record -------------------------------------------------------------- */
 
-/* Returns: the route of a record that 10.0.0.1 accepted at 1000. */
+/* Returns: the route of a record that 10.0.0.1 received at 1000. */
 static FbAppendRoute
 route_of (const GPtrArray *members, const FbStoreHealth *health, const GPtrArray *tried,
           uint64_t now_ms)
@@ -357,8 +359,9 @@
   return fb_append_proxy_route (&record, health, members, now_ms);
 }
 
-/* With few daemons and a fast store each daemon stores its callers' records itself. After a failed
- * call the owner is asked, then a proxy that all choose, and then the record is stored locally. */
+/* With few daemons and a fast store each daemon appends its callers' records itself. After a failed
+ * call the owner is tried, then a proxy that all daemons choose alike, and then the record is
+ * appended locally. */
 static void
 test_failed_store_is_bypassed (void)
 {
@@ -379,8 +382,8 @@
   CU_ASSERT_EQUAL (route_of (members, &health, tried, 1800).step, FB_APPEND_ROUTE_LOCAL);
 }
 
-/* A slow store gets nearly all of the caller's time on one route, and no second append: a record
- * that is not stored by then is given up. */
+/* While the store is slow, one route gets nearly all of the caller's time, and no second append is
+ * sent: a record that is not stored by then is refused. */
 static void
 test_slow_store_gets_one_append (void)
 {
@@ -398,8 +401,8 @@
   CU_ASSERT_EQUAL (route_of (members, &health, tried, 2500).step, FB_APPEND_ROUTE_GIVE_UP);
 }
 
-/* Many daemons always use one of the four proxies; a daemon that is the chosen one stores its
- * records itself. */
+/* Many daemons always use one of the four proxies; a daemon that is chosen itself appends
+ * locally. */
 static void
 test_many_daemons_always_use_a_proxy (void)
 {
@@ -423,10 +426,10 @@
   CU_ASSERT_TRUE (self_n > 0);
 }
 
-/* Guards against: each caller's record is tried first at a store that has been refusing this daemon
+/* Guards against: each caller's record is first sent to a store that has been refusing this daemon
  * for seconds. A store that answers again is used again. */
 static void
-test_a_failed_append_counts_for_a_second (void)
+test_failed_append_is_recent_for_a_second (void)
 {
   FbStoreHealth health = { 0 };
   CU_ASSERT_FALSE (fb_store_health_has_failed (&health, 1000));
@@ -449,13 +452,13 @@
   CU_pSuite suite = CU_add_suite ("slow store", NULL, NULL);
   CU_add_test (suite, "callers are answered by a slow store",
                test_callers_are_answered_by_a_slow_store);
-  CU_add_test (suite, "all choose alike without an owner", test_all_choose_alike_without_an_owner);
+  CU_add_test (suite, "all choose the same proxy", test_all_choose_the_same_proxy);
   CU_add_test (suite, "few append for many", test_few_append_for_many);
   CU_add_test (suite, "a failed store is bypassed", test_failed_store_is_bypassed);
   CU_add_test (suite, "a slow store gets one append", test_slow_store_gets_one_append);
   CU_add_test (suite, "many daemons always use a proxy", test_many_daemons_always_use_a_proxy);
-  CU_add_test (suite, "a failed append counts for a second",
-               test_a_failed_append_counts_for_a_second);
+  CU_add_test (suite, "a failed append is recent for a second",
+               test_failed_append_is_recent_for_a_second);
   CU_basic_run_tests ();
   unsigned failures = CU_get_number_of_failures ();
   CU_cleanup_registry ();
--- a/tests/test-suspect-backups.c
+++ b/tests/test-suspect-backups.c
@@ -1,15 +1,15 @@
-/* Suspected tasks that a daemon keeps for owners whose store accepts no writes. */
+/* Copies of crash suspects that a daemon holds for owners that cannot write to the store. */
 #include "src/entry/peers/suspect-backups.h"
 
 #include <CUnit/Basic.h>
 
 #define NOW_MS 100000
 #define JOB "00000000000000c1"
-#define TOO_OLD_MS 60000
+#define MAX_AGE_MS 60000
 
-/* Passes in a copy of JOB with N suspected tasks. */
+/* Adds a copy of JOB with N suspected tasks. */
 static void
-pass_copy (FbSuspectBackups *self, const char *job, uint64_t epoch, u_int n, uint64_t now_ms)
+put_copy (FbSuspectBackups *self, const char *job, uint64_t epoch, u_int n, uint64_t now_ms)
 {
   fb_work_suspect tasks[] = { { .step = 1 }, { .step = 2 } };
   const fb_suspects_backup backup
@@ -30,28 +30,28 @@
   return n;
 }
 
-/* Guards against: suspicions that an owner could not store are lost with the owner. */
+/* Guards against: crash suspects that an owner could not store are lost together with the owner. */
 static void
 test_copy_is_reported (void)
 {
   FbSuspectBackups *self = fb_suspect_backups_new ();
-  pass_copy (self, JOB, 3, 1, NOW_MS);
+  put_copy (self, JOB, 3, 1, NOW_MS);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS), 1);
-  pass_copy (self, JOB, 3, 2, NOW_MS);
+  put_copy (self, JOB, 3, 2, NOW_MS);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS), 2);
   fb_suspect_backups_free (self);
 }
 
-/* Guards against: a crash is counted for a task again after the task was cleared of it. */
+/* Guards against: a crash is attributed to a task again after the task was cleared of it. */
 static void
 test_stored_copy_is_dropped (void)
 {
   FbSuspectBackups *self = fb_suspect_backups_new ();
-  pass_copy (self, JOB, 3, 2, NOW_MS);
-  pass_copy (self, JOB, 4, 0, NOW_MS);
+  put_copy (self, JOB, 3, 2, NOW_MS);
+  put_copy (self, JOB, 4, 0, NOW_MS);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS), 0);
-  pass_copy (self, JOB, 4, 2, NOW_MS);
-  CU_ASSERT_EQUAL (reported_n (self, NOW_MS + TOO_OLD_MS), 0);
+  put_copy (self, JOB, 4, 2, NOW_MS);
+  CU_ASSERT_EQUAL (reported_n (self, NOW_MS + MAX_AGE_MS), 0);
   fb_suspect_backups_free (self);
 }
 
@@ -60,8 +60,8 @@
 test_replaced_owner_is_ignored (void)
 {
   FbSuspectBackups *self = fb_suspect_backups_new ();
-  pass_copy (self, JOB, 4, 2, NOW_MS);
-  pass_copy (self, JOB, 3, 0, NOW_MS);
+  put_copy (self, JOB, 4, 2, NOW_MS);
+  put_copy (self, JOB, 3, 0, NOW_MS);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS), 2);
   fb_suspect_backups_free (self);
 }
@@ -74,7 +74,7 @@
   for (guint i = 0; i < 2 * FB_WORK_MAX_SUSPECT_BACKUPS; i++)
     {
       g_autofree char *job = g_strdup_printf ("%016x", i);
-      pass_copy (self, job, 3, 1, NOW_MS);
+      put_copy (self, job, 3, 1, NOW_MS);
     }
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS), FB_WORK_MAX_SUSPECT_BACKUPS);
   fb_suspect_backups_free (self);
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -1,4 +1,4 @@
-/* Encoding and decoding of the platform's messages, as tables of cases. */
+/* Encoding and decoding of the platform's messages, as table-driven tests. */
 #include "fb-status.h"
 #include "platform/wire.h"
 #include "src/work/spec.h"
@@ -9,7 +9,7 @@
 /* ---- jobs of callers ---------------------------------------------------- */
 
 static gboolean
-job_is_accepted (const char *text)
+is_valid_job (const char *text)
 {
   fb_work_spec spec;
   if (!fb_wire_parse_job_spec (text, strlen (text), &spec))
@@ -57,7 +57,7 @@
   };
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
-      gboolean ok = job_is_accepted (cases[i].text);
+      gboolean ok = is_valid_job (cases[i].text);
       if (ok != cases[i].ok)
         printf ("\ncase %u: %s\n", i, cases[i].text);
       CU_ASSERT_EQUAL (ok, cases[i].ok);
@@ -73,8 +73,8 @@
   g_autofree char *longer = g_strnfill (FB_WORK_MAX_PAYLOAD + 1, 'x');
   g_autofree char *a = g_strdup_printf ("{\"spec\":\"%s\",\"phases\":[{\"count\":1}]}", longest);
   g_autofree char *b = g_strdup_printf ("{\"spec\":\"%s\",\"phases\":[{\"count\":1}]}", longer);
-  CU_ASSERT_TRUE (job_is_accepted (a));
-  CU_ASSERT_FALSE (job_is_accepted (b));
+  CU_ASSERT_TRUE (is_valid_job (a));
+  CU_ASSERT_FALSE (is_valid_job (b));
 }
 
 static void
@@ -157,7 +157,8 @@
   };
 }
 
-/* Which answers of the store prove that a record is not stored, and which leave that open. */
+/* Tests which answers of the store prove that a record is not stored, and which leave the outcome
+ * unknown. */
 static void
 test_append_results (void)
 {
@@ -213,7 +214,8 @@
   g_autoptr (GBytes) value = g_bytes_new ("value", 5);
   fb_wire_encode_record (page, "key", value);
   fb_wire_encode_record (page, "dropped", NULL);
-  /* A record that is cut off at the end of a page is not returned; the next page begins with it. */
+  /* A record that is truncated at the end of a page is not returned; the next page begins with
+   * it. */
   static const guint8 cut[] = { 0, 0, 0, 9, 3, 'a' };
   g_byte_array_append (page, cut, sizeof cut);
   g_autoptr (GBytes) body = g_byte_array_free_to_bytes (page);
@@ -272,7 +274,7 @@
   CU_ASSERT_EQUAL (fb_wire_parse_order_result (&refused, &clock_ms), FB_ORDER_NO_LISTENER);
 }
 
-/* Guards against: a malformed answer is taken for an empty list, as if nothing ran on the
+/* Guards against: a malformed answer is interpreted as an empty list, as if nothing ran on the
  * worker. */
 static void
 test_poll_answers (void)
@@ -310,14 +312,14 @@
 }
 
 /* Guards against: a worker that restarted under the same id answers a call to its previous
- * incarnation, and its answer is taken for that of the previous one. */
+ * incarnation, and the answer is attributed to the previous one. */
 static void
 test_answers_of_other_incarnations (void)
 {
   static const struct
   {
     const char *requested;
-    const char *started_member;
+    const char *start_time_member;
     FbOrderResult result;
     const char *incarnation;
   } cases[] = { { "i-1@7", ",\"born\":7", FB_ORDER_DONE, NULL },
@@ -329,7 +331,7 @@
     {
       g_autofree char *text
           = g_strdup_printf ("{\"clock-ms\":5,\"running\":[[\"t\",2,\"\",41]],\"finished\":[]%s}",
-                             cases[i].started_member);
+                             cases[i].start_time_member);
       g_autoptr (GBytes) body = g_bytes_new (text, strlen (text));
       FbHttpReply reply = reply_of (200, body);
       FbPollAnswer answer;
@@ -340,7 +342,7 @@
     }
 }
 
-/* Guards against: a worker whose id contains the separator is called by a part of its id. */
+/* Guards against: a worker whose id contains the separator is addressed by a part of its id. */
 static void
 test_names_of_incarnations (void)
 {
@@ -366,7 +368,7 @@
   CU_ASSERT_FALSE (fb_wire_incarnation_is_newer ("i-1", "i-1@77"));
 }
 
-/* Calls carry the worker's id, whichever incarnation they are for. */
+/* Calls contain the worker's id, regardless of the incarnation they are addressed to. */
 static void
 test_calls_carry_the_worker_id (void)
 {
@@ -395,8 +397,8 @@
   CU_ASSERT_EQUAL (worker->entry.gpu_count, 8);
   CU_ASSERT_STRING_EQUAL (worker->entry.id, "i-1");
   fb_listed_worker_free (worker);
-  g_autofree char *started_member = g_strdup_printf ("{\"born\":1767225600123,%s", text + 1);
-  g_autoptr (GBytes) with_start = g_bytes_new (started_member, strlen (started_member));
+  g_autofree char *start_time_member = g_strdup_printf ("{\"born\":1767225600123,%s", text + 1);
+  g_autoptr (GBytes) with_start = g_bytes_new (start_time_member, strlen (start_time_member));
   worker = fb_wire_parse_worker ("i-1", with_start);
   CU_ASSERT_PTR_NOT_NULL (worker);
   if (worker == NULL)
@@ -408,9 +410,9 @@
   CU_ASSERT_PTR_NULL (fb_wire_parse_worker ("i-1", bad));
 }
 
-/* Guards against: another program writes entries among those of the workers. An unknown state was
- * taken for "ready" and a missing capacity for 0, and tasks were sent to an address that is no
- * worker. */
+/* Guards against: another program writes records among the worker entries. An unknown state was
+ * interpreted as "ready" and a missing capacity as 0, and tasks were sent to an address that is not
+ * a worker. */
 static void
 test_entries_of_other_writers (void)
 {
@@ -419,37 +421,42 @@
     const char *entry;
     gboolean is_worker;
   } cases[] = {
-#define ROOM "\"capacity\":{\"cpu\":16000,\"mem-mb\":32768,\"gpu\":0}"
-#define WHO "\"service\":\"s\",\"address\":\"10.0.0.9:80\""
-    { "{" WHO ",\"state\":\"ready\"," ROOM ",\"labels\":[\"a\",\"r1\"]}", TRUE },
-    { "{" WHO ",\"state\":\"ready\"," ROOM "}", TRUE },
-    { "{" WHO ",\"state\":\"ready\"," ROOM ",\"of another\":{\"x\":[1]}}", TRUE },
-    { "{" WHO "," ROOM "}", FALSE },
-    { "{" WHO ",\"state\":\"warming\"," ROOM "}", FALSE },
-    { "{" WHO ",\"state\":1," ROOM "}", FALSE },
-    { "{" WHO ",\"state\":null," ROOM "}", FALSE },
-    { "{" WHO ",\"state\":\"ready\"}", FALSE },
-    { "{" WHO ",\"state\":\"ready\",\"capacity\":16000}", FALSE },
-    { "{" WHO ",\"state\":\"ready\"," ROOM ",\"born\":\"7\"}", FALSE },
-    { "{" WHO ",\"state\":\"ready\",\"capacity\":{\"cpu\":\"16000\",\"mem-mb\":1}}", FALSE },
-    { "{" WHO ",\"state\":\"ready\",\"capacity\":{\"cpu\":-1,\"mem-mb\":1}}", FALSE },
-    { "{" WHO ",\"state\":\"ready\",\"capacity\":{\"cpu\":1e12,\"mem-mb\":1}}", FALSE },
-    { "{" WHO ",\"state\":\"ready\",\"capacity\":{\"mem-mb\":1}}", FALSE },
-    { "{" WHO ",\"state\":\"ready\"," ROOM ",\"labels\":\"a\"}", FALSE },
-    { "{" WHO ",\"state\":\"ready\"," ROOM ",\"labels\":[1,2]}", FALSE },
-    { "{\"service\":\"s\",\"state\":\"ready\"," ROOM "}", FALSE },
-    { "{\"service\":\"s\",\"address\":7,\"state\":\"ready\"," ROOM "}", FALSE },
-    { "{\"service\":\"s\",\"address\":\"somewhere\",\"state\":\"ready\"," ROOM "}", FALSE },
-    { "{\"service\":\"s\",\"address\":\"10.0.0.9\",\"state\":\"ready\"," ROOM "}", FALSE },
-    { "{\"address\":\"10.0.0.9:80\",\"state\":\"ready\"," ROOM "}", FALSE },
-    { "{\"service\":[],\"address\":\"10.0.0.9:80\",\"state\":\"ready\"," ROOM "}", FALSE },
+#define CAPACITY "\"capacity\":{\"cpu\":16000,\"mem-mb\":32768,\"gpu\":0}"
+#define SERVICE_AND_ADDRESS "\"service\":\"s\",\"address\":\"10.0.0.9:80\""
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"ready\"," CAPACITY ",\"labels\":[\"a\",\"r1\"]}",
+      TRUE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"ready\"," CAPACITY "}", TRUE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"ready\"," CAPACITY ",\"of another\":{\"x\":[1]}}",
+      TRUE },
+    { "{" SERVICE_AND_ADDRESS "," CAPACITY "}", FALSE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"warming\"," CAPACITY "}", FALSE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":1," CAPACITY "}", FALSE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":null," CAPACITY "}", FALSE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"ready\"}", FALSE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"ready\",\"capacity\":16000}", FALSE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"ready\"," CAPACITY ",\"born\":\"7\"}", FALSE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"ready\",\"capacity\":{\"cpu\":\"16000\",\"mem-mb\":1}}",
+      FALSE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"ready\",\"capacity\":{\"cpu\":-1,\"mem-mb\":1}}",
+      FALSE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"ready\",\"capacity\":{\"cpu\":1e12,\"mem-mb\":1}}",
+      FALSE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"ready\",\"capacity\":{\"mem-mb\":1}}", FALSE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"ready\"," CAPACITY ",\"labels\":\"a\"}", FALSE },
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"ready\"," CAPACITY ",\"labels\":[1,2]}", FALSE },
+    { "{\"service\":\"s\",\"state\":\"ready\"," CAPACITY "}", FALSE },
+    { "{\"service\":\"s\",\"address\":7,\"state\":\"ready\"," CAPACITY "}", FALSE },
+    { "{\"service\":\"s\",\"address\":\"somewhere\",\"state\":\"ready\"," CAPACITY "}", FALSE },
+    { "{\"service\":\"s\",\"address\":\"10.0.0.9\",\"state\":\"ready\"," CAPACITY "}", FALSE },
+    { "{\"address\":\"10.0.0.9:80\",\"state\":\"ready\"," CAPACITY "}", FALSE },
+    { "{\"service\":[],\"address\":\"10.0.0.9:80\",\"state\":\"ready\"," CAPACITY "}", FALSE },
     { "{}", FALSE },
     { "null", FALSE },
     { "", FALSE },
     { "\xff\xfe\x00\x01", FALSE },
-    { "{" WHO ",\"state\":\"ready\"," ROOM, FALSE },
-#undef ROOM
-#undef WHO
+    { "{" SERVICE_AND_ADDRESS ",\"state\":\"ready\"," CAPACITY, FALSE },
+#undef CAPACITY
+#undef SERVICE_AND_ADDRESS
   };
   for (guint i = 0; i < G_N_ELEMENTS (cases); i++)
     {
@@ -463,8 +470,8 @@
     }
 }
 
-/* Entries are changed and cut at random: each gives a worker with an address and a capacity above
- * 0, or none. */
+/* Entries are modified and truncated at random: each yields either a worker with an address and a
+ * capacity above 0, or none. */
 static void
 test_entries_at_random (void)
 {
--- a/tests/test-worker-list.c
+++ b/tests/test-worker-list.c
@@ -1,11 +1,11 @@
-/* Which incarnation of a worker is listed. */
+/* Tests which incarnation of a worker is listed. */
 #include "src/entry/store/worker-list.h"
 
 #include "fb-event.h"
 
 #include <CUnit/Basic.h>
 
-/* Returns: an entry of worker i-1; BORN_MS of 0: without a start time. */
+/* Returns: an entry of worker i-1.  INCARNATION_STARTED_MS: 0 for an entry without a start time. */
 static FbListedWorker *
 entry_of (uint64_t incarnation_started_ms)
 {
@@ -16,9 +16,10 @@
   return worker;
 }
 
-/* Returns: FALSE when the entry is ignored. */
+/* Applies an entry.
+ * Returns: FALSE when it is ignored. */
 static gboolean
-take (FbWorkerList *self, uint64_t incarnation_started_ms)
+apply_entry (FbWorkerList *self, uint64_t incarnation_started_ms)
 {
   FbListedWorker *worker = entry_of (incarnation_started_ms);
   if (fb_worker_list_is_outdated (self, worker))
@@ -35,21 +36,22 @@
 list_of (uint64_t incarnation_started_ms)
 {
   FbWorkerList *self = fb_worker_list_new ();
-  CU_ASSERT_TRUE (take (self, incarnation_started_ms));
+  CU_ASSERT_TRUE (apply_entry (self, incarnation_started_ms));
   return self;
 }
 
-/* Guards against: a late write of the previous incarnation unlists a worker that has restarted. */
+/* Guards against: a delayed write of the previous incarnation removes a worker that has
+ * restarted. */
 static void
 test_a_late_entry_of_the_previous_incarnation (void)
 {
   FbWorkerList *self = list_of (7);
-  CU_ASSERT_TRUE (take (self, 8));
-  CU_ASSERT_FALSE (take (self, 7));
+  CU_ASSERT_TRUE (apply_entry (self, 8));
+  CU_ASSERT_FALSE (apply_entry (self, 7));
   CU_ASSERT_STRING_EQUAL (fb_worker_list_by_id (self, "i-1")->entry.id, "i-1@8");
   CU_ASSERT_PTR_NULL (fb_worker_list_by_incarnation (self, "i-1@7"));
-  CU_ASSERT_TRUE (take (self, 8));
-  CU_ASSERT_FALSE (take (self, 7));
+  CU_ASSERT_TRUE (apply_entry (self, 8));
+  CU_ASSERT_FALSE (apply_entry (self, 7));
   fb_worker_list_free (self);
 }
 
@@ -58,23 +60,24 @@
 test_an_earlier_start_time_that_is_repeated (void)
 {
   FbWorkerList *self = list_of (8);
-  CU_ASSERT_FALSE (take (self, 7));
-  CU_ASSERT_TRUE (take (self, 7));
+  CU_ASSERT_FALSE (apply_entry (self, 7));
+  CU_ASSERT_TRUE (apply_entry (self, 7));
   CU_ASSERT_STRING_EQUAL (fb_worker_list_by_id (self, "i-1")->entry.id, "i-1@7");
   fb_worker_list_free (self);
 }
 
-/* Guards against: an entry without a start time, of another writer, replaces one that has it. */
+/* Guards against: an entry without a start time, from another writer, replaces one with a start
+ * time. */
 static void
 test_an_entry_without_a_start_time (void)
 {
   FbWorkerList *self = list_of (7);
-  CU_ASSERT_FALSE (take (self, 0));
-  CU_ASSERT_FALSE (take (self, 0));
+  CU_ASSERT_FALSE (apply_entry (self, 0));
+  CU_ASSERT_FALSE (apply_entry (self, 0));
   fb_worker_list_free (self);
   self = list_of (0);
-  CU_ASSERT_TRUE (take (self, 0));
-  CU_ASSERT_TRUE (take (self, 7));
+  CU_ASSERT_TRUE (apply_entry (self, 0));
+  CU_ASSERT_TRUE (apply_entry (self, 7));
   CU_ASSERT_STRING_EQUAL (fb_worker_list_by_id (self, "i-1")->entry.id, "i-1@7");
   fb_worker_list_free (self);
 }
