--- a/src/entry/advice/advisor.c
+++ b/src/entry/advice/advisor.c
@@ -27,7 +27,7 @@
 
 struct _FbAdvisor
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   FbFairShare *fair_share;      /* sharing among requests that reserve no daemons */
   FbFairShare *long_fair_share; /* sharing among requests that leave daemons to shorter ones */
   FbAdviceBalancer *balancer;
@@ -36,7 +36,7 @@
 
 typedef struct
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   uint32_t partition;
   char *daemon;
   char *step;
@@ -248,7 +248,7 @@
 }
 
 void
-fb_advisor_call (FbEntry *entry, const fb_advice_request *peer_request, FbPeerReplyDone done,
+fb_advisor_call (FbEntryDaemon *entry, const fb_advice_request *peer_request, FbPeerReplyDone done,
                  gpointer user)
 {
   FbAdvisor *self = entry->advisor;
@@ -264,7 +264,7 @@
 }
 
 FbAdvisor *
-fb_advisor_new (FbEntry *entry)
+fb_advisor_new (FbEntryDaemon *entry)
 {
   FbAdvisor *self = g_new0 (FbAdvisor, 1);
   self->entry = entry;
--- a/src/entry/entry-private.h
+++ b/src/entry/entry-private.h
@@ -38,7 +38,7 @@
 
 /* ---- daemon state ------------------------------------------------------ */
 
-struct _FbEntry
+struct _FbEntryDaemon
 {
   FbEntrySettings *settings;
   const char *settings_path;
@@ -77,30 +77,30 @@
   gboolean store_degraded;    /* last logged state; see fb_append_proxy_store_is_degraded() */
 };
 
-uint32_t fb_entry_partition_of (const FbEntry *self, const char *service);
-FbOwner *fb_entry_owner (const FbEntry *self, uint32_t partition);
-FbAppender *fb_entry_appender (FbEntry *self, uint32_t partition);
+uint32_t fb_entry_partition_of (const FbEntryDaemon *self, const char *service);
+FbOwner *fb_entry_owner (const FbEntryDaemon *self, uint32_t partition);
+FbAppender *fb_entry_appender (FbEntryDaemon *self, uint32_t partition);
 /* Sets the partitions that this daemon owns.  New ones are taken over with an epoch of the group's
  * GENERATION.  WHY: logged as the reason for partitions that are no longer owned. */
-void fb_entry_set_owned_partitions (FbEntry *self, const GArray *partitions, uint64_t generation,
-                                    const char *why);
-void fb_entry_release_partition (FbEntry *self, uint32_t partition);
-void fb_entry_foreach_owner (FbEntry *self, void (*func) (FbOwner *owner));
+void fb_entry_set_owned_partitions (FbEntryDaemon *self, const GArray *partitions,
+                                    uint64_t generation, const char *why);
+void fb_entry_release_partition (FbEntryDaemon *self, uint32_t partition);
+void fb_entry_foreach_owner (FbEntryDaemon *self, void (*func) (FbOwner *owner));
 /* Starts reading the configuration, and the periodic release of partitions whose ownership was
  * lost. */
-void fb_entry_start_watching (FbEntry *self);
+void fb_entry_start_watching (FbEntryDaemon *self);
 /* Returns: (transfer full): ages of the last joins and the largest main loop delay, for log lines
  * about a lost partition. */
-char *fb_entry_format_timing (const FbEntry *self);
+char *fb_entry_format_timing (const FbEntryDaemon *self);
 /* To be called when the store has answered a join of the owners' group; TTL_MS is this daemon's
  * time to live in the group. */
-void fb_entry_join_answered (FbEntry *self, uint32_t ttl_ms);
+void fb_entry_join_answered (FbEntryDaemon *self, uint32_t ttl_ms);
 /* To be called with the REPLY to a membership renewal that was sent at SENT_MS: updates
  * store_health. */
-void fb_entry_membership_renewed (FbEntry *self, const FbHttpReply *reply, uint64_t sent_ms);
+void fb_entry_membership_renewed (FbEntryDaemon *self, const FbHttpReply *reply, uint64_t sent_ms);
 /* To be called with the REPLY to a call of the store: records whether the store serves. */
-void fb_entry_store_answered (FbEntry *self, const FbHttpReply *reply);
+void fb_entry_store_answered (FbEntryDaemon *self, const FbHttpReply *reply);
 /* Returns: TRUE when the store has not answered for so long that a call would probably time out;
  * callers are then refused before anything is sent. */
-gboolean fb_entry_store_is_silent (const FbEntry *self);
-gboolean fb_entry_is_ready (const FbEntry *self);
+gboolean fb_entry_store_is_silent (const FbEntryDaemon *self);
+gboolean fb_entry_is_ready (const FbEntryDaemon *self);
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -45,7 +45,7 @@
 
 typedef struct
 {
-  FbEntry entry;
+  FbEntryDaemon entry;
   GMainLoop *loop;
   SoupServer *callers;
   SoupServer *internal;
@@ -119,7 +119,7 @@
 /* ---- settings --------------------------------------------------------------------- */
 
 static void
-reload (FbEntry *self, const char *why)
+reload (FbEntryDaemon *self, const char *why)
 {
   FbEntrySettings *settings = fb_entry_settings_load (self->settings_path);
   if (settings == NULL)
@@ -154,7 +154,7 @@
 {
   (void) now_ms;
   static char *last;
-  FbEntry *self = data;
+  FbEntryDaemon *self = data;
   g_autofree char *text = NULL;
   if (!g_file_get_contents (self->settings_path, &text, NULL, NULL))
     return;
@@ -169,7 +169,7 @@
 static gboolean
 on_timer (gpointer data)
 {
-  FbEntry *self = data;
+  FbEntryDaemon *self = data;
   uint64_t now_ms = fb_clock_ms ();
   FbLoopDelays delays;
   if (fb_loop_monitor_iteration (self->loop, now_ms, &delays))
@@ -187,7 +187,7 @@
 }
 
 static gboolean
-all_owners_flushed (const FbEntry *self)
+all_owners_flushed (const FbEntryDaemon *self)
 {
   GHashTableIter iter;
   gpointer owner;
@@ -204,7 +204,7 @@
 on_stop_step (gpointer data)
 {
   Daemon *self = data;
-  FbEntry *entry = &self->entry;
+  FbEntryDaemon *entry = &self->entry;
   uint64_t now_ms = fb_clock_ms ();
   uint64_t spent_ms = now_ms - self->stop_began_ms;
   if (!self->leave_requested && (all_owners_flushed (entry) || spent_ms > STOP_FLUSH_MS))
@@ -245,7 +245,7 @@
 static void
 check_link_utilization (gpointer data, uint64_t now_ms)
 {
-  FbEntry *self = data;
+  FbEntryDaemon *self = data;
   FbTrafficTotals totals;
   FbLinkUtilization sent;
   FbLinkUtilization received;
@@ -263,11 +263,11 @@
 static void
 check_link_timeouts (gpointer data, uint64_t now_ms)
 {
-  fb_links_check_timeouts (((FbEntry *) data)->links, now_ms);
+  fb_links_check_timeouts (((FbEntryDaemon *) data)->links, now_ms);
 }
 
 static void
-start_components (FbEntry *self)
+start_components (FbEntryDaemon *self)
 {
   self->store_ok_ms = fb_clock_ms ();
   self->timer = fb_timer_new (self->store_ok_ms);
--- a/src/entry/front/front-private.h
+++ b/src/entry/front/front-private.h
@@ -8,7 +8,7 @@
 /* One HTTP request of a caller; talloc context of all its data. */
 typedef struct
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   SoupServerMessage *message;
   char *job;
   char *queue;
--- a/src/entry/front/front-store.c
+++ b/src/entry/front/front-store.c
@@ -144,7 +144,7 @@
 }
 
 static void
-log_store_health_change (FbEntry *entry, uint64_t now_ms)
+log_store_health_change (FbEntryDaemon *entry, uint64_t now_ms)
 {
   const FbStoreHealth *store_health = &entry->store_health;
   gboolean store_degraded = fb_append_proxy_store_is_degraded (store_health, now_ms);
@@ -182,7 +182,7 @@
 static void
 store_by_proxy (FbFrontRequest *request)
 {
-  FbEntry *entry = request->entry;
+  FbEntryDaemon *entry = request->entry;
   uint64_t now_ms = fb_clock_ms ();
   const FbAppendProxyRecord record
       = { .front = entry->settings->peers,
--- a/src/entry/front/front.c
+++ b/src/entry/front/front.c
@@ -27,7 +27,8 @@
 #define JSON_TYPE "application/json"
 
 static FbFrontRequest *
-request_new (FbEntry *entry, SoupServerMessage *message, const FbRoute *route, const char *job)
+request_new (FbEntryDaemon *entry, SoupServerMessage *message, const FbRoute *route,
+             const char *job)
 {
   FbFrontRequest *request = talloc_zero (NULL, FbFrontRequest);
   request->entry = entry;
@@ -44,7 +45,7 @@
 }
 
 static void
-set_response (FbEntry *entry, SoupServerMessage *message, guint status, const char *body)
+set_response (FbEntryDaemon *entry, SoupServerMessage *message, guint status, const char *body)
 {
   SoupMessageHeaders *headers = soup_server_message_get_response_headers (message);
   entry->answered_ms = fb_clock_ms ();
@@ -76,7 +77,7 @@
 }
 
 static void
-refuse (FbEntry *entry, SoupServerMessage *message, guint status, const char *reason)
+refuse (FbEntryDaemon *entry, SoupServerMessage *message, guint status, const char *reason)
 {
   g_autofree char *escaped = g_strescape (reason, NULL);
   g_autofree char *body = g_strdup_printf ("{\"error\":\"%s\"}", escaped);
@@ -110,7 +111,7 @@
 }
 
 static void
-submit (FbEntry *entry, SoupServerMessage *message, const FbRoute *route, const char *job)
+submit (FbEntryDaemon *entry, SoupServerMessage *message, const FbRoute *route, const char *job)
 {
   fb_work_admit admit = { .policy = route->policy, .accepted_ms = fb_clock_wall_ms () };
   if (!read_job (message, &admit.spec))
@@ -157,8 +158,8 @@
 }
 
 static void
-request_state (FbEntry *entry, SoupServerMessage *message, const FbRoute *route, const char *job,
-               gboolean is_delete)
+request_state (FbEntryDaemon *entry, SoupServerMessage *message, const FbRoute *route,
+               const char *job, gboolean is_delete)
 {
   FbFrontRequest *request = request_new (entry, message, route, job);
   request->is_delete = is_delete;
@@ -185,7 +186,7 @@
 }
 
 static void
-request_pending (FbEntry *entry, SoupServerMessage *message, const FbRoute *route)
+request_pending (FbEntryDaemon *entry, SoupServerMessage *message, const FbRoute *route)
 {
   FbFrontRequest *request = request_new (entry, message, route, "");
   fb_peer_request peer_request = { .type = FB_REQUEST_PENDING_COUNT };
@@ -211,7 +212,8 @@
 }
 
 static void
-serve_queue (FbEntry *entry, SoupServerMessage *message, const FbRoute *route, const char *rest)
+serve_queue (FbEntryDaemon *entry, SoupServerMessage *message, const FbRoute *route,
+             const char *rest)
 {
   const char *method = soup_server_message_get_method (message);
   gboolean is_get = g_str_equal (method, "GET");
@@ -235,7 +237,7 @@
 {
   (void) server;
   (void) query;
-  FbEntry *entry = data;
+  FbEntryDaemon *entry = data;
   fb_counter_add (FB_COUNTER_REQUESTS, 1);
   if (entry->refusing_callers || entry->routes == NULL)
     {
--- a/src/entry/owner/owner-import.c
+++ b/src/entry/owner/owner-import.c
@@ -12,7 +12,7 @@
 
 typedef struct
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   uint32_t partition;
   uint64_t epoch;
 } ImportRequest;
--- a/src/entry/owner/owner-orders.c
+++ b/src/entry/owner/owner-orders.c
@@ -8,7 +8,7 @@
 
 typedef struct
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   uint32_t partition;
   uint64_t epoch;
   char *service;
@@ -119,7 +119,7 @@
 static void
 send_order (const FbServicePool *service_pool, const fb_relay_request *peer_request, uint64_t id)
 {
-  FbEntry *entry = service_pool->owner->entry;
+  FbEntryDaemon *entry = service_pool->owner->entry;
   Order *order = order_new (service_pool, peer_request->worker, id, peer_request->kind);
   const char *relay = fb_relay_address_for (entry, peer_request);
   fb_counter_add (FB_COUNTER_WORKER_SYNCS, 1);
--- a/src/entry/owner/owner-private.h
+++ b/src/entry/owner/owner-private.h
@@ -13,7 +13,7 @@
 
 struct _FbOwner
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   uint32_t partition;
   uint64_t epoch;
   FbAppender *appender;
--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -72,7 +72,7 @@
 
 typedef struct
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   uint32_t partition;
   uint64_t epoch;
   char *service;
@@ -245,7 +245,7 @@
 /* ---- construction -------------------------------------------------------------------- */
 
 FbOwner *
-fb_owner_new (FbEntry *entry, uint32_t partition, uint64_t epoch)
+fb_owner_new (FbEntryDaemon *entry, uint32_t partition, uint64_t epoch)
 {
   FbOwner *self = g_new0 (FbOwner, 1);
   self->entry = entry;
--- a/src/entry/owner/owner.h
+++ b/src/entry/owner/owner.h
@@ -3,10 +3,10 @@
 
 #include "platform/wire.h"
 
-typedef struct _FbEntry FbEntry;
+typedef struct _FbEntryDaemon FbEntryDaemon;
 typedef struct _FbOwner FbOwner;
 
-FbOwner *fb_owner_new (FbEntry *entry, uint32_t partition, uint64_t epoch);
+FbOwner *fb_owner_new (FbEntryDaemon *entry, uint32_t partition, uint64_t epoch);
 void fb_owner_free (FbOwner *self);
 /* Returns: TRUE when SELF has stepped down and is to be freed. */
 gboolean fb_owner_has_stepped_down (const FbOwner *self);
--- a/src/entry/peers/peers.c
+++ b/src/entry/peers/peers.c
@@ -81,7 +81,7 @@
 }
 
 void
-fb_peers_request (FbEntry *entry, const char *address, const fb_peer_request *peer_request,
+fb_peers_request (FbEntryDaemon *entry, const char *address, const fb_peer_request *peer_request,
                   uint32_t timeout_ms, FbPeerReplyDone done, gpointer user)
 {
   OpenRequest *open = g_new0 (OpenRequest, 1);
@@ -97,7 +97,7 @@
 
 typedef struct
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   uint32_t partition;
   GBytes *peer_request;
   uint64_t deadline_ms;
@@ -166,8 +166,9 @@
 }
 
 void
-fb_peers_request_owner (FbEntry *entry, const char *service, const fb_peer_request *peer_request,
-                        uint32_t timeout_ms, FbPeerReplyDone done, gpointer user)
+fb_peers_request_owner (FbEntryDaemon *entry, const char *service,
+                        const fb_peer_request *peer_request, uint32_t timeout_ms,
+                        FbPeerReplyDone done, gpointer user)
 {
   OwnerRequest *request = g_new0 (OwnerRequest, 1);
   request->entry = entry;
@@ -192,7 +193,7 @@
  * the store (4 ms, 100 ms and more when it is slow), and may return nothing for a second while the
  * store cleans up its log. */
 void
-fb_peers_notify_stored (FbEntry *entry, uint32_t partition, const char *key, GBytes *value)
+fb_peers_notify_stored (FbEntryDaemon *entry, uint32_t partition, const char *key, GBytes *value)
 {
   FbOwner *owner = fb_entry_owner (entry, partition);
   const char *address = fb_group_owner_of (entry->group, partition);
@@ -251,8 +252,9 @@
 }
 
 void
-fb_peers_append_progress (FbEntry *entry, const char *peer, const fb_progress_append_request *write,
-                          uint32_t timeout_ms, FbAppendDone done, gpointer user)
+fb_peers_append_progress (FbEntryDaemon *entry, const char *peer,
+                          const fb_progress_append_request *write, uint32_t timeout_ms,
+                          FbAppendDone done, gpointer user)
 {
   PeerAppend *open = g_new0 (PeerAppend, 1);
   open->done = done;
@@ -307,7 +309,7 @@
 /* Appends immediately under the owner's sequence number, so that a repeat by the owner is
  * harmless. */
 static void
-append_for_owner (FbEntry *entry, const fb_progress_append_request *peer_request,
+append_for_owner (FbEntryDaemon *entry, const fb_progress_append_request *peer_request,
                   ServedRequest *served)
 {
   if (peer_request->partition >= entry->settings->partitions)
@@ -326,7 +328,7 @@
 }
 
 static void
-append_for_peer (FbEntry *entry, const fb_append_request *peer_request, ServedRequest *served)
+append_for_peer (FbEntryDaemon *entry, const fb_append_request *peer_request, ServedRequest *served)
 {
   if (peer_request->partition >= entry->settings->partitions)
     {
@@ -346,7 +348,7 @@
 }
 
 static void
-apply_stored (FbEntry *entry, const fb_stored_notice *peer_request)
+apply_stored (FbEntryDaemon *entry, const fb_stored_notice *peer_request)
 {
   FbOwner *owner = fb_entry_owner (entry, peer_request->partition);
   g_autoptr (GBytes) value
@@ -356,7 +358,7 @@
 }
 
 static void
-reply_with_starts (FbEntry *entry, ServedRequest *served)
+reply_with_starts (FbEntryDaemon *entry, ServedRequest *served)
 {
   fb_peer_reply peer_reply = { .type = FB_REPLY_RECENT_STARTS };
   fb_recent_starts_list (entry->recent_starts, fb_clock_ms (), &peer_reply.fb_peer_reply_u.starts);
@@ -365,7 +367,7 @@
 }
 
 static void
-reply_with_suspect_backups (FbEntry *entry, ServedRequest *served)
+reply_with_suspect_backups (FbEntryDaemon *entry, ServedRequest *served)
 {
   fb_peer_reply peer_reply = { .type = FB_REPLY_SUSPECT_BACKUPS };
   fb_suspect_backups_list (entry->suspect_backups, fb_clock_ms (),
@@ -382,7 +384,7 @@
 }
 
 static void
-serve_request (FbEntry *entry, const fb_peer_request *peer_request, ServedRequest *served)
+serve_request (FbEntryDaemon *entry, const fb_peer_request *peer_request, ServedRequest *served)
 {
   fb_peer_reply peer_reply = { .type = FB_REPLY_UNAVAILABLE };
   FbOwner *owner = NULL;
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -62,7 +62,7 @@
 }
 
 const char *
-fb_relay_address_for (FbEntry *entry, const fb_relay_request *order)
+fb_relay_address_for (FbEntryDaemon *entry, const fb_relay_request *order)
 {
   const FbListedWorker *listed = fb_worker_list_by_incarnation (entry->workers, order->worker);
   if (listed == NULL)
@@ -133,7 +133,7 @@
 /* An order to start or stop a run that was sent to its worker. */
 typedef struct
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   fb_order_kind kind;
   char *worker;
   char *task;
@@ -145,7 +145,8 @@
 } WorkerCall;
 
 static WorkerCall *
-worker_call_new (FbEntry *entry, const fb_relay_request *order, FbHttpReplyDone done, gpointer user)
+worker_call_new (FbEntryDaemon *entry, const fb_relay_request *order, FbHttpReplyDone done,
+                 gpointer user)
 {
   WorkerCall *call = g_new0 (WorkerCall, 1);
   call->entry = entry;
@@ -192,7 +193,7 @@
 }
 
 void
-fb_relay_call_worker (FbEntry *entry, const fb_relay_request *order, FbHttpReplyDone done,
+fb_relay_call_worker (FbEntryDaemon *entry, const fb_relay_request *order, FbHttpReplyDone done,
                       gpointer user)
 {
   FbHttpCall call;
@@ -223,7 +224,7 @@
 
 typedef struct
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   char *daemon;
   FbRelayDone done;
   gpointer user;
@@ -299,8 +300,8 @@
 }
 
 void
-fb_relay_send (FbEntry *entry, const char *daemon, const fb_relay_request *order, FbRelayDone done,
-               gpointer user)
+fb_relay_send (FbEntryDaemon *entry, const char *daemon, const fb_relay_request *order,
+               FbRelayDone done, gpointer user)
 {
   RelayedOrder *relayed = g_new0 (RelayedOrder, 1);
   relayed->entry = entry;
@@ -320,7 +321,7 @@
 
 typedef struct
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   FbPeerReplyDone done;
   gpointer user;
   fb_order_kind kind;
@@ -379,7 +380,7 @@
  * refers to by its digest.
  * Returns: FALSE when that payload is not cached. */
 static gboolean
-resolve_payload (FbEntry *entry, fb_relay_request *peer_request)
+resolve_payload (FbEntryDaemon *entry, fb_relay_request *peer_request)
 {
   FbPayloadDigest digest;
   if (peer_request->payload_digest.payload_digest_len != sizeof digest.bytes)
@@ -395,7 +396,7 @@
 }
 
 void
-fb_relay_serve (FbEntry *entry, const fb_relay_request *peer_request, FbPeerReplyDone done,
+fb_relay_serve (FbEntryDaemon *entry, const fb_relay_request *peer_request, FbPeerReplyDone done,
                 gpointer user)
 {
   fb_relay_request resolved = *peer_request;
--- a/src/entry/peers/relay.h
+++ b/src/entry/peers/relay.h
@@ -24,16 +24,16 @@
                                  const char *except, uint64_t now_ms);
 /* Returns: (nullable): the address of the daemon that relays ORDER to its worker, borrowed; NULL
  * when this daemon sends it itself. */
-const char *fb_relay_address_for (FbEntry *entry, const fb_relay_request *order);
+const char *fb_relay_address_for (FbEntryDaemon *entry, const fb_relay_request *order);
 /* Sends ORDER through DAEMON; everything that ORDER points to is borrowed for the call. */
-void fb_relay_send (FbEntry *entry, const char *daemon, const fb_relay_request *order,
+void fb_relay_send (FbEntryDaemon *entry, const char *daemon, const fb_relay_request *order,
                     FbRelayDone done, gpointer user);
 /* Sends ORDER to its worker on behalf of another daemon; DONE is called once. */
-void fb_relay_serve (FbEntry *entry, const fb_relay_request *order, FbPeerReplyDone done,
+void fb_relay_serve (FbEntryDaemon *entry, const fb_relay_request *order, FbPeerReplyDone done,
                      gpointer user);
 /* Sends ORDER to its worker from this daemon. */
-void fb_relay_call_worker (FbEntry *entry, const fb_relay_request *order, FbHttpReplyDone done,
-                           gpointer user);
+void fb_relay_call_worker (FbEntryDaemon *entry, const fb_relay_request *order,
+                           FbHttpReplyDone done, gpointer user);
 /* Parses the worker's answer to an order of KIND; only the answer to a poll has lists.  ANSWER is
  * cleared with fb_poll_answer_clear(). */
 void fb_relay_parse_worker_answer (fb_order_kind kind, const char *worker, const FbHttpReply *reply,
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -46,7 +46,7 @@
 /* ---- the store's health ----------------------------------------------------------- */
 
 void
-fb_entry_store_answered (FbEntry *self, const FbHttpReply *reply)
+fb_entry_store_answered (FbEntryDaemon *self, const FbHttpReply *reply)
 {
   fb_counter_add (FB_COUNTER_STORE_CALLS, 1);
   if (reply->status != FB_HTTP_OK || reply->code >= 500 || reply->code == 429)
@@ -62,7 +62,7 @@
 }
 
 void
-fb_entry_membership_renewed (FbEntry *self, const FbHttpReply *reply, uint64_t sent_ms)
+fb_entry_membership_renewed (FbEntryDaemon *self, const FbHttpReply *reply, uint64_t sent_ms)
 {
   uint64_t now_ms = fb_clock_ms ();
   if (reply->status == FB_HTTP_OK)
@@ -72,7 +72,7 @@
 }
 
 static void
-check_store_lost (FbEntry *self, uint64_t now_ms)
+check_store_lost (FbEntryDaemon *self, uint64_t now_ms)
 {
   if (self->store_lost || now_ms < self->store_ok_ms + STORE_LOST_MS)
     return;
@@ -82,19 +82,19 @@
 }
 
 gboolean
-fb_entry_store_is_silent (const FbEntry *self)
+fb_entry_store_is_silent (const FbEntryDaemon *self)
 {
   return fb_clock_ms () > self->store_ok_ms + STORE_SILENT_MS;
 }
 
 gboolean
-fb_entry_is_ready (const FbEntry *self)
+fb_entry_is_ready (const FbEntryDaemon *self)
 {
   return self->routes != NULL && !self->stopping && !self->store_lost;
 }
 
 void
-fb_entry_foreach_owner (FbEntry *self, void (*func) (FbOwner *owner))
+fb_entry_foreach_owner (FbEntryDaemon *self, void (*func) (FbOwner *owner))
 {
   GHashTableIter iter;
   gpointer owner;
@@ -107,7 +107,7 @@
 
 /* Removes the listed incarnation of the worker with this ID. */
 static void
-remove_worker (FbEntry *self, const char *id)
+remove_worker (FbEntryDaemon *self, const char *id)
 {
   const FbListedWorker *worker = fb_worker_list_by_id (self->workers, id);
   if (worker == NULL)
@@ -121,7 +121,7 @@
 }
 
 static void
-apply_worker_entry (FbEntry *self, FbListedWorker *worker)
+apply_worker_entry (FbEntryDaemon *self, FbListedWorker *worker)
 {
   const FbListedWorker *before = fb_worker_list_by_id (self->workers, worker->id);
   if (before != NULL && before->incarnation_started_ms != worker->incarnation_started_ms)
@@ -137,7 +137,7 @@
 /* Removes the worker of a malformed entry.  The entry is logged once, because its writer may repeat
  * it every second. */
 static void
-remove_malformed_worker (FbEntry *self, const char *id)
+remove_malformed_worker (FbEntryDaemon *self, const char *id)
 {
   fb_counter_add (FB_COUNTER_LOG_SKIPPED, 1);
   remove_worker (self, id);
@@ -150,7 +150,7 @@
 static void
 on_worker_record (gpointer user, const FbStoreRecord *record)
 {
-  FbEntry *self = user;
+  FbEntryDaemon *self = user;
   if (record->value == NULL)
     {
       remove_worker (self, record->key);
@@ -173,7 +173,7 @@
 static void
 on_workers_begin (gpointer user)
 {
-  FbEntry *self = user;
+  FbEntryDaemon *self = user;
   g_clear_pointer (&self->listed_ids, g_hash_table_unref);
   self->listed_ids = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
@@ -181,7 +181,7 @@
 static void
 on_workers_listed (gpointer user)
 {
-  FbEntry *self = user;
+  FbEntryDaemon *self = user;
   g_autoptr (GList) ids = fb_worker_list_ids (self->workers);
   for (GList *l = ids; l != NULL; l = l->next)
     {
@@ -205,19 +205,19 @@
 } FbPartitionEpochs;
 
 uint32_t
-fb_entry_partition_of (const FbEntry *self, const char *service)
+fb_entry_partition_of (const FbEntryDaemon *self, const char *service)
 {
   return (uint32_t) (XXH64 (service, strlen (service), 0) % self->settings->partitions);
 }
 
 FbOwner *
-fb_entry_owner (const FbEntry *self, uint32_t partition)
+fb_entry_owner (const FbEntryDaemon *self, uint32_t partition)
 {
   return g_hash_table_lookup (self->owners, GUINT_TO_POINTER (partition));
 }
 
 FbAppender *
-fb_entry_appender (FbEntry *self, uint32_t partition)
+fb_entry_appender (FbEntryDaemon *self, uint32_t partition)
 {
   FbAppender *appender = g_hash_table_lookup (self->appenders, GUINT_TO_POINTER (partition));
   if (appender == NULL)
@@ -236,7 +236,7 @@
 }
 
 char *
-fb_entry_format_timing (const FbEntry *self)
+fb_entry_format_timing (const FbEntryDaemon *self)
 {
   uint64_t now_ms = fb_clock_ms ();
   return g_strdup_printf (
@@ -248,7 +248,7 @@
 }
 
 void
-fb_entry_join_answered (FbEntry *self, uint32_t ttl_ms)
+fb_entry_join_answered (FbEntryDaemon *self, uint32_t ttl_ms)
 {
   if (!fb_join_monitor_answered (&self->joins, ttl_ms, fb_clock_ms ()))
     return;
@@ -257,7 +257,8 @@
 }
 
 static void
-log_lost_partition (const FbEntry *self, uint32_t partition, uint64_t generation, const char *why)
+log_lost_partition (const FbEntryDaemon *self, uint32_t partition, uint64_t generation,
+                    const char *why)
 {
   g_autofree char *ages = fb_entry_format_timing (self);
   fb_event_log (FB_EVENT_POOL_LOST, "partition=%u generation=%" G_GUINT64_FORMAT " why=\"%s\" %s",
@@ -265,7 +266,7 @@
 }
 
 static void
-take_over_partition (FbEntry *self, uint32_t partition, uint64_t generation)
+take_over_partition (FbEntryDaemon *self, uint32_t partition, uint64_t generation)
 {
   gpointer key = GUINT_TO_POINTER (partition);
   FbPartitionEpochs *epochs = g_hash_table_lookup (self->partition_epochs, key);
@@ -290,7 +291,7 @@
 }
 
 void
-fb_entry_release_partition (FbEntry *self, uint32_t partition)
+fb_entry_release_partition (FbEntryDaemon *self, uint32_t partition)
 {
   FbOwner *owner = fb_entry_owner (self, partition);
   if (owner == NULL)
@@ -301,7 +302,7 @@
 
 /* TRUE when a configured service maps to PARTITION; other partitions need no owner. */
 static gboolean
-has_service (const FbEntry *self, uint32_t partition)
+has_service (const FbEntryDaemon *self, uint32_t partition)
 {
   for (guint i = 0; self->routes != NULL && i < self->routes->services->len; i++)
     {
@@ -323,7 +324,7 @@
 }
 
 void
-fb_entry_set_owned_partitions (FbEntry *self, const GArray *partitions, uint64_t generation,
+fb_entry_set_owned_partitions (FbEntryDaemon *self, const GArray *partitions, uint64_t generation,
                                const char *why)
 {
   g_autoptr (GList) owned = g_hash_table_get_keys (self->owners);
@@ -346,7 +347,7 @@
 static void
 release_lost_partitions (gpointer data, uint64_t now_ms)
 {
-  FbEntry *self = data;
+  FbEntryDaemon *self = data;
   check_store_lost (self, now_ms);
   g_autoptr (GList) owned = g_hash_table_get_keys (self->owners);
   for (GList *l = owned; l != NULL; l = l->next)
@@ -369,7 +370,7 @@
 static void
 on_config_record (gpointer user, const FbStoreRecord *record)
 {
-  FbEntry *self = user;
+  FbEntryDaemon *self = user;
   if (!g_str_equal (record->key, FB_KEY_CONFIG) || record->value == NULL)
     return;
   FbRoutes *routes = fb_wire_parse_routes (record->value);
@@ -394,7 +395,7 @@
 static const FbTopicReaderOps config_ops = { ignore_listing, on_config_record, ignore_listing };
 
 void
-fb_entry_start_watching (FbEntry *self)
+fb_entry_start_watching (FbEntryDaemon *self)
 {
   self->config_reader = fb_topic_reader_new (self, FB_TOPIC_CONFIG, 0, 0, &config_ops, self);
   fb_timer_subscribe (self->timer, RELEASE_INTERVAL_MS, release_lost_partitions, self);
--- a/src/entry/store/appender.c
+++ b/src/entry/store/appender.c
@@ -29,7 +29,7 @@
 
 struct _FbAppender
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   char *topic;
   uint32_t partition;
   char *writer;
@@ -236,7 +236,7 @@
 }
 
 FbAppender *
-fb_appender_new (FbEntry *entry, const char *topic, uint32_t partition, const char *writer,
+fb_appender_new (FbEntryDaemon *entry, const char *topic, uint32_t partition, const char *writer,
                  uint64_t epoch)
 {
   FbAppender *self = g_new0 (FbAppender, 1);
--- a/src/entry/store/appender.h
+++ b/src/entry/store/appender.h
@@ -3,14 +3,14 @@
 
 #include "platform/wire.h"
 
-typedef struct _FbEntry FbEntry;
+typedef struct _FbEntryDaemon FbEntryDaemon;
 typedef struct _FbAppender FbAppender;
 
 typedef void (*FbAppendDone) (gpointer user, FbAppendResult result);
 
 /* WRITER: name under which appends are fenced; each call is repeated until it is stored or finally
  * rejected.  NULL: no fencing; a call is repeated only while its outcome is unknown. */
-FbAppender *fb_appender_new (FbEntry *entry, const char *topic, uint32_t partition,
+FbAppender *fb_appender_new (FbEntryDaemon *entry, const char *topic, uint32_t partition,
                              const char *writer, uint64_t epoch);
 void fb_appender_free (FbAppender *self);
 /* Appends RECORDS (transfer full), which are encoded.  DONE is called once unless the appender is
--- a/src/entry/store/daemons.c
+++ b/src/entry/store/daemons.c
@@ -45,7 +45,7 @@
 
 struct _FbDaemons
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   char *name; /* member name of this process: ADDRESS/DOMAIN/CPU/START */
   uint64_t began_ms;
   uint64_t join_sent_ms;
@@ -311,7 +311,7 @@
 }
 
 FbDaemons *
-fb_daemons_new (FbEntry *entry)
+fb_daemons_new (FbEntryDaemon *entry)
 {
   FbDaemons *self = g_new0 (FbDaemons, 1);
   const FbEntrySettings *settings = entry->settings;
--- a/src/entry/store/daemons.h
+++ b/src/entry/store/daemons.h
@@ -7,7 +7,7 @@
 #include <glib.h>
 #include <stdint.h>
 
-typedef struct _FbEntry FbEntry;
+typedef struct _FbEntryDaemon FbEntryDaemon;
 typedef struct _FbDaemons FbDaemons;
 
 typedef struct
@@ -23,7 +23,7 @@
                                      * failed */
 } FbDaemon;
 
-FbDaemons *fb_daemons_new (FbEntry *entry);
+FbDaemons *fb_daemons_new (FbEntryDaemon *entry);
 /* Returns: the members, of FbDaemon, borrowed; empty until a list has been read. */
 const GPtrArray *fb_daemons_all (const FbDaemons *self);
 /* Returns: TRUE when this daemon may own partitions: its processor share is at least half of the
--- a/src/entry/store/group-leave.c
+++ b/src/entry/store/group-leave.c
@@ -6,14 +6,14 @@
 
 struct _FbGroupLeave
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   const char *group;
   const char *name;
   GHashTable *removed; /* member names of previous processes that were removed */
 };
 
 FbGroupLeave *
-fb_group_leave_new (FbEntry *entry, const char *group, const char *name)
+fb_group_leave_new (FbEntryDaemon *entry, const char *group, const char *name)
 {
   FbGroupLeave *self = g_new0 (FbGroupLeave, 1);
   self->entry = entry;
--- a/src/entry/store/group-leave.h
+++ b/src/entry/store/group-leave.h
@@ -5,11 +5,11 @@
 
 #include "src/net/http-client.h"
 
-typedef struct _FbEntry FbEntry;
+typedef struct _FbEntryDaemon FbEntryDaemon;
 typedef struct _FbGroupLeave FbGroupLeave;
 
 /* GROUP: a static string.  NAME: this process's member name, borrowed while SELF exists. */
-FbGroupLeave *fb_group_leave_new (FbEntry *entry, const char *group, const char *name);
+FbGroupLeave *fb_group_leave_new (FbEntryDaemon *entry, const char *group, const char *name);
 /* Removes this process.  DONE, which may be NULL, is called with the store's answer or after a
  * timeout. */
 void fb_group_leave_self (FbGroupLeave *self, FbHttpReplyDone done, gpointer user);
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -39,7 +39,7 @@
 
 struct _FbGroup
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   char *member;
   uint32_t ttl_ms;
   uint64_t generation;
@@ -398,7 +398,7 @@
 }
 
 FbGroup *
-fb_group_new (FbEntry *entry)
+fb_group_new (FbEntryDaemon *entry)
 {
   FbGroup *self = g_new0 (FbGroup, 1);
   self->entry = entry;
--- a/src/entry/store/group.h
+++ b/src/entry/store/group.h
@@ -6,7 +6,7 @@
 
 typedef struct _FbGroup FbGroup;
 
-FbGroup *fb_group_new (FbEntry *entry);
+FbGroup *fb_group_new (FbEntryDaemon *entry);
 /* Releases all partitions.  DONE is called with the store's answer or after a timeout. */
 void fb_group_release_partitions (FbGroup *self, void (*done) (gpointer user), gpointer user);
 /* Returns: TRUE while no other daemon can have been assigned this daemon's partitions. */
--- a/src/entry/store/topic-reader.c
+++ b/src/entry/store/topic-reader.c
@@ -30,7 +30,7 @@
 
 struct _FbTopicReader
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   char *topic;
   uint32_t partition;
   uint32_t pause_ms; /* pause between a page of changes and the next poll */
@@ -199,7 +199,7 @@
 }
 
 FbTopicReader *
-fb_topic_reader_new (FbEntry *entry, const char *topic, uint32_t partition, uint32_t pause_ms,
+fb_topic_reader_new (FbEntryDaemon *entry, const char *topic, uint32_t partition, uint32_t pause_ms,
                      const FbTopicReaderOps *ops, gpointer user)
 {
   FbTopicReader *self = g_new0 (FbTopicReader, 1);
--- a/src/entry/store/topic-reader.h
+++ b/src/entry/store/topic-reader.h
@@ -3,7 +3,7 @@
 
 #include "platform/wire.h"
 
-typedef struct _FbEntry FbEntry;
+typedef struct _FbEntryDaemon FbEntryDaemon;
 typedef struct _FbTopicReader FbTopicReader;
 
 typedef struct
@@ -16,7 +16,7 @@
 } FbTopicReaderOps;
 
 /* PAUSE_MS: pause between a page of changes and the next poll. */
-FbTopicReader *fb_topic_reader_new (FbEntry *entry, const char *topic, uint32_t partition,
+FbTopicReader *fb_topic_reader_new (FbEntryDaemon *entry, const char *topic, uint32_t partition,
                                     uint32_t pause_ms, const FbTopicReaderOps *ops, gpointer user);
 void fb_topic_reader_free (FbTopicReader *self);
 /* Skips the pause before the next poll. */
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -437,7 +437,7 @@
 {
   Server *server = server_new (jobs_page (FALSE), LISTING_CHUNKS, G_MAXUINT);
   FbEntrySettings settings = { .store = server->address };
-  FbEntry entry = { .settings = &settings, .store_client = fb_http_client_new () };
+  FbEntryDaemon entry = { .settings = &settings, .store_client = fb_http_client_new () };
   Listing listing = { 0 };
   uint64_t started_ms = fb_clock_ms ();
   FbTopicReader *reader = fb_topic_reader_new (&entry, FB_TOPIC_JOBS, 0, 0, &listing_ops, &listing);
@@ -462,7 +462,7 @@
   Server *server = server_new (jobs_page (TRUE), LISTING_CHUNKS, G_MAXUINT);
   server->second_page = jobs_page (FALSE);
   FbEntrySettings settings = { .store = server->address };
-  FbEntry entry = { .settings = &settings, .store_client = fb_http_client_new () };
+  FbEntryDaemon entry = { .settings = &settings, .store_client = fb_http_client_new () };
   Listing listing = { 0 };
   uint64_t started_ms = fb_clock_ms ();
   FbTopicReader *reader = fb_topic_reader_new (&entry, FB_TOPIC_JOBS, 0, 0, &listing_ops, &listing);
--- a/tests/test-relay.c
+++ b/tests/test-relay.c
@@ -113,7 +113,7 @@
 
 typedef struct
 {
-  FbEntry entry;
+  FbEntryDaemon entry;
   guint with_payload_n; /* starts received with their payload */
   guint by_digest_n;    /* starts received with only the digest */
   guint missing_n;
@@ -175,7 +175,7 @@
 }
 
 static void
-relay_order (FbEntry *entry, const char *address, const char *task, const char *payload,
+relay_order (FbEntryDaemon *entry, const char *address, const char *task, const char *payload,
              Results *results)
 {
   const fb_relay_request order = { .kind = FB_ORDER_KIND_START,
@@ -208,8 +208,8 @@
                              .worker_client = fb_http_client_new () } };
   Results results = { 0 };
   FbLinks *served = fb_links_new (address, serve_relay, &relay);
-  FbEntry entry = { .links = fb_links_new (own_address, serve_relay, NULL),
-                    .payload_dedup = fb_payload_dedup_new (2000) };
+  FbEntryDaemon entry = { .links = fb_links_new (own_address, serve_relay, NULL),
+                          .payload_dedup = fb_payload_dedup_new (2000) };
   relay_order (&entry, address, "0000000000000001.0.0.0", payload, &results);
   relay_order (&entry, address, "0000000000000001.0.0.1", payload, &results);
   CU_ASSERT_EQUAL (relay.with_payload_n, 1);
