--- a/rpc/work-xdr.c
+++ b/rpc/work-xdr.c
@@ -879,7 +879,7 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->attempt))
 		 return FALSE;
-	 if (!xdr_bool (xdrs, &objp->seen))
+	 if (!xdr_bool (xdrs, &objp->confirmed))
 		 return FALSE;
 	return TRUE;
 }
--- a/rpc/work.h
+++ b/rpc/work.h
@@ -385,7 +385,7 @@
 	char *address;
 	char *task;
 	u_int attempt;
-	bool_t seen;
+	bool_t confirmed;
 };
 typedef struct fb_recent_start fb_recent_start;
 
--- a/rpc/work.x
+++ b/rpc/work.x
@@ -307,7 +307,7 @@
   string address<FB_WORK_MAX_NAME>; /* IP:PORT of the worker */
   string task<FB_WORK_MAX_NAME>;
   unsigned int attempt;
-  bool seen; /* the worker has confirmed the run */
+  bool confirmed; /* the worker has confirmed the run */
 };
 
 struct fb_recent_starts_reply {
--- a/src/work/pool-import-starts.c
+++ b/src/work/pool-import-starts.c
@@ -22,10 +22,10 @@
     return;
   fb_counter_add (FB_COUNTER_STARTS_RECALLED, 1);
   fb_event_log (FB_EVENT_START_RECALLED, "task=%s attempt=%u worker=%s seen=%d", start->task,
-                start->attempt, start->worker, start->seen);
+                start->attempt, start->worker, start->confirmed);
   const FbPoolCrash crash = { fb_pool_worker_id_hash (start->worker), FALSE,
-                              start->seen ? FB_CRASH_CONFIRMED : FB_CRASH_REPORTED };
-  fb_pool_unresolved_start_add (task, start->worker, start->address, start->seen);
+                              start->confirmed ? FB_CRASH_CONFIRMED : FB_CRASH_REPORTED };
+  fb_pool_unresolved_start_add (task, start->worker, start->address, start->confirmed);
   fb_pool_unresolved_loss_add (self, start->worker, start->address, step, index, crash, now_ms);
   fb_pool_job_changed (self, step->job);
 }
--- a/tests/test-recent-starts.c
+++ b/tests/test-recent-starts.c
@@ -49,7 +49,7 @@
   CU_ASSERT_STRING_EQUAL (first.address, "10.0.0.1:7");
   CU_ASSERT_STRING_EQUAL (first.task, TASK);
   CU_ASSERT_EQUAL (first.attempt, 3);
-  CU_ASSERT_TRUE (first.seen);
+  CU_ASSERT_TRUE (first.confirmed);
   fb_recent_starts_free (self);
 }
 
@@ -63,11 +63,11 @@
   fb_recent_starts_sent (self, "w1", "a", TASK, 1, NOW_MS);
   fb_recent_starts_answered (self, "w1", TASK, 1, FB_ORDER_UNKNOWN);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS, &first), 1);
-  CU_ASSERT_FALSE (first.seen);
+  CU_ASSERT_FALSE (first.confirmed);
   answer_poll (self, FB_ORDER_DONE, &run, NULL);
   answer_poll (self, FB_ORDER_OTHER_INCARNATION, NULL, NULL);
   CU_ASSERT_EQUAL (reported_n (self, NOW_MS, &first), 1);
-  CU_ASSERT_TRUE (first.seen);
+  CU_ASSERT_TRUE (first.confirmed);
   fb_recent_starts_free (self);
 }
 
