--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -3,7 +3,7 @@
 
 #include "entry-private.h"
 
-#include "src/entry/front/front.h"
+#include "src/entry/frontend/frontend.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
@@ -107,7 +107,7 @@
 {
   const FbEntrySettings *settings = self->entry.settings;
   self->callers = soup_server_new ("server-header", "flamingobarrow", NULL);
-  soup_server_add_handler (self->callers, NULL, fb_entry_front_serve, &self->entry, NULL);
+  soup_server_add_handler (self->callers, NULL, fb_entry_frontend_serve, &self->entry, NULL);
   self->internal = soup_server_new ("server-header", "flamingobarrow", NULL);
   soup_server_add_handler (self->internal, FB_PATH_READY, serve_ready, &self->entry, NULL);
   soup_server_add_handler (self->internal, "/metrics", serve_metrics, NULL, NULL);
@@ -216,7 +216,7 @@
     }
   /* Refuses requests that could outlast the process; otherwise they would be read and never
    * answered. */
-  if (spent_ms + STOP_MARGIN_MS + FB_FRONT_LONGEST_CALL_MS >= entry->settings->grace_ms)
+  if (spent_ms + STOP_MARGIN_MS + FB_ENTRY_FRONTEND_CALL_MAX_MS >= entry->settings->grace_ms)
     entry->refusing_callers = TRUE;
   gboolean done = self->released_ms != 0 && now_ms > self->released_ms + STOP_LINGER_MS
                   && entry->open_calls == 0 && now_ms >= entry->answered_ms + STOP_SETTLE_MS;
--- a/src/entry/front/append-proxy.c
+++ b/src/entry/frontend/append-proxy.c
@@ -1,6 +1,6 @@
 #include "append-proxy.h"
 
-#include "front.h"
+#include "frontend.h"
 
 #include "src/entry/store/rendezvous.h"
 
@@ -23,7 +23,7 @@
 #define PROXIES_MAX 2
 /* Age of a request beyond which no proxy is tried, because the remaining time is needed for
  * appending the record from this daemon. */
-#define PROXY_MAX_AGE_MS (FB_FRONT_LONGEST_CALL_MS - TIMEOUT_MS - FB_FRONT_STORE_MS)
+#define PROXY_MAX_AGE_MS (FB_ENTRY_FRONTEND_CALL_MAX_MS - TIMEOUT_MS - FB_ENTRY_FRONTEND_STORE_MS)
 
 static gboolean
 was_tried (const GPtrArray *tried, const char *address)
@@ -52,13 +52,13 @@
 }
 
 const char *
-fb_append_proxy_choose (const GPtrArray *members, const char *owner, const char *front,
+fb_append_proxy_choose (const GPtrArray *members, const char *owner, const char *receiver,
                         const GPtrArray *tried, uint32_t partition, uint64_t now_ms)
 {
   gboolean always_used = fb_append_proxy_is_always_used (members);
   if (!always_used && owner != NULL && !was_tried (tried, owner))
     return owner;
-  guint group = always_used ? (guint) (XXH64 (front, strlen (front), 0) % PROXY_N) : 0;
+  guint group = always_used ? (guint) (XXH64 (receiver, strlen (receiver), 0) % PROXY_N) : 0;
   g_autofree char *key = g_strdup_printf ("partition-%u/%u", partition, group);
   const Choice choice = { tried, now_ms };
   const FbDaemon *member = fb_rendezvous_choose (members, key, may_append, &choice);
@@ -81,9 +81,9 @@
        && !fb_append_proxy_is_always_used (members))
       || record->tried->len >= PROXIES_MAX || now_ms >= record->received_ms + PROXY_MAX_AGE_MS)
     return NULL;
-  const char *address = fb_append_proxy_choose (members, record->owner, record->front,
+  const char *address = fb_append_proxy_choose (members, record->owner, record->receiver,
                                                 record->tried, record->partition, now_ms);
-  return address != NULL && !g_str_equal (address, record->front) ? address : NULL;
+  return address != NULL && !g_str_equal (address, record->receiver) ? address : NULL;
 }
 
 FbAppendRoute
@@ -94,7 +94,7 @@
   gboolean is_slow = fb_store_health_is_slow (store_health);
   if (address != NULL)
     {
-      uint64_t remaining_ms = record->received_ms + FB_FRONT_LONGEST_CALL_MS - now_ms;
+      uint64_t remaining_ms = record->received_ms + FB_ENTRY_FRONTEND_CALL_MAX_MS - now_ms;
       uint32_t timeout_ms = is_slow ? SLOW_TIMEOUT_MS : TIMEOUT_MS;
       return (FbAppendRoute){ FB_APPEND_ROUTE_PROXY, address,
                               (uint32_t) MIN (timeout_ms, remaining_ms) };
--- a/src/entry/front/append-proxy.h
+++ b/src/entry/frontend/append-proxy.h
@@ -17,7 +17,7 @@
 /* A caller's record; all pointers are borrowed. */
 typedef struct
 {
-  const char *front;      /* address of the daemon that received the record */
+  const char *receiver;   /* address of the daemon that received the record */
   const char *owner;      /* address of the partition's owner; NULL: not known */
   const GPtrArray *tried; /* addresses of daemons that have been tried as proxies */
   uint32_t partition;
@@ -46,14 +46,15 @@
                                      const FbStoreHealth *store_health, const GPtrArray *members,
                                      uint64_t now_ms);
 
-/* Chooses the daemon that appends a record of PARTITION received by the daemon at FRONT: with many
- * daemons, one of four, chosen alike by all daemons; otherwise the owner or, if it is not known, a
- * daemon that is chosen alike by all.  MEMBERS: of FbDaemon.  OWNER: address of the partition's
- * owner; NULL: not known.  TRIED: addresses that are excluded.
+/* Chooses the daemon that appends a record of PARTITION received by the daemon at RECEIVER: with
+ * many daemons, one of four, chosen alike by all daemons; otherwise the owner or, if it is not
+ * known, a daemon that is chosen alike by all.  MEMBERS: of FbDaemon.  OWNER: address of the
+ * partition's owner; NULL: not known.  TRIED: addresses that are excluded.
  *
  * Returns: (nullable): the address of the daemon, borrowed. */
-const char *fb_append_proxy_choose (const GPtrArray *members, const char *owner, const char *front,
-                                    const GPtrArray *tried, uint32_t partition, uint64_t now_ms);
+const char *fb_append_proxy_choose (const GPtrArray *members, const char *owner,
+                                    const char *receiver, const GPtrArray *tried,
+                                    uint32_t partition, uint64_t now_ms);
 /* Returns: TRUE when records are appended through proxies at all times, not only while the store is
  * slow. */
 gboolean fb_append_proxy_is_always_used (const GPtrArray *members);
--- a/src/entry/front/front-private.h
+++ b/src/entry/frontend/frontend-private.h
@@ -1,7 +1,7 @@
 /* Internal definitions of the HTTP front end for callers. */
 #pragma once
 
-#include "front.h"
+#include "frontend.h"
 
 #include "src/entry/entry-private.h"
 
@@ -22,10 +22,10 @@
   uint64_t received_ms;
   uint64_t store_began_ms; /* time at which storing the record began */
   gboolean is_delete;
-} FbFrontRequest;
+} FbFrontendRequest;
 
 /* Answers the caller and frees REQUEST. */
-void fb_front_finish (FbFrontRequest *request, guint status, const char *body);
+void fb_entry_frontend_finish (FbFrontendRequest *request, guint status, const char *body);
 /* Stores VALUE (borrowed), answers the caller and frees REQUEST.  KIND: first letter of the
  * record's key, FB_KEY_JOB or FB_KEY_CANCEL. */
-void fb_front_store (FbFrontRequest *request, char kind, GBytes *value);
+void fb_entry_frontend_store (FbFrontendRequest *request, char kind, GBytes *value);
--- a/src/entry/front/front-store.c
+++ b/src/entry/frontend/frontend-store.c
@@ -2,7 +2,7 @@
  * (append-proxy.h), or through peers while the store rejects this daemon's calls.  A caller is told
  * that its record is not stored only if every call that may have stored it was answered. */
 #include "append-proxy.h"
-#include "front-private.h"
+#include "frontend-private.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
@@ -11,14 +11,14 @@
 #include <talloc.h>
 
 #define PEER_APPEND_TIMEOUT_MS 700
-#define PEERS_MAX_AGE_MS (FB_FRONT_LONGEST_CALL_MS - PEER_APPEND_TIMEOUT_MS)
+#define PEERS_MAX_AGE_MS (FB_ENTRY_FRONTEND_CALL_MAX_MS - PEER_APPEND_TIMEOUT_MS)
 #define PEERS_MAX 3
 /* Time for which a daemon that failed to append a record is not used: long enough to spare most
  * callers the same failed attempt, short enough for a daemon that has recovered. */
 #define BACKOFF_MS 1000
 
 static void
-log_stored (const FbFrontRequest *request, gboolean stored, const char *how)
+log_stored (const FbFrontendRequest *request, gboolean stored, const char *how)
 {
   fb_event_log (stored ? FB_EVENT_JOB_ACCEPTED : FB_EVENT_JOB_REFUSED,
                 "job=%s queue=%s how=%s after_ms=%u store_ok_ms_ago=%u", request->job,
@@ -27,7 +27,7 @@
 }
 
 static void
-answer_stored (FbFrontRequest *request, FbAppendResult result)
+answer_stored (FbFrontendRequest *request, FbAppendResult result)
 {
   static const char *const how[] = { [FB_APPEND_STORED] = "stored",
                                      [FB_APPEND_NOT_STORED] = "certainly not stored",
@@ -37,30 +37,31 @@
     {
       fb_counter_add (FB_COUNTER_JOBS_STORED, 1);
       fb_peers_notify_stored (request->entry, request->partition, request->key, request->value);
-      fb_front_finish (request, SOUP_STATUS_OK, "{}");
+      fb_entry_frontend_finish (request, SOUP_STATUS_OK, "{}");
     }
   else if (result == FB_APPEND_IN_DOUBT || request->is_delete)
     {
       fb_counter_add (FB_COUNTER_JOBS_IN_DOUBT, 1);
-      fb_front_finish (request, SOUP_STATUS_GATEWAY_TIMEOUT,
-                       "{\"error\":\"unknown whether the request is stored\"}");
+      fb_entry_frontend_finish (request, SOUP_STATUS_GATEWAY_TIMEOUT,
+                                "{\"error\":\"unknown whether the request is stored\"}");
     }
   else
     {
       fb_counter_add (FB_COUNTER_JOBS_REFUSED, 1);
-      fb_front_finish (request, SOUP_STATUS_SERVICE_UNAVAILABLE, "{\"error\":\"not stored\"}");
+      fb_entry_frontend_finish (request, SOUP_STATUS_SERVICE_UNAVAILABLE,
+                                "{\"error\":\"not stored\"}");
     }
 }
 
 /* Answers the caller when no call is known to have stored the record. */
 static void
-answer_not_stored (FbFrontRequest *request)
+answer_not_stored (FbFrontendRequest *request)
 {
   answer_stored (request, request->in_doubt ? FB_APPEND_IN_DOUBT : FB_APPEND_NOT_STORED);
 }
 
 static void
-record_append_result (FbFrontRequest *request, gboolean stored, gboolean locally)
+record_append_result (FbFrontendRequest *request, gboolean stored, gboolean locally)
 {
   uint64_t now_ms = fb_clock_ms ();
   uint64_t took_ms = now_ms - request->store_began_ms;
@@ -68,10 +69,10 @@
                             (uint32_t) MIN (took_ms, G_MAXUINT32), now_ms);
 }
 
-static void store_by_peer (FbFrontRequest *request);
+static void store_by_peer (FbFrontendRequest *request);
 
 static void
-request_append (FbFrontRequest *request, const char *daemon, uint32_t timeout_ms,
+request_append (FbFrontendRequest *request, const char *daemon, uint32_t timeout_ms,
                 FbPeerReplyDone done)
 {
   fb_peer_request peer_request = { .type = FB_REQUEST_APPEND_JOB_RECORD };
@@ -84,7 +85,7 @@
 /* PEER_REPLY: another daemon's reply to the request to store the record; NULL: none.
  * Returns: TRUE when the record is stored; the caller was answered then, and REQUEST freed. */
 static gboolean
-is_stored_by_other (FbFrontRequest *request, const fb_peer_reply *peer_reply)
+is_stored_by_other (FbFrontendRequest *request, const fb_peer_reply *peer_reply)
 {
   if (peer_reply != NULL && peer_reply->type == FB_REPLY_STORED)
     {
@@ -100,7 +101,7 @@
 static void
 on_peer_stored (gpointer data, const fb_peer_reply *peer_reply)
 {
-  FbFrontRequest *request = data;
+  FbFrontendRequest *request = data;
   if (is_stored_by_other (request, peer_reply))
     return;
   store_by_peer (request);
@@ -110,7 +111,7 @@
  * calls while it serves other daemons; otherwise callers would be refused while workers are idle.
  * The record has a key, so storing it again is harmless. */
 static void
-store_by_peer (FbFrontRequest *request)
+store_by_peer (FbFrontendRequest *request)
 {
   const char *peer = fb_group_any_peer (request->entry->group, request->tried);
   uint64_t spent_ms = fb_clock_ms () - request->received_ms;
@@ -126,7 +127,7 @@
 static void
 on_stored (gpointer data, FbAppendResult result)
 {
-  FbFrontRequest *request = data;
+  FbFrontendRequest *request = data;
   record_append_result (request, result == FB_APPEND_STORED, TRUE);
   request->in_doubt = request->in_doubt || result == FB_APPEND_IN_DOUBT;
   if (result == FB_APPEND_STORED)
@@ -136,11 +137,11 @@
 }
 
 static void
-store_locally (FbFrontRequest *request)
+store_locally (FbFrontendRequest *request)
 {
   fb_appender_put (fb_entry_appender (request->entry, request->partition),
-                   g_byte_array_ref (request->records), request->received_ms + FB_FRONT_STORE_MS,
-                   on_stored, request);
+                   g_byte_array_ref (request->records),
+                   request->received_ms + FB_ENTRY_FRONTEND_STORE_MS, on_stored, request);
 }
 
 static void
@@ -156,12 +157,12 @@
   entry->store_degraded = store_degraded;
 }
 
-static void store_by_proxy (FbFrontRequest *request);
+static void store_by_proxy (FbFrontendRequest *request);
 
 /* Makes the proxy that was tried last be skipped for a while, because it did not store the
  * record. */
 static void
-back_off_last_proxy (FbFrontRequest *request)
+back_off_last_proxy (FbFrontendRequest *request)
 {
   const char *daemon = request->tried->pdata[request->tried->len - 1];
   fb_daemons_back_off_append (request->entry->daemons, daemon, fb_clock_ms () + BACKOFF_MS);
@@ -170,7 +171,7 @@
 static void
 on_proxy_stored (gpointer data, const fb_peer_reply *peer_reply)
 {
-  FbFrontRequest *request = data;
+  FbFrontendRequest *request = data;
   if (is_stored_by_other (request, peer_reply))
     return;
   back_off_last_proxy (request);
@@ -180,12 +181,12 @@
 /* Stores the record through another daemon, or from this one, as fb_append_proxy_route()
  * decides. */
 static void
-store_by_proxy (FbFrontRequest *request)
+store_by_proxy (FbFrontendRequest *request)
 {
   FbEntryDaemon *entry = request->entry;
   uint64_t now_ms = fb_clock_ms ();
   const FbAppendProxyRecord record
-      = { .front = entry->settings->peers,
+      = { .receiver = entry->settings->peers,
           .owner = fb_group_owner_of (entry->group, request->partition),
           .tried = request->tried,
           .partition = request->partition,
@@ -209,7 +210,7 @@
 }
 
 void
-fb_front_store (FbFrontRequest *request, char kind, GBytes *value)
+fb_entry_frontend_store (FbFrontendRequest *request, char kind, GBytes *value)
 {
   request->key = talloc_asprintf (request, "%c%s", kind, request->job);
   request->value = g_bytes_ref (value);
--- a/src/entry/front/front.c
+++ b/src/entry/frontend/frontend.c
@@ -4,7 +4,7 @@
  * accepted while an owner is being replaced.  An error that says that the job is not stored is sent
  * only when this is certain.  Otherwise the caller gets status 504 and submits the job again under
  * the same id. */
-#include "front-private.h"
+#include "frontend-private.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
@@ -26,11 +26,11 @@
 
 #define JSON_TYPE "application/json"
 
-static FbFrontRequest *
+static FbFrontendRequest *
 request_new (FbEntryDaemon *entry, SoupServerMessage *message, const FbRoute *route,
              const char *job)
 {
-  FbFrontRequest *request = talloc_zero (NULL, FbFrontRequest);
+  FbFrontendRequest *request = talloc_zero (NULL, FbFrontendRequest);
   request->entry = entry;
   request->message = g_object_ref (message);
   request->job = talloc_strdup (request, job);
@@ -63,7 +63,7 @@
 }
 
 void
-fb_front_finish (FbFrontRequest *request, guint status, const char *body)
+fb_entry_frontend_finish (FbFrontendRequest *request, guint status, const char *body)
 {
   fb_histogram_add (FB_HISTOGRAM_CALLER_ANSWER, fb_clock_ms () - request->received_ms);
   set_response (request->entry, request->message, status, body);
@@ -124,7 +124,7 @@
   if (value == NULL)
     refuse (entry, message, SOUP_STATUS_BAD_REQUEST, "the job is too large");
   else
-    fb_front_store (request_new (entry, message, route, job), FB_KEY_JOB, value);
+    fb_entry_frontend_store (request_new (entry, message, route, job), FB_KEY_JOB, value);
 }
 
 /* ---- state and cancel ---------------------------------------------------------------- */
@@ -132,7 +132,7 @@
 static void
 on_state (gpointer data, const fb_peer_reply *peer_reply)
 {
-  FbFrontRequest *request = data;
+  FbFrontendRequest *request = data;
   fb_event_log (FB_EVENT_JOB_ASKED, "job=%s told=%d state=%d after_ms=%u", request->job,
                 peer_reply != NULL ? (int) peer_reply->type : 0,
                 peer_reply != NULL && peer_reply->type == FB_REPLY_JOB_STATE
@@ -140,28 +140,28 @@
                     : -1,
                 (guint) (fb_clock_ms () - request->received_ms));
   if (peer_reply != NULL && peer_reply->type == FB_REPLY_NO_SUCH_JOB)
-    fb_front_finish (request, SOUP_STATUS_GONE, "{\"error\":\"no such job\"}");
+    fb_entry_frontend_finish (request, SOUP_STATUS_GONE, "{\"error\":\"no such job\"}");
   else if (request->is_delete)
     {
       /* The value must not be empty, because a record without a value deletes its key. */
       g_autoptr (GBytes) non_empty = g_bytes_new_static ("x", 1);
-      fb_front_store (request, FB_KEY_CANCEL, non_empty);
+      fb_entry_frontend_store (request, FB_KEY_CANCEL, non_empty);
     }
   else if (peer_reply != NULL && peer_reply->type == FB_REPLY_JOB_STATE)
     {
       g_autofree char *body = fb_wire_format_job_state (peer_reply->fb_peer_reply_u.state);
-      fb_front_finish (request, SOUP_STATUS_OK, body);
+      fb_entry_frontend_finish (request, SOUP_STATUS_OK, body);
     }
   else
-    fb_front_finish (request, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                     "{\"error\":\"the owner is unavailable\"}");
+    fb_entry_frontend_finish (request, SOUP_STATUS_SERVICE_UNAVAILABLE,
+                              "{\"error\":\"the owner is unavailable\"}");
 }
 
 static void
 request_state (FbEntryDaemon *entry, SoupServerMessage *message, const FbRoute *route,
                const char *job, gboolean is_delete)
 {
-  FbFrontRequest *request = request_new (entry, message, route, job);
+  FbFrontendRequest *request = request_new (entry, message, route, job);
   request->is_delete = is_delete;
   fb_peer_request peer_request = { .type = FB_REQUEST_JOB_STATE };
   peer_request.fb_peer_request_u.job.service = request->service;
@@ -178,17 +178,17 @@
   if (peer_reply != NULL && peer_reply->type == FB_REPLY_PENDING_COUNT)
     {
       g_autofree char *body = fb_wire_format_pending (peer_reply->fb_peer_reply_u.pending);
-      fb_front_finish (data, SOUP_STATUS_OK, body);
+      fb_entry_frontend_finish (data, SOUP_STATUS_OK, body);
     }
   else
-    fb_front_finish (data, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                     "{\"error\":\"the owner is unavailable\"}");
+    fb_entry_frontend_finish (data, SOUP_STATUS_SERVICE_UNAVAILABLE,
+                              "{\"error\":\"the owner is unavailable\"}");
 }
 
 static void
 request_pending (FbEntryDaemon *entry, SoupServerMessage *message, const FbRoute *route)
 {
-  FbFrontRequest *request = request_new (entry, message, route, "");
+  FbFrontendRequest *request = request_new (entry, message, route, "");
   fb_peer_request peer_request = { .type = FB_REQUEST_PENDING_COUNT };
   peer_request.fb_peer_request_u.queue.service = request->service;
   peer_request.fb_peer_request_u.queue.queue = request->queue;
@@ -232,8 +232,8 @@
 }
 
 void
-fb_entry_front_serve (SoupServer *server, SoupServerMessage *message, const char *path,
-                      GHashTable *query, gpointer data)
+fb_entry_frontend_serve (SoupServer *server, SoupServerMessage *message, const char *path,
+                         GHashTable *query, gpointer data)
 {
   (void) server;
   (void) query;
--- a/src/entry/front/front.h
+++ b/src/entry/frontend/frontend.h
@@ -4,10 +4,10 @@
 
 #include <libsoup/soup.h>
 
-void fb_entry_front_serve (SoupServer *server, SoupServerMessage *message, const char *path,
-                           GHashTable *query, gpointer entry);
+void fb_entry_frontend_serve (SoupServer *server, SoupServerMessage *message, const char *path,
+                              GHashTable *query, gpointer entry);
 /* Maximum time until a caller is answered, if all ways to store a job are tried in sequence. */
-#define FB_FRONT_LONGEST_CALL_MS 2600
+#define FB_ENTRY_FRONTEND_CALL_MAX_MS 2600
 /* Maximum time for which an append of unknown outcome is repeated from this daemon before peers are
  * asked to append; callers wait about 3 s. */
-#define FB_FRONT_STORE_MS 700
+#define FB_ENTRY_FRONTEND_STORE_MS 700
--- a/tests/test-slow-store.c
+++ b/tests/test-slow-store.c
@@ -7,7 +7,7 @@
  * partition exceeded the callers' timeout. A daemon considered the store slow only after one of its
  * own appends was stored, and none was. Measured between 9.6 and 13.8 s of such a run: status 504
  * for 214 attempts, and 249 attempts past their deadline. */
-#include "src/entry/front/append-proxy.h"
+#include "src/entry/frontend/append-proxy.h"
 #include "src/entry/store/store-health.h"
 
 #include <CUnit/Basic.h>
@@ -44,7 +44,7 @@
 {
   uint64_t submitted_ms;
   uint64_t timeout_at_ms; /* the current route is abandoned at this time */
-  guint front;
+  guint receiver;
   guint appender; /* index of the daemon whose appender has it */
   JobState state;
   gboolean stored;
@@ -84,7 +84,7 @@
 static void
 local_append_ended (Simulation *simulation, const Job *job, gboolean stored, uint64_t now_ms)
 {
-  FbStoreHealth *health = &simulation->daemons[job->front].health;
+  FbStoreHealth *health = &simulation->daemons[job->receiver].health;
   if (stored || simulation->uses_health)
     fb_store_health_appended (health, stored, TRUE, (uint32_t) (now_ms - job->submitted_ms),
                               now_ms);
@@ -94,9 +94,9 @@
 static void
 select_route (Simulation *simulation, Job *job, uint64_t now_ms)
 {
-  const FbDaemon *own = simulation->members->pdata[job->front];
-  const FbStoreHealth *health = &simulation->daemons[job->front].health;
-  const FbAppendProxyRecord record = { .front = own->address,
+  const FbDaemon *own = simulation->members->pdata[job->receiver];
+  const FbStoreHealth *health = &simulation->daemons[job->receiver].health;
+  const FbAppendProxyRecord record = { .receiver = own->address,
                                        .owner = "10.0.0.0:7",
                                        .tried = job->tried,
                                        .partition = PARTITION,
@@ -104,7 +104,7 @@
   FbAppendRoute route = { .step = FB_APPEND_ROUTE_LOCAL };
   if (simulation->uses_health || fb_append_proxy_store_is_degraded (health, now_ms))
     route = fb_append_proxy_route (&record, health, simulation->members, now_ms);
-  job->appender = job->front;
+  job->appender = job->receiver;
   job->timeout_at_ms = job->submitted_ms + CALLER_TIMEOUT_MS;
   job->state = route.step != FB_APPEND_ROUTE_GIVE_UP ? JOB_QUEUED : JOB_ENDED;
   if (route.step != FB_APPEND_ROUTE_PROXY)
@@ -147,7 +147,7 @@
         continue;
       job->state = JOB_ENDED;
       job->stored = !daemon->append_refused && now_ms <= job->submitted_ms + CALLER_TIMEOUT_MS;
-      if (job->appender == job->front)
+      if (job->appender == job->receiver)
         local_append_ended (simulation, job, !daemon->append_refused, now_ms);
     }
 }
@@ -180,7 +180,7 @@
       Job *job = &simulation->jobs[j];
       if (job->state == JOB_ENDED || now_ms < job->timeout_at_ms || job->submitted_ms > now_ms)
         continue;
-      gboolean own = job->appender == job->front;
+      gboolean own = job->appender == job->receiver;
       if (!own)
         {
           select_route (simulation, job, now_ms);
@@ -242,7 +242,7 @@
   for (guint j = 0; j < JOB_N; j++)
     simulation.jobs[j] = (Job){ .submitted_ms = j * 1000 / JOBS_PER_S,
                                 .timeout_at_ms = G_MAXUINT64,
-                                .front = j * 2654435761U % 4294967295U % daemons_n,
+                                .receiver = j * 2654435761U % 4294967295U % daemons_n,
                                 .tried = g_ptr_array_new_with_free_func (g_free) };
   for (uint64_t now_ms = 0; now_ms < 12000; now_ms++)
     simulation_tick (&simulation, now_ms);
@@ -279,12 +279,12 @@
 
 /* ---- choice of the append proxy ---------------------------------------------------- */
 
-/* Returns: the proxy that FRONT chooses; fails the test if there is none. */
+/* Returns: the proxy that RECEIVER chooses; fails the test if there is none. */
 static const char *
-proxy_for (const GPtrArray *members, const char *owner, const char *front, const GPtrArray *tried,
-           uint64_t now_ms)
+proxy_for (const GPtrArray *members, const char *owner, const char *receiver,
+           const GPtrArray *tried, uint64_t now_ms)
 {
-  const char *address = fb_append_proxy_choose (members, owner, front, tried, PARTITION, now_ms);
+  const char *address = fb_append_proxy_choose (members, owner, receiver, tried, PARTITION, now_ms);
   CU_ASSERT_PTR_NOT_NULL_FATAL (address);
   return address != NULL ? address : "";
 }
@@ -318,27 +318,28 @@
   CU_ASSERT_TRUE (fb_append_proxy_is_always_used (members));
   for (guint i = 0; i < DAEMON_MAX; i++)
     {
-      const FbDaemon *front = members->pdata[i];
-      g_hash_table_add (chosen, (gpointer) fb_append_proxy_choose (
-                                    members, "10.0.0.9:7", front->address, tried, PARTITION, 1000));
+      const FbDaemon *receiver = members->pdata[i];
+      g_hash_table_add (chosen,
+                        (gpointer) fb_append_proxy_choose (members, "10.0.0.9:7", receiver->address,
+                                                           tried, PARTITION, 1000));
     }
   CU_ASSERT_TRUE (g_hash_table_size (chosen) <= 4);
-  const FbDaemon *front = members->pdata[0];
-  const char *first = proxy_for (members, NULL, front->address, tried, 1000);
+  const FbDaemon *receiver = members->pdata[0];
+  const char *first = proxy_for (members, NULL, receiver->address, tried, 1000);
   for (guint i = 0; i < members->len; i++)
     {
       FbDaemon *member = members->pdata[i];
       member->append_backoff_until_ms = g_str_equal (member->address, first) ? 2000 : 0;
     }
-  CU_ASSERT_STRING_NOT_EQUAL (proxy_for (members, NULL, front->address, tried, 1999), first);
-  CU_ASSERT_STRING_EQUAL (proxy_for (members, NULL, front->address, tried, 2000), first);
+  CU_ASSERT_STRING_NOT_EQUAL (proxy_for (members, NULL, receiver->address, tried, 1999), first);
+  CU_ASSERT_STRING_EQUAL (proxy_for (members, NULL, receiver->address, tried, 2000), first);
 }
 
 /* Returns: the proxy that the receiver of RECORD chooses; fails the test if there is none. */
 static const char *
 proxy_of (const GPtrArray *members, const FbAppendProxyRecord *record, uint64_t now_ms)
 {
-  const char *address = fb_append_proxy_choose (members, record->owner, record->front,
+  const char *address = fb_append_proxy_choose (members, record->owner, record->receiver,
                                                 record->tried, record->partition, now_ms);
   CU_ASSERT_PTR_NOT_NULL_FATAL (address);
   return address != NULL ? address : "";
@@ -351,7 +352,7 @@
 route_of (const GPtrArray *members, const FbStoreHealth *health, const GPtrArray *tried,
           uint64_t now_ms)
 {
-  const FbAppendProxyRecord record = { .front = "10.0.0.1:7",
+  const FbAppendProxyRecord record = { .receiver = "10.0.0.1:7",
                                        .owner = "10.0.0.0:7",
                                        .tried = tried,
                                        .partition = PARTITION,
@@ -415,11 +416,12 @@
   guint self_n = 0;
   for (uint32_t partition = 0; partition < 1000; partition++)
     {
-      const FbAppendProxyRecord record
-          = { .front = "10.0.0.1:7", .tried = tried, .partition = partition, .received_ms = 1000 };
+      const FbAppendProxyRecord record = {
+        .receiver = "10.0.0.1:7", .tried = tried, .partition = partition, .received_ms = 1000
+      };
       const char *chosen = proxy_of (members, &record, 1000);
       route = fb_append_proxy_route (&record, &health, members, 1000);
-      gboolean is_self = g_str_equal (chosen, record.front);
+      gboolean is_self = g_str_equal (chosen, record.receiver);
       CU_ASSERT_EQUAL (route.step, is_self ? FB_APPEND_ROUTE_LOCAL : FB_APPEND_ROUTE_PROXY);
       self_n += is_self;
     }
