--- a/src/entry/advice/advice-balancer.c
+++ b/src/entry/advice/advice-balancer.c
@@ -10,10 +10,8 @@
  * duration. */
 #define CLASS_DISTANCE 2
 /* Long requests are assigned from the end of the list of daemons, short ones from the beginning
- * (FB_ADVICE_LONG_MS).  Two owners do not know each other's requests, so that otherwise a short
- * request of one queues behind a long one of the other and its callers get late answers.  In load
- * tests of a deployment with two services this lowered the mean value of the jobs completed in time
- * by 0.008. */
+ * (FB_ADVICE_LONG_MS).  Two owners are not aware of each other's requests, so that otherwise a
+ * short request of one queues behind a long one of the other and its callers get late answers. */
 
 /* Maximum number of short requests open at one daemon.  With one, when another owner has a long
  * request at every daemon, a daemon that has answered a short request begins a long one while the
@@ -89,9 +87,7 @@
 
 /* Example: with 38 requests of 16 ms a second, 10 of 89 ms and 2 of 875 ms at nine daemons, the
  * long ones may use seven daemons, and six during a burst of 2.3 times the short ones.  Reserving
- * half as many more plus one delayed gangs too much: the mean value of the jobs completed in time
- * was 0.006 lower over 20 load tests of two deployments that did not model the daemons' processor
- * time. */
+ * half as many more plus one delays gangs too much. */
 guint
 fb_advice_balancer_reserved (FbAdviceBalancer *self, guint daemons_n, uint32_t expected_ms,
                              uint64_t now_ms)
--- a/src/entry/frontend/frontend-store.c
+++ b/src/entry/frontend/frontend-store.c
@@ -1,6 +1,7 @@
 /* Stores a caller's record: from this daemon, through a daemon that appends for many
- * (append-proxy.h), or through peers while the store rejects this daemon's calls.  A caller is told
- * that its record is not stored only if every call that may have stored it was answered. */
+ * (append-proxy.h), or through peers while the store rejects this daemon's calls.  A caller gets
+ * the answer that its record is not stored only if every call that may have stored it was
+ * answered. */
 #include "append-proxy.h"
 #include "frontend-private.h"
 
@@ -107,9 +108,9 @@
   store_by_peer (request);
 }
 
-/* Asks peers to store the job, one after the other, because the store may reject this daemon's
- * calls while it serves other daemons; otherwise callers would be refused while workers are idle.
- * The record has a key, so storing it again is harmless. */
+/* Sends the record to peers for storing, one after the other, because the store may reject this
+ * daemon's calls while it serves other daemons; otherwise callers would be refused while workers
+ * are idle.  The record has a key, so storing it again is harmless. */
 static void
 store_by_peer (FbFrontendRequest *request)
 {
@@ -217,7 +218,7 @@
   request->records = g_byte_array_new ();
   fb_wire_encode_record (request->records, request->key, value);
   request->store_began_ms = fb_clock_ms ();
-  /* A daemon that has received nothing from the store for a while sends it nothing, and asks peers
+  /* A daemon that has received nothing from the store for a while sends it nothing, and uses peers
    * that may still reach the store.  If the store accepted calls without answering them, callers
    * would wait for 2 s and then get an unknown outcome; without a call, the answer that nothing is
    * stored is correct. */
--- a/src/entry/peers/links.c
+++ b/src/entry/peers/links.c
@@ -23,7 +23,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define EVENTS_PER_TURN 64
+#define EVENTS_PER_ITERATION 64
 #define BACKLOG 128
 
 typedef struct
@@ -83,9 +83,9 @@
   (void) callback;
   (void) user;
   FbLinks *self = ((LinksSource *) source)->links;
-  struct epoll_event events[EVENTS_PER_TURN];
+  struct epoll_event events[EVENTS_PER_ITERATION];
   self->now_ms = fb_clock_ms ();
-  int n = epoll_wait (self->epoll, events, EVENTS_PER_TURN, 0);
+  int n = epoll_wait (self->epoll, events, EVENTS_PER_ITERATION, 0);
   for (int i = 0; i < n; i++)
     {
       if (events[i].data.ptr == NULL)
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -11,8 +11,8 @@
 #include <xxhash.h>
 
 #define RELEASE_INTERVAL_MS 100
-/* Maximum number of malformed worker entries that are remembered as logged; beyond it, entries may
- * be logged again. */
+/* Maximum number of malformed worker entries that are recorded as logged; beyond it, entries may be
+ * logged again. */
 #define MALFORMED_IDS_MAX 1000
 /* Time without an answer after which the store is considered silent.  Normally an answer to a poll
  * arrives every 0.4 s, up to 0.25 s later when the store is slow, and an answer to a join every
--- a/src/entry/store/appender.c
+++ b/src/entry/store/appender.c
@@ -15,8 +15,8 @@
 #define PEER_TIMEOUT_MS 900
 #define RETRY_MIN_MS 40
 #define RETRY_MAX_MS 300
-/* Maximum size of a batch, beyond which no record is added: the largest body that the store accepts
- * in one call, less room for one record. */
+/* Size of a batch at which no further record is added: the largest body that the store accepts in
+ * one call, less the size of one record. */
 #define BATCH_MAX_BYTES (1024 * 1024)
 
 typedef struct
--- a/src/entry/store/topic-reader.c
+++ b/src/entry/store/topic-reader.c
@@ -2,7 +2,7 @@
  * each later record.
  *
  * A connection may stop delivering data permanently.  Therefore a poll times out shortly after the
- * time that it asked the store to wait, and the next poll uses another connection. */
+ * wait time that it passes to the store, and the next poll uses another connection. */
 #include "src/entry/entry-private.h"
 
 #include "fb-event.h"
@@ -124,7 +124,7 @@
     {
       /* A listing is as old as its first page: a record may be stored at a key that an earlier page
        * has passed.  With the time of the last page, the listing would prove that there is no such
-       * job, and its caller would be told so. */
+       * job, and its caller would get that answer. */
       self->listing = FALSE;
       self->synced_ms = self->listing_ms;
       self->ops->listed (self->user);
--- a/tests/test-advice.c
+++ b/tests/test-advice.c
@@ -149,12 +149,11 @@
   simulation_clear (&simulation);
 }
 
-/* Guards against: short requests of one owner wait for long ones of another at every daemon,
- * because each owner has a request open at each daemon and the service handles a daemon's calls one
- * after the other.  While one service had a backlog, after all daemons had been killed, hundreds of
- * short jobs of the other started 10 s late, and long-running tasks did not run for as long.
- * Measured: 48 to 69 answers a second for each of the two owners during 8 s, and 198 to 335 after
- * the long backlog was processed. */
+/* Short requests of one owner must not wait for long ones of another at every daemon.  Each owner
+ * has a request open at each daemon, and the service handles a daemon's calls one after the other.
+ * While one service had a backlog, after all daemons had been killed, hundreds of short jobs of the
+ * other started 10 s late, and long-running tasks did not run for as long.  The two owners got 48
+ * to 69 answers a second each during 8 s, and 198 to 335 after the long backlog was processed. */
 static void
 test_long_requests_of_another_owner (void)
 {
@@ -175,8 +174,8 @@
  * a call. */
 #define WAIT_MAX_MS 3000
 
-/* Guards against: a long request is never sent to the service while four short ones are always
- * waiting at the daemon, as with two owners.  It has to be sent before it expires. */
+/* A long request has to be sent to the service before it expires, even while four short ones are
+ * always waiting at the daemon, as with two owners. */
 static void
 test_long_request_is_not_starved (void)
 {
--- a/tests/test-daemons.c
+++ b/tests/test-daemons.c
@@ -39,12 +39,12 @@
   CU_ASSERT_EQUAL (first->started_us, 200);
 }
 
-/* Guards against: a daemon uses a list that does not contain itself.  All 33 daemons were killed
- * and restarted; the first list that 31 of them read contained two daemons of 0.12 of a core, and
- * the second one, 1.2 s later, 31 daemons.  Each concluded that it had enough processor time to be
- * an owner, and daemons with little processor time took over pools and lost them 0.5 to 1.3 s
- * later.  A list is accepted if it contains the reader's address, also with its previous process,
- * because such a list was made before that process expired. */
+/* A daemon must not use a list that does not contain itself.  When all 33 daemons were killed and
+ * restarted, the first list that 31 of them read contained two daemons of 0.12 of a core, and the
+ * second one, 1.2 s later, 31 daemons.  Each concluded that it had enough processor time to be an
+ * owner, and daemons with little processor time took over pools and lost them 0.5 to 1.3 s later.
+ * A list is accepted if it contains the reader's address, also with its previous process, because
+ * such a list was made before that process expired. */
 static void
 test_list_without_the_reader_is_rejected (void)
 {
@@ -58,9 +58,9 @@
   CU_ASSERT_TRUE (fb_daemons_contain (old, "10.0.0.3:7"));
 }
 
-/* Guards against: all daemons lose power and restart within 0.7 s, and the group waits for their
- * previous processes until their time to live expires.  Each daemon removes its own previous
- * processes, and no others. */
+/* Each daemon removes its own previous processes from the group, and no others.  When all daemons
+ * lose power and restart within 0.7 s, the group would otherwise wait for their previous processes
+ * until their time to live expires. */
 static void
 test_only_predecessors_are_removed (void)
 {
@@ -73,9 +73,9 @@
   CU_ASSERT_FALSE (fb_daemons_is_predecessor ("", own));
 }
 
-/* Guards against: of 300 daemons the store lists only 128, as many as the group has partitions; the
- * others relay nothing, and those among them with enough processor time own nothing.  The number of
- * topics is increased until all daemons are listed; with few daemons it remains unchanged. */
+/* The number of topics is increased until all daemons are listed; with few daemons it remains
+ * unchanged.  Of 300 daemons the store listed only 128, as many as the group had partitions; the
+ * others relayed nothing, and those among them with enough processor time owned nothing. */
 static void
 test_each_daemon_has_a_partition (void)
 {
--- a/tests/test-entry.c
+++ b/tests/test-entry.c
@@ -13,10 +13,10 @@
 #define SHORT_MS 30
 #define RETRY_MS 25
 
-/* Guards against: of two pools that share one daemon, one gets no answers and starts nothing for 40
- * s, because pool 1 sends a request as soon as its answer arrives and pool 2, which retries every
- * 25 ms, always finds the daemon busy.  Pool 2 has to be served first once it has used less
- * time. */
+/* Of two pools that share one daemon, none may starve.  Pool 1 sends a request as soon as its
+ * answer arrives, and pool 2, which retries every 25 ms, always finds the daemon busy; without fair
+ * sharing it got no answers and started nothing for 40 s.  Pool 2 has to be served first once it
+ * has used less time. */
 static void
 test_neither_pool_starves (void)
 {
@@ -44,7 +44,7 @@
   fb_fair_share_free (fair_share);
 }
 
-/* Guards against: a pool that no longer sends requests blocks another one. */
+/* A pool that no longer sends requests must not block another one. */
 static void
 test_pool_without_further_requests (void)
 {
@@ -57,8 +57,8 @@
   fb_fair_share_free (fair_share);
 }
 
-/* Guards against: a pool that was idle for a long time gets all daemons until it has used as much
- * time as the others. */
+/* A pool that was idle for a long time must not get all daemons until it has used as much time as
+ * the others. */
 static void
 test_idle_time_gives_no_credit (void)
 {
@@ -215,8 +215,8 @@
     }
 }
 
-/* Guards against: short requests wait behind long ones while other daemons are idle, and callers
- * that allow some 600 ms get late answers.  Short requests arrive at 2.3 times their rate for four
+/* Short requests must not wait behind long ones while other daemons are idle, because callers that
+ * allow some 600 ms would get late answers.  Short requests arrive at 2.3 times their rate for four
  * seconds, together with batches and gangs.  The reference is a fixed split that reserves a third
  * of the daemons for requests under 100 ms. */
 static void
@@ -247,7 +247,7 @@
   CU_ASSERT_TRUE (gang_p95_ms[1] <= gang_p95_ms[0] + 300);
 }
 
-/* Guards against: daemons remain reserved for short requests when only long ones arrive. */
+/* Daemons must not remain reserved for short requests when only long ones arrive. */
 static void
 test_reservation_expires (void)
 {
@@ -297,9 +297,8 @@
   return now_ms;
 }
 
-/* Guards against: a daemon processes a long list for 1.2 s and joins the group too late, and its
- * log reports only that the pool was lost.  The delayed iteration has to be reported with its
- * delay. */
+/* A delayed iteration has to be reported with its delay.  A daemon that processed a long list for
+ * 1.2 s joined the group too late, and its log reported only that the pool was lost. */
 static void
 test_delayed_iteration_is_reported (void)
 {
@@ -362,8 +361,8 @@
 
 /* ---- late joins ------------------------------------------------------------------- */
 
-/* Guards against: a daemon with a time to live of 1 s is busy with a takeover for 1.4 s, the group
- * reassigns the pool, and no log line reports the late join as the cause. */
+/* A late join has to be reported.  A daemon with a time to live of 1 s was busy with a takeover for
+ * 1.4 s, the group reassigned the pool, and no log line reported the late join as the cause. */
 static void
 test_late_join_is_reported (void)
 {
@@ -415,8 +414,8 @@
   return settings;
 }
 
-/* Guards against: peers connect to the bound address of a host that is reachable only at another
- * address.  They have to use the advertised address. */
+/* Peers have to use the advertised address: a host may not be reachable at the address to which the
+ * daemon is bound. */
 static void
 test_peers_use_the_advertised_address (void)
 {
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -190,7 +190,7 @@
     }
 }
 
-/* Guards against: a daemon that was suspended sends an order whose call has already timed out. */
+/* A daemon that was suspended must not send an order whose call has already timed out. */
 static void
 test_call_past_its_deadline_is_not_sent (void)
 {
@@ -301,8 +301,8 @@
   fb_http_client_cancel (cancelling_client, user);
 }
 
-/* Guards against: a call is freed twice when its callback cancels the calls of the same user, as a
- * topic reader does when its listing is complete. Every daemon that took over a pool crashed. */
+/* A callback may cancel the calls of its own user, as a topic reader does when its listing is
+ * complete. The call was freed twice, and every daemon that took over a pool crashed. */
 static void
 test_callback_cancels_its_calls (void)
 {
@@ -340,11 +340,11 @@
   fb_http_call_clear (&call);
 }
 
-/* Guards against: an owner processes a backlog, its membership renewals are delayed for longer than
- * the time to live, and the store assigns the pool to the next daemon, which has the same backlog.
- * The service made no progress for the rest of the day; 14 of 14 changes of owner occurred 1.1 to
- * 1.35 s after the previous owner's last join. Here the main loop is blocked, and the join has to
- * be repeated nevertheless. */
+/* A membership has to be renewed while the main loop is blocked. Otherwise, when an owner processes
+ * a backlog, its renewals are delayed for longer than the time to live, and the store assigns the
+ * pool to the next daemon, which has the same backlog. A service made no progress for the rest of
+ * the day; 14 of 14 changes of owner occurred 1.1 to 1.35 s after the previous owner's last
+ * join. */
 static void
 test_membership_is_renewed_while_the_loop_is_busy (void)
 {
@@ -427,11 +427,11 @@
   return g_string_free_to_bytes (page);
 }
 
-/* Guards against: a listing takes longer over the link than the timeout. A new owner with a link of
- * 10 Mbit/s listed 372 jobs, a page of 0.7 MB that takes 0.6 s. It timed out after 0.3 s
+/* One call has to be sufficient for a listing that takes long over a slow link. A new owner with a
+ * link of 10 Mbit/s listed 372 jobs, a page of 0.7 MB that takes 0.6 s. It timed out after 0.3 s
  * ("status=timeout after_ms=305") and after 0.6 s ("after_ms=601"), and succeeded at the third
  * attempt ("bytes=718348 after_ms=718"). For 2.2 s nothing was started, more than twice the time to
- * live of a membership, and longer with more jobs. One call has to be sufficient. */
+ * live of a membership, and longer with more jobs. */
 static void
 test_listing_over_a_slow_link (void)
 {
@@ -450,12 +450,12 @@
   fb_http_client_free (entry.store_client);
 }
 
-/* Guards against: an accepted job is reported as unknown. A new owner listed jobs in several pages,
- * and the job was stored after the first page had been read, at a key that the first page had
- * passed. The owner considered its list as recent as the last page, and answered the caller before
- * it had read the changes since the first page: a job was accepted at 9.259 s, the listing took
- * three pages until 9.416 s, and "no such job" was answered at 9.425 s. A listing is only as recent
- * as its first page. */
+/* A listing is only as recent as its first page; otherwise an accepted job may be reported as
+ * unknown. A new owner listed jobs in several pages, and a job was stored after the first page had
+ * been read, at a key that the first page had passed. The owner considered its list as recent as
+ * the last page, and answered the caller before it had read the changes since the first page: the
+ * job was accepted at 9.259 s, the listing took three pages until 9.416 s, and "no such job" was
+ * answered at 9.425 s. */
 static void
 test_listing_is_as_old_as_its_first_page (void)
 {
--- a/tests/test-links.c
+++ b/tests/test-links.c
@@ -199,10 +199,10 @@
   CU_ASSERT_EQUAL (send (fd, frame, sizeof frame, 0), sizeof frame);
 }
 
-/* Guards against: a caller is informed that its job is not stored, and the job runs.  A peer that
- * was requested to store it read slowly; the call timed out before its bytes were written and was
- * reported as not sent, but the bytes were written later and reached the peer.  A call whose bytes
- * may still be written is lost, not unsent. */
+/* A call that times out before it is written is lost, not unsent, because its bytes may still be
+ * written.  A peer that was requested to store a job read slowly; the call timed out and was
+ * reported as not sent, but its bytes were written later and reached the peer: the caller was
+ * informed that its job was not stored, and the job ran. */
 static void
 test_timed_out_before_it_is_written (void)
 {
@@ -260,7 +260,7 @@
   fb_links_free (b);
 }
 
-/* Guards against: a daemon that was suspended sends an order whose call has already timed out. */
+/* A daemon that was suspended must not send an order whose call has already timed out. */
 static void
 test_expired_call_is_not_sent (void)
 {
--- a/tests/test-recent-starts.c
+++ b/tests/test-recent-starts.c
@@ -34,7 +34,7 @@
   fb_recent_starts_polled (self, "w1", &answer);
 }
 
-/* Guards against: a start on a crashed worker is lost together with its owner. */
+/* A start on a crashed worker must not be lost together with its owner. */
 static void
 test_start_on_unresponsive_worker (void)
 {
@@ -53,7 +53,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: an unanswered start is reported as confirmed by the worker. */
+/* An unanswered start must not be reported as confirmed by the worker. */
 static void
 test_unanswered_start (void)
 {
@@ -71,7 +71,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: a job fails because of runs that had ended, or never began, before the crash. */
+/* A job must not fail because of runs that had ended, or never began, before the crash. */
 static void
 test_ended_start_is_not_reported (void)
 {
@@ -91,7 +91,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: a confirmed start expires before the next owner requests it. */
+/* A confirmed start must not expire before the next owner requests it. */
 static void
 test_confirmed_start_is_reported_longer (void)
 {
@@ -108,7 +108,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: a run whose end was reported to another daemon is considered to be running. */
+/* A run whose end was reported to another daemon must not be considered to be running. */
 static void
 test_unlisted_run_has_ended (void)
 {
@@ -124,7 +124,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: starts whose runs have ended evict others. */
+/* Starts whose runs have ended must not evict others. */
 static void
 test_ended_starts_evict_no_others (void)
 {
@@ -141,7 +141,7 @@
   fb_recent_starts_free (self);
 }
 
-/* Guards against: recorded starts exhaust the memory of a daemon. */
+/* The number of recorded starts is bounded, so that they do not exhaust the memory of a daemon. */
 static void
 test_oldest_start_is_evicted (void)
 {
--- a/tests/test-relay.c
+++ b/tests/test-relay.c
@@ -65,11 +65,11 @@
   return sent_bytes;
 }
 
-/* Guards against: payloads saturate the owner's link of 2 Mbit/s, one with each of 160 starts a
- * second, and the renewals of its membership are queued for longer than its time to live.  Three
- * owners took over the pool from each other each 3 s, long-running tasks did not run and seven of
- * ten checks were dropped, while no processor was busy; 2.2 of 2.7 Mbit/s sent were payloads.
- * Payloads may use half of the link; the rest is for traffic that must not be delayed. */
+/* Payloads may use half of a slow link; the rest is for traffic that must not be delayed.  On a
+ * link of 2 Mbit/s, with one payload in each of 160 starts a second, payloads were 2.2 of the 2.7
+ * Mbit/s sent, and the renewals of the owner's membership were queued for longer than its time to
+ * live.  Three owners took over the pool from each other each 3 s, long-running tasks did not run
+ * and seven of ten checks were dropped, while no processor was busy. */
 static void
 test_payloads_leave_half_of_a_slow_link (void)
 {
@@ -90,7 +90,7 @@
 
 /* ---- payload cache -------------------------------------------------------------------- */
 
-/* Guards against: cached payloads exhaust the memory of a daemon.  The oldest are evicted. */
+/* The oldest payload is evicted, so that the cache does not exhaust the memory of a daemon. */
 static void
 test_the_oldest_payload_is_evicted (void)
 {
@@ -193,10 +193,10 @@
   g_source_remove (timer);
 }
 
-/* Guards against: an owner assumes that a relay has cached a payload, but the relay was killed and
- * restarted; the task starts at least 0.3 s later, and the same happens for each start until the
- * owner's record expires.  The relay has to reply that a start with only a digest was not executed,
- * and gets the start again with the payload. */
+/* A relay that was killed and restarted has lost a payload that the owner assumes to be cached.  It
+ * has to reply that a start with only a digest was not executed, and gets the start again with the
+ * payload.  Otherwise the task starts at least 0.3 s later, and so does each task until the owner's
+ * record expires. */
 static void
 test_restarted_relay_gets_the_payload_again (void)
 {
@@ -233,8 +233,8 @@
 
 /* ---- reports of link utilization ------------------------------------------------------- */
 
-/* Guards against: the owner's link is saturated while its processor is idle, and no log line
- * reports it.  The report contains the kind of traffic with the highest rate. */
+/* A saturated link of an owner has to be reported, with the kind of traffic that has the highest
+ * rate, because the owner's processor may be idle at the same time. */
 static void
 test_busy_link_is_reported (void)
 {
--- a/tests/test-slow-store.c
+++ b/tests/test-slow-store.c
@@ -1,12 +1,12 @@
 /* Simulation of callers' jobs while the store is slow: daemons with group commit, and a partition
  * that processes one append after the other.
  *
- * Guards against: 133 of 149 jobs submitted within two seconds get no answer in time, and clients
- * may not retry them, while workers are idle. The store's answers took 50 times as long at the
- * beginning of a burst; each of 33 daemons appended its own callers' records, and the queue of the
- * partition exceeded the callers' timeout. A daemon considered the store slow only after one of its
- * own appends was stored, and none was. Measured between 9.6 and 13.8 s of such a run: status 504
- * for 214 attempts, and 249 attempts past their deadline. */
+ * Callers have to get answers in time while workers are idle, because clients may not retry jobs
+ * without an answer. In one run 133 of 149 jobs submitted within two seconds got none. The store's
+ * answers took 50 times as long at the beginning of a burst; each of 33 daemons appended its own
+ * callers' records, and the queue of the partition exceeded the callers' timeout. A daemon
+ * considered the store slow only after one of its own appends was stored, and none was. Between 9.6
+ * and 13.8 s of that run 214 attempts got status 504, and 249 passed their deadline. */
 #include "src/entry/frontend/append-proxy.h"
 #include "src/entry/store/store-health.h"
 
@@ -428,8 +428,8 @@
   CU_ASSERT_TRUE (self_n > 0);
 }
 
-/* Guards against: each caller's record is first sent to a store that has been refusing this daemon
- * for seconds. A store that answers again is used again. */
+/* After a failed append, callers' records must not be sent first to a store that has been refusing
+ * this daemon for seconds. A store that answers again is used again. */
 static void
 test_failed_append_is_recent_for_a_second (void)
 {
--- a/tests/test-suspect-backups.c
+++ b/tests/test-suspect-backups.c
@@ -30,7 +30,7 @@
   return n;
 }
 
-/* Guards against: crash suspects that an owner could not store are lost together with the owner. */
+/* Crash suspects that an owner could not store must not be lost together with the owner. */
 static void
 test_copy_is_reported (void)
 {
@@ -42,7 +42,7 @@
   fb_suspect_backups_free (self);
 }
 
-/* Guards against: a crash is attributed to a task again after the task was cleared of it. */
+/* A crash must not be attributed to a task again after the task was cleared of it. */
 static void
 test_stored_copy_is_dropped (void)
 {
@@ -55,7 +55,7 @@
   fb_suspect_backups_free (self);
 }
 
-/* Guards against: a replaced owner overwrites the copy of its successor. */
+/* A replaced owner must not overwrite the copy of its successor. */
 static void
 test_replaced_owner_is_ignored (void)
 {
@@ -66,7 +66,7 @@
   fb_suspect_backups_free (self);
 }
 
-/* Guards against: the copies of many jobs exhaust the memory of a daemon. */
+/* The number of copies is bounded, so that they do not exhaust the memory of a daemon. */
 static void
 test_copies_are_bounded (void)
 {
--- a/tests/test-wire.c
+++ b/tests/test-wire.c
@@ -274,8 +274,7 @@
   CU_ASSERT_EQUAL (fb_wire_parse_order_result (&refused, &clock_ms), FB_ORDER_NO_LISTENER);
 }
 
-/* Guards against: a malformed answer is interpreted as an empty list, as if nothing ran on the
- * worker. */
+/* A malformed answer must not be interpreted as an empty list, as if nothing ran on the worker. */
 static void
 test_poll_answers (void)
 {
@@ -311,8 +310,8 @@
     }
 }
 
-/* Guards against: a worker that restarted under the same id answers a call to its previous
- * incarnation, and the answer is attributed to the previous one. */
+/* When a worker that restarted under the same id answers a call to its previous incarnation, the
+ * answer must not be attributed to the previous one. */
 static void
 test_answers_of_other_incarnations (void)
 {
@@ -342,7 +341,7 @@
     }
 }
 
-/* Guards against: a worker whose id contains the separator is addressed by a part of its id. */
+/* A worker whose id contains the separator must not be addressed by a part of its id. */
 static void
 test_names_of_incarnations (void)
 {
@@ -410,7 +409,7 @@
   CU_ASSERT_PTR_NULL (fb_wire_parse_worker ("i-1", bad));
 }
 
-/* Guards against: another program writes records among the worker entries. An unknown state was
+/* Records of other programs among the worker entries must be ignored. An unknown state was
  * interpreted as "ready" and a missing capacity as 0, and tasks were sent to an address that is not
  * a worker. */
 static void
--- a/tests/test-worker-list.c
+++ b/tests/test-worker-list.c
@@ -40,8 +40,7 @@
   return self;
 }
 
-/* Guards against: a delayed write of the previous incarnation removes a worker that has
- * restarted. */
+/* A delayed write of the previous incarnation must not remove a worker that has restarted. */
 static void
 test_a_late_entry_of_the_previous_incarnation (void)
 {
@@ -55,7 +54,7 @@
   fb_worker_list_free (self);
 }
 
-/* Guards against: a worker whose host's clock was set back is never listed again. */
+/* A worker whose host's clock was set back has to be listed again. */
 static void
 test_an_earlier_start_time_that_is_repeated (void)
 {
@@ -66,8 +65,7 @@
   fb_worker_list_free (self);
 }
 
-/* Guards against: an entry without a start time, from another writer, replaces one with a start
- * time. */
+/* An entry without a start time, from another writer, must not replace one with a start time. */
 static void
 test_an_entry_without_a_start_time (void)
 {
