--- a/src/entry/advice/fair-share.c
+++ b/src/entry/advice/fair-share.c
@@ -9,8 +9,8 @@
 typedef struct
 {
   uint64_t used_ms;
-  uint64_t asked_ms;
-  uint64_t waited_ms; /* time when it last had to wait; 0: not since it was last served */
+  uint64_t last_request_ms;
+  uint64_t last_wait_ms; /* time at which it last had to wait; 0: not since it was last served */
 } Share;
 
 struct _FbFairShare
@@ -57,7 +57,8 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const Share *share = value;
-      if (share != except && share->waited_ms != 0 && now_ms < share->waited_ms + WAIT_EXPIRY_MS)
+      if (share != except && share->last_wait_ms != 0
+          && now_ms < share->last_wait_ms + WAIT_EXPIRY_MS)
         least_ms = MIN (least_ms, share->used_ms);
     }
   return least_ms;
@@ -68,9 +69,9 @@
 {
   Share *share = share_of (self, user);
   uint64_t least_ms = least_used_by_waiting_ms (self, share, now_ms);
-  if (now_ms > share->asked_ms + IDLE_MS && least_ms != G_MAXUINT64)
+  if (now_ms > share->last_request_ms + IDLE_MS && least_ms != G_MAXUINT64)
     share->used_ms = MAX (share->used_ms, least_ms);
-  share->asked_ms = now_ms;
+  share->last_request_ms = now_ms;
   return share->used_ms <= least_ms;
 }
 
@@ -79,11 +80,11 @@
 {
   Share *share = share_of (self, user);
   share->used_ms += took_ms;
-  share->waited_ms = 0;
+  share->last_wait_ms = 0;
 }
 
 void
 fb_fair_share_wait (FbFairShare *self, uint32_t user, uint64_t now_ms)
 {
-  share_of (self, user)->waited_ms = now_ms;
+  share_of (self, user)->last_wait_ms = now_ms;
 }
--- a/src/entry/entry-private.h
+++ b/src/entry/entry-private.h
@@ -60,18 +60,18 @@
   GHashTable *appenders;        /* partition -> FbAppender for callers' records */
   GHashTable *partition_epochs; /* partition -> FbPartitionEpochs: epochs used by this daemon */
   FbTimer *timer;
-  FbLoopMonitor *loop;
-  FbLinkMonitor *link;
+  FbLoopMonitor *loop_monitor;
+  FbLinkMonitor *link_monitor;
   FbPayloadDedup *payload_dedup;     /* payloads sent to other daemons */
   FbPayloadCache *payload_cache;     /* payloads received from other daemons */
   FbRecentStarts *recent_starts;     /* starts sent to workers from this daemon */
   FbSuspectBackups *suspect_backups; /* held for owners that cannot write to the store */
-  FbJoinMonitor joins;
+  FbJoinMonitor join_monitor;
   gboolean stopping;
-  gboolean refusing_callers; /* new callers are refused because the process is about to exit */
-  guint open_calls;          /* number of callers' requests without an answer */
-  uint64_t answered_ms;      /* time of the last answer to a caller */
-  uint64_t store_ok_ms;      /* time of the last successful answer of the store */
+  gboolean refusing_callers;  /* new callers are refused because the process is about to exit */
+  guint open_calls;           /* number of callers' requests without an answer */
+  uint64_t last_answer_ms;    /* time of the last answer to a caller */
+  uint64_t store_answered_ms; /* time of the last successful answer of the store */
   gboolean store_lost;
   FbStoreHealth store_health; /* latency and failures of this daemon's calls to the store */
   gboolean store_degraded;    /* last logged state; see fb_append_proxy_store_is_degraded() */
@@ -81,9 +81,9 @@
 FbOwner *fb_entry_owner (const FbEntryDaemon *self, uint32_t partition);
 FbAppender *fb_entry_appender (FbEntryDaemon *self, uint32_t partition);
 /* Sets the partitions that this daemon owns.  New ones are taken over with an epoch of the group's
- * GENERATION.  WHY: logged as the reason for partitions that are no longer owned. */
+ * GENERATION.  REASON: logged as the reason for partitions that are no longer owned. */
 void fb_entry_set_owned_partitions (FbEntryDaemon *self, const GArray *partitions,
-                                    uint64_t generation, const char *why);
+                                    uint64_t generation, const char *reason);
 void fb_entry_release_partition (FbEntryDaemon *self, uint32_t partition);
 void fb_entry_foreach_owner (FbEntryDaemon *self, void (*func) (FbOwner *owner));
 /* Starts reading the configuration, and the periodic release of partitions whose ownership was
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -119,12 +119,12 @@
 /* ---- settings --------------------------------------------------------------------- */
 
 static void
-reload (FbEntryDaemon *self, const char *why)
+reload (FbEntryDaemon *self, const char *reason)
 {
   FbEntrySettings *settings = fb_entry_settings_load (self->settings_path);
   if (settings == NULL)
     {
-      fb_event_log (FB_EVENT_RELOAD_REFUSED, "why=%s: %s", why, fb_status_message ());
+      fb_event_log (FB_EVENT_RELOAD_REFUSED, "why=%s: %s", reason, fb_status_message ());
       return;
     }
   if (!fb_entry_settings_same_listeners (settings, self->settings))
@@ -132,13 +132,13 @@
       fb_event_log (
           FB_EVENT_RELOAD_REFUSED,
           "why=%s: the name, the addresses and the number of partitions change only at a restart",
-          why);
+          reason);
       fb_entry_settings_free (settings);
       return;
     }
   fb_entry_settings_free (self->settings);
   self->settings = settings;
-  fb_event_log (FB_EVENT_SETTINGS_RELOADED, "why=%s store=%s", why, settings->store);
+  fb_event_log (FB_EVENT_SETTINGS_RELOADED, "why=%s store=%s", reason, settings->store);
 }
 
 static gboolean
@@ -172,7 +172,7 @@
   FbEntryDaemon *self = data;
   uint64_t now_ms = fb_clock_ms ();
   FbLoopDelays delays;
-  if (fb_loop_monitor_iteration (self->loop, now_ms, &delays))
+  if (fb_loop_monitor_iteration (self->loop_monitor, now_ms, &delays))
     fb_event_log (FB_EVENT_LOOP_LATE, "late_ms=%u turns=%u partitions=%u open=%u", delays.delay_ms,
                   delays.iterations_n, g_hash_table_size (self->owners), self->open_calls);
   fb_timer_advance (self->timer, now_ms);
@@ -219,7 +219,7 @@
   if (spent_ms + STOP_MARGIN_MS + FB_ENTRY_FRONTEND_CALL_MAX_MS >= entry->settings->grace_ms)
     entry->refusing_callers = TRUE;
   gboolean done = self->released_ms != 0 && now_ms > self->released_ms + STOP_LINGER_MS
-                  && entry->open_calls == 0 && now_ms >= entry->answered_ms + STOP_SETTLE_MS;
+                  && entry->open_calls == 0 && now_ms >= entry->last_answer_ms + STOP_SETTLE_MS;
   if (!done && spent_ms + STOP_MARGIN_MS < entry->settings->grace_ms)
     return G_SOURCE_CONTINUE;
   g_main_loop_quit (self->loop);
@@ -250,7 +250,7 @@
   FbLinkUtilization sent;
   FbLinkUtilization received;
   fb_traffic_totals (&totals);
-  if (!fb_link_monitor_sample (self->link, &totals, now_ms, &sent, &received))
+  if (!fb_link_monitor_sample (self->link_monitor, &totals, now_ms, &sent, &received))
     return;
   fb_event_log (FB_EVENT_LINK_BUSY,
                 "link_kbit_s=%u sent_kbit_s=%u most=%s most_kbit_s=%u received_kbit_s=%u most=%s"
@@ -269,14 +269,15 @@
 static void
 start_components (FbEntryDaemon *self)
 {
-  self->store_ok_ms = fb_clock_ms ();
-  self->timer = fb_timer_new (self->store_ok_ms);
-  self->loop = fb_loop_monitor_new (TIMER_MS, self->store_ok_ms);
+  self->store_answered_ms = fb_clock_ms ();
+  self->timer = fb_timer_new (self->store_answered_ms);
+  self->loop_monitor = fb_loop_monitor_new (TIMER_MS, self->store_answered_ms);
   self->payload_dedup = fb_payload_dedup_new ((uint32_t) self->settings->link_kbit_s);
   self->payload_cache = fb_payload_cache_new (PAYLOAD_CACHE_BYTES);
   self->recent_starts = fb_recent_starts_new ();
   self->suspect_backups = fb_suspect_backups_new ();
-  self->link = fb_link_monitor_new ((uint32_t) self->settings->link_kbit_s, self->store_ok_ms);
+  self->link_monitor
+      = fb_link_monitor_new ((uint32_t) self->settings->link_kbit_s, self->store_answered_ms);
   self->store_client = fb_http_client_new ();
   self->worker_client = fb_http_client_new ();
   self->advice_client = fb_http_client_new ();
--- a/src/entry/frontend/frontend-store.c
+++ b/src/entry/frontend/frontend-store.c
@@ -24,7 +24,7 @@
   fb_event_log (stored ? FB_EVENT_JOB_ACCEPTED : FB_EVENT_JOB_REFUSED,
                 "job=%s queue=%s how=%s after_ms=%u store_ok_ms_ago=%u", request->job,
                 request->queue, how, (guint) (fb_clock_ms () - request->received_ms),
-                (guint) (fb_clock_ms () - request->entry->store_ok_ms));
+                (guint) (fb_clock_ms () - request->entry->store_answered_ms));
 }
 
 static void
--- a/src/entry/frontend/frontend.c
+++ b/src/entry/frontend/frontend.c
@@ -48,10 +48,10 @@
 set_response (FbEntryDaemon *entry, SoupServerMessage *message, guint status, const char *body)
 {
   SoupMessageHeaders *headers = soup_server_message_get_response_headers (message);
-  entry->answered_ms = fb_clock_ms ();
+  entry->last_answer_ms = fb_clock_ms ();
   if (status == SOUP_STATUS_SERVICE_UNAVAILABLE)
     {
-      uint64_t unavailable_s = (fb_clock_ms () - entry->store_ok_ms + 999) / 1000;
+      uint64_t unavailable_s = (fb_clock_ms () - entry->store_answered_ms + 999) / 1000;
       g_autofree char *retry_after_s = g_strdup_printf (
           "%u", (guint) CLAMP (unavailable_s, RETRY_AFTER_MIN_S, RETRY_AFTER_MAX_S));
       soup_message_headers_replace (headers, "Retry-After", retry_after_s);
--- a/src/entry/owner/owner-load.c
+++ b/src/entry/owner/owner-load.c
@@ -106,7 +106,7 @@
                 (guint) (self->progress_ms - self->fenced_ms),
                 (guint) (self->jobs_ms - self->progress_ms), (guint) (now_ms - self->jobs_ms),
                 self->loaded_n, self->loaded_bytes,
-                fb_loop_monitor_max_delay_ms (self->entry->loop, now_ms));
+                fb_loop_monitor_max_delay_ms (self->entry->loop_monitor, now_ms));
 }
 
 typedef void (*ApplyRecord) (FbOwner *self, const char *key, GBytes *value);
--- a/src/entry/owner/owner-orders.c
+++ b/src/entry/owner/owner-orders.c
@@ -189,14 +189,14 @@
 }
 
 void
-fb_owner_step_down (FbOwner *self, const char *why)
+fb_owner_step_down (FbOwner *self, const char *reason)
 {
   if (self->stepped_down)
     return;
   self->stepped_down = TRUE;
   g_autofree char *ages = fb_entry_format_timing (self->entry);
   fb_event_log (FB_EVENT_POOL_LOST, "partition=%u epoch=%" G_GUINT64_FORMAT " why=\"%s\" %s",
-                self->partition, self->epoch, why, ages);
+                self->partition, self->epoch, reason, ages);
 }
 
 static void
--- a/src/entry/owner/owner-private.h
+++ b/src/entry/owner/owner-private.h
@@ -51,7 +51,7 @@
 /* owner-orders.c: sends the orders of pools and passes the answers back. */
 extern const FbPoolSink fb_owner_sink;
 /* Ends the ownership: SELF takes no further action, and the daemon frees it soon. */
-void fb_owner_step_down (FbOwner *self, const char *why);
+void fb_owner_step_down (FbOwner *self, const char *reason);
 
 /* owner-load.c: loads the records of previous owners. */
 
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -54,7 +54,7 @@
       fb_counter_add (FB_COUNTER_STORE_ERRORS, 1);
       return;
     }
-  self->store_ok_ms = fb_clock_ms ();
+  self->store_answered_ms = fb_clock_ms ();
   if (!self->store_lost)
     return;
   self->store_lost = FALSE;
@@ -74,17 +74,17 @@
 static void
 check_store_lost (FbEntryDaemon *self, uint64_t now_ms)
 {
-  if (self->store_lost || now_ms < self->store_ok_ms + STORE_LOST_MS)
+  if (self->store_lost || now_ms < self->store_answered_ms + STORE_LOST_MS)
     return;
   self->store_lost = TRUE;
   fb_event_log (FB_EVENT_STORE_LOST, "store=%s silent_ms=%u", self->settings->store,
-                (guint) (now_ms - self->store_ok_ms));
+                (guint) (now_ms - self->store_answered_ms));
 }
 
 gboolean
 fb_entry_store_is_silent (const FbEntryDaemon *self)
 {
-  return fb_clock_ms () > self->store_ok_ms + STORE_SILENT_MS;
+  return fb_clock_ms () > self->store_answered_ms + STORE_SILENT_MS;
 }
 
 gboolean
@@ -241,16 +241,16 @@
   uint64_t now_ms = fb_clock_ms ();
   return g_strdup_printf (
       "join_sent_ms_ago=%u join_answered_ms_ago=%u join_gap_ms=%u kept_ms_ago=%u loop_late_ms=%u",
-      elapsed_ms (self->joins.sent_ms, now_ms), elapsed_ms (self->joins.answered_ms, now_ms),
-      self->joins.gap_ms,
+      elapsed_ms (self->join_monitor.sent_ms, now_ms),
+      elapsed_ms (self->join_monitor.answered_ms, now_ms), self->join_monitor.gap_ms,
       elapsed_ms (fb_keepalive_renewed_ms (self->keepalive, FB_MEMBERSHIP_OWNERS), now_ms),
-      fb_loop_monitor_max_delay_ms (self->loop, now_ms));
+      fb_loop_monitor_max_delay_ms (self->loop_monitor, now_ms));
 }
 
 void
 fb_entry_join_answered (FbEntryDaemon *self, uint32_t ttl_ms)
 {
-  if (!fb_join_monitor_answered (&self->joins, ttl_ms, fb_clock_ms ()))
+  if (!fb_join_monitor_answered (&self->join_monitor, ttl_ms, fb_clock_ms ()))
     return;
   g_autofree char *ages = fb_entry_format_timing (self);
   fb_event_log (FB_EVENT_JOIN_LATE, "ttl_ms=%u %s", ttl_ms, ages);
@@ -258,11 +258,11 @@
 
 static void
 log_lost_partition (const FbEntryDaemon *self, uint32_t partition, uint64_t generation,
-                    const char *why)
+                    const char *reason)
 {
   g_autofree char *ages = fb_entry_format_timing (self);
   fb_event_log (FB_EVENT_POOL_LOST, "partition=%u generation=%" G_GUINT64_FORMAT " why=\"%s\" %s",
-                partition, generation, why, ages);
+                partition, generation, reason, ages);
 }
 
 static void
@@ -325,7 +325,7 @@
 
 void
 fb_entry_set_owned_partitions (FbEntryDaemon *self, const GArray *partitions, uint64_t generation,
-                               const char *why)
+                               const char *reason)
 {
   g_autoptr (GList) owned = g_hash_table_get_keys (self->owners);
   for (GList *l = owned; l != NULL; l = l->next)
@@ -333,7 +333,7 @@
       uint32_t partition = GPOINTER_TO_UINT (l->data);
       if (contains_partition (partitions, partition))
         continue;
-      log_lost_partition (self, partition, generation, why);
+      log_lost_partition (self, partition, generation, reason);
       fb_entry_release_partition (self, partition);
     }
   for (guint i = 0; i < partitions->len && !self->stopping; i++)
--- a/src/entry/store/daemons.c
+++ b/src/entry/store/daemons.c
@@ -150,8 +150,8 @@
 remove_predecessors (FbDaemons *self, const GArray *rows)
 {
   for (guint i = 0; i < rows->len; i++)
-    fb_group_leave_predecessor (self->group_leave,
-                                g_array_index (rows, FbPartitionOwner, i).member);
+    fb_group_leave_remove_predecessor (self->group_leave,
+                                       g_array_index (rows, FbPartitionOwner, i).member);
 }
 
 static void
--- a/src/entry/store/group-leave.c
+++ b/src/entry/store/group-leave.c
@@ -46,7 +46,7 @@
 }
 
 gboolean
-fb_group_leave_predecessor (FbGroupLeave *self, const char *member)
+fb_group_leave_remove_predecessor (FbGroupLeave *self, const char *member)
 {
   if (!fb_daemons_is_predecessor (member, self->name)
       || !g_hash_table_add (self->removed, g_strdup (member)))
--- a/src/entry/store/group-leave.h
+++ b/src/entry/store/group-leave.h
@@ -15,4 +15,4 @@
 void fb_group_leave_self (FbGroupLeave *self, FbHttpReplyDone done, gpointer user);
 /* Removes MEMBER if it is a previous process of this daemon.
  * Returns: FALSE when it is not one, or was already removed. */
-gboolean fb_group_leave_predecessor (FbGroupLeave *self, const char *member);
+gboolean fb_group_leave_remove_predecessor (FbGroupLeave *self, const char *member);
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -93,7 +93,7 @@
   for (guint i = 0; i < owners->len; i++)
     {
       const char *member = g_array_index (owners, FbPartitionOwner, i).member;
-      if (fb_group_leave_predecessor (self->group_leave, member))
+      if (fb_group_leave_remove_predecessor (self->group_leave, member))
         fb_event_log (FB_EVENT_PREDECESSOR_DISMISSED, "member=%s", member);
     }
 }
@@ -109,7 +109,8 @@
     return; /* the owners are requested again when they are needed */
   const fb_owners_reply *owners = &peer_reply->fb_peer_reply_u.owners;
   fb_event_log (FB_EVENT_OWNERS_FROM_PEER, "partitions=%u store_ok_ms_ago=%u",
-                owners->owners.owners_len, (guint) (fb_clock_ms () - self->entry->store_ok_ms));
+                owners->owners.owners_len,
+                (guint) (fb_clock_ms () - self->entry->store_answered_ms));
   g_hash_table_remove_all (self->owner_of);
   for (u_int i = 0; i < owners->owners.owners_len; i++)
     {
@@ -329,7 +330,7 @@
       g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
       fb_entry_set_owned_partitions (self->entry, none, self->generation,
                                      "too little processor time to own partitions");
-      fb_join_monitor_left (&self->entry->joins);
+      fb_join_monitor_left (&self->entry->join_monitor);
       fb_group_leave_self (self->group_leave, NULL, NULL);
       self->last_renewal_sent_ms = 0;
       self->generation = 0;
@@ -366,7 +367,7 @@
   fb_wire_join (&call, self->entry->settings->store, GROUP, self->member, topics, self->ttl_ms,
                 self->generation);
   self->join_sent_ms = fb_clock_ms ();
-  fb_join_monitor_sent (&self->entry->joins, self->join_sent_ms);
+  fb_join_monitor_sent (&self->entry->join_monitor, self->join_sent_ms);
   self->keepalive_active = TRUE;
   fb_keepalive_set_renewal (self->entry->keepalive, FB_MEMBERSHIP_OWNERS, &call, self->ttl_ms,
                             self->last_renewal_sent_ms);
--- a/src/entry/store/keepalive.c
+++ b/src/entry/store/keepalive.c
@@ -25,7 +25,7 @@
   FbMembership which;
   FbHttpCall call;
   uint32_t ttl_ms;
-  uint64_t ok_sent_ms;
+  uint64_t last_renewal_sent_ms;
   uint64_t sent_ms;
 } Renewal;
 
@@ -81,7 +81,7 @@
 extend_membership (Membership *membership)
 {
   const Renewal *renewal = membership->renewal;
-  uint64_t previous_ms = MAX (atomic_load (&membership->renewed_ms), renewal->ok_sent_ms);
+  uint64_t previous_ms = MAX (atomic_load (&membership->renewed_ms), renewal->last_renewal_sent_ms);
   if (membership->repeated_ms <= previous_ms + renewal->ttl_ms)
     atomic_store (&membership->renewed_ms, membership->repeated_ms);
 }
@@ -144,14 +144,14 @@
 
 void
 fb_keepalive_set_renewal (FbKeepalive *self, FbMembership which, const FbHttpCall *call,
-                          uint32_t ttl_ms, uint64_t ok_sent_ms)
+                          uint32_t ttl_ms, uint64_t last_renewal_sent_ms)
 {
   Renewal *renewal = g_new0 (Renewal, 1);
   renewal->keepalive = self;
   renewal->which = which;
   fb_http_call_copy (&renewal->call, call);
   renewal->ttl_ms = ttl_ms;
-  renewal->ok_sent_ms = ok_sent_ms;
+  renewal->last_renewal_sent_ms = last_renewal_sent_ms;
   renewal->sent_ms = fb_clock_ms ();
   fb_loop_post (self->loop, set_renewal, renewal, NULL);
 }
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -331,12 +331,12 @@
 #define BUSY_MS 1800
 
 static void
-start_renewals (FbKeepalive *keepalive, const Server *server, uint64_t ok_sent_ms)
+start_renewals (FbKeepalive *keepalive, const Server *server, uint64_t last_renewal_sent_ms)
 {
   FbHttpCall call = { .method = "GET",
                       .idempotent = TRUE,
                       .url = g_strdup_printf ("http://%s/", server->address) };
-  fb_keepalive_set_renewal (keepalive, FB_MEMBERSHIP_OWNERS, &call, TTL_MS, ok_sent_ms);
+  fb_keepalive_set_renewal (keepalive, FB_MEMBERSHIP_OWNERS, &call, TTL_MS, last_renewal_sent_ms);
   fb_http_call_clear (&call);
 }
 
