--- a/src/entry/advice/advice-balancer.c
+++ b/src/entry/advice/advice-balancer.c
@@ -2,30 +2,29 @@
 
 #include <math.h>
 
-/* Number of classes of requests; the class is the binary logarithm of the expected duration. */
+/* Number of size classes of requests; the class is the binary logarithm of the expected
+ * duration. */
 #define CLASS_N 16
 /* Daemons are reserved against a request for those that take less than a quarter of its duration:
  * waiting behind a request of half its own length costs a caller little more than its own
  * duration. */
 #define CLASS_DISTANCE 2
-/* Failure: two owners do not know of each other's requests, and a daemon's calls queue; a short
- * request of one waits behind a long one of the other, and its callers are late.  In load tests of
- * a deployment with two services the mean value of the jobs completed in time was lower by 0.008.
- * Guard: long requests are assigned from the end of the list of daemons, short ones from the
- * beginning (FB_ADVICE_LONG_MS). */
-
-/* Failure: another owner has a long request at every daemon, and a daemon that has answered a short
- * one begins a long one while the next short one is still in transit; it shows as short requests
- * that get one answer for each long one.  Guard: a second short request is already queued at the
- * daemon. */
-#define SHORT_MAX 2 /* short requests open at one daemon */
-
-/* Half-life of the load of sent requests: bursts last some seconds. */
+/* Long requests are assigned from the end of the list of daemons, short ones from the beginning
+ * (FB_ADVICE_LONG_MS).  Two owners are not aware of each other's requests, so that otherwise a
+ * short request of one queues behind a long one of the other and its callers get late answers. */
+
+/* Maximum number of short requests open at one daemon.  With one, when another owner has a long
+ * request at every daemon, a daemon that has answered a short request begins a long one while the
+ * next short one is in transit, so that only one short request is answered for each long one.  With
+ * two, a second short request is already queued. */
+#define SHORT_MAX 2
+
+/* Half-life of the load caused by sent requests; bursts last some seconds. */
 #define HALF_LIFE_MS 1000
 
 typedef struct
 {
-  double busy_ms; /* expected duration of requests sent, halved every HALF_LIFE_MS */
+  double busy_ms; /* total expected duration of sent requests, with a half-life of HALF_LIFE_MS */
   uint64_t as_of_ms;
 } Load;
 
@@ -40,7 +39,7 @@
 {
   guint class; /* class of the last request */
   guint n;
-} Open;
+} OpenRequests;
 
 FbAdviceBalancer *
 fb_advice_balancer_new (void)
@@ -58,7 +57,7 @@
 }
 
 static guint
-class_of (uint32_t expected_ms)
+size_class (uint32_t expected_ms)
 {
   return MIN (g_bit_storage (expected_ms), CLASS_N - 1);
 }
@@ -71,7 +70,8 @@
   load->as_of_ms = MAX (load->as_of_ms, now_ms);
 }
 
-/* Returns: how many daemons were recently kept busy by requests much shorter than CLASS. */
+/* Returns: the mean number of daemons that were recently busy with requests much shorter than
+ * CLASS. */
 static double
 shorter_load (FbAdviceBalancer *self, guint class, uint64_t now_ms)
 {
@@ -81,50 +81,48 @@
       decay (&self->loads[i], now_ms);
       busy_ms += self->loads[i].busy_ms;
     }
-  /* A constantly busy daemon adds up to HALF_LIFE_MS / ln 2. */
+  /* The value of a constantly busy daemon converges to HALF_LIFE_MS / ln 2. */
   return busy_ms / (HALF_LIFE_MS / G_LN2);
 }
 
-/* With 38 requests of 16 ms a second, 10 of 89 ms and 2 of 875 ms at nine daemons, the long ones
- * may use seven daemons, and six during a burst of 2.3 times the short ones.  Reserving half as
- * many again and one more was too much: gangs waited, and the mean value of the jobs completed in
- * time was 0.006 lower over 20 load tests of two deployments in which processor time was not
- * modelled (the daemons' computation cost nothing). */
+/* Example: with 38 requests of 16 ms a second, 10 of 89 ms and 2 of 875 ms at nine daemons, the
+ * long ones may use seven daemons, and six during a burst of 2.3 times the short ones.  Reserving
+ * half as many more plus one delays gangs too much. */
 guint
 fb_advice_balancer_reserved (FbAdviceBalancer *self, guint daemons_n, uint32_t expected_ms,
                              uint64_t now_ms)
 {
-  double load = shorter_load (self, class_of (expected_ms), now_ms);
-  /* Below a hundredth of a daemon nothing is reserved: the last short request was some seconds
-   * ago. */
+  double load = shorter_load (self, size_class (expected_ms), now_ms);
+  /* Nothing is reserved below a load of 0.01, which means that the last short request was some
+   * seconds ago. */
   if (load < 0.01 || daemons_n < 2)
     return 0;
   return MIN (MAX ((guint) (load + 0.5), 1), daemons_n - 1);
 }
 
 static guint
-open_n (const FbAdviceBalancer *self, guint from_class)
+count_open (const FbAdviceBalancer *self, guint min_class)
 {
   guint n = 0;
   GHashTableIter iter;
   gpointer open;
   g_hash_table_iter_init (&iter, self->open);
   while (g_hash_table_iter_next (&iter, NULL, &open))
-    n += ((const Open *) open)->class >= from_class;
+    n += ((const OpenRequests *) open)->class >= min_class;
   return n;
 }
 
 /* Returns: (nullable): a daemon with OPEN_N open requests, all of them short. */
 static const char *
-daemon_with (const FbAdviceBalancer *self, const GPtrArray *daemons, guint open_n,
+find_daemon (const FbAdviceBalancer *self, const GPtrArray *daemons, guint open_n,
              gboolean from_end)
 {
   for (guint i = 0; i < daemons->len; i++)
     {
       const char *daemon = daemons->pdata[from_end ? daemons->len - 1 - i : i];
-      const Open *open = g_hash_table_lookup (self->open, daemon);
+      const OpenRequests *open = g_hash_table_lookup (self->open, daemon);
       if (open_n == (open != NULL ? open->n : 0)
-          && (open == NULL || open->class < class_of (FB_ADVICE_LONG_MS)))
+          && (open == NULL || open->class < size_class (FB_ADVICE_LONG_MS)))
         return daemon;
     }
   return NULL;
@@ -134,16 +132,16 @@
 fb_advice_balancer_choose (FbAdviceBalancer *self, const GPtrArray *daemons, uint32_t expected_ms,
                            uint64_t now_ms)
 {
-  guint class = class_of (expected_ms);
+  guint class = size_class (expected_ms);
   guint reserved = fb_advice_balancer_reserved (self, daemons->len, expected_ms, now_ms);
-  guint from_class = class + 1 > CLASS_DISTANCE ? class + 1 - CLASS_DISTANCE : 0;
-  if (reserved > 0 && open_n (self, from_class) + reserved >= daemons->len)
+  guint min_class = class + 1 > CLASS_DISTANCE ? class + 1 - CLASS_DISTANCE : 0;
+  if (reserved > 0 && count_open (self, min_class) + reserved >= daemons->len)
     return NULL;
   gboolean is_long = expected_ms >= FB_ADVICE_LONG_MS;
-  guint most = is_long ? 1 : SHORT_MAX;
+  guint max_open = is_long ? 1 : SHORT_MAX;
   const char *daemon = NULL;
-  for (guint open_n = 0; open_n < most && daemon == NULL; open_n++)
-    daemon = daemon_with (self, daemons, open_n, is_long);
+  for (guint open_n = 0; open_n < max_open && daemon == NULL; open_n++)
+    daemon = find_daemon (self, daemons, open_n, is_long);
   return daemon;
 }
 
@@ -151,13 +149,13 @@
 fb_advice_balancer_began (FbAdviceBalancer *self, const char *daemon, uint32_t expected_ms,
                           uint64_t now_ms)
 {
-  guint class = class_of (expected_ms);
+  guint class = size_class (expected_ms);
   decay (&self->loads[class], now_ms);
   self->loads[class].busy_ms += expected_ms;
-  Open *open = g_hash_table_lookup (self->open, daemon);
+  OpenRequests *open = g_hash_table_lookup (self->open, daemon);
   if (open == NULL)
     {
-      open = g_new0 (Open, 1);
+      open = g_new0 (OpenRequests, 1);
       g_hash_table_insert (self->open, g_strdup (daemon), open);
     }
   open->class = class;
@@ -167,7 +165,7 @@
 void
 fb_advice_balancer_ended (FbAdviceBalancer *self, const char *daemon)
 {
-  Open *open = g_hash_table_lookup (self->open, daemon);
+  OpenRequests *open = g_hash_table_lookup (self->open, daemon);
   if (open != NULL && --open->n == 0)
     g_hash_table_remove (self->open, daemon);
 }
--- a/src/entry/advice/advisor.c
+++ b/src/entry/advice/advisor.c
@@ -1,11 +1,11 @@
 /* Requests to the advice service.  The service handles one call at a time for each calling daemon,
- * and a call takes up to a second.  The owner of a pool therefore spreads its requests over all
+ * and a call takes up to a second.  The owner of a pool therefore distributes its requests over all
  * daemons, with one open at each, or two short ones (advice-balancer.h); at a daemon, requests of
  * several owners wait in one queue (advice-queue.h).
  *
- * Failure: one daemon is left and owns two pools; the pool that has just got its answer always asks
- * again first, and no task of the other pool is started any more.  Guard: pools that wait for a
- * daemon take turns, by the service time that their requests have used. */
+ * Pools that wait for a daemon are served in the order of the service time that their requests have
+ * used.  Otherwise, when one daemon is left and owns two pools, the pool that has just received its
+ * answer always sends the next request first, and no task of the other pool is started. */
 #include "advice-balancer.h"
 #include "advice-queue.h"
 #include "fair-share.h"
@@ -15,28 +15,28 @@
 #include "fb-event.h"
 #include "fb-histogram.h"
 
-/* How long a request may wait at a daemon behind those of other pools: long enough for one of 1.8 s
- * that has just begun and for short ones that go first meanwhile; a long request may wait for twice
- * its own duration. */
+/* Maximum time for which a request waits at a daemon behind those of other pools: long enough for
+ * one of 1.8 s that has just begun and for short ones that are sent first meanwhile.  A long
+ * request may wait for WAIT_MAX_FACTOR times its own duration. */
 #define WAIT_MAX_MS 3000
 #define WAIT_MAX_FACTOR 2
 /* Upper bound of a request's expected duration: a hundred workers at 100 ms each. */
 #define EXPECTED_MAX_MS 10000
 /* Allowance for the network on top of the time that the decision takes. */
-#define CALL_SLACK_MS 1500
+#define CALL_NETWORK_MS 1500
 
 struct _FbAdvisor
 {
-  FbEntry *entry;
-  FbFairShare *fair_share;      /* fair shares of pools among requests that reserve no daemons */
-  FbFairShare *long_fair_share; /* the same for requests that leave daemons to shorter ones */
+  FbEntryDaemon *entry;
+  FbFairShare *fair_share;      /* sharing among requests that reserve no daemons */
+  FbFairShare *long_fair_share; /* sharing among requests that leave daemons to shorter ones */
   FbAdviceBalancer *balancer;
   FbAdviceQueue *queue; /* of AdviceCall */
 };
 
 typedef struct
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   uint32_t partition;
   char *daemon;
   char *step;
@@ -59,23 +59,23 @@
   g_free (request);
 }
 
-/* Returns: (nullable): the incarnation of worker ID that REQUEST named; borrowed. */
+/* Returns: (nullable): the incarnation of worker ID in REQUEST; borrowed. */
 static char *
 incarnation_of (const AdviceRequest *request, const char *id)
 {
   for (guint i = 0; i < request->workers->len; i++)
     {
-      g_autofree char *asked = fb_wire_incarnation_worker_id (request->workers->pdata[i]);
-      if (g_str_equal (asked, id))
+      g_autofree char *requested = fb_wire_incarnation_worker_id (request->workers->pdata[i]);
+      if (g_str_equal (requested, id))
         return request->workers->pdata[i];
     }
   return NULL;
 }
 
-/* Passes the answer to OWNER.  Tickets name workers by id; they are assigned to the incarnations
- * that the request named.  PEER_REPLY: NULL without an answer. */
+/* Passes the answer to OWNER.  Tickets contain worker ids; they are assigned to the incarnations
+ * that the request contained.  PEER_REPLY: NULL without an answer. */
 static void
-pass_to_owner (FbOwner *owner, const AdviceRequest *request, const fb_advice_reply *peer_reply)
+deliver_to_owner (FbOwner *owner, const AdviceRequest *request, const fb_advice_reply *peer_reply)
 {
   guint n = peer_reply != NULL ? peer_reply->tickets.tickets_len : 0;
   g_autofree fb_ticket *tickets = g_new0 (fb_ticket, n + 1);
@@ -103,8 +103,8 @@
   if (!answered)
     fb_event_log (FB_EVENT_CALL_FAILED, "advice step=%s daemon=%s", request->step, request->daemon);
   if (owner != NULL)
-    pass_to_owner (owner, request, answered ? &peer_reply->fb_peer_reply_u.advice : NULL);
-  /* Lets the pool whose turn it is send its request. */
+    deliver_to_owner (owner, request, answered ? &peer_reply->fb_peer_reply_u.advice : NULL);
+  /* Lets the next pool by fair share send its request. */
   fb_entry_foreach_owner (request->entry, fb_owner_schedule_tick);
   advice_request_free (request);
 }
@@ -118,7 +118,7 @@
 /* Returns: (transfer container): addresses of the daemons that may take a request, in the same
  * order at every owner, so that short requests of two owners are sent to the same daemons. */
 static GPtrArray *
-all_daemons (const FbAdvisor *self)
+sorted_daemons (const FbAdvisor *self)
 {
   GPtrArray *daemons = fb_group_daemons (self->entry->group);
   if (daemons->len == 0)
@@ -127,13 +127,13 @@
   return daemons;
 }
 
-/* Returns: (nullable): the daemon for a request; NULL when none is free or another pool is to go
- * first. */
+/* Returns: (nullable): the daemon for a request; NULL when none is available or another pool is
+ * served first. */
 static const char *
 choose_daemon (FbAdvisor *self, uint32_t partition, uint32_t expected_ms)
 {
   uint64_t now_ms = fb_clock_ms ();
-  g_autoptr (GPtrArray) daemons = all_daemons (self);
+  g_autoptr (GPtrArray) daemons = sorted_daemons (self);
   gboolean reserves
       = fb_advice_balancer_reserved (self->balancer, daemons->len, expected_ms, now_ms) > 0;
   FbFairShare *fair_share = reserves ? self->long_fair_share : self->fair_share;
@@ -151,8 +151,8 @@
 }
 
 gboolean
-fb_advisor_ask (FbAdvisor *self, uint32_t partition, const char *step, const char *const *workers,
-                guint n, uint32_t expected_ms)
+fb_advisor_request (FbAdvisor *self, uint32_t partition, const char *step,
+                    const char *const *workers, guint n, uint32_t expected_ms)
 {
   if (self->entry->settings->advice == NULL)
     return FALSE;
@@ -195,7 +195,7 @@
   FbAdvisor *advisor;
   FbHttpCall call;
   uint32_t expected_ms;
-  uint64_t since_ms;
+  uint64_t queued_ms;
   FbPeerReplyDone done;
   gpointer user;
 } AdviceCall;
@@ -225,12 +225,12 @@
   call_next (self);
 }
 
-/* TRUE when the requester has given up already: calling the service would only delay other
- * requests. */
+/* Returns: TRUE when the requester no longer waits for the answer; calling the service would only
+ * delay other requests. */
 static gboolean
 has_timed_out (const AdviceCall *call)
 {
-  return fb_clock_ms () > call->since_ms + wait_max_ms (call->expected_ms);
+  return fb_clock_ms () > call->queued_ms + wait_max_ms (call->expected_ms);
 }
 
 static void
@@ -243,28 +243,28 @@
         end_call (call, NULL);
       else
         fb_http_client_exchange (self->entry->advice_client, &call->call,
-                                 2 * call->expected_ms + CALL_SLACK_MS, on_advised, call);
+                                 2 * call->expected_ms + CALL_NETWORK_MS, on_advised, call);
     }
 }
 
 void
-fb_advisor_call (FbEntry *entry, const fb_advice_request *peer_request, FbPeerReplyDone done,
+fb_advisor_call (FbEntryDaemon *entry, const fb_advice_request *peer_request, FbPeerReplyDone done,
                  gpointer user)
 {
   FbAdvisor *self = entry->advisor;
   AdviceCall *call = g_new0 (AdviceCall, 1);
   call->advisor = self;
   call->expected_ms = MIN (peer_request->expected_ms, EXPECTED_MAX_MS);
-  call->since_ms = fb_clock_ms ();
+  call->queued_ms = fb_clock_ms ();
   call->done = done;
   call->user = user;
   fb_wire_advise (&call->call, entry->settings->advice, peer_request);
-  fb_advice_queue_add (self->queue, call, call->expected_ms, call->since_ms);
+  fb_advice_queue_add (self->queue, call, call->expected_ms, call->queued_ms);
   call_next (self);
 }
 
 FbAdvisor *
-fb_advisor_new (FbEntry *entry)
+fb_advisor_new (FbEntryDaemon *entry)
 {
   FbAdvisor *self = g_new0 (FbAdvisor, 1);
   self->entry = entry;
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -3,7 +3,7 @@
 
 #include "entry-private.h"
 
-#include "src/entry/front/front.h"
+#include "src/entry/frontend/frontend.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
@@ -22,13 +22,15 @@
 
 #define TIMER_MS 25
 #define SETTINGS_CHECK_MS 1000
-/* Interval at which the use of the network link is checked: bursts of a take-over last 1 to 2 s. */
+/* Interval at which the utilization of the network link is checked; bursts of traffic after a
+ * takeover last 1 to 2 s. */
 #define LINK_CHECK_MS 2000
 /* Phases of a planned stop: progress is flushed, then partitions are released, then callers on open
  * connections are served until shortly before the process would be killed. */
-/* Failure: with steps of 50 ms and a caller that sends a request every 50 ms, every step sees an
- * answer that was just given, so the process does not end until it has to refuse callers.  Guard:
- * the step is shorter than STOP_SETTLE_MS, the quiet time that it checks for. */
+/* Interval of the checks whether the process can exit; must be shorter than STOP_SETTLE_MS, the
+ * period without answers that they require.  With an interval of 50 ms and a caller that sends a
+ * request every 50 ms, each check saw a recent answer, and the process ran until it had to refuse
+ * callers. */
 #define STOP_STEP_MS 10
 #define STOP_MARGIN_MS 1200
 #define STOP_FLUSH_MS 800
@@ -38,18 +40,18 @@
 /* Size of the cache of payloads received from other owners: some 700 payloads of 1.4 KB, 1 MB of a
  * daemon's 64 MB. */
 #define PAYLOAD_CACHE_BYTES (1024 * 1024)
-/* Limit of log lines per second; the daily peak of decisions is below it. */
+/* Maximum number of log lines per second, above the daily peak of decisions. */
 #define LOG_LINES_PER_S 2000
 
 typedef struct
 {
-  FbEntry entry;
+  FbEntryDaemon entry;
   GMainLoop *loop;
   SoupServer *callers;
   SoupServer *internal;
   uint64_t stop_began_ms;
   gboolean leave_requested;
-  uint64_t released_ms; /* when the partitions were released; 0: not yet */
+  uint64_t released_ms; /* time of the release of the partitions; 0: not released */
 } Daemon;
 
 /* ---- servers ---------------------------------------------------------------------- */
@@ -105,7 +107,7 @@
 {
   const FbEntrySettings *settings = self->entry.settings;
   self->callers = soup_server_new ("server-header", "flamingobarrow", NULL);
-  soup_server_add_handler (self->callers, NULL, fb_entry_front_serve, &self->entry, NULL);
+  soup_server_add_handler (self->callers, NULL, fb_entry_frontend_serve, &self->entry, NULL);
   self->internal = soup_server_new ("server-header", "flamingobarrow", NULL);
   soup_server_add_handler (self->internal, FB_PATH_READY, serve_ready, &self->entry, NULL);
   soup_server_add_handler (self->internal, "/metrics", serve_metrics, NULL, NULL);
@@ -117,12 +119,12 @@
 /* ---- settings --------------------------------------------------------------------- */
 
 static void
-reload (FbEntry *self, const char *why)
+reload (FbEntryDaemon *self, const char *reason)
 {
   FbEntrySettings *settings = fb_entry_settings_load (self->settings_path);
   if (settings == NULL)
     {
-      fb_event_log (FB_EVENT_RELOAD_REFUSED, "why=%s: %s", why, fb_status_message ());
+      fb_event_log (FB_EVENT_RELOAD_REFUSED, "why=%s: %s", reason, fb_status_message ());
       return;
     }
   if (!fb_entry_settings_same_listeners (settings, self->settings))
@@ -130,13 +132,13 @@
       fb_event_log (
           FB_EVENT_RELOAD_REFUSED,
           "why=%s: the name, the addresses and the number of partitions change only at a restart",
-          why);
+          reason);
       fb_entry_settings_free (settings);
       return;
     }
   fb_entry_settings_free (self->settings);
   self->settings = settings;
-  fb_event_log (FB_EVENT_SETTINGS_RELOADED, "why=%s store=%s", why, settings->store);
+  fb_event_log (FB_EVENT_SETTINGS_RELOADED, "why=%s store=%s", reason, settings->store);
 }
 
 static gboolean
@@ -152,7 +154,7 @@
 {
   (void) now_ms;
   static char *last;
-  FbEntry *self = data;
+  FbEntryDaemon *self = data;
   g_autofree char *text = NULL;
   if (!g_file_get_contents (self->settings_path, &text, NULL, NULL))
     return;
@@ -167,25 +169,25 @@
 static gboolean
 on_timer (gpointer data)
 {
-  FbEntry *self = data;
+  FbEntryDaemon *self = data;
   uint64_t now_ms = fb_clock_ms ();
-  FbLoopLate late;
-  if (fb_loop_watch_turn (self->loop, now_ms, &late))
-    fb_event_log (FB_EVENT_LOOP_LATE, "late_ms=%u turns=%u partitions=%u open=%u", late.late_ms,
-                  late.turns_n, g_hash_table_size (self->owners), self->open_calls);
+  FbLoopDelays delays;
+  if (fb_loop_monitor_iteration (self->loop_monitor, now_ms, &delays))
+    fb_event_log (FB_EVENT_LOOP_LATE, "late_ms=%u turns=%u partitions=%u open=%u", delays.delay_ms,
+                  delays.iterations_n, g_hash_table_size (self->owners), self->open_calls);
   fb_timer_advance (self->timer, now_ms);
   return G_SOURCE_CONTINUE;
 }
 
 static void
-on_left (gpointer data)
+on_group_left (gpointer data)
 {
   Daemon *self = data;
   self->released_ms = fb_clock_ms ();
 }
 
 static gboolean
-all_owners_flushed (const FbEntry *self)
+all_owners_flushed (const FbEntryDaemon *self)
 {
   GHashTableIter iter;
   gpointer owner;
@@ -202,7 +204,7 @@
 on_stop_step (gpointer data)
 {
   Daemon *self = data;
-  FbEntry *entry = &self->entry;
+  FbEntryDaemon *entry = &self->entry;
   uint64_t now_ms = fb_clock_ms ();
   uint64_t spent_ms = now_ms - self->stop_began_ms;
   if (!self->leave_requested && (all_owners_flushed (entry) || spent_ms > STOP_FLUSH_MS))
@@ -210,14 +212,14 @@
       g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
       self->leave_requested = TRUE;
       fb_entry_set_owned_partitions (entry, none, 0, "planned stop");
-      fb_group_release_partitions (entry->group, on_left, self);
+      fb_group_release_partitions (entry->group, on_group_left, self);
     }
-  /* Failure: the process ends while calls are open; it shows as requests that were read and get no
-   * answer.  Guard: a request that could last beyond the end of the process is refused. */
-  if (spent_ms + STOP_MARGIN_MS + FB_FRONT_LONGEST_CALL_MS >= entry->settings->grace_ms)
+  /* Refuses requests that could outlast the process; otherwise they would be read and never
+   * answered. */
+  if (spent_ms + STOP_MARGIN_MS + FB_ENTRY_FRONTEND_CALL_MAX_MS >= entry->settings->grace_ms)
     entry->refusing_callers = TRUE;
   gboolean done = self->released_ms != 0 && now_ms > self->released_ms + STOP_LINGER_MS
-                  && entry->open_calls == 0 && now_ms >= entry->answered_ms + STOP_SETTLE_MS;
+                  && entry->open_calls == 0 && now_ms >= entry->last_answer_ms + STOP_SETTLE_MS;
   if (!done && spent_ms + STOP_MARGIN_MS < entry->settings->grace_ms)
     return G_SOURCE_CONTINUE;
   g_main_loop_quit (self->loop);
@@ -241,40 +243,41 @@
 }
 
 static void
-check_link_use (gpointer data, uint64_t now_ms)
+check_link_utilization (gpointer data, uint64_t now_ms)
 {
-  FbEntry *self = data;
+  FbEntryDaemon *self = data;
   FbTrafficTotals totals;
-  FbLinkUse sent;
-  FbLinkUse received;
+  FbLinkUtilization sent;
+  FbLinkUtilization received;
   fb_traffic_totals (&totals);
-  if (!fb_link_watch_turn (self->link, &totals, now_ms, &sent, &received))
+  if (!fb_link_monitor_sample (self->link_monitor, &totals, now_ms, &sent, &received))
     return;
   fb_event_log (FB_EVENT_LINK_BUSY,
                 "link_kbit_s=%u sent_kbit_s=%u most=%s most_kbit_s=%u received_kbit_s=%u most=%s"
                 " most_kbit_s=%u partitions=%u",
-                (guint) self->settings->link_kbit_s, sent.kbit_s, fb_traffic_name (sent.most),
-                sent.most_kbit_s, received.kbit_s, fb_traffic_name (received.most),
-                received.most_kbit_s, g_hash_table_size (self->owners));
+                (guint) self->settings->link_kbit_s, sent.kbit_s, fb_traffic_name (sent.busiest),
+                sent.busiest_kbit_s, received.kbit_s, fb_traffic_name (received.busiest),
+                received.busiest_kbit_s, g_hash_table_size (self->owners));
 }
 
 static void
 check_link_timeouts (gpointer data, uint64_t now_ms)
 {
-  fb_links_check_timeouts (((FbEntry *) data)->links, now_ms);
+  fb_links_check_timeouts (((FbEntryDaemon *) data)->links, now_ms);
 }
 
 static void
-start_parts (FbEntry *self)
+start_components (FbEntryDaemon *self)
 {
-  self->store_ok_ms = fb_clock_ms ();
-  self->timer = fb_timer_new (self->store_ok_ms);
-  self->loop = fb_loop_watch_new (TIMER_MS, self->store_ok_ms);
+  self->store_answered_ms = fb_clock_ms ();
+  self->timer = fb_timer_new (self->store_answered_ms);
+  self->loop_monitor = fb_loop_monitor_new (TIMER_MS, self->store_answered_ms);
   self->payload_dedup = fb_payload_dedup_new ((uint32_t) self->settings->link_kbit_s);
   self->payload_cache = fb_payload_cache_new (PAYLOAD_CACHE_BYTES);
   self->recent_starts = fb_recent_starts_new ();
   self->suspect_backups = fb_suspect_backups_new ();
-  self->link = fb_link_watch_new ((uint32_t) self->settings->link_kbit_s, self->store_ok_ms);
+  self->link_monitor
+      = fb_link_monitor_new ((uint32_t) self->settings->link_kbit_s, self->store_answered_ms);
   self->store_client = fb_http_client_new ();
   self->worker_client = fb_http_client_new ();
   self->advice_client = fb_http_client_new ();
@@ -290,7 +293,7 @@
   fb_entry_start_watching (self);
   fb_timer_subscribe (self->timer, TIMER_MS, check_link_timeouts, self);
   fb_timer_subscribe (self->timer, SETTINGS_CHECK_MS, check_settings, self);
-  fb_timer_subscribe (self->timer, LINK_CHECK_MS, check_link_use, self);
+  fb_timer_subscribe (self->timer, LINK_CHECK_MS, check_link_utilization, self);
   g_timeout_add (TIMER_MS, on_timer, self);
 }
 
@@ -306,7 +309,7 @@
       fprintf (stderr, "flamingobarrowd: %s\n", fb_status_message ());
       return EXIT_ADDRESS;
     }
-  start_parts (&self->entry);
+  start_components (&self->entry);
   self->loop = g_main_loop_new (NULL, FALSE);
   g_unix_signal_add (SIGTERM, on_stop_signal, self);
   g_unix_signal_add (SIGINT, on_stop_signal, self);
--- a/src/entry/front/front-store.c
+++ b/src/entry/frontend/frontend-store.c
@@ -1,9 +1,9 @@
 /* Stores a caller's record: from this daemon, through a daemon that appends for many
- * (append-proxy.h), or through peers while the store rejects this daemon's calls.  The caller is
- * told that its record is not stored only if no call that may have stored it is without an answer.
- */
+ * (append-proxy.h), or through peers while the store rejects this daemon's calls.  A caller gets
+ * the answer that its record is not stored only if every call that may have stored it was
+ * answered. */
 #include "append-proxy.h"
-#include "front-private.h"
+#include "frontend-private.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
@@ -11,24 +11,24 @@
 #include <string.h>
 #include <talloc.h>
 
-#define PEER_APPEND_MS 700
-#define PEERS_UNTIL_MS (FB_FRONT_LONGEST_CALL_MS - PEER_APPEND_MS)
+#define PEER_APPEND_TIMEOUT_MS 700
+#define PEERS_MAX_AGE_MS (FB_ENTRY_FRONTEND_CALL_MAX_MS - PEER_APPEND_TIMEOUT_MS)
 #define PEERS_MAX 3
-/* How long a daemon that failed to append a record is not used: long enough to spare most callers
- * the same failed attempt, short enough for a daemon that has recovered. */
+/* Time for which a daemon that failed to append a record is not used: long enough to spare most
+ * callers the same failed attempt, short enough for a daemon that has recovered. */
 #define BACKOFF_MS 1000
 
 static void
-log_stored (const FbFrontRequest *request, gboolean stored, const char *how)
+log_stored (const FbFrontendRequest *request, gboolean stored, const char *how)
 {
   fb_event_log (stored ? FB_EVENT_JOB_ACCEPTED : FB_EVENT_JOB_REFUSED,
                 "job=%s queue=%s how=%s after_ms=%u store_ok_ms_ago=%u", request->job,
-                request->queue, how, (guint) (fb_clock_ms () - request->since_ms),
-                (guint) (fb_clock_ms () - request->entry->store_ok_ms));
+                request->queue, how, (guint) (fb_clock_ms () - request->received_ms),
+                (guint) (fb_clock_ms () - request->entry->store_answered_ms));
 }
 
 static void
-answer_stored (FbFrontRequest *request, FbAppendResult result)
+answer_stored (FbFrontendRequest *request, FbAppendResult result)
 {
   static const char *const how[] = { [FB_APPEND_STORED] = "stored",
                                      [FB_APPEND_NOT_STORED] = "certainly not stored",
@@ -38,41 +38,42 @@
     {
       fb_counter_add (FB_COUNTER_JOBS_STORED, 1);
       fb_peers_notify_stored (request->entry, request->partition, request->key, request->value);
-      fb_front_finish (request, SOUP_STATUS_OK, "{}");
+      fb_entry_frontend_finish (request, SOUP_STATUS_OK, "{}");
     }
   else if (result == FB_APPEND_IN_DOUBT || request->is_delete)
     {
       fb_counter_add (FB_COUNTER_JOBS_IN_DOUBT, 1);
-      fb_front_finish (request, SOUP_STATUS_GATEWAY_TIMEOUT,
-                       "{\"error\":\"not known whether it is stored\"}");
+      fb_entry_frontend_finish (request, SOUP_STATUS_GATEWAY_TIMEOUT,
+                                "{\"error\":\"unknown whether the request is stored\"}");
     }
   else
     {
       fb_counter_add (FB_COUNTER_JOBS_REFUSED, 1);
-      fb_front_finish (request, SOUP_STATUS_SERVICE_UNAVAILABLE, "{\"error\":\"not stored\"}");
+      fb_entry_frontend_finish (request, SOUP_STATUS_SERVICE_UNAVAILABLE,
+                                "{\"error\":\"not stored\"}");
     }
 }
 
 /* Answers the caller when no call is known to have stored the record. */
 static void
-answer_not_stored (FbFrontRequest *request)
+answer_not_stored (FbFrontendRequest *request)
 {
   answer_stored (request, request->in_doubt ? FB_APPEND_IN_DOUBT : FB_APPEND_NOT_STORED);
 }
 
 static void
-note_append (FbFrontRequest *request, gboolean stored, gboolean locally)
+record_append_result (FbFrontendRequest *request, gboolean stored, gboolean locally)
 {
   uint64_t now_ms = fb_clock_ms ();
-  uint64_t took_ms = now_ms - request->stored_since_ms;
+  uint64_t took_ms = now_ms - request->store_began_ms;
   fb_store_health_appended (&request->entry->store_health, stored, locally,
                             (uint32_t) MIN (took_ms, G_MAXUINT32), now_ms);
 }
 
-static void store_by_peer (FbFrontRequest *request);
+static void store_by_peer (FbFrontendRequest *request);
 
 static void
-request_append (FbFrontRequest *request, const char *daemon, uint32_t timeout_ms,
+request_append (FbFrontendRequest *request, const char *daemon, uint32_t timeout_ms,
                 FbPeerReplyDone done)
 {
   fb_peer_request peer_request = { .type = FB_REQUEST_APPEND_JOB_RECORD };
@@ -85,11 +86,11 @@
 /* PEER_REPLY: another daemon's reply to the request to store the record; NULL: none.
  * Returns: TRUE when the record is stored; the caller was answered then, and REQUEST freed. */
 static gboolean
-is_stored_by_other (FbFrontRequest *request, const fb_peer_reply *peer_reply)
+is_stored_by_other (FbFrontendRequest *request, const fb_peer_reply *peer_reply)
 {
   if (peer_reply != NULL && peer_reply->type == FB_REPLY_STORED)
     {
-      note_append (request, TRUE, FALSE);
+      record_append_result (request, TRUE, FALSE);
       answer_stored (request, FB_APPEND_STORED);
       return TRUE;
     }
@@ -101,34 +102,34 @@
 static void
 on_peer_stored (gpointer data, const fb_peer_reply *peer_reply)
 {
-  FbFrontRequest *request = data;
+  FbFrontendRequest *request = data;
   if (is_stored_by_other (request, peer_reply))
     return;
   store_by_peer (request);
 }
 
-/* Failure: the store rejects this daemon's calls and serves the other daemons; it shows as refused
- * callers while workers are free.  Guard: peers are asked to store the job, one after the other;
- * the record's key makes storing it again harmless. */
+/* Sends the record to peers for storing, one after the other, because the store may reject this
+ * daemon's calls while it serves other daemons; otherwise callers would be refused while workers
+ * are idle.  The record has a key, so storing it again is harmless. */
 static void
-store_by_peer (FbFrontRequest *request)
+store_by_peer (FbFrontendRequest *request)
 {
-  const char *peer = fb_group_any_peer (request->entry->group, request->asked);
-  uint64_t spent_ms = fb_clock_ms () - request->since_ms;
-  if (peer == NULL || spent_ms >= PEERS_UNTIL_MS || request->asked->len >= PEERS_MAX)
+  const char *peer = fb_group_any_peer (request->entry->group, request->tried);
+  uint64_t spent_ms = fb_clock_ms () - request->received_ms;
+  if (peer == NULL || spent_ms >= PEERS_MAX_AGE_MS || request->tried->len >= PEERS_MAX)
     {
       answer_not_stored (request);
       return;
     }
-  g_ptr_array_add (request->asked, g_strdup (peer));
-  request_append (request, peer, PEER_APPEND_MS, on_peer_stored);
+  g_ptr_array_add (request->tried, g_strdup (peer));
+  request_append (request, peer, PEER_APPEND_TIMEOUT_MS, on_peer_stored);
 }
 
 static void
 on_stored (gpointer data, FbAppendResult result)
 {
-  FbFrontRequest *request = data;
-  note_append (request, result == FB_APPEND_STORED, TRUE);
+  FbFrontendRequest *request = data;
+  record_append_result (request, result == FB_APPEND_STORED, TRUE);
   request->in_doubt = request->in_doubt || result == FB_APPEND_IN_DOUBT;
   if (result == FB_APPEND_STORED)
     answer_stored (request, result);
@@ -137,15 +138,15 @@
 }
 
 static void
-store_locally (FbFrontRequest *request)
+store_locally (FbFrontendRequest *request)
 {
   fb_appender_put (fb_entry_appender (request->entry, request->partition),
-                   g_byte_array_ref (request->records), request->since_ms + FB_FRONT_STORE_MS,
-                   on_stored, request);
+                   g_byte_array_ref (request->records),
+                   request->received_ms + FB_ENTRY_FRONTEND_STORE_MS, on_stored, request);
 }
 
 static void
-note_store_health (FbEntry *entry, uint64_t now_ms)
+log_store_health_change (FbEntryDaemon *entry, uint64_t now_ms)
 {
   const FbStoreHealth *store_health = &entry->store_health;
   gboolean store_degraded = fb_append_proxy_store_is_degraded (store_health, now_ms);
@@ -157,40 +158,41 @@
   entry->store_degraded = store_degraded;
 }
 
-static void store_by_proxy (FbFrontRequest *request);
+static void store_by_proxy (FbFrontendRequest *request);
 
-/* Records that the daemon that was asked last did not store the record, so that others are
- * preferred for a while. */
+/* Makes the proxy that was tried last be skipped for a while, because it did not store the
+ * record. */
 static void
-note_append_failure (FbFrontRequest *request)
+back_off_last_proxy (FbFrontendRequest *request)
 {
-  const char *daemon = request->asked->pdata[request->asked->len - 1];
+  const char *daemon = request->tried->pdata[request->tried->len - 1];
   fb_daemons_back_off_append (request->entry->daemons, daemon, fb_clock_ms () + BACKOFF_MS);
 }
 
 static void
 on_proxy_stored (gpointer data, const fb_peer_reply *peer_reply)
 {
-  FbFrontRequest *request = data;
+  FbFrontendRequest *request = data;
   if (is_stored_by_other (request, peer_reply))
     return;
-  note_append_failure (request);
+  back_off_last_proxy (request);
   store_by_proxy (request);
 }
 
-/* Stores the record through another daemon, or from this one if that is better. */
+/* Stores the record through another daemon, or from this one, as fb_append_proxy_route()
+ * decides. */
 static void
-store_by_proxy (FbFrontRequest *request)
+store_by_proxy (FbFrontendRequest *request)
 {
-  FbEntry *entry = request->entry;
+  FbEntryDaemon *entry = request->entry;
   uint64_t now_ms = fb_clock_ms ();
   const FbAppendProxyRecord record
-      = { .front = entry->settings->peers,
+      = { .receiver = entry->settings->peers,
           .owner = fb_group_owner_of (entry->group, request->partition),
-          .asked = request->asked,
+          .tried = request->tried,
           .partition = request->partition,
-          .since_ms = request->since_ms };
-  note_store_health (entry, now_ms);
+          .received_ms = request->received_ms };
+  log_store_health_change (entry, now_ms);
   FbAppendRoute route = fb_append_proxy_route (&record, &entry->store_health,
                                                fb_daemons_all (entry->daemons), now_ms);
   switch (route.step)
@@ -199,7 +201,7 @@
       store_locally (request);
       break;
     case FB_APPEND_ROUTE_PROXY:
-      g_ptr_array_add (request->asked, g_strdup (route.address));
+      g_ptr_array_add (request->tried, g_strdup (route.address));
       request_append (request, route.address, route.timeout_ms, on_proxy_stored);
       break;
     case FB_APPEND_ROUTE_GIVE_UP:
@@ -209,17 +211,17 @@
 }
 
 void
-fb_front_store (FbFrontRequest *request, char kind, GBytes *value)
+fb_entry_frontend_store (FbFrontendRequest *request, char kind, GBytes *value)
 {
   request->key = talloc_asprintf (request, "%c%s", kind, request->job);
   request->value = g_bytes_ref (value);
   request->records = g_byte_array_new ();
   fb_wire_encode_record (request->records, request->key, value);
-  request->stored_since_ms = fb_clock_ms ();
-  /* Failure: the store accepts calls and answers none; it shows as callers who wait for 2 s and are
-   * then told that the outcome is unknown.  Guard: a daemon that has received nothing from the
-   * store sends it nothing, so that its refusal is correct, and asks peers that may still reach the
-   * store. */
+  request->store_began_ms = fb_clock_ms ();
+  /* A daemon that has received nothing from the store for a while sends it nothing, and uses peers
+   * that may still reach the store.  If the store accepted calls without answering them, callers
+   * would wait for 2 s and then get an unknown outcome; without a call, the answer that nothing is
+   * stored is correct. */
   if (fb_entry_store_is_silent (request->entry))
     store_by_peer (request);
   else
--- a/src/entry/front/front.c
+++ b/src/entry/frontend/frontend.c
@@ -1,9 +1,10 @@
 /* HTTP front end for callers: accepts jobs and cancels, and returns states and counts.
  *
- * Any daemon stores a job itself and answers when the store has it, so jobs are accepted while an
- * owner is being replaced.  A refusal is final: it is given only when the job is certainly not
- * stored.  When that is not known the caller gets 504 and submits again under the same id. */
-#include "front-private.h"
+ * Any daemon stores a job itself and answers when the store has confirmed it, so that jobs are
+ * accepted while an owner is being replaced.  An error that says that the job is not stored is sent
+ * only when this is certain.  Otherwise the caller gets status 504 and submits the job again under
+ * the same id. */
+#include "frontend-private.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
@@ -18,41 +19,42 @@
 /* Time limit of a request to the owner: callers wait about 3 s for the answer. */
 #define OWNER_TIMEOUT_MS 2000
 #define BODY_MAX_BYTES (256 * 1024)
-/* Bounds of Retry-After, which is the time for which the store has been unavailable already, so
- * that a caller's few attempts outlast an outage of seconds. */
+/* Bounds of Retry-After, which is set to the time for which the store has been unavailable, so that
+ * a caller's few attempts outlast an outage of seconds. */
 #define RETRY_AFTER_MIN_S 1
 #define RETRY_AFTER_MAX_S 4
 
 #define JSON_TYPE "application/json"
 
-static FbFrontRequest *
-request_new (FbEntry *entry, SoupServerMessage *message, const FbRoute *route, const char *job)
+static FbFrontendRequest *
+request_new (FbEntryDaemon *entry, SoupServerMessage *message, const FbRoute *route,
+             const char *job)
 {
-  FbFrontRequest *request = talloc_zero (NULL, FbFrontRequest);
+  FbFrontendRequest *request = talloc_zero (NULL, FbFrontendRequest);
   request->entry = entry;
   request->message = g_object_ref (message);
   request->job = talloc_strdup (request, job);
   request->queue = talloc_strdup (request, route->policy.queue);
   request->service = talloc_strdup (request, route->policy.service);
   request->partition = fb_entry_partition_of (entry, route->policy.service);
-  request->since_ms = fb_clock_ms ();
-  request->asked = g_ptr_array_new_with_free_func (g_free);
+  request->received_ms = fb_clock_ms ();
+  request->tried = g_ptr_array_new_with_free_func (g_free);
   soup_server_message_pause (message);
   entry->open_calls++;
   return request;
 }
 
 static void
-set_answer (FbEntry *entry, SoupServerMessage *message, guint status, const char *body)
+set_response (FbEntryDaemon *entry, SoupServerMessage *message, guint status, const char *body)
 {
   SoupMessageHeaders *headers = soup_server_message_get_response_headers (message);
-  entry->answered_ms = fb_clock_ms ();
+  entry->last_answer_ms = fb_clock_ms ();
   if (status == SOUP_STATUS_SERVICE_UNAVAILABLE)
     {
-      uint64_t away_s = (fb_clock_ms () - entry->store_ok_ms + 999) / 1000;
-      g_autofree char *wait_s
-          = g_strdup_printf ("%u", (guint) CLAMP (away_s, RETRY_AFTER_MIN_S, RETRY_AFTER_MAX_S));
-      soup_message_headers_replace (headers, "Retry-After", wait_s);
+      uint64_t unavailable_s = (fb_clock_ms () - entry->store_answered_ms + 999) / 1000;
+      g_autofree char *retry_after_s = g_strdup_printf (
+          "%u", (guint) CLAMP (unavailable_s, RETRY_AFTER_MIN_S, RETRY_AFTER_MAX_S));
+      soup_message_headers_replace (headers, "Retry-After", retry_after_s);
     }
   if (entry->stopping)
     soup_message_headers_replace (headers, "Connection", "close");
@@ -61,28 +63,28 @@
 }
 
 void
-fb_front_finish (FbFrontRequest *request, guint status, const char *body)
+fb_entry_frontend_finish (FbFrontendRequest *request, guint status, const char *body)
 {
-  fb_histogram_add (FB_HISTOGRAM_CALLER_ANSWER, fb_clock_ms () - request->since_ms);
-  set_answer (request->entry, request->message, status, body);
+  fb_histogram_add (FB_HISTOGRAM_CALLER_ANSWER, fb_clock_ms () - request->received_ms);
+  set_response (request->entry, request->message, status, body);
   soup_server_message_unpause (request->message);
   request->entry->open_calls--;
   g_object_unref (request->message);
   g_clear_pointer (&request->records, g_byte_array_unref);
   g_clear_pointer (&request->value, g_bytes_unref);
-  g_ptr_array_unref (request->asked);
+  g_ptr_array_unref (request->tried);
   talloc_free (request);
 }
 
 static void
-refuse (FbEntry *entry, SoupServerMessage *message, guint status, const char *why)
+refuse (FbEntryDaemon *entry, SoupServerMessage *message, guint status, const char *reason)
 {
-  g_autofree char *escaped = g_strescape (why, NULL);
+  g_autofree char *escaped = g_strescape (reason, NULL);
   g_autofree char *body = g_strdup_printf ("{\"error\":\"%s\"}", escaped);
   fb_event_log (FB_EVENT_CALLER_REFUSED, "path=%s status=%u why=\"%s\" routes=%u",
-                g_uri_get_path (soup_server_message_get_uri (message)), status, why,
+                g_uri_get_path (soup_server_message_get_uri (message)), status, reason,
                 entry->routes != NULL ? (guint) entry->routes->version : 0);
-  set_answer (entry, message, status, body);
+  set_response (entry, message, status, body);
 }
 
 /* ---- submit ------------------------------------------------------------------------ */
@@ -109,7 +111,7 @@
 }
 
 static void
-submit (FbEntry *entry, SoupServerMessage *message, const FbRoute *route, const char *job)
+submit (FbEntryDaemon *entry, SoupServerMessage *message, const FbRoute *route, const char *job)
 {
   fb_work_admit admit = { .policy = route->policy, .accepted_ms = fb_clock_wall_ms () };
   if (!read_job (message, &admit.spec))
@@ -122,7 +124,7 @@
   if (value == NULL)
     refuse (entry, message, SOUP_STATUS_BAD_REQUEST, "the job is too large");
   else
-    fb_front_store (request_new (entry, message, route, job), FB_KEY_JOB, value);
+    fb_entry_frontend_store (request_new (entry, message, route, job), FB_KEY_JOB, value);
 }
 
 /* ---- state and cancel ---------------------------------------------------------------- */
@@ -130,35 +132,36 @@
 static void
 on_state (gpointer data, const fb_peer_reply *peer_reply)
 {
-  FbFrontRequest *request = data;
+  FbFrontendRequest *request = data;
   fb_event_log (FB_EVENT_JOB_ASKED, "job=%s told=%d state=%d after_ms=%u", request->job,
                 peer_reply != NULL ? (int) peer_reply->type : 0,
                 peer_reply != NULL && peer_reply->type == FB_REPLY_JOB_STATE
                     ? (int) peer_reply->fb_peer_reply_u.state
                     : -1,
-                (guint) (fb_clock_ms () - request->since_ms));
+                (guint) (fb_clock_ms () - request->received_ms));
   if (peer_reply != NULL && peer_reply->type == FB_REPLY_NO_SUCH_JOB)
-    fb_front_finish (request, SOUP_STATUS_GONE, "{\"error\":\"no such job\"}");
+    fb_entry_frontend_finish (request, SOUP_STATUS_GONE, "{\"error\":\"no such job\"}");
   else if (request->is_delete)
     {
-      /* The value must not be empty: a record without a value drops its key. */
-      g_autoptr (GBytes) mark = g_bytes_new_static ("x", 1);
-      fb_front_store (request, FB_KEY_CANCEL, mark);
+      /* The value must not be empty, because a record without a value deletes its key. */
+      g_autoptr (GBytes) non_empty = g_bytes_new_static ("x", 1);
+      fb_entry_frontend_store (request, FB_KEY_CANCEL, non_empty);
     }
   else if (peer_reply != NULL && peer_reply->type == FB_REPLY_JOB_STATE)
     {
       g_autofree char *body = fb_wire_format_job_state (peer_reply->fb_peer_reply_u.state);
-      fb_front_finish (request, SOUP_STATUS_OK, body);
+      fb_entry_frontend_finish (request, SOUP_STATUS_OK, body);
     }
   else
-    fb_front_finish (request, SOUP_STATUS_SERVICE_UNAVAILABLE, "{\"error\":\"the owner is away\"}");
+    fb_entry_frontend_finish (request, SOUP_STATUS_SERVICE_UNAVAILABLE,
+                              "{\"error\":\"the owner is unavailable\"}");
 }
 
 static void
-request_state (FbEntry *entry, SoupServerMessage *message, const FbRoute *route, const char *job,
-               gboolean is_delete)
+request_state (FbEntryDaemon *entry, SoupServerMessage *message, const FbRoute *route,
+               const char *job, gboolean is_delete)
 {
-  FbFrontRequest *request = request_new (entry, message, route, job);
+  FbFrontendRequest *request = request_new (entry, message, route, job);
   request->is_delete = is_delete;
   fb_peer_request peer_request = { .type = FB_REQUEST_JOB_STATE };
   peer_request.fb_peer_request_u.job.service = request->service;
@@ -175,16 +178,17 @@
   if (peer_reply != NULL && peer_reply->type == FB_REPLY_PENDING_COUNT)
     {
       g_autofree char *body = fb_wire_format_pending (peer_reply->fb_peer_reply_u.pending);
-      fb_front_finish (data, SOUP_STATUS_OK, body);
+      fb_entry_frontend_finish (data, SOUP_STATUS_OK, body);
     }
   else
-    fb_front_finish (data, SOUP_STATUS_SERVICE_UNAVAILABLE, "{\"error\":\"the owner is away\"}");
+    fb_entry_frontend_finish (data, SOUP_STATUS_SERVICE_UNAVAILABLE,
+                              "{\"error\":\"the owner is unavailable\"}");
 }
 
 static void
-request_pending (FbEntry *entry, SoupServerMessage *message, const FbRoute *route)
+request_pending (FbEntryDaemon *entry, SoupServerMessage *message, const FbRoute *route)
 {
-  FbFrontRequest *request = request_new (entry, message, route, "");
+  FbFrontendRequest *request = request_new (entry, message, route, "");
   fb_peer_request peer_request = { .type = FB_REQUEST_PENDING_COUNT };
   peer_request.fb_peer_request_u.queue.service = request->service;
   peer_request.fb_peer_request_u.queue.queue = request->queue;
@@ -208,7 +212,8 @@
 }
 
 static void
-serve_queue (FbEntry *entry, SoupServerMessage *message, const FbRoute *route, const char *rest)
+serve_queue (FbEntryDaemon *entry, SoupServerMessage *message, const FbRoute *route,
+             const char *rest)
 {
   const char *method = soup_server_message_get_method (message);
   gboolean is_get = g_str_equal (method, "GET");
@@ -227,17 +232,18 @@
 }
 
 void
-fb_entry_front_serve (SoupServer *server, SoupServerMessage *message, const char *path,
-                      GHashTable *query, gpointer data)
+fb_entry_frontend_serve (SoupServer *server, SoupServerMessage *message, const char *path,
+                         GHashTable *query, gpointer data)
 {
   (void) server;
   (void) query;
-  FbEntry *entry = data;
+  FbEntryDaemon *entry = data;
   fb_counter_add (FB_COUNTER_REQUESTS, 1);
   if (entry->refusing_callers || entry->routes == NULL)
     {
       refuse (entry, message, SOUP_STATUS_SERVICE_UNAVAILABLE,
-              entry->refusing_callers ? "the daemon is about to end" : "no configuration yet");
+              entry->refusing_callers ? "the daemon is shutting down"
+                                      : "no configuration has been read");
       return;
     }
   SoupMessageHeaders *headers = soup_server_message_get_request_headers (message);
--- a/src/entry/owner/owner-import.c
+++ b/src/entry/owner/owner-import.c
@@ -1,17 +1,18 @@
-/* After a take-over, requests from the other daemons what no record holds: recent starts of earlier
- * owners, and crash suspects that those could not store. */
+/* After a takeover, requests from the other daemons what no record contains: recent starts by
+ * earlier owners, and crash suspects that those owners could not store. */
 #include "owner-private.h"
 
-/* The answer is needed before the first tasks are started again, some 1 s after a take-over. */
-#define ANSWER_MS 1000
-/* A daemon learns that a worker is unresponsive when its last poll of that worker times out; hence
- * a second request. */
-#define REPEAT_MS 1500
+/* Time limit of an answer, which is needed before the first tasks are restarted, some 1 s after a
+ * takeover. */
+#define ANSWER_TIMEOUT_MS 1000
+/* Delay of the second request.  A daemon detects an unresponsive worker only when its last poll of
+ * that worker times out. */
+#define REPEAT_DELAY_MS 1500
 #define REQUESTS_MAX 2
 
 typedef struct
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   uint32_t partition;
   uint64_t epoch;
 } ImportRequest;
@@ -41,14 +42,14 @@
 }
 
 static void
-request_from (const FbOwner *self, const char *address, fb_peer_request_type what)
+request_from (const FbOwner *self, const char *address, fb_peer_request_type type)
 {
-  const fb_peer_request peer_request = { .type = what };
+  const fb_peer_request peer_request = { .type = type };
   ImportRequest *request = g_new0 (ImportRequest, 1);
   request->entry = self->entry;
   request->partition = self->partition;
   request->epoch = self->epoch;
-  fb_peers_request (self->entry, address, &peer_request, ANSWER_MS, on_peer_reply, request);
+  fb_peers_request (self->entry, address, &peer_request, ANSWER_TIMEOUT_MS, on_peer_reply, request);
 }
 
 static void
@@ -81,7 +82,7 @@
       const FbDaemon *daemon = daemons->pdata[i];
       if (g_str_equal (daemon->address, self->entry->settings->peers))
         continue;
-      /* Requested only once: the owner may have cleared a task of suspicion since. */
+      /* Requested only once, because the owner may have cleared a task of suspicion since then. */
       if (self->start_requests_n == 1)
         request_from (self, daemon->address, FB_REQUEST_SUSPECT_BACKUPS);
       request_from (self, daemon->address, FB_REQUEST_RECENT_STARTS);
@@ -94,6 +95,6 @@
   if (self->start_requests_n >= REQUESTS_MAX || now_ms < self->next_start_request_ms)
     return;
   self->start_requests_n++;
-  self->next_start_request_ms = now_ms + REPEAT_MS;
+  self->next_start_request_ms = now_ms + REPEAT_DELAY_MS;
   request_from_all (self);
 }
--- a/src/entry/owner/owner-orders.c
+++ b/src/entry/owner/owner-orders.c
@@ -1,5 +1,5 @@
-/* Sends the orders of pools to workers.  An order in flight may outlive its owner, so it holds
- * names and looks the pool up again when its answer arrives. */
+/* Sends the orders of pools to workers.  An order in flight may outlive its owner, so it contains
+ * names, and the pool is looked up when the answer arrives. */
 #include "owner-private.h"
 
 #include "fb-counter.h"
@@ -8,7 +8,7 @@
 
 typedef struct
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   uint32_t partition;
   uint64_t epoch;
   char *service;
@@ -119,9 +119,9 @@
 static void
 send_order (const FbServicePool *service_pool, const fb_relay_request *peer_request, uint64_t id)
 {
-  FbEntry *entry = service_pool->owner->entry;
+  FbEntryDaemon *entry = service_pool->owner->entry;
   Order *order = order_new (service_pool, peer_request->worker, id, peer_request->kind);
-  const char *relay = fb_relay_for (entry, peer_request);
+  const char *relay = fb_relay_address_for (entry, peer_request);
   fb_counter_add (FB_COUNTER_WORKER_SYNCS, 1);
   if (relay != NULL)
     fb_relay_send (entry, relay, peer_request, on_relayed, order);
@@ -184,25 +184,26 @@
              uint32_t expected_ms)
 {
   const FbOwner *owner = ((FbServicePool *) user)->owner;
-  return fb_advisor_ask (owner->entry->advisor, owner->partition, step, workers, n, expected_ms);
+  return fb_advisor_request (owner->entry->advisor, owner->partition, step, workers, n,
+                             expected_ms);
 }
 
 void
-fb_owner_step_down (FbOwner *self, const char *why)
+fb_owner_step_down (FbOwner *self, const char *reason)
 {
-  if (self->lost)
+  if (self->stepped_down)
     return;
-  self->lost = TRUE;
+  self->stepped_down = TRUE;
   g_autofree char *ages = fb_entry_format_timing (self->entry);
   fb_event_log (FB_EVENT_POOL_LOST, "partition=%u epoch=%" G_GUINT64_FORMAT " why=\"%s\" %s",
-                self->partition, self->epoch, why, ages);
+                self->partition, self->epoch, reason, ages);
 }
 
 static void
 sink_fenced (gpointer user, const char *worker)
 {
   (void) worker;
-  fb_owner_step_down (((FbServicePool *) user)->owner, "a worker has seen a later owner");
+  fb_owner_step_down (((FbServicePool *) user)->owner, "a worker has received a higher epoch");
 }
 
 const FbPoolSink fb_owner_sink
--- a/src/entry/peers/relay.h
+++ b/src/entry/peers/relay.h
@@ -14,26 +14,26 @@
 
 /* Completion of a relayed order.  PEER_REPLY is borrowed; NULL unless the relay answered. */
 typedef void (*FbRelayDone) (gpointer user, FbRelayResult result, const fb_relay_reply *peer_reply);
-/* Completion of a request to a peer.  PEER_REPLY is borrowed; NULL when no reply came; of type
- * FB_REPLY_UNAVAILABLE also when nothing was sent. */
+/* Completion of a request to a peer.  PEER_REPLY is borrowed; NULL when no reply arrived, and of
+ * type FB_REPLY_UNAVAILABLE also when nothing was sent. */
 typedef void (*FbPeerReplyDone) (gpointer user, const fb_peer_reply *peer_reply);
 
-/* MEMBERS: of FbDaemon.  EXCEPT: an address that is not to be chosen.
+/* MEMBERS: of FbDaemon.  EXCEPT: an address that is excluded.
  * Returns: (nullable): the member of DOMAIN that relays orders with KEY; borrowed. */
 const FbDaemon *fb_relay_choose (const GPtrArray *members, const char *domain, const char *key,
                                  const char *except, uint64_t now_ms);
 /* Returns: (nullable): the address of the daemon that relays ORDER to its worker, borrowed; NULL
  * when this daemon sends it itself. */
-const char *fb_relay_for (FbEntry *entry, const fb_relay_request *order);
+const char *fb_relay_address_for (FbEntryDaemon *entry, const fb_relay_request *order);
 /* Sends ORDER through DAEMON; everything that ORDER points to is borrowed for the call. */
-void fb_relay_send (FbEntry *entry, const char *daemon, const fb_relay_request *order,
+void fb_relay_send (FbEntryDaemon *entry, const char *daemon, const fb_relay_request *order,
                     FbRelayDone done, gpointer user);
 /* Sends ORDER to its worker on behalf of another daemon; DONE is called once. */
-void fb_relay_serve (FbEntry *entry, const fb_relay_request *order, FbPeerReplyDone done,
+void fb_relay_serve (FbEntryDaemon *entry, const fb_relay_request *order, FbPeerReplyDone done,
                      gpointer user);
 /* Sends ORDER to its worker from this daemon. */
-void fb_relay_call_worker (FbEntry *entry, const fb_relay_request *order, FbHttpReplyDone done,
-                           gpointer user);
+void fb_relay_call_worker (FbEntryDaemon *entry, const fb_relay_request *order,
+                           FbHttpReplyDone done, gpointer user);
 /* Parses the worker's answer to an order of KIND; only the answer to a poll has lists.  ANSWER is
  * cleared with fb_poll_answer_clear(). */
 void fb_relay_parse_worker_answer (fb_order_kind kind, const char *worker, const FbHttpReply *reply,
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -11,19 +11,22 @@
 #include <xxhash.h>
 
 #define RELEASE_INTERVAL_MS 100
-/* Number of malformed worker entries remembered as logged; beyond it some are logged again. */
+/* Maximum number of malformed worker entries that are recorded as logged; beyond it, entries may be
+ * logged again. */
 #define MALFORMED_IDS_MAX 1000
-/* The store answers a poll every 0.4 s, up to 0.25 s later when it is slow, and a join every
+/* Time without an answer after which the store is considered silent.  Normally an answer to a poll
+ * arrives every 0.4 s, up to 0.25 s later when the store is slow, and an answer to a join every
  * 0.25 s. */
 #define STORE_SILENT_MS 1000
-/* Without an answer for this long the store counts as lost; polls time out sooner. */
+/* Time without an answer after which the store is considered unavailable; longer than the timeout
+ * of polls. */
 #define STORE_LOST_MS 2500
 /* Number of epochs that one daemon can use for a partition within one generation of the group: at
- * one take-over every 350 ms they last 6 minutes. */
+ * one takeover every 350 ms they suffice for 6 minutes. */
 #define EPOCHS_PER_GENERATION 1024
-/* Every worker rewrites its entry each 1.5 s, and a poll returns at the first change: without a
- * pause 48 workers would cost 32 polls a second.  A worker that leaves has to be noticed within 2
- * s. */
+/* Pause between polls of the worker list.  Every worker rewrites its entry each 1.5 s, and a poll
+ * returns at the first change, so that without a pause 48 workers would cause 32 polls a second.  A
+ * worker that leaves has to be detected within 2 s. */
 #define WORKER_LIST_PAUSE_MS 300
 
 uint64_t
@@ -43,7 +46,7 @@
 /* ---- the store's health ----------------------------------------------------------- */
 
 void
-fb_entry_store_answered (FbEntry *self, const FbHttpReply *reply)
+fb_entry_store_answered (FbEntryDaemon *self, const FbHttpReply *reply)
 {
   fb_counter_add (FB_COUNTER_STORE_CALLS, 1);
   if (reply->status != FB_HTTP_OK || reply->code >= 500 || reply->code == 429)
@@ -51,7 +54,7 @@
       fb_counter_add (FB_COUNTER_STORE_ERRORS, 1);
       return;
     }
-  self->store_ok_ms = fb_clock_ms ();
+  self->store_answered_ms = fb_clock_ms ();
   if (!self->store_lost)
     return;
   self->store_lost = FALSE;
@@ -59,7 +62,7 @@
 }
 
 void
-fb_entry_membership_renewed (FbEntry *self, const FbHttpReply *reply, uint64_t sent_ms)
+fb_entry_membership_renewed (FbEntryDaemon *self, const FbHttpReply *reply, uint64_t sent_ms)
 {
   uint64_t now_ms = fb_clock_ms ();
   if (reply->status == FB_HTTP_OK)
@@ -69,29 +72,29 @@
 }
 
 static void
-check_store (FbEntry *self, uint64_t now_ms)
+check_store_lost (FbEntryDaemon *self, uint64_t now_ms)
 {
-  if (self->store_lost || now_ms < self->store_ok_ms + STORE_LOST_MS)
+  if (self->store_lost || now_ms < self->store_answered_ms + STORE_LOST_MS)
     return;
   self->store_lost = TRUE;
   fb_event_log (FB_EVENT_STORE_LOST, "store=%s silent_ms=%u", self->settings->store,
-                (guint) (now_ms - self->store_ok_ms));
+                (guint) (now_ms - self->store_answered_ms));
 }
 
 gboolean
-fb_entry_store_is_silent (const FbEntry *self)
+fb_entry_store_is_silent (const FbEntryDaemon *self)
 {
-  return fb_clock_ms () > self->store_ok_ms + STORE_SILENT_MS;
+  return fb_clock_ms () > self->store_answered_ms + STORE_SILENT_MS;
 }
 
 gboolean
-fb_entry_is_ready (const FbEntry *self)
+fb_entry_is_ready (const FbEntryDaemon *self)
 {
   return self->routes != NULL && !self->stopping && !self->store_lost;
 }
 
 void
-fb_entry_foreach_owner (FbEntry *self, void (*func) (FbOwner *owner))
+fb_entry_foreach_owner (FbEntryDaemon *self, void (*func) (FbOwner *owner))
 {
   GHashTableIter iter;
   gpointer owner;
@@ -104,7 +107,7 @@
 
 /* Removes the listed incarnation of the worker with this ID. */
 static void
-unlist_worker (FbEntry *self, const char *id)
+remove_worker (FbEntryDaemon *self, const char *id)
 {
   const FbListedWorker *worker = fb_worker_list_by_id (self->workers, id);
   if (worker == NULL)
@@ -118,11 +121,11 @@
 }
 
 static void
-list_worker (FbEntry *self, FbListedWorker *worker)
+apply_worker_entry (FbEntryDaemon *self, FbListedWorker *worker)
 {
   const FbListedWorker *before = fb_worker_list_by_id (self->workers, worker->id);
   if (before != NULL && before->incarnation_started_ms != worker->incarnation_started_ms)
-    unlist_worker (self, worker->id);
+    remove_worker (self, worker->id);
   fb_worker_list_put (self->workers, worker);
   GHashTableIter iter;
   gpointer owner;
@@ -131,12 +134,13 @@
     fb_owner_worker_listed (owner, worker);
 }
 
-/* A malformed entry lists no worker.  It is logged once: its writer may repeat it every second. */
+/* Removes the worker of a malformed entry.  The entry is logged once, because its writer may repeat
+ * it every second. */
 static void
-skip_malformed_entry (FbEntry *self, const char *id)
+remove_malformed_worker (FbEntryDaemon *self, const char *id)
 {
   fb_counter_add (FB_COUNTER_LOG_SKIPPED, 1);
-  unlist_worker (self, id);
+  remove_worker (self, id);
   if (g_hash_table_size (self->malformed_ids) >= MALFORMED_IDS_MAX)
     g_hash_table_remove_all (self->malformed_ids);
   if (g_hash_table_add (self->malformed_ids, g_strdup (id)))
@@ -146,30 +150,30 @@
 static void
 on_worker_record (gpointer user, const FbStoreRecord *record)
 {
-  FbEntry *self = user;
+  FbEntryDaemon *self = user;
   if (record->value == NULL)
     {
-      unlist_worker (self, record->key);
+      remove_worker (self, record->key);
       return;
     }
   FbListedWorker *worker = fb_wire_parse_worker (record->key, record->value);
   if (worker == NULL)
     {
-      skip_malformed_entry (self, record->key);
+      remove_malformed_worker (self, record->key);
       return;
     }
   if (self->listed_ids != NULL)
     g_hash_table_add (self->listed_ids, g_strdup (record->key));
-  if (fb_worker_list_ignores (self->workers, worker))
+  if (fb_worker_list_is_outdated (self->workers, worker))
     fb_listed_worker_free (worker);
   else
-    list_worker (self, worker);
+    apply_worker_entry (self, worker);
 }
 
 static void
 on_workers_begin (gpointer user)
 {
-  FbEntry *self = user;
+  FbEntryDaemon *self = user;
   g_clear_pointer (&self->listed_ids, g_hash_table_unref);
   self->listed_ids = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
 }
@@ -177,12 +181,12 @@
 static void
 on_workers_listed (gpointer user)
 {
-  FbEntry *self = user;
+  FbEntryDaemon *self = user;
   g_autoptr (GList) ids = fb_worker_list_ids (self->workers);
   for (GList *l = ids; l != NULL; l = l->next)
     {
       if (!g_hash_table_contains (self->listed_ids, l->data))
-        unlist_worker (self, l->data);
+        remove_worker (self, l->data);
     }
   g_clear_pointer (&self->listed_ids, g_hash_table_unref);
 }
@@ -192,28 +196,28 @@
 
 /* ---- partitions --------------------------------------------------------------------- */
 
-/* Epochs of a partition grow with each owner: with the group's generation, and within a generation
- * with each take-over by the same daemon. */
+/* Epochs of a partition increase with each owner: with the group's generation, and within a
+ * generation with each takeover by the same daemon. */
 typedef struct
 {
-  uint64_t generation; /* of the group at the last take-over */
-  uint64_t n;          /* number of the last epoch used in it, from 0 */
+  uint64_t generation; /* generation of the group at the last takeover */
+  uint64_t n;          /* index of the last epoch used in that generation */
 } FbPartitionEpochs;
 
 uint32_t
-fb_entry_partition_of (const FbEntry *self, const char *service)
+fb_entry_partition_of (const FbEntryDaemon *self, const char *service)
 {
   return (uint32_t) (XXH64 (service, strlen (service), 0) % self->settings->partitions);
 }
 
 FbOwner *
-fb_entry_owner (const FbEntry *self, uint32_t partition)
+fb_entry_owner (const FbEntryDaemon *self, uint32_t partition)
 {
   return g_hash_table_lookup (self->owners, GUINT_TO_POINTER (partition));
 }
 
 FbAppender *
-fb_entry_appender (FbEntry *self, uint32_t partition)
+fb_entry_appender (FbEntryDaemon *self, uint32_t partition)
 {
   FbAppender *appender = g_hash_table_lookup (self->appenders, GUINT_TO_POINTER (partition));
   if (appender == NULL)
@@ -224,44 +228,45 @@
   return appender;
 }
 
-/* Returns: the time since AT_MS; 0 when AT_MS is 0, that is, the event has not happened. */
+/* Returns: the time since AT_MS; 0 when AT_MS is 0, which means that the event has not occurred. */
 static guint
-ms_ago (uint64_t at_ms, uint64_t now_ms)
+elapsed_ms (uint64_t at_ms, uint64_t now_ms)
 {
   return at_ms != 0 ? (guint) (now_ms - at_ms) : 0;
 }
 
 char *
-fb_entry_format_timing (const FbEntry *self)
+fb_entry_format_timing (const FbEntryDaemon *self)
 {
   uint64_t now_ms = fb_clock_ms ();
   return g_strdup_printf (
       "join_sent_ms_ago=%u join_answered_ms_ago=%u join_gap_ms=%u kept_ms_ago=%u loop_late_ms=%u",
-      ms_ago (self->joins.sent_ms, now_ms), ms_ago (self->joins.answered_ms, now_ms),
-      self->joins.gap_ms,
-      ms_ago (fb_keepalive_renewed_ms (self->keepalive, FB_MEMBERSHIP_OWNERS), now_ms),
-      fb_loop_watch_longest_ms (self->loop, now_ms));
+      elapsed_ms (self->join_monitor.sent_ms, now_ms),
+      elapsed_ms (self->join_monitor.answered_ms, now_ms), self->join_monitor.gap_ms,
+      elapsed_ms (fb_keepalive_renewed_ms (self->keepalive, FB_MEMBERSHIP_OWNERS), now_ms),
+      fb_loop_monitor_max_delay_ms (self->loop_monitor, now_ms));
 }
 
 void
-fb_entry_join_answered (FbEntry *self, uint32_t ttl_ms)
+fb_entry_join_answered (FbEntryDaemon *self, uint32_t ttl_ms)
 {
-  if (!fb_join_watch_answered (&self->joins, ttl_ms, fb_clock_ms ()))
+  if (!fb_join_monitor_answered (&self->join_monitor, ttl_ms, fb_clock_ms ()))
     return;
   g_autofree char *ages = fb_entry_format_timing (self);
   fb_event_log (FB_EVENT_JOIN_LATE, "ttl_ms=%u %s", ttl_ms, ages);
 }
 
 static void
-log_lost (const FbEntry *self, uint32_t partition, uint64_t generation, const char *why)
+log_lost_partition (const FbEntryDaemon *self, uint32_t partition, uint64_t generation,
+                    const char *reason)
 {
   g_autofree char *ages = fb_entry_format_timing (self);
   fb_event_log (FB_EVENT_POOL_LOST, "partition=%u generation=%" G_GUINT64_FORMAT " why=\"%s\" %s",
-                partition, generation, why, ages);
+                partition, generation, reason, ages);
 }
 
 static void
-take_over_partition (FbEntry *self, uint32_t partition, uint64_t generation)
+take_over_partition (FbEntryDaemon *self, uint32_t partition, uint64_t generation)
 {
   gpointer key = GUINT_TO_POINTER (partition);
   FbPartitionEpochs *epochs = g_hash_table_lookup (self->partition_epochs, key);
@@ -275,7 +280,7 @@
   if (epochs->n >= EPOCHS_PER_GENERATION)
     {
       /* The group's next generation allows new epochs. */
-      log_lost (self, partition, generation, "taken over too often in one generation");
+      log_lost_partition (self, partition, generation, "taken over too often in one generation");
       return;
     }
   if (self->worker_reader == NULL)
@@ -286,7 +291,7 @@
 }
 
 void
-fb_entry_release_partition (FbEntry *self, uint32_t partition)
+fb_entry_release_partition (FbEntryDaemon *self, uint32_t partition)
 {
   FbOwner *owner = fb_entry_owner (self, partition);
   if (owner == NULL)
@@ -297,7 +302,7 @@
 
 /* TRUE when a configured service maps to PARTITION; other partitions need no owner. */
 static gboolean
-has_service (const FbEntry *self, uint32_t partition)
+has_service (const FbEntryDaemon *self, uint32_t partition)
 {
   for (guint i = 0; self->routes != NULL && i < self->routes->services->len; i++)
     {
@@ -308,7 +313,7 @@
 }
 
 static gboolean
-contains (const GArray *partitions, uint32_t partition)
+contains_partition (const GArray *partitions, uint32_t partition)
 {
   for (guint i = 0; i < partitions->len; i++)
     {
@@ -319,16 +324,16 @@
 }
 
 void
-fb_entry_set_owned_partitions (FbEntry *self, const GArray *partitions, uint64_t generation,
-                               const char *why)
+fb_entry_set_owned_partitions (FbEntryDaemon *self, const GArray *partitions, uint64_t generation,
+                               const char *reason)
 {
   g_autoptr (GList) owned = g_hash_table_get_keys (self->owners);
   for (GList *l = owned; l != NULL; l = l->next)
     {
       uint32_t partition = GPOINTER_TO_UINT (l->data);
-      if (contains (partitions, partition))
+      if (contains_partition (partitions, partition))
         continue;
-      log_lost (self, partition, generation, why);
+      log_lost_partition (self, partition, generation, reason);
       fb_entry_release_partition (self, partition);
     }
   for (guint i = 0; i < partitions->len && !self->stopping; i++)
@@ -342,12 +347,12 @@
 static void
 release_lost_partitions (gpointer data, uint64_t now_ms)
 {
-  FbEntry *self = data;
-  check_store (self, now_ms);
+  FbEntryDaemon *self = data;
+  check_store_lost (self, now_ms);
   g_autoptr (GList) owned = g_hash_table_get_keys (self->owners);
   for (GList *l = owned; l != NULL; l = l->next)
     {
-      if (fb_owner_lost (fb_entry_owner (self, GPOINTER_TO_UINT (l->data))))
+      if (fb_owner_has_stepped_down (fb_entry_owner (self, GPOINTER_TO_UINT (l->data))))
         fb_entry_release_partition (self, GPOINTER_TO_UINT (l->data));
     }
 }
@@ -360,12 +365,12 @@
   (void) user;
 }
 
-/* Keeps the highest version that was read: a slow read may return an older version after a newer
- * one. */
+/* Ignores versions that are not newer than the current one: a slow read may return an older version
+ * after a newer one. */
 static void
 on_config_record (gpointer user, const FbStoreRecord *record)
 {
-  FbEntry *self = user;
+  FbEntryDaemon *self = user;
   if (!g_str_equal (record->key, FB_KEY_CONFIG) || record->value == NULL)
     return;
   FbRoutes *routes = fb_wire_parse_routes (record->value);
@@ -390,7 +395,7 @@
 static const FbTopicReaderOps config_ops = { ignore_listing, on_config_record, ignore_listing };
 
 void
-fb_entry_start_watching (FbEntry *self)
+fb_entry_start_watching (FbEntryDaemon *self)
 {
   self->config_reader = fb_topic_reader_new (self, FB_TOPIC_CONFIG, 0, 0, &config_ops, self);
   fb_timer_subscribe (self->timer, RELEASE_INTERVAL_MS, release_lost_partitions, self);
--- a/src/entry/store/group-leave.c
+++ b/src/entry/store/group-leave.c
@@ -2,18 +2,18 @@
 
 #include "src/entry/entry-private.h"
 
-#define ANSWER_MS 500
+#define ANSWER_TIMEOUT_MS 500
 
 struct _FbGroupLeave
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   const char *group;
   const char *name;
-  GHashTable *removed; /* names of earlier processes that were removed */
+  GHashTable *removed; /* member names of previous processes that were removed */
 };
 
 FbGroupLeave *
-fb_group_leave_new (FbEntry *entry, const char *group, const char *name)
+fb_group_leave_new (FbEntryDaemon *entry, const char *group, const char *name)
 {
   FbGroupLeave *self = g_new0 (FbGroupLeave, 1);
   self->entry = entry;
@@ -27,7 +27,7 @@
 on_removed (gpointer data, const FbHttpReply *reply)
 {
   (void) data;
-  (void) reply; /* without an answer the member expires after its time to live */
+  (void) reply; /* without an answer the member is removed after its time to live */
 }
 
 static void
@@ -35,7 +35,7 @@
 {
   FbHttpCall call;
   fb_wire_leave (&call, self->entry->settings->store, self->group, member);
-  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_MS, done, user);
+  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_TIMEOUT_MS, done, user);
   fb_http_call_clear (&call);
 }
 
@@ -46,7 +46,7 @@
 }
 
 gboolean
-fb_group_leave_predecessor (FbGroupLeave *self, const char *member)
+fb_group_leave_remove_predecessor (FbGroupLeave *self, const char *member)
 {
   if (!fb_daemons_is_predecessor (member, self->name)
       || !g_hash_table_add (self->removed, g_strdup (member)))
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -1,8 +1,8 @@
-/* Ownership of partitions, as the store assigns them to the members of a group.
+/* Ownership of partitions, as assigned by the store to the members of a group.
  *
- * The partitions of a daemon whose joins no longer reach the store are reassigned after its time to
- * live.  A member's name contains the start time of its process: a restarted process must not be
- * taken for its predecessor, whose orders may still be in transit. */
+ * When the joins of a daemon no longer reach the store, its partitions are reassigned after its
+ * time to live.  A member name contains the start time of the process: a restarted process must not
+ * be confused with its predecessor, whose orders may still be in transit. */
 #include "group-leave.h"
 
 #include "src/entry/entry-private.h"
@@ -12,47 +12,51 @@
 #include <string.h>
 
 #define GROUP "owners"
-/* A dead owner is replaced after this time, if the store allows so short a time to live; a
- * take-over adds some 0.3 s.  A daemon on a quarter of a core completes three joins within it. */
+/* Time to live of a membership, after which a crashed owner is replaced, if the store allows so
+ * short a time.  A takeover takes some 0.3 s more.  A daemon on a quarter of a core completes three
+ * joins within this time. */
 #define TTL_MS 1000
-#define JOIN_EVERY_MS 250
-/* The store reassigns partitions once each member has joined with the new generation; after a loss
- * of all daemons that takes several rounds.  With 62 ms pools were operational 0.8 s after the last
- * start, with this 0.25 s. */
-#define JOIN_CHANGED_MS 30
-/* Retry interval until the members are known, some 10 ms after the start. */
+#define JOIN_INTERVAL_MS 250
+/* Delay of the next join after a change of the group.  The store reassigns partitions once each
+ * member has joined with the new generation, which takes several rounds after a crash of all
+ * daemons.  Pools were operational 0.25 s after the last start with this value, and 0.8 s with 62
+ * ms. */
+#define JOIN_AFTER_CHANGE_MS 30
+/* Retry interval until the members are known, which takes some 10 ms after the start. */
 #define MEMBERS_RETRY_MS 10
-#define ANSWER_MS 500
-/* Failure: a store that was silent answers again, but callers are refused until a call that was
- * sent after its return is answered; with 0.5 s for a join this added 0.4 to 0.6 s of refusals, a
- * fifth of the time in which a caller retries.  Guard: while the store is silent a join times out
- * and is repeated soon; every second one has the usual time limit, for a slow store. */
-#define PROBE_ANSWER_MS 150
+#define ANSWER_TIMEOUT_MS 500
+/* Timeout and pause of joins while the store is silent.  Every second join has the usual timeout
+ * instead, for a store that is slow.  When the store answers again, callers are refused until a
+ * call sent after that is answered; a timeout of 0.5 s for each join added 0.4 to 0.6 s of
+ * refusals, a fifth of the time in which a caller retries. */
+#define PROBE_TIMEOUT_MS 150
 #define PROBE_PAUSE_MS 30
-/* Owners are requested when the group has changed, and at this interval in any case. */
-#define OWNERS_EVERY_MS 3000
-#define OWNERS_SOON_MS 200
-/* Age up to which the owners are passed on to peers; they are read every OWNERS_EVERY_MS. */
-#define OWNERS_FRESH_MS 3800
+/* Owners are requested when the group has changed, and at least at this interval. */
+#define OWNERS_INTERVAL_MS 3000
+#define OWNERS_AFTER_CHANGE_MS 200
+/* Maximum age of the owners that are sent to peers; they are read every OWNERS_INTERVAL_MS. */
+#define OWNERS_MAX_AGE_MS 3800
 
 struct _FbGroup
 {
-  FbEntry *entry;
+  FbEntryDaemon *entry;
   char *member;
   uint32_t ttl_ms;
   uint64_t generation;
-  uint64_t ok_sent_ms; /* when the last answered join was sent; 0: not a member */
+  uint64_t
+      last_renewal_sent_ms; /* time at which the last answered join was sent; 0: not a member */
   uint64_t join_sent_ms;
-  uint64_t owners_ms;         /* when the store last returned the owners */
+  uint64_t owners_ms;         /* time at which the store last returned the owners */
   guint probes_n;             /* number of joins since the store stopped answering */
   GHashTable *owner_of;       /* partition -> address */
-  uint64_t owners_generation; /* at the last such request; 0: they have to be requested again */
+  uint64_t owners_generation; /* generation at the last request to the store for the owners; 0: they
+                               * have to be requested again */
   uint64_t owners_requested_ms;
   gboolean owners_open; /* a request to the store for the owners is open */
   gboolean peer_open;   /* a request to a peer for the owners is open */
   FbGroupLeave *group_leave;
   guint timer;
-  gboolean keepalive_active; /* the keepalive repeats the joins */
+  gboolean keepalive_active; /* the keepalive thread repeats the joins */
   gboolean leaving;
   void (*on_released) (gpointer user);
   gpointer on_released_user;
@@ -79,16 +83,17 @@
 
 /* ---- earlier processes of this daemon ------------------------------------------ */
 
-/* Failure: a daemon is killed and starts again within its time to live; the store still regards the
- * previous process as the owner of its partitions, and their pools make no progress for the rest of
- * that time (0.5 s when all are killed).  Guard: the previous process is removed from the group. */
+/* Removes the previous processes of this daemon from the group.  When a daemon is killed and
+ * restarts within its time to live, the store still regards the previous process as the owner of
+ * its partitions, and their pools make no progress for the rest of that time (0.5 s when all
+ * daemons are killed). */
 static void
 remove_predecessors (FbGroup *self, const GArray *owners)
 {
   for (guint i = 0; i < owners->len; i++)
     {
       const char *member = g_array_index (owners, FbPartitionOwner, i).member;
-      if (fb_group_leave_predecessor (self->group_leave, member))
+      if (fb_group_leave_remove_predecessor (self->group_leave, member))
         fb_event_log (FB_EVENT_PREDECESSOR_DISMISSED, "member=%s", member);
     }
 }
@@ -101,10 +106,11 @@
   FbGroup *self = data;
   self->peer_open = FALSE;
   if (peer_reply == NULL || peer_reply->type != FB_REPLY_PARTITION_OWNERS)
-    return; /* a caller that needs the owners asks again */
+    return; /* the owners are requested again when they are needed */
   const fb_owners_reply *owners = &peer_reply->fb_peer_reply_u.owners;
   fb_event_log (FB_EVENT_OWNERS_FROM_PEER, "partitions=%u store_ok_ms_ago=%u",
-                owners->owners.owners_len, (guint) (fb_clock_ms () - self->entry->store_ok_ms));
+                owners->owners.owners_len,
+                (guint) (fb_clock_ms () - self->entry->store_answered_ms));
   g_hash_table_remove_all (self->owner_of);
   for (u_int i = 0; i < owners->owners.owners_len; i++)
     {
@@ -114,9 +120,9 @@
     }
 }
 
-/* Failure: the store rejects this daemon's calls and its partitions have new owners; it shows as
- * callers of this daemon who request a job's state, wait for 2 s and are told that the owner is
- * away.  Guard: a peer that the store serves knows the owners. */
+/* Requests the owners from a peer, for the case that the store rejects this daemon's calls but
+ * serves the peer.  Otherwise, after partitions have new owners, callers of this daemon that
+ * request a job's state wait for 2 s and are answered that the owner is unavailable. */
 static void
 request_owners_from_peer (FbGroup *self)
 {
@@ -125,7 +131,8 @@
     return;
   static const fb_peer_request peer_request = { .type = FB_REQUEST_PARTITION_OWNERS };
   self->peer_open = TRUE;
-  fb_peers_request (self->entry, peer, &peer_request, ANSWER_MS, on_peer_owners_reply, self);
+  fb_peers_request (self->entry, peer, &peer_request, ANSWER_TIMEOUT_MS, on_peer_owners_reply,
+                    self);
 }
 
 static void
@@ -152,22 +159,22 @@
 request_owners (FbGroup *self, uint64_t now_ms)
 {
   gboolean changed = self->owners_generation != self->generation;
-  uint64_t every_ms = changed ? OWNERS_SOON_MS : OWNERS_EVERY_MS;
-  if (self->owners_open || now_ms < self->owners_requested_ms + every_ms)
+  uint64_t interval_ms = changed ? OWNERS_AFTER_CHANGE_MS : OWNERS_INTERVAL_MS;
+  if (self->owners_open || now_ms < self->owners_requested_ms + interval_ms)
     return;
   self->owners_open = TRUE;
   self->owners_requested_ms = now_ms;
   self->owners_generation = self->generation;
   FbHttpCall call;
   fb_wire_owners (&call, self->entry->settings->store, GROUP);
-  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_MS, on_owners_reply, self);
+  fb_http_client_exchange (self->entry->store_client, &call, ANSWER_TIMEOUT_MS, on_owners_reply,
+                           self);
   fb_http_call_clear (&call);
 }
 
-/* Failure: a daemon that has left sends no joins, and the owners were requested along with joins
- * only; it shows as callers in its last seconds who wait for 2 s and are refused, or cut off when
- * the process ends.  Guard: a component that finds an owner to be wrong requests the owners
- * itself. */
+/* Owners are also requested along with joins, but a daemon that has left the group sends none:
+ * without this function, callers in its last seconds would wait for 2 s and be refused, or be
+ * disconnected when the process exits. */
 void
 fb_group_refresh_owners (FbGroup *self)
 {
@@ -179,7 +186,7 @@
 fb_group_send_owners (const FbGroup *self, FbPeerReplyDone done, gpointer user)
 {
   fb_peer_reply peer_reply = { .type = FB_REPLY_UNAVAILABLE };
-  if (fb_clock_ms () > self->owners_ms + OWNERS_FRESH_MS || self->owners_generation == 0)
+  if (fb_clock_ms () > self->owners_ms + OWNERS_MAX_AGE_MS || self->owners_generation == 0)
     {
       done (user, &peer_reply);
       return;
@@ -205,10 +212,10 @@
   return g_hash_table_lookup (self->owner_of, GUINT_TO_POINTER (partition));
 }
 
-/* Failure: a daemon whose calls the store rejected for 2 s is no member for its peers.  A daemon
- * that reads the members just then, and is rejected next, knows of no peer that could append for
- * it, and reports no end of a job until the store serves it again.  Guard: owners are included too,
- * which the store lists separately from the members. */
+/* Includes the owners, which the store lists separately from the members.  A daemon whose calls
+ * were rejected for 2 s is not listed as a member.  A daemon that reads the members at that moment,
+ * and is rejected next, would know no peer that could append for it, and would report no end of a
+ * job until the store serves it again. */
 GPtrArray *
 fb_group_daemons (const FbGroup *self)
 {
@@ -251,15 +258,16 @@
 
 /* ---- membership ---------------------------------------------------------------- */
 
-/* Returns: the time until which no other daemon can have been assigned this daemon's partitions, by
- * the last renewal that the main loop or the keepalive has sent; 0: not a member. */
+/* Returns: the time until which no other daemon can have been assigned this daemon's partitions,
+ * according to the last renewal that was sent by the main loop or the keepalive thread; 0: not a
+ * member. */
 static uint64_t
 member_until_ms (const FbGroup *self)
 {
-  if (self->ok_sent_ms == 0)
+  if (self->last_renewal_sent_ms == 0)
     return 0;
   uint64_t renewed_ms = fb_keepalive_renewed_ms (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
-  return MAX (self->ok_sent_ms, renewed_ms) + self->ttl_ms;
+  return MAX (self->last_renewal_sent_ms, renewed_ms) + self->ttl_ms;
 }
 
 gboolean
@@ -268,9 +276,9 @@
   return now_ms < member_until_ms (self);
 }
 
-/* Failure: a daemon does not join for longer than its time to live and is assigned the same
- * partitions again; it shows as an owner whose state lacks the changes that another owner made in
- * between.  Guard: it releases its partitions and takes them over anew. */
+/* Releases all partitions, to take them over again, when this daemon has not joined for longer than
+ * its time to live and is assigned partitions again.  Another owner may have made changes in
+ * between that its state lacks. */
 static void
 release_after_absence (FbGroup *self, uint64_t generation)
 {
@@ -279,7 +287,7 @@
     return;
   g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
   fb_entry_set_owned_partitions (self->entry, none, generation,
-                                 "joined later than its time to live");
+                                 "joined after its time to live had expired");
 }
 
 static void
@@ -296,51 +304,51 @@
   if (!fb_wire_parse_join (reply, &generation, partitions))
     {
       gboolean silent = fb_entry_store_is_silent (self->entry);
-      self->timer = g_timeout_add (silent ? PROBE_PAUSE_MS : JOIN_EVERY_MS / 2, join, self);
+      self->timer = g_timeout_add (silent ? PROBE_PAUSE_MS : JOIN_INTERVAL_MS / 2, join, self);
       return;
     }
   fb_entry_join_answered (self->entry, self->ttl_ms);
   release_after_absence (self, generation);
   gboolean changed = generation != self->generation;
   self->generation = generation;
-  self->ok_sent_ms = self->join_sent_ms;
+  self->last_renewal_sent_ms = self->join_sent_ms;
   fb_entry_set_owned_partitions (self->entry, partitions, generation, "assigned to another daemon");
-  self->timer = g_timeout_add (changed ? JOIN_CHANGED_MS : JOIN_EVERY_MS, join, self);
+  self->timer = g_timeout_add (changed ? JOIN_AFTER_CHANGE_MS : JOIN_INTERVAL_MS, join, self);
   request_owners (self, now_ms);
 }
 
-/* Releases all partitions, and checks again later whether to join: the members are not known yet,
- * or this daemon is not strong enough to be an owner.  One daemon makes all decisions for the pool
- * of a service, so pools are left to the daemons with the most processor time.  In a deployment
- * whose daemons have 0.5 or 0.12 of a core, one with 0.12 got the pool of 350 workers in four of
- * five cases, and had used up its processor time after 4 s. */
+/* Releases all partitions and checks again later whether to join.  To be called while the members
+ * are not known yet, or this daemon has too little processor time to be an owner.  One daemon makes
+ * all decisions for the pool of a service, so pools are left to the daemons with the most processor
+ * time.  In a deployment whose daemons have 0.5 or 0.12 of a core, one with 0.12 was assigned the
+ * pool of 350 workers in four of five cases, and had used up its processor time after 4 s. */
 static void
 stay_non_owner (FbGroup *self)
 {
-  if (self->ok_sent_ms != 0)
+  if (self->last_renewal_sent_ms != 0)
     {
       g_autoptr (GArray) none = g_array_new (FALSE, TRUE, sizeof (uint32_t));
       fb_entry_set_owned_partitions (self->entry, none, self->generation,
-                                     "too little processor to own partitions");
-      fb_join_watch_left (&self->entry->joins);
+                                     "too little processor time to own partitions");
+      fb_join_monitor_left (&self->entry->join_monitor);
       fb_group_leave_self (self->group_leave, NULL, NULL);
-      self->ok_sent_ms = 0;
+      self->last_renewal_sent_ms = 0;
       self->generation = 0;
     }
   if (self->keepalive_active)
     fb_keepalive_cancel (self->entry->keepalive, FB_MEMBERSHIP_OWNERS);
   self->keepalive_active = FALSE;
   request_owners (self, fb_clock_ms ());
-  guint again_ms
-      = fb_daemons_is_list_complete (self->entry->daemons) ? JOIN_EVERY_MS : MEMBERS_RETRY_MS;
-  self->timer = g_timeout_add (again_ms, join, self);
+  guint retry_ms
+      = fb_daemons_is_list_complete (self->entry->daemons) ? JOIN_INTERVAL_MS : MEMBERS_RETRY_MS;
+  self->timer = g_timeout_add (retry_ms, join, self);
 }
 
 static guint
 join_timeout_ms (FbGroup *self)
 {
   self->probes_n = fb_entry_store_is_silent (self->entry) ? self->probes_n + 1 : 0;
-  return self->probes_n % 2 == 1 ? PROBE_ANSWER_MS : ANSWER_MS;
+  return self->probes_n % 2 == 1 ? PROBE_TIMEOUT_MS : ANSWER_TIMEOUT_MS;
 }
 
 static gboolean
@@ -359,10 +367,10 @@
   fb_wire_join (&call, self->entry->settings->store, GROUP, self->member, topics, self->ttl_ms,
                 self->generation);
   self->join_sent_ms = fb_clock_ms ();
-  fb_join_watch_sent (&self->entry->joins, self->join_sent_ms);
+  fb_join_monitor_sent (&self->entry->join_monitor, self->join_sent_ms);
   self->keepalive_active = TRUE;
   fb_keepalive_set_renewal (self->entry->keepalive, FB_MEMBERSHIP_OWNERS, &call, self->ttl_ms,
-                            self->ok_sent_ms);
+                            self->last_renewal_sent_ms);
   fb_http_client_exchange (self->entry->store_client, &call, join_timeout_ms (self), on_joined,
                            self);
   fb_http_call_clear (&call);
@@ -373,7 +381,7 @@
 on_left (gpointer data, const FbHttpReply *reply)
 {
   FbGroup *self = data;
-  (void) reply; /* without an answer the membership expires after its time to live */
+  (void) reply; /* without an answer the membership ends after its time to live */
   self->on_released (self->on_released_user);
 }
 
@@ -391,7 +399,7 @@
 }
 
 FbGroup *
-fb_group_new (FbEntry *entry)
+fb_group_new (FbEntryDaemon *entry)
 {
   FbGroup *self = g_new0 (FbGroup, 1);
   self->entry = entry;
--- a/src/entry/store/keepalive.c
+++ b/src/entry/store/keepalive.c
@@ -7,14 +7,15 @@
 
 #include <stdatomic.h>
 
-/* Fractions of the time to live: the first repeat is sent after two renewals of the main loop are
+/* Divisors of the time to live: the first repeat is sent after two renewals of the main loop are
  * missing, and two repeats may be lost. */
-#define OVERDUE_FRACTION 2
-#define REPEAT_FRACTION 4
-/* A main loop without a renewal for this long hangs, or is too slow for the leases of its workers,
- * which last 4 s: its pools are better owned by another daemon.  The longest turn seen is
- * 0.5 s, on a daemon of 0.12 of a core that took over 2,300 jobs at once. */
-#define HANG_MS 3000
+#define OVERDUE_DIVISOR 2
+#define REPEAT_DIVISOR 4
+/* Time without a renewal after which the main loop is considered hung, or too slow for the leases
+ * of its workers, which last 4 s: its pools are better owned by another daemon.  The longest
+ * iteration observed took 0.5 s, on a daemon of 0.12 of a core that took over 2,300 jobs at
+ * once. */
+#define HANG_TIMEOUT_MS 3000
 #define HTTP_OK 200
 
 /* The main loop's last renewal, as passed to the keepalive thread. */
@@ -24,7 +25,7 @@
   FbMembership which;
   FbHttpCall call;
   uint32_t ttl_ms;
-  uint64_t ok_sent_ms;
+  uint64_t last_renewal_sent_ms;
   uint64_t sent_ms;
 } Renewal;
 
@@ -32,9 +33,9 @@
 {
   FbKeepalive *keepalive;
   Renewal *renewal; /* last renewal; NULL: not a member */
-  GSource *timer;   /* fires when the main loop is overdue; NULL: none */
+  GSource *timer;   /* expires when the main loop is overdue; NULL: none */
   gboolean call_open;
-  uint64_t repeated_ms; /* when the last repeat was sent */
+  uint64_t repeated_ms; /* time at which the last repeat was sent */
   _Atomic uint64_t renewed_ms;
 } Membership;
 
@@ -73,14 +74,15 @@
   g_source_attach (membership->timer, fb_loop_context (membership->keepalive->loop));
 }
 
-/* Records that a repeat has extended the membership.  A repeat sent after the time to live had run
- * out extends nothing: the store may have assigned the partitions to another daemon and back. */
+/* Records that a repeat has extended the membership.  A repeat that was sent after the time to live
+ * had expired extends nothing: the store may have assigned the partitions to another daemon and
+ * back. */
 static void
-note_renewed (Membership *membership)
+extend_membership (Membership *membership)
 {
   const Renewal *renewal = membership->renewal;
-  uint64_t before_ms = MAX (atomic_load (&membership->renewed_ms), renewal->ok_sent_ms);
-  if (membership->repeated_ms <= before_ms + renewal->ttl_ms)
+  uint64_t previous_ms = MAX (atomic_load (&membership->renewed_ms), renewal->last_renewal_sent_ms);
+  if (membership->repeated_ms <= previous_ms + renewal->ttl_ms)
     atomic_store (&membership->renewed_ms, membership->repeated_ms);
 }
 
@@ -90,18 +92,18 @@
   Membership *membership = data;
   membership->call_open = FALSE;
   if (membership->renewal != NULL && reply->status == FB_HTTP_OK && reply->code == HTTP_OK)
-    note_renewed (membership);
+    extend_membership (membership);
 }
 
 static void
-repeat (Membership *membership)
+send_repeat (Membership *membership)
 {
   const Renewal *renewal = membership->renewal;
   membership->call_open = TRUE;
   membership->repeated_ms = fb_clock_ms ();
   fb_counter_add (FB_COUNTER_KEEPALIVE_RENEWALS, 1);
   fb_http_client_exchange (membership->keepalive->client, &renewal->call,
-                           renewal->ttl_ms / OVERDUE_FRACTION, on_repeated, membership);
+                           renewal->ttl_ms / OVERDUE_DIVISOR, on_repeated, membership);
 }
 
 static gboolean
@@ -109,14 +111,14 @@
 {
   Membership *membership = data;
   const Renewal *renewal = membership->renewal;
-  if (fb_clock_ms () > renewal->sent_ms + HANG_MS)
+  if (fb_clock_ms () > renewal->sent_ms + HANG_TIMEOUT_MS)
     {
       stop_timer (membership);
       return G_SOURCE_REMOVE;
     }
   if (!membership->call_open)
-    repeat (membership);
-  start_timer (membership, renewal->ttl_ms / REPEAT_FRACTION);
+    send_repeat (membership);
+  start_timer (membership, renewal->ttl_ms / REPEAT_DIVISOR);
   return G_SOURCE_REMOVE;
 }
 
@@ -129,7 +131,7 @@
   Membership *membership = &renewal->keepalive->memberships[renewal->which];
   g_clear_pointer (&membership->renewal, renewal_free);
   membership->renewal = renewal;
-  start_timer (membership, renewal->ttl_ms / OVERDUE_FRACTION);
+  start_timer (membership, renewal->ttl_ms / OVERDUE_DIVISOR);
 }
 
 static void
@@ -142,14 +144,14 @@
 
 void
 fb_keepalive_set_renewal (FbKeepalive *self, FbMembership which, const FbHttpCall *call,
-                          uint32_t ttl_ms, uint64_t ok_sent_ms)
+                          uint32_t ttl_ms, uint64_t last_renewal_sent_ms)
 {
   Renewal *renewal = g_new0 (Renewal, 1);
   renewal->keepalive = self;
   renewal->which = which;
   fb_http_call_copy (&renewal->call, call);
   renewal->ttl_ms = ttl_ms;
-  renewal->ok_sent_ms = ok_sent_ms;
+  renewal->last_renewal_sent_ms = last_renewal_sent_ms;
   renewal->sent_ms = fb_clock_ms ();
   fb_loop_post (self->loop, set_renewal, renewal, NULL);
 }
--- a/src/entry/store/topic-reader.h
+++ b/src/entry/store/topic-reader.h
@@ -3,12 +3,12 @@
 
 #include "platform/wire.h"
 
-typedef struct _FbEntry FbEntry;
+typedef struct _FbEntryDaemon FbEntryDaemon;
 typedef struct _FbTopicReader FbTopicReader;
 
 typedef struct
 {
-  /* A full listing begins; keys that it does not contain no longer exist. */
+  /* A full listing begins; keys that it does not contain do not exist any more. */
   void (*begin) (gpointer user);
   void (*record) (gpointer user, const FbStoreRecord *record);
   /* The listing is complete; later records follow as they are stored. */
@@ -16,11 +16,11 @@
 } FbTopicReaderOps;
 
 /* PAUSE_MS: pause between a page of changes and the next poll. */
-FbTopicReader *fb_topic_reader_new (FbEntry *entry, const char *topic, uint32_t partition,
+FbTopicReader *fb_topic_reader_new (FbEntryDaemon *entry, const char *topic, uint32_t partition,
                                     uint32_t pause_ms, const FbTopicReaderOps *ops, gpointer user);
 void fb_topic_reader_free (FbTopicReader *self);
 /* Skips the pause before the next poll. */
-void fb_topic_reader_read_now (FbTopicReader *self);
-/* Returns: when the last answered read was sent: every record stored before that time is known; 0
- * while the first listing is incomplete. */
-uint64_t fb_topic_reader_fresh_ms (const FbTopicReader *self);
+void fb_topic_reader_skip_pause (FbTopicReader *self);
+/* Returns: the time at which the last answered read was sent: every record that was stored before
+ * then has been read; 0 while the first listing is incomplete. */
+uint64_t fb_topic_reader_synced_ms (const FbTopicReader *self);
