--- a/src/daemon/core.c
+++ b/src/daemon/core.c
@@ -10,14 +10,14 @@
 #define HOST_LIST_PERIOD_MS 1000
 #define PENDING_MESSAGES_MAX 20000
 
-/* A long poll of one worker of a rack that this daemon owns. */
+/* Long poll of one worker of a rack that this daemon owns. */
 typedef struct
 {
   FbCore *core;
   uint32_t rack;
   guint host;
-  gboolean waiting; /* a poll is open */
-  uint64_t version; /* last version reported by the worker; a poll waits for another one */
+  gboolean is_polling; /* a poll is outstanding */
+  uint64_t version;    /* last version reported by the worker; a poll waits for another one */
 } Watch;
 
 struct _FbCore
@@ -38,7 +38,7 @@
   GHashTable *hosts_by_name; /* name -> HostState with the last state passed to the node */
   _Atomic guint pending_messages_n;
   uint64_t drain_until_ms;
-  FbLoopFunc on_drained; /* NULL: no planned stop is in progress, or it was called */
+  FbLoopFunc on_drained; /* NULL: no drain is in progress, or it was called */
   gpointer on_drained_user;
 };
 
@@ -227,7 +227,7 @@
 
 /* ---- watches ---------------------------------------------------------- */
 
-/* A poll to send, which waits for a change since VERSION, or the result of one. */
+/* A poll to be sent, which waits for a change since VERSION, or the result of a poll. */
 typedef struct
 {
   Watch *watch;
@@ -240,7 +240,7 @@
 {
   WatchMessage *message = data;
   Watch *watch = message->watch;
-  watch->waiting = FALSE;
+  watch->is_polling = FALSE;
   if (!message->ok || message->version == watch->version)
     return;
   watch->version = message->version;
@@ -279,9 +279,9 @@
       for (guint h = 0; h < host_n; h++)
         {
           Watch *watch = &self->watches[r][h];
-          if (watch->waiting)
+          if (watch->is_polling)
             continue;
-          watch->waiting = TRUE;
+          watch->is_polling = TRUE;
           WatchMessage *message = g_new (WatchMessage, 1);
           *message = (WatchMessage){ watch, TRUE, watch->version };
           fb_loop_post (self->worker_loop, watch_on_workers, message, g_free);
@@ -304,8 +304,8 @@
 
 /* ---- host list -------------------------------------------------------- */
 
-/* The host list covers the whole cell and changes rarely, so only changes are posted to the core.
- * One entry per host, used only on the thread that polls. */
+/* The host list covers the whole cell and changes rarely, so only changes are posted to the core
+ * thread. There is one entry per host, accessed only on the polling thread. */
 typedef struct
 {
   FbCore *core;
@@ -343,11 +343,11 @@
 static void
 update_host (FbCore *self, const FbHostEntry *entry)
 {
-  HostState *known = g_hash_table_lookup (self->hosts_by_name, entry->name);
-  if (known == NULL || known->state == entry->state)
+  HostState *last = g_hash_table_lookup (self->hosts_by_name, entry->name);
+  if (last == NULL || last->state == entry->state)
     return;
-  known->state = entry->state;
-  fb_loop_post (self->loop, apply_host_on_core, g_memdup2 (known, sizeof *known), g_free);
+  last->state = entry->state;
+  fb_loop_post (self->loop, apply_host_on_core, g_memdup2 (last, sizeof *last), g_free);
 }
 
 static void
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -56,7 +56,7 @@
   g_main_context_invoke (NULL, quit, data);
 }
 
-/* A planned stop: refuses new callers, hands shards over and answers open calls. */
+/* Graceful shutdown: rejects new requests, hands shards over and answers open calls. */
 static gboolean
 on_stop_signal (gpointer data)
 {
@@ -72,7 +72,7 @@
 
 /* Returns: the name of a changed setting that takes effect only after a restart, or NULL. */
 static const char *
-needs_restart (const Daemon *self, const FbSettings *settings, const FbCell *cell)
+setting_that_needs_restart (const Daemon *self, const FbSettings *settings, const FbCell *cell)
 {
   if (!g_str_equal (settings->name, self->settings->name))
     return "[daemon] name";
@@ -95,11 +95,11 @@
       fb_event_log (FB_EVENT_RELOAD_REFUSED, "%s", fb_status_message ());
       return G_SOURCE_CONTINUE;
     }
-  const char *restart_only = needs_restart (self, settings, cell);
+  const char *restart_setting = setting_that_needs_restart (self, settings, cell);
   fb_cell_free (cell);
-  if (restart_only != NULL)
+  if (restart_setting != NULL)
     {
-      fb_event_log (FB_EVENT_RELOAD_REFUSED, "%s: needs a restart", restart_only);
+      fb_event_log (FB_EVENT_RELOAD_REFUSED, "%s: needs a restart", restart_setting);
       fb_settings_free (settings);
       return G_SOURCE_CONTINUE;
     }
@@ -141,9 +141,9 @@
   return EXIT_OK;
 }
 
-/* Failure: a peer's batch or an answer arrives while the parts are freed, and the process crashes
- * at the end of a planned stop. Guard: the core's threads are joined first, so that the core makes
- * no more calls; then the parts that call the core are freed; the core is freed last. */
+/* The core's threads are joined first, so that the core makes no more calls; then the components
+ * that call the core are freed, and the core last. Otherwise a batch from a peer or an answer that
+ * arrives while components are freed crashes the process at the end of a graceful shutdown. */
 static void
 stop (Daemon *self)
 {
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,4 @@
-/* The daemon: starts its parts and runs until it is told to stop. */
+/* The daemon: starts its components and runs until it receives SIGTERM or SIGINT. */
 #pragma once
 
 /* Returns: the exit code of the process. */
--- a/src/daemon/front-commands.c
+++ b/src/daemon/front-commands.c
@@ -31,8 +31,8 @@
 
 /* ---- requests and jobs ------------------------------------------------ */
 
-/* The same key gives the same id on every daemon, so that the owner of the job's range sees every
- * duplicate. Without a key the id is random. */
+/* The same idempotency key gives the same id on every daemon, so that duplicates reach the owner of
+ * the same range. Without a key the id is random. */
 static uint64_t
 job_id (const Submit *submit, uint32_t partner)
 {
@@ -52,7 +52,8 @@
   job->team = fb_team_id (class->team);
   job->kind = class->kind;
   job->flags = class->flags;
-  /* A request without a key is not recorded: nobody but its caller could ask for it again. */
+  /* A request without a key is not written to the log: only its caller, over this connection, can
+   * get the result. */
   if (submit->mode == FB_CALL_REQUEST && submit->key == NULL)
     job->flags |= FB_FLAG_EPHEMERAL;
   job->count = (uint32_t) submit->tasks;
@@ -129,7 +130,7 @@
   if (self->closed)
     {
       submit_free (command);
-      fb_front_refuse (call, SOUP_STATUS_SERVICE_UNAVAILABLE, "this daemon is leaving");
+      fb_front_refuse (call, SOUP_STATUS_SERVICE_UNAVAILABLE, "this daemon is shutting down");
       return;
     }
   command->class_name = g_strdup (class_name);
@@ -145,7 +146,7 @@
   const FbFrontCoreRequest *command = data;
   if (!fb_node_cancel (node, now_ms, command->front->partner, command->job))
     fb_front_post_error (command->front, command->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                         "the range of this job has no owner now");
+                         "the range of this job currently has no owner");
 }
 
 static void
@@ -189,7 +190,7 @@
     }
 }
 
-/* The body is an encoded record with the signed revision. */
+/* The request body is an encoded record that contains the signed revision. */
 static void
 publish_on_core (FbNode *node, uint64_t now_ms, gpointer data)
 {
@@ -200,7 +201,7 @@
   if (!fb_codec_decode_record (bytes, len, &record))
     {
       fb_front_post_error (publish->front, publish->call_id, SOUP_STATUS_UNPROCESSABLE_ENTITY,
-                           "expected an encoded revision, as made by flamingobarrow apply");
+                           "expected an encoded revision, as sent by flamingobarrow apply");
       return;
     }
   FbNodeConfigStatus status = FB_NODE_CONFIG_MALFORMED;
@@ -218,7 +219,7 @@
 static void
 publish (FbFront *self, SoupServerMessage *message)
 {
-  FbCall *call = fb_front_call_new (self, message, FB_CALL_PLAIN);
+  FbCall *call = fb_front_call_new (self, message, FB_CALL_WITHOUT_JOB);
   Publish *command = g_new (Publish, 1);
   *command = (Publish){ self, call->id, request_body (message) };
   fb_core_command (self->core, publish_on_core, command, publish_free);
--- a/src/daemon/front-private.h
+++ b/src/daemon/front-private.h
@@ -13,31 +13,30 @@
 
 typedef enum
 {
-  FB_CALL_REQUEST,   /* answered with the final outcome of its job */
-  FB_CALL_JOB,       /* answered when its job is admitted */
-  FB_CALL_JOB_QUERY, /* answered with the current state of its job */
-  FB_CALL_PLAIN      /* not answered from its job: status, configuration, metrics, explanation */
+  FB_CALL_REQUEST,    /* answered with the final outcome of its job */
+  FB_CALL_JOB,        /* answered when its job is admitted */
+  FB_CALL_JOB_QUERY,  /* answered with the current state of its job */
+  FB_CALL_WITHOUT_JOB /* no answer depends on a job: status, configuration, metrics, explanation */
 } FbCallMode;
 
-/* One HTTP request. It is the talloc context of what it needs, and lives on the front thread until
- * it is answered. */
+/* One HTTP request, owned by the front-end thread until it is answered. */
 typedef struct
 {
   FbFront *front;
   guint64 id;
   FbCallMode mode;
   SoupServerMessage *message;
-  gulong disconnected; /* handler of the message's signal "disconnected" */
-  uint64_t job;        /* 0: none, or not admitted yet */
-  uint64_t since_ms;   /* when the request arrived */
+  gulong disconnect_handler; /* id of the handler of the message's signal "disconnected" */
+  uint64_t job;              /* 0: none, or not admitted yet */
+  uint64_t received_ms;
 } FbCall;
 
-/* Data of a query or command that is posted to the core thread. */
+/* Argument of a query or command that is posted to the core thread. */
 typedef struct
 {
   FbFront *front;
   guint64 call_id;
-  uint64_t job; /* 0: not about a job */
+  uint64_t job; /* 0: none */
 } FbFrontCoreRequest;
 
 struct _FbFront
@@ -48,7 +47,7 @@
   FbCore *core;
   FbLoop *loop;
   SoupServer *server;
-  gboolean closed; /* fb_front_close() was called: refuses new jobs */
+  gboolean closed; /* fb_front_close() was called: new jobs are rejected */
   gint64 started_us;
   guint64 last_id;
   GHashTable *calls; /* &FbCall.id -> FbCall, owned */
@@ -56,8 +55,8 @@
 
 /* front.c */
 FbCall *fb_front_call_new (FbFront *self, SoupServerMessage *message, FbCallMode mode);
-/* Like fb_front_call_new(), for a call about the job whose id is TEXT; NULL when TEXT is malformed,
- * after a reply with the error. */
+/* Like fb_front_call_new(), for a call on the job whose id is TEXT. When TEXT is malformed,
+ * responds with an error and returns NULL. */
 FbCall *fb_front_job_call_new (FbFront *self, SoupServerMessage *message, FbCallMode mode,
                                const char *text);
 /* Returns: (transfer full): to be freed with g_free(). */
@@ -69,15 +68,14 @@
 void fb_front_respond_json (FbCall *call, guint status, JsonBuilder *body);
 void fb_front_refuse (FbCall *call, guint status, const char *reason);
 
-/* Called on the core thread: they reach the call on the front thread if it is still open. TEXT is
- * freed. */
+/* Called on the core thread; post a message to the front-end thread, which is ignored when the call
+ * is no longer open. TEXT is consumed. */
 void fb_front_post_text (FbFront *self, guint64 call_id, guint status, const char *type,
                          char *text);
 void fb_front_post_error (FbFront *self, guint64 call_id, guint status, const char *reason);
 void fb_front_post_job (FbFront *self, guint64 call_id, uint64_t job);
 
-/* front-commands.c, front-queries.c. Returns: TRUE when PATH is theirs and the request was
- * handled. */
+/* front-commands.c, front-queries.c. Returns: FALSE when they do not serve PATH. */
 gboolean fb_front_command (FbFront *self, SoupServerMessage *message, const char *path,
                            GHashTable *query);
 gboolean fb_front_query (FbFront *self, SoupServerMessage *message, const char *path);
--- a/src/daemon/front-queries.c
+++ b/src/daemon/front-queries.c
@@ -17,7 +17,7 @@
   const FbFrontCoreRequest *request = data;
   if (!fb_node_query_job (node, now_ms, request->front->partner, request->job))
     fb_front_post_error (request->front, request->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                         "the range of this job has no owner now");
+                         "the range of this job currently has no owner");
 }
 
 static void
@@ -37,7 +37,7 @@
       = owner >= 0 ? fb_cell_member (request->front->cell, (guint) owner) : NULL;
   if (member == NULL || (guint) owner == request->front->self_index)
     fb_front_post_text (request->front, request->call_id, SOUP_STATUS_NOT_FOUND, "text/plain",
-                        g_strdup ("no such job, or its range has no owner now\n"));
+                        g_strdup ("no such job, or its range currently has no owner\n"));
   else
     fb_front_post_text (
         request->front, request->call_id, SOUP_STATUS_MISDIRECTED_REQUEST, "text/plain",
@@ -47,16 +47,16 @@
 static void
 query_job (FbFront *self, SoupServerMessage *message, const char *text, gboolean explain)
 {
-  FbCall *call
-      = fb_front_job_call_new (self, message, explain ? FB_CALL_PLAIN : FB_CALL_JOB_QUERY, text);
+  FbCall *call = fb_front_job_call_new (self, message,
+                                        explain ? FB_CALL_WITHOUT_JOB : FB_CALL_JOB_QUERY, text);
   if (call == NULL)
     return;
   FbFrontCoreRequest *request = fb_front_core_request_new (call);
   if (explain)
     fb_core_query (self->core, explain_on_core, request, g_free);
   else
-    /* The query is sent to the owner of the range: it changes nothing here, but needs the node's
-     * links to send it. */
+    /* Sending the query to the owner of the range requires a mutable node, although it changes no
+     * state of this node. */
     fb_core_command (self->core, query_job_on_core, request, g_free);
 }
 
@@ -195,11 +195,11 @@
 static void
 query_core (FbFront *self, SoupServerMessage *message, FbCoreQuery func)
 {
-  FbCall *call = fb_front_call_new (self, message, FB_CALL_PLAIN);
+  FbCall *call = fb_front_call_new (self, message, FB_CALL_WITHOUT_JOB);
   fb_core_query (self->core, func, fb_front_core_request_new (call), g_free);
 }
 
-/* Resource usage of the process under the customary metric names, read from the kernel. */
+/* Resource usage of the process as reported by the kernel, under the standard Prometheus names. */
 static char *
 process_metrics (gint64 started_us)
 {
@@ -228,7 +228,7 @@
 static void
 metrics (FbFront *self, SoupServerMessage *message)
 {
-  FbCall *call = fb_front_call_new (self, message, FB_CALL_PLAIN);
+  FbCall *call = fb_front_call_new (self, message, FB_CALL_WITHOUT_JOB);
   g_autofree char *counters = fb_counter_render ();
   g_autofree char *process = process_metrics (self->started_us);
   g_autofree char *text = g_strconcat (counters, process, NULL);
--- a/src/daemon/front.c
+++ b/src/daemon/front.c
@@ -14,12 +14,12 @@
 call_free (gpointer data)
 {
   FbCall *call = data;
-  g_signal_handler_disconnect (call->message, call->disconnected);
+  g_signal_handler_disconnect (call->message, call->disconnect_handler);
   g_object_unref (call->message);
   talloc_free (call);
 }
 
-/* The caller closed the connection: its job goes on without a caller to answer. */
+/* The caller has closed the connection. Its job continues; no response is sent. */
 static void
 on_disconnected (SoupServerMessage *message, gpointer data)
 {
@@ -36,8 +36,8 @@
   call->id = ++self->last_id;
   call->mode = mode;
   call->message = g_object_ref (message);
-  call->since_ms = fb_loop_now_ms ();
-  call->disconnected
+  call->received_ms = fb_loop_now_ms ();
+  call->disconnect_handler
       = g_signal_connect (message, "disconnected", G_CALLBACK (on_disconnected), call);
   g_hash_table_insert (self->calls, &call->id, call);
   soup_server_message_pause (message);
@@ -219,7 +219,7 @@
   for (GList *link = calls; link != NULL; link = link->next)
     {
       FbCall *call = link->data;
-      if (call->job == message->answer.job && call->mode != FB_CALL_PLAIN)
+      if (call->job == message->answer.job && call->mode != FB_CALL_WITHOUT_JOB)
         answer_call (call, &message->answer);
     }
 }
@@ -293,11 +293,11 @@
 
 /* ---- requests --------------------------------------------------------- */
 
-/* Limits are checked before the body is read. A chunked body is refused, because its size is not
- * known before it is read. */
+/* Checks the size limits before the body is read. A chunked body is rejected, because its size is
+ * not known before it is read. */
 static void
-on_early (SoupServer *server, SoupServerMessage *message, const char *path, GHashTable *query,
-          gpointer data)
+on_request_headers (SoupServer *server, SoupServerMessage *message, const char *path,
+                    GHashTable *query, gpointer data)
 {
   (void) server;
   (void) query;
@@ -323,11 +323,11 @@
   gboolean handled = is_query ? fb_front_query (self, message, path)
                               : fb_front_command (self, message, path, query);
   if (!handled)
-    fb_front_refuse (fb_front_call_new (self, message, FB_CALL_PLAIN), SOUP_STATUS_NOT_FOUND,
+    fb_front_refuse (fb_front_call_new (self, message, FB_CALL_WITHOUT_JOB), SOUP_STATUS_NOT_FOUND,
                      "no such path or method; see docs/HTTP.md");
 }
 
-/* Fails job queries that have had no answer for QUERY_TIMEOUT_MS. */
+/* Fails job queries that were not answered within QUERY_TIMEOUT_MS. */
 static void
 expire_queries (gpointer data)
 {
@@ -336,7 +336,8 @@
   for (GList *link = calls; link != NULL; link = link->next)
     {
       FbCall *call = link->data;
-      if (call->mode == FB_CALL_JOB_QUERY && fb_loop_now_ms () - call->since_ms >= QUERY_TIMEOUT_MS)
+      if (call->mode == FB_CALL_JOB_QUERY
+          && fb_loop_now_ms () - call->received_ms >= QUERY_TIMEOUT_MS)
         fb_front_refuse (call, SOUP_STATUS_SERVICE_UNAVAILABLE,
                          "the owner of this job's range did not answer");
     }
@@ -355,7 +356,7 @@
   self->loop = loop;
   self->calls = g_hash_table_new_full (g_int64_hash, g_int64_equal, NULL, call_free);
   self->server = soup_server_new ("server-header", "flamingobarrow", NULL);
-  soup_server_add_early_handler (self->server, "/", on_early, self, NULL);
+  soup_server_add_early_handler (self->server, "/", on_request_headers, self, NULL);
   soup_server_add_handler (self->server, "/", on_request, self, NULL);
   g_autoptr (GInetAddress) ip = g_inet_address_new_from_string (member->host);
   g_autoptr (GSocketAddress) address = g_inet_socket_address_new (ip, member->http_port);
--- a/src/daemon/front.h
+++ b/src/daemon/front.h
@@ -1,4 +1,4 @@
-/* The HTTP front end for callers and operators of this daemon's partner.
+/* HTTP front end for callers and operators of this daemon's partner.
  *
  * The interface is described in docs/HTTP.md. Commands (front-commands.c) change state, queries
  * (front-queries.c) read it. */
@@ -20,5 +20,5 @@
                             FbFront **front);
 void fb_front_free (FbFront *self);
 
-/* Refuses new requests from now on; open ones are still answered. */
+/* Rejects new requests from now on; open ones are still answered. */
 void fb_front_close (FbFront *self);
--- a/src/daemon/peer-link.c
+++ b/src/daemon/peer-link.c
@@ -1,9 +1,9 @@
-/* The link to one peer: a queue, a thread and one connection.
+/* Link to one peer: a queue, a thread and one connection.
  *
- * Failure: a connection stops passing data while new ones would work, for example because a
- * firewall between the hosts has lost its state; calls get no replies. Guard: each call has a time
- * limit, after which the connection is closed and the next batch opens another one. Heartbeats make
- * sure that there is a batch every second. */
+ * A connection can stop passing data while new ones would work, for example because a firewall
+ * between the hosts has lost its state; calls then get no replies. Each call therefore has a
+ * timeout, after which the connection is closed, and the next batch opens another one. Heartbeats
+ * ensure that there is a batch every second. */
 #include "peers-private.h"
 
 #include "fb-counter.h"
@@ -116,12 +116,12 @@
       close_client (self);
     }
   else if (receipt != FB_RECEIPT_OK)
-    fb_event_log (FB_EVENT_PEER_REFUSED, "peer=%s refused our batch: receipt=%d",
-                  self->member->name, (int) receipt);
+    fb_event_log (FB_EVENT_PEER_REFUSED, "peer=%s rejected a batch: receipt=%d", self->member->name,
+                  (int) receipt);
 }
 
-/* Appends queued messages to MESSAGES, waiting for the first. Returns: FALSE when the link is to
- * stop. */
+/* Appends queued messages to MESSAGES, blocking until there is one. Returns: FALSE when the thread
+ * must end. */
 static gboolean
 collect_batch (FbPeerLink *self, GByteArray *messages)
 {
--- a/src/daemon/peers-private.h
+++ b/src/daemon/peers-private.h
@@ -1,4 +1,4 @@
-/* Declarations shared by the outgoing and the incoming side of the peers. */
+/* Declarations shared by the sender (peer-link.c) and the receiver (peer-server.c) of batches. */
 #pragma once
 
 #include "peers.h"
--- a/src/daemon/peers.h
+++ b/src/daemon/peers.h
@@ -1,16 +1,16 @@
 /* Batches of messages to and from peers over ONC RPC.
  *
- * Each peer has a sender thread with a bounded queue, so that a blocked or silent peer delays no
- * other. One thread serves all incoming connections. A batch that fails is dropped: links do not
- * retry, the decision logic repeats its requests. */
+ * Each peer has a sender thread with a bounded queue, so that a blocked or unresponsive peer does
+ * not delay messages to the others. One thread serves all incoming connections. A batch that cannot
+ * be delivered is dropped: links do not retry, the node sends its requests again. */
 #pragma once
 
 #include "fb-cell.h"
 
 typedef struct _FbPeers FbPeers;
 
-/* Called on the server thread with one decoded message; takes ownership of MSG, to be cleared and
- * freed. Returns: FALSE when the receiver is too busy. */
+/* Called on the server thread with one decoded message. Takes ownership of MSG, which must be
+ * cleared and freed. Returns: FALSE when the receiver is overloaded. */
 typedef gboolean (*FbPeersReceive) (gpointer user, fb_msg *msg);
 
 typedef enum
--- a/src/daemon/platform.h
+++ b/src/daemon/platform.h
@@ -1,7 +1,7 @@
-/* The platform's services as tables of functions.
+/* Interfaces to the platform's services, as tables of functions.
  *
- * Adapters implement these tables, and only they know URLs and encodings. Each service belongs to
- * one thread and calls back on that thread, never from inside a call. */
+ * Adapters implement these tables; URLs and encodings are private to them. Each service is used on
+ * one thread only and invokes its callbacks on that thread, never before the call returns. */
 #pragma once
 
 #include "internal/node.h"
@@ -42,8 +42,8 @@
   /* Sends one exchange to the worker at ADDRESS. */
   void (*exchange) (FbWorkerService *self, const char *address, const FbSyncRequest *request,
                     FbWorkerExchangeDone done, gpointer user);
-  /* Waits until a run has ended since VERSION. NULL when workers do not support this: then ends are
-   * seen only in the periodic exchanges. */
+  /* Long poll: waits until a run has ended since VERSION. NULL when workers do not support it; ends
+   * of runs are then reported only in the periodic exchanges. */
   void (*watch) (FbWorkerService *self, const char *address, uint64_t version,
                  FbWorkerWatchDone done, gpointer user);
   void (*free) (FbWorkerService *self);
--- a/src/daemon/worker-json.c
+++ b/src/daemon/worker-json.c
@@ -15,10 +15,10 @@
 static gboolean
 parse_u32 (const char *text, uint32_t *value)
 {
-  guint64 wide = 0;
-  if (!g_ascii_string_to_unsigned (text, 10, 0, G_MAXUINT32, &wide, NULL))
+  guint64 parsed = 0;
+  if (!g_ascii_string_to_unsigned (text, 10, 0, G_MAXUINT32, &parsed, NULL))
     return FALSE;
-  *value = (uint32_t) wide;
+  *value = (uint32_t) parsed;
   return TRUE;
 }
 
@@ -42,17 +42,17 @@
   fb_json_add_string (out, "run", text);
 }
 
-/* The specification without its payload, as XDR bytes that only daemons interpret. */
+/* The specification without its payload, XDR-encoded; opaque to workers. */
 static char *
 format_tag (const fb_spec *spec)
 {
-  fb_spec bare = *spec;
-  bare.payload.payload_len = 0;
-  bare.payload.payload_val = NULL;
+  fb_spec without_payload = *spec;
+  without_payload.payload.payload_len = 0;
+  without_payload.payload.payload_val = NULL;
   char buffer[512];
   XDR xdr;
   xdrmem_create (&xdr, buffer, sizeof buffer, XDR_ENCODE);
-  gboolean ok = xdr_fb_spec (&xdr, &bare);
+  gboolean ok = xdr_fb_spec (&xdr, &without_payload);
   u_int len = xdr_getpos (&xdr);
   xdr_destroy (&xdr);
   g_assert (ok);
--- a/src/daemon/worker-json.h
+++ b/src/daemon/worker-json.h
@@ -1,8 +1,9 @@
-/* JSON encoding of the exchange with a worker, used by the daemon and by the test worker in
+/* JSON encoding of the exchange with a worker, used by the daemon and by the fake worker in
  * standins/.
  *
- * The parts of a run's specification that a worker needs are plain members. The rest is an opaque
- * "tag" that the worker returns unchanged. */
+ * The fields of a run's specification that a worker needs are separate members. The whole
+ * specification, without the payload, is also sent as an opaque "tag", which the worker returns
+ * unchanged. */
 #pragma once
 
 #include "internal/rack.h"
