--- a/src/base/event.c
+++ b/src/base/event.c
@@ -37,8 +37,8 @@
 
 #define TIMESTAMP_BYTES 40
 
-/* Writes the time of day in ISO 8601 format to TIMESTAMP_BYTES at TIMESTAMP. The text of the
- * current second is cached, so a date is formatted once a second and not for each line. */
+/* Writes the time of day in ISO 8601 format to TIMESTAMP, a buffer of TIMESTAMP_BYTES. The text of
+ * the current second is cached, so a date is formatted once per second and not for each line. */
 static void
 write_timestamp (char *timestamp)
 {
@@ -56,12 +56,12 @@
   g_snprintf (timestamp, TIMESTAMP_BYTES, "%s.%06dZ", cached, (int) (now_us % G_USEC_PER_SEC));
 }
 
-/* ---- bounded output ------------------------------------------------------ */
+/* ---- rate limit ---------------------------------------------------------- */
 
-/* Failure: a daemon takes over a pool of 2,000 jobs and logs a line for each. They use up the limit
- * of that second, and the line that reports the pool as recovered or lost is dropped, so the pool
- * seems to make no progress. Guard: decisions on jobs and workers (levels info and debug) may not
- * use this part of the limit, which is left to rarer lines. */
+/* Part of the limit that lines of levels info and debug, which report decisions on jobs and
+ * workers, may not use. Otherwise a daemon that takes over a pool of 2,000 jobs uses up the limit
+ * of that second with one line per job, and the line that reports the pool as recovered or lost is
+ * dropped, so the pool seems to make no progress. */
 #define RESERVED_PERCENT 20
 
 static guint lines_per_s;
@@ -69,8 +69,8 @@
 static guint lines_this_s;
 static guint dropped;
 
-/* Returns: FALSE when the limit of this second is reached. MAY_USE_RESERVE: the line may use the
- * reserved part of the limit. */
+/* Returns: FALSE when the limit of this second is reached; for lines without MAY_USE_RESERVE, when
+ * only the reserved part is left. */
 static gboolean
 count_line (gboolean may_use_reserve)
 {
@@ -97,9 +97,9 @@
     }
 }
 
-/* At most once a second, so that the report itself does not use up the limit. */
+/* Reports at most once per second, so that the report itself does not use up the limit. */
 static void
-report_dropped (const char *when)
+report_dropped (const char *timestamp)
 {
   static gint64 reported_s;
   gint64 now_s = g_get_monotonic_time () / G_USEC_PER_SEC;
@@ -107,8 +107,8 @@
     return;
   reported_s = now_s;
   char line[160];
-  int len = g_snprintf (line, sizeof line, "%s %s FB%d LINES_DROPPED n=%u\n", when, process_label,
-                        FB_EVENT_LINES_DROPPED, dropped);
+  int len = g_snprintf (line, sizeof line, "%s %s FB%d LINES_DROPPED n=%u\n", timestamp,
+                        process_label, FB_EVENT_LINES_DROPPED, dropped);
   if (write (STDOUT_FILENO, line, (gsize) len) > 0)
     dropped = 0;
 }
@@ -125,19 +125,19 @@
         message = fields[i].value;
       is_event = is_event || g_str_equal (fields[i].key, "FB_EVENT");
     }
-  /* Libraries log each connection at the lower levels. */
+  /* Libraries log every connection at these levels. */
   if (!is_event && (level & (G_LOG_LEVEL_INFO | G_LOG_LEVEL_DEBUG)))
     return G_LOG_WRITER_HANDLED;
-  char when[TIMESTAMP_BYTES];
-  write_timestamp (when);
+  char timestamp[TIMESTAMP_BYTES];
+  write_timestamp (timestamp);
   if (lines_per_s > 0)
     {
-      report_dropped (when);
-      g_autofree char *line = g_strdup_printf ("%s %s %s\n", when, process_label, message);
+      report_dropped (timestamp);
+      g_autofree char *line = g_strdup_printf ("%s %s %s\n", timestamp, process_label, message);
       write_bounded (line, strlen (line), (level & (G_LOG_LEVEL_INFO | G_LOG_LEVEL_DEBUG)) == 0);
       return G_LOG_WRITER_HANDLED;
     }
-  fprintf (stderr, "%s %s %s%s\n", when, process_label != NULL ? process_label : "-",
+  fprintf (stderr, "%s %s %s%s\n", timestamp, process_label != NULL ? process_label : "-",
            (level & (G_LOG_LEVEL_WARNING | G_LOG_LEVEL_CRITICAL)) ? "warning: " : "", message);
   return G_LOG_WRITER_HANDLED;
 }
--- a/src/base/ini.c
+++ b/src/base/ini.c
@@ -4,8 +4,7 @@
 
 #include <string.h>
 
-/* GKeyFile merges a group that occurs twice, and later keys would silently override earlier
- * ones. */
+/* GKeyFile merges groups of the same name, and later keys would silently override earlier ones. */
 static gboolean
 has_duplicate_group (const char *file, const char *text, gsize len)
 {
@@ -17,8 +16,7 @@
       char *line = g_strstrip (lines[i]);
       if (line[0] != '[' || g_hash_table_add (seen, line))
         continue;
-      fb_status_set_message ("%s: line %u: %s stands twice, expected each group once", file, i + 1,
-                             line);
+      fb_status_set_message ("%s: line %u: %s: duplicate group", file, i + 1, line);
       return TRUE;
     }
   return FALSE;
@@ -29,7 +27,7 @@
 {
   GKeyFile *keys = g_key_file_new ();
   g_autoptr (GError) error = NULL;
-  /* An empty file has a NULL text when it was decoded from a record. */
+  /* TEXT is NULL for an empty file that was decoded from a record. */
   if (text == NULL)
     text = "";
   if (memchr (text, '\0', len) != NULL || !g_utf8_validate (text, (gssize) len, NULL))
--- a/src/net/http-client.c
+++ b/src/net/http-client.c
@@ -1,14 +1,14 @@
 /* HTTP client on libcurl's multi interface, run by the GLib main loop of the calling thread.
  *
- * libcurl's sockets are registered with one epoll descriptor, which is all that the main loop
- * polls. With one GSource per connection every iteration of the loop visits all of them: with a
- * hundred connections at 500 calls a second, that was two fifths of a daemon's processor time
- * (perf, 35 workers on loopback).
+ * libcurl's sockets are registered with one epoll descriptor, which is the only one that the main
+ * loop polls. With one GSource per connection, every iteration of the loop checks all of them: with
+ * a hundred connections at 500 calls per second, that took two fifths of a daemon's CPU time (perf,
+ * 35 workers on loopback).
  *
- * Failure: a connection stops passing data while new ones work; its calls never end. Guard: every
- * call has its own time limit, after which its connection is closed and the next call opens another
- * one. A timeout does not tell whether the call was carried out: callers repeat it under the same
- * number. */
+ * A connection can stop passing data while new ones work; its calls would never end. Every call
+ * therefore has its own timeout, after which its connection is closed, and the next call opens
+ * another one. After a timeout it is not known whether the request was executed: callers retry it
+ * with the same sequence or attempt number. */
 #include "http-client.h"
 
 #include "json.h"
@@ -21,9 +21,9 @@
 #include <unistd.h>
 
 #define ANSWER_MAX_BYTES (8 * 1024 * 1024)
-/* Idle connections kept for reuse, over all hosts. */
+/* Size of the pool of idle connections, for all hosts together. */
 #define IDLE_CONNECTIONS_MAX 512
-/* Handles of finished calls kept for reuse. */
+/* Size of the pool of unused curl handles. */
 #define SPARE_HANDLES_MAX 64
 #define EPOLL_BATCH 64
 /* Batches of EPOLL_BATCH events handled per iteration, before other sources are dispatched. */
@@ -39,9 +39,9 @@
 {
   CURLM *multi; /* created by the first call, on the thread that owns the client */
   int epoll_fd;
-  GSource *source;          /* polls the epoll descriptor and holds libcurl's next timeout */
+  GSource *source;          /* polls the epoll descriptor; ready time: libcurl's next timeout */
   GPtrArray *spare_handles; /* of CURL *, for reuse */
-  GHashTable *idle_timed;   /* Call: open calls with an idle timeout */
+  GHashTable *calls_with_idle_timeout; /* set of open Call */
 };
 
 typedef struct
@@ -55,12 +55,12 @@
   FbHttpClient *client;
   FbTraffic traffic;
   guint transmissions;
-  uint64_t deadline_ms; /* in ms of a clock that also counts while the host is suspended */
+  uint64_t deadline_ms; /* by clock_ms() */
   guint idle_timeout_ms;
   GSource *idle_timer; /* NULL: no idle timeout */
 } Call;
 
-/* A call whose answer is a JSON object. */
+/* A call whose response body is a JSON object. */
 typedef struct
 {
   FbHttpDone done;
@@ -70,10 +70,10 @@
 /* ---- sockets and timeouts ------------------------------------------------------- */
 
 static int
-on_socket_change (CURL *easy, curl_socket_t socket, int what, void *user, void *known)
+on_socket_change (CURL *easy, curl_socket_t socket, int what, void *user, void *socket_data)
 {
   (void) easy;
-  (void) known;
+  (void) socket_data;
   FbHttpClient *self = user;
   struct epoll_event event = { .data.fd = socket };
   if (what == CURL_POLL_REMOVE)
@@ -85,7 +85,7 @@
     event.events |= EPOLLIN;
   if (what & CURL_POLL_OUT)
     event.events |= EPOLLOUT;
-  /* A closed socket has already left the epoll set, and its number may have been reused. */
+  /* A closed socket is no longer in the epoll set, and its descriptor may have been reused. */
   if (epoll_ctl (self->epoll_fd, EPOLL_CTL_MOD, socket, &event) < 0)
     (void) epoll_ctl (self->epoll_fd, EPOLL_CTL_ADD, socket, &event);
   return 0;
@@ -106,7 +106,7 @@
 {
   if (call->idle_timer == NULL)
     return;
-  g_hash_table_remove (call->client->idle_timed, call);
+  g_hash_table_remove (call->client->calls_with_idle_timeout, call);
   g_source_destroy (call->idle_timer);
   g_clear_pointer (&call->idle_timer, g_source_unref);
 }
@@ -171,15 +171,15 @@
   call_free (call);
 }
 
-/* Failure: an answer is large and the link slow: 0.7 MB at 10 Mbit/s takes 0.6 s. A limit on the
- * whole call that is short enough to detect a dead connection then aborts every attempt, after its
- * bytes have used the link: a listing took 2.2 s, of which 1 s was thrown away. Guard: the limit is
- * on the time without received data, so that an answer that keeps arriving may take longer. */
+/* Limits the time without received data, so that a response that keeps arriving may take longer.
+ * On a slow link a large response takes long, 0.7 MB at 10 Mbit/s 0.6 s. A limit on the whole call
+ * that is short enough to detect a dead connection would abort every attempt after it has used the
+ * link: a listing took 2.2 s, of which 1 s was spent on aborted attempts. */
 static gboolean
 on_idle_timeout (gpointer data)
 {
   Call *call = data;
-  /* Data received in this iteration of the loop has moved the ready time. */
+  /* The ready time is later when data was received in this iteration of the loop. */
   if (g_source_get_ready_time (call->idle_timer) > g_get_monotonic_time ())
     return G_SOURCE_CONTINUE;
   finish_call (call->client, call, CURLE_OPERATION_TIMEDOUT);
@@ -203,7 +203,7 @@
   call->idle_timer = g_timeout_source_new (idle_timeout_ms);
   g_source_set_callback (call->idle_timer, on_idle_timeout, call, NULL);
   g_source_attach (call->idle_timer, g_main_context_get_thread_default ());
-  g_hash_table_add (self->idle_timed, call);
+  g_hash_table_add (self->calls_with_idle_timeout, call);
 }
 
 static void
@@ -222,7 +222,7 @@
     }
 }
 
-/* Returns: FALSE when no more events are pending. */
+/* Handles one batch of events. Returns: FALSE when no more are pending. */
 static gboolean
 handle_sockets (FbHttpClient *self)
 {
@@ -243,10 +243,10 @@
   return n == EPOLL_BATCH;
 }
 
-/* Received data is read before any timeout is checked, and all of it in one iteration: with 64
- * sockets per iteration, a loop that ran five times a second read less than was received and let
- * the other calls time out. A call whose own limit has already passed still fails, because libcurl
- * checks that limit before it reads. */
+/* Reads received data before it checks timeouts, and up to BATCHES_PER_ITERATION batches of it:
+ * with 64 sockets per iteration, a loop that ran five times per second read less than was received,
+ * and the remaining calls timed out. A call whose own timeout has passed still fails, because
+ * libcurl checks that timeout before it reads. */
 static gboolean
 dispatch (GSource *source, GSourceFunc callback, gpointer user)
 {
@@ -276,7 +276,7 @@
 {
   FbHttpClient *self = g_new0 (FbHttpClient, 1);
   self->spare_handles = g_ptr_array_new ();
-  self->idle_timed = g_hash_table_new (NULL, NULL);
+  self->calls_with_idle_timeout = g_hash_table_new (NULL, NULL);
   return self;
 }
 
@@ -286,7 +286,7 @@
   static gsize once;
   if (g_once_init_enter (&once))
     {
-      /* The platform's interfaces use plain HTTP, without TLS. */
+      /* The platform's interfaces use HTTP without TLS. */
       curl_global_init (CURL_GLOBAL_NOTHING);
       g_once_init_leave (&once, 1);
     }
@@ -304,19 +304,19 @@
   curl_multi_setopt (self->multi, CURLMOPT_MAXCONNECTS, (long) IDLE_CONNECTIONS_MAX);
 }
 
-/* Open calls end without a callback. */
+/* Cancels open calls without calling their callbacks. */
 void
 fb_http_client_free (FbHttpClient *self)
 {
   GHashTableIter iter;
   gpointer call;
-  g_hash_table_iter_init (&iter, self->idle_timed);
+  g_hash_table_iter_init (&iter, self->calls_with_idle_timeout);
   while (g_hash_table_iter_next (&iter, &call, NULL))
     {
       g_source_destroy (((Call *) call)->idle_timer);
       g_clear_pointer (&((Call *) call)->idle_timer, g_source_unref);
     }
-  g_hash_table_unref (self->idle_timed);
+  g_hash_table_unref (self->calls_with_idle_timeout);
   for (guint i = 0; i < self->spare_handles->len; i++)
     curl_easy_cleanup (self->spare_handles->pdata[i]);
   g_ptr_array_unref (self->spare_handles);
@@ -376,11 +376,11 @@
   return (uint64_t) now.tv_sec * 1000 + (uint64_t) now.tv_nsec / 1000000;
 }
 
-/* Called once per transmission, with the connection open and before the request is written.
+/* Called once per transmission, when the connection is open and before the request is written.
  *
- * Failure: a daemon is suspended while it opens a connection, a time that libcurl's timeouts do not
- * count; on resume it sends an order that its caller had given up, and a task runs twice. Guard: a
- * request is not sent after its deadline. */
+ * Aborts requests that are past their deadline: libcurl's timeouts do not advance while the host is
+ * suspended. A daemon that was suspended while it opened a connection would otherwise send an order
+ * that its caller has already treated as failed, and a task would run twice. */
 static int
 on_transmission (void *user, char *peer_ip, char *own_ip, int peer_port, int own_port)
 {
@@ -410,10 +410,10 @@
   const char *data = g_bytes_get_data (call->body, &len);
   fb_counter_add (FB_COUNTER_PLATFORM_BYTES, len);
   curl_easy_setopt (call->easy, CURLOPT_POSTFIELDSIZE, (long) len);
-  /* An empty body is sent as a body of length 0. */
+  /* Without a body, Content-Length: 0 is sent. */
   curl_easy_setopt (call->easy, CURLOPT_POSTFIELDS, data != NULL ? data : "");
   call->headers = add_header (call->headers, "Content-Type", request->content_type);
-  /* Sends large bodies at once instead of waiting for "100 Continue". */
+  /* Disables "Expect: 100-continue", so that large bodies are sent at once. */
   call->headers = curl_slist_append (call->headers, "Expect:");
 }
 
@@ -493,7 +493,7 @@
 void
 fb_http_client_cancel (FbHttpClient *self, gconstpointer user)
 {
-  g_hash_table_foreach_steal (self->idle_timed, cancel_if_of_user, (gpointer) user);
+  g_hash_table_foreach_steal (self->calls_with_idle_timeout, cancel_if_of_user, (gpointer) user);
 }
 
 static void
--- a/src/net/http-client.h
+++ b/src/net/http-client.h
@@ -1,5 +1,5 @@
-/* HTTP calls to the platform, with a time limit on every call and a size limit on every answer. A
- * client belongs to one thread. */
+/* HTTP client for the platform, with a timeout for every call and a size limit for every response.
+ * A client is used on one thread only. */
 #pragma once
 
 #include "fb-traffic.h"
@@ -13,8 +13,8 @@
 typedef enum
 {
   FB_HTTP_OK,
-  FB_HTTP_UNREACHABLE, /* no connection, or it broke */
-  FB_HTTP_TIMEOUT,     /* no answer in time; the connection is not reused */
+  FB_HTTP_UNREACHABLE, /* the connection could not be opened, or was lost */
+  FB_HTTP_TIMEOUT,     /* no response in time; the connection is not reused */
   FB_HTTP_STATUS,      /* a status other than 200 */
   FB_HTTP_MALFORMED    /* too large, or not a JSON object */
 } FbHttpStatus;
@@ -25,56 +25,56 @@
 FbHttpClient *fb_http_client_new (void);
 void fb_http_client_free (FbHttpClient *self);
 
-/* One HTTP request, with any kind of body. */
+/* One HTTP request; the body may have any content type. */
 typedef struct
 {
   const char *method; /* static string */
   /* TRUE when sending the request twice has the same effect as sending it once. Only such a request
-   * may use an idle connection: the server may close that connection at the same moment, and
-   * libcurl then sends the request again on a new one. The answer belongs to the last transmission,
-   * so a refusal does not prove that no transmission was carried out
+   * may reuse an idle connection: the server may close that connection at the same moment, and
+   * libcurl then sends the request again on a new one. The response belongs to the last
+   * transmission, so a rejection does not prove that no transmission was executed
    * (fb_http_reply_is_ambiguous()). */
   gboolean idempotent;
   char *url;
   const char *content_type; /* static string; NULL without a body */
   GBytes *body;             /* may be NULL */
-  FbTraffic traffic;        /* kind under which its bytes are counted */
-  guint idle_timeout_ms;    /* fails the call when nothing was received for this time; 0: none */
+  FbTraffic traffic;        /* category for the byte counters */
+  guint idle_timeout_ms;    /* fails the call when nothing is received for this time; 0: none */
   const char *header_names[2];
   char *header_values[2];
 } FbHttpCall;
 
 typedef struct
 {
-  FbHttpStatus status; /* FB_HTTP_OK: an answer was received, with any status CODE */
-  gboolean sent;       /* FALSE: nothing was sent, so nothing was carried out */
-  guint transmissions; /* how often the request was begun on a connection; see
+  FbHttpStatus status; /* FB_HTTP_OK: a response was received, with any status CODE */
+  gboolean sent;       /* FALSE: nothing was sent, so nothing was executed */
+  guint transmissions; /* number of connections on which the request was started; see
                           FbHttpCall.idempotent */
-  gboolean refused;    /* the host refused the connection: nothing listens on the port */
-  guint code;
-  GBytes *body; /* borrowed for the callback; NULL unless FB_HTTP_OK */
+  gboolean refused;    /* connection refused: no process listens on the port */
+  guint code;          /* HTTP status code */
+  GBytes *body;        /* borrowed for the callback; NULL unless FB_HTTP_OK */
 } FbHttpReply;
 
-/* TRUE when a transmission other than the answered one may have been carried out: the answer says
- * nothing about that one. */
+/* Returns: TRUE when a transmission other than the one that REPLY belongs to may have been
+ * executed, with an unknown result. */
 gboolean fb_http_reply_is_ambiguous (const FbHttpReply *reply);
 
 typedef void (*FbHttpReplyDone) (gpointer user, const FbHttpReply *reply);
 
 void fb_http_call_clear (FbHttpCall *call);
-/* COPY shares only reference-counted memory with CALL. */
+/* Initializes COPY as a copy of CALL; the body is shared by reference. */
 void fb_http_call_copy (FbHttpCall *copy, const FbHttpCall *call);
 
-/* Sends CALL (borrowed) and calls DONE once, never from inside this function. DONE must not free
- * the client. TIMEOUT_MS limits the whole call, up to the end of the answer. */
+/* Sends CALL (borrowed) and calls DONE once, never before this function returns. DONE must not free
+ * the client. TIMEOUT_MS limits the whole call, including the response. */
 void fb_http_client_exchange (FbHttpClient *self, const FbHttpCall *call, guint timeout_ms,
                               FbHttpReplyDone done, gpointer user);
 
 /* Cancels the calls of USER that have an idle timeout, without calling DONE. The rest of their
- * answers is not received, and so takes no bandwidth. */
+ * responses is not received, which saves bandwidth. */
 void fb_http_client_cancel (FbHttpClient *self, gconstpointer user);
 
-/* Sends BODY (consumed; NULL for a GET request) and calls DONE once, on this thread and never from
- * inside this function. */
+/* Sends BODY (consumed; NULL for a GET request) and calls DONE once, on this thread and never
+ * before this function returns. */
 void fb_http_client_call (FbHttpClient *self, const char *url, JsonBuilder *body, guint timeout_ms,
                           FbHttpDone done, gpointer user);
--- a/src/net/json.h
+++ b/src/net/json.h
@@ -1,11 +1,12 @@
-/* Helpers that read JSON members, which may be missing or of another type, and write JSON. */
+/* Helpers that read JSON members with type checks, and write JSON. */
 #pragma once
 
 #include <json-glib/json-glib.h>
 #include <stdint.h>
 
-/* Each returns FALLBACK (FALSE for fb_json_bool()) when the member is missing. *MALFORMED is set to
- * TRUE when the member has another type, or is negative; MALFORMED may be NULL. */
+/* Each returns FALLBACK (FALSE for fb_json_bool()) when the member is missing or malformed.
+ * *MALFORMED is set to TRUE when the member has another type or is negative; MALFORMED may be
+ * NULL. */
 uint64_t fb_json_uint (JsonObject *object, const char *name, uint64_t fallback,
                        gboolean *malformed);
 double fb_json_double (JsonObject *object, const char *name, double fallback, gboolean *malformed);
