--- a/src/cli/cli-commands.c
+++ b/src/cli/cli-commands.c
@@ -69,12 +69,12 @@
 
 typedef struct
 {
-  guint behind;
-  guint alive;
-  GString *names;
+  guint lagging_n; /* live members that do not have the revision yet */
+  guint alive_n;
+  GString *lagging_names;
 } RolloutState;
 
-/* Counts the live members, and those of them that do not have revision SERIAL of PARTNER yet. */
+/* Counts the live members, and those that do not have revision SERIAL of PARTNER yet. */
 static gboolean
 read_rollout (const FbCliOptions *options, const char *partner, gint64 serial,
               RolloutState *rollout)
@@ -84,20 +84,20 @@
   if (root == NULL)
     return FALSE;
   JsonArray *members = json_object_get_array_member (root, "members");
-  rollout->behind = 0;
-  rollout->alive = 0;
-  g_string_truncate (rollout->names, 0);
+  rollout->lagging_n = 0;
+  rollout->alive_n = 0;
+  g_string_truncate (rollout->lagging_names, 0);
   for (guint i = 0; i < json_array_get_length (members); i++)
     {
       JsonObject *member = json_array_get_object_element (members, i);
       const char *state = json_object_get_string_member_with_default (member, "state", "");
       if (!g_str_equal (state, "alive"))
         continue;
-      rollout->alive++;
+      rollout->alive_n++;
       if (json_object_get_int_member_with_default (member, partner, 0) >= serial)
         continue;
-      rollout->behind++;
-      g_string_append_printf (rollout->names, " %s",
+      rollout->lagging_n++;
+      g_string_append_printf (rollout->lagging_names, " %s",
                               json_object_get_string_member_with_default (member, "name", "?"));
     }
   return TRUE;
@@ -111,19 +111,19 @@
   FbCliExit code = FB_CLI_LAGGING;
   while (code == FB_CLI_LAGGING && g_get_monotonic_time () < until_us)
     {
-      if (read_rollout (options, partner, serial, &rollout) && rollout.behind == 0
-          && rollout.alive > 0)
+      if (read_rollout (options, partner, serial, &rollout) && rollout.lagging_n == 0
+          && rollout.alive_n > 0)
         code = FB_CLI_OK;
       else
         g_usleep (POLL_US);
     }
   if (code == FB_CLI_OK)
     printf ("revision %" G_GINT64_FORMAT " of %s is in force on all %u daemons\n", serial, partner,
-            rollout.alive);
+            rollout.alive_n);
   else
     fprintf (stderr, "revision %" G_GINT64_FORMAT " is accepted, but not yet in force on:%s\n",
-             serial, rollout.names->str);
-  g_string_free (rollout.names, TRUE);
+             serial, rollout.lagging_names->str);
+  g_string_free (rollout.lagging_names, TRUE);
   return code;
 }
 
@@ -148,9 +148,9 @@
   return TRUE;
 }
 
-/* Publishes FILES as the revision after BASE, the configuration that they were derived from; NULL:
- * after the revision that is in force now. The daemon refuses them when another revision follows
- * BASE already. */
+/* Publishes FILES as the revision that follows BASE, the configuration that they were derived from;
+ * NULL: that follows the current revision. The daemon rejects them when another revision already
+ * follows BASE. */
 static FbCliExit
 publish (const FbCliOptions *options, JsonObject *base, const fb_rec_file *files, guint n)
 {
@@ -194,7 +194,7 @@
     {
       fprintf (stderr,
                "conflict: another operator's revision %" G_GINT64_FORMAT
-               " came first; look at it with diff and apply on top of it\n",
+               " was published first; compare it with diff, then apply again\n",
                serial);
       return FB_CLI_CONFLICT;
     }
@@ -226,7 +226,7 @@
 
 #define DRAIN_FILE "drain.ini"
 
-/* Returns: (transfer full): TEXT without the drain group of HOST, plus that group at the end when
+/* Returns: (transfer full): TEXT without the drain group of HOST; with it, at the end, when
  * DRAINED. */
 static char *
 drain_text (const char *text, const char *host, gboolean drained)
@@ -309,7 +309,7 @@
 const FbCliSubcommand fb_cli_commands[] = {
   { "keygen", "FILE", "make a partner's key pair; FILE gets the secret", 1, 1, generate_keys },
   { "apply", "FILE...", "put the partner's files in force as one revision", 1, 64, apply },
-  { "drain", "HOST [off]", "start no new work on one of the partner's hosts", 1, 2, drain },
+  { "drain", "HOST [off]", "stop placing work on one of the partner's hosts", 1, 2, drain },
   { "submit", "CLASS [TASKS]", "submit a job", 1, 2, submit },
   { "cancel", "JOB", "cancel a job", 1, 1, cancel },
   { NULL, NULL, NULL, 0, 0, NULL },
--- a/src/cli/cli-http.c
+++ b/src/cli/cli-http.c
@@ -44,7 +44,7 @@
 FbCliExit
 fb_cli_unreachable (const FbCliOptions *options)
 {
-  fprintf (stderr, "no answer from the daemon at %s; try another with --daemon IP:PORT\n",
+  fprintf (stderr, "no response from the daemon at %s; try another one with --daemon IP:PORT\n",
            options->daemon);
   return FB_CLI_UNREACHABLE;
 }
--- a/src/cli/cli-private.h
+++ b/src/cli/cli-private.h
@@ -1,4 +1,4 @@
-/* Declarations shared by the files of the command line tool. */
+/* Declarations shared by the files of the command-line tool. */
 #pragma once
 
 #include "fb-policy.h"
@@ -38,7 +38,7 @@
   FbCliFunc func;
 } FbCliSubcommand;
 
-/* Tables, ended by a NULL name. */
+/* Tables, terminated by an entry whose name is NULL. */
 extern const FbCliSubcommand fb_cli_commands[];
 extern const FbCliSubcommand fb_cli_queries[];
 
@@ -46,18 +46,18 @@
  * be reached; *BODY (transfer full) is never NULL. */
 guint fb_cli_call (const FbCliOptions *options, const char *method, const char *path,
                    GBytes *request, GBytes **body);
-/* Returns: the JSON object at PATH, owned by *PARSER (transfer full); NULL when the daemon sent
- * none. */
+/* Returns: the JSON object at PATH, owned by *PARSER (transfer full); NULL when the daemon did not
+ * respond with one. */
 JsonObject *fb_cli_get (const FbCliOptions *options, const char *path, JsonParser **parser);
-/* Sends a request and prints the response. A response with an "error" member is reported on stderr
- * and gives FB_CLI_FAILED; any outcome of a job gives FB_CLI_OK. */
+/* Sends a request and prints the response. Returns: FB_CLI_FAILED when the response has an "error"
+ * member, which is printed on stderr; FB_CLI_OK for any outcome of a job. */
 FbCliExit fb_cli_call_and_print (const FbCliOptions *options, const char *method, const char *path,
                                  GBytes *request);
 FbCliExit fb_cli_unreachable (const FbCliOptions *options);
 FbCliExit fb_cli_report_error (guint status, GBytes *body);
 
-/* cli-files.c. Reads PATHS into the files of a revision. Returns: (transfer full): to be freed with
- * fb_cli_free_files(); NULL, after a message on stderr, when one cannot be read. */
+/* cli-files.c. Reads the files of a revision from PATHS. Returns: (transfer full): to be freed with
+ * fb_cli_free_files(); NULL, after a message on stderr, when a file cannot be read. */
 fb_rec_file *fb_cli_read_files (char **paths, guint *n);
 void fb_cli_free_files (fb_rec_file *files, guint n);
 /* Returns: FB_CLI_OK, or FB_CLI_INVALID after a message on stderr. */
--- a/src/cli/cli-queries.c
+++ b/src/cli/cli-queries.c
@@ -1,4 +1,4 @@
-/* Queries, which read state. */
+/* Commands that read state. */
 #include "cli-private.h"
 
 #include "fb-event.h"
@@ -23,7 +23,7 @@
   return code;
 }
 
-/* Prints the LINES that OTHERS lacks. Returns: their number. */
+/* Prints the LINES that are not in OTHERS. Returns: their number. */
 static guint
 print_missing (const char *sign, const char *name, char **lines, char **others)
 {
@@ -219,10 +219,10 @@
 const FbCliSubcommand fb_cli_queries[] = {
   { "check", "FILE...", "check files; no daemon is needed", 1, 64, check },
   { "diff", "FILE...", "compare files with what is in force", 1, 64, diff },
-  { "status", "", "members, racks and owners as one daemon sees them", 0, 0, status },
-  { "job", "JOB", "the state or the answer of a job", 1, 1, job },
-  { "explain", "JOB", "where the tasks of a job are, and why", 1, 1, explain },
+  { "status", "", "members, racks and owners as known to one daemon", 0, 0, status },
+  { "job", "JOB", "the state or the result of a job", 1, 1, job },
+  { "explain", "JOB", "where the tasks of a job run or wait, and why", 1, 1, explain },
   { "metrics", "", "the counters of one daemon", 0, 0, metrics },
-  { "events", "", "the catalogue of log events", 0, 0, events },
+  { "events", "", "the list of log events", 0, 0, events },
   { NULL, NULL, NULL, 0, 0, NULL },
 };
--- a/src/cli/cli.c
+++ b/src/cli/cli.c
@@ -11,14 +11,14 @@
 static FbCliOptions options = { .wait_s = DEFAULT_WAIT_S };
 static char **arguments;
 
-static const GOptionEntry entries[]
-    = { { "daemon", 'd', 0, G_OPTION_ARG_STRING, &options.daemon, "Daemon to talk to", "IP:PORT" },
-        { "key", 'k', 0, G_OPTION_ARG_FILENAME, &options.key_path, "Secret key of the partner",
-          "FILE" },
-        { "format", 'f', 0, G_OPTION_ARG_STRING, &options.format, "text or json", "FORMAT" },
-        { "wait", 'w', 0, G_OPTION_ARG_INT, &options.wait_s, "How long apply waits", "SECONDS" },
-        { G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &arguments, NULL, NULL },
-        { NULL, 0, 0, 0, NULL, NULL, NULL } };
+static const GOptionEntry entries[] = {
+  { "daemon", 'd', 0, G_OPTION_ARG_STRING, &options.daemon, "Daemon to connect to", "IP:PORT" },
+  { "key", 'k', 0, G_OPTION_ARG_FILENAME, &options.key_path, "Secret key of the partner", "FILE" },
+  { "format", 'f', 0, G_OPTION_ARG_STRING, &options.format, "text or json", "FORMAT" },
+  { "wait", 'w', 0, G_OPTION_ARG_INT, &options.wait_s, "How long apply waits", "SECONDS" },
+  { G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_STRING_ARRAY, &arguments, NULL, NULL },
+  { NULL, 0, 0, 0, NULL, NULL, NULL }
+};
 
 static void
 describe (GString *out, const char *title, const FbCliSubcommand *subcommands)
--- a/src/cli/cli.h
+++ b/src/cli/cli.h
@@ -1,4 +1,4 @@
-/* The command line tool for operators. */
+/* The command-line tool for operators. */
 #pragma once
 
 /* Returns: the exit code of the process, see flamingobarrow(1). */
