--- a/soak/callers.c
+++ b/soak/callers.c
@@ -3,13 +3,12 @@
 #include <libsoup/soup.h>
 #include <string.h>
 
-/* After this long without an answer the same job is submitted again. */
+/* A submission without a response for this time is repeated with the same id. */
 #define CALL_TIMEOUT_S 3
 #define MAX_SUBMIT_TRIES 4
 #define POLL_INTERVAL_MS 700
-/* On average a job is submitted in one of this many ticks. */
-#define SUBMIT_ONE_IN 3
-/* Of a hundred jobs. */
+/* On average one job is submitted per this many ticks. */
+#define TICKS_PER_JOB 3
 #define CRASHING_PERCENT 2
 #define LONG_RUNNING_PERCENT 8
 #define CANCEL_AFTER_MS 4000
@@ -17,7 +16,7 @@
 typedef enum
 {
   JOB_PLAIN,
-  JOB_CRASHING,    /* its task crashes workers; it may fail */
+  JOB_CRASHING,    /* its task crashes workers; the job may fail */
   JOB_LONG_RUNNING /* its tasks do not end; it is cancelled after CANCEL_AFTER_MS */
 } JobKind;
 
@@ -26,13 +25,13 @@
   char id[17];
   JobKind kind;
   guint tries;    /* submissions */
-  guint refusals; /* of them, answered 429 or 503 */
+  guint refusals; /* submissions that were answered 429 or 503 */
   gboolean accepted;
-  gboolean abandoned; /* its caller has used all tries */
+  gboolean abandoned; /* not accepted after MAX_SUBMIT_TRIES */
   gboolean cancel_sent;
   gboolean cancelled;
-  gboolean call_pending; /* a call about it has no answer yet */
-  char end[16];          /* final state as last answered; "": none yet */
+  gboolean call_pending; /* a call for it has no response yet */
+  char end[16];          /* final state as last reported; "": none yet */
   gint64 accepted_ms;
   gint64 last_call_ms;
 } Job;
@@ -46,7 +45,7 @@
   GPtrArray *jobs; /* of Job */
   SoakCounts counts;
   char *violation; /* text of the first one; NULL: none */
-  guint pending;   /* calls without an answer yet */
+  guint pending;   /* calls without a response yet */
 };
 
 typedef struct
@@ -179,7 +178,8 @@
       "\"long-running\":true}]}",
   };
   g_auto (GStrv) parts = g_strsplit (bodies[job->kind], "%u", 2);
-  /* The run time is derived from the id, so that each submission of a job has the same body. */
+  /* The run time is derived from the id, so that repeated submissions of a job have the same body.
+   */
   g_autofree char *run_ms
       = g_strdup_printf ("%u", 50 + (guint) g_ascii_strtoull (job->id + 8, NULL, 16) % 700);
   g_autofree char *body = g_strjoin (run_ms, parts[0], parts[1], NULL);
@@ -219,7 +219,7 @@
       send_call (self, job, "DELETE", NULL);
     }
   else if (!has_ended || g_rand_int_range (self->rand, 0, 20) == 0)
-    send_call (self, job, "GET", NULL); /* now and then also after the job has ended */
+    send_call (self, job, "GET", NULL); /* occasionally also after the job has ended */
 }
 
 /* ---- public ---------------------------------------------------------------------------- */
@@ -232,7 +232,7 @@
   self->daemon_n = daemon_n;
   self->rand = g_rand_new_with_seed (seed + 1);
   self->jobs = g_ptr_array_new_with_free_func (g_free);
-  /* Connections are kept open and reused until the daemon ends. */
+  /* Connections are reused until the daemon closes them. */
   self->session = soup_session_new_with_options ("timeout", CALL_TIMEOUT_S, "max-conns", 64,
                                                  "max-conns-per-host", 8, NULL);
   return self;
@@ -254,7 +254,7 @@
 void
 soak_callers_tick (SoakCallers *self, gboolean no_new_jobs)
 {
-  if (!no_new_jobs && g_rand_int_range (self->rand, 0, SUBMIT_ONE_IN) == 0)
+  if (!no_new_jobs && g_rand_int_range (self->rand, 0, TICKS_PER_JOB) == 0)
     new_job (self);
   for (guint i = 0; i < self->jobs->len; i++)
     job_tick (self, self->jobs->pdata[i]);
--- a/soak/faults.c
+++ b/soak/faults.c
@@ -2,7 +2,7 @@
 
 #include <signal.h>
 
-/* An entry of the worker list that is not renewed for longer than this is removed. */
+/* Time to live of an entry in the worker list that is not renewed. */
 #define ENTRY_TTL_MS 4500
 #define MAX_ROLLING_RESTART_MS 25000
 
@@ -29,19 +29,19 @@
     {
     case SOAK_STORE_LINK:
     case SOAK_STORE_RESET:
-    case SOAK_STORE_SILENCE:
+    case SOAK_STORE_BLACKHOLE:
       return soak_store_link (self->processes, fault->target);
     case SOAK_CALLER_LINK:
     case SOAK_CALLER_RESET:
       return soak_caller_link (self->processes, fault->target);
     case SOAK_WORKER_LINK:
     case SOAK_WORKER_RESET:
-    case SOAK_WORKER_SILENCE:
-    case SOAK_WORKER_CUT:
+    case SOAK_WORKER_BLACKHOLE:
+    case SOAK_WORKER_PARTITION:
       return soak_worker_link (self->processes, fault->target);
     case SOAK_PEER_LINK:
     case SOAK_PEER_RESET:
-    case SOAK_PEER_SILENCE:
+    case SOAK_PEER_BLACKHOLE:
       return soak_peer_link (self->processes, fault->target);
     default:
       return NULL;
@@ -59,11 +59,11 @@
     soak_link_set_mode (link, SOAK_LINK_PASS, 0);
   else if (fault->kind == SOAK_FREEZE)
     soak_daemon_signal (self->processes, fault->target, SIGCONT);
-  else if (fault->kind == SOAK_STORE_AWAY)
+  else if (fault->kind == SOAK_STORE_DOWN)
     soak_platform_control (self->platform, "{\"outage\":false}");
-  else if (fault->kind == SOAK_STORE_MUTE)
+  else if (fault->kind == SOAK_STORE_UNRESPONSIVE)
     soak_platform_control (self->platform, "{\"silent\":false}");
-  else if (fault->kind == SOAK_ROLL)
+  else if (fault->kind == SOAK_ROLLING_RESTART)
     soak_daemon_signal (self->processes, fault->target, SIGTERM);
   g_hash_table_remove (self->scheduled_ends, scheduled);
   return G_SOURCE_REMOVE;
@@ -95,14 +95,14 @@
     kill_daemon (self, fault, i, SIGKILL);
 }
 
-/* Restarts all daemons one after the other; the previous one may still be stopping. */
+/* Restarts all daemons one after the other, without waiting for the previous one to stop. */
 static void
 rolling_restart (SoakFaults *self, const SoakFault *fault)
 {
   guint gap_ms = MIN (300 + fault->duration_ms / 4, MAX_ROLLING_RESTART_MS / self->plan->daemon_n);
   for (guint i = 0; i < self->plan->daemon_n; i++)
     {
-      SoakFault stop = { .kind = SOAK_ROLL, .target = i };
+      SoakFault stop = { .kind = SOAK_ROLLING_RESTART, .target = i };
       soak_daemon_restart (self->processes, i, 100);
       end_later (self, &stop, i * gap_ms);
     }
@@ -119,24 +119,24 @@
 }
 
 static void
-cut_worker (SoakFaults *self, const SoakFault *fault)
+partition_worker (SoakFaults *self, const SoakFault *fault)
 {
   guint duration_ms = ENTRY_TTL_MS + fault->duration_ms;
-  soak_link_set_mode (link_of_fault (self, fault), SOAK_LINK_CUT, 0);
+  soak_link_set_mode (link_of_fault (self, fault), SOAK_LINK_PARTITION, 0);
   soak_platform_control (self->platform, "{\"unlisted\":%u,\"for-ms\":%u}", fault->target,
                          duration_ms);
   end_later (self, fault, duration_ms);
 }
 
-/* Half of the crashed workers restart under the same id with another start time, and half of those
- * within 0.9 s. */
+/* Half of the crashed workers restart with the same id and a new start time, half of these within
+ * 0.9 s. */
 static void
 crash_worker (SoakFaults *self, const SoakFault *fault)
 {
-  gboolean keeps_id = fault->variant % 2 == 0;
+  gboolean reuses_id = fault->variant % 2 == 0;
   guint duration_ms = fault->variant % 4 == 0 ? fault->duration_ms / 8 : 1000 + fault->duration_ms;
   soak_platform_control (self->platform, "{\"crash\":%u,\"for-ms\":%u,\"returns\":%s}",
-                         fault->target, duration_ms, keeps_id ? "true" : "false");
+                         fault->target, duration_ms, reuses_id ? "true" : "false");
 }
 
 static void
@@ -192,24 +192,24 @@
     case SOAK_PEER_RESET:
       soak_link_reset (link_of_fault (self, fault));
       break;
-    case SOAK_STORE_SILENCE:
-    case SOAK_WORKER_SILENCE:
-    case SOAK_PEER_SILENCE:
-      soak_link_silence (link_of_fault (self, fault));
+    case SOAK_STORE_BLACKHOLE:
+    case SOAK_WORKER_BLACKHOLE:
+    case SOAK_PEER_BLACKHOLE:
+      soak_link_blackhole (link_of_fault (self, fault));
       break;
-    case SOAK_STORE_AWAY:
+    case SOAK_STORE_DOWN:
       soak_platform_control (self->platform, "{\"outage\":true}");
       end_later (self, fault, fault->duration_ms);
       break;
-    case SOAK_STORE_MUTE:
+    case SOAK_STORE_UNRESPONSIVE:
       soak_platform_control (self->platform, "{\"silent\":true}");
       end_later (self, fault, fault->duration_ms);
       break;
     case SOAK_WORKER_CRASH:
       crash_worker (self, fault);
       break;
-    case SOAK_WORKER_CUT:
-      cut_worker (self, fault);
+    case SOAK_WORKER_PARTITION:
+      partition_worker (self, fault);
       break;
     case SOAK_WORKER_REFUSES:
     case SOAK_WORKER_LOSES:
@@ -220,7 +220,7 @@
     case SOAK_STORE_FLAKY:
       set_store_call_faults (self, fault);
       break;
-    case SOAK_ROLL:
+    case SOAK_ROLLING_RESTART:
       rolling_restart (self, fault);
       break;
     case SOAK_KILL_ALL:
@@ -233,7 +233,7 @@
 soak_faults_begin (SoakFaults *self, const SoakFault *fault)
 {
   guint n = 1;
-  /* Up to a fourth of all workers, beginning with the target of the plan. */
+  /* Faults of workers apply to up to a quarter of them, starting with the target. */
   if (fault->kind >= SOAK_WORKER_LINK && fault->kind <= SOAK_WORKER_LATE)
     n += fault->variant % (1 + self->plan->worker_n / 4);
   for (guint i = 0; i < n; i++)
--- a/soak/faults.h
+++ b/soak/faults.h
@@ -1,4 +1,4 @@
-/* Faults of one run: each begins when soak_faults_begin() is called and ends by itself. */
+/* Faults of one run: each begins when soak_faults_begin() is called and ends after its duration. */
 #pragma once
 
 #include "plan.h"
@@ -10,8 +10,8 @@
 /* PROCESSES, PLATFORM and PLAN are borrowed. */
 SoakFaults *soak_faults_new (SoakProcesses *processes, SoakPlatform *platform,
                              const SoakPlanSetup *plan);
-/* Faults that are still in force are not ended. */
+/* Does not end faults that are still active. */
 void soak_faults_free (SoakFaults *self);
 void soak_faults_begin (SoakFaults *self, const SoakFault *fault);
-/* Ends all faults and starts daemons that are down. */
+/* Ends all faults and starts the daemons that are down. */
 void soak_faults_clear (SoakFaults *self);
--- a/soak/link.c
+++ b/soak/link.c
@@ -3,8 +3,8 @@
 #include <sys/socket.h>
 
 #define BUFFER_BYTES 16384
-/* A direction that holds back data checks after this time whether it may forward it. */
-#define CUT_RECHECK_MS 20
+/* Interval at which a blocked direction checks whether it may forward its data. */
+#define BLOCKED_RECHECK_MS 20
 #define BACKLOG 256
 
 typedef struct _Connection Connection;
@@ -27,8 +27,8 @@
   GSocketConnection *server_side; /* NULL until it is connected */
   GCancellable *cancel;
   Direction directions[2];
-  guint refs;      /* asynchronous calls that hold it */
-  gboolean silent; /* forwards nothing any more */
+  guint refs;          /* one per pending asynchronous call */
+  gboolean blackholed; /* forwards nothing any more */
   gboolean closed;
 };
 
@@ -39,7 +39,7 @@
   guint16 to_port;
   SoakLinkMode mode;
   guint slow_ms;
-  GPtrArray *conns; /* of Connection; borrowed: each frees itself */
+  GPtrArray *conns; /* of Connection; not owned: a connection is freed with its last reference */
 };
 
 static void read_more (Direction *direction);
@@ -87,7 +87,7 @@
   Connection *conn = direction->conn;
   if (conn->link == NULL || conn->closed)
     conn_unref (conn);
-  else if (conn->silent || conn->link->mode == SOAK_LINK_CUT)
+  else if (conn->blackholed || conn->link->mode == SOAK_LINK_PARTITION)
     return G_SOURCE_CONTINUE;
   else if (conn->link->mode == SOAK_LINK_ONE_WAY && direction->is_reply)
     {
@@ -109,19 +109,19 @@
   gssize n = g_input_stream_read_finish (G_INPUT_STREAM (stream), result, NULL);
   if (n <= 0 || conn->link == NULL)
     {
-      /* A silent connection does not pass on its end either. */
-      if (conn->link == NULL || !conn->silent)
+      /* A blackholed connection does not forward the end of the stream either. */
+      if (conn->link == NULL || !conn->blackholed)
         conn_close (conn);
       conn_unref (conn);
       return;
     }
   direction->len = (gsize) n;
   const SoakLink *link = conn->link;
-  if (link->mode == SOAK_LINK_PASS && !conn->silent)
+  if (link->mode == SOAK_LINK_PASS && !conn->blackholed)
     (void) forward_buffer (direction);
   else
-    g_timeout_add (link->mode == SOAK_LINK_SLOW ? link->slow_ms : CUT_RECHECK_MS, forward_buffer,
-                   direction);
+    g_timeout_add (link->mode == SOAK_LINK_SLOW ? link->slow_ms : BLOCKED_RECHECK_MS,
+                   forward_buffer, direction);
 }
 
 static void
@@ -241,8 +241,8 @@
 }
 
 void
-soak_link_silence (SoakLink *self)
+soak_link_blackhole (SoakLink *self)
 {
   for (guint i = 0; i < self->conns->len; i++)
-    ((Connection *) self->conns->pdata[i])->silent = TRUE;
+    ((Connection *) self->conns->pdata[i])->blackholed = TRUE;
 }
--- a/soak/link.h
+++ b/soak/link.h
@@ -8,20 +8,21 @@
 typedef enum
 {
   SOAK_LINK_PASS,
-  SOAK_LINK_SLOW,    /* data is forwarded with a delay */
-  SOAK_LINK_CUT,     /* nothing is forwarded in either direction until the mode changes */
-  SOAK_LINK_ONE_WAY, /* data from the server is dropped */
+  SOAK_LINK_SLOW,      /* data is forwarded with a delay */
+  SOAK_LINK_PARTITION, /* nothing is forwarded in either direction until the mode changes */
+  SOAK_LINK_ONE_WAY,   /* data from the server is dropped */
   SOAK_LINK_N
 } SoakLinkMode;
 
-/* Returns: (transfer full): a proxy on a port of its own that connects to TO_PORT; NULL when it
- * cannot listen. */
+/* Returns: (transfer full): a proxy that listens on an ephemeral port and connects to TO_PORT; NULL
+ * when it cannot listen. */
 SoakLink *soak_link_new (guint16 to_port);
 void soak_link_free (SoakLink *self);
 guint16 soak_link_port (const SoakLink *self);
 /* SLOW_MS: delay of SOAK_LINK_SLOW, ignored in other modes. */
 void soak_link_set_mode (SoakLink *self, SoakLinkMode mode, guint slow_ms);
-/* Resets all open connections (RST). */
+/* Resets all open connections (TCP RST). */
 void soak_link_reset (SoakLink *self);
-/* Stops forwarding on all open connections for good without closing them; new connections work. */
-void soak_link_silence (SoakLink *self);
+/* Stops forwarding on all open connections, permanently and without closing them. New connections
+ * are forwarded. */
+void soak_link_blackhole (SoakLink *self);
--- a/soak/plan.c
+++ b/soak/plan.c
@@ -1,28 +1,53 @@
 #include "plan.h"
 
-/* The next fault begins at most this long after the one before, which may still be in force. */
+/* Upper bound of the time between the beginnings of two faults; the earlier one may still be
+ * active. */
 #define MAX_GAP_MS 1200
 #define FIRST_FAULT_AFTER_MS 1000
-/* Longer than a lease and than the time to live of a member of a consumer group. */
+/* Longer than a lease and than the time to live of a consumer group member. */
 #define MAX_DURATION_MS 7000
-/* Percent of the faults of each kind: without and with faults of worker calls and of links between
- * daemons. */
-static const guint plain_weights[SOAK_FAULT_N]
-    = { [SOAK_KILL] = 12,         [SOAK_TERM] = 10,       [SOAK_FREEZE] = 12,
-        [SOAK_RELOAD] = 4,        [SOAK_STORE_LINK] = 14, [SOAK_STORE_RESET] = 5,
-        [SOAK_STORE_SILENCE] = 6, [SOAK_CALLER_LINK] = 6, [SOAK_CALLER_RESET] = 5,
-        [SOAK_STORE_AWAY] = 5,    [SOAK_STORE_MUTE] = 4,  [SOAK_WORKER_CRASH] = 11,
-        [SOAK_ROLL] = 4,          [SOAK_KILL_ALL] = 2 };
-static const guint all_weights[SOAK_FAULT_N]
-    = { [SOAK_KILL] = 8,           [SOAK_TERM] = 6,           [SOAK_FREEZE] = 7,
-        [SOAK_RELOAD] = 2,         [SOAK_STORE_LINK] = 8,     [SOAK_STORE_RESET] = 3,
-        [SOAK_STORE_SILENCE] = 3,  [SOAK_CALLER_LINK] = 3,    [SOAK_CALLER_RESET] = 2,
-        [SOAK_STORE_AWAY] = 3,     [SOAK_STORE_MUTE] = 3,     [SOAK_WORKER_CRASH] = 6,
-        [SOAK_ROLL] = 2,           [SOAK_KILL_ALL] = 1,       [SOAK_WORKER_LINK] = 8,
-        [SOAK_WORKER_RESET] = 5,   [SOAK_WORKER_SILENCE] = 4, [SOAK_WORKER_CUT] = 4,
-        [SOAK_WORKER_REFUSES] = 3, [SOAK_WORKER_LOSES] = 3,   [SOAK_WORKER_FLAKY] = 5,
-        [SOAK_WORKER_LATE] = 4,    [SOAK_PEER_LINK] = 2,      [SOAK_PEER_RESET] = 1,
-        [SOAK_PEER_SILENCE] = 1,   [SOAK_STORE_FLAKY] = 3 };
+/* Percentage of each kind of fault. PLAIN_WEIGHTS has no faults of worker calls and of links
+ * between daemons. */
+static const guint plain_weights[SOAK_FAULT_N] = { [SOAK_KILL] = 12,
+                                                   [SOAK_TERM] = 10,
+                                                   [SOAK_FREEZE] = 12,
+                                                   [SOAK_RELOAD] = 4,
+                                                   [SOAK_STORE_LINK] = 14,
+                                                   [SOAK_STORE_RESET] = 5,
+                                                   [SOAK_STORE_BLACKHOLE] = 6,
+                                                   [SOAK_CALLER_LINK] = 6,
+                                                   [SOAK_CALLER_RESET] = 5,
+                                                   [SOAK_STORE_DOWN] = 5,
+                                                   [SOAK_STORE_UNRESPONSIVE] = 4,
+                                                   [SOAK_WORKER_CRASH] = 11,
+                                                   [SOAK_ROLLING_RESTART] = 4,
+                                                   [SOAK_KILL_ALL] = 2 };
+static const guint all_weights[SOAK_FAULT_N] = { [SOAK_KILL] = 8,
+                                                 [SOAK_TERM] = 6,
+                                                 [SOAK_FREEZE] = 7,
+                                                 [SOAK_RELOAD] = 2,
+                                                 [SOAK_STORE_LINK] = 8,
+                                                 [SOAK_STORE_RESET] = 3,
+                                                 [SOAK_STORE_BLACKHOLE] = 3,
+                                                 [SOAK_CALLER_LINK] = 3,
+                                                 [SOAK_CALLER_RESET] = 2,
+                                                 [SOAK_STORE_DOWN] = 3,
+                                                 [SOAK_STORE_UNRESPONSIVE] = 3,
+                                                 [SOAK_WORKER_CRASH] = 6,
+                                                 [SOAK_ROLLING_RESTART] = 2,
+                                                 [SOAK_KILL_ALL] = 1,
+                                                 [SOAK_WORKER_LINK] = 8,
+                                                 [SOAK_WORKER_RESET] = 5,
+                                                 [SOAK_WORKER_BLACKHOLE] = 4,
+                                                 [SOAK_WORKER_PARTITION] = 4,
+                                                 [SOAK_WORKER_REFUSES] = 3,
+                                                 [SOAK_WORKER_LOSES] = 3,
+                                                 [SOAK_WORKER_FLAKY] = 5,
+                                                 [SOAK_WORKER_LATE] = 4,
+                                                 [SOAK_PEER_LINK] = 2,
+                                                 [SOAK_PEER_RESET] = 1,
+                                                 [SOAK_PEER_BLACKHOLE] = 1,
+                                                 [SOAK_STORE_FLAKY] = 3 };
 
 static SoakFaultKind
 draw_kind (GRand *rand, const guint *weights)
@@ -56,7 +81,7 @@
       fault.variant = (guint) g_rand_int_range (rand, 0, 100);
       g_array_append_val (plan, fault);
     }
-  /* Two of three runs end with a crash of all daemons at once, as by a power failure. */
+  /* Two of three runs end with a crash of all daemons at once, as in a power failure. */
   if (setup->seed % 3 != 0)
     {
       const SoakFault last
@@ -70,13 +95,33 @@
 char *
 soak_plan_text (const GArray *plan)
 {
-  static const char *const names[SOAK_FAULT_N]
-      = { "kill",         "term",           "freeze",      "reload",         "store-link",
-          "store-reset",  "store-silence",  "caller-link", "caller-reset",   "store-away",
-          "store-mute",   "worker-crash",   "roll",        "kill-all",       "worker-link",
-          "worker-reset", "worker-silence", "worker-cut",  "worker-refuses", "worker-loses",
-          "worker-flaky", "worker-late",    "peer-link",   "peer-reset",     "peer-silence",
-          "store-flaky" };
+  /* The names in plan.txt; tools/check-docs.sh looks them up in the table of faults. */
+  static const char *const names[SOAK_FAULT_N] = { [SOAK_KILL] = "kill",
+                                                   [SOAK_TERM] = "term",
+                                                   [SOAK_FREEZE] = "freeze",
+                                                   [SOAK_RELOAD] = "reload",
+                                                   [SOAK_STORE_LINK] = "store-link",
+                                                   [SOAK_STORE_RESET] = "store-reset",
+                                                   [SOAK_STORE_BLACKHOLE] = "store-silence",
+                                                   [SOAK_CALLER_LINK] = "caller-link",
+                                                   [SOAK_CALLER_RESET] = "caller-reset",
+                                                   [SOAK_STORE_DOWN] = "store-away",
+                                                   [SOAK_STORE_UNRESPONSIVE] = "store-mute",
+                                                   [SOAK_WORKER_CRASH] = "worker-crash",
+                                                   [SOAK_ROLLING_RESTART] = "roll",
+                                                   [SOAK_KILL_ALL] = "kill-all",
+                                                   [SOAK_WORKER_LINK] = "worker-link",
+                                                   [SOAK_WORKER_RESET] = "worker-reset",
+                                                   [SOAK_WORKER_BLACKHOLE] = "worker-silence",
+                                                   [SOAK_WORKER_PARTITION] = "worker-cut",
+                                                   [SOAK_WORKER_REFUSES] = "worker-refuses",
+                                                   [SOAK_WORKER_LOSES] = "worker-loses",
+                                                   [SOAK_WORKER_FLAKY] = "worker-flaky",
+                                                   [SOAK_WORKER_LATE] = "worker-late",
+                                                   [SOAK_PEER_LINK] = "peer-link",
+                                                   [SOAK_PEER_RESET] = "peer-reset",
+                                                   [SOAK_PEER_BLACKHOLE] = "peer-silence",
+                                                   [SOAK_STORE_FLAKY] = "store-flaky" };
   GString *text = g_string_new (NULL);
   for (guint i = 0; i < plan->len; i++)
     {
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -1,46 +1,46 @@
-/* The plan of faults of one run, drawn from its seed. */
+/* The schedule of faults of one run, generated from its seed. */
 #pragma once
 
 #include <gio/gio.h>
 
 typedef enum
 {
-  SOAK_KILL,       /* a daemon, by SIGKILL; it restarts at once or after a delay */
-  SOAK_TERM,       /* a daemon, by SIGTERM */
-  SOAK_FREEZE,     /* a daemon, by SIGSTOP; SIGCONT later */
-  SOAK_RELOAD,     /* a daemon, by SIGHUP */
-  SOAK_STORE_LINK, /* of a daemon to the store: slow, cut or one-way */
+  SOAK_KILL,       /* SIGKILL to a daemon, which restarts at once or after a delay */
+  SOAK_TERM,       /* SIGTERM to a daemon */
+  SOAK_FREEZE,     /* SIGSTOP to a daemon, SIGCONT later */
+  SOAK_RELOAD,     /* SIGHUP to a daemon */
+  SOAK_STORE_LINK, /* of a daemon to the store: slow, partitioned or one-way */
   SOAK_STORE_RESET,
-  SOAK_STORE_SILENCE, /* open connections of that link stop forwarding */
+  SOAK_STORE_BLACKHOLE, /* open connections of that link stop forwarding for good */
   SOAK_CALLER_LINK,
   SOAK_CALLER_RESET,
-  SOAK_STORE_AWAY, /* the store refuses all calls */
-  SOAK_STORE_MUTE, /* the store accepts all calls and answers none */
+  SOAK_STORE_DOWN,         /* the store rejects all calls with 503 */
+  SOAK_STORE_UNRESPONSIVE, /* the store accepts all calls and does not respond */
   SOAK_WORKER_CRASH,
-  SOAK_ROLL,        /* rolling restart of the daemons */
-  SOAK_KILL_ALL,    /* all daemons, by SIGKILL at the same moment */
-  SOAK_WORKER_LINK, /* of all daemons to a worker: slow, cut or one-way */
+  SOAK_ROLLING_RESTART, /* rolling restart of the daemons */
+  SOAK_KILL_ALL,        /* SIGKILL to all daemons at once */
+  SOAK_WORKER_LINK,     /* of all daemons to a worker: slow, partitioned or one-way */
   SOAK_WORKER_RESET,
-  SOAK_WORKER_SILENCE,
-  SOAK_WORKER_CUT,     /* its link is cut and its entry in the worker list expires */
-  SOAK_WORKER_REFUSES, /* refuses a share of its calls */
-  SOAK_WORKER_LOSES,   /* executes a share of its calls without an answer */
-  SOAK_WORKER_FLAKY,   /* SOAK_WORKER_REFUSES and SOAK_WORKER_LOSES */
-  SOAK_WORKER_LATE,    /* executes a share of its calls late, without an answer */
-  SOAK_PEER_LINK,      /* of the other daemons to a daemon: slow, cut or one-way */
+  SOAK_WORKER_BLACKHOLE,
+  SOAK_WORKER_PARTITION, /* its link is partitioned and its worker list entry expires */
+  SOAK_WORKER_REFUSES,   /* rejects a percentage of its calls */
+  SOAK_WORKER_LOSES,     /* executes a percentage of its calls without responding */
+  SOAK_WORKER_FLAKY,     /* SOAK_WORKER_REFUSES and SOAK_WORKER_LOSES */
+  SOAK_WORKER_LATE,      /* executes a percentage of its calls late, without responding */
+  SOAK_PEER_LINK,        /* of the other daemons to a daemon: slow, partitioned or one-way */
   SOAK_PEER_RESET,
-  SOAK_PEER_SILENCE,
-  SOAK_STORE_FLAKY, /* refuses a share of its calls, executes a share without an answer */
+  SOAK_PEER_BLACKHOLE,
+  SOAK_STORE_FLAKY, /* rejects a percentage of its calls, executes others without responding */
   SOAK_FAULT_N
 } SoakFaultKind;
 
 typedef struct
 {
   SoakFaultKind kind;
-  guint at_ms;  /* since the run began */
+  guint at_ms;  /* since the start of the run */
   guint target; /* index of a daemon or a worker */
   guint duration_ms;
-  guint variant; /* 0 to 99, at random; details of the fault are derived from it */
+  guint variant; /* random, 0 to 99; selects details of the fault */
 } SoakFault;
 
 typedef struct
@@ -48,8 +48,8 @@
   guint32 seed;
   guint daemon_n;
   guint worker_n;
-  guint duration_ms;     /* the last fault begins by then */
-  gboolean worker_links; /* links to workers and between daemons exist and have faults */
+  guint duration_ms;     /* no fault begins later */
+  gboolean worker_links; /* links to workers and between daemons are proxied and have faults */
 } SoakPlanSetup;
 
 /* Returns: (transfer full): an array of SoakFault, by at_ms. */
--- a/soak/platform.c
+++ b/soak/platform.c
@@ -7,9 +7,9 @@
 
 struct _SoakPlatform
 {
-  SoupSession *session; /* with a single connection, so that calls arrive in order */
+  SoupSession *session; /* limited to one connection, so that calls arrive in order */
   guint16 port;
-  guint pending; /* control calls without an answer yet */
+  guint pending; /* control calls without a response yet */
 };
 
 typedef struct
@@ -59,7 +59,7 @@
   call->done = TRUE;
 }
 
-/* Iterates the main loop meanwhile, so that the links go on forwarding. */
+/* Iterates the main loop while waiting, so that the proxies continue to forward. */
 static GBytes *
 wait_for_answer (SoakPlatform *self, SoupMessage *message)
 {
--- a/soak/ports.h
+++ b/soak/ports.h
@@ -1,4 +1,4 @@
-/* Checks for free ports on loopback. */
+/* Check for free ports on loopback. */
 #pragma once
 
 #include <gio/gio.h>
--- a/soak/processes.c
+++ b/soak/processes.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <sys/prctl.h>
 
-/* A daemon has 160 MB on the smallest hosts. */
+/* Memory that a daemon may use on the smallest hosts. */
 #define MAX_MEMORY_MB 160
 #define MAX_FDS 2000
 
@@ -18,11 +18,11 @@
   guint16 ports[4];     /* callers, readiness, peers, metrics */
   SoakLink *store;
   SoakLink *callers;
-  SoakLink *peers;       /* NULL: none */
-  gboolean end_expected; /* it was sent SIGKILL or SIGTERM by this program */
-  char *unexpected_end;  /* how it ended by itself; NULL: it did not */
-  guint restart_ms;      /* delay after its end; G_MAXUINT: it is not restarted */
-  guint timer;           /* source of the restart; 0: none is due */
+  SoakLink *peers;        /* NULL: none */
+  gboolean exit_expected; /* this program sent it SIGKILL or SIGTERM */
+  char *unexpected_exit;  /* text of an unexpected exit; NULL: none */
+  guint restart_ms;       /* delay after its exit; G_MAXUINT: it is not restarted */
+  guint timer;            /* source of the scheduled restart; 0: none */
 } Daemon;
 
 struct _SoakProcesses
@@ -34,27 +34,27 @@
   gboolean closing;
 };
 
-/* Ends the child when the soak test dies, so that no process is left behind. */
+/* Child setup: kills the child when the soak test exits, so that no process is left behind. */
 static void
-die_with_parent (gpointer user)
+kill_on_parent_exit (gpointer user)
 {
   (void) user;
   (void) prctl (PR_SET_PDEATHSIG, SIGKILL);
 }
 
-/* LOG: file in the folder of the run.  DEBUG: debug messages are written as well. */
+/* LOG: name of the log file in the folder of the run.  DEBUG: enables debug messages. */
 static GSubprocess *
 spawn (const SoakSetup *setup, const char *log, gboolean debug, const char *const *argv)
 {
   g_autoptr (GSubprocessLauncher) launcher
       = g_subprocess_launcher_new (G_SUBPROCESS_FLAGS_STDERR_MERGE);
   g_autofree char *path = g_build_filename (setup->folder, log, NULL);
-  /* All incarnations of a daemon append to the same log. */
+  /* A restarted daemon appends to the same log. */
   int fd = open (path, O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
   if (fd < 0)
     return NULL;
   g_subprocess_launcher_take_stdout_fd (launcher, fd);
-  g_subprocess_launcher_set_child_setup (launcher, die_with_parent, NULL, NULL);
+  g_subprocess_launcher_set_child_setup (launcher, kill_on_parent_exit, NULL, NULL);
   if (debug)
     g_subprocess_launcher_setenv (launcher, "G_MESSAGES_DEBUG", "all", TRUE);
   return g_subprocess_launcher_spawnv (launcher, argv, NULL);
@@ -88,8 +88,8 @@
   if (daemon->process != G_SUBPROCESS (process) || daemon->all->closing)
     return;
   GSubprocess *ended = G_SUBPROCESS (process);
-  if (!daemon->end_expected && daemon->unexpected_end == NULL)
-    daemon->unexpected_end
+  if (!daemon->exit_expected && daemon->unexpected_exit == NULL)
+    daemon->unexpected_exit
         = g_subprocess_get_if_signaled (ended)
               ? g_strdup_printf ("by signal %d", g_subprocess_get_term_sig (ended))
               : g_strdup_printf ("with %d", g_subprocess_get_exit_status (ended));
@@ -109,7 +109,7 @@
   g_autofree char *program = g_build_filename (setup->programs, "flamingobarrowd", NULL);
   const char *argv[] = { program, "--settings", path, NULL };
   daemon->timer = 0;
-  daemon->end_expected = FALSE;
+  daemon->exit_expected = FALSE;
   if (daemon->process == NULL && write_settings (daemon, path))
     daemon->process = spawn (setup, log, FALSE, argv);
   if (daemon->process != NULL)
@@ -117,8 +117,8 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Returns: (transfer full) (nullable): the ports at which workers are listed, separated by commas;
- * NULL when a link cannot listen. */
+/* Returns: (transfer full) (nullable): the ports of the links to workers, separated by commas; NULL
+ * when a link cannot listen. */
 static char *
 link_workers (SoakProcesses *self)
 {
@@ -256,7 +256,7 @@
   Daemon *daemon = &self->daemons[i];
   if (daemon->process == NULL)
     return;
-  daemon->end_expected |= signal == SIGKILL || signal == SIGTERM;
+  daemon->exit_expected |= signal == SIGKILL || signal == SIGTERM;
   g_subprocess_send_signal (daemon->process, signal);
 }
 
@@ -297,8 +297,8 @@
   for (guint i = 0; i < self->setup.daemon_n; i++)
     {
       Daemon *daemon = &self->daemons[i];
-      if (daemon->unexpected_end != NULL)
-        return g_strdup_printf ("daemon %u ended by itself, %s", i, daemon->unexpected_end);
+      if (daemon->unexpected_exit != NULL)
+        return g_strdup_printf ("daemon %u exited unexpectedly, %s", i, daemon->unexpected_exit);
       const char *pid
           = daemon->process != NULL ? g_subprocess_get_identifier (daemon->process) : NULL;
       if (pid == NULL)
--- a/soak/processes.h
+++ b/soak/processes.h
@@ -1,14 +1,14 @@
-/* The processes of one run: the stand-in for the platform and the daemons, connected by links. */
+/* The processes of one run: the fake platform and the daemons, connected by proxies (link.h). */
 #pragma once
 
 #include "link.h"
 
 typedef struct
 {
-  guint16 base_port; /* of the stand-in; the ports of its workers follow */
+  guint16 base_port; /* port of the fake platform; the ports of its workers follow */
   guint daemon_n;
   guint worker_n;
-  gboolean worker_links; /* also between daemons and workers, and between daemons */
+  gboolean worker_links; /* connections to workers and between daemons use links as well */
   const char *folder;    /* for settings and logs of the run */
   const char *programs;  /* build folder of the programs */
 } SoakSetup;
@@ -19,20 +19,20 @@
 SoakProcesses *soak_processes_new (const SoakSetup *setup);
 /* Kills the processes and closes the links. */
 void soak_processes_free (SoakProcesses *self);
-/* Links of daemon I: to the store, and of callers to it. */
+/* The link of daemon I to the store, and the link of callers to daemon I. */
 SoakLink *soak_store_link (SoakProcesses *self, guint i);
 SoakLink *soak_caller_link (SoakProcesses *self, guint i);
-/* Links of all daemons to worker K, and of the other daemons to daemon I.  Returns: (nullable):
- * NULL without worker_links. */
+/* The link of all daemons to worker K, and the link of the other daemons to daemon I.  Returns:
+ * (nullable): NULL without worker_links. */
 SoakLink *soak_worker_link (SoakProcesses *self, guint k);
 SoakLink *soak_peer_link (SoakProcesses *self, guint i);
 /* The port on which daemon I itself listens for callers. */
 guint16 soak_daemon_port (const SoakProcesses *self, guint i);
 /* Sends SIGNAL to daemon I if it runs. */
 void soak_daemon_signal (SoakProcesses *self, guint i, int signal);
-/* Daemon I restarts AFTER_MS after each of its ends, or AFTER_MS from now if it is down. */
+/* Daemon I restarts AFTER_MS after each exit, or AFTER_MS from now when it is down. */
 void soak_daemon_restart (SoakProcesses *self, guint i, guint after_ms);
 gboolean soak_daemon_runs (const SoakProcesses *self, guint i);
-/* Returns: (nullable) (transfer full): text of a violation: a daemon ended by itself, or uses too
- * much memory or too many file descriptors. */
+/* Returns: (nullable) (transfer full): text of a violation: a daemon exited unexpectedly, or uses
+ * too much memory or too many file descriptors. */
 char *soak_processes_check (SoakProcesses *self);
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -1,10 +1,9 @@
-/* Fault-injection soak test.  Real daemons and the stand-in for the platform run as processes;
- * faults are injected from outside by proxies and signals, one after the other and overlapping,
- * while callers submit jobs.  Violations are found only from the answers that callers get, from the
- * audit of the workers and from the state of the processes.
+/* Fault-injection soak test.  Daemons and the fake platform run as processes; proxies and signals
+ * inject overlapping faults while callers submit jobs.  Violations are detected only from the
+ * responses to callers, the audit of the fake workers and the state of the processes.
  *
- * A seed always gives the same plan of faults.  The processes run in real time, so the course of a
- * run differs from run to run. */
+ * A seed always gives the same plan of faults.  The processes run in real time, so runs with the
+ * same seed still differ. */
 #include "callers.h"
 #include "faults.h"
 #include "ports.h"
@@ -21,8 +20,8 @@
 #define PORTS_PER_DAEMON 4
 #define TICK_MS 40
 #define READY_MS 20000
-/* Accepted jobs must have ended this long after the last fault.  Leases, a take-over and unresolved
- * losses of crashed workers together take some 20 s. */
+/* Accepted jobs must end within this time after the last fault.  The expiry of leases, a takeover
+ * and unresolved losses of crashed workers together take about 20 s. */
 #define RECOVERY_MS 45000
 #define CLEAR_FAULTS_TICKS 10
 
@@ -84,8 +83,8 @@
       g_autofree char *path = g_strdup_printf ("/started?job=%s", refused[i]);
       g_autofree char *answer = soak_platform_request (run->platform, path, NULL);
       if (answer != NULL && strstr (answer, "true") != NULL)
-        run->violation
-            = g_strdup_printf ("job %s was refused by every answer and was started", refused[i]);
+        run->violation = g_strdup_printf (
+            "all submissions of job %s were rejected, but it was started", refused[i]);
     }
 }
 
@@ -95,11 +94,11 @@
   static const char *const counters[] = { "doubled", "over-capacity", "started-too-often" };
   g_autofree char *audit = soak_platform_request (run->platform, "/audit", NULL);
   if (audit == NULL)
-    run->violation = g_strdup ("the stand-in does not answer");
+    run->violation = g_strdup ("the fake platform does not respond");
   for (guint i = 0; i < G_N_ELEMENTS (counters) && run->violation == NULL; i++)
     {
       if (audit_count (audit, counters[i]) > 0)
-        run->violation = g_strdup_printf ("workers saw %s", audit);
+        run->violation = g_strdup_printf ("audit of the workers: %s", audit);
     }
 }
 
@@ -174,7 +173,8 @@
                        && g_get_monotonic_time () < until_us;
        tick++)
     {
-      /* Repeated: faults that end late, such as a rolling restart, have later effects. */
+      /* Repeated, because some faults, such as a rolling restart, still act after they were
+       * cleared. */
       if (tick % CLEAR_FAULTS_TICKS == 0)
         soak_faults_clear (run->faults);
       soak_callers_tick (run->callers, TRUE);
@@ -183,8 +183,9 @@
     }
   g_autofree char *unfinished = soak_callers_unfinished_job (run->callers);
   if (run->violation == NULL && unfinished != NULL)
-    run->violation = g_strdup_printf ("job %s was accepted and has not ended %u s after all faults",
-                                      unfinished, RECOVERY_MS / 1000);
+    run->violation
+        = g_strdup_printf ("job %s was accepted, but has not ended %u s after the last fault",
+                           unfinished, RECOVERY_MS / 1000);
   check_refused_jobs (run);
   check_worker_audit (run);
 }
@@ -262,7 +263,7 @@
   return has_violation;
 }
 
-/* Sets the options from the head of the plan in FOLDER. */
+/* Sets the options from the first line of the plan in FOLDER. */
 static gboolean
 read_replay (const char *folder)
 {
@@ -326,7 +327,7 @@
     option_port = find_free_ports (ports_n);
   if (!options_are_valid ())
     {
-      fprintf (stderr, "soak: a number is out of its range, see --help\n");
+      fprintf (stderr, "soak: an option is out of range, see --help\n");
       return 2;
     }
   if (!soak_ports_are_free ((guint) option_port, ports_n))
