--- a/standins/standin-hosts.c
+++ b/standins/standin-hosts.c
@@ -1,6 +1,5 @@
-/* Stand-in for the platform's host list.  POST /control {"host":NAME,
- * "state":"live|leaving|gone"} sets the state of a host; the list shows the
- * change "lag_ms" milliseconds later. */
+/* Fake of the platform's host list.  POST /control {"host":NAME,"state":"live|leaving|gone"} sets
+ * the state of a host; the list shows the change "lag_ms" ms later. */
 #include "standin.h"
 
 #include <stdio.h>
@@ -9,7 +8,7 @@
 {
   char *state;
   guint64 changed_ms;   /* standin_now_ms() when STATE was set */
-  char *previous_state; /* shown until the list's lag has passed */
+  char *previous_state; /* listed until lag_ms after CHANGED_MS */
 } Host;
 
 typedef struct
@@ -81,7 +80,7 @@
   const GOptionEntry options[]
       = { { "port", 'p', 0, G_OPTION_ARG_INT, &port, "Port on 127.0.0.1", "N" },
           { NULL, 0, 0, 0, NULL, NULL, NULL } };
-  g_autoptr (GOptionContext) context = g_option_context_new ("- stand-in for the host list");
+  g_autoptr (GOptionContext) context = g_option_context_new ("- fake of the host list");
   g_option_context_add_main_entries (context, options, NULL);
   if (!g_option_context_parse (context, &argc, &argv, NULL) || port <= 0)
     {
--- a/standins/standin-platform-audit.c
+++ b/standins/standin-platform-audit.c
@@ -1,11 +1,11 @@
-/* Audit of the runs on the workers: counts what was started and ended, and violations of the
- * scheduler's guarantees. */
+/* Audit of the runs on the workers: counts starts, ends and violations of the scheduler's
+ * guarantees. */
 #include "standin-platform.h"
 
 #include <string.h>
 
-/* A task that has crashed MAX_CRASHES workers and is started EXCESS_STARTS times after that was
- * started too often. */
+/* A task counts as started too often when it is started EXCESS_STARTS more times after it has
+ * crashed MAX_CRASHES workers. */
 #define MAX_CRASHES 3
 #define EXCESS_STARTS 3
 
@@ -16,18 +16,17 @@
   guint starts_after; /* its starts since CRASHES reached MAX_CRASHES */
 } CrashingTask;
 
-static GHashTable
-    *done_tasks; /* task -> number of its runs that ended as done and were not forgotten */
+static GHashTable *done_tasks;     /* task -> number of its ends as done, see sp_audit_done() */
 static GHashTable *started_jobs;   /* set of job ids */
 static GHashTable *crashing_tasks; /* task -> CrashingTask */
-static guint crashes;              /* of workers, by tasks */
+static guint crashes;              /* of workers, caused by tasks */
 static guint started;
-static guint
-    duplicate_starts;       /* other runs, and ends as done, that were there when a task started */
-static guint over_capacity; /* starts on a worker without capacity for them */
+static guint duplicate_starts; /* number of other runs of a task, plus one if it is done, summed
+                                  over its starts */
+static guint over_capacity;    /* starts on a worker without capacity for them */
 static guint started_too_often;
 static guint64 highest_epoch;
-static guint epochs_n; /* new highest fencing tokens seen in orders */
+static guint epochs_n; /* how often the highest fencing token in orders has risen */
 
 void
 sp_audit_init (void)
--- a/standins/standin-platform-faults.c
+++ b/standins/standin-platform-faults.c
@@ -1,17 +1,17 @@
-/* Fault injection: workers and the store refuse calls or do not answer them, and workers execute
- * calls late. */
+/* Fault injection: workers and the store reject calls or do not respond to them, and workers
+ * execute calls late. */
 #include "standin-platform.h"
 
 #include <string.h>
 
-/* A delayed call is executed this long after it arrived. */
+/* Range of the delay between the arrival and the execution of a delayed call. */
 #define MIN_DELAY_MS 300
 #define MAX_DELAY_MS 5000
 
 typedef struct
 {
   gint64 until_ms;                  /* sp_now_ms() when the faults end; 0: no faults */
-  guint percent[SP_CALL_OUTCOME_N]; /* of the calls, per outcome; the rest is served */
+  guint percent[SP_CALL_OUTCOME_N]; /* of the calls, by outcome; all others are served */
 } FaultRates;
 
 typedef struct
@@ -23,7 +23,7 @@
   gint64 execute_at_ms; /* by sp_now_ms() */
 } DelayedCall;
 
-static FaultRates fault_rates[SP_WORKER_MAX + 1]; /* by worker; the last is the store's */
+static FaultRates fault_rates[SP_WORKER_MAX + 1]; /* by worker, and SP_STORE */
 static GPtrArray *delayed_calls;                  /* of DelayedCall */
 static GRand *fault_rand;
 
--- a/standins/standin-platform-group.c
+++ b/standins/standin-platform-group.c
@@ -1,19 +1,19 @@
-/* The store's consumer groups.  The partitions of a group are assigned to its members round-robin,
- * in the order in which they joined.  All topics of a group have the same assignment, so only that
- * of keyed.jobs is reported. */
+/* Consumer groups of the store.  Partitions are assigned to the members of a group round-robin, in
+ * the order in which they joined.  All topics of a group have the same assignment, so only that of
+ * keyed.jobs is reported. */
 #include "standin-platform.h"
 
 typedef struct
 {
   char *name;
   gint64 last_join_ms; /* by sp_now_ms() */
-  gint64 ttl_ms;       /* a member that does not join again for so long is removed */
+  gint64 ttl_ms;       /* the member is removed when it does not join again within this time */
 } Member;
 
 typedef struct
 {
   GPtrArray *members; /* of Member */
-  guint64 generation; /* rises each time a member joins or leaves */
+  guint64 generation; /* incremented when a member joins or leaves */
 } Group;
 
 static GHashTable *groups; /* name -> Group */
--- a/standins/standin-platform-store.c
+++ b/standins/standin-platform-store.c
@@ -1,21 +1,22 @@
-/* The store's partitions: appends, reads from an offset, and the newest record of each key. */
+/* Partitions of the store: appends, reads from an offset, and the newest record of each key. */
 #include "standin-platform.h"
 
 #include <string.h>
 
 #define OCTET_STREAM "application/octet-stream"
-/* A page of an answer ends at whichever limit is reached first. */
+/* A page ends at whichever limit is reached first. */
 #define MAX_PAGE_ROWS 500
 #define MAX_PAGE_BYTES 1000000
-/* Answers kept per partition: a repeat of one of the last 5 appends gets its first answer again. */
+/* Cached responses per partition: a repeat of one of the last 5 appends gets the first response
+ * again. */
 #define MAX_CACHED_ANSWERS 5
 
 typedef struct
 {
   GPtrArray *records; /* of GBytes: key length (1 byte), key, value */
-  GTree *newest; /* key -> offset of its newest record; keys whose newest record is empty are left
-                    out */
-  guint64 epoch; /* highest epoch of a producer that has appended */
+  GTree
+      *newest; /* key -> offset of its newest record, except for keys whose newest value is empty */
+  guint64 epoch;                     /* highest epoch of all producers that have appended */
   guint64 sequence;                  /* of the last append in this epoch */
   guint appends_n;                   /* appends of a producer in this epoch */
   char *answers[MAX_CACHED_ANSWERS]; /* to the last appends, by their number modulo
@@ -26,7 +27,7 @@
 {
   SpPausedRequest request;
   char *partition;
-  guint64 from; /* offset of the first record that it asks for */
+  guint64 from; /* offset of the first requested record */
 } WaitingRead;
 
 static GHashTable *partitions;   /* name -> Partition */
@@ -129,8 +130,8 @@
     }
 }
 
-/* Answers an append whose SEQUENCE does not follow the last one: the cached answer if it repeats a
- * recent append, else 409. */
+/* Responds to an append whose SEQUENCE does not follow the last one: with the cached response if it
+ * repeats a recent append, else with 409. */
 static void
 answer_repeated_append (SoupServerMessage *message, const Partition *partition, guint64 sequence)
 {
@@ -237,7 +238,7 @@
                           offset);
 }
 
-/* Returns: (nullable): the first row behind the key AFTER; the first of all when AFTER is empty. */
+/* Returns: (nullable): the first row after the key AFTER; the first of all when AFTER is empty. */
 static GTreeNode *
 first_after (const Partition *partition, const char *after)
 {
--- a/standins/standin-platform-workers.c
+++ b/standins/standin-platform-workers.c
@@ -1,4 +1,4 @@
-/* Workers: they execute orders of the pool and run tasks under leases. */
+/* Workers: execute orders of the pool and run tasks under leases. */
 #include "standin-platform.h"
 
 #include <stdlib.h>
@@ -9,11 +9,11 @@
 #define ENTRY_TTL_MS 4500
 #define INSTANCE_HEADER "Flamingobarrow-Expect-Instance"
 #define WORKER_CPU_MILLI 8000
-/* A restarted worker's clock begins with this. */
+/* Value of a worker's clock when it restarts. */
 #define INITIAL_CLOCK_MS 1000
-/* CPU that all tasks of the tests request. */
+/* CPU request of every task of the tests. */
 #define TASK_CPU_MILLI 2000
-/* Ends of runs in one answer to a poll. */
+/* Ends of runs in one response to a poll. */
 #define MAX_POLL_ENDS 500
 
 typedef struct
@@ -28,12 +28,12 @@
 /* The end of a run, kept until the pool acknowledges it. */
 typedef struct
 {
-  guint64 n; /* numbers the ends of one incarnation from 1 on */
+  guint64 n; /* number among the ends of one incarnation, from 1 on */
   char *task;
   guint64 attempt;
   const char *reason;
-  gboolean is_counted; /* in the audit as the end of its task: it was done, and the lease has not
-                          expired since */
+  gboolean is_counted; /* counted by the audit: the task is done, and the lease has not expired
+                          since */
 } End;
 
 typedef struct
@@ -43,10 +43,11 @@
   char *id;
   gint64 incarnation_started_ms; /* ms since 1970 */
   gint64 clock_origin_ms;        /* sp_now_ms() when its clock was 0 */
-  gboolean keeps_id;             /* the next incarnation has the same id */
+  gboolean reuses_id;            /* the next incarnation has the same id */
   gboolean up;
-  gint64 restart_ms; /* when it restarts after a crash, by sp_now_ms(); 0: no restart is due */
-  char *previous_id; /* of the crashed incarnation while it is listed; else NULL */
+  gint64
+      restart_ms; /* when it restarts after a crash, by sp_now_ms(); 0: no restart is scheduled */
+  char *previous_id;         /* of the crashed incarnation while it is listed; else NULL */
   gint64 unlist_previous_ms; /* when the entry of previous_id is removed, by sp_now_ms() */
   guint64 token;             /* highest fencing token of an order */
   gint64 lease_ms;           /* when the lease expires, by the worker's clock */
@@ -61,9 +62,10 @@
 
 static guint worker_n;
 static Worker workers[SP_WORKER_MAX];
-static const guint *advertised_ports;
-/* Starts are executed and their connections closed without an answer; repeats are refused. */
-static gboolean losing_answers;
+static const guint *worker_listed_ports;
+/* Starts are executed and their connections closed without a response; repeated starts are
+ * rejected. */
+static gboolean drop_answers;
 
 static void
 run_free (gpointer data)
@@ -89,7 +91,8 @@
       "\",\"address\":\"127.0.0.1:%u\",\"state\":\"ready\",\"sequence\":"
       "%u,\"capacity\":{\"cpu\":%d,\"mem-mb\":65536,\"gpu\":0},\"labels\":[\"a\",\"r1\"],"
       "\"born\":%" G_GINT64_FORMAT "}",
-      advertised_ports[worker->index], sequence, WORKER_CPU_MILLI, worker->incarnation_started_ms);
+      worker_listed_ports[worker->index], sequence, WORKER_CPU_MILLI,
+      worker->incarnation_started_ms);
   sp_store_put ("keyed.servers/0", worker->id, worker->up ? entry : "");
   worker->last_listed_ms = worker->up ? sp_now_ms () : 0;
 }
@@ -112,8 +115,8 @@
   g_ptr_array_set_size (worker->ends, 0);
 }
 
-/* The lease has expired: ends that were not acknowledged are not counted as ends of their tasks,
- * which the pool may start again. */
+/* Called when the lease has expired: the pool may start the tasks of ends that were not
+ * acknowledged again, so these ends are no longer counted. */
 static void
 uncount_ends (Worker *worker)
 {
@@ -200,8 +203,8 @@
     uncount_ends (worker);
 }
 
-/* Ends the runs that are due on all other workers, so that the audit does not count them as running
- * when a task starts on WORKER. */
+/* Ends the due runs of all other workers, so that the audit does not count them as running when a
+ * task starts on WORKER. */
 static void
 end_runs_elsewhere (const Worker *worker)
 {
@@ -231,8 +234,7 @@
 
 /* ---- calls --------------------------------------------------------------------------- */
 
-/* Returns: (transfer full): an answer with the clock and REASON; NULL leaves the reason out.
- */
+/* Returns: (transfer full): a response with the clock and, unless it is NULL, REASON. */
 static char *
 short_answer (const Worker *worker, const char *reason)
 {
@@ -287,7 +289,7 @@
   return 200;
 }
 
-/* Returns: (transfer full): the runs and the ends that are not acknowledged, as JSON. */
+/* Returns: (transfer full): the runs and the unacknowledged ends, as JSON. */
 static char *
 format_poll (const Worker *worker)
 {
@@ -323,7 +325,7 @@
   sp_resume_request (&worker->poll);
 }
 
-/* One poll waits at a time: a poll that waits already is answered now. */
+/* Only one poll waits at a time: a poll that is already waiting is answered now. */
 static void
 hold_poll (SoupServerMessage *message, Worker *worker, guint64 wait_ms)
 {
@@ -343,7 +345,7 @@
   return 200;
 }
 
-/* Returns: the HTTP status; sets ANSWER (transfer full), which is NULL for an empty answer. */
+/* Returns: the HTTP status; sets ANSWER (transfer full), which is NULL for an empty response. */
 static guint
 handle_call (Worker *worker, SoupServerMessage *message, const char *path, JsonObject *body,
              char **answer)
@@ -387,9 +389,9 @@
   guint status = handle_call (worker, message, path, body, &answer);
   gboolean is_poll = g_str_equal (path, "/api/hold") && status == 200;
   gint64 wait_ms = json_object_get_int_member_with_default (body, "wait-ms", 0);
-  if (losing_answers && status == 200 && is_duplicate)
+  if (drop_answers && status == 200 && is_duplicate)
     sp_reply (message, 503, "{}");
-  else if (losing_answers && status == 200 && g_str_equal (path, "/api/run-start"))
+  else if (drop_answers && status == 200 && g_str_equal (path, "/api/run-start"))
     sp_close_connection (message);
   else if (is_poll && worker->ends->len == 0 && wait_ms > 0)
     hold_poll (message, worker, (guint64) wait_ms);
@@ -414,7 +416,7 @@
   end_due_runs (worker);
   if (!worker->up && worker->restart_ms != 0)
     {
-      sp_close_connection (message); /* crashed: no process listens at its address */
+      sp_close_connection (message); /* as if no process listened at its address */
       return;
     }
   if (!worker->up || body == NULL)
@@ -452,7 +454,7 @@
   worker->lease_ms = 0;
   worker->last_end = 0;
   /* Under the same id, the entry of the previous incarnation stays until the next heartbeat. */
-  if (worker->keeps_id)
+  if (worker->reuses_id)
     return;
   g_free (worker->id);
   worker->id = g_strdup_printf ("i-%u-%u", worker->index, worker->incarnation);
@@ -460,29 +462,29 @@
 }
 
 void
-sp_workers_set_lose_answers (gboolean lose)
+sp_workers_set_drop_answers (gboolean drop)
 {
-  losing_answers = lose;
+  drop_answers = drop;
 }
 
 void
-sp_worker_crash (guint k, gint64 for_ms, gboolean keeps_id)
+sp_worker_crash (guint k, gint64 for_ms, gboolean reuses_id)
 {
   Worker *worker = &workers[k % worker_n];
   if (!worker->up)
     return;
   worker->up = FALSE;
-  worker->keeps_id = keeps_id;
+  worker->reuses_id = reuses_id;
   worker->restart_ms = sp_now_ms () + for_ms;
   worker->unlist_previous_ms = sp_now_ms () + ENTRY_TTL_MS;
-  if (!keeps_id)
+  if (!reuses_id)
     {
       g_free (worker->previous_id);
       worker->previous_id = g_strdup (worker->id);
     }
   g_debug ("%s: crashes", worker->id);
   g_ptr_array_set_size (worker->runs, 0);
-  /* An end that was not acknowledged is lost with its worker: the task may be started again. */
+  /* Unacknowledged ends are lost with the worker: their tasks may be started again. */
   clear_ends (worker);
   g_hash_table_remove_all (worker->ended_attempts);
   if (worker->poll.message == NULL)
@@ -521,7 +523,7 @@
 sp_workers_init (guint n, const guint *listed_ports)
 {
   worker_n = n;
-  advertised_ports = listed_ports;
+  worker_listed_ports = listed_ports;
   for (guint i = 0; i < n; i++)
     {
       workers[i].index = i;
@@ -543,7 +545,7 @@
   list_worker (worker, 0);
 }
 
-/* Removes the entry of a running worker that has not renewed it within its time to live. */
+/* Removes the entry of a worker that is up but has not renewed it within its time to live. */
 static void
 unlist_expired (Worker *worker)
 {
--- a/standins/standin-platform.c
+++ b/standins/standin-platform.c
@@ -1,23 +1,23 @@
-/* Stand-in for the users' platform in one process, by its published protocol: the store on PORT,
- * its workers on the ports after it.  GET /audit returns counts of what ran on the workers, and of
+/* Fake of the platform in one process, which implements its published protocol: the store on PORT,
+ * the workers on the ports after it.  GET /audit returns the numbers of runs on the workers and of
  * violations of the scheduler's guarantees.
  *
- * A task's payload is its run time in ms.  A payload "crash N" crashes the task's worker after N
- * ms.
+ * The payload of a task is its run time in ms.  The payload "crash N" crashes the worker of the
+ * task after N ms.
  *
  * POST /control sets faults:
- *   {"outage":true}               the store refuses all calls with 503
- *   {"silent":true}               the store answers nothing
- *   {"patient":true}              members whose time to live has passed stay in their groups
- *   {"worker":K,"up":false}       worker K answers 500 and its entry is removed
- *   {"crash":K,"for-ms":N}        worker K crashes and restarts after N ms under another id, or
- *                                 under the same id with "returns":true
- *   {"unlisted":K,"for-ms":N}     worker K goes on running without renewing its entry
- *   {"lose-answers":true}         workers execute starts without an answer and refuse repeats of
- *                                 them
+ *   {"outage":true}               the store rejects all calls with 503
+ *   {"silent":true}               the store never responds
+ *   {"patient":true}              members of groups do not expire
+ *   {"worker":K,"up":false}       worker K responds with 500 and its entry is removed
+ *   {"crash":K,"for-ms":N}        worker K crashes and restarts after N ms with another id, or with
+ *                                 the same id if "returns":true
+ *   {"unlisted":K,"for-ms":N}     worker K continues to run without renewing its entry
+ *   {"lose-answers":true}         workers execute starts without responding, and reject repeated
+ *                                 starts
  *   {"faults":K,"for-ms":N,"refuse":P,"lose":P,"late":P}
- *                                 worker K refuses P percent of its calls, executes P percent
- *                                 without an answer, or late and without an answer
+ *                                 worker K rejects P percent of its calls, executes P percent
+ *                                 without responding, and P percent late and without responding
  *   {"store-faults":true,...}     the same for the store, "refuse" and "lose" only
  *   {"healthy":true}              ends "unlisted", "faults" and "store-faults"
  *   {"finish":JOB}                ends the runs of JOB
@@ -101,7 +101,7 @@
   if (json_object_has_member (body, "store-faults"))
     sp_faults_set (SP_STORE, body);
   if (json_object_has_member (body, "lose-answers"))
-    sp_workers_set_lose_answers (json_object_get_boolean_member (body, "lose-answers"));
+    sp_workers_set_drop_answers (json_object_get_boolean_member (body, "lose-answers"));
   if (json_object_has_member (body, "finish"))
     sp_workers_finish (json_object_get_string_member (body, "finish"));
   sp_reply (message, 200, "{}");
@@ -143,7 +143,7 @@
            && !sp_group_serve (message, path, query, body))
     sp_reply (message, 404, "{}");
   else if (outcome == SP_CALL_UNANSWERED && !g_str_equal (path, "/api/log-read"))
-    sp_close_connection (message); /* reads are left out: they may be paused, and change nothing */
+    sp_close_connection (message); /* not for reads, which may be paused and change no state */
 }
 
 static void
@@ -209,12 +209,12 @@
   exit (1);
 }
 
-/* Sets PORTS to the ports in the comma-separated WORDS; a worker without one is listed at the port
- * on which it listens. */
+/* Sets PORTS to the comma-separated ports in LIST; a worker without one is listed at the port on
+ * which it listens. */
 static void
-read_listed_ports (const char *words, guint worker_n, guint *ports)
+read_listed_ports (const char *list, guint worker_n, guint *ports)
 {
-  g_auto (GStrv) parts = g_strsplit (words, ",", 0);
+  g_auto (GStrv) parts = g_strsplit (list, ",", 0);
   guint n = g_strv_length (parts);
   for (guint i = 0; i < worker_n; i++)
     ports[i] = i < n ? (guint) atoi (parts[i]) : base_port + 1 + i;
--- a/standins/standin-workers.c
+++ b/standins/standin-workers.c
@@ -1,11 +1,11 @@
-/* Stand-in for the workers of a cell: each host of the cell file gets a server on
- * its own port.  All run in one process, so that one audit record covers them all.
+/* Fake of the workers of a cell: one server per host of the cell file, each on its own port, in one
+ * process, so that one audit record covers them all.
  *
- * The servers put a JSON interface before the fake workers of the tests, and the
- * tests' oracle keeps the record: it sees what really ran, not what daemons
- * report.  GET /record on the record port returns it.  POST /control on a host's
- * port sets faults: those of all stand-ins (standin.h), "fail_all" (every run
- * fails), "pause" (the whole host stops) and "restart". */
+ * The servers provide the JSON interface to the fake workers of the unit tests (world-worker.h).
+ * The audit record comes from the oracle, which checks the actual runs, not what daemons report;
+ * GET /record on the record port returns it.  POST /control on the port of a host sets faults:
+ * those of standin.h, "fail_all" (every run fails), "pause" (the host is suspended) and "restart".
+ */
 #include "standin.h"
 
 #include "../tests/world-worker.h"
@@ -24,8 +24,8 @@
 typedef struct
 {
   SoupServerMessage *message;
-  guint64 version;  /* it is answered when the host's version differs */
-  guint64 until_ms; /* when it is answered at the latest, by standin_now_ms() */
+  guint64 version;  /* version of the host that the caller has */
+  guint64 until_ms; /* end of the timeout, by standin_now_ms() */
   gulong finished;
 } WaitingWatch;
 
@@ -35,7 +35,7 @@
   Worker *worker;
   Standin *standin;
   fb_res capacity;
-  guint64 version; /* of the worker's state; changes with each change of a run */
+  guint64 version; /* of the worker's state; increased by each end of a run */
   gboolean paused;
   GPtrArray *waiting_watches; /* of WaitingWatch */
 } Host;
@@ -348,7 +348,7 @@
       = { { "cell", 'c', 0, G_OPTION_ARG_FILENAME, &cell_path, "Cell file", "FILE" },
           { "record-port", 'p', 0, G_OPTION_ARG_INT, &port, "Port of the record", "N" },
           { NULL, 0, 0, 0, NULL, NULL, NULL } };
-  g_autoptr (GOptionContext) context = g_option_context_new ("- stand-in for workers");
+  g_autoptr (GOptionContext) context = g_option_context_new ("- fake of the workers of a cell");
   g_option_context_add_main_entries (context, options, NULL);
   FbCell *cell = NULL;
   if (!g_option_context_parse (context, &argc, &argv, NULL) || port <= 0 || cell_path == NULL)
--- a/standins/standin.c
+++ b/standins/standin.c
@@ -90,7 +90,7 @@
   g_object_unref (stream);
 }
 
-/* Sends ANSWER (transfer full) to MESSAGE, which is paused. */
+/* Sends ANSWER (transfer full) as the response to MESSAGE, which is paused. */
 void
 standin_answer (Standin *self, SoupServerMessage *message, JsonBuilder *answer)
 {
--- a/standins/standin.h
+++ b/standins/standin.h
@@ -1,5 +1,5 @@
-/* Shared by the stand-ins of the platform: a JSON server over HTTP whose faults
- * are set at run time by POST /control. */
+/* JSON server over HTTP, shared by the fakes of the platform's services.  Faults are set at run
+ * time with POST /control. */
 #pragma once
 
 #include <json-glib/json-glib.h>
@@ -7,25 +7,26 @@
 
 typedef struct
 {
-  gint64 delay_ms;       /* ms before each answer; 0: none */
-  gboolean outage;       /* answers 503 to every request but /record and /control */
-  gboolean lose_answers; /* handles requests and closes the connection without an answer */
-  gboolean freeze;       /* never answers the requests that arrive, except /record and /control */
+  gint64 delay_ms;       /* delay of each response; 0: none */
+  gboolean outage;       /* all requests except /record and /control are answered with 503 */
+  gboolean lose_answers; /* requests are handled and their connections closed without a response */
+  gboolean freeze;       /* no request except /record and /control is ever answered */
 } StandinFaults;
 
 typedef struct _Standin Standin;
 
-/* Handles one request.  Returns: (transfer full) the answer, or NULL when the
- * handler paused MESSAGE and answers later with standin_answer(). */
+/* Handles one request.  Returns: (transfer full): the response, or NULL when the handler responds
+ * later with standin_answer(). */
 typedef JsonBuilder *(*StandinHandler) (gpointer user, SoupServerMessage *message, const char *path,
                                         GHashTable *query, JsonObject *body);
 
-/* Listens on 127.0.0.1:PORT; exits the process with a message when it cannot. */
+/* Listens on 127.0.0.1:PORT; when that fails, exits the process with a message. */
 Standin *standin_new (guint port, StandinHandler handler, gpointer user);
 StandinFaults *standin_faults (Standin *self);
 void standin_answer (Standin *self, SoupServerMessage *message, JsonBuilder *answer);
 
-/* Called with the body of each POST /control, for members other than the faults above. */
+/* Called with the body of each POST /control, to handle members other than those of StandinFaults.
+ */
 typedef void (*StandinControl) (gpointer user, JsonObject *body);
 void standin_set_control (Standin *self, StandinControl control);
 
