--- a/bench/driver.c
+++ b/bench/driver.c
@@ -28,7 +28,7 @@
   fb_res reserved;
   gboolean always_fails;
   uint64_t incarnation;
-  gboolean dirty; /* it was restarted; the rack is notified in the next step */
+  gboolean was_restarted; /* the rack is notified in the next step */
 } Host;
 
 typedef struct
@@ -43,7 +43,7 @@
 {
   uint64_t submitted_ms;
   guint load;
-  gboolean *started_tasks; /* tasks that have started once */
+  gboolean *started_tasks; /* by task: it was started at least once */
 } JobSlot;
 
 typedef struct
@@ -55,7 +55,7 @@
   guint rack_n;
   FbRange **ranges;
   FbRouter **routers;
-  GQueue inbox;     /* of GBytes: messages, and records, each followed by NULL */
+  GQueue inbox;     /* of GBytes: messages, and log records, each followed by NULL */
   GHashTable *jobs; /* id -> JobSlot */
   GRand *rand;
   uint64_t last_job;
@@ -64,7 +64,7 @@
   BenchResult result;
   fb_res total;
   double samples;
-  double unused_accel; /* not used */
+  double unused_accel; /* unused */
 } Bench;
 
 typedef struct
@@ -91,7 +91,8 @@
   fb_record record = { .format = FB_REC_VERSION, .writer = range_user->index, .seq = 1 };
   record.body = *body;
   GBytes *bytes = fb_codec_encode_record (&record);
-  /* Records are delivered after the messages that are queued already.  NULL marks a record. */
+  /* A record is delivered after the messages that are already queued.  NULL marks it as a record.
+   */
   g_queue_push_tail (&range_user->bench->inbox, bytes);
   g_queue_push_tail (&range_user->bench->inbox, NULL);
 }
@@ -209,7 +210,7 @@
   run->spec = *spec;
   run->spec.payload.payload_len = 0;
   run->spec.payload.payload_val = NULL;
-  /* Declared run times are often wrong: the real one is half to twice as long. */
+  /* Declared run times are often wrong: the actual one is half to twice as long. */
   run->end_ms = self->now_ms + spec->run_ms / 2
                 + (uint64_t) g_rand_int_range (self->rand, 0, (gint32) (spec->run_ms * 3 / 2) + 1);
   g_ptr_array_add (host->runs, run);
@@ -317,7 +318,7 @@
 /* ---- delivery ------------------------------------------------------- */
 
 static void
-to_rack (Bench *self, FbRack *rack, const fb_body *body)
+handle_rack_message (Bench *self, FbRack *rack, const fb_body *body)
 {
   switch (body->type)
     {
@@ -344,12 +345,12 @@
 static void
 deliver_record (Bench *self, GBytes *bytes)
 {
-  static const FbRecordPosition nowhere;
+  static const FbRecordPosition no_position;
   gsize len = 0;
   const void *data = g_bytes_get_data (bytes, &len);
   fb_record record;
   g_assert_true (fb_codec_decode_record (data, len, &record));
-  fb_range_apply (self->ranges[record.writer], self->now_ms, &record.body, &nowhere);
+  fb_range_apply (self->ranges[record.writer], self->now_ms, &record.body, &no_position);
   fb_codec_clear_record (&record);
 }
 
@@ -364,7 +365,7 @@
   if (msg.body.type == FB_MSG_REPORT)
     fb_range_report (self->ranges[msg.seq], self->now_ms, &msg.body.fb_body_u.report);
   else
-    to_rack (self, self->racks[msg.seq].rack, &msg.body);
+    handle_rack_message (self, self->racks[msg.seq].rack, &msg.body);
   fb_codec_clear_msg (&msg);
 }
 
@@ -411,7 +412,7 @@
   g_free (job);
 }
 
-/* As in a real cell, each range serves one partner. */
+/* As in a cell, each range serves one partner. */
 static FbRange *
 range_of (Bench *self, uint32_t partner, uint64_t job)
 {
@@ -466,7 +467,7 @@
       for (guint h = 0; h < slot->host_n; h++)
         {
           Host *host = &slot->hosts[h];
-          gboolean has_changed = host->dirty;
+          gboolean has_changed = host->was_restarted;
           for (guint i = 0; i < host->runs->len; i++)
             {
               Run *run = g_ptr_array_index (host->runs, i);
@@ -477,13 +478,13 @@
             }
           if (has_changed)
             fb_rack_worker_changed (slot->rack, h);
-          host->dirty = FALSE;
+          host->was_restarted = FALSE;
         }
     }
 }
 
 static void
-sample (Bench *self)
+sample_reservations (Bench *self)
 {
   fb_res reserved = { { 0 } };
   for (guint r = 0; r < self->rack_n; r++)
@@ -492,22 +493,22 @@
         fb_res_add (&reserved, &self->racks[r].hosts[h].reserved);
     }
   double accel_total = (double) self->total.amount[FB_RES_ACCEL_COUNT];
-  double demanded = 0;
+  double requested = 0;
   GHashTableIter iter;
   gpointer value;
   g_hash_table_iter_init (&iter, self->jobs);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       const BenchLoad *load = &self->scenario->loads[((JobSlot *) value)->load];
-      demanded += (double) load->demand.amount[FB_RES_ACCEL_COUNT] * load->tasks;
+      requested += (double) load->demand.amount[FB_RES_ACCEL_COUNT] * load->tasks;
     }
   self->samples++;
   self->result.cpu_reserved
       += (double) reserved.amount[FB_RES_CPU_MILLI] / (double) self->total.amount[FB_RES_CPU_MILLI];
   self->result.accel_reserved
       += accel_total > 0 ? (double) reserved.amount[FB_RES_ACCEL_COUNT] / accel_total : 0;
-  /* The bound ignores the limits of hosts: all accelerators requested, up to all there are. */
-  self->result.accel_bound += accel_total > 0 ? MIN (1.0, demanded / accel_total) : 0;
+  /* The bound ignores host boundaries: all requested accelerators, up to the total. */
+  self->result.accel_bound += accel_total > 0 ? MIN (1.0, requested / accel_total) : 0;
 }
 
 static void
@@ -544,7 +545,7 @@
     }
 }
 
-/* Replaces the owner of one rack; the new owner reads the state of the workers from them. */
+/* Replaces the owner of one rack; the new owner gets the state of the workers from the workers. */
 static void
 replace_owner (Bench *self, guint rack)
 {
@@ -561,7 +562,7 @@
   g_ptr_array_set_size (host->runs, 0);
   host->reserved = (fb_res){ { 0 } };
   host->incarnation++;
-  host->dirty = TRUE;
+  host->was_restarted = TRUE;
 }
 
 static void
@@ -578,7 +579,7 @@
 }
 
 static void
-step (Bench *self, uint64_t since_ms)
+run_step (Bench *self, uint64_t since_ms)
 {
   self->now_ms += STEP_MS;
   submit_due_jobs (self, since_ms);
@@ -595,7 +596,7 @@
     send_summaries (self);
   deliver_until_idle (self);
   if (since_ms % 1000 == 0)
-    sample (self);
+    sample_reservations (self);
 }
 
 /* ---- building --------------------------------------------------------- */
@@ -622,7 +623,7 @@
 }
 
 static void
-build (Bench *self, const FbRoutePolicy *route, RangeUser *users)
+build_cell (Bench *self, const FbRoutePolicy *route, RangeUser *users)
 {
   const BenchScenario *s = self->scenario;
   static const fb_res small = { { 16000, 32ull << 30, 0, 8 } };
@@ -657,7 +658,7 @@
 }
 
 static void
-finish (Bench *self, double cpu_s, double bytes)
+compute_result (Bench *self, double cpu_s, double bytes)
 {
   BenchResult *result = &self->result;
   guint tasks = 0;
@@ -681,7 +682,7 @@
 }
 
 static void
-clear (Bench *self)
+free_cell (Bench *self)
 {
   for (guint r = 0; r < self->rack_n; r++)
     {
@@ -718,16 +719,17 @@
     self.waits[i] = g_array_new (FALSE, FALSE, sizeof (uint32_t));
   guint64 preempted = fb_counter_get (FB_COUNTER_PREEMPTIONS);
   struct mallinfo2 before = mallinfo2 ();
-  build (&self, route != NULL ? route : &fb_route_best_known, users);
+  build_cell (&self, route != NULL ? route : &fb_route_best_known, users);
   clock_t cpu = clock ();
   for (uint64_t ms = 0; ms < scenario->seconds * 1000; ms += STEP_MS)
-    step (&self, ms);
+    run_step (&self, ms);
   double cpu_s = (double) (clock () - cpu) / CLOCKS_PER_SEC;
   struct mallinfo2 after = mallinfo2 ();
   self.result.preempted = fb_counter_get (FB_COUNTER_PREEMPTIONS) - preempted;
-  finish (&self, cpu_s,
-          (double) (after.uordblks + after.hblkhd) - (double) (before.uordblks + before.hblkhd));
+  compute_result (&self, cpu_s,
+                  (double) (after.uordblks + after.hblkhd)
+                      - (double) (before.uordblks + before.hblkhd));
   BenchResult result = self.result;
-  clear (&self);
+  free_cell (&self);
   return result;
 }
--- a/bench/flamingobarrow-bench.c
+++ b/bench/flamingobarrow-bench.c
@@ -1,5 +1,5 @@
-/* Benchmark of the scheduler: runs scenarios with the product's policies and with
- * baselines.  Times are by the fake clock; CPU time is that of the process. */
+/* Benchmark of the scheduler: runs scenarios with the product's policies and with baselines.  Times
+ * are by the simulated clock; CPU time is that of the process. */
 #include "driver.h"
 
 #include "fb-event.h"
@@ -184,15 +184,15 @@
 
 static gboolean only_product_policies;
 static gboolean as_json;
-static gboolean slopes;
+static gboolean measure_scaling;
 static char **paths;
 
 static const GOptionEntry options[]
     = { { "ours", 'o', 0, G_OPTION_ARG_NONE, &only_product_policies,
           "Only the product's own policies", NULL },
         { "json", 'j', 0, G_OPTION_ARG_NONE, &as_json, "One JSON object per line", NULL },
-        { "slopes", 's', 0, G_OPTION_ARG_NONE, &slopes, "Cost of decisions by size of the cell",
-          NULL },
+        { "slopes", 's', 0, G_OPTION_ARG_NONE, &measure_scaling,
+          "Cost of decisions by size of the cell, and memory per waiting task", NULL },
         { G_OPTION_REMAINING, 0, 0, G_OPTION_ARG_FILENAME_ARRAY, &paths, NULL, "SCENARIO..." },
         { NULL, 0, 0, 0, NULL, NULL, NULL } };
 
@@ -248,9 +248,9 @@
     }
 }
 
-/* Cost of decisions with the same load per host in cells of four sizes. */
+/* Measures the cost of decisions in cells of four sizes with the same load per host. */
 static void
-run_slopes (void)
+run_scaling (void)
 {
   static const guint sizes[] = { 24, 96, 384, 1536 };
   printf ("racks   hosts  tasks started  us/placement (all decisions: route, range, rack)\n");
@@ -287,12 +287,12 @@
     }
 }
 
-/* Memory per waiting task, for jobs of different size. */
+/* Measures the memory per waiting task, for jobs of different sizes. */
 static void
 run_memory (void)
 {
   static const guint tasks[] = { 1000, 5000, 20000 };
-  printf ("\ntasks waiting  bytes a task (range, rack queues, bench's own record)\n");
+  printf ("\ntasks waiting  bytes per task (range, rack queues, records of the benchmark)\n");
   for (guint i = 0; i < G_N_ELEMENTS (tasks); i++)
     {
       BenchScenario scenario = { .name = (char *) "memory",
@@ -327,9 +327,9 @@
       return 2;
     }
   fb_event_init ("bench", TRUE);
-  if (slopes)
+  if (measure_scaling)
     {
-      run_slopes ();
+      run_scaling ();
       run_memory ();
     }
   for (guint i = 0; paths != NULL && paths[i] != NULL; i++)
--- a/tools/cell-lib.sh
+++ b/tools/cell-lib.sh
@@ -1,5 +1,5 @@
-# Shared by the demo and the tests with processes: a cell of stand-ins and daemons
-# on free loopback ports.  To be sourced with B (build folder) and OUT set.
+# Shared by the demo and the process tests: a cell of daemons and fake services on free loopback
+# ports.  To be sourced with B (build folder) and OUT set.
 source tools/ports.sh
 PIDS=()
 declare -A DAEMON
@@ -7,23 +7,23 @@
 cleanup() { kill "${PIDS[@]}" 2> /dev/null || true; wait 2> /dev/null || true; }
 trap cleanup EXIT
 
-# Sleeps SECONDS by a read with a timeout, without polling a clock.
+# Sleeps SECONDS with the shell's own read, without starting a process.
 pause() { read -rt "$1" <> <(:) || true; }
 
-# Runs COMMAND up to 300 times, 0.1 s apart, until it succeeds; fails when it never does.
+# Runs COMMAND up to 300 times at intervals of 0.1 s until it succeeds; fails when it does not.
 until_true() { for _ in $(seq 300); do "$@" && return 0; pause 0.1; done; return 1; }
 
 fetch() { curl -sf --max-time 5 "$@"; }
 
-# Creates keys and settings and starts the stand-ins on a block of free ports.  Sets base
-# (first port), sofia and lima (HTTP addresses of one daemon of each partner).
+# Creates keys and settings and starts the fake services on a block of free ports.  Sets base (first
+# port), sofia and lima (HTTP addresses of one daemon of each partner).
 start_platform() {
   rm -rf "$OUT"; mkdir -p "$OUT"
   "$B/flamingobarrow" keygen "$OUT/zavisimost.key" > "$OUT/zavisimost.pub"
   "$B/flamingobarrow" keygen "$OUT/cobranzas.key" > "$OUT/cobranzas.pub"
   local key1 key2 workers found=
   key1=$(cut -d= -f2 "$OUT/zavisimost.pub") key2=$(cut -d= -f2 "$OUT/cobranzas.pub")
-  for _ in $(seq 5); do # retried when another process has taken a port meanwhile
+  for _ in $(seq 5); do # retries when another process takes a port after the check
     base=$(free_block 30000 150 18 $(seq 0 142)) || break
     tools/make-cell.sh "$OUT" $base "$key1" "$key2"
     "$B/standins/standin-workers" --cell "$OUT/cell.ini" --record-port $((base + 142)) 2> "$OUT/workers.log" &
--- a/tools/flamingobarrow-load.c
+++ b/tools/flamingobarrow-load.c
@@ -1,9 +1,8 @@
-/* Load generator of the demo: callers of both partners, and the table at the end.
+/* Load generator of the demo: simulates callers of both partners and prints a table of outcomes.
  *
- * Sends each class of calls at a constant rate to the daemons of its partner in
- * turn.  A call without an answer is retried at the next daemon if it may be
- * repeated.  Counts the outcomes.  Broken guarantees are read from the audit
- * record of the workers, not from the daemons. */
+ * Sends each class of calls at a constant rate, round-robin to the daemons of its partner.  A call
+ * without a response is retried at the next daemon if it is safe to repeat.  Violations of
+ * guarantees are read from the audit record of the workers, not from the daemons. */
 #include "fb-settings.h"
 #include "fb-status.h"
 
@@ -23,7 +22,7 @@
   const char *path; /* of the HTTP interface */
   guint tasks;
   double per_s;
-  gboolean keyed; /* sent with an idempotency key; calls of several tasks always are */
+  gboolean has_key; /* sent with an idempotency key; calls of several tasks always are */
 } ClassLoad;
 
 static const ClassLoad loads[] = {
@@ -53,7 +52,7 @@
   guint requested;
   guint ended[ENDED_N];
   GArray *waits_ms; /* of guint32 */
-  double calls_due; /* calls to send; the fraction is carried over */
+  double calls_due; /* calls to send; the fraction is carried over to the next tick */
 } ClassCount;
 
 typedef struct
@@ -61,8 +60,8 @@
   guint class;
   guint number;
   guint tries;
-  guint member; /* index of the daemon that it is sent to */
-  char *job;    /* id of its job, which is polled; NULL: none yet */
+  guint member; /* index of the daemon to which it is sent */
+  char *job;    /* id of its job, which is polled; NULL: not known yet */
   gint64 started_us;
   SoupMessage *message;
 } Call;
@@ -120,13 +119,12 @@
   return G_SOURCE_REMOVE;
 }
 
-/* Retries a call.  A repeat is safe: its idempotency key or job id identifies the
- * call, or the call is idempotent itself. */
+/* Retries a call.  This is safe: the call has an idempotency key or a job id, or is idempotent. */
 static void
 retry_call (Call *call, guint wait_ms)
 {
-  gboolean late = g_get_monotonic_time () - call->started_us > CALL_TIMEOUT_MS * 1000;
-  if (late || call->tries >= MAX_TRIES * (call->job != NULL ? 40 : 1))
+  gboolean has_timed_out = g_get_monotonic_time () - call->started_us > CALL_TIMEOUT_MS * 1000;
+  if (has_timed_out || call->tries >= MAX_TRIES * (call->job != NULL ? 40 : 1))
     {
       end_call (call, ENDED_NO_ANSWER, 0);
       return;
@@ -164,8 +162,8 @@
   gboolean key_unchecked = outcome_index == ENDED_UNKNOWN && g_strcmp0 (reason, "log-down") == 0;
   if ((not_run || key_unchecked) && call->tries < MAX_TRIES)
     {
-      /* "Not run" is definite, and a call whose key could not be checked may be
-       * repeated: the caller retries both. */
+      /* The caller retries both: "not run" is definite, and a call whose key could not be checked
+       * may be repeated. */
       retry_call (call, 1000);
       return;
     }
@@ -195,7 +193,7 @@
   call->tries++;
   g_autofree char *key
       = g_strdup_printf ("%" G_GUINT64_FORMAT "-%s-%u", run_id, load->name, call->number);
-  if (call->job == NULL && (load->keyed || load->tasks > 1))
+  if (call->job == NULL && (load->has_key || load->tasks > 1))
     soup_message_headers_replace (soup_message_get_request_headers (call->message),
                                   "Idempotency-Key", key);
   soup_session_send_and_read_async (session, call->message, G_PRIORITY_DEFAULT, NULL, on_answer,
@@ -316,14 +314,14 @@
       bytes += read_metric (text, "flamingobarrow_peer_bytes_sent_total") / MAX (uptime_s, 1);
       memory = MAX (memory, read_metric (text, "process_resident_memory_bytes"));
     }
-  printf ("\ndaemons answering      %u of %u\n", n, cell->members->len);
-  printf ("CPU a daemon           %.2f%% of a core\n", 100 * cpu_s / MAX (n, 1));
-  printf ("bytes to peers         %.1f KB/s a daemon\n", bytes / 1000 / MAX (n, 1));
+  printf ("\ndaemons responding     %u of %u\n", n, cell->members->len);
+  printf ("CPU per daemon         %.2f%% of a core\n", 100 * cpu_s / MAX (n, 1));
+  printf ("bytes to peers         %.1f KB/s per daemon\n", bytes / 1000 / MAX (n, 1));
   printf ("largest daemon         %.1f MB resident\n", memory / 1e6);
   (void) elapsed_s;
 }
 
-/* For tools/slopes.sh: averages over the daemons that answer. */
+/* Prints averages over the daemons that respond, in the format that tools/slopes.sh reads. */
 static void
 print_terse (void)
 {
@@ -355,7 +353,7 @@
   printf ("\n");
 }
 
-/* Returns: TRUE when the workers' record shows no broken guarantee. */
+/* Returns: TRUE when the workers' audit record shows no violation. */
 static gboolean
 print_record (void)
 {
@@ -368,25 +366,25 @@
       return FALSE;
     }
   JsonObject *root = json_node_get_object (json_parser_get_root (parser));
-  gint64 doubled = json_object_get_int_member_with_default (root, "doubled", -1);
+  gint64 duplicates = json_object_get_int_member_with_default (root, "doubled", -1);
   gint64 over_capacity = json_object_get_int_member_with_default (root, "over_capacity", -1);
-  const char *broken = json_object_get_string_member_with_default (root, "broken", "");
-  printf ("\nwhat the workers saw\n");
+  const char *violation = json_object_get_string_member_with_default (root, "broken", "");
+  printf ("\naudit record of the workers\n");
   printf ("started                %" G_GINT64_FORMAT "\n",
           json_object_get_int_member_with_default (root, "starts", 0));
-  printf ("stopped for others     %" G_GINT64_FORMAT "\n",
+  printf ("stopped                %" G_GINT64_FORMAT "\n",
           json_object_get_int_member_with_default (root, "stopped", 0));
   printf ("lost with their host   %" G_GINT64_FORMAT "\n",
           json_object_get_int_member_with_default (root, "lost", 0));
-  printf ("doubled                %" G_GINT64_FORMAT "\n", doubled);
+  printf ("duplicate runs         %" G_GINT64_FORMAT "\n", duplicates);
   printf ("over capacity          %" G_GINT64_FORMAT "\n", over_capacity);
-  printf ("CPU held               %.1f%%\n",
+  printf ("CPU in use             %.1f%%\n",
           (double) json_object_get_int_member_with_default (root, "cpu_used_permille", 0) / 10);
-  printf ("accelerators held      %.1f%%\n",
+  printf ("accelerators in use    %.1f%%\n",
           (double) json_object_get_int_member_with_default (root, "accel_used_permille", 0) / 10);
-  if (broken[0] != '\0')
-    printf ("BROKEN: %s\n", broken);
-  return doubled == 0 && over_capacity == 0 && broken[0] == '\0';
+  if (violation[0] != '\0')
+    printf ("VIOLATION: %s\n", violation);
+  return duplicates == 0 && over_capacity == 0 && violation[0] == '\0';
 }
 
 static gboolean
@@ -442,8 +440,8 @@
   gboolean record_ok = print_record ();
   print_daemons (seconds);
   gboolean answered = all_answered ();
-  printf ("\n%s\n", !record_ok ? "A PROMISE WAS BROKEN"
-                    : answered ? "every promise was kept and every caller was answered"
-                               : "every promise was kept; some callers got no answer");
+  printf ("\n%s\n", !record_ok ? "A GUARANTEE WAS VIOLATED"
+                    : answered ? "no guarantee was violated, and every call was answered"
+                               : "no guarantee was violated; some calls got no response");
   return record_ok && answered ? 0 : 1;
 }
--- a/tools/flamingobarrow.bash
+++ b/tools/flamingobarrow.bash
@@ -1,11 +1,11 @@
 # Bash completion for flamingobarrow: source this file.
 _flamingobarrow() {
-  local word=${COMP_WORDS[COMP_CWORD]} verb=${COMP_WORDS[1]:-}
+  local word=${COMP_WORDS[COMP_CWORD]} subcommand=${COMP_WORDS[1]:-}
   if [ "$COMP_CWORD" = 1 ]; then
     mapfile -t COMPREPLY < <(compgen -W "keygen apply drain submit cancel check diff status job explain metrics events --daemon --key --format --wait --help" -- "$word")
   elif [[ $word == --* ]]; then
     mapfile -t COMPREPLY < <(compgen -W "--daemon --key --format --wait" -- "$word")
-  elif [[ $verb == apply || $verb == check || $verb == diff || $verb == keygen ]]; then
+  elif [[ $subcommand == apply || $subcommand == check || $subcommand == diff || $subcommand == keygen ]]; then
     mapfile -t COMPREPLY < <(compgen -f -- "$word")
   fi
 }
--- a/tools/fuzz.sh
+++ b/tools/fuzz.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Fuzzes readers and whole nodes from the committed corpus for MINUTES, with
-# libFuzzer and the address sanitizer.  The input of a failure is written to
-# out/fuzz; add it to fuzz/corpus with the change that fixes the failure.
+# Fuzzes parsers and whole nodes for MINUTES, starting from the committed corpus, with libFuzzer and
+# the address sanitizer.  The input of a failure is written to out/fuzz; add it to fuzz/corpus with
+# the change that fixes the failure.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 minutes=${1:-1}
--- a/tools/make-cell.sh
+++ b/tools/make-cell.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Writes the settings of a cell of two partners on loopback, of the size of their
-# cell today: 7 daemons per partner in three failure domains, 24 racks, 96 hosts.
+# Writes the settings of a cell of two partners on loopback, of the present size of their cell: 7
+# daemons per partner in three failure domains, 24 racks, 96 hosts.
 #
 #   tools/make-cell.sh FOLDER BASE_PORT PUBLIC_KEY_1 PUBLIC_KEY_2
 #
--- a/tools/mutants.sh
+++ b/tools/mutants.sh
@@ -1,8 +1,7 @@
 #!/usr/bin/env bash
-# Mutation test of the oracle: applies each deliberate defect of tests/mutants
-# to a copy of the tree and runs the corpus, then inputs of fixed seeds, until a
-# violation is found.  The table is the same on every run.  INPUTS limits the
-# inputs per defect, JOBS the number of defects tried in parallel.
+# Mutation test of the oracle: applies each mutant of tests/mutants to a copy of the tree and runs
+# the corpus, then inputs of fixed seeds, until a violation is found.  The table is the same on every
+# run.  INPUTS limits the inputs per mutant, JOBS the number of mutants tested in parallel.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 export INPUTS=${INPUTS:-3000}
@@ -29,7 +28,7 @@
   fi
 }
 export -f try_one
-printf '%-30s %-8s %s\n' defect steps "broken promise" | tee out/mutants/table
+printf '%-30s %-8s %s\n' mutant steps "violation" | tee out/mutants/table
 patches=("$@"); [ $# -gt 0 ] || patches=(tests/mutants/*.patch)
 printf '%s\n' "${patches[@]}" | xargs -P "${JOBS:-4}" -I{} bash -c 'try_one {}' | tee -a out/mutants/table
 caught=$(tail -n +2 out/mutants/table | grep -cvE 'NOT CAUGHT|DOES NOT BUILD')
--- a/tools/plot.sh
+++ b/tools/plot.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Plots one scenario of the benchmark for all policies: share of accelerators and
-# CPU reserved, and the longest p99 of waiting times.  Writes out/NAME.png.
+# Plots one scenario of the benchmark for all policies: reserved shares of accelerators and CPU, and
+# the longest p99 of the waiting times.  Writes out/NAME.png.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scenario=${1:-bench/scenarios/accelerators-saturated.ini}
@@ -20,8 +20,8 @@
 set style data histogram
 set style fill solid 0.7
 set yrange [0:1]
-set ylabel "share held"
-set y2label "longest p99 of waiting, ms"
+set ylabel "share reserved"
+set y2label "longest p99 of the waiting time, ms"
 set y2tics
 set y2range [0:*]
 set xtics rotate by -20
--- a/tools/pool-mutants.sh
+++ b/tools/pool-mutants.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Mutation test of the pools' oracle: makes each deliberate defect in a copy of src/work or of the
-# adapter of workers, and runs the scripts and then fixed seeds until one of them finds it.
-# A defect is a name, a file, a text in it and its replacement.  ONLY=NAME tries one defect only.
+# Mutation test of the checks of pools: applies each mutant to a copy of src/work or of the adapter
+# of workers, and runs the scripts and then inputs of fixed seeds until one of them detects it.
+# A mutant is a name, a file, a text in it and its replacement.  ONLY=NAME tests one mutant only.
 set -uo pipefail
 cd "$(dirname "$0")/.."
 SEEDS=${SEEDS:-4000}
@@ -94,7 +94,7 @@
   cp platform/worker.c "$dir/platform"
   local file=src/work/$2
   case $2 in */*) file=$2 ;; esac
-  python3 - "$dir/$file" "$3" "$4" <<'PY' || { echo "$1: the text is not there"; return; }
+  python3 - "$dir/$file" "$3" "$4" <<'PY' || { echo "$1: TEXT NOT FOUND"; return; }
 import sys
 path, text, replacement = sys.argv[1:]
 source = open(path).read()
@@ -111,22 +111,22 @@
   for s in tests/pools/*.script; do
     "$dir/script" "$s" 2>&1 | cmp -s - "${s%.script}.expected" || { echo "$1: script $(basename "$s")"; return; }
   done
-  local told
-  # The first seeds of kind crashing pass without a defect; KNOWN-RED.txt lists later ones that fail.
-  told=$(timeout 120 "$dir/fuzz" 1 250 crashing | grep -m1 '^seed')
+  local violation
+  # Without a mutant, the first seeds of kind crashing pass; KNOWN-RED.txt lists later ones that fail.
+  violation=$(timeout 120 "$dir/fuzz" 1 250 crashing | grep -m1 '^seed')
   for kind in plain advised shrinking repeats; do
-    [ -n "$told" ] || told=$(timeout 120 "$dir/fuzz" 1 "$SEEDS" "$kind" | sed -n "s/^seed/$kind seed/p" | head -1)
+    [ -n "$violation" ] || violation=$(timeout 120 "$dir/fuzz" 1 "$SEEDS" "$kind" | sed -n "s/^seed/$kind seed/p" | head -1)
   done
-  echo "$1: ${told:-NOT CAUGHT}"
+  echo "$1: ${violation:-NOT CAUGHT}"
 }
 export -f try_one
 export OUT FLAGS OTHERS ADAPTER SEEDS
 while IFS= read -r line; do
-  # A | inside a text is written as \|.
+  # A | that is part of a text is escaped as \|.
   IFS=$'\x01' read -r name file text replacement <<< "$(echo "$line" | sed 's/\([^\\]\)|/\1\x01/g')"
   printf '%s\0%s\0%s\0%s\0' "$name" "$file" "$text" "$replacement"
 done < <(defects) | xargs -0 -n 4 -P 4 bash -c 'try_one "$@"' _ | tee "$OUT/table"
 all=$(defects | wc -l)
-caught=$(grep -cvE 'NOT CAUGHT|DOES NOT BUILD|not there' "$OUT/table")
+caught=$(grep -cvE 'NOT CAUGHT|DOES NOT BUILD|TEXT NOT FOUND' "$OUT/table")
 echo "$caught of $all caught"
 [ "$caught" = "$all" ]
