--- a/bench/driver.c
+++ b/bench/driver.c
@@ -17,7 +17,7 @@
 {
   fb_spec spec;
   uint64_t end_ms;
-  gboolean ended; /* kept until the rack has acknowledged the end */
+  gboolean ended; /* retained until the rack has acknowledged the end */
   FbRunStatus run_status;
 } Run;
 
--- a/bench/flamingobarrow-bench.c
+++ b/bench/flamingobarrow-bench.c
@@ -207,10 +207,11 @@
   for (guint i = 0; i < scenario->load_n; i++)
     {
       const BenchClass *class = &result->classes[i];
-      printf ("      p%u %-14s asked %6u started %6u not-run %4u failed %4u  wait p50 %6u p99 %6u "
-              "max %6u ms\n",
-              scenario->loads[i].partner, scenario->loads[i].name, class->requested, class->started,
-              class->not_run, class->failed, class->p50_ms, class->p99_ms, class->max_ms);
+      printf (
+          "      p%u %-14s requested %6u started %6u not-run %4u failed %4u  wait p50 %6u p99 %6u "
+          "max %6u ms\n",
+          scenario->loads[i].partner, scenario->loads[i].name, class->requested, class->started,
+          class->not_run, class->failed, class->p50_ms, class->p99_ms, class->max_ms);
     }
 }
 
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -49,7 +49,7 @@
         { "programs", 0, 0, G_OPTION_ARG_STRING, &option_programs, "Build folder of the programs",
           "DIR" },
         { "folder", 0, 0, G_OPTION_ARG_STRING, &option_folder,
-          "Where the files of failed runs are kept", "DIR" },
+          "Folder for the files of failed runs", "DIR" },
         { "replay", 0, 0, G_OPTION_ARG_STRING, &option_replay, "Run the plan in DIR again", "DIR" },
         { NULL, 0, 0, 0, NULL, NULL, NULL } };
 
--- a/src/net/http-client.c
+++ b/src/net/http-client.c
@@ -172,9 +172,9 @@
 }
 
 /* Limits the time without received data, so that a response that keeps arriving may take longer.
- * On a slow link a large response takes long, 0.7 MB at 10 Mbit/s 0.6 s. A limit on the whole call
- * that is short enough to detect a dead connection would abort every attempt after it has used the
- * link: a listing took 2.2 s, of which 1 s was spent on aborted attempts. */
+ * On a slow link a large response takes long: 0.6 s for 0.7 MB at 10 Mbit/s. A limit on the whole
+ * call that is short enough to detect a dead connection would abort every attempt after it has used
+ * the link: a listing took 2.2 s, of which 1 s was spent on aborted attempts. */
 static gboolean
 on_idle_timeout (gpointer data)
 {
--- a/standins/standin-platform-workers.c
+++ b/standins/standin-platform-workers.c
@@ -25,7 +25,7 @@
   gboolean crashes; /* it crashes its worker when it ends */
 } Run;
 
-/* The end of a run, kept until the pool acknowledges it. */
+/* The end of a run, retained until the pool acknowledges it. */
 typedef struct
 {
   guint64 n; /* number among the ends of one incarnation, from 1 on */
--- a/standins/standin-platform.c
+++ b/standins/standin-platform.c
@@ -34,7 +34,7 @@
 
 static guint base_port;
 static gboolean outage;
-static gboolean silent;
+static gboolean unresponsive;
 
 /* ---- shared ------------------------------------------------------------------------ */
 
@@ -81,7 +81,7 @@
   if (json_object_has_member (body, "outage"))
     outage = json_object_get_boolean_member (body, "outage");
   if (json_object_has_member (body, "silent"))
-    silent = json_object_get_boolean_member (body, "silent");
+    unresponsive = json_object_get_boolean_member (body, "silent");
   if (json_object_has_member (body, "patient"))
     sp_group_set_expiry_disabled (json_object_get_boolean_member (body, "patient"));
   if (json_object_has_member (body, "worker"))
@@ -135,7 +135,7 @@
              JsonObject *body)
 {
   SpCallOutcome outcome = sp_faults_draw (SP_STORE);
-  if (silent)
+  if (unresponsive)
     soup_server_message_pause (g_object_ref (message)); /* never answered */
   else if (outage || outcome == SP_CALL_REFUSED)
     sp_reply (message, 503, "{}");
--- a/standins/standin-workers.c
+++ b/standins/standin-workers.c
@@ -320,8 +320,8 @@
                    (gint64) (1000 * cpu_busy_milli_ms / (cpu_milli * MAX (elapsed_ms, 1))));
   standin_add_int (out, "accel_used_permille",
                    (gint64) (1000 * accel_busy_ms / MAX (accel * elapsed_ms, 1)));
-  const char *broken = oracle_violation (oracle);
-  standin_add_text (out, "broken", broken != NULL ? broken : "");
+  const char *violation = oracle_violation (oracle);
+  standin_add_text (out, "broken", violation != NULL ? violation : "");
   return out;
 }
 
--- a/tools/flamingobarrow-load.c
+++ b/tools/flamingobarrow-load.c
@@ -262,7 +262,7 @@
 static void
 print_classes (void)
 {
-  printf ("%-14s %6s %10s %7s %8s %8s %10s %9s %9s\n", "class", "asked", "completed", "failed",
+  printf ("%-14s %6s %10s %7s %8s %8s %10s %9s %9s\n", "class", "calls", "completed", "failed",
           "not run", "unknown", "no answer", "wait p50", "wait p99");
   for (guint c = 0; c < G_N_ELEMENTS (loads); c++)
     {
