--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -1,6 +1,6 @@
 #include "daemon.h"
 
-#include "front.h"
+#include "frontend.h"
 #include "src/entry/entry.h"
 #include "src/entry/settings.h"
 
@@ -28,7 +28,7 @@
   FbHostList *hosts;
   FbCore *core;
   FbPeers *peers;
-  FbFront *front;
+  FbFrontend *frontend;
   GMainLoop *main_loop;
   gboolean draining;
 } Daemon;
@@ -65,7 +65,7 @@
     return G_SOURCE_CONTINUE;
   self->draining = TRUE;
   fb_event_log (FB_EVENT_PROCESS_DRAINING, "limit_ms=%" G_GUINT64_FORMAT, self->settings->drain_ms);
-  fb_front_close (self->front);
+  fb_frontend_close (self->frontend);
   fb_core_drain (self->core, self->settings->drain_ms, on_drained, self);
   return G_SOURCE_CONTINUE;
 }
@@ -129,8 +129,8 @@
       return EXIT_ADDRESS;
     }
   fb_core_set_peers (self->core, self->peers);
-  if (fb_front_new (self->cell, self->self_index, self->core, self->loop, &self->front)
-      != FB_FRONT_OK)
+  if (fb_frontend_new (self->cell, self->self_index, self->core, self->loop, &self->frontend)
+      != FB_FRONTEND_OK)
     {
       fprintf (stderr, "cannot listen for callers on %s:%u\n", member->host, member->http_port);
       return EXIT_ADDRESS;
@@ -150,7 +150,7 @@
   fb_event_log (FB_EVENT_PROCESS_STOPPED, "name=%s", self->settings->name);
   fb_core_stop (self->core);
   fb_peers_free (self->peers);
-  fb_front_free (self->front);
+  fb_frontend_free (self->frontend);
   fb_core_free (self->core);
   self->log->ops->free (self->log);
   self->workers->ops->free (self->workers);
--- a/src/daemon/front-commands.c
+++ b/src/daemon/frontend-commands.c
@@ -1,5 +1,5 @@
 /* HTTP requests that change state: submission, cancellation, configuration. */
-#include "front-private.h"
+#include "frontend-private.h"
 
 #include "fb-status.h"
 #include "internal/codec.h"
@@ -8,7 +8,7 @@
 
 typedef struct
 {
-  FbFront *front;
+  FbFrontend *frontend;
   guint64 call_id;
   FbCallMode mode;
   char *class_name;
@@ -69,20 +69,20 @@
 submit_on_core (FbNode *node, uint64_t now_ms, gpointer data)
 {
   Submit *submit = data;
-  FbFront *front = submit->front;
-  const FbPolicyClass *class = fb_policy_class (fb_node_policy (node, front->partner),
+  FbFrontend *frontend = submit->frontend;
+  const FbPolicyClass *class = fb_policy_class (fb_node_policy (node, frontend->partner),
                                                 submit->class_name);
   if (class == NULL || class->kind == FB_KIND_SERVICE)
     {
-      fb_front_post_error (
-          front, submit->call_id, SOUP_STATUS_UNPROCESSABLE_ENTITY,
+      fb_frontend_post_error (
+          frontend, submit->call_id, SOUP_STATUS_UNPROCESSABLE_ENTITY,
           "class: expected one that the partner's configuration declares, not a service");
       return;
     }
   fb_job job;
   memset (&job, 0, sizeof job);
-  fill_job (&job, submit, front->partner, class);
-  fb_front_post_job (front, submit->call_id, job.id);
+  fill_job (&job, submit, frontend->partner, class);
+  fb_frontend_post_job (frontend, submit->call_id, job.id);
   fb_node_submit (node, now_ms, &job, submit->mode == FB_CALL_JOB);
 }
 
@@ -100,11 +100,11 @@
 }
 
 static void
-submit (FbFront *self, SoupServerMessage *message, GHashTable *query, FbCallMode mode)
+submit (FbFrontend *self, SoupServerMessage *message, GHashTable *query, FbCallMode mode)
 {
-  FbCall *call = fb_front_call_new (self, message, mode);
+  FbCall *call = fb_frontend_call_new (self, message, mode);
   Submit *command = g_new0 (Submit, 1);
-  *command = (Submit){ .front = self, .call_id = call->id, .mode = mode, .tasks = 1 };
+  *command = (Submit){ .frontend = self, .call_id = call->id, .mode = mode, .tasks = 1 };
   command->payload = request_body (message);
   const char *class_name = query != NULL ? g_hash_table_lookup (query, "class") : NULL;
   const char *key = soup_message_headers_get_one (soup_server_message_get_request_headers (message),
@@ -124,13 +124,13 @@
   if (error != NULL)
     {
       submit_free (command);
-      fb_front_refuse (call, SOUP_STATUS_BAD_REQUEST, error);
+      fb_frontend_refuse (call, SOUP_STATUS_BAD_REQUEST, error);
       return;
     }
   if (self->closed)
     {
       submit_free (command);
-      fb_front_refuse (call, SOUP_STATUS_SERVICE_UNAVAILABLE, "this daemon is shutting down");
+      fb_frontend_refuse (call, SOUP_STATUS_SERVICE_UNAVAILABLE, "this daemon is shutting down");
       return;
     }
   command->class_name = g_strdup (class_name);
@@ -143,25 +143,25 @@
 static void
 cancel_on_core (FbNode *node, uint64_t now_ms, gpointer data)
 {
-  const FbFrontCoreRequest *command = data;
-  if (!fb_node_cancel (node, now_ms, command->front->partner, command->job))
-    fb_front_post_error (command->front, command->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                         "the range of this job currently has no owner");
+  const FbFrontendCoreRequest *command = data;
+  if (!fb_node_cancel (node, now_ms, command->frontend->partner, command->job))
+    fb_frontend_post_error (command->frontend, command->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
+                            "the range of this job currently has no owner");
 }
 
 static void
-cancel (FbFront *self, SoupServerMessage *message, const char *text)
+cancel (FbFrontend *self, SoupServerMessage *message, const char *text)
 {
-  FbCall *call = fb_front_job_call_new (self, message, FB_CALL_JOB_QUERY, text);
+  FbCall *call = fb_frontend_job_call_new (self, message, FB_CALL_JOB_QUERY, text);
   if (call != NULL)
-    fb_core_command (self->core, cancel_on_core, fb_front_core_request_new (call), g_free);
+    fb_core_command (self->core, cancel_on_core, fb_frontend_core_request_new (call), g_free);
 }
 
 /* ---- configuration ---------------------------------------------------- */
 
 typedef struct
 {
-  FbFront *front;
+  FbFrontend *frontend;
   guint64 call_id;
   GBytes *body;
 } Publish;
@@ -200,8 +200,8 @@
   fb_record record;
   if (!fb_codec_decode_record (bytes, len, &record))
     {
-      fb_front_post_error (publish->front, publish->call_id, SOUP_STATUS_UNPROCESSABLE_ENTITY,
-                           "expected an encoded revision, as sent by flamingobarrow apply");
+      fb_frontend_post_error (publish->frontend, publish->call_id, SOUP_STATUS_UNPROCESSABLE_ENTITY,
+                              "expected an encoded revision, as sent by flamingobarrow apply");
       return;
     }
   FbNodeConfigStatus status = FB_NODE_CONFIG_MALFORMED;
@@ -209,24 +209,25 @@
     status = fb_node_publish (node, now_ms, &record.body.fb_rec_body_u.config);
   fb_codec_clear_record (&record);
   if (status == FB_NODE_CONFIG_OK)
-    fb_front_post_text (publish->front, publish->call_id, publish_status (status),
-                        "application/json", g_strdup ("{}"));
+    fb_frontend_post_text (publish->frontend, publish->call_id, publish_status (status),
+                           "application/json", g_strdup ("{}"));
   else
-    fb_front_post_error (publish->front, publish->call_id, publish_status (status),
-                         fb_status_message ());
+    fb_frontend_post_error (publish->frontend, publish->call_id, publish_status (status),
+                            fb_status_message ());
 }
 
 static void
-publish (FbFront *self, SoupServerMessage *message)
+publish (FbFrontend *self, SoupServerMessage *message)
 {
-  FbCall *call = fb_front_call_new (self, message, FB_CALL_WITHOUT_JOB);
+  FbCall *call = fb_frontend_call_new (self, message, FB_CALL_WITHOUT_JOB);
   Publish *command = g_new (Publish, 1);
   *command = (Publish){ self, call->id, request_body (message) };
   fb_core_command (self->core, publish_on_core, command, publish_free);
 }
 
 gboolean
-fb_front_command (FbFront *self, SoupServerMessage *message, const char *path, GHashTable *query)
+fb_frontend_command (FbFrontend *self, SoupServerMessage *message, const char *path,
+                     GHashTable *query)
 {
   const char *method = soup_server_message_get_method (message);
   gboolean post = g_str_equal (method, "POST");
--- a/src/daemon/front-queries.c
+++ b/src/daemon/frontend-queries.c
@@ -1,5 +1,5 @@
 /* HTTP requests that read state: jobs, status, configuration, metrics. */
-#include "front-private.h"
+#include "frontend-private.h"
 
 #include "fb-counter.h"
 #include "internal/rack-query.h"
@@ -14,44 +14,45 @@
 static void
 query_job_on_core (FbNode *node, uint64_t now_ms, gpointer data)
 {
-  const FbFrontCoreRequest *request = data;
-  if (!fb_node_query_job (node, now_ms, request->front->partner, request->job))
-    fb_front_post_error (request->front, request->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                         "the range of this job currently has no owner");
+  const FbFrontendCoreRequest *request = data;
+  if (!fb_node_query_job (node, now_ms, request->frontend->partner, request->job))
+    fb_frontend_post_error (request->frontend, request->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
+                            "the range of this job currently has no owner");
 }
 
 static void
 explain_on_core (const FbNode *node, gpointer data)
 {
-  const FbFrontCoreRequest *request = data;
+  const FbFrontendCoreRequest *request = data;
   char *text = fb_node_explain (node, request->job);
   if (text != NULL)
     {
-      fb_front_post_text (request->front, request->call_id, SOUP_STATUS_OK, "text/plain", text);
+      fb_frontend_post_text (request->frontend, request->call_id, SOUP_STATUS_OK, "text/plain",
+                             text);
       return;
     }
   uint32_t range
-      = fb_cell_range_of_job (request->front->cell, request->front->partner, request->job);
+      = fb_cell_range_of_job (request->frontend->cell, request->frontend->partner, request->job);
   int owner = fb_node_owner_of (node, range);
   const FbCellMember *member
-      = owner >= 0 ? fb_cell_member (request->front->cell, (guint) owner) : NULL;
-  if (member == NULL || (guint) owner == request->front->self_index)
-    fb_front_post_text (request->front, request->call_id, SOUP_STATUS_NOT_FOUND, "text/plain",
-                        g_strdup ("no such job, or its range currently has no owner\n"));
+      = owner >= 0 ? fb_cell_member (request->frontend->cell, (guint) owner) : NULL;
+  if (member == NULL || (guint) owner == request->frontend->self_index)
+    fb_frontend_post_text (request->frontend, request->call_id, SOUP_STATUS_NOT_FOUND, "text/plain",
+                           g_strdup ("no such job, or its range currently has no owner\n"));
   else
-    fb_front_post_text (
-        request->front, request->call_id, SOUP_STATUS_MISDIRECTED_REQUEST, "text/plain",
+    fb_frontend_post_text (
+        request->frontend, request->call_id, SOUP_STATUS_MISDIRECTED_REQUEST, "text/plain",
         g_strdup_printf ("%s %s:%u\n", member->name, member->host, member->http_port));
 }
 
 static void
-query_job (FbFront *self, SoupServerMessage *message, const char *text, gboolean explain)
+query_job (FbFrontend *self, SoupServerMessage *message, const char *text, gboolean explain)
 {
-  FbCall *call = fb_front_job_call_new (self, message,
-                                        explain ? FB_CALL_WITHOUT_JOB : FB_CALL_JOB_QUERY, text);
+  FbCall *call = fb_frontend_job_call_new (self, message,
+                                           explain ? FB_CALL_WITHOUT_JOB : FB_CALL_JOB_QUERY, text);
   if (call == NULL)
     return;
-  FbFrontCoreRequest *request = fb_front_core_request_new (call);
+  FbFrontendCoreRequest *request = fb_frontend_core_request_new (call);
   if (explain)
     fb_core_query (self->core, explain_on_core, request, g_free);
   else
@@ -77,17 +78,17 @@
 }
 
 static void
-add_members (JsonBuilder *out, const FbFront *front, const FbNode *node)
+add_members (JsonBuilder *out, const FbFrontend *frontend, const FbNode *node)
 {
   json_builder_set_member_name (out, "members");
   json_builder_begin_array (out);
-  for (guint i = 0; i < front->cell->members->len; i++)
+  for (guint i = 0; i < frontend->cell->members->len; i++)
     {
       json_builder_begin_object (out);
-      add_text (out, "name", fb_cell_member (front->cell, i)->name);
+      add_text (out, "name", fb_cell_member (frontend->cell, i)->name);
       add_text (out, "state", fb_node_member_state (node, i));
       for (guint p = 0; p < FB_PARTNER_N; p++)
-        add_number (out, front->cell->partners[p].name, fb_node_member_serial (node, i, p));
+        add_number (out, frontend->cell->partners[p].name, fb_node_member_serial (node, i, p));
       json_builder_end_object (out);
     }
   json_builder_end_array (out);
@@ -112,19 +113,19 @@
 }
 
 static void
-add_shards (JsonBuilder *out, const FbFront *front, const FbNode *node)
+add_shards (JsonBuilder *out, const FbFrontend *frontend, const FbNode *node)
 {
   json_builder_set_member_name (out, "shards");
   json_builder_begin_array (out);
-  for (guint i = 0; i < fb_cell_shard_count (front->cell); i++)
+  for (guint i = 0; i < fb_cell_shard_count (frontend->cell); i++)
     {
       int owner = fb_node_owner_of (node, i);
       json_builder_begin_object (out);
       add_number (out, "shard", i);
-      if (fb_cell_is_rack (front->cell, i))
-        add_text (out, "rack", fb_cell_rack (front->cell, i)->name);
+      if (fb_cell_is_rack (frontend->cell, i))
+        add_text (out, "rack", fb_cell_rack (frontend->cell, i)->name);
       add_text (out, "owner",
-                owner >= 0 ? fb_cell_member (front->cell, (guint) owner)->name : "none");
+                owner >= 0 ? fb_cell_member (frontend->cell, (guint) owner)->name : "none");
       add_number (out, "owned_epoch", fb_node_owned_epoch (node, i));
       const FbRack *rack = fb_node_rack (node, i);
       if (rack != NULL)
@@ -140,19 +141,19 @@
 static void
 status_on_core (const FbNode *node, gpointer data)
 {
-  const FbFrontCoreRequest *request = data;
-  const FbFront *front = request->front;
+  const FbFrontendCoreRequest *request = data;
+  const FbFrontend *frontend = request->frontend;
   JsonBuilder *out = json_builder_new ();
   json_builder_begin_object (out);
-  add_text (out, "name", fb_cell_member (front->cell, front->self_index)->name);
-  add_text (out, "partner", front->cell->partners[front->partner].name);
-  add_number (out, "partner_index", front->partner);
+  add_text (out, "name", fb_cell_member (frontend->cell, frontend->self_index)->name);
+  add_text (out, "partner", frontend->cell->partners[frontend->partner].name);
+  add_number (out, "partner_index", frontend->partner);
   add_text (out, "log", fb_node_log_ok (node) ? "up" : "down");
-  add_members (out, front, node);
-  add_shards (out, front, node);
+  add_members (out, frontend, node);
+  add_shards (out, frontend, node);
   json_builder_end_object (out);
-  fb_front_post_text (request->front, request->call_id, SOUP_STATUS_OK, "application/json",
-                      fb_front_json_text (out));
+  fb_frontend_post_text (request->frontend, request->call_id, SOUP_STATUS_OK, "application/json",
+                         fb_frontend_json_text (out));
 }
 
 /* ---- configuration ---------------------------------------------------- */
@@ -181,22 +182,22 @@
 static void
 config_on_core (const FbNode *node, gpointer data)
 {
-  const FbFrontCoreRequest *request = data;
-  uint32_t partner = request->front->partner;
+  const FbFrontendCoreRequest *request = data;
+  uint32_t partner = request->frontend->partner;
   JsonBuilder *out = json_builder_new ();
   json_builder_begin_object (out);
   add_number (out, "serial", fb_node_config_serial (node, partner));
   add_files (out, fb_node_config_revision (node, partner));
   json_builder_end_object (out);
-  fb_front_post_text (request->front, request->call_id, SOUP_STATUS_OK, "application/json",
-                      fb_front_json_text (out));
+  fb_frontend_post_text (request->frontend, request->call_id, SOUP_STATUS_OK, "application/json",
+                         fb_frontend_json_text (out));
 }
 
 static void
-query_core (FbFront *self, SoupServerMessage *message, FbCoreQuery func)
+query_core (FbFrontend *self, SoupServerMessage *message, FbCoreQuery func)
 {
-  FbCall *call = fb_front_call_new (self, message, FB_CALL_WITHOUT_JOB);
-  fb_core_query (self->core, func, fb_front_core_request_new (call), g_free);
+  FbCall *call = fb_frontend_call_new (self, message, FB_CALL_WITHOUT_JOB);
+  fb_core_query (self->core, func, fb_frontend_core_request_new (call), g_free);
 }
 
 /* Resource usage of the process as reported by the kernel, under the standard Prometheus names. */
@@ -226,17 +227,17 @@
 }
 
 static void
-metrics (FbFront *self, SoupServerMessage *message)
+metrics (FbFrontend *self, SoupServerMessage *message)
 {
-  FbCall *call = fb_front_call_new (self, message, FB_CALL_WITHOUT_JOB);
+  FbCall *call = fb_frontend_call_new (self, message, FB_CALL_WITHOUT_JOB);
   g_autofree char *counters = fb_counter_render ();
   g_autofree char *process = process_metrics (self->started_us);
   g_autofree char *text = g_strconcat (counters, process, NULL);
-  fb_front_respond (call, SOUP_STATUS_OK, "text/plain; version=0.0.4", text, strlen (text));
+  fb_frontend_respond (call, SOUP_STATUS_OK, "text/plain; version=0.0.4", text, strlen (text));
 }
 
 gboolean
-fb_front_query (FbFront *self, SoupServerMessage *message, const char *path)
+fb_frontend_query (FbFrontend *self, SoupServerMessage *message, const char *path)
 {
   if (g_str_has_prefix (path, "/v1/jobs/"))
     query_job (self, message, path + strlen ("/v1/jobs/"), FALSE);
--- a/src/daemon/front.c
+++ b/src/daemon/frontend.c
@@ -1,4 +1,4 @@
-#include "front-private.h"
+#include "frontend-private.h"
 
 #include "fb-counter.h"
 #include "fb-event.h"
@@ -25,14 +25,14 @@
 {
   (void) message;
   FbCall *call = data;
-  g_hash_table_remove (call->front->calls, &call->id);
+  g_hash_table_remove (call->frontend->calls, &call->id);
 }
 
 FbCall *
-fb_front_call_new (FbFront *self, SoupServerMessage *message, FbCallMode mode)
+fb_frontend_call_new (FbFrontend *self, SoupServerMessage *message, FbCallMode mode)
 {
   FbCall *call = talloc_zero (NULL, FbCall);
-  call->front = self;
+  call->frontend = self;
   call->id = ++self->last_id;
   call->mode = mode;
   call->message = g_object_ref (message);
@@ -45,24 +45,24 @@
 }
 
 void
-fb_front_respond (FbCall *call, guint status, const char *type, const char *body, gsize len)
+fb_frontend_respond (FbCall *call, guint status, const char *type, const char *body, gsize len)
 {
   SoupServerMessage *message = call->message;
   if (status == SOUP_STATUS_SERVICE_UNAVAILABLE || status == SOUP_STATUS_GATEWAY_TIMEOUT)
     {
       char wait[16];
-      g_snprintf (wait, sizeof wait, "%u", FB_FRONT_RETRY_AFTER_S);
+      g_snprintf (wait, sizeof wait, "%u", FB_FRONTEND_RETRY_AFTER_S);
       soup_message_headers_replace (soup_server_message_get_response_headers (message),
                                     "Retry-After", wait);
     }
   soup_server_message_set_status (message, status, NULL);
   soup_server_message_set_response (message, type, SOUP_MEMORY_COPY, body, len);
   soup_server_message_unpause (message);
-  g_hash_table_remove (call->front->calls, &call->id);
+  g_hash_table_remove (call->frontend->calls, &call->id);
 }
 
 char *
-fb_front_json_text (JsonBuilder *body)
+fb_frontend_json_text (JsonBuilder *body)
 {
   JsonNode *root = json_builder_get_root (body);
   char *text = json_to_string (root, FALSE);
@@ -72,10 +72,10 @@
 }
 
 void
-fb_front_respond_json (FbCall *call, guint status, JsonBuilder *body)
+fb_frontend_respond_json (FbCall *call, guint status, JsonBuilder *body)
 {
-  g_autofree char *text = fb_front_json_text (body);
-  fb_front_respond (call, status, "application/json", text, strlen (text));
+  g_autofree char *text = fb_frontend_json_text (body);
+  fb_frontend_respond (call, status, "application/json", text, strlen (text));
 }
 
 static JsonBuilder *
@@ -90,31 +90,32 @@
 }
 
 void
-fb_front_refuse (FbCall *call, guint status, const char *reason)
+fb_frontend_refuse (FbCall *call, guint status, const char *reason)
 {
   fb_event_log (FB_EVENT_CALLER_REFUSED, "status=%u reason=%s", status, reason);
-  fb_front_respond_json (call, status, error_json (reason));
+  fb_frontend_respond_json (call, status, error_json (reason));
 }
 
 FbCall *
-fb_front_job_call_new (FbFront *self, SoupServerMessage *message, FbCallMode mode, const char *text)
+fb_frontend_job_call_new (FbFrontend *self, SoupServerMessage *message, FbCallMode mode,
+                          const char *text)
 {
-  FbCall *call = fb_front_call_new (self, message, mode);
+  FbCall *call = fb_frontend_call_new (self, message, mode);
   guint64 job = 0;
   if (!g_ascii_string_to_unsigned (text, 16, 0, G_MAXUINT64, &job, NULL))
     {
-      fb_front_refuse (call, SOUP_STATUS_BAD_REQUEST, "job: expected hexadecimal digits");
+      fb_frontend_refuse (call, SOUP_STATUS_BAD_REQUEST, "job: expected hexadecimal digits");
       return NULL;
     }
   call->job = job;
   return call;
 }
 
-FbFrontCoreRequest *
-fb_front_core_request_new (const FbCall *call)
+FbFrontendCoreRequest *
+fb_frontend_core_request_new (const FbCall *call)
 {
-  FbFrontCoreRequest *request = g_new (FbFrontCoreRequest, 1);
-  *request = (FbFrontCoreRequest){ call->front, call->id, call->job };
+  FbFrontendCoreRequest *request = g_new (FbFrontendCoreRequest, 1);
+  *request = (FbFrontendCoreRequest){ call->frontend, call->id, call->job };
   return request;
 }
 
@@ -191,15 +192,15 @@
   add_answer_headers (call, answer);
   gboolean send_body = call->mode == FB_CALL_REQUEST && answer->outcome <= FB_OUTCOME_FAILED;
   if (send_body)
-    fb_front_respond (call, http_status_of (answer), "application/octet-stream",
-                      answer->body.body_val, answer->body.body_len);
+    fb_frontend_respond (call, http_status_of (answer), "application/octet-stream",
+                         answer->body.body_val, answer->body.body_len);
   else
-    fb_front_respond_json (call, http_status_of (answer), answer_json (answer));
+    fb_frontend_respond_json (call, http_status_of (answer), answer_json (answer));
 }
 
 typedef struct
 {
-  FbFront *front;
+  FbFrontend *frontend;
   fb_answer answer;
 } AnswerMessage;
 
@@ -212,10 +213,10 @@
 }
 
 static void
-answer_calls_on_front (gpointer data)
+answer_calls_on_frontend (gpointer data)
 {
   AnswerMessage *message = data;
-  g_autoptr (GList) calls = g_hash_table_get_values (message->front->calls);
+  g_autoptr (GList) calls = g_hash_table_get_values (message->frontend->calls);
   for (GList *link = calls; link != NULL; link = link->next)
     {
       FbCall *call = link->data;
@@ -227,19 +228,19 @@
 static void
 on_core_answer (gpointer user, const fb_answer *answer)
 {
-  FbFront *self = user;
+  FbFrontend *self = user;
   AnswerMessage *message = g_new (AnswerMessage, 1);
-  message->front = self;
+  message->frontend = self;
   message->answer = *answer;
   message->answer.body.body_val = g_memdup2 (answer->body.body_val, answer->body.body_len);
-  fb_loop_post (self->loop, answer_calls_on_front, message, answer_message_free);
+  fb_loop_post (self->loop, answer_calls_on_frontend, message, answer_message_free);
 }
 
 static const FbCoreListener core_listener = { on_core_answer };
 
 typedef struct
 {
-  FbFront *front;
+  FbFrontend *frontend;
   guint64 call_id;
   uint64_t job;
   guint status;
@@ -256,39 +257,41 @@
 }
 
 static void
-update_call_on_front (gpointer data)
+update_call_on_frontend (gpointer data)
 {
   CallMessage *message = data;
-  FbCall *call = g_hash_table_lookup (message->front->calls, &message->call_id);
+  FbCall *call = g_hash_table_lookup (message->frontend->calls, &message->call_id);
   if (call == NULL)
     return;
   if (message->text != NULL)
-    fb_front_respond (call, message->status, message->type, message->text, strlen (message->text));
+    fb_frontend_respond (call, message->status, message->type, message->text,
+                         strlen (message->text));
   else
     call->job = message->job;
 }
 
 void
-fb_front_post_text (FbFront *self, guint64 call_id, guint status, const char *type, char *text)
+fb_frontend_post_text (FbFrontend *self, guint64 call_id, guint status, const char *type,
+                       char *text)
 {
   CallMessage *message = g_new0 (CallMessage, 1);
   *message = (CallMessage){ self, call_id, 0, status, type, text };
-  fb_loop_post (self->loop, update_call_on_front, message, call_message_free);
+  fb_loop_post (self->loop, update_call_on_frontend, message, call_message_free);
 }
 
 void
-fb_front_post_error (FbFront *self, guint64 call_id, guint status, const char *reason)
+fb_frontend_post_error (FbFrontend *self, guint64 call_id, guint status, const char *reason)
 {
-  fb_front_post_text (self, call_id, status, "application/json",
-                      fb_front_json_text (error_json (reason)));
+  fb_frontend_post_text (self, call_id, status, "application/json",
+                         fb_frontend_json_text (error_json (reason)));
 }
 
 void
-fb_front_post_job (FbFront *self, guint64 call_id, uint64_t job)
+fb_frontend_post_job (FbFrontend *self, guint64 call_id, uint64_t job)
 {
   CallMessage *message = g_new0 (CallMessage, 1);
   *message = (CallMessage){ self, call_id, job, 0, NULL, NULL };
-  fb_loop_post (self->loop, update_call_on_front, message, call_message_free);
+  fb_loop_post (self->loop, update_call_on_frontend, message, call_message_free);
 }
 
 /* ---- requests --------------------------------------------------------- */
@@ -303,7 +306,7 @@
   (void) query;
   (void) data;
   SoupMessageHeaders *headers = soup_server_message_get_request_headers (message);
-  goffset limit = g_str_equal (path, "/v1/config") ? FB_FRONT_CONFIG_MAX : FB_FRONT_BODY_MAX;
+  goffset limit = g_str_equal (path, "/v1/config") ? FB_FRONTEND_CONFIG_MAX : FB_FRONTEND_BODY_MAX;
   if (soup_message_headers_get_encoding (headers) == SOUP_ENCODING_CHUNKED)
     soup_server_message_set_status (message, SOUP_STATUS_LENGTH_REQUIRED, NULL);
   else if (soup_message_headers_get_content_length (headers) > limit)
@@ -315,39 +318,40 @@
             gpointer data)
 {
   (void) server;
-  FbFront *self = data;
+  FbFrontend *self = data;
   if (soup_server_message_get_status (message) != 0)
     return;
   const char *method = soup_server_message_get_method (message);
   gboolean is_query = g_str_equal (method, "GET");
-  gboolean handled = is_query ? fb_front_query (self, message, path)
-                              : fb_front_command (self, message, path, query);
+  gboolean handled = is_query ? fb_frontend_query (self, message, path)
+                              : fb_frontend_command (self, message, path, query);
   if (!handled)
-    fb_front_refuse (fb_front_call_new (self, message, FB_CALL_WITHOUT_JOB), SOUP_STATUS_NOT_FOUND,
-                     "no such path or method; see docs/HTTP.md");
+    fb_frontend_refuse (fb_frontend_call_new (self, message, FB_CALL_WITHOUT_JOB),
+                        SOUP_STATUS_NOT_FOUND, "no such path or method; see docs/HTTP.md");
 }
 
 /* Fails job queries that were not answered within QUERY_TIMEOUT_MS. */
 static void
 expire_queries (gpointer data)
 {
-  FbFront *self = data;
+  FbFrontend *self = data;
   g_autoptr (GList) calls = g_hash_table_get_values (self->calls);
   for (GList *link = calls; link != NULL; link = link->next)
     {
       FbCall *call = link->data;
       if (call->mode == FB_CALL_JOB_QUERY
           && fb_loop_now_ms () - call->received_ms >= QUERY_TIMEOUT_MS)
-        fb_front_refuse (call, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                         "the owner of this job's range did not answer");
+        fb_frontend_refuse (call, SOUP_STATUS_SERVICE_UNAVAILABLE,
+                            "the owner of this job's range did not answer");
     }
 }
 
-FbFrontStatus
-fb_front_new (const FbCell *cell, guint self_index, FbCore *core, FbLoop *loop, FbFront **front)
+FbFrontendStatus
+fb_frontend_new (const FbCell *cell, guint self_index, FbCore *core, FbLoop *loop,
+                 FbFrontend **frontend)
 {
   const FbCellMember *member = fb_cell_member (cell, self_index);
-  FbFront *self = g_new0 (FbFront, 1);
+  FbFrontend *self = g_new0 (FbFrontend, 1);
   self->cell = cell;
   self->self_index = self_index;
   self->partner = member->partner;
@@ -362,17 +366,17 @@
   g_autoptr (GSocketAddress) address = g_inet_socket_address_new (ip, member->http_port);
   if (!soup_server_listen (self->server, address, 0, NULL))
     {
-      fb_front_free (self);
-      return FB_FRONT_ADDRESS_IN_USE;
+      fb_frontend_free (self);
+      return FB_FRONTEND_ADDRESS_IN_USE;
     }
   fb_core_set_listener (core, &core_listener, self);
   fb_loop_add_periodic (loop, EXPIRY_PERIOD_MS, expire_queries, self);
-  *front = self;
-  return FB_FRONT_OK;
+  *frontend = self;
+  return FB_FRONTEND_OK;
 }
 
 void
-fb_front_free (FbFront *self)
+fb_frontend_free (FbFrontend *self)
 {
   soup_server_disconnect (self->server);
   g_hash_table_destroy (self->calls);
@@ -381,7 +385,7 @@
 }
 
 void
-fb_front_close (FbFront *self)
+fb_frontend_close (FbFrontend *self)
 {
   self->closed = TRUE;
 }
