--- a/soak/platform.h
+++ b/soak/platform.h
@@ -1,11 +1,11 @@
-/* HTTP client for the fake platform (standins/standin-platform.c). */
+/* HTTP client for the stand-in platform (standins/standin-platform.c). */
 #pragma once
 
 #include <gio/gio.h>
 
 typedef struct _SoakPlatform SoakPlatform;
 
-/* Returns: (transfer full): a client of the fake platform that listens on PORT. */
+/* Returns: (transfer full): a client of the stand-in platform that listens on PORT. */
 SoakPlatform *soak_platform_new (guint16 port);
 void soak_platform_free (SoakPlatform *self);
 /* Sends a GET, or a POST when BODY is not NULL.  Returns: (transfer full) (nullable): the text of
--- a/soak/processes.h
+++ b/soak/processes.h
@@ -1,11 +1,11 @@
-/* The processes of one run: the fake platform and the daemons, connected by proxies (link.h). */
+/* The processes of one run: stand-in platform and daemons, connected by proxies (link.h). */
 #pragma once
 
 #include "link.h"
 
 typedef struct
 {
-  guint16 base_port; /* port of the fake platform; the ports of its workers follow */
+  guint16 base_port; /* port of the stand-in platform; the ports of its workers follow */
   guint daemon_n;
   guint worker_n;
   gboolean worker_links; /* connections to workers and between daemons use links as well */
--- a/soak/soak.c
+++ b/soak/soak.c
@@ -1,6 +1,6 @@
-/* Fault-injection soak test.  Daemons and the fake platform run as processes; proxies and signals
- * inject overlapping faults while callers submit jobs.  Violations are detected only from the
- * responses to callers, the audit of the fake workers and the state of the processes.
+/* Fault-injection soak test.  Daemons and the stand-in platform run as processes; proxies and
+ * signals inject overlapping faults while callers submit jobs.  Violations are detected only from
+ * the responses to callers, the audit of the platform's workers and the state of the processes.
  *
  * A seed always gives the same plan of faults.  The processes run in real time, so runs with the
  * same seed still differ. */
@@ -94,7 +94,7 @@
   static const char *const counters[] = { "doubled", "over-capacity", "started-too-often" };
   g_autofree char *audit = soak_platform_request (run->platform, "/audit", NULL);
   if (audit == NULL)
-    run->violation = g_strdup ("the fake platform does not respond");
+    run->violation = g_strdup ("the stand-in platform does not respond");
   for (guint i = 0; i < G_N_ELEMENTS (counters) && run->violation == NULL; i++)
     {
       if (audit_count (audit, counters[i]) > 0)
--- a/src/daemon/worker-json.h
+++ b/src/daemon/worker-json.h
@@ -1,5 +1,5 @@
-/* JSON encoding of the exchange with a worker, used by the daemon and by the fake worker in
- * standins/.
+/* JSON encoding of the exchange with a worker, used by the daemon and by the stand-in for workers
+ * in standins/.
  *
  * The fields of a run's specification that a worker needs are separate members. The whole
  * specification, without the payload, is also sent as an opaque "tag", which the worker returns
--- a/standins/standin-hosts.c
+++ b/standins/standin-hosts.c
@@ -1,5 +1,5 @@
-/* Fake of the platform's host list.  POST /control {"host":NAME,"state":"live|leaving|gone"} sets
- * the state of a host; the list shows the change "lag_ms" ms later. */
+/* Stand-in for the platform's host list.  POST /control {"host":NAME,"state":"live|leaving|gone"}
+ * sets the state of a host; the list shows the change "lag_ms" ms later. */
 #include "standin.h"
 
 #include <stdio.h>
@@ -80,7 +80,7 @@
   const GOptionEntry options[]
       = { { "port", 'p', 0, G_OPTION_ARG_INT, &port, "Port on 127.0.0.1", "N" },
           { NULL, 0, 0, 0, NULL, NULL, NULL } };
-  g_autoptr (GOptionContext) context = g_option_context_new ("- fake of the host list");
+  g_autoptr (GOptionContext) context = g_option_context_new ("- stand-in for the host list");
   g_option_context_add_main_entries (context, options, NULL);
   if (!g_option_context_parse (context, &argc, &argv, NULL) || port <= 0)
     {
--- a/standins/standin-log.c
+++ b/standins/standin-log.c
@@ -1,5 +1,5 @@
-/* Fake of the platform's log: streams with offsets and retention, stored in memory and served as
- * JSON over HTTP. */
+/* Stand-in for the platform's log: streams with offsets and retention, stored in memory and served
+ * as JSON over HTTP. */
 #include "standin.h"
 
 #include <stdio.h>
@@ -142,7 +142,7 @@
       = { { "port", 'p', 0, G_OPTION_ARG_INT, &port, "Port on 127.0.0.1", "N" },
           { "retention", 'r', 0, G_OPTION_ARG_INT, &retention_s, "Seconds", "N" },
           { NULL, 0, 0, 0, NULL, NULL, NULL } };
-  g_autoptr (GOptionContext) context = g_option_context_new ("- fake of the log");
+  g_autoptr (GOptionContext) context = g_option_context_new ("- stand-in for the log");
   g_option_context_add_main_entries (context, options, NULL);
   if (!g_option_context_parse (context, &argc, &argv, NULL) || port <= 0)
     {
--- a/standins/standin-platform.c
+++ b/standins/standin-platform.c
@@ -1,6 +1,6 @@
-/* Fake of the platform in one process, which implements its published protocol: the store on PORT,
- * the workers on the ports after it.  GET /audit returns the numbers of runs on the workers and of
- * violations of the scheduler's guarantees.
+/* Stand-in for the platform in one process, which implements its published protocol: the store on
+ * PORT, the workers on the ports after it.  GET /audit returns the numbers of runs on the workers
+ * and of violations of the scheduler's guarantees.
  *
  * The payload of a task is its run time in ms.  The payload "crash N" crashes the worker of the
  * task after N ms.
--- a/standins/standin-platform.h
+++ b/standins/standin-platform.h
@@ -1,5 +1,5 @@
-/* Components of the fake platform.  Each has its own state.  All run on one main loop and call each
- * other only where the components of the real platform communicate. */
+/* Components of the stand-in platform.  Each has its own state.  All run on one main loop and call
+ * each other only where the components of the real platform communicate. */
 #pragma once
 
 #include <json-glib/json-glib.h>
--- a/standins/standin-workers.c
+++ b/standins/standin-workers.c
@@ -1,5 +1,5 @@
-/* Fake of the workers of a cell: one server per host of the cell file, each on its own port, in one
- * process, so that one audit record covers them all.
+/* Stand-in for the workers of a cell: one server per host of the cell file, each on its own port,
+ * in one process, so that one audit record covers them all.
  *
  * The servers provide the JSON interface to the fake workers of the unit tests (world-worker.h).
  * The audit record comes from the oracle, which checks the actual runs, not what daemons report;
@@ -348,7 +348,7 @@
       = { { "cell", 'c', 0, G_OPTION_ARG_FILENAME, &cell_path, "Cell file", "FILE" },
           { "record-port", 'p', 0, G_OPTION_ARG_INT, &port, "Port of the record", "N" },
           { NULL, 0, 0, 0, NULL, NULL, NULL } };
-  g_autoptr (GOptionContext) context = g_option_context_new ("- fake of the workers of a cell");
+  g_autoptr (GOptionContext) context = g_option_context_new ("- stand-in for workers");
   g_option_context_add_main_entries (context, options, NULL);
   FbCell *cell = NULL;
   if (!g_option_context_parse (context, &argc, &argv, NULL) || port <= 0 || cell_path == NULL)
--- a/standins/standin.h
+++ b/standins/standin.h
@@ -1,5 +1,5 @@
-/* JSON server over HTTP, shared by the fakes of the platform's services.  Faults are set at run
- * time with POST /control. */
+/* JSON server over HTTP, shared by the stand-ins for the platform's services.  Faults are set at
+ * run time with POST /control. */
 #pragma once
 
 #include <json-glib/json-glib.h>
--- a/tests/platform.sh
+++ b/tests/platform.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Tests daemon processes against the fake platform, for what the scripts of pools do not cover.
-# Waits for conditions instead of fixed times; the fake workers report the actual runs.
+# Tests daemon processes against the stand-in platform, for what the scripts of pools do not cover.
+# Waits for conditions instead of fixed times; its workers report the actual runs.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 B=build OUT=out/platform
--- a/tools/cell-lib.sh
+++ b/tools/cell-lib.sh
@@ -1,4 +1,4 @@
-# Shared by the demo and the process tests: a cell of daemons and fake services on free loopback
+# Shared by the demo and the process tests: a cell of daemons and stand-ins on free loopback
 # ports.  To be sourced with B (build folder) and OUT set.
 source tools/ports.sh
 PIDS=()
@@ -15,7 +15,7 @@
 
 fetch() { curl -sf --max-time 5 "$@"; }
 
-# Creates keys and settings and starts the fake services on a block of free ports.  Sets base (first
+# Creates keys and settings and starts the stand-ins on a block of free ports.  Sets base (first
 # port), sofia and lima (HTTP addresses of one daemon of each partner).
 start_platform() {
   rm -rf "$OUT"; mkdir -p "$OUT"
--- a/tools/check-docs.sh
+++ b/tools/check-docs.sh
@@ -25,7 +25,7 @@
 while read -r subcommand; do
   grep -q "^\.B $subcommand" man/flamingobarrow.1 || report "man/flamingobarrow.1 lacks $subcommand"
 done < <(sed -n 's/^  { "\([a-z]*\)", "[^"]*", "[^"]*",.*/\1/p' src/cli/cli-commands.c src/cli/cli-queries.c)
-# Each fault of the soak test, the pool fuzzer and the fake platform needs a row in the table.
+# Each fault of the soak test, the pool fuzzer and the stand-in platform needs a row in the table.
 while read -r fault; do
   grep -q "^| .*\`$fault\`" docs/design/faults.md || report "docs/design/faults.md lacks $fault"
 done < <(sed -n '/names\[SOAK_FAULT_N\]/,/};/p' soak/plan.c | grep -o '"[a-z-]*"' | tr -d '"'
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Demo with fake services: 14 daemons, 96 workers, a log and a host list under load, while a daemon
+# Demo with stand-ins: 14 daemons, 96 workers, a log and a host list under load, while a daemon
 # is killed, a worker freezes and the log is down for some time.  Takes less than two minutes; fails
 # when a guarantee was violated.
 set -euo pipefail
--- a/tools/slopes.sh
+++ b/tools/slopes.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Scaling benchmark: measures with fake services how the cost of a daemon grows with the rate of
+# Scaling benchmark: measures with stand-ins how the cost of a daemon grows with the rate of
 # starts and with the number of daemons, and how the cost of decisions alone grows with the size of
 # the cell.  Costs are CPU time, not wall time; each figure is an average over the daemons between
 # two readings of their counters.
