--- a/src/daemon/core.c
+++ b/src/daemon/core.c
@@ -364,7 +364,7 @@
   self->hosts->ops->poll (self->hosts, hosts_polled, self);
 }
 
-/* ---- peers and front end -------------------------------------------------- */
+/* ---- peers and front end ---------------------------------------------- */
 
 static void
 sink_send (gpointer user, guint member, const fb_msg *msg)
