--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -1,6 +1,6 @@
 #include "daemon.h"
 
-#include "front.h"
+#include "frontend.h"
 #include "src/entry/entry.h"
 #include "src/entry/settings.h"
 
@@ -28,7 +28,7 @@
   FbHostList *hosts;
   FbCore *core;
   FbPeers *peers;
-  FbFront *front;
+  FbFrontend *frontend;
   GMainLoop *main_loop;
   gboolean draining;
 } Daemon;
@@ -56,7 +56,7 @@
   g_main_context_invoke (NULL, quit, data);
 }
 
-/* A planned stop: refuses new callers, hands shards over and answers open calls. */
+/* Graceful shutdown: rejects new requests, hands shards over and answers open calls. */
 static gboolean
 on_stop_signal (gpointer data)
 {
@@ -65,14 +65,14 @@
     return G_SOURCE_CONTINUE;
   self->draining = TRUE;
   fb_event_log (FB_EVENT_PROCESS_DRAINING, "limit_ms=%" G_GUINT64_FORMAT, self->settings->drain_ms);
-  fb_front_close (self->front);
+  fb_frontend_close (self->frontend);
   fb_core_drain (self->core, self->settings->drain_ms, on_drained, self);
   return G_SOURCE_CONTINUE;
 }
 
 /* Returns: the name of a changed setting that takes effect only after a restart, or NULL. */
 static const char *
-needs_restart (const Daemon *self, const FbSettings *settings, const FbCell *cell)
+setting_that_needs_restart (const Daemon *self, const FbSettings *settings, const FbCell *cell)
 {
   if (!g_str_equal (settings->name, self->settings->name))
     return "[daemon] name";
@@ -95,11 +95,11 @@
       fb_event_log (FB_EVENT_RELOAD_REFUSED, "%s", fb_status_message ());
       return G_SOURCE_CONTINUE;
     }
-  const char *restart_only = needs_restart (self, settings, cell);
+  const char *restart_setting = setting_that_needs_restart (self, settings, cell);
   fb_cell_free (cell);
-  if (restart_only != NULL)
+  if (restart_setting != NULL)
     {
-      fb_event_log (FB_EVENT_RELOAD_REFUSED, "%s: needs a restart", restart_only);
+      fb_event_log (FB_EVENT_RELOAD_REFUSED, "%s: needs a restart", restart_setting);
       fb_settings_free (settings);
       return G_SOURCE_CONTINUE;
     }
@@ -129,8 +129,8 @@
       return EXIT_ADDRESS;
     }
   fb_core_set_peers (self->core, self->peers);
-  if (fb_front_new (self->cell, self->self_index, self->core, self->loop, &self->front)
-      != FB_FRONT_OK)
+  if (fb_frontend_new (self->cell, self->self_index, self->core, self->loop, &self->frontend)
+      != FB_FRONTEND_OK)
     {
       fprintf (stderr, "cannot listen for callers on %s:%u\n", member->host, member->http_port);
       return EXIT_ADDRESS;
@@ -141,16 +141,16 @@
   return EXIT_OK;
 }
 
-/* Failure: a peer's batch or an answer arrives while the parts are freed, and the process crashes
- * at the end of a planned stop. Guard: the core's threads are joined first, so that the core makes
- * no more calls; then the parts that call the core are freed; the core is freed last. */
+/* The core's threads are joined first, so that the core makes no more calls; then the components
+ * that call the core are freed, and the core last. Otherwise a batch from a peer or an answer that
+ * arrives while components are freed crashes the process at the end of a graceful shutdown. */
 static void
 stop (Daemon *self)
 {
   fb_event_log (FB_EVENT_PROCESS_STOPPED, "name=%s", self->settings->name);
   fb_core_stop (self->core);
   fb_peers_free (self->peers);
-  fb_front_free (self->front);
+  fb_frontend_free (self->frontend);
   fb_core_free (self->core);
   self->log->ops->free (self->log);
   self->workers->ops->free (self->workers);
--- a/standins/standin-hosts.c
+++ b/standins/standin-hosts.c
@@ -1,6 +1,5 @@
-/* Stand-in for the platform's host list.  POST /control {"host":NAME,
- * "state":"live|leaving|gone"} sets the state of a host; the list shows the
- * change "lag_ms" milliseconds later. */
+/* Stand-in for the platform's host list.  POST /control {"host":NAME,"state":"live|leaving|gone"}
+ * sets the state of a host; the list shows the change "lag_ms" ms later. */
 #include "standin.h"
 
 #include <stdio.h>
@@ -9,7 +8,7 @@
 {
   char *state;
   guint64 changed_ms;   /* standin_now_ms() when STATE was set */
-  char *previous_state; /* shown until the list's lag has passed */
+  char *previous_state; /* listed until lag_ms after CHANGED_MS */
 } Host;
 
 typedef struct
--- a/standins/standin-log.c
+++ b/standins/standin-log.c
@@ -1,5 +1,5 @@
-/* Stand-in for the platform's log: streams with offsets and retention, kept in
- * memory and served as JSON over HTTP. */
+/* Stand-in for the platform's log: streams with offsets and retention, stored in memory and served
+ * as JSON over HTTP. */
 #include "standin.h"
 
 #include <stdio.h>
@@ -9,7 +9,7 @@
 
 typedef struct
 {
-  guint64 first;       /* offset of the oldest record that is retained */
+  guint64 first;       /* offset of the oldest retained record */
   GPtrArray *data;     /* of char * */
   GArray *appended_ms; /* of guint64: standin_now_ms() at the append of each record */
 } Stream;
--- a/standins/standin-workers.c
+++ b/standins/standin-workers.c
@@ -1,11 +1,11 @@
-/* Stand-in for the workers of a cell: each host of the cell file gets a server on
- * its own port.  All run in one process, so that one audit record covers them all.
+/* Stand-in for the workers of a cell: one server per host of the cell file, each on its own port,
+ * in one process, so that one audit record covers them all.
  *
- * The servers put a JSON interface before the fake workers of the tests, and the
- * tests' oracle keeps the record: it sees what really ran, not what daemons
- * report.  GET /record on the record port returns it.  POST /control on a host's
- * port sets faults: those of all stand-ins (standin.h), "fail_all" (every run
- * fails), "pause" (the whole host stops) and "restart". */
+ * The servers provide the JSON interface to the fake workers of the unit tests (world-worker.h).
+ * The audit record comes from the oracle, which checks the actual runs, not what daemons report;
+ * GET /record on the record port returns it.  POST /control on the port of a host sets faults:
+ * those of standin.h, "fail_all" (every run fails), "pause" (the host is suspended) and "restart".
+ */
 #include "standin.h"
 
 #include "../tests/world-worker.h"
@@ -24,8 +24,8 @@
 typedef struct
 {
   SoupServerMessage *message;
-  guint64 version;  /* it is answered when the host's version differs */
-  guint64 until_ms; /* when it is answered at the latest, by standin_now_ms() */
+  guint64 version;  /* version of the host that the caller has */
+  guint64 until_ms; /* end of the timeout, by standin_now_ms() */
   gulong finished;
 } WaitingWatch;
 
@@ -35,7 +35,7 @@
   Worker *worker;
   Standin *standin;
   fb_res capacity;
-  guint64 version; /* of the worker's state; changes with each change of a run */
+  guint64 version; /* of the worker's state; increased by each end of a run */
   gboolean paused;
   GPtrArray *waiting_watches; /* of WaitingWatch */
 } Host;
@@ -320,8 +320,8 @@
                    (gint64) (1000 * cpu_busy_milli_ms / (cpu_milli * MAX (elapsed_ms, 1))));
   standin_add_int (out, "accel_used_permille",
                    (gint64) (1000 * accel_busy_ms / MAX (accel * elapsed_ms, 1)));
-  const char *broken = oracle_violation (oracle);
-  standin_add_text (out, "broken", broken != NULL ? broken : "");
+  const char *violation = oracle_violation (oracle);
+  standin_add_text (out, "broken", violation != NULL ? violation : "");
   return out;
 }
 
