--- a/tests/test-pool.c
+++ b/tests/test-pool.c
@@ -1,6 +1,8 @@
-/* Runs a script against a pool, one line for each event, and prints the orders that the pool sends.
+/* Runs a script against a pool and prints each line, followed by the orders that the pool sends.
  *
- * Job ids are written without their leading zeros; a task is JOB.OCCURRENCE.STEP.INDEX. */
+ * A line is one event or query; see COMMANDS. Lines that begin with '#' are comments. Job ids are
+ * written without their leading zeros; a task is JOB.OCCURRENCE.STEP.INDEX. The clock stands still
+ * except in "tick". */
 #include "fb-event.h"
 #include "internal/codec.h"
 #include "internal/pool.h"
@@ -9,8 +11,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BEGIN_MS 100000
-#define BEGIN_WALL_MS 1000000000
+#define START_MS 100000
+#define START_WALL_MS 1000000000
 /* With more workers than this, starts are not printed. */
 #define MAX_PRINTED_WORKERS 20
 
@@ -20,7 +22,7 @@
   uint64_t now_ms;
   GHashTable *admitted;        /* job -> fb_work_admit, as stored */
   GHashTable *progress;        /* job -> GBytes, the progress record as stored */
-  GHashTable *suspect_backups; /* job -> GBytes, the suspects that other daemons keep */
+  GHashTable *suspect_backups; /* job -> GBytes, the suspects that other daemons back up */
   GBytes *stored_workers;      /* the stored record of the pool's workers; NULL: none */
   GHashTable *workers; /* id -> the words of its line, used to list it again to the next owner */
   GHashTable *starts;  /* task, and task/attempt -> order number of the last start */
@@ -28,7 +30,7 @@
   GHashTable *used_workers; /* set of ids of workers on which something was started */
   GPtrArray *flush;         /* the open flush; NULL: none */
   gboolean show_polls;
-  uint64_t questions_left; /* how many more questions for advice are accepted */
+  uint64_t advice_requests_left; /* how many more advice requests are accepted */
   char **args;
   const char *line;
 } Script;
@@ -74,14 +76,14 @@
 }
 
 static uint64_t
-number (const Script *script, const char *name, uint64_t fallback)
+option_u64 (const Script *script, const char *name, uint64_t fallback)
 {
   const char *text = option (script, name);
   return text != NULL ? g_ascii_strtoull (text, NULL, 10) : fallback;
 }
 
 static gboolean
-flag (const Script *script, const char *name)
+has_flag (const Script *script, const char *name)
 {
   return g_strv_contains ((const char *const *) script->args + 1, name);
 }
@@ -117,10 +119,10 @@
 }
 
 static void
-on_look (gpointer user, const FbPollOrder *order)
+on_poll (gpointer user, const FbPollOrder *order)
 {
   if (((Script *) user)->show_polls)
-    printf ("  look at %s acknowledged=%" G_GUINT64_FORMAT " wait=%u%s\n", order->worker,
+    printf ("  poll %s acknowledged=%" G_GUINT64_FORMAT " wait=%u%s\n", order->worker,
             order->acknowledged, order->wait_ms, order->deadline_ms > 0 ? " lease" : "");
 }
 
@@ -128,10 +130,11 @@
 on_advise (gpointer user, const char *step, const char *const *workers, guint n,
            uint32_t expected_ms)
 {
-  if (((Script *) user)->questions_left == 0)
+  if (((Script *) user)->advice_requests_left == 0)
     return FALSE;
-  ((Script *) user)->questions_left--;
-  printf ("  ask advice for %s on %u workers, takes %u ms", strip_zeros (step), n, expected_ms);
+  ((Script *) user)->advice_requests_left--;
+  printf ("  request advice for %s on %u workers, expected after %u ms", strip_zeros (step), n,
+          expected_ms);
   guint used_n = 0;
   for (guint i = 0; i < n; i++)
     used_n += g_hash_table_contains (((Script *) user)->used_workers, workers[i]);
@@ -159,7 +162,7 @@
 }
 
 static const FbPoolSink sink
-    = { on_start, on_stop, on_look, on_advise, on_fenced, is_newer_incarnation };
+    = { on_start, on_stop, on_poll, on_advise, on_fenced, is_newer_incarnation };
 
 /* ---- pools ------------------------------------------------------------------------ */
 
@@ -174,10 +177,10 @@
           .address = option (script, "address") != NULL ? option (script, "address") : args[1],
           .rack = labels[1],
           .labels = labels,
-          .cpu_milli = (uint32_t) number (script, "cpu", 16000),
-          .mem_mb = (uint32_t) number (script, "mem", 32000),
-          .gpu_count = (uint32_t) number (script, "gpu", 0),
-          .draining = flag (script, "draining"),
+          .cpu_milli = (uint32_t) option_u64 (script, "cpu", 16000),
+          .mem_mb = (uint32_t) option_u64 (script, "mem", 32000),
+          .gpu_count = (uint32_t) option_u64 (script, "gpu", 0),
+          .draining = has_flag (script, "draining"),
           .may_restart = strchr (args[1], '@') != NULL };
   fb_pool_worker_listed (script->pool, &entry, script->now_ms);
   script->args = saved;
@@ -197,7 +200,7 @@
 static uint64_t
 wall_ms (const Script *script)
 {
-  return BEGIN_WALL_MS + script->now_ms - BEGIN_MS;
+  return START_WALL_MS + script->now_ms - START_MS;
 }
 
 static void
@@ -214,9 +217,10 @@
   xdr_free ((xdrproc_t) xdr_fb_work_workers, (char *) &record);
 }
 
-/* A new owner, which gets what was stored and the list of workers. */
+/* new-owner EPOCH [stale-list]: replaces the owner by one that loads the stored records and the
+ * list of workers; with stale-list the list may lack workers that the previous owner has used. */
 static void
-do_epoch (Script *script)
+do_new_owner (Script *script)
 {
   open_pool (script, g_ascii_strtoull (script->args[1], NULL, 10));
   GHashTableIter iter;
@@ -241,10 +245,12 @@
   while (g_hash_table_iter_next (&iter, NULL, &value))
     list_worker (script, value);
   restore_workers (script);
-  if (!flag (script, "list-is-old"))
+  if (!has_flag (script, "stale-list"))
     fb_pool_workers_complete (script->pool);
 }
 
+/* worker ID [address=ADDRESS] [rack=NAME] [cpu=MILLI] [mem=MB] [gpu=N] [draining]: lists a worker
+ * or changes its entry. Workers whose ID has the form NAME@N may restart. */
 static void
 do_worker (Script *script)
 {
@@ -252,9 +258,9 @@
   list_worker (script, script->args);
 }
 
-/* crowd N: lists N workers, each of which answers a poll. */
+/* workers N: lists N workers, each of which answers a poll. */
 static void
-do_crowd (Script *script)
+do_workers (Script *script)
 {
   guint n = (guint) atoi (script->args[1]);
   for (guint i = 1; i <= n; i++)
@@ -271,6 +277,7 @@
     }
 }
 
+/* unlist ID: the list no longer has this worker. */
 static void
 do_unlist (Script *script)
 {
@@ -278,15 +285,17 @@
   fb_pool_worker_unlisted (script->pool, script->args[1], script->now_ms);
 }
 
+/* workers-complete: the owner has read the whole list of workers. */
 static void
-do_complete (Script *script)
+do_workers_complete (Script *script)
 {
   fb_pool_workers_complete (script->pool);
 }
 
 /* ---- jobs ---------------------------------------------------------------------------- */
 
-/* A step: COUNT[,cpu=..][,mem=..][,gpu=..][,after=N][,gang][,lasting][,saves][,copies]... */
+/* step:COUNT[,cpu=MILLI][,mem=MB][,gpu=N][,max-per-worker=N][,after=STEP][,label=NAME][,gang]
+ * [,long-running][,checkpointing][,speculative] */
 static void
 parse_step (const Script *script, const char *text, fb_work_step *step)
 {
@@ -307,7 +316,7 @@
         step->mem_mb = n;
       else if (g_str_has_prefix (parts[i], "gpu="))
         step->gpu_count = n;
-      else if (g_str_has_prefix (parts[i], "apart="))
+      else if (g_str_has_prefix (parts[i], "max-per-worker="))
         step->max_per_worker = n;
       else if (g_str_has_prefix (parts[i], "after="))
         step->after.after_val[step->after.after_len++] = n;
@@ -315,17 +324,19 @@
         step->required_label = g_strdup (value + 1);
       else if (g_str_equal (parts[i], "gang"))
         step->gang = TRUE;
-      else if (g_str_equal (parts[i], "lasting"))
+      else if (g_str_equal (parts[i], "long-running"))
         step->long_running = TRUE;
-      else if (g_str_equal (parts[i], "saves"))
+      else if (g_str_equal (parts[i], "checkpointing"))
         step->checkpointing = TRUE;
-      else if (g_str_equal (parts[i], "copies"))
+      else if (g_str_equal (parts[i], "speculative"))
         step->speculative = TRUE;
       else
         fail (script, parts[i]);
     }
 }
 
+/* job ID [advised] [queue=NAME] [priority=N] [attempts=N] [target=MS] [occurrences=N due=MS
+ * interval=MS] step:...: stores a job and adds it to the pool. */
 static void
 do_job (Script *script)
 {
@@ -333,17 +344,17 @@
   record->policy.queue
       = g_strdup (option (script, "queue") != NULL ? option (script, "queue") : "q");
   record->policy.service = "svc";
-  record->policy.priority = (u_int) number (script, "priority", 0);
-  record->policy.max_attempts = (u_int) number (script, "attempts", 3);
+  record->policy.priority = (u_int) option_u64 (script, "priority", 0);
+  record->policy.max_attempts = (u_int) option_u64 (script, "attempts", 3);
   record->policy.stretch_factor_milli = 2000;
-  record->policy.target_ms = (u_int) number (script, "target", 1000);
-  record->policy.advised = flag (script, "advised");
+  record->policy.target_ms = (u_int) option_u64 (script, "target", 1000);
+  record->policy.advised = has_flag (script, "advised");
   record->policy.advice_decision_us = 20000;
   record->policy.advice_validity_ms = 2000;
   record->spec.payload = "payload";
-  record->spec.occurrences = (u_int) number (script, "times", 0);
-  record->spec.first_due_ms = BEGIN_WALL_MS + number (script, "due", 0);
-  record->spec.interval_ms = number (script, "every", 0);
+  record->spec.occurrences = (u_int) option_u64 (script, "occurrences", 0);
+  record->spec.first_due_ms = START_WALL_MS + option_u64 (script, "due", 0);
+  record->spec.interval_ms = option_u64 (script, "interval", 0);
   record->accepted_ms = wall_ms (script);
   record->spec.steps.steps_val = calloc (FB_WORK_MAX_STEPS, sizeof (fb_work_step));
   for (guint i = 2; script->args[i] != NULL; i++)
@@ -383,7 +394,7 @@
 /* ---- reports of workers ------------------------------------------------------------------ */
 
 static FbOrderResult
-result_from (const Script *script, const char *name)
+parse_result (const Script *script, const char *name)
 {
   static const char *const names[]
       = { "done",       "fenced",   "superseded", "late",        "no-room",
@@ -412,7 +423,7 @@
     }
 }
 
-/* ends=NUMBER/TASK/ATTEMPT/HOW[/CHECKPOINT],... */
+/* ends=NUMBER/TASK/ATTEMPT/REASON[/CHECKPOINT],... */
 static void
 parse_ends (const Script *script, const char *text, GArray *finished)
 {
@@ -426,7 +437,7 @@
       while (reasons[how] != NULL && !g_str_equal (reasons[how], parts[3]))
         how++;
       if (reasons[how] == NULL)
-        fail (script, "unknown end");
+        fail (script, "unknown end reason");
       FbReportedEnd end = { .number = g_ascii_strtoull (parts[0], NULL, 10),
                             .task = pad_job_id (parts[1]),
                             .attempt = (uint32_t) atoi (parts[2]),
@@ -436,24 +447,25 @@
     }
 }
 
+/* poll-answer WORKER [result=RESULT] [clock=MS] [incarnation=ID] [running=...] [ends=...] */
 static void
-do_look (Script *script)
+do_poll_answer (Script *script)
 {
   g_autoptr (GArray) running = g_array_new (FALSE, TRUE, sizeof (FbReportedRun));
   g_autoptr (GArray) finished = g_array_new (FALSE, TRUE, sizeof (FbReportedEnd));
   const char *result = option (script, "result");
-  FbPollAnswer answer = { .result = result != NULL ? result_from (script, result) : FB_ORDER_DONE,
-                          .clock_ms = number (script, "clock", script->now_ms),
+  FbPollAnswer answer = { .result = result != NULL ? parse_result (script, result) : FB_ORDER_DONE,
+                          .clock_ms = option_u64 (script, "clock", script->now_ms),
                           .running = running,
                           .finished = finished,
-                          .incarnation = (char *) option (script, "life") };
+                          .incarnation = (char *) option (script, "incarnation") };
   parse_running (option (script, "running"), running);
   parse_ends (script, option (script, "ends"), finished);
   fb_pool_poll_answered (script->pool, script->args[1], &answer, script->now_ms, wall_ms (script));
 }
 
 static uint64_t
-order_of (const Script *script, GHashTable *table)
+last_order (const Script *script, GHashTable *table)
 {
   const uint64_t *order = g_hash_table_lookup (table, script->args[1]);
   if (order == NULL)
@@ -461,32 +473,34 @@
   return *order;
 }
 
+/* start-answer TASK[/ATTEMPT] RESULT [clock=MS] */
 static void
-do_started (Script *script)
+do_start_answer (Script *script)
 {
-  fb_pool_start_answered (script->pool, order_of (script, script->starts),
-                          result_from (script, script->args[2]),
-                          number (script, "clock", script->now_ms), script->now_ms);
+  fb_pool_start_answered (script->pool, last_order (script, script->starts),
+                          parse_result (script, script->args[2]),
+                          option_u64 (script, "clock", script->now_ms), script->now_ms);
 }
 
+/* stop-answer TASK RESULT [clock=MS] */
 static void
-do_stopped (Script *script)
+do_stop_answer (Script *script)
 {
-  fb_pool_stop_answered (script->pool, order_of (script, script->stops),
-                         result_from (script, script->args[2]),
-                         number (script, "clock", script->now_ms), script->now_ms);
+  fb_pool_stop_answered (script->pool, last_order (script, script->stops),
+                         parse_result (script, script->args[2]),
+                         option_u64 (script, "clock", script->now_ms), script->now_ms);
 }
 
-/* advised STEP asked=W,W allowed=W,W [valid=MS] */
+/* advice-answer STEP asked=WORKER,... [allowed=WORKER,...] [valid=MS] */
 static void
-do_advised (Script *script)
+do_advice_answer (Script *script)
 {
   g_autofree char *step = pad_job_id (script->args[1]);
   g_auto (GStrv) asked = g_strsplit (option (script, "asked"), ",", -1);
   const char *list = option (script, "allowed");
   g_auto (GStrv) allowed = g_strsplit (list != NULL ? list : "", ",", -1);
   guint n = g_strv_length (allowed);
-  fb_advice_reply reply = { .validity_ms = (u_int) number (script, "valid", 2000) };
+  fb_advice_reply reply = { .validity_ms = (u_int) option_u64 (script, "valid", 2000) };
   reply.tickets.tickets_len = n;
   reply.tickets.tickets_val = calloc (n + 1, sizeof (fb_ticket));
   for (guint i = 0; i < n; i++)
@@ -501,8 +515,9 @@
 
 /* ---- time and records ---------------------------------------------------------------------- */
 
+/* tick [MS]: advances the clock by MS, then the pool. */
 static void
-do_step (Script *script)
+do_tick (Script *script)
 {
   if (script->args[1] != NULL)
     script->now_ms += g_ascii_strtoull (script->args[1], NULL, 10);
@@ -533,6 +548,7 @@
     puts (lines->pdata[i]);
 }
 
+/* flushed: the store has taken the records of the last flush. */
 static void
 do_flushed (Script *script)
 {
@@ -561,35 +577,38 @@
   fb_pool_flushed (script->pool, script->now_ms);
 }
 
+/* jobs-read: every job stored so far has been added. */
 static void
-do_read (Script *script)
+do_jobs_read (Script *script)
 {
   fb_pool_jobs_read (script->pool, script->now_ms);
 }
 
-/* recall TASK/ATTEMPT on=WORKER [address=ADDRESS] [seen]: another daemon remembers the start. */
+/* import-start TASK/ATTEMPT on=WORKER [address=ADDRESS] [seen]: another daemon reports a start by
+ * an earlier owner. */
 static void
-do_recall (Script *script)
+do_import_start (Script *script)
 {
   g_auto (GStrv) parts = g_strsplit (script->args[1], "/", 2);
   g_autofree char *task = pad_job_id (parts[0]);
   const char *worker = option (script, "on");
   const char *address = option (script, "address") != NULL ? option (script, "address") : worker;
-  fb_recent_start start
-      = { (char *) worker, (char *) address, task, (u_int) atoi (parts[1]), flag (script, "seen") };
+  fb_recent_start start = { (char *) worker, (char *) address, task, (u_int) atoi (parts[1]),
+                            has_flag (script, "seen") };
   const fb_recent_starts_reply reply = { { 1, &start } };
   fb_pool_import_starts (script->pool, &reply, script->now_ms);
 }
 
-/* keep: other daemons receive the suspects that they have to keep, or to forget. */
+/* backup-suspects: other daemons back up the suspects that are not stored yet, or drop backups. */
 static void
-do_keep (Script *script)
+do_backup_suspects (Script *script)
 {
   g_autoptr (GPtrArray) unstored = fb_pool_take_unstored_suspects (script->pool, script->now_ms);
   for (guint i = 0; unstored != NULL && i < unstored->len; i++)
     {
       const FbPoolUnstoredSuspects *row = unstored->pdata[i];
-      printf ("  %s %s\n", row->suspects != NULL ? "keep" : "forget", strip_zeros (row->job));
+      printf ("  %s %s\n", row->suspects != NULL ? "back up suspects of" : "drop backup of",
+              strip_zeros (row->job));
       if (row->suspects != NULL)
         g_hash_table_replace (script->suspect_backups, g_strdup (row->job),
                               g_bytes_ref (row->suspects));
@@ -598,9 +617,9 @@
     }
 }
 
-/* kept: the other daemons pass what they keep to the new owner. */
+/* import-suspects: the other daemons pass their backups to the new owner. */
 static void
-do_kept (Script *script)
+do_import_suspects (Script *script)
 {
   GHashTableIter iter;
   gpointer job;
@@ -612,7 +631,7 @@
       gconstpointer data = g_bytes_get_data (value, &len);
       fb_work_suspects suspects;
       if (!fb_codec_decode_suspects (data, len, &suspects))
-        fail (script, "what is kept is malformed");
+        fail (script, "the backup of the suspects is malformed");
       fb_pool_import_suspects (script->pool, job, &suspects, script->now_ms);
       xdr_free ((xdrproc_t) xdr_fb_work_suspects, (char *) &suspects);
     }
@@ -640,34 +659,50 @@
   return G_LOG_WRITER_HANDLED;
 }
 
-/* show [looks] [events=NAME]: prints polls, and the events whose names begin with NAME. */
+/* show [polls] [events=PREFIX]: prints polls, and the events whose names begin with PREFIX. */
 static void
 do_show (Script *script)
 {
-  script->show_polls = flag (script, "looks");
+  script->show_polls = has_flag (script, "polls");
   g_free (shown_event_prefix);
   shown_event_prefix = g_strdup (option (script, "events"));
   fb_event_set_quiet (shown_event_prefix == NULL);
 }
 
+/* advice busy: no advice request is accepted. advice [slots=N]: the next N are; without N, all. */
 static void
 do_advice (Script *script)
 {
-  script->questions_left = flag (script, "busy") ? 0 : number (script, "slots", G_MAXUINT64);
+  script->advice_requests_left
+      = has_flag (script, "busy") ? 0 : option_u64 (script, "slots", G_MAXUINT64);
 }
 
 static const struct
 {
-  const char *word;
+  const char *name;
   void (*run) (Script *script);
-} commands[] = { { "epoch", do_epoch },       { "worker", do_worker },   { "unlist", do_unlist },
-                 { "complete", do_complete }, { "job", do_job },         { "cancel", do_cancel },
-                 { "state", do_state },       { "pending", do_pending }, { "look", do_look },
-                 { "started", do_started },   { "stopped", do_stopped }, { "advised", do_advised },
-                 { "step", do_step },         { "flush", do_flush },     { "flushed", do_flushed },
-                 { "show", do_show },         { "advice", do_advice },   { "read", do_read },
-                 { "crowd", do_crowd },       { "recall", do_recall },   { "keep", do_keep },
-                 { "kept", do_kept } };
+} commands[] = { { "new-owner", do_new_owner },
+                 { "worker", do_worker },
+                 { "workers", do_workers },
+                 { "unlist", do_unlist },
+                 { "workers-complete", do_workers_complete },
+                 { "job", do_job },
+                 { "jobs-read", do_jobs_read },
+                 { "cancel", do_cancel },
+                 { "state", do_state },
+                 { "pending", do_pending },
+                 { "poll-answer", do_poll_answer },
+                 { "start-answer", do_start_answer },
+                 { "stop-answer", do_stop_answer },
+                 { "advice", do_advice },
+                 { "advice-answer", do_advice_answer },
+                 { "tick", do_tick },
+                 { "flush", do_flush },
+                 { "flushed", do_flushed },
+                 { "import-start", do_import_start },
+                 { "backup-suspects", do_backup_suspects },
+                 { "import-suspects", do_import_suspects },
+                 { "show", do_show } };
 
 static void
 run_line (Script *script, const char *line)
@@ -677,12 +712,12 @@
   script->args = args;
   for (guint i = 0; i < G_N_ELEMENTS (commands); i++)
     {
-      if (!g_str_equal (args[0], commands[i].word))
+      if (!g_str_equal (args[0], commands[i].name))
         continue;
       commands[i].run (script);
       return;
     }
-  fail (script, "unknown verb");
+  fail (script, "unknown command");
 }
 
 int
@@ -696,7 +731,7 @@
     }
   fb_event_set_quiet (TRUE);
   g_log_set_writer_func (print_event, NULL, NULL);
-  Script script = { .now_ms = BEGIN_MS, .questions_left = G_MAXUINT64 };
+  Script script = { .now_ms = START_MS, .advice_requests_left = G_MAXUINT64 };
   script.suspect_backups
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify) g_bytes_unref);
   script.admitted = g_hash_table_new (g_str_hash, g_str_equal);
