--- a/tests/test-script.c
+++ b/tests/test-script.c
@@ -1,4 +1,4 @@
-/* Runs one scenario script against the fakes and prints the results.
+/* Runs one scenario script against fakes of the platform and prints the results.
  *
  * The output is compared with the .expected file next to the script.  A script has one
  * command per line; lines that begin with '#' are comments.  See tests/scripts/README.md. */
@@ -32,9 +32,9 @@
 }
 
 static gboolean
-has_flag (char **args, const char *word)
+has_flag (char **args, const char *name)
 {
-  return g_strv_contains ((const char *const *) args, word);
+  return g_strv_contains ((const char *const *) args, name);
 }
 
 static void
@@ -69,7 +69,7 @@
                    .count = (uint32_t) option (args, "tasks", 1),
                    .deadline_ms = option (args, "deadline", 0),
                    .run_ms = option (args, "run", 500) };
-  job.flags = (has_flag (args, "once") ? FB_FLAG_AT_MOST_ONCE : 0)
+  job.flags = (has_flag (args, "at-most-once") ? FB_FLAG_AT_MOST_ONCE : 0)
               | (has_flag (args, "preemptible") ? FB_FLAG_PREEMPTIBLE : 0)
               | (has_flag (args, "ephemeral") ? FB_FLAG_EPHEMERAL : 0);
   job.demand = (fb_res){ { option (args, "cpu", 1) * 1000, 1ull << 30, option (args, "accel", 0),
@@ -118,8 +118,7 @@
   printf ("shard %u: %u owner%s\n", shard, owners, owners == 1 ? "" : "s");
 }
 
-/* Scripts name a daemon as "owner-of-SHARD", so that they do not depend on the hashing.
- * Returns: the owner's index, or -1. */
+/* Returns: the index of the daemon that owns SHARD, or -1. */
 static int
 find_shard_owner (uint32_t shard)
 {
@@ -131,8 +130,10 @@
   return -1;
 }
 
+/* Scripts name a daemon by its index or as "owner-of-SHARD", so that they do not depend on the
+ * hashing of shards. */
 static guint
-target (char **args, guint i)
+daemon_index (char **args, guint i)
 {
   if (g_str_has_prefix (args[i], "owner-of-"))
     {
@@ -142,16 +143,16 @@
   return (guint) g_ascii_strtoull (args[i], NULL, 10);
 }
 
-static guint last_node; /* the daemon that "it" names in a script */
+static guint last_node; /* the daemon that "same-daemon" names in a script */
 
 static guint
 node_arg (char **args)
 {
   if (g_strv_length (args) < 2)
     return 0;
-  if (g_str_equal (args[1], "it"))
+  if (g_str_equal (args[1], "same-daemon"))
     return last_node;
-  last_node = target (args, 1);
+  last_node = daemon_index (args, 1);
   return last_node;
 }
 
@@ -172,13 +173,14 @@
     world_set_paused (world, node_arg (args), is_on (args));
   else if (g_str_equal (args[0], "drain"))
     world_drain (world, node_arg (args));
-  else if (g_str_equal (args[0], "cut"))
+  else if (g_str_equal (args[0], "partition"))
     world_set_peers_cut (world, node_arg (args), is_on (args));
-  else if (g_str_equal (args[0], "cut-workers"))
+  else if (g_str_equal (args[0], "partition-workers"))
     world_set_workers_cut (world, node_arg (args), is_on (args));
-  else if (g_str_equal (args[0], "noise"))
-    world_set_message_faults (world, (guint) option (args, "lose", 0),
-                              (guint) option (args, "twice", 0), (guint) option (args, "delay", 0));
+  else if (g_str_equal (args[0], "message-faults"))
+    world_set_message_faults (world, (guint) option (args, "loss", 0),
+                              (guint) option (args, "duplicate", 0),
+                              (guint) option (args, "delay", 0));
   else if (g_str_equal (args[0], "log"))
     run_log (args);
   else if (g_str_equal (args[0], "trim"))
@@ -234,7 +236,7 @@
     run_apply (args);
   else if (g_str_equal (args[0], "owners"))
     run_owners (args);
-  else if (g_str_equal (args[0], "count"))
+  else if (g_str_equal (args[0], "outcomes"))
     printf ("completed %u, failed %u, not run %u, unknown %u\n",
             world_jobs_with (world, FB_OUTCOME_COMPLETED),
             world_jobs_with (world, FB_OUTCOME_FAILED), world_jobs_with (world, FB_OUTCOME_NOT_RUN),
@@ -274,11 +276,11 @@
         }
       if (world != NULL && world_violation (world) != NULL)
         {
-          printf ("BROKEN at line %u: %s\n", i + 1, world_violation (world));
+          printf ("line %u: invariant violated: %s\n", i + 1, world_violation (world));
           return 1;
         }
     }
-  printf ("all promises held\n");
+  printf ("all invariants held\n");
   world_free (world);
   return 0;
 }
