--- a/tests/test-calls.c
+++ b/tests/test-calls.c
@@ -1,7 +1,7 @@
 /* Runs a script of calls to one host over real connections and prints the result of each.
  *
  * A line "host WORD..." sets what the host does with the next call that it receives; any other line
- * makes a call. Connections are reused, as a daemon does. */
+ * makes a call. Connections are kept open and reused, as in a daemon. */
 #include "platform/wire.h"
 
 #include <arpa/inet.h>
@@ -22,11 +22,11 @@
   HOST_CLOSES,         /* reads the call and closes its connection without an answer */
   HOST_RESETS,         /* the same, with a TCP reset */
   HOST_STOPS_LISTENING /* reads the call, closes its connection and its listening socket */
-} HostAct;
+} HostAction;
 
 typedef struct
 {
-  HostAct act;
+  HostAction action;
   guint code;
   char *reason;
 } HostStep;
@@ -36,8 +36,8 @@
 {
   int listener;
   char *address;
-  GAsyncQueue *steps; /* of HostStep: what it does with the next calls */
-  gint calls_n;       /* calls that were read completely; atomic */
+  GAsyncQueue *steps; /* of HostStep, one for each call */
+  gint calls_n;       /* calls received completely; atomic */
   GThread *thread;
 } Host;
 
@@ -88,23 +88,23 @@
 static gboolean
 serve_connection (Host *host, int fd)
 {
-  HostAct act = HOST_ANSWERS;
-  while (act == HOST_ANSWERS && read_call (fd))
+  HostAction action = HOST_ANSWERS;
+  while (action == HOST_ANSWERS && read_call (fd))
     {
       HostStep *step = g_async_queue_pop (host->steps);
-      act = step->act;
+      action = step->action;
       g_atomic_int_inc (&host->calls_n);
-      if (act == HOST_ANSWERS)
+      if (action == HOST_ANSWERS)
         answer (fd, step);
       host_step_free (step);
     }
   static const struct linger at_once = { 1, 0 };
-  if (act == HOST_RESETS)
+  if (action == HOST_RESETS)
     setsockopt (fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-  if (act == HOST_STOPS_LISTENING)
+  if (action == HOST_STOPS_LISTENING)
     close (host->listener);
   close (fd);
-  return act == HOST_STOPS_LISTENING;
+  return action == HOST_STOPS_LISTENING;
 }
 
 static gpointer
@@ -145,13 +145,13 @@
   static const char *const names[] = { [HOST_ANSWERS] = "answers",
                                        [HOST_CLOSES] = "closes",
                                        [HOST_RESETS] = "resets",
-                                       [HOST_STOPS_LISTENING] = "goes" };
+                                       [HOST_STOPS_LISTENING] = "stops-listening" };
   for (guint i = 0; i < G_N_ELEMENTS (names); i++)
     {
       if (g_strcmp0 (words[1], names[i]) != 0)
         continue;
       HostStep *step = g_new0 (HostStep, 1);
-      step->act = (HostAct) i;
+      step->action = (HostAction) i;
       if (i == HOST_ANSWERS && words[2] != NULL)
         {
           step->code = (guint) g_ascii_strtoull (words[2], NULL, 10);
@@ -198,7 +198,7 @@
 }
 
 static void
-make_plain_append (FbHttpCall *call, const char *address)
+make_append_without_writer (FbHttpCall *call, const char *address)
 {
   make_append (call, address, NULL);
 }
@@ -210,7 +210,7 @@
 }
 
 static void
-make_fresh_call (FbHttpCall *call, const char *address)
+make_non_idempotent_start (FbHttpCall *call, const char *address)
 {
   make_start (call, address);
   call->idempotent = FALSE;
@@ -242,13 +242,13 @@
 
 static const struct
 {
-  const char *word;
+  const char *name;
   void (*make) (FbHttpCall *call, const char *address);
   const char *(*result_of) (const FbHttpReply *reply);
 } kinds[] = { { "start", make_start, order_result },
               { "stop", make_stop, order_result },
-              { "call-on-a-fresh-connection", make_fresh_call, call_result },
-              { "append", make_plain_append, append_result },
+              { "non-idempotent-start", make_non_idempotent_start, call_result },
+              { "append", make_append_without_writer, append_result },
               { "append-as-owner", make_owner_append, append_result } };
 
 typedef struct
@@ -264,13 +264,13 @@
   outcome->result = outcome->result_of (reply);
 }
 
-/* Makes the call named WORD. Returns: FALSE when there is none. */
+/* Makes the call NAME. Returns: FALSE when there is none. */
 static gboolean
-make_call (FbHttpClient *client, Host *host, const char *word)
+make_call (FbHttpClient *client, Host *host, const char *name)
 {
   for (guint i = 0; i < G_N_ELEMENTS (kinds); i++)
     {
-      if (!g_str_equal (word, kinds[i].word))
+      if (!g_str_equal (name, kinds[i].name))
         continue;
       Result outcome = { .result_of = kinds[i].result_of };
       gint before = g_atomic_int_get (&host->calls_n);
@@ -280,7 +280,7 @@
       fb_http_call_clear (&call);
       while (outcome.result == NULL)
         g_main_context_iteration (NULL, TRUE);
-      printf ("%s: %s, copies at the host: %d\n", word, outcome.result,
+      printf ("%s: %s, transmissions received: %d\n", name, outcome.result,
               g_atomic_int_get (&host->calls_n) - before);
       return TRUE;
     }
