--- a/tests/busy-pool.c
+++ b/tests/busy-pool.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 
 void
-busy_fill_job (fb_work_admit *record, fb_work_step *step)
+busy_pool_init_job (fb_work_admit *record, fb_work_step *step)
 {
   *step = (fb_work_step){
     .count = JOB_TASKS, .cpu_milli = TASK_CPU, .mem_mb = 100, .estimate_ms = 600000
@@ -38,7 +38,7 @@
 }
 
 static void
-on_look (gpointer user, const FbPollOrder *order)
+on_poll (gpointer user, const FbPollOrder *order)
 {
   ((BusyPool *) user)->workers[atoi (order->worker)].poll_open = TRUE;
 }
@@ -62,16 +62,16 @@
   (void) worker;
 }
 
-static const FbPoolSink busy_pool_sink = { on_start, on_stop, on_look, on_advise, on_fenced, NULL };
+static const FbPoolSink busy_pool_sink = { on_start, on_stop, on_poll, on_advise, on_fenced, NULL };
 
 static void
-answer_look (BusyPool *busy, guint i, GArray *finished, uint64_t now_ms)
+answer_poll (BusyPool *busy, guint i, GArray *finished, uint64_t now_ms)
 {
   BusyWorker *worker = &busy->workers[i];
   g_autofree char *id = g_strdup_printf ("%u", i);
   const FbPollAnswer answer = { .clock_ms = now_ms, .running = worker->runs, .finished = finished };
   worker->poll_open = FALSE;
-  fb_pool_poll_answered (busy->pool, id, &answer, now_ms, WALL_MS + now_ms);
+  fb_pool_poll_answered (busy->pool, id, &answer, now_ms, WALL_OFFSET_MS + now_ms);
 }
 
 void
@@ -85,7 +85,7 @@
   for (guint i = 0; i < WORKER_N; i++)
     {
       if (busy->workers[i].poll_open)
-        answer_look (busy, i, finished, now_ms);
+        answer_poll (busy, i, finished, now_ms);
     }
 }
 
@@ -101,7 +101,7 @@
   };
   g_array_append_val (finished, end);
   g_array_remove_index (runs, 0);
-  answer_look (busy, worker, finished, now_ms);
+  answer_poll (busy, worker, finished, now_ms);
 }
 
 static void
@@ -138,11 +138,11 @@
 {
   fb_work_admit record;
   fb_work_step step;
-  busy_fill_job (&record, &step);
+  busy_pool_init_job (&record, &step);
   record.policy.priority = priority;
   step.count = tasks;
   step.required_label = (char *) label;
-  fb_pool_admit (busy->pool, id, &record, now_ms, WALL_MS + now_ms);
+  fb_pool_admit (busy->pool, id, &record, now_ms, WALL_OFFSET_MS + now_ms);
 }
 
 void
--- a/tests/quota.c
+++ b/tests/quota.c
@@ -1,6 +1,6 @@
-/* Limits the CPU time of processes, as a CPU quota of the scheduler does: in each period of a
- * tenth of a second each process may use SHARE percent of one core, at full speed, and is then
- * stopped until the period ends.  Overuse is deducted from the next period. */
+/* Limits the CPU time of processes as a CPU quota of the kernel's scheduler does: in each period of
+ * 100 ms a process may use PERCENT of one core, at full speed, and is then stopped until the period
+ * ends. CPU time used beyond the quota is deducted from the next period. */
 #define _GNU_SOURCE
 #include <signal.h>
 #include <stdint.h>
@@ -16,7 +16,7 @@
 {
   pid_t pid;
   clockid_t clock;
-  int64_t used_us; /* CPU time at the start of the period, less the debt of the previous one */
+  int64_t base_us; /* CPU time at the start of the period, less the overuse in the previous one */
   int stopped;
   int exited;
 } Process;
@@ -49,7 +49,7 @@
 }
 
 static void
-enforce_quota (Process *process, int64_t budget_us, int new_period)
+enforce_quota (Process *process, int64_t quota_us, int new_period)
 {
   int64_t now_us = process->exited ? -1 : read_clock_us (process->clock);
   process->exited = now_us < 0;
@@ -57,10 +57,10 @@
     return;
   if (new_period)
     {
-      int64_t debt_us = now_us - process->used_us - budget_us;
-      process->used_us = now_us - (debt_us > 0 ? debt_us : 0);
+      int64_t overuse_us = now_us - process->base_us - quota_us;
+      process->base_us = now_us - (overuse_us > 0 ? overuse_us : 0);
     }
-  set_stopped (process, now_us - process->used_us >= budget_us);
+  set_stopped (process, now_us - process->base_us >= quota_us);
 }
 
 int
@@ -70,26 +70,26 @@
   int n = argc - 2;
   if (n < 1 || n > PROCESS_MAX || atoi (argv[1]) < 1 || atoi (argv[1]) > 100)
     {
-      fprintf (stderr, "usage: quota SHARE PID...\n");
+      fprintf (stderr, "usage: quota PERCENT PID...\n");
       return 2;
     }
-  int64_t budget_us = (int64_t) atoi (argv[1]) * PERIOD_US / 100;
+  int64_t quota_us = (int64_t) atoi (argv[1]) * PERIOD_US / 100;
   for (int i = 0; i < n; i++)
     {
       processes[i].pid = atoi (argv[i + 2]);
       processes[i].exited = clock_getcpuclockid (processes[i].pid, &processes[i].clock) != 0;
-      processes[i].used_us = processes[i].exited ? 0 : read_clock_us (processes[i].clock);
+      processes[i].base_us = processes[i].exited ? 0 : read_clock_us (processes[i].clock);
     }
   signal (SIGTERM, on_sigterm);
-  int64_t period_us = read_clock_us (CLOCK_MONOTONIC);
+  int64_t period_start_us = read_clock_us (CLOCK_MONOTONIC);
   while (!terminating)
     {
       int64_t now_us = read_clock_us (CLOCK_MONOTONIC);
-      int new_period = now_us >= period_us + PERIOD_US;
+      int new_period = now_us >= period_start_us + PERIOD_US;
       if (new_period)
-        period_us = now_us;
+        period_start_us = now_us;
       for (int i = 0; i < n; i++)
-        enforce_quota (&processes[i], budget_us, new_period);
+        enforce_quota (&processes[i], quota_us, new_period);
       struct timespec pause = { 0, SAMPLE_INTERVAL_US * 1000 };
       nanosleep (&pause, NULL);
     }
--- a/tests/takeover.sh
+++ b/tests/takeover.sh
@@ -1,17 +1,18 @@
 #!/usr/bin/env bash
-# Kills the owner of a pool with a long backlog while the remaining daemons have little CPU time.
+# Kills the owner of a pool with a long backlog while the remaining daemons have a low CPU quota.
 #
 # Failure: one service made no progress for the rest of the day although it had capacity, and its
 #   long-running tasks did not run.  After the owner's death each new owner loaded the pool, completed
 #   recovery and lost the pool 1 to 2 s later, 100 times in 80 s.
-# Cause: the turns in which a daemon loads and places grew with the backlog, so that its joins of the
-#   group were delayed beyond the time to live.  Each POOL_LOST followed four turns of 37 to 85 ms of
-#   CPU time, 1.7 s on 12% of a core; on 60% of a core the same backlog was taken over once and kept.
+# Cause: the turns of the main loop in which a daemon loads jobs and places tasks took longer the longer
+#   the backlog was, so the daemon's group joins came later than its membership's time to live.  Each
+#   POOL_LOST followed four turns of 37 to 85 ms of CPU time, 1.7 s with 12% of a core; with 60% of a
+#   core the same backlog was taken over once and kept.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 B=build OUT=out/takeover
 source tools/ports.sh
-SHARE=12 WORKERS=250 JOBS=1000 TASKS=20 WATCH_S=12 SHORT_JOBS=16 MAX_GAP_MS=9000
+QUOTA_PERCENT=12 WORKERS=250 JOBS=1000 TASKS=20 OBSERVE_S=12 SHORT_JOBS=16 MAX_GAP_MS=9000
 rm -rf "$OUT"; mkdir -p "$OUT"
 declare -A PID
 quota=
@@ -24,14 +25,14 @@
 die() { echo "$1"; exit 1; }
 until_true() { local end=$((SECONDS + 45)); while [ $SECONDS -lt $end ]; do "$@" && return 0; sleep 0.01; done; return 1; }
 port() { echo $((base + WORKERS + 20 + $1 * 4)); }
-number() { grep -o "\"$2\":[0-9]*" <<< "$1" | grep -o '[0-9]*$'; }
+json_number() { grep -o "\"$2\":[0-9]*" <<< "$1" | grep -o '[0-9]*$'; }
 audit() { curl -s "http://127.0.0.1:$base/audit"; }
 LONG_RUNNING=f000000000000001
-running() { number "$(curl -s "http://127.0.0.1:$base/running?job=$1")" running; }
+running() { json_number "$(curl -s "http://127.0.0.1:$base/running?job=$1")" running; }
 now_ms() { echo $((${EPOCHREALTIME/./} / 1000)); }
 
-listens() { curl -s -o /dev/null "http://127.0.0.1:$base/audit"; }
-start_platform() { # retries when another process has taken the ports meanwhile
+platform_listens() { curl -s -o /dev/null "http://127.0.0.1:$base/audit"; }
+start_platform() { # tries other ports if another process has taken them in the meantime
   local tries
   for tries in $(seq 0 29); do
     base=$(free_block 10000 300 30 0 $((WORKERS + 20))) || return 1
@@ -41,7 +42,7 @@
   done
   return 1
 }
-platform_started_or_exited() { listens || ! kill -0 "${PID[platform]}" 2> /dev/null; }
+platform_started_or_exited() { platform_listens || ! kill -0 "${PID[platform]}" 2> /dev/null; }
 
 start_daemon() { # INDEX
   cat > "$OUT/d$1.ini" <<INI
@@ -93,7 +94,7 @@
 until_true both_run || die "the long-running tasks do not run"
 printf '{"spec":"600000 %s","phases":[{"count":%d,"cpu":2000,"mem-mb":100,"estimate-ms":600000}]}' \
   "$(head -c 3993 /dev/zero | tr '\0' x)" "$TASKS" > "$OUT/body"
-submit_all() { # IDS: submits them, to all daemons in turn
+submit_all() { # ID...: submits these jobs, spread over all daemons
   local n=0 id
   for id in "$@"; do
     printf 'url=http://127.0.0.1:%d/q/%s\nheader="Host: h.example"\ndata=@%s\noutput=/dev/null\nwrite-out="%%{http_code}\\n"\nsilent\nnext\n' \
@@ -109,20 +110,20 @@
 until_true short_run || die "the first $SHORT_JOBS jobs do not run"
 mapfile -t ids < <(printf '%016x\n' $(seq $((JOBS - SHORT_JOBS))))
 submit_all "${ids[@]}"
-capacity_used() { [ "$(number "$(audit)" started)" = $((WORKERS * 4)) ]; }
+capacity_used() { [ "$(json_number "$(audit)" started)" = $((WORKERS * 4)) ]; }
 until_true capacity_used || die "the capacity is not fully used: $(audit)"
 
-step "the owner is killed; the two remaining daemons have $SHARE% of a core each"
+step "the owner is killed; the two remaining daemons have $QUOTA_PERCENT% of a core each"
 remaining=(); for d in 0 1 2; do [ "$d" = "$killed" ] || remaining+=("$d"); done
-$B/tests/quota "$SHARE" "${PID[${remaining[0]}]}" "${PID[${remaining[1]}]}" & quota=$!
+$B/tests/quota "$QUOTA_PERCENT" "${PID[${remaining[0]}]}" "${PID[${remaining[1]}]}" & quota=$!
 losses() { cat "$OUT/d${remaining[0]}.log" "$OUT/d${remaining[1]}.log" | grep -c POOL_LOST || true; }
 before=$(audit) lost_before=$(losses)
 kill -9 "${PID[$killed]}"; wait "${PID[$killed]}" 2> /dev/null || true
 unset "PID[$killed]"
 
-step "observed for $WATCH_S s; after 4 s $SHORT_JOBS jobs end, and waiting tasks use their capacity"
+step "observed for $OBSERVE_S s; after 4 s $SHORT_JOBS jobs end, and waiting tasks use their capacity"
 start_ms=$(now_ms) last_run_ms=$(now_ms) longest_gap_ms=0 jobs_ended=
-while [ "$(now_ms)" -lt $((start_ms + WATCH_S * 1000)) ]; do
+while [ "$(now_ms)" -lt $((start_ms + OBSERVE_S * 1000)) ]; do
   [ "$(running $LONG_RUNNING)" = 2 ] && last_run_ms=$(now_ms)
   gap_ms=$(($(now_ms) - last_run_ms)); [ "$gap_ms" -le "$longest_gap_ms" ] || longest_gap_ms=$gap_ms
   if [ -z "$jobs_ended" ] && [ "$(now_ms)" -gt $((start_ms + 4000)) ]; then
@@ -132,17 +133,17 @@
   sleep 0.1
 done
 after=$(audit)
-owners_seen=$(($(number "$after" epochs) - $(number "$before" epochs)))
-started=$(($(number "$after" started) - $(number "$before" started)))
-ended_tasks=$(($(number "$after" done) - $(number "$before" done)))
+owners_seen=$(($(json_number "$after" epochs) - $(json_number "$before" epochs)))
+started=$(($(json_number "$after" started) - $(json_number "$before" started)))
+ended_tasks=$(($(json_number "$after" done) - $(json_number "$before" done)))
 lost=$(($(losses) - lost_before))
-bad=
-[ "$owners_seen" = 1 ] || bad+="; workers accepted orders from $owners_seen owners after the kill, expected 1"
-[ "$lost" = 0 ] || bad+="; the pool was lost $lost times, expected 0"
-[ "$longest_gap_ms" -lt "$MAX_GAP_MS" ] || bad+="; a long-running task did not run for $longest_gap_ms ms, expected less than $MAX_GAP_MS ms"
-[ "$ended_tasks" = $((SHORT_JOBS * TASKS)) ] || bad+="; $ended_tasks tasks ended, expected $((SHORT_JOBS * TASKS))"
-[ "$started" = "$ended_tasks" ] || bad+="; $started tasks were started after $ended_tasks had ended, expected the same number"
-grep -q '"doubled":0,"over-capacity":0' <<< "$after" || bad+="; the workers have seen a violation: $after"
+failures=
+[ "$owners_seen" = 1 ] || failures+="; workers accepted orders from $owners_seen owners after the kill, expected 1"
+[ "$lost" = 0 ] || failures+="; the pool was lost $lost times, expected 0"
+[ "$longest_gap_ms" -lt "$MAX_GAP_MS" ] || failures+="; a long-running task did not run for $longest_gap_ms ms, expected less than $MAX_GAP_MS ms"
+[ "$ended_tasks" = $((SHORT_JOBS * TASKS)) ] || failures+="; $ended_tasks tasks ended, expected $((SHORT_JOBS * TASKS))"
+[ "$started" = "$ended_tasks" ] || failures+="; $started tasks were started after $ended_tasks had ended, expected the same number"
+grep -q '"doubled":0,"over-capacity":0' <<< "$after" || failures+="; the workers recorded a violation: $after"
 step "owners after the kill: $owners_seen, pool lost: $lost, longest gap of a long-running task: $longest_gap_ms ms, started: $started after $ended_tasks ends"
-[ -z "$bad" ] || { grep -hE 'POOL_(TAKEN|LOST|SETTLED)' "$OUT"/d*.log | sort | cut -c 12-130 | tail -12; die "takeover: failed${bad}"; }
+[ -z "$failures" ] || { grep -hE 'POOL_(TAKEN|LOST|SETTLED)' "$OUT"/d*.log | sort | cut -c 12-130 | tail -12; die "takeover: failed${failures}"; }
 echo "takeover: ok"
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -1,12 +1,12 @@
 /* Counts the work of one turn of a daemon's main loop while the daemon takes a pool over.
  *
  * Failure: after its owner died, a pool with about a thousand waiting jobs made no progress for
- * the rest of the day.  Each new owner loaded all jobs in one turn of its main loop and went
- * through all waiting tasks in each of the next turns, so that its join of the group, which
- * takes several turns, came later than the time to live; the store then assigned the pool to
- * the next daemon, which did the same.  On 12% of a core, with 250 workers and 1,000 jobs of 20
- * tasks, the turn that loaded the jobs used 15 to 33 ms of CPU time, and the four turns after
- * recovery used 37, 40, 42 and 85 ms, which takes 1.7 s; the pool was lost right after them.
+ * the rest of the day. Each new owner loaded all jobs in one turn of its main loop and went through
+ * all waiting tasks in each of the next turns. Its group join, which takes several turns, was
+ * therefore later than the membership's time to live; the store assigned the pool to the next
+ * daemon, where the same happened. With 12% of a core, 250 workers and 1,000 jobs of 20 tasks, the
+ * turn that loaded the jobs used 15 to 33 ms of CPU time and the four turns after recovery used 37,
+ * 40, 42 and 85 ms, which takes 1.7 s of real time; the pool was lost right after them.
  * Guard: the work of one turn has a bound that does not depend on the backlog. */
 #include "busy-pool.h"
 
@@ -53,31 +53,31 @@
   return __real_fb_pool_worker_slots_next (self, slot);
 }
 
-/* A new owner with a backlog visits a bounded number of workers and runs in each turn, so that a
- * join of the group fits between, and still uses the whole capacity. */
+/* A new owner with a backlog visits a bounded number of workers and runs in each turn, so that
+ * group joins are not delayed, and still uses the whole capacity. */
 static void
 test_placing_work_per_turn_is_bounded (void)
 {
-  static BusyPool play;
+  static BusyPool busy;
   uint64_t now_ms = 100000;
   guint max_visits = 0;
-  busy_pool_begin (&play, now_ms);
-  busy_pool_admit_backlog (&play, 0, "", now_ms);
-  busy_pool_list_workers (&play, now_ms);
-  for (uint64_t end_ms = now_ms + PLAY_MS; now_ms < end_ms; now_ms += STEP_MS)
+  busy_pool_begin (&busy, now_ms);
+  busy_pool_admit_backlog (&busy, 0, "", now_ms);
+  busy_pool_list_workers (&busy, now_ms);
+  for (uint64_t end_ms = now_ms + SIMULATED_MS; now_ms < end_ms; now_ms += TICK_MS)
     {
       visits = 0;
-      fb_pool_tick (play.pool, TRUE, now_ms, WALL_MS + now_ms);
+      fb_pool_tick (busy.pool, TRUE, now_ms, WALL_OFFSET_MS + now_ms);
       max_visits = MAX (max_visits, visits);
-      busy_pool_answer_all (&play, now_ms);
+      busy_pool_answer_all (&busy, now_ms);
     }
-  g_string_append_printf (
-      report, "placing: %u workers and runs gone through in one turn, expected at most %d\n",
-      max_visits, TURN_VISITS);
+  g_string_append_printf (report,
+                          "placing: %u workers and runs visited in one turn, expected at most %d\n",
+                          max_visits, MAX_TURN_VISITS);
   CU_ASSERT_TRUE (max_visits > 0); /* 0: the counting wrappers are not linked */
-  CU_ASSERT_TRUE (max_visits <= TURN_VISITS);
-  CU_ASSERT_EQUAL (play.started_n, WORKER_N * (WORKER_CPU / TASK_CPU));
-  busy_pool_clear (&play);
+  CU_ASSERT_TRUE (max_visits <= MAX_TURN_VISITS);
+  CU_ASSERT_EQUAL (busy.started_n, WORKER_N * (WORKER_CPU / TASK_CPU));
+  busy_pool_clear (&busy);
 }
 
 /* ---- loading ----------------------------------------------------------------------- */
@@ -103,7 +103,7 @@
 } load;
 
 static uint64_t
-now (void)
+monotonic_ms (void)
 {
   return (uint64_t) g_get_monotonic_time () / 1000;
 }
@@ -133,10 +133,10 @@
 }
 
 static void
-note_join_gap (void)
+update_longest_gap (void)
 {
   if (load.jobs > 0)
-    load.longest_gap_ms = MAX (load.longest_gap_ms, now () - load.last_join_ms);
+    load.longest_gap_ms = MAX (load.longest_gap_ms, monotonic_ms () - load.last_join_ms);
 }
 
 void
@@ -145,8 +145,8 @@
 {
   if (g_str_equal (group, "owners"))
     {
-      note_join_gap ();
-      load.last_join_ms = now ();
+      update_longest_gap ();
+      load.last_join_ms = monotonic_ms ();
       load.joins += load.jobs > 0;
     }
   __real_fb_wire_join (call, store, group, member, topics, ttl_ms, generation);
@@ -161,9 +161,9 @@
   load.max_jobs_per_turn = MAX (load.max_jobs_per_turn, load.jobs_this_turn);
   load.jobs_this_turn = 0;
   gboolean loaded = load.jobs >= STORED_JOB_N && fb_counter_get (FB_COUNTER_TAKE_OVERS) > 0;
-  if (load.stopped || (!loaded && now () < load.started_ms + TIMEOUT_MS))
+  if (load.stopped || (!loaded && monotonic_ms () < load.started_ms + TIMEOUT_MS))
     return FALSE;
-  note_join_gap ();
+  update_longest_gap ();
   load.is_counting = FALSE;
   load.stopped = TRUE;
   (void) raise (SIGTERM);
@@ -181,7 +181,7 @@
       fb_work_admit record;
       fb_work_step step;
       g_autofree char *key = g_strdup_printf ("%c%016x", FB_KEY_JOB, i + 1);
-      busy_fill_job (&record, &step);
+      busy_pool_init_job (&record, &step);
       g_autoptr (GBytes) value = fb_codec_encode_admit (&record);
       fb_wire_encode_record (body, key, value);
     }
@@ -212,8 +212,8 @@
   return connection != NULL;
 }
 
-/* Starts a stand-in of the platform that holds the stored jobs.  Sets *PORT to the first free
- * port from *PORT on, in steps of 20.  Returns: (transfer full) (nullable): its process. */
+/* Starts the stand-in of the platform and stores the jobs in it. Sets *PORT to the first free port
+ * from *PORT on, in steps of 20. Returns: (transfer full) (nullable): its process. */
 static GSubprocess *
 start_platform (const char *program, guint *port)
 {
@@ -256,26 +256,26 @@
   g_source_set_priority (turns, G_PRIORITY_HIGH * 10);
   g_source_attach (turns, NULL);
   /* The daemon's log lines are discarded. */
-  int out = dup (STDOUT_FILENO);
-  int nowhere = open ("/dev/null", O_WRONLY | O_CLOEXEC);
+  int stdout_fd = dup (STDOUT_FILENO);
+  int null_fd = open ("/dev/null", O_WRONLY | O_CLOEXEC);
   (void) fflush (stdout);
-  (void) dup2 (nowhere, STDOUT_FILENO);
+  (void) dup2 (null_fd, STDOUT_FILENO);
   fb_event_set_quiet (FALSE);
   load.is_counting = TRUE;
-  load.started_ms = now ();
+  load.started_ms = monotonic_ms ();
   CU_ASSERT_EQUAL (fb_entry_main (settings, FALSE), 0);
   fb_event_set_quiet (TRUE);
-  (void) dup2 (out, STDOUT_FILENO);
-  close (nowhere);
-  close (out);
+  (void) dup2 (stdout_fd, STDOUT_FILENO);
+  close (null_fd);
+  close (stdout_fd);
   g_source_destroy (turns);
   g_source_unref (turns);
 }
 
 static const char *platform_program;
 
-/* A daemon that loads a pool keeps joining the group in time, whatever the size of the pool and
- * its own speed, because one turn loads a bounded number of jobs. */
+/* A daemon that loads a pool joins the group in time, whatever the size of the pool and its own
+ * speed, because one turn loads a bounded number of jobs. */
 static void
 test_group_joins_continue_while_loading (void)
 {
@@ -294,10 +294,10 @@
       report,
       "loading: %u jobs, at most %u in one turn, expected at most %d; %u joins, longest without "
       "one %u ms, expected less than %d\n",
-      load.jobs, load.max_jobs_per_turn, TURN_JOBS, load.joins, (guint) load.longest_gap_ms,
+      load.jobs, load.max_jobs_per_turn, MAX_TURN_JOBS, load.joins, (guint) load.longest_gap_ms,
       MEMBER_TTL_MS);
   CU_ASSERT_EQUAL (load.jobs, STORED_JOB_N);
-  CU_ASSERT_TRUE (load.max_jobs_per_turn <= TURN_JOBS);
+  CU_ASSERT_TRUE (load.max_jobs_per_turn <= MAX_TURN_JOBS);
   CU_ASSERT_TRUE (load.joins > 0);
   CU_ASSERT_TRUE (load.longest_gap_ms < MEMBER_TTL_MS);
 }
