--- a/tools/check.sh
+++ b/tools/check.sh
@@ -19,7 +19,7 @@
   seen[$name]=1
   if "$@" > out/check.log 2>&1; then
     if [ -z "$line" ]; then passed=$((passed + 1)); return; fi
-    failed=$((failed + 1)); echo "FAILED $name: it passes, its line in KNOWN-RED.txt must go"
+    failed=$((failed + 1)); echo "FAILED $name: it passes; remove its line from KNOWN-RED.txt"
   elif [ -n "$line" ]; then
     red=$((red + 1)); echo "KNOWN RED $line"; tail -3 out/check.log
   else
@@ -29,21 +29,21 @@
 
 verdict "format" tools/format.sh
 verdict "lint" tools/lint.sh
-verdict "catalogues" tools/check-docs.sh
-verdict "units" $B/tests/test-units
-verdict "log lines" $B/tests/test-event
-verdict "parts of a daemon on the platform" $B/tests/test-entry
+verdict "documentation tables" tools/check-docs.sh
+verdict "unit tests" $B/tests/test-units
+verdict "event log" $B/tests/test-event
+verdict "components of a daemon on the platform" $B/tests/test-entry
 verdict "advice of two owners" $B/tests/test-advice
-verdict "calls over HTTP" $B/tests/test-http
+verdict "HTTP client" $B/tests/test-http
 verdict "signals while a daemon starts" $B/tests/test-signals
 verdict "links between daemons" $B/tests/test-links
 verdict "list of daemons" $B/tests/test-daemons
-verdict "orders that daemons carry" $B/tests/test-relay
-verdict "lives of workers that are listed" $B/tests/test-worker-list
-verdict "starts that daemons remember" $B/tests/test-recent-starts
-verdict "what daemons keep for owners" $B/tests/test-suspect-backups
-verdict "callers of a slow store" $B/tests/test-slow-store
-verdict "messages of the platform" $B/tests/test-wire
+verdict "orders relayed by daemons" $B/tests/test-relay
+verdict "incarnations in the worker list" $B/tests/test-worker-list
+verdict "recent starts" $B/tests/test-recent-starts
+verdict "backups of suspects" $B/tests/test-suspect-backups
+verdict "requests with a slow store" $B/tests/test-slow-store
+verdict "platform wire format" $B/tests/test-wire
 pool() { diff <($B/tests/test-pool "$1" 2>&1) "${1%.script}.expected"; }
 script() { diff <($B/tests/test-script "$1" 2>&1) "${1%.script}.expected"; }
 for s in tests/scripts/*.script; do verdict "$(basename "$s")" script "$s"; done
@@ -65,8 +65,8 @@
 verdict "fuzz readers" $B/fuzz/fuzz-readers --seed 1 --inputs 20000
 verdict "processes" tests/processes.sh
 verdict "processes on the platform" tests/platform.sh
-verdict "order of what waits" $B/tests/test-rounds
-verdict "turns of a take-over" $B/tests/test-takeover $B/standins/standin-platform
+verdict "placement rounds" $B/tests/test-rounds
+verdict "work per turn of a take-over" $B/tests/test-takeover $B/standins/standin-platform
 verdict "take-over by slow daemons" tests/takeover.sh
 verdict "soak" $B/soak/soak --without-worker-links --seed 1 --seeds 2 --seconds 20
 verdict "soak of workers" $B/soak/soak --seed 13 --seeds 2 --seconds 15
