--- a/tests/test-pool.c
+++ b/tests/test-pool.c
@@ -127,8 +127,8 @@
 }
 
 static gboolean
-on_advise (gpointer user, const char *step, const char *const *workers, guint n,
-           uint32_t expected_ms)
+on_request_advice (gpointer user, const char *step, const char *const *workers, guint n,
+                   uint32_t expected_ms)
 {
   if (((Script *) user)->advice_requests_left == 0)
     return FALSE;
@@ -162,7 +162,7 @@
 }
 
 static const FbPoolSink sink
-    = { on_start, on_stop, on_poll, on_advise, on_fenced, is_newer_incarnation };
+    = { on_start, on_stop, on_poll, on_request_advice, on_fenced, is_newer_incarnation };
 
 /* ---- pools ------------------------------------------------------------------------ */
 
@@ -491,12 +491,12 @@
                          option_u64 (script, "clock", script->now_ms), script->now_ms);
 }
 
-/* advice-answer STEP asked=WORKER,... [allowed=WORKER,...] [valid=MS] */
+/* advice-answer STEP requested=WORKER,... [allowed=WORKER,...] [valid=MS] */
 static void
 do_advice_answer (Script *script)
 {
   g_autofree char *step = pad_job_id (script->args[1]);
-  g_auto (GStrv) asked = g_strsplit (option (script, "asked"), ",", -1);
+  g_auto (GStrv) requested = g_strsplit (option (script, "requested"), ",", -1);
   const char *list = option (script, "allowed");
   g_auto (GStrv) allowed = g_strsplit (list != NULL ? list : "", ",", -1);
   guint n = g_strv_length (allowed);
@@ -508,8 +508,8 @@
       reply.tickets.tickets_val[i].worker = allowed[i];
       reply.tickets.tickets_val[i].ticket = "t";
     }
-  fb_pool_advised (script->pool, step, (const char *const *) asked, g_strv_length (asked), &reply,
-                   script->now_ms);
+  fb_pool_advised (script->pool, step, (const char *const *) requested, g_strv_length (requested),
+                   &reply, script->now_ms);
   free (reply.tickets.tickets_val);
 }
 
@@ -577,9 +577,9 @@
   fb_pool_flushed (script->pool, script->now_ms);
 }
 
-/* jobs-read: every job stored so far has been added. */
+/* jobs-complete: every job stored so far has been added. */
 static void
-do_jobs_read (Script *script)
+do_jobs_complete (Script *script)
 {
   fb_pool_jobs_read (script->pool, script->now_ms);
 }
@@ -687,7 +687,7 @@
                  { "unlist", do_unlist },
                  { "workers-complete", do_workers_complete },
                  { "job", do_job },
-                 { "jobs-read", do_jobs_read },
+                 { "jobs-complete", do_jobs_complete },
                  { "cancel", do_cancel },
                  { "state", do_state },
                  { "pending", do_pending },
--- a/tests/test-script.c
+++ b/tests/test-script.c
@@ -173,9 +173,9 @@
     world_set_paused (world, node_arg (args), is_on (args));
   else if (g_str_equal (args[0], "drain"))
     world_drain (world, node_arg (args));
-  else if (g_str_equal (args[0], "partition"))
+  else if (g_str_equal (args[0], "cut"))
     world_set_peers_cut (world, node_arg (args), is_on (args));
-  else if (g_str_equal (args[0], "partition-workers"))
+  else if (g_str_equal (args[0], "cut-workers"))
     world_set_workers_cut (world, node_arg (args), is_on (args));
   else if (g_str_equal (args[0], "message-faults"))
     world_set_message_faults (world, (guint) option (args, "loss", 0),
