--- a/tests/busy-pool.c
+++ b/tests/busy-pool.c
@@ -44,8 +44,8 @@
 }
 
 static gboolean
-on_advise (gpointer user, const char *step, const char *const *workers, guint n,
-           uint32_t expected_ms)
+on_request_advice (gpointer user, const char *step, const char *const *workers, guint n,
+                   uint32_t expected_ms)
 {
   (void) user;
   (void) step;
@@ -62,7 +62,8 @@
   (void) worker;
 }
 
-static const FbPoolSink busy_pool_sink = { on_start, on_stop, on_poll, on_advise, on_fenced, NULL };
+static const FbPoolSink busy_pool_sink
+    = { on_start, on_stop, on_poll, on_request_advice, on_fenced, NULL };
 
 static void
 answer_poll (BusyPool *busy, guint i, GArray *finished, uint64_t now_ms)
--- a/tests/busy-pool.h
+++ b/tests/busy-pool.h
@@ -1,16 +1,16 @@
 /* A pool with a backlog of 1,000 jobs of 20 tasks and 250 workers that answer without delay, for
- * tests of the work done in one turn of the owner's main loop. */
+ * tests of the work done in one iteration of the owner's main loop. */
 #pragma once
 
 #include "internal/pool.h"
 
-/* A daemon's CPU quota can be as low as 12 ms per 100 ms. With turns of 5 ms the four turns of a
- * group join take at most 200 ms; the membership expires after 1 s. */
+/* A daemon's CPU quota can be as low as 12 ms per 100 ms. With iterations of 5 ms the four
+ * iterations of a group join take at most 200 ms; the membership expires after 1 s. */
 #define JOB_COST_US 20 /* CPU time to add a job, on one core */
-#define MAX_TURN_JOBS (5000 / JOB_COST_US)
+#define MAX_JOBS_PER_ITERATION (5000 / JOB_COST_US)
 /* CPU time to visit a table entry, a worker or a run: 11 to 31 ns on one core. */
 #define VISIT_COST_NS 20
-#define MAX_TURN_VISITS (5000 * 1000 / VISIT_COST_NS)
+#define MAX_VISITS_PER_ITERATION (5000 * 1000 / VISIT_COST_NS)
 
 #define SERVICE "svc"
 #define QUEUE "q"
--- a/tests/takeover.sh
+++ b/tests/takeover.sh
@@ -1,13 +1,12 @@
 #!/usr/bin/env bash
 # Kills the owner of a pool with a long backlog while the remaining daemons have a low CPU quota.
 #
-# Failure: one service made no progress for the rest of the day although it had capacity, and its
-#   long-running tasks did not run.  After the owner's death each new owner loaded the pool, completed
-#   recovery and lost the pool 1 to 2 s later, 100 times in 80 s.
-# Cause: the turns of the main loop in which a daemon loads jobs and places tasks took longer the longer
-#   the backlog was, so the daemon's group joins came later than its membership's time to live.  Each
-#   POOL_LOST followed four turns of 37 to 85 ms of CPU time, 1.7 s with 12% of a core; with 60% of a
-#   core the same backlog was taken over once and kept.
+# After such a kill one service made no progress for the rest of the day although it had capacity, and
+# its long-running tasks did not run.  Each new owner loaded the pool, completed recovery and lost the
+# pool 1 to 2 s later, 100 times in 80 s.  The longer the backlog was, the longer the iterations of the
+# main loop took in which a daemon loads jobs and places tasks, so the daemon's group joins came later
+# than its membership's time to live.  Each POOL_LOST followed four iterations of 37 to 85 ms of CPU
+# time, 1.7 s with 12% of a core; with 60% of a core the same backlog was taken over once and kept.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 B=build OUT=out/takeover
--- a/tests/test-rounds.c
+++ b/tests/test-rounds.c
@@ -1,10 +1,10 @@
-/* Tests of placement rounds that take several turns: capacity that is freed during a round must go
- * to the most urgent waiting step that fits.
+/* Tests of placement rounds that take several iterations of the main loop: capacity that is freed
+ * during a round must go to the most urgent waiting step that fits.
  *
- * Failure: an urgent task waits while freed capacity goes to less urgent work, or capacity stays
- * unused for as many ms as there are waiting steps. Cause: the pool is full and hundreds of steps
- * wait, so a round takes dozens of turns; a task ends, or a worker leaves, during the round, and
- * the next turn continues behind the most urgent steps. */
+ * When the pool is full and hundreds of steps wait, a round takes dozens of iterations. If a task
+ * ends or a worker leaves during the round, the next iteration continues behind the most urgent
+ * steps; an urgent task could then wait while freed capacity goes to less urgent work, or capacity
+ * could stay unused for as many ms as there are waiting steps. */
 #include "busy-pool.h"
 
 #include "fb-event.h"
@@ -169,17 +169,17 @@
   busy_pool_clear (&busy);
 }
 
-/* ---- cost of a turn -------------------------------------------------------------------- */
+/* ---- cost of an iteration ---------------------------------------------------------------- */
 
 #define LOW_PRIORITY_JOB_N 3000
-/* Limit of workers and runs visited in one turn, about 5 ms of CPU time; the smallest daemons have
- * an eighth of a core. */
-#define MAX_ROUND_TURN_VISITS 100000
+/* Limit of workers and runs visited in one iteration, about 5 ms of CPU time; the smallest daemons
+ * have an eighth of a core. */
+#define MAX_ROUND_VISITS_PER_ITERATION 100000
 
 /* All workers are marked as having freed capacity at the same time, but none has capacity for the
  * waiting steps. */
 static void
-test_turn_with_freed_capacity_everywhere (void)
+test_iteration_with_freed_capacity_everywhere (void)
 {
   static BusyPool busy;
   uint64_t now_ms = fill_pool (&busy, 100000);
@@ -199,10 +199,11 @@
       busy_pool_answer_all (&busy, now_ms);
       now_ms += TICK_MS;
     }
-  printf ("\nlongest turn with %u waiting steps and %u workers with freed capacity: %u visits\n",
-          busy.pool->waiting->len, WORKER_N, max_visits);
+  printf (
+      "\nlongest iteration with %u waiting steps and %u workers with freed capacity: %u visits\n",
+      busy.pool->waiting->len, WORKER_N, max_visits);
   CU_ASSERT_TRUE (max_visits > WORKER_N);
-  CU_ASSERT_TRUE (max_visits <= MAX_ROUND_TURN_VISITS);
+  CU_ASSERT_TRUE (max_visits <= MAX_ROUND_VISITS_PER_ITERATION);
   busy_pool_clear (&busy);
 }
 
@@ -216,8 +217,8 @@
                test_urgent_gets_capacity_freed_in_open_round);
   CU_add_test (suite, "an urgent task gets freed capacity", test_urgent_gets_freed_capacity);
   CU_add_test (suite, "freed capacity is not missed", test_freed_capacity_is_not_missed);
-  CU_add_test (suite, "a turn with freed capacity everywhere",
-               test_turn_with_freed_capacity_everywhere);
+  CU_add_test (suite, "an iteration with freed capacity everywhere",
+               test_iteration_with_freed_capacity_everywhere);
   CU_basic_set_mode (CU_BRM_NORMAL);
   CU_basic_run_tests ();
   guint failures = CU_get_number_of_failures ();
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -1,13 +1,14 @@
-/* Counts the work of one turn of a daemon's main loop while the daemon takes a pool over.
+/* Counts the work of one iteration of a daemon's main loop while the daemon takes a pool over. It
+ * must have a bound that does not depend on the backlog.
  *
- * Failure: after its owner died, a pool with about a thousand waiting jobs made no progress for
- * the rest of the day. Each new owner loaded all jobs in one turn of its main loop and went through
- * all waiting tasks in each of the next turns. Its group join, which takes several turns, was
+ * After its owner died, a pool with about a thousand waiting jobs made no progress for the rest of
+ * the day. Each new owner loaded all jobs in one iteration of its main loop and went through all
+ * waiting tasks in each of the next iterations. Its group join, which takes several iterations, was
  * therefore later than the membership's time to live; the store assigned the pool to the next
  * daemon, where the same happened. With 12% of a core, 250 workers and 1,000 jobs of 20 tasks, the
- * turn that loaded the jobs used 15 to 33 ms of CPU time and the four turns after recovery used 37,
- * 40, 42 and 85 ms, which takes 1.7 s of real time; the pool was lost right after them.
- * Guard: the work of one turn has a bound that does not depend on the backlog. */
+ * iteration that loaded the jobs used 15 to 33 ms of CPU time and the four iterations after
+ * recovery used 37, 40, 42 and 85 ms, which takes 1.7 s of real time; the pool was lost right after
+ * them. */
 #include "busy-pool.h"
 
 #include "fb-counter.h"
@@ -30,7 +31,7 @@
 
 static GString *report; /* the counts, printed at the end */
 
-/* ---- workers and runs visited in a turn -------------------------------------------------- */
+/* ---- workers and runs visited in an iteration ---------------------------------------------- */
 
 static guint visits;
 
@@ -53,10 +54,10 @@
   return __real_fb_pool_worker_slots_next (self, slot);
 }
 
-/* A new owner with a backlog visits a bounded number of workers and runs in each turn, so that
+/* A new owner with a backlog visits a bounded number of workers and runs in each iteration, so that
  * group joins are not delayed, and still uses the whole capacity. */
 static void
-test_placing_work_per_turn_is_bounded (void)
+test_placing_work_per_iteration_is_bounded (void)
 {
   static BusyPool busy;
   uint64_t now_ms = 100000;
@@ -71,11 +72,11 @@
       max_visits = MAX (max_visits, visits);
       busy_pool_answer_all (&busy, now_ms);
     }
-  g_string_append_printf (report,
-                          "placing: %u workers and runs visited in one turn, expected at most %d\n",
-                          max_visits, MAX_TURN_VISITS);
+  g_string_append_printf (
+      report, "placing: %u workers and runs visited in one iteration, expected at most %d\n",
+      max_visits, MAX_VISITS_PER_ITERATION);
   CU_ASSERT_TRUE (max_visits > 0); /* 0: the counting wrappers are not linked */
-  CU_ASSERT_TRUE (max_visits <= MAX_TURN_VISITS);
+  CU_ASSERT_TRUE (max_visits <= MAX_VISITS_PER_ITERATION);
   CU_ASSERT_EQUAL (busy.started_n, WORKER_N * (WORKER_CPU / TASK_CPU));
   busy_pool_clear (&busy);
 }
@@ -92,8 +93,8 @@
 static struct
 {
   gboolean is_counting;
-  guint jobs_this_turn;
-  guint max_jobs_per_turn;
+  guint jobs_this_iteration;
+  guint max_jobs_per_iteration;
   guint jobs;
   guint joins; /* since the first job was loaded */
   uint64_t last_join_ms;
@@ -125,7 +126,7 @@
 {
   if (load.is_counting)
     {
-      load.jobs_this_turn++;
+      load.jobs_this_iteration++;
       load.jobs++;
       g_usleep (JOB_DELAY_US);
     }
@@ -152,14 +153,14 @@
   __real_fb_wire_join (call, store, group, member, topics, ttl_ms, generation);
 }
 
-/* Runs at the start of each turn of the main loop. */
+/* Runs at the start of each iteration of the main loop. */
 static gboolean
-on_turn_start (GSource *source, gint *timeout_ms)
+on_iteration_start (GSource *source, gint *timeout_ms)
 {
   (void) source;
   *timeout_ms = -1;
-  load.max_jobs_per_turn = MAX (load.max_jobs_per_turn, load.jobs_this_turn);
-  load.jobs_this_turn = 0;
+  load.max_jobs_per_iteration = MAX (load.max_jobs_per_iteration, load.jobs_this_iteration);
+  load.jobs_this_iteration = 0;
   gboolean loaded = load.jobs >= STORED_JOB_N && fb_counter_get (FB_COUNTER_TAKE_OVERS) > 0;
   if (load.stopped || (!loaded && monotonic_ms () < load.started_ms + TIMEOUT_MS))
     return FALSE;
@@ -170,7 +171,7 @@
   return FALSE;
 }
 
-static GSourceFuncs turn_funcs = { .prepare = on_turn_start };
+static GSourceFuncs iteration_funcs = { .prepare = on_iteration_start };
 
 static GByteArray *
 stored_jobs (void)
@@ -252,9 +253,9 @@
 static void
 run_daemon (const char *settings)
 {
-  GSource *turns = g_source_new (&turn_funcs, sizeof (GSource));
-  g_source_set_priority (turns, G_PRIORITY_HIGH * 10);
-  g_source_attach (turns, NULL);
+  GSource *iteration_source = g_source_new (&iteration_funcs, sizeof (GSource));
+  g_source_set_priority (iteration_source, G_PRIORITY_HIGH * 10);
+  g_source_attach (iteration_source, NULL);
   /* The daemon's log lines are discarded. */
   int stdout_fd = dup (STDOUT_FILENO);
   int null_fd = open ("/dev/null", O_WRONLY | O_CLOEXEC);
@@ -268,14 +269,14 @@
   (void) dup2 (stdout_fd, STDOUT_FILENO);
   close (null_fd);
   close (stdout_fd);
-  g_source_destroy (turns);
-  g_source_unref (turns);
+  g_source_destroy (iteration_source);
+  g_source_unref (iteration_source);
 }
 
 static const char *platform_program;
 
 /* A daemon that loads a pool joins the group in time, whatever the size of the pool and its own
- * speed, because one turn loads a bounded number of jobs. */
+ * speed, because one iteration loads a bounded number of jobs. */
 static void
 test_group_joins_continue_while_loading (void)
 {
@@ -290,14 +291,14 @@
   g_object_unref (platform);
   (void) unlink (settings);
   (void) rmdir (folder);
-  g_string_append_printf (
-      report,
-      "loading: %u jobs, at most %u in one turn, expected at most %d; %u joins, longest without "
-      "one %u ms, expected less than %d\n",
-      load.jobs, load.max_jobs_per_turn, MAX_TURN_JOBS, load.joins, (guint) load.longest_gap_ms,
-      MEMBER_TTL_MS);
+  g_string_append_printf (report,
+                          "loading: %u jobs, at most %u in one iteration, expected at most %d; %u "
+                          "joins, longest without "
+                          "one %u ms, expected less than %d\n",
+                          load.jobs, load.max_jobs_per_iteration, MAX_JOBS_PER_ITERATION,
+                          load.joins, (guint) load.longest_gap_ms, MEMBER_TTL_MS);
   CU_ASSERT_EQUAL (load.jobs, STORED_JOB_N);
-  CU_ASSERT_TRUE (load.max_jobs_per_turn <= MAX_TURN_JOBS);
+  CU_ASSERT_TRUE (load.max_jobs_per_iteration <= MAX_JOBS_PER_ITERATION);
   CU_ASSERT_TRUE (load.joins > 0);
   CU_ASSERT_TRUE (load.longest_gap_ms < MEMBER_TTL_MS);
 }
@@ -317,7 +318,8 @@
   CU_pSuite suite = CU_add_suite ("takeover", NULL, NULL);
   CU_add_test (suite, "group joins continue while loading",
                test_group_joins_continue_while_loading);
-  CU_add_test (suite, "placing work per turn is bounded", test_placing_work_per_turn_is_bounded);
+  CU_add_test (suite, "placing work per iteration is bounded",
+               test_placing_work_per_iteration_is_bounded);
   CU_basic_set_mode (CU_BRM_NORMAL);
   CU_basic_run_tests ();
   guint failures = CU_get_number_of_failures ();
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -66,8 +66,8 @@
 verdict "processes" tests/processes.sh
 verdict "processes on the platform" tests/platform.sh
 verdict "placement rounds" $B/tests/test-rounds
-verdict "work per turn of a take-over" $B/tests/test-takeover $B/standins/standin-platform
-verdict "take-over by slow daemons" tests/takeover.sh
+verdict "work per iteration of a takeover" $B/tests/test-takeover $B/standins/standin-platform
+verdict "takeover by slow daemons" tests/takeover.sh
 verdict "soak" $B/soak/soak --without-worker-links --seed 1 --seeds 2 --seconds 20
 verdict "soak of workers" $B/soak/soak --seed 13 --seeds 2 --seconds 15
 
