--- a/include/internal/pool-crash.h
+++ b/include/internal/pool-crash.h
@@ -45,14 +45,14 @@
 /* RUN was seen running on WORKER: updates the job's record if it contains the start. */
 void fb_pool_crash_task_seen (FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run);
 /* Records the runs on WORKER when it becomes silent. */
-void fb_pool_crash_note_silence (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
+void fb_pool_crash_record_silence (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
 /* Called before the runs of a lost WORKER are dropped. NEXT: as for fb_pool_worker_lost(). */
 void fb_pool_crash_worker_lost (FbPool *self, FbPoolWorker *worker, FbPoolLoss loss,
                                 const FbPoolWorker *next, uint64_t now_ms);
 /* Fails jobs that have a task at the crash limit. */
 void fb_pool_crash_end_jobs (FbPool *self, uint64_t now_ms, uint64_t wall_ms);
 /* Drops JOB, which has ended, from the suspects. */
-void fb_pool_crash_forget (FbPool *self, FbPoolJob *job);
+void fb_pool_crash_remove_job (FbPool *self, FbPoolJob *job);
 /* FALSE when TASK is suspected and must not share WORKER with the suspected tasks there. */
 gboolean fb_pool_crash_may_share (const FbPoolWorker *worker, const FbPoolTask *task);
 /* FALSE while WORKER is exclusive to another task than TASK. */
@@ -95,7 +95,7 @@
 /* pool-probe.c: steps that start one task at a time */
 
 /* The worker with id hash WORKER has certainly crashed while running a task of STEP. */
-void fb_pool_probe_note_crash (FbPoolStep *step, uint64_t worker, uint64_t now_ms);
+void fb_pool_probe_record_crash (FbPoolStep *step, uint64_t worker, uint64_t now_ms);
 /* A task of STEP has run without crashing its worker: ends the probe. */
 void fb_pool_probe_passed (FbPoolStep *step);
 /* TRUE while tasks of STEP are started one at a time. */
@@ -129,4 +129,4 @@
 /* Crashes or unresolved losses of JOB's tasks have changed. */
 void fb_pool_unstored_suspects_add (FbPool *self, FbPoolJob *job);
 /* Drops JOB, which is about to be freed. */
-void fb_pool_unstored_suspects_forget (FbPool *self, const FbPoolJob *job);
+void fb_pool_unstored_suspects_remove (FbPool *self, const FbPoolJob *job);
--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -36,8 +36,8 @@
   uint32_t stuck_restarts; /* how often it was stopped as stuck */
   char *checkpoint;        /* NULL: none */
   FbPoolRun *run;          /* borrowed from its worker; NULL: not on a worker */
-  FbPoolRun *copy;  /* a speculative second run, if the step allows it; borrowed; NULL: none */
-  uint32_t took_ms; /* duration of the run that ended successfully; valid with WORKER_SPEED */
+  FbPoolRun *copy;      /* a speculative second run, if the step allows it; borrowed; NULL: none */
+  uint32_t duration_ms; /* duration of the run that ended successfully; valid with WORKER_SPEED */
   /* Speed of the worker of that run; NULL: not measured, or already evaluated. */
   FbPoolSpeed *worker_speed;
 } FbPoolTask;
@@ -56,7 +56,7 @@
 {
   FB_URGENCY_RESTARTING = -1, /* long-running; a pending task has run, or may have */
   FB_URGENCY_NORMAL = 0,      /* any other */
-  FB_URGENCY_WORTHLESS = 1    /* of a job without a schedule, past FbPoolJob.worthless_ms; not
+  FB_URGENCY_NO_VALUE = 1     /* of a job without a schedule, past FbPoolJob.no_value_ms; not
                                * long-running */
 } FbPoolUrgency;
 
@@ -64,21 +64,21 @@
 struct _FbPoolStep
 {
   FbPoolJob *job;
-  uint32_t occurrence;       /* number of the occurrence */
-  uint32_t index;            /* index of the step in the job */
-  const fb_work_step *shape; /* borrowed from the job's record */
-  FbPoolTask *tasks;         /* SHAPE->count entries */
-  uint32_t done_n;           /* tasks that are done */
-  uint32_t timed_runs_n;     /* successful runs that ended under this owner */
-  uint64_t timed_total_ms;   /* their total duration since they were started or first listed */
-  uint32_t waiting_from;     /* no task before this index is pending */
-  uint32_t gang_attempt;     /* number of the latest attempt of the gang; 0: none yet */
+  uint32_t occurrence;      /* number of the occurrence */
+  uint32_t index;           /* index of the step in the job */
+  const fb_work_step *spec; /* borrowed from the job's record */
+  FbPoolTask *tasks;        /* SPEC->count entries */
+  uint32_t done_n;          /* tasks that are done */
+  uint32_t timed_runs_n;    /* successful runs that ended under this owner */
+  uint64_t timed_total_ms;  /* their total duration since they were started or first listed */
+  uint32_t pending_from;    /* no task before this index is pending */
+  uint32_t gang_attempt;    /* number of the latest attempt of the gang; 0: none yet */
   /* Workers that crashed under its tasks since one of the tasks last ran without a crash. */
   guint crashed_n;
-  uint64_t crashed_last; /* id hash of the worker that crashed last; 0: none */
-  uint64_t crashed_ms;   /* when that crash became known */
-  gboolean released;     /* all preceding steps are done, and the occurrence is due */
-  gboolean gang_broken;  /* a member ended or was refused, so the others are being stopped */
+  uint64_t last_crashed_worker; /* id hash of the worker that crashed last; 0: none */
+  uint64_t crashed_ms;          /* when that crash became known */
+  gboolean released;            /* all preceding steps are done, and the occurrence is due */
+  gboolean gang_broken;         /* a member ended or was refused, so the others are being stopped */
   FbPoolWorkerAdvice *worker_advice; /* by worker slot */
   guint worker_advice_n;             /* entries of WORKER_ADVICE */
   gboolean has_advice;               /* the advice service has answered about some worker */
@@ -86,7 +86,7 @@
   uint64_t last_advice_ms;           /* when the last question was answered or failed; 0: never */
   GPtrArray *reserved_on;       /* ids of workers with reserved capacity, one entry for each task */
   uint64_t reserved_until_ms;   /* when the reservation ends; 0: none */
-  gboolean queued;              /* it is in FbPool.waiting or FbPool.unmerged */
+  gboolean queued;              /* it is in FbPool.queue or FbPool.unmerged */
   FbPoolUrgency urgency;        /* as of when it was sorted into the queue */
   uint64_t last_failed_round;   /* last round that left it pending; 0: none */
   uint64_t retry_at_ms;         /* when it is tried again even if nothing has changed */
@@ -123,7 +123,7 @@
   uint64_t added_ms;        /* when it was added to this pool */
   uint64_t admitted_ms;     /* when it was accepted, on the pool's clock */
   uint64_t objective_ms;    /* when its caller wants it, on the pool's clock */
-  uint64_t worthless_ms;    /* when its completion has no value any more */
+  uint64_t no_value_ms;     /* when its completion has no value any more */
   double tightness;         /* its critical path as a share of its objective, 0 to 1 */
   uint64_t ended_wall_ms;   /* when it ended; 0: it has not */
   GPtrArray *occurrences;   /* of FbPoolOccurrence */
@@ -155,8 +155,8 @@
 gboolean fb_pool_step_done (const FbPoolStep *step);
 /* TRUE when the task may be placed: it is neither done, withheld, nor on a worker; for a step, when
  * one of its tasks may be. */
-gboolean fb_pool_task_waits (const FbPoolTask *task);
-gboolean fb_pool_step_waits (const FbPoolStep *step);
+gboolean fb_pool_task_is_pending (const FbPoolTask *task);
+gboolean fb_pool_step_is_pending (const FbPoolStep *step);
 /* Task INDEX may have become pending: puts its step back into the queue. */
 void fb_pool_task_requeue (FbPool *self, FbPoolStep *step, uint32_t index);
 /* Returns: PERCENT of the mean time of the ended runs of STEP, or FACTOR times the estimate while
@@ -178,6 +178,6 @@
 FbPoolSpeed *fb_pool_speed_new (void);
 void fb_pool_speed_unref (FbPoolSpeed *speed);
 /* TASK ran for TOOK_MS on the worker with SPEED. */
-void fb_pool_speed_record_run (FbPoolTask *task, FbPoolSpeed *speed, uint32_t took_ms);
+void fb_pool_speed_record_run (FbPoolTask *task, FbPoolSpeed *speed, uint32_t duration_ms);
 /* STEP has ended: updates the speeds of the workers of its runs. */
-void fb_pool_speed_learn (FbPoolStep *step);
+void fb_pool_speed_update (FbPoolStep *step);
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -38,7 +38,7 @@
   FbPoolLimits limits;
   const FbPoolSink *sink;
   gpointer user;
-  uint64_t began_ms;         /* when the pool was created */
+  uint64_t created_ms;       /* when the pool was created */
   uint64_t majority_ms;      /* when a majority of the workers had answered; 0: not yet */
   gboolean workers_complete; /* fb_pool_workers_complete() was called */
   gboolean recovered;        /* recovery is complete: this owner knows everything that can run */
@@ -46,7 +46,7 @@
   GPtrArray *unconfirmed_workers;
   gboolean fenced;   /* a worker has seen a higher epoch: the pool must not be used any more */
   gboolean flushing; /* a flush is open */
-  uint64_t flush_began_ms;   /* when the last flush began */
+  uint64_t flush_started_ms; /* when the last flush began */
   uint64_t last_order;       /* number of the last order; 0: none was sent yet */
   GHashTable *workers;       /* id -> FbPoolWorker */
   GPtrArray *worker_slots;   /* of FbPoolWorker by slot; NULL: the slot is free; borrowed */
@@ -57,13 +57,13 @@
   GHashTable *drain_steps;
   /* Of FbPoolWorker that can take more than in the last round; borrowed. */
   GPtrArray *gained_capacity;
-  GPtrArray *waiting;  /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
-  GPtrArray *unmerged; /* of FbPoolStep not merged into WAITING yet; borrowed */
+  GPtrArray *queue;    /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
+  GPtrArray *unmerged; /* of FbPoolStep not merged into QUEUE yet; borrowed */
   /* Bits of question_kind() in pool-advice.c: questions that no daemon could forward in this turn
    * of the round. */
   uint32_t refused_question_kinds;
   uint64_t round;              /* number of the current placement round */
-  guint resume_position;       /* in WAITING, where the open round continues; 0: none is open */
+  guint resume_position;       /* in QUEUE, where the open round continues; 0: none is open */
   guint round_gained_n;        /* entries of GAINED_CAPACITY when the open round began */
   uint32_t visits_n;           /* workers and runs visited in this turn of the round */
   GHashTable *jobs_to_release; /* set of FbPoolJob with occurrences or steps to release; borrowed */
@@ -123,7 +123,7 @@
 /* Sorts the queue and removes steps without pending tasks. */
 void fb_pool_queue_sort (FbPool *self, uint64_t now_ms);
 /* Removes the steps of JOB, which is about to be freed. */
-void fb_pool_queue_forget (FbPool *self, const FbPoolJob *job);
+void fb_pool_queue_remove_job (FbPool *self, const FbPoolJob *job);
 
 /* pool-orders.c */
 void fb_pool_order_start (FbPool *self, FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
@@ -131,7 +131,7 @@
 void fb_pool_order_stop (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
 void fb_pool_order_poll (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
 /* TRUE while WORKER, which may restart under its id, has not received an acknowledgement. */
-gboolean fb_pool_owes_acknowledgement (const FbPoolWorker *worker);
+gboolean fb_pool_has_pending_acknowledgement (const FbPoolWorker *worker);
 /* FALSE when polling WORKER right after its answer would return nothing new. */
 gboolean fb_pool_may_poll_again (const FbPoolWorker *worker);
 /* TRUE while ORDER has no answer. */
@@ -187,7 +187,7 @@
 void fb_pool_incarnation_set_latest (FbPool *self, FbPoolWorker *worker);
 /* Returns: the incarnation that runs in place of WORKER, which may be WORKER itself. */
 FbPoolWorker *fb_pool_incarnation_running (const FbPool *self, FbPoolWorker *worker);
-void fb_pool_incarnation_forget (FbPool *self, const FbPoolWorker *worker);
+void fb_pool_incarnation_remove (FbPool *self, const FbPoolWorker *worker);
 
 /* pool-restart.c */
 
@@ -243,10 +243,10 @@
   FB_TICKET_ALLOWED
 } FbPoolTicketRule;
 
-/* TRUE when the labels of WORKER, which do not change while it lives, allow a task of SHAPE. */
-gboolean fb_pool_has_labels_for (const FbPoolWorker *worker, const fb_work_step *shape);
+/* TRUE when the labels of WORKER, which do not change while it lives, allow a task of SPEC. */
+gboolean fb_pool_has_labels_for (const FbPoolWorker *worker, const fb_work_step *spec);
 /* TRUE when WORKER could run such a task if it were empty.  Its size may change. */
-gboolean fb_pool_worker_could_run (const FbPoolWorker *worker, const fb_work_step *shape);
+gboolean fb_pool_worker_could_run (const FbPoolWorker *worker, const fb_work_step *spec);
 /* Returns: the weighted sum of the free shares of CPU, memory and GPUs of WORKER; the higher, the
  * emptier. */
 double fb_pool_worker_free_share (const FbPoolWorker *worker);
@@ -265,11 +265,11 @@
 /* Returns: (nullable): the best worker for task INDEX.  RACK: only workers of this rack; NULL: of
  * any.  OTHER_THAN: a worker to leave out; NULL: none. */
 FbPoolWorker *fb_pool_best_worker (FbPool *self, const FbPoolStep *step, uint32_t index,
-                                   const char *rack, const FbPoolWorker *other_than,
+                                   const char *rack, const FbPoolWorker *excluded,
                                    FbPoolTicketRule rule, uint64_t now_ms);
-/* Finds workers for up to MOST pending tasks, each in addition to those before it.  Returns: for
+/* Finds workers for up to MAX_N pending tasks, each in addition to those before it.  Returns: for
  * how many tasks a worker was found. */
-guint fb_pool_choose_workers (FbPool *self, FbPoolStep *step, guint most, const char *rack,
+guint fb_pool_choose_workers (FbPool *self, FbPoolStep *step, guint max_n, const char *rack,
                               FbPoolTicketRule rule, FbPoolWorker **chosen, uint64_t now_ms);
 /* Finds workers for all members of a gang, in one rack if the step asks for that and it is
  * possible.  Returns: FALSE unless every member got one. */
@@ -277,25 +277,25 @@
                               FbPoolWorker **chosen, uint64_t now_ms);
 /* Calls fb_pool_choose_workers() or, for a gang, fb_pool_choose_gang().  Returns: for how many
  * tasks a worker was found; for a gang all or none. */
-guint fb_pool_choose_step (FbPool *self, FbPoolStep *step, guint most, FbPoolTicketRule rule,
+guint fb_pool_choose_step (FbPool *self, FbPoolStep *step, guint max_n, FbPoolTicketRule rule,
                            FbPoolWorker **chosen, uint64_t now_ms);
-guint fb_pool_step_waiting_n (const FbPoolStep *step);
+guint fb_pool_step_pending_n (const FbPoolStep *step);
 /* Reserves capacity for N tasks of STEP on the workers in CHOSEN. */
 void fb_pool_reserve (FbPool *self, FbPoolStep *step, FbPoolWorker **chosen, guint n,
                       uint64_t until_ms);
 /* Releases the capacity reserved for STEP.  Returns: (transfer full): ids of the workers on which
  * it was reserved, for fb_pool_reserve_again(). */
 GPtrArray *fb_pool_release_reservation (FbPool *self, FbPoolStep *step);
-/* Reserves again what was released, for at most MOST tasks, because some may have been placed
+/* Reserves again what was released, for at most MAX_N tasks, because some may have been placed
  * meanwhile. */
-void fb_pool_reserve_again (FbPool *self, FbPoolStep *step, GPtrArray *reserved_on, guint most,
+void fb_pool_reserve_again (FbPool *self, FbPoolStep *step, GPtrArray *reserved_on, guint max_n,
                             uint64_t until_ms);
 
 /* pool-preempt.c */
 
 /* Stops preemptible runs, reserves their capacity for STEP until UNTIL_MS and stores the workers in
- * CHOSEN.  Returns: for how many tasks, at most MOST; all or none for a gang. */
-guint fb_pool_preempt (FbPool *self, FbPoolStep *step, guint most, FbPoolWorker **chosen,
+ * CHOSEN.  Returns: for how many tasks, at most MAX_N; all or none for a gang. */
+guint fb_pool_preempt (FbPool *self, FbPoolStep *step, guint max_n, FbPoolWorker **chosen,
                        uint64_t until_ms, uint64_t now_ms);
 
 /* pool-advice.c */
@@ -351,9 +351,9 @@
 void fb_pool_long_running_ended (FbPoolStep *step, uint32_t index, const char *how,
                                  uint64_t now_ms);
 /* A round could not place all tasks of STEP.  REASON: a static text for the log. */
-void fb_pool_long_running_waits (const FbPool *self, FbPoolStep *step, const char *reason,
-                                 uint64_t now_ms);
-void fb_pool_long_running_wait_over (FbPoolStep *step);
+void fb_pool_long_running_set_wait_reason (const FbPool *self, FbPoolStep *step, const char *reason,
+                                           uint64_t now_ms);
+void fb_pool_long_running_clear_wait (FbPoolStep *step);
 /* SKIPPED: set of tasks to leave out; NULL: none.  Returns: the index of the pending task of STEP
  * that has been down for longest, or of one that never ran if there is no other; the number of
  * tasks when none is pending. */
--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -31,9 +31,9 @@
 struct _FbPoolRun
 {
   char *name;
-  FbPoolStep *step;   /* NULL: its job is not known */
-  uint64_t seen_ms;   /* when the worker first listed it; 0: this owner started it */
-  uint64_t listed_ms; /* when the worker last listed it; 0: never */
+  FbPoolStep *step;         /* NULL: its job is not known */
+  uint64_t first_listed_ms; /* when the worker first listed it; 0: this owner started it */
+  uint64_t listed_ms;       /* when the worker last listed it; 0: never */
   uint32_t index;
   uint32_t attempt;
   FbRunState state;
@@ -99,12 +99,12 @@
   uint64_t clock_ms;              /* worker's clock, as read no later than last_answer_ms */
   /* Highest deadline ever sent, on the worker's clock, including those of the previous owner. */
   uint64_t lease_ms;
-  uint64_t seen_end; /* highest number of an end that has been processed */
+  uint64_t processed_end; /* highest number of an end that has been processed */
   /* Lists an end of a job that is not known yet, or may have more ends than one answer holds. */
   gboolean has_unknown_end;
   uint64_t unknown_end;    /* number of the last such end; 0: none */
   uint64_t unknown_end_ms; /* when that end was first listed */
-  uint64_t flushing_end;   /* seen_end when the open flush began */
+  uint64_t flushing_end;   /* processed_end when the open flush began */
   uint64_t acknowledged;   /* highest number of an end whose effects are stored */
   /* Number acknowledged by the open poll if a later incarnation may receive it; 0: none. */
   uint64_t poll_acknowledges;
@@ -141,9 +141,9 @@
 /* Returns: a hash of ID that breaks ties between equal workers; the same at all owners. */
 uint64_t fb_pool_worker_id_hash (const char *id);
 void fb_pool_worker_free (gpointer worker);
-void fb_pool_worker_describe (FbPoolWorker *worker, const FbWorkerEntry *entry);
+void fb_pool_worker_set_entry (FbPoolWorker *worker, const FbWorkerEntry *entry);
 /* Returns: a lower bound of the worker's clock now. */
-uint64_t fb_pool_worker_clock_low (const FbPoolWorker *worker, uint64_t now_ms);
+uint64_t fb_pool_worker_clock_min (const FbPoolWorker *worker, uint64_t now_ms);
 /* TRUE when WORKER has never answered, or not for longer than a poll takes. */
 gboolean fb_pool_worker_silent (const FbPoolWorker *worker, uint64_t now_ms);
 /* TRUE when every lease that the worker can hold has certainly ended. */
@@ -153,14 +153,14 @@
                                    const char *name, uint32_t attempt);
 /* Removes RUN from WORKER and from its task, and frees it. */
 void fb_pool_worker_drop_run (FbPoolWorker *worker, FbPoolRun *run);
-/* TRUE when the free capacity of WORKER suffices for a task of SHAPE. */
-gboolean fb_pool_worker_fits (const FbPoolWorker *worker, const fb_work_step *shape);
+/* TRUE when the free capacity of WORKER suffices for a task of SPEC. */
+gboolean fb_pool_worker_fits (const FbPoolWorker *worker, const fb_work_step *spec);
 /* Throttles a worker whose runs keep failing; called after a failure and after a start. */
 void fb_pool_worker_throttle (FbPoolWorker *worker, uint64_t now_ms);
 /* Adds (SIGN 1) or subtracts (-1) the resources that RUN uses. */
 void fb_pool_worker_charge (FbPoolWorker *worker, FbPoolRun *run, int sign);
-/* Reserves (SIGN 1) or releases (-1) resources for a task of SHAPE. */
-void fb_pool_worker_reserve (FbPoolWorker *worker, const fb_work_step *shape, int sign);
+/* Reserves (SIGN 1) or releases (-1) resources for a task of SPEC. */
+void fb_pool_worker_reserve (FbPoolWorker *worker, const fb_work_step *spec, int sign);
 gboolean fb_pool_worker_has_label (const FbPoolWorker *worker, const char *label);
 
 /* pool-worker-slots.c */
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -70,7 +70,7 @@
 can_be_named (const FbPoolWorker *worker, const FbPoolStep *step)
 {
   return worker->listed && !worker->draining && !worker->runs_ended
-         && fb_pool_worker_could_run (worker, step->shape)
+         && fb_pool_worker_could_run (worker, step->spec)
          && fb_pool_worker_advice (step, worker) == NULL;
 }
 
@@ -81,7 +81,7 @@
 {
   if (!fb_pool_worker_can_start (worker, step, now_ms))
     return 0;
-  return step->shape->gang ? 1 + fb_pool_worker_free_share (worker) : 1;
+  return step->spec->gang ? 1 + fb_pool_worker_free_share (worker) : 1;
 }
 
 /* A restarting long-running task is unavailable to its users until it is placed, and a question
@@ -105,10 +105,10 @@
 static guint
 max_named_first (const FbPoolStep *step)
 {
-  if (step->shape->gang || step->shape->long_running)
+  if (step->spec->gang || step->spec->long_running)
     return MAX_NAMED;
-  guint most = MIN (step->shape->count, MAX_NAMED) * NAMED_PER_TASK;
-  return CLAMP (most, MIN_NAMED, MAX_NAMED);
+  guint max_n = MIN (step->spec->count, MAX_NAMED) * NAMED_PER_TASK;
+  return CLAMP (max_n, MIN_NAMED, MAX_NAMED);
 }
 
 static guint
@@ -117,7 +117,7 @@
   if (step->urgency != FB_URGENCY_RESTARTING)
     return max_named_first (step);
   guint unconfirmed = self->recovered ? 0 : self->unconfirmed_workers->len;
-  guint waiting = MAX (fb_pool_step_waiting_n (step), 1);
+  guint waiting = MAX (fb_pool_step_pending_n (step), 1);
   return MIN (MAX_NAMED, NAMED_PER_RESTARTING_TASK * waiting + unconfirmed);
 }
 
@@ -132,7 +132,7 @@
 static gboolean
 is_worth_naming (const FbPoolStep *step, double free_rank)
 {
-  return !step->has_advice || step->shape->gang || free_rank > 0;
+  return !step->has_advice || step->spec->gang || free_rank > 0;
 }
 
 /* Returns: (transfer container): ids of workers that were never named for STEP.  For the first
@@ -162,15 +162,15 @@
       if (is_worth_naming (step, candidate.free_rank))
         g_array_append_val (candidates, candidate);
     }
-  guint most = max_named (self, step);
-  if (candidates->len > most)
+  guint max_n = max_named (self, step);
+  if (candidates->len > max_n)
     g_array_sort (candidates, compare_candidates);
   /* Without free capacity preemption has to free it, which is quicker the more workers are
    * allowed. */
-  if (candidates->len > most && g_array_index (candidates, Candidate, most - 1).free_rank == 0)
-    most = MAX_NAMED;
+  if (candidates->len > max_n && g_array_index (candidates, Candidate, max_n - 1).free_rank == 0)
+    max_n = MAX_NAMED;
   GPtrArray *ids = g_ptr_array_new ();
-  for (guint i = 0; i < MIN (candidates->len, most); i++)
+  for (guint i = 0; i < MIN (candidates->len, max_n); i++)
     g_ptr_array_add (ids, g_array_index (candidates, Candidate, i).worker->id);
   return ids;
 }
@@ -193,7 +193,7 @@
 static guint
 max_preempted (const FbPoolStep *step)
 {
-  return step->shape->gang ? step->shape->count : MIN (fb_pool_step_waiting_n (step), MAX_RENEWED);
+  return step->spec->gang ? step->spec->count : MIN (fb_pool_step_pending_n (step), MAX_RENEWED);
 }
 
 /* For how many tasks of STEP one question renews tickets.
@@ -204,8 +204,8 @@
 static guint
 max_renewed (const FbPoolStep *step)
 {
-  return step->shape->long_running ? MIN (fb_pool_step_waiting_n (step), MAX_NAMED)
-                                   : max_preempted (step);
+  return step->spec->long_running ? MIN (fb_pool_step_pending_n (step), MAX_NAMED)
+                                  : max_preempted (step);
 }
 
 static guint
@@ -214,9 +214,9 @@
   if (now_ms < step->preemption_tried_ms + PREEMPTION_INTERVAL_MS)
     return 0;
   step->preemption_tried_ms = now_ms;
-  guint most = max_preempted (step);
-  uint64_t wait_ms = MAX (self->limits.max_stop_ms, question_ms (step, most));
-  return fb_pool_preempt (self, step, most, chosen,
+  guint max_n = max_preempted (step);
+  uint64_t wait_ms = MAX (self->limits.max_stop_ms, question_ms (step, max_n));
+  return fb_pool_preempt (self, step, max_n, chosen,
                           now_ms + wait_ms + MAX (STOP_SLACK_MS, reservation_slack_ms (step)),
                           now_ms);
 }
@@ -244,8 +244,8 @@
 add_unnamed (FbPool *self, const FbPoolStep *step, GPtrArray *ids, guint left, uint64_t now_ms)
 {
   g_autoptr (GPtrArray) unnamed = unnamed_workers (self, step, now_ms);
-  guint most = MIN (ids->len + NAMED_PER_TASK * left, MAX_NAMED);
-  for (guint i = 0; i < unnamed->len && ids->len < most; i++)
+  guint max_n = MIN (ids->len + NAMED_PER_TASK * left, MAX_NAMED);
+  for (guint i = 0; i < unnamed->len && ids->len < max_n; i++)
     g_ptr_array_add (ids, unnamed->pdata[i]);
 }
 
@@ -254,14 +254,14 @@
 static GPtrArray *
 workers_to_renew (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
-  guint most = max_renewed (step);
-  g_autofree FbPoolWorker **chosen = g_new0 (FbPoolWorker *, most + 1);
-  guint n = fb_pool_choose_step (self, step, most, FB_TICKET_ALLOWED, chosen, now_ms);
+  guint max_n = max_renewed (step);
+  g_autofree FbPoolWorker **chosen = g_new0 (FbPoolWorker *, max_n + 1);
+  guint n = fb_pool_choose_step (self, step, max_n, FB_TICKET_ALLOWED, chosen, now_ms);
   GPtrArray *ids = ids_of (chosen, n);
   if (n == 0)
     return ids;
-  if (step->shape->long_running && n < most)
-    add_unnamed (self, step, ids, most - n, now_ms);
+  if (step->spec->long_running && n < max_n)
+    add_unnamed (self, step, ids, max_n - n, now_ms);
   fb_pool_reserve (self, step, chosen, n,
                    now_ms + question_ms (step, ids->len) + reservation_slack_ms (step));
   return ids;
@@ -335,7 +335,7 @@
 static void
 preempt_unadvised (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
-  g_autofree FbPoolWorker **chosen = g_new0 (FbPoolWorker *, step->shape->count);
+  g_autofree FbPoolWorker **chosen = g_new0 (FbPoolWorker *, step->spec->count);
   (void) preempt_for (self, step, chosen, now_ms);
 }
 
@@ -447,18 +447,18 @@
 is_about_to_be_released (const FbPoolOccurrence *occurrence, const FbPoolStep *step,
                          uint64_t now_ms)
 {
-  if (step->released || step->shape->after.after_len == 0)
+  if (step->released || step->spec->after.after_len == 0)
     return FALSE;
-  for (u_int i = 0; i < step->shape->after.after_len; i++)
+  for (u_int i = 0; i < step->spec->after.after_len; i++)
     {
-      const FbPoolStep *before = &occurrence->steps[step->shape->after.after_val[i]];
-      for (uint32_t j = 0; j < before->shape->count; j++)
+      const FbPoolStep *before = &occurrence->steps[step->spec->after.after_val[i]];
+      for (uint32_t j = 0; j < before->spec->count; j++)
         {
           const FbPoolTask *task = &before->tasks[j];
           if (task->done)
             continue;
           if (task->run == NULL
-              || now_ms + ASK_AHEAD_MS < task->run->started_ms + before->shape->estimate_ms)
+              || now_ms + ASK_AHEAD_MS < task->run->started_ms + before->spec->estimate_ms)
             return FALSE;
         }
     }
--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -18,9 +18,9 @@
 /* Keeps best-effort tasks off the workers of serving steps, which have a latency target, and the
  * other way round. */
 static gboolean
-conflicts_with_serving (const FbPoolWorker *worker, const fb_work_step *shape)
+conflicts_with_serving (const FbPoolWorker *worker, const fb_work_step *spec)
 {
-  if (!shape->best_effort && shape->tail_latency_target_ms == 0)
+  if (!spec->best_effort && spec->tail_latency_target_ms == 0)
     return FALSE;
   GHashTableIter iter;
   gpointer value;
@@ -30,8 +30,8 @@
       const FbPoolRun *run = value;
       if (run->step == NULL)
         continue;
-      const fb_work_step *other = run->step->shape;
-      if (shape->best_effort ? other->tail_latency_target_ms > 0 : other->best_effort)
+      const fb_work_step *other = run->step->spec;
+      if (spec->best_effort ? other->tail_latency_target_ms > 0 : other->best_effort)
         return TRUE;
     }
   return FALSE;
@@ -50,23 +50,23 @@
 }
 
 gboolean
-fb_pool_has_labels_for (const FbPoolWorker *worker, const fb_work_step *shape)
+fb_pool_has_labels_for (const FbPoolWorker *worker, const fb_work_step *spec)
 {
-  return *shape->required_label == '\0' || fb_pool_worker_has_label (worker, shape->required_label);
+  return *spec->required_label == '\0' || fb_pool_worker_has_label (worker, spec->required_label);
 }
 
 gboolean
-fb_pool_worker_could_run (const FbPoolWorker *worker, const fb_work_step *shape)
+fb_pool_worker_could_run (const FbPoolWorker *worker, const fb_work_step *spec)
 {
-  return shape->cpu_milli <= worker->cpu_milli && shape->mem_mb <= worker->mem_mb
-         && shape->gpu_count <= worker->gpu_count && fb_pool_has_labels_for (worker, shape);
+  return spec->cpu_milli <= worker->cpu_milli && spec->mem_mb <= worker->mem_mb
+         && spec->gpu_count <= worker->gpu_count && fb_pool_has_labels_for (worker, spec);
 }
 
 gboolean
 fb_pool_worker_accepts_starts (const FbPoolWorker *worker, uint64_t now_ms)
 {
   return worker->listed && !worker->draining && !worker->runs_ended && !worker->superseded
-         && !fb_pool_owes_acknowledgement (worker) && !fb_pool_worker_silent (worker, now_ms)
+         && !fb_pool_has_pending_acknowledgement (worker) && !fb_pool_worker_silent (worker, now_ms)
          && now_ms >= worker->paused_until_ms && now_ms >= worker->throttled_until_ms;
 }
 
@@ -82,11 +82,11 @@
 gboolean
 fb_pool_worker_can_start (const FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms)
 {
-  const fb_work_step *shape = step->shape;
-  if (!fb_pool_worker_accepts_starts (worker, now_ms) || !fb_pool_worker_could_run (worker, shape)
-      || !fb_pool_worker_fits (worker, shape) || conflicts_with_serving (worker, shape))
+  const fb_work_step *spec = step->spec;
+  if (!fb_pool_worker_accepts_starts (worker, now_ms) || !fb_pool_worker_could_run (worker, spec)
+      || !fb_pool_worker_fits (worker, spec) || conflicts_with_serving (worker, spec))
     return FALSE;
-  return shape->max_per_worker == 0 || runs_of_step (worker, step) < shape->max_per_worker;
+  return spec->max_per_worker == 0 || runs_of_step (worker, step) < spec->max_per_worker;
 }
 
 /* The part of can_start_now() that does not depend on the load of the worker. */
@@ -143,10 +143,10 @@
 static double
 load_independent_cost (const FbPoolWorker *worker, const FbPoolStep *step)
 {
-  const fb_work_step *shape = step->shape;
+  const fb_work_step *spec = step->spec;
   double tightness = step->job->tightness;
   double cost = SLOWNESS_WEIGHT * tightness * tightness * (worker->speed->slowness - 1);
-  if (*shape->preferred_rack != '\0' && !fb_pool_worker_has_label (worker, shape->preferred_rack))
+  if (*spec->preferred_rack != '\0' && !fb_pool_worker_has_label (worker, spec->preferred_rack))
     cost += 10;
   if (worker->failure_streak > 0)
     cost += 2.0 * worker->failure_streak;
@@ -159,12 +159,12 @@
 cost_of (const FbPoolWorker *worker, const FbPoolStep *step)
 {
   double fit = fb_pool_worker_free_share (worker);
-  return (step->shape->long_running ? -fit : fit) + load_independent_cost (worker, step);
+  return (step->spec->long_running ? -fit : fit) + load_independent_cost (worker, step);
 }
 
 FbPoolWorker *
 fb_pool_best_worker (FbPool *self, const FbPoolStep *step, uint32_t index, const char *rack,
-                     const FbPoolWorker *other_than, FbPoolTicketRule rule, uint64_t now_ms)
+                     const FbPoolWorker *excluded, FbPoolTicketRule rule, uint64_t now_ms)
 {
   const FbPoolTask *task = &step->tasks[index];
   gboolean suspect = fb_pool_task_is_suspect (task);
@@ -175,7 +175,7 @@
   self->visits_n += self->worker_slots->len;
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      if (worker == other_than || (rack != NULL && g_strcmp0 (rack, worker->rack) != 0)
+      if (worker == excluded || (rack != NULL && g_strcmp0 (rack, worker->rack) != 0)
           || worker->isolated_runs_n > 0 || !can_start_now (worker, step, rule, now_ms)
           || !fb_pool_crash_may_use (worker, task, now_ms)
           || (suspect && !fb_pool_crash_may_share (worker, task))
@@ -198,17 +198,17 @@
 /* ---- several at once ----------------------------------------------------------- */
 
 guint
-fb_pool_choose_workers (FbPool *self, FbPoolStep *step, guint most, const char *rack,
+fb_pool_choose_workers (FbPool *self, FbPoolStep *step, guint max_n, const char *rack,
                         FbPoolTicketRule rule, FbPoolWorker **chosen, uint64_t now_ms)
 {
   /* Where runs per worker are limited, each choice is represented by a temporary run, so that the
    * next one counts it; otherwise it suffices to reserve the capacity. */
-  gboolean counted = step->shape->max_per_worker > 0;
-  g_autofree FbPoolRun **runs = g_new0 (FbPoolRun *, most);
+  gboolean counted = step->spec->max_per_worker > 0;
+  g_autofree FbPoolRun **runs = g_new0 (FbPoolRun *, max_n);
   guint n = 0;
-  for (uint32_t i = 0; i < step->shape->count && n < most; i++)
+  for (uint32_t i = 0; i < step->spec->count && n < max_n; i++)
     {
-      if (!fb_pool_task_waits (&step->tasks[i]))
+      if (!fb_pool_task_is_pending (&step->tasks[i]))
         continue;
       chosen[n] = fb_pool_best_worker (self, step, i, rack, NULL, rule, now_ms);
       if (chosen[n] == NULL)
@@ -217,7 +217,7 @@
       if (counted)
         runs[n] = fb_pool_worker_add_run (chosen[n], step, i, name, 0);
       else
-        fb_pool_worker_reserve (chosen[n], step->shape, 1);
+        fb_pool_worker_reserve (chosen[n], step->spec, 1);
       n++;
     }
   for (guint i = 0; i < n; i++)
@@ -225,7 +225,7 @@
       if (counted)
         fb_pool_worker_drop_run (chosen[i], runs[i]);
       else
-        fb_pool_worker_reserve (chosen[i], step->shape, -1);
+        fb_pool_worker_reserve (chosen[i], step->spec, -1);
     }
   return n;
 }
@@ -241,7 +241,7 @@
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       const char *rack = worker->rack;
-      guint count = step->shape->count;
+      guint count = step->spec->count;
       if (rack != NULL && g_hash_table_add (tried_racks, (gpointer) rack)
           && fb_pool_choose_workers (self, step, count, rack, rule, chosen, now_ms) == count)
         return TRUE;
@@ -253,19 +253,19 @@
 fb_pool_choose_gang (FbPool *self, FbPoolStep *step, FbPoolTicketRule rule, FbPoolWorker **chosen,
                      uint64_t now_ms)
 {
-  guint count = step->shape->count;
-  if (step->shape->rack_local && choose_one_rack (self, step, rule, chosen, now_ms))
+  guint count = step->spec->count;
+  if (step->spec->rack_local && choose_one_rack (self, step, rule, chosen, now_ms))
     return TRUE;
   return fb_pool_choose_workers (self, step, count, NULL, rule, chosen, now_ms) == count;
 }
 
 guint
-fb_pool_choose_step (FbPool *self, FbPoolStep *step, guint most, FbPoolTicketRule rule,
+fb_pool_choose_step (FbPool *self, FbPoolStep *step, guint max_n, FbPoolTicketRule rule,
                      FbPoolWorker **chosen, uint64_t now_ms)
 {
-  if (!step->shape->gang)
-    return fb_pool_choose_workers (self, step, most, NULL, rule, chosen, now_ms);
-  return fb_pool_choose_gang (self, step, rule, chosen, now_ms) ? step->shape->count : 0;
+  if (!step->spec->gang)
+    return fb_pool_choose_workers (self, step, max_n, NULL, rule, chosen, now_ms);
+  return fb_pool_choose_gang (self, step, rule, chosen, now_ms) ? step->spec->count : 0;
 }
 
 /* ---- reserved capacity -------------------------------------------------------------- */
@@ -277,7 +277,7 @@
   step->reserved_until_ms = until_ms;
   for (guint i = 0; i < n; i++)
     {
-      fb_pool_worker_reserve (chosen[i], step->shape, 1);
+      fb_pool_worker_reserve (chosen[i], step->spec, 1);
       g_ptr_array_add (step->reserved_on, g_strdup (chosen[i]->id));
     }
 }
@@ -291,7 +291,7 @@
       FbPoolWorker *worker = g_hash_table_lookup (self->workers, reserved_on->pdata[i]);
       if (worker == NULL)
         continue;
-      fb_pool_worker_reserve (worker, step->shape, -1);
+      fb_pool_worker_reserve (worker, step->spec, -1);
       fb_pool_worker_gained_capacity (self, worker);
     }
   step->reserved_on = g_ptr_array_new_with_free_func (g_free);
@@ -300,16 +300,16 @@
 }
 
 void
-fb_pool_reserve_again (FbPool *self, FbPoolStep *step, GPtrArray *reserved_on, guint most,
+fb_pool_reserve_again (FbPool *self, FbPoolStep *step, GPtrArray *reserved_on, guint max_n,
                        uint64_t until_ms)
 {
   step->reserved_until_ms = until_ms;
-  for (guint i = 0; i < MIN (reserved_on->len, most); i++)
+  for (guint i = 0; i < MIN (reserved_on->len, max_n); i++)
     {
       FbPoolWorker *worker = g_hash_table_lookup (self->workers, reserved_on->pdata[i]);
       if (worker == NULL)
         continue;
-      fb_pool_worker_reserve (worker, step->shape, 1);
+      fb_pool_worker_reserve (worker, step->spec, 1);
       g_ptr_array_add (step->reserved_on, g_strdup (worker->id));
     }
 }
--- a/src/work/pool-copy.c
+++ b/src/work/pool-copy.c
@@ -21,7 +21,7 @@
 wants_copy (const FbPoolWorker *worker, const FbPoolRun *run, uint64_t now_ms)
 {
   const FbPoolStep *step = run->step;
-  if (step == NULL || !step->shape->speculative || step->shape->gang || step->shape->long_running)
+  if (step == NULL || !step->spec->speculative || step->spec->gang || step->spec->long_running)
     return FALSE;
   const FbPoolTask *task = &step->tasks[run->index];
   /* A copy could crash a second worker before it is known that the first one has crashed. */
--- a/src/work/pool-crash-record.c
+++ b/src/work/pool-crash-record.c
@@ -155,7 +155,7 @@
 static void
 add_suspects (GArray *suspects, const FbPoolStep *step)
 {
-  for (uint32_t i = 0; i < step->shape->count && suspects->len < FB_WORK_MAX_TASK_ROWS; i++)
+  for (uint32_t i = 0; i < step->spec->count && suspects->len < FB_WORK_MAX_TASK_ROWS; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
       if (!task->done && (task->crashes != NULL || task->unresolved != NULL))
@@ -285,7 +285,7 @@
     {
       const fb_work_suspect *suspect = &record->tasks.tasks_val[i];
       FbPoolStep *step = fb_pool_job_step (job, suspect->occurrence, suspect->step);
-      if (step != NULL && suspect->index < step->shape->count)
+      if (step != NULL && suspect->index < step->spec->count)
         restore_suspect (self, step, suspect, now_ms);
     }
 }
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -149,7 +149,7 @@
       for (guint j = 0; j < job->record.spec.steps.steps_len; j++)
         {
           FbPoolStep *step = &occurrence->steps[j];
-          for (uint32_t k = 0; k < step->shape->count; k++)
+          for (uint32_t k = 0; k < step->spec->count; k++)
             {
               if (!step->tasks[k].withheld)
                 continue;
@@ -240,7 +240,7 @@
   fb_pool_crash_cause_add (self, crash.worker);
   if (fb_pool_job_ended (step->job))
     return;
-  fb_pool_probe_note_crash (step, crash.worker, now_ms);
+  fb_pool_probe_record_crash (step, crash.worker, now_ms);
   step->job->suspects_version++;
   fb_pool_unstored_suspects_add (self, step->job);
   fb_pool_task_update_withheld (self, step, index);
@@ -279,7 +279,7 @@
 static gboolean
 is_proven_harmless (const FbPoolWorker *worker, const FbPoolRun *run)
 {
-  return run->step != NULL && run->step->shape->long_running
+  return run->step != NULL && run->step->spec->long_running
          && ran_ms (worker, run) >= LONG_RUNNING_PROVEN_MS;
 }
 
@@ -369,7 +369,7 @@
 }
 
 static void
-note_silence (FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run, gboolean silent)
+record_silence (FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run, gboolean silent)
 {
   FbPoolTask *task = &run->step->tasks[run->index];
   if (silent)
@@ -386,7 +386,7 @@
  * runs on a worker that becomes silent are recorded at once. An owner that does not hear from most
  * workers is itself disconnected and records nothing. */
 void
-fb_pool_crash_note_silence (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_crash_record_silence (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
   gboolean silent = worker->answered && fb_pool_worker_silent (worker, now_ms);
   if (silent == worker->silence_recorded || worker->draining)
@@ -402,7 +402,7 @@
       const FbPoolRun *run = value;
       /* A start transferred from an earlier incarnation is recorded for that one. */
       if (run->step != NULL && run_may_have_begun (run) && run->transferred_ms == 0)
-        note_silence (self, worker, run, silent);
+        record_silence (self, worker, run, silent);
     }
 }
 
@@ -470,7 +470,7 @@
 static void
 end_job_at_limit (FbPool *self, FbPoolStep *step, uint64_t now_ms, uint64_t wall_ms)
 {
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
       if (fb_pool_task_crashes_n (task) < crash_limit (self, task, TRUE))
@@ -496,7 +496,7 @@
 }
 
 void
-fb_pool_crash_forget (FbPool *self, FbPoolJob *job)
+fb_pool_crash_remove_job (FbPool *self, FbPoolJob *job)
 {
   for (guint i = 0; i < job->occurrences->len; i++)
     {
--- a/src/work/pool-incarnations.c
+++ b/src/work/pool-incarnations.c
@@ -68,7 +68,7 @@
 }
 
 void
-fb_pool_incarnation_forget (FbPool *self, const FbPoolWorker *worker)
+fb_pool_incarnation_remove (FbPool *self, const FbPoolWorker *worker)
 {
   if (latest_at (self, worker->address) == worker)
     g_hash_table_remove (self->latest, worker->address);
--- a/src/work/pool-job.c
+++ b/src/work/pool-job.c
@@ -51,7 +51,7 @@
   uint64_t objective_ms = work_ms * policy->stretch_factor_milli / 1000 + policy->target_ms;
   job->tightness = objective_ms > 0 ? MIN ((double) work_ms / (double) objective_ms, 1) : 0;
   job->objective_ms = job->admitted_ms + objective_ms;
-  job->worthless_ms = job->admitted_ms + 3 * objective_ms;
+  job->no_value_ms = job->admitted_ms + 3 * objective_ms;
 }
 
 FbPoolJob *
@@ -72,7 +72,7 @@
 static void
 step_clear (FbPoolStep *step)
 {
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       g_free (step->tasks[i].checkpoint);
       fb_pool_speed_unref (step->tasks[i].worker_speed);
@@ -116,11 +116,11 @@
 gboolean
 fb_pool_step_done (const FbPoolStep *step)
 {
-  return step->done_n == step->shape->count;
+  return step->done_n == step->spec->count;
 }
 
 gboolean
-fb_pool_task_waits (const FbPoolTask *task)
+fb_pool_task_is_pending (const FbPoolTask *task)
 {
   return !task->done && task->run == NULL && !task->withheld;
 }
@@ -128,30 +128,30 @@
 void
 fb_pool_task_requeue (FbPool *self, FbPoolStep *step, uint32_t index)
 {
-  step->waiting_from = MIN (step->waiting_from, index);
+  step->pending_from = MIN (step->pending_from, index);
   fb_pool_queue_add (self, step);
   self->round_due = TRUE;
 }
 
 gboolean
-fb_pool_step_waits (const FbPoolStep *step)
+fb_pool_step_is_pending (const FbPoolStep *step)
 {
   if (!step->released || fb_pool_job_ended (step->job) || fb_pool_step_done (step))
     return FALSE;
-  for (uint32_t i = step->waiting_from; i < step->shape->count; i++)
+  for (uint32_t i = step->pending_from; i < step->spec->count; i++)
     {
-      if (fb_pool_task_waits (&step->tasks[i]))
+      if (fb_pool_task_is_pending (&step->tasks[i]))
         return TRUE;
     }
   return FALSE;
 }
 
 guint
-fb_pool_step_waiting_n (const FbPoolStep *step)
+fb_pool_step_pending_n (const FbPoolStep *step)
 {
   guint n = 0;
-  for (uint32_t i = step->waiting_from; i < step->shape->count; i++)
-    n += fb_pool_task_waits (&step->tasks[i]);
+  for (uint32_t i = step->pending_from; i < step->spec->count; i++)
+    n += fb_pool_task_is_pending (&step->tasks[i]);
   return n;
 }
 
@@ -160,7 +160,7 @@
 {
   if (step->timed_runs_n >= MIN_ENDED_RUNS)
     return step->timed_total_ms / step->timed_runs_n * percent / 100;
-  return (uint64_t) step->shape->estimate_ms * factor;
+  return (uint64_t) step->spec->estimate_ms * factor;
 }
 
 static FbPoolOccurrence *
@@ -176,8 +176,8 @@
       step->job = job;
       step->occurrence = number;
       step->index = i;
-      step->shape = &job->record.spec.steps.steps_val[i];
-      step->tasks = g_new0 (FbPoolTask, step->shape->count);
+      step->spec = &job->record.spec.steps.steps_val[i];
+      step->tasks = g_new0 (FbPoolTask, step->spec->count);
       step->reserved_on = g_ptr_array_new_with_free_func (g_free);
     }
   g_ptr_array_add (job->occurrences, occurrence);
@@ -225,8 +225,8 @@
     {
       FbPoolStep *step = &occurrence->steps[i];
       gboolean ready = TRUE;
-      for (u_int j = 0; j < step->shape->after.after_len; j++)
-        ready = ready && fb_pool_step_done (&occurrence->steps[step->shape->after.after_val[j]]);
+      for (u_int j = 0; j < step->spec->after.after_len; j++)
+        ready = ready && fb_pool_step_done (&occurrence->steps[step->spec->after.after_val[j]]);
       if (ready && !step->released)
         fb_pool_queue_add (self, step);
       step->released = ready;
@@ -263,7 +263,7 @@
 static void
 add_task_progress (GArray *task_progress, const FbPoolStep *step)
 {
-  for (uint32_t i = 0; i < step->shape->count && task_progress->len < FB_WORK_MAX_TASK_ROWS; i++)
+  for (uint32_t i = 0; i < step->spec->count && task_progress->len < FB_WORK_MAX_TASK_ROWS; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
       if (!has_progress (task))
@@ -307,7 +307,7 @@
 restore_task_progress (FbPoolJob *job, const fb_work_task_progress *row)
 {
   FbPoolStep *step = fb_pool_job_step (job, row->occurrence, row->step);
-  if (step == NULL || row->index >= step->shape->count)
+  if (step == NULL || row->index >= step->spec->count)
     return;
   FbPoolTask *task = &step->tasks[row->index];
   task->attempt = MAX (task->attempt, row->attempt);
@@ -431,5 +431,5 @@
   FbPoolJob *job = g_hash_table_lookup (self->jobs, id);
   FbPoolStep *step = job != NULL ? fb_pool_job_step (job, numbers[0], numbers[1]) : NULL;
   *index = numbers[2];
-  return step != NULL && numbers[2] < step->shape->count ? step : NULL;
+  return step != NULL && numbers[2] < step->spec->count ? step : NULL;
 }
--- a/src/work/pool-long-running.c
+++ b/src/work/pool-long-running.c
@@ -31,7 +31,7 @@
 {
   if (step->long_running == NULL)
     step->long_running
-        = g_malloc0 (sizeof (FbPoolLongRunning) + step->shape->count * sizeof (Interruption));
+        = g_malloc0 (sizeof (FbPoolLongRunning) + step->spec->count * sizeof (Interruption));
   return step->long_running;
 }
 
@@ -45,11 +45,11 @@
 void
 fb_pool_long_running_ended (FbPoolStep *step, uint32_t index, const char *how, uint64_t now_ms)
 {
-  if (!step->shape->long_running)
+  if (!step->spec->long_running)
     return;
   FbPoolLongRunning *long_running = ensure_state (step);
   long_running->tasks[index] = (Interruption){ .ended_ms = now_ms, .how = how };
-  if (fb_pool_step_waiting_n (step) <= 1)
+  if (fb_pool_step_pending_n (step) <= 1)
     clear_wait (long_running);
 }
 
@@ -66,16 +66,16 @@
   fb_event_log (
       FB_EVENT_LASTING_WAITS,
       "step=%s tasks=%u of=%u waited_ms=%u waits_for=%s for_ms=%u epoch=%" G_GUINT64_FORMAT, name,
-      fb_pool_step_waiting_n (step), step->shape->count,
+      fb_pool_step_pending_n (step), step->spec->count,
       (guint) (now_ms - long_running->waiting_since_ms), long_running->reason,
       (guint) (now_ms - long_running->reason_since_ms), self->epoch);
 }
 
 void
-fb_pool_long_running_waits (const FbPool *self, FbPoolStep *step, const char *reason,
-                            uint64_t now_ms)
+fb_pool_long_running_set_wait_reason (const FbPool *self, FbPoolStep *step, const char *reason,
+                                      uint64_t now_ms)
 {
-  if (!step->shape->long_running)
+  if (!step->spec->long_running)
     return;
   FbPoolLongRunning *long_running = ensure_state (step);
   if (long_running->reason == NULL)
@@ -87,7 +87,7 @@
 }
 
 void
-fb_pool_long_running_wait_over (FbPoolStep *step)
+fb_pool_long_running_clear_wait (FbPoolStep *step)
 {
   if (step->long_running != NULL)
     clear_wait (step->long_running);
@@ -101,24 +101,24 @@
   if (step->long_running != NULL && step->long_running->tasks[index].ended_ms != 0)
     return step->long_running->tasks[index];
   const FbPoolJob *job = step->job;
-  if (job->restored && !job->never_started && job->admitted_ms < self->began_ms)
-    return (Interruption){ .ended_ms = self->began_ms, .how = "not known" };
+  if (job->restored && !job->never_started && job->admitted_ms < self->created_ms)
+    return (Interruption){ .ended_ms = self->created_ms, .how = "not known" };
   return (Interruption){ 0 };
 }
 
 uint32_t
 fb_pool_long_running_next (const FbPool *self, const FbPoolStep *step, GHashTable *skipped)
 {
-  uint32_t next = step->shape->count;
+  uint32_t next = step->spec->count;
   uint64_t next_ended_ms = 0;
-  for (uint32_t i = step->waiting_from; i < step->shape->count; i++)
+  for (uint32_t i = step->pending_from; i < step->spec->count; i++)
     {
-      if (!fb_pool_task_waits (&step->tasks[i])
+      if (!fb_pool_task_is_pending (&step->tasks[i])
           || (skipped != NULL && g_hash_table_contains (skipped, &step->tasks[i])))
         continue;
       const Interruption interruption = interruption_of (self, step, i);
       uint64_t ended_ms = interruption.ended_ms != 0 ? interruption.ended_ms : G_MAXUINT64;
-      if (next == step->shape->count || ended_ms < next_ended_ms)
+      if (next == step->spec->count || ended_ms < next_ended_ms)
         {
           next = i;
           next_ended_ms = ended_ms;
@@ -149,7 +149,7 @@
 fb_pool_long_running_started (const FbPool *self, FbPoolStep *step, const FbPoolRun *run,
                               uint64_t now_ms)
 {
-  if (!step->shape->long_running)
+  if (!step->spec->long_running)
     return;
   const Interruption interruption = interruption_of (self, step, run->index);
   if (interruption.ended_ms == 0)
--- a/src/work/pool-loss.c
+++ b/src/work/pool-loss.c
@@ -28,7 +28,7 @@
       FbPoolStep *step = run->step;
       if (next != NULL && fb_pool_restart_transfer (self, worker, run, next, now_ms))
         {
-          if (step->shape->gang)
+          if (step->spec->gang)
             fb_pool_stop_gang (self, step, now_ms);
           continue;
         }
@@ -38,7 +38,7 @@
                     run->attempt, worker->id, why, run->seen_clock_ms > 0,
                     (guint) (now_ms - run->started_ms), runs_n - 1);
       fb_pool_run_ended (self, worker, run, why, now_ms);
-      if (step != NULL && step->shape->gang)
+      if (step != NULL && step->spec->gang)
         fb_pool_stop_gang (self, step, now_ms);
     }
 }
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -132,7 +132,7 @@
   FbPoolTask *task = &step->tasks[index];
   FbPoolRun *run = fb_pool_worker_add_run (worker, step, index, name, attempt);
   run->state = FB_RUN_STARTING;
-  run->deadline_ms = fb_pool_worker_clock_low (worker, now_ms) + FB_POOL_START_WINDOW_MS;
+  run->deadline_ms = fb_pool_worker_clock_min (worker, now_ms) + FB_POOL_START_WINDOW_MS;
   run->started_ms = now_ms;
   run->from_start = task->checkpoint == NULL;
   run->order = add_order (self, worker, run);
@@ -208,7 +208,7 @@
 }
 
 gboolean
-fb_pool_owes_acknowledgement (const FbPoolWorker *worker)
+fb_pool_has_pending_acknowledgement (const FbPoolWorker *worker)
 {
   return worker->may_restart && worker->acknowledged > worker->confirmed_acknowledged;
 }
@@ -245,13 +245,13 @@
   if (worker->poll_failed)
     return FALSE;
   return !worker->may_restart
-         || (fb_pool_owes_acknowledgement (worker) && !has_unlisted_run (worker));
+         || (fb_pool_has_pending_acknowledgement (worker) && !has_unlisted_run (worker));
 }
 
 gboolean
 fb_pool_may_poll_again (const FbPoolWorker *worker)
 {
-  return !fb_pool_owes_acknowledgement (worker) || !has_unlisted_run (worker);
+  return !fb_pool_has_pending_acknowledgement (worker) || !has_unlisted_run (worker);
 }
 
 void
@@ -271,11 +271,11 @@
    * never end and its tasks would never start again. So a silent worker is polled without a lease,
    * and the last lease runs out. */
   if (worker->answered && !fb_pool_worker_silent (worker, now_ms))
-    order.deadline_ms = fb_pool_worker_clock_low (worker, now_ms) + lease_ms;
+    order.deadline_ms = fb_pool_worker_clock_min (worker, now_ms) + lease_ms;
   /* While a worker has ends that may not be acknowledged yet, it answers a poll at once, again and
    * again, so the poll asks for no wait. */
-  if (worker->answered && worker->acknowledged == worker->seen_end && !worker->has_unknown_end
-      && !fb_pool_owes_acknowledgement (worker))
+  if (worker->answered && worker->acknowledged == worker->processed_end && !worker->has_unknown_end
+      && !fb_pool_has_pending_acknowledgement (worker))
     order.wait_ms = FB_POOL_POLL_WAIT_MS;
   worker->lease_ms = MAX (worker->lease_ms, order.deadline_ms);
   worker->poll_open = TRUE;
@@ -313,7 +313,7 @@
     fb_pool_worker_advice_expire_ticket (step, worker);
   if (result != FB_ORDER_SUPERSEDED && result != FB_ORDER_BAD_TICKET)
     worker->paused_until_ms = now_ms + REFUSAL_PAUSE_MS;
-  gboolean gang = step->shape->gang;
+  gboolean gang = step->spec->gang;
   fb_pool_crash_task_absent (self, worker, step, run->index);
   fb_pool_run_ended (self, worker, run, "refused", now_ms);
   if (gang)
@@ -369,7 +369,7 @@
         fb_pool_unanswered_start_add (self, worker->id, worker->address, run->name, run->attempt,
                                       run->started_ms, now_ms);
       /* The other members would wait for this one until their own timeout. */
-      if (run->step->shape->gang)
+      if (run->step->spec->gang)
         fb_pool_stop_gang (self, run->step, now_ms);
     }
 }
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -10,7 +10,7 @@
 place_probe (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
   uint32_t index = fb_pool_probe_next (step);
-  if (index == step->shape->count)
+  if (index == step->spec->count)
     return;
   FbPoolWorker *worker
       = fb_pool_best_worker (self, step, index, NULL, NULL, FB_TICKET_VALID, now_ms);
@@ -25,13 +25,13 @@
 static uint32_t
 next_to_place (const FbPool *self, FbPoolStep *step, uint32_t from, GHashTable *deferred)
 {
-  while (step->waiting_from < step->shape->count
-         && !fb_pool_task_waits (&step->tasks[step->waiting_from]))
-    step->waiting_from++;
+  while (step->pending_from < step->spec->count
+         && !fb_pool_task_is_pending (&step->tasks[step->pending_from]))
+    step->pending_from++;
   if (step->urgency == FB_URGENCY_RESTARTING)
     return fb_pool_long_running_next (self, step, deferred);
-  uint32_t i = MAX (from, step->waiting_from);
-  while (i < step->shape->count && !fb_pool_task_waits (&step->tasks[i]))
+  uint32_t i = MAX (from, step->pending_from);
+  while (i < step->spec->count && !fb_pool_task_is_pending (&step->tasks[i]))
     i++;
   return i;
 }
@@ -55,7 +55,7 @@
   if (fb_pool_probe_is_on (step))
     return FALSE;
   g_autoptr (GHashTable) deferred = NULL;
-  for (uint32_t i = next_to_place (self, step, 0, deferred); i < step->shape->count;
+  for (uint32_t i = next_to_place (self, step, 0, deferred); i < step->spec->count;
        i = next_to_place (self, step, i + 1, deferred))
     {
       FbPoolTask *task = &step->tasks[i];
@@ -80,7 +80,7 @@
 static gboolean
 gang_is_idle (const FbPoolStep *step)
 {
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       if (step->tasks[i].run != NULL)
         return FALSE;
@@ -92,7 +92,7 @@
 gang_checkpoint (const FbPoolStep *step)
 {
   const char *newest = NULL;
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       if (step->tasks[i].checkpoint != NULL)
         newest = step->tasks[i].checkpoint;
@@ -106,16 +106,16 @@
   if (!gang_is_idle (step))
     return FALSE;
   step->gang_broken = FALSE;
-  g_autofree FbPoolWorker **chosen = g_new0 (FbPoolWorker *, step->shape->count);
+  g_autofree FbPoolWorker **chosen = g_new0 (FbPoolWorker *, step->spec->count);
   if (!fb_pool_choose_gang (self, step, FB_TICKET_VALID, chosen, now_ms))
     return FALSE;
   uint32_t attempt = step->gang_attempt + 1;
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     attempt = MAX (attempt, fb_pool_next_attempt (self, step, i));
   step->gang_attempt = attempt;
   /* All members start from the same checkpoint. */
   g_autofree char *checkpoint = g_strdup (gang_checkpoint (step));
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       fb_pool_task_set_checkpoint (step, i, checkpoint);
       fb_pool_order_start (self, chosen[i], step, i, attempt, now_ms);
@@ -160,23 +160,23 @@
   if (unconfirmed || (advised && !step->has_advice))
     {
       gboolean can_ask = fb_pool_ask_first_advice (self, step, now_ms);
-      fb_pool_long_running_waits (self, step,
-                                  unconfirmed ? "take-over" : wait_reason (step, can_ask), now_ms);
+      fb_pool_long_running_set_wait_reason (
+          self, step, unconfirmed ? "take-over" : wait_reason (step, can_ask), now_ms);
       return can_ask;
     }
   uint64_t reserved_until_ms = step->reserved_until_ms;
   g_autoptr (GPtrArray) reserved_on = fb_pool_release_reservation (self, step);
-  gboolean placed = step->shape->gang ? place_gang (self, step, now_ms)
-                                      : place_tasks (self, step, reserved_on, now_ms);
+  gboolean placed = step->spec->gang ? place_gang (self, step, now_ms)
+                                     : place_tasks (self, step, reserved_on, now_ms);
   if (placed)
     {
-      fb_pool_long_running_wait_over (step);
+      fb_pool_long_running_clear_wait (step);
       return TRUE;
     }
   if (now_ms < reserved_until_ms)
     {
-      fb_pool_long_running_waits (self, step, wait_reason (step, TRUE), now_ms);
-      fb_pool_reserve_again (self, step, reserved_on, fb_pool_step_waiting_n (step),
+      fb_pool_long_running_set_wait_reason (self, step, wait_reason (step, TRUE), now_ms);
+      fb_pool_reserve_again (self, step, reserved_on, fb_pool_step_pending_n (step),
                              reserved_until_ms);
       return TRUE;
     }
@@ -185,7 +185,7 @@
   if (can_ask)
     step->last_failed_round = self->round;
   step->retry_at_ms = now_ms + MAX (RETRY_MS, position * RETRY_PER_POSITION_MS);
-  fb_pool_long_running_waits (self, step, wait_reason (step, can_ask), now_ms);
+  fb_pool_long_running_set_wait_reason (self, step, wait_reason (step, can_ask), now_ms);
   return can_ask;
 }
 
@@ -202,7 +202,7 @@
 static gboolean
 try_position (FbPool *self, guint position, uint64_t now_ms)
 {
-  FbPoolStep *step = self->waiting->pdata[position];
+  FbPoolStep *step = self->queue->pdata[position];
   if (step->advice_until_ms != 0 && now_ms < step->reserved_until_ms)
     return TRUE; /* its capacity stays reserved until the advice arrives */
   if (fb_pool_step_may_fit (self, step, now_ms))
@@ -218,7 +218,7 @@
 retry_passed_steps (FbPool *self, uint64_t now_ms)
 {
   gboolean can_ask = TRUE;
-  for (guint position = 0; position < self->resume_position && position < self->waiting->len
+  for (guint position = 0; position < self->resume_position && position < self->queue->len
                            && !self->fenced && self->visits_n <= VISITS_PER_TURN / 2;
        position++)
     can_ask &= try_position (self, position, now_ms);
@@ -247,11 +247,11 @@
       self->round_gained_n = self->gained_capacity->len;
     }
   gboolean can_ask = retry_passed_steps (self, now_ms);
-  for (; self->resume_position < self->waiting->len && !self->fenced
+  for (; self->resume_position < self->queue->len && !self->fenced
          && self->visits_n <= VISITS_PER_TURN;
        self->resume_position++)
     can_ask &= try_position (self, self->resume_position, now_ms);
-  if (self->resume_position < self->waiting->len && !self->fenced)
+  if (self->resume_position < self->queue->len && !self->fenced)
     {
       self->round_due = TRUE;
       return;
--- a/src/work/pool-preempt.c
+++ b/src/work/pool-preempt.c
@@ -18,7 +18,7 @@
 static int64_t
 slack_ms (const FbPoolStep *step, uint64_t now_ms)
 {
-  return (int64_t) step->job->objective_ms - (int64_t) now_ms - (int64_t) step->shape->estimate_ms;
+  return (int64_t) step->job->objective_ms - (int64_t) now_ms - (int64_t) step->spec->estimate_ms;
 }
 
 /* TRUE when RUN may be preempted for the step TO.
@@ -32,8 +32,8 @@
 {
   if (run->step == NULL || run->state != FB_RUN_RUNNING || run->abandoned)
     return FALSE;
-  const fb_work_step *shape = run->step->shape;
-  if (!shape->checkpointing || shape->gang || shape->long_running
+  const fb_work_step *spec = run->step->spec;
+  if (!spec->checkpointing || spec->gang || spec->long_running
       || run->step->tasks[run->index].was_preempted)
     return FALSE;
   return run->step->job->record.policy.priority > to->job->record.policy.priority
@@ -111,11 +111,11 @@
 }
 
 guint
-fb_pool_preempt (FbPool *self, FbPoolStep *step, guint most, FbPoolWorker **chosen,
+fb_pool_preempt (FbPool *self, FbPoolStep *step, guint max_n, FbPoolWorker **chosen,
                  uint64_t until_ms, uint64_t now_ms)
 {
   charge_preemptible (self, step, -1, now_ms);
-  guint n = fb_pool_choose_step (self, step, most, FB_TICKET_ALLOWED, chosen, now_ms);
+  guint n = fb_pool_choose_step (self, step, max_n, FB_TICKET_ALLOWED, chosen, now_ms);
   charge_preemptible (self, step, 1, now_ms);
   if (n == 0)
     return 0;
--- a/src/work/pool-probe.c
+++ b/src/work/pool-probe.c
@@ -19,11 +19,11 @@
 #define PROBE_MS 1000
 
 void
-fb_pool_probe_note_crash (FbPoolStep *step, uint64_t worker, uint64_t now_ms)
+fb_pool_probe_record_crash (FbPoolStep *step, uint64_t worker, uint64_t now_ms)
 {
-  if (step->shape->long_running || step->shape->gang || worker == step->crashed_last)
+  if (step->spec->long_running || step->spec->gang || worker == step->last_crashed_worker)
     return;
-  step->crashed_last = worker;
+  step->last_crashed_worker = worker;
   step->crashed_n++;
   step->crashed_ms = now_ms;
 }
@@ -50,7 +50,7 @@
 {
   const FbPoolRun *open = NULL;
   *passed = FALSE;
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       const FbPoolRun *run = step->tasks[i].run;
       if (run == NULL)
@@ -71,12 +71,12 @@
   if (passed)
     fb_pool_probe_passed (step);
   if (!passed && open != NULL)
-    return step->shape->count;
-  uint32_t next = step->shape->count;
-  for (uint32_t i = 0; i < step->shape->count; i++)
+    return step->spec->count;
+  uint32_t next = step->spec->count;
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
-      if (fb_pool_task_waits (&step->tasks[i])
-          && (next == step->shape->count
+      if (fb_pool_task_is_pending (&step->tasks[i])
+          && (next == step->spec->count
               || fb_pool_task_crashes_n (&step->tasks[i])
                      > fb_pool_task_crashes_n (&step->tasks[next])))
         next = i;
--- a/src/work/pool-queue.c
+++ b/src/work/pool-queue.c
@@ -36,10 +36,10 @@
 is_restarting (const FbPoolStep *step)
 {
   gboolean may_have_run = step->job->restored && !step->job->never_started;
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
-      if (fb_pool_task_waits (task) && (may_have_run || task->attempt > 0))
+      if (fb_pool_task_is_pending (task) && (may_have_run || task->attempt > 0))
         return TRUE;
     }
   return FALSE;
@@ -53,10 +53,10 @@
 urgency_of (const FbPoolStep *step, uint64_t now_ms)
 {
   const FbPoolJob *job = step->job;
-  if (step->shape->long_running)
+  if (step->spec->long_running)
     return is_restarting (step) ? FB_URGENCY_RESTARTING : FB_URGENCY_NORMAL;
-  if (job->record.spec.occurrences == 0 && now_ms > job->worthless_ms)
-    return FB_URGENCY_WORTHLESS;
+  if (job->record.spec.occurrences == 0 && now_ms > job->no_value_ms)
+    return FB_URGENCY_NO_VALUE;
   return FB_URGENCY_NORMAL;
 }
 
@@ -75,17 +75,17 @@
 remove_changed (FbPool *self, uint64_t now_ms)
 {
   guint n = 0;
-  for (guint i = 0; i < self->waiting->len; i++)
+  for (guint i = 0; i < self->queue->len; i++)
     {
-      FbPoolStep *step = self->waiting->pdata[i];
-      if (!fb_pool_step_waits (step))
+      FbPoolStep *step = self->queue->pdata[i];
+      if (!fb_pool_step_is_pending (step))
         step->queued = FALSE;
       else if (step->urgency != urgency_of (step, now_ms))
         g_ptr_array_add (self->unmerged, step);
       else
-        self->waiting->pdata[n++] = step;
+        self->queue->pdata[n++] = step;
     }
-  g_ptr_array_set_size (self->waiting, (gint) n);
+  g_ptr_array_set_size (self->queue, (gint) n);
 }
 
 /* Sorts FbPool.unmerged and removes steps without pending tasks from it. */
@@ -97,7 +97,7 @@
     {
       FbPoolStep *step = self->unmerged->pdata[i];
       step->urgency = urgency_of (step, now_ms);
-      step->queued = fb_pool_step_waits (step);
+      step->queued = fb_pool_step_is_pending (step);
       if (step->queued)
         self->unmerged->pdata[n++] = step;
     }
@@ -108,10 +108,10 @@
 static void
 merge_unmerged (FbPool *self)
 {
-  guint kept = self->waiting->len;
+  guint kept = self->queue->len;
   guint added = self->unmerged->len;
-  g_ptr_array_set_size (self->waiting, (gint) (kept + added));
-  gpointer *all = self->waiting->pdata;
+  g_ptr_array_set_size (self->queue, (gint) (kept + added));
+  gpointer *all = self->queue->pdata;
   gpointer *unmerged = self->unmerged->pdata;
   while (added > 0)
     {
@@ -146,8 +146,8 @@
 }
 
 void
-fb_pool_queue_forget (FbPool *self, const FbPoolJob *job)
+fb_pool_queue_remove_job (FbPool *self, const FbPoolJob *job)
 {
-  remove_steps_of (self->waiting, job);
+  remove_steps_of (self->queue, job);
   remove_steps_of (self->unmerged, job);
 }
--- a/src/work/pool-record.c
+++ b/src/work/pool-record.c
@@ -24,7 +24,7 @@
   guint slot = 0;
   FbPoolWorker *worker = NULL;
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
-    worker->flushing_end = worker->seen_end;
+    worker->flushing_end = worker->processed_end;
 }
 
 static GBytes *
@@ -124,8 +124,8 @@
         continue;
       add_record (records, job->id, NULL);
       g_hash_table_iter_remove (&iter);
-      fb_pool_queue_forget (self, job);
-      fb_pool_unstored_suspects_forget (self, job);
+      fb_pool_queue_remove_job (self, job);
+      fb_pool_unstored_suspects_remove (self, job);
       g_hash_table_remove (self->jobs, job->id);
     }
 }
@@ -145,7 +145,7 @@
     }
   mark_flushing_ends (self);
   self->flushing = TRUE;
-  self->flush_began_ms = now_ms;
+  self->flush_started_ms = now_ms;
   if (records->len > 0)
     return records;
   /* Ends that changed nothing can be acknowledged without a write. */
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -19,7 +19,7 @@
 running_n (const FbPoolStep *step)
 {
   guint n = 0;
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     n += step->tasks[i].run != NULL;
   return n;
 }
@@ -39,8 +39,8 @@
           for (guint j = 0; j < job->record.spec.steps.steps_len; j++)
             {
               FbPoolStep *step = &occurrence->steps[j];
-              guint runs = step->shape->gang ? running_n (step) : 0;
-              if (runs > 0 && runs < step->shape->count && !fb_pool_step_done (step))
+              guint runs = step->spec->gang ? running_n (step) : 0;
+              if (runs > 0 && runs < step->spec->count && !fb_pool_step_done (step))
                 fb_pool_stop_gang (self, step, now_ms);
             }
         }
@@ -89,7 +89,7 @@
                 "service=%s epoch=%" G_GUINT64_FORMAT " workers=%u jobs=%u active=%u took_ms=%u",
                 self->service, self->epoch, g_hash_table_size (self->workers),
                 g_hash_table_size (self->jobs), g_hash_table_size (self->active),
-                (guint) (now_ms - self->began_ms));
+                (guint) (now_ms - self->created_ms));
 }
 
 gboolean
@@ -116,7 +116,7 @@
   if (!worker->listed)
     return TRUE;
   /* Its capacity proves nothing: it may have shrunk since a run began that fitted then. */
-  if (!fb_pool_has_labels_for (worker, step->shape))
+  if (!fb_pool_has_labels_for (worker, step->spec))
     return FALSE;
   if (!step->job->record.policy.advised || !step->job->advised_when_stored)
     return TRUE;
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -134,7 +134,7 @@
   g_hash_table_remove (self->jobs_to_release, job);
   g_hash_table_remove (self->jobs_with_dependencies, job);
   g_hash_table_add (self->ended, job);
-  fb_pool_crash_forget (self, job);
+  fb_pool_crash_remove_job (self, job);
   release_reservations (self, job);
   fb_event_log (FB_EVENT_JOB_OVER, "job=%s queue=%s state=%d age_ms=%" G_GUINT64_FORMAT, job->id,
                 job->record.policy.queue, job->state, now_ms - job->admitted_ms);
@@ -151,13 +151,13 @@
 mark_task_done (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms)
 {
   FbPoolTask *task = &step->tasks[index];
-  if (task->done || step->shape->long_running)
+  if (task->done || step->spec->long_running)
     return;
   task->done = TRUE;
   step->done_n++;
   if (task->run != NULL && task->run->state != FB_RUN_STOPPING)
     task->run->abandoned = TRUE;
-  if (step->shape->speculative)
+  if (step->spec->speculative)
     stop_runs (self, is_of_task, task, now_ms);
 }
 
@@ -166,8 +166,8 @@
                uint64_t now_ms, uint64_t wall_ms)
 {
   /* A gang fails as a whole; the failures are counted at its first task. */
-  FbPoolTask *task = &step->tasks[step->shape->gang ? 0 : index];
-  if (step->shape->long_running || task->done || !fb_pool_task_count_failed (task, end->attempt))
+  FbPoolTask *task = &step->tasks[step->spec->gang ? 0 : index];
+  if (step->spec->long_running || task->done || !fb_pool_task_count_failed (task, end->attempt))
     return;
   fb_pool_job_changed (self, step->job);
   if (fb_pool_task_failed_n (task) >= step->job->record.policy.max_attempts)
@@ -196,12 +196,12 @@
 record_run_time (FbPoolWorker *worker, const FbPoolRun *run, uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
-  uint32_t took_ms = (uint32_t) (now_ms - run->started_ms);
+  uint32_t duration_ms = (uint32_t) (now_ms - run->started_ms);
   step->timed_runs_n++;
-  step->timed_total_ms += took_ms;
+  step->timed_total_ms += duration_ms;
   /* Members of a gang end together, so their times say nothing about single workers. */
-  if (run->from_start && !step->shape->gang)
-    fb_pool_speed_record_run (&step->tasks[run->index], worker->speed, took_ms);
+  if (run->from_start && !step->spec->gang)
+    fb_pool_speed_record_run (&step->tasks[run->index], worker->speed, duration_ms);
 }
 
 static void
@@ -224,22 +224,22 @@
     fb_pool_long_running_ended (step, index, end_names[end->how], now_ms);
   if (fb_pool_job_ended (step->job))
     return;
-  if (end->how == FB_END_DONE && step->shape->gang)
+  if (end->how == FB_END_DONE && step->spec->gang)
     {
-      for (uint32_t i = 0; i < step->shape->count; i++)
+      for (uint32_t i = 0; i < step->spec->count; i++)
         mark_task_done (self, step, i, now_ms);
     }
   else if (end->how == FB_END_DONE)
     mark_task_done (self, step, index, now_ms);
   else if (end->how == FB_END_FAILED)
     count_failure (self, step, index, end, now_ms, wall_ms);
-  if (step->shape->gang && end->how != FB_END_DONE && end->attempt == step->gang_attempt
+  if (step->spec->gang && end->how != FB_END_DONE && end->attempt == step->gang_attempt
       && !fb_pool_step_done (step) && !fb_pool_job_ended (step->job))
     fb_pool_stop_gang (self, step, now_ms);
   if (end->how == FB_END_DONE)
     {
       if (fb_pool_step_done (step))
-        fb_pool_speed_learn (step);
+        fb_pool_speed_update (step);
       fb_pool_job_changed (self, step->job);
       if (fb_pool_job_release (self, step->job, wall_ms))
         fb_pool_job_end (self, step->job, FB_WORK_COMPLETED, now_ms, wall_ms);
@@ -281,7 +281,7 @@
   FbPoolTask *task = &step->tasks[run->index];
   gboolean wanted = !task->done && !fb_pool_job_ended (step->job);
   if (wanted && task->run != NULL && task->run != run)
-    wanted = step->shape->speculative ? task->copy == NULL : task->run->attempt <= run->attempt;
+    wanted = step->spec->speculative ? task->copy == NULL : task->run->attempt <= run->attempt;
   fb_event_log (FB_EVENT_RUN_ADOPTED, "task=%s attempt=%u worker=%s wanted=%d", run->name,
                 run->attempt, worker->id, wanted);
   if (!wanted)
@@ -289,7 +289,7 @@
       stop_run (self, worker, run, now_ms);
       return;
     }
-  if (task->run == NULL || step->shape->speculative)
+  if (task->run == NULL || step->spec->speculative)
     fb_pool_task_attach_run (task, run);
   task->attempt = MAX (task->attempt, run->attempt);
   step->gang_attempt = MAX (step->gang_attempt, run->attempt);
@@ -307,7 +307,7 @@
   FbPoolRun *run = fb_pool_worker_add_run (worker, step, index, seen->task, seen->attempt);
   run->state = FB_RUN_RUNNING;
   run->started_ms = now_ms;
-  run->seen_ms = now_ms;
+  run->first_listed_ms = now_ms;
   fb_pool_restart_found (self, worker, run, now_ms);
   if (step != NULL)
     assign_run (self, worker, run, now_ms);
@@ -362,7 +362,8 @@
     {
       FbPoolRun *run = value;
       if (run->step == NULL && run->state != FB_RUN_STOPPING
-          && (self->jobs_read_ms > run->seen_ms || fb_pool_find_job (self, run->name) != NULL))
+          && (self->jobs_read_ms > run->first_listed_ms
+              || fb_pool_find_job (self, run->name) != NULL))
         stop_run (self, worker, run, now_ms);
     }
 }
@@ -426,7 +427,7 @@
         fb_pool_crash_task_absent (self, worker, step, run->index);
       fb_pool_restart_count_crash (self, run, now_ms);
       fb_pool_run_ended (self, worker, run, "absent", now_ms);
-      if (step != NULL && step->shape->gang && !fb_pool_step_done (step)
+      if (step != NULL && step->spec->gang && !fb_pool_step_done (step)
           && !fb_pool_job_ended (step->job))
         fb_pool_stop_gang (self, step, now_ms);
     }
@@ -516,12 +517,12 @@
   for (guint i = 0; i < answer->finished->len; i++)
     {
       const FbReportedEnd *end = &g_array_index (answer->finished, FbReportedEnd, i);
-      if (end->number <= worker->seen_end)
+      if (end->number <= worker->processed_end)
         continue;
       worker->has_unknown_end = is_of_unknown_job (self, worker, end, now_ms);
       if (worker->has_unknown_end)
         break;
-      worker->seen_end = end->number;
+      worker->processed_end = end->number;
       process_end (self, worker, end, now_ms, wall_ms);
     }
   if (answer->finished->len >= self->limits.max_reported_ends)
@@ -533,7 +534,7 @@
   mark_workers_dirty_if_emptied (self, worker, runs_before);
   if (worker->has_unknown_end)
     worker->next_poll_ms = now_ms + UNKNOWN_END_POLL_INTERVAL_MS;
-  else if (worker->acknowledged == worker->seen_end && fb_pool_may_poll_again (worker))
+  else if (worker->acknowledged == worker->processed_end && fb_pool_may_poll_again (worker))
     fb_pool_order_poll (self, worker, now_ms);
 }
 
--- a/src/work/pool-speed.c
+++ b/src/work/pool-speed.c
@@ -41,11 +41,11 @@
 }
 
 void
-fb_pool_speed_record_run (FbPoolTask *task, FbPoolSpeed *speed, uint32_t took_ms)
+fb_pool_speed_record_run (FbPoolTask *task, FbPoolSpeed *speed, uint32_t duration_ms)
 {
   fb_pool_speed_unref (task->worker_speed);
   task->worker_speed = speed_ref (speed);
-  task->took_ms = took_ms;
+  task->duration_ms = duration_ms;
 }
 
 /* Returns: the run time on a worker of slowness 1, estimated from the recorded runs of STEP; 0 when
@@ -53,19 +53,19 @@
 static double
 baseline_ms (const FbPoolStep *step)
 {
-  double took_ms = 0;
+  double duration_ms = 0;
   double slowness = 0;
   guint n = 0;
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
       if (task->worker_speed == NULL)
         continue;
-      took_ms += task->took_ms;
+      duration_ms += task->duration_ms;
       slowness += task->worker_speed->slowness;
       n++;
     }
-  return n > 1 ? took_ms / slowness : 0;
+  return n > 1 ? duration_ms / slowness : 0;
 }
 
 /* Updates the slowness of a worker from all its runs of one step together: one by one, those taken
@@ -83,18 +83,18 @@
 }
 
 void
-fb_pool_speed_learn (FbPoolStep *step)
+fb_pool_speed_update (FbPoolStep *step)
 {
   double baseline = baseline_ms (step);
-  for (uint32_t i = 0; baseline > 0 && i < step->shape->count; i++)
+  for (uint32_t i = 0; baseline > 0 && i < step->spec->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
       if (task->worker_speed == NULL)
         continue;
-      task->worker_speed->step_ratio += CLAMP (task->took_ms / baseline, RATIO_MIN, RATIO_MAX);
+      task->worker_speed->step_ratio += CLAMP (task->duration_ms / baseline, RATIO_MIN, RATIO_MAX);
       task->worker_speed->step_runs++;
     }
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       FbPoolTask *task = &step->tasks[i];
       if (task->worker_speed != NULL)
--- a/src/work/pool-stuck.c
+++ b/src/work/pool-stuck.c
@@ -30,8 +30,8 @@
 is_stuck (const FbPoolRun *run, uint64_t now_ms)
 {
   const FbPoolStep *step = run->step;
-  if (step == NULL || run->state != FB_RUN_RUNNING || step->shape->long_running
-      || step->shape->estimate_ms == 0)
+  if (step == NULL || run->state != FB_RUN_RUNNING || step->spec->long_running
+      || step->spec->estimate_ms == 0)
     return FALSE;
   uint32_t stuck_restarts = step->tasks[run->index].stuck_restarts;
   return stuck_restarts < MAX_STUCK_RESTARTS
@@ -43,11 +43,11 @@
 {
   fb_event_log (FB_EVENT_TASK_STUCK, "task=%s attempt=%u worker=%s ran_ms=%u estimate_ms=%u",
                 run->name, run->attempt, worker->id, (guint) (now_ms - run->started_ms),
-                run->step->shape->estimate_ms);
+                run->step->spec->estimate_ms);
   run->step->tasks[run->index].stuck_restarts++;
   worker->failure_streak++;
   fb_pool_worker_throttle (worker, now_ms);
-  if (run->step->shape->gang)
+  if (run->step->spec->gang)
     fb_pool_stop_gang (self, run->step, now_ms);
   else
     fb_pool_order_stop (self, worker, run, now_ms);
--- a/src/work/pool-unstored-suspects.c
+++ b/src/work/pool-unstored-suspects.c
@@ -28,7 +28,7 @@
 }
 
 void
-fb_pool_unstored_suspects_forget (FbPool *self, const FbPoolJob *job)
+fb_pool_unstored_suspects_remove (FbPool *self, const FbPoolJob *job)
 {
   g_hash_table_remove (self->unstored, job);
 }
@@ -68,7 +68,7 @@
 {
   if (g_hash_table_size (self->unstored) == 0)
     return NULL;
-  gboolean is_late = self->flushing && now_ms > self->flush_began_ms + SLOW_WRITE_MS;
+  gboolean is_late = self->flushing && now_ms > self->flush_started_ms + SLOW_WRITE_MS;
   GPtrArray *all = g_ptr_array_new_with_free_func (unstored_suspects_free);
   GHashTableIter iter;
   gpointer value;
--- a/src/work/pool-worker-slots.c
+++ b/src/work/pool-worker-slots.c
@@ -37,7 +37,7 @@
 fb_pool_worker_slots_remove (FbPool *self, FbPoolWorker *worker)
 {
   self->worker_slots->pdata[worker->slot] = NULL;
-  fb_pool_incarnation_forget (self, worker);
+  fb_pool_incarnation_remove (self, worker);
   remove_gained_capacity (self, worker);
   g_hash_table_remove (self->workers, worker->id);
 }
--- a/src/work/pool-worker.c
+++ b/src/work/pool-worker.c
@@ -70,7 +70,7 @@
 }
 
 void
-fb_pool_worker_describe (FbPoolWorker *worker, const FbWorkerEntry *entry)
+fb_pool_worker_set_entry (FbPoolWorker *worker, const FbWorkerEntry *entry)
 {
   g_free (worker->address);
   g_free (worker->rack);
@@ -88,7 +88,7 @@
 }
 
 uint64_t
-fb_pool_worker_clock_low (const FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_worker_clock_min (const FbPoolWorker *worker, uint64_t now_ms)
 {
   uint64_t passed_ms = now_ms > worker->last_answer_ms ? now_ms - worker->last_answer_ms : 0;
   return worker->clock_ms + passed_ms * (1000 - CLOCK_SLOW_PERMILLE) / 1000;
@@ -131,7 +131,7 @@
   if (!worker->answered)
     return unanswered_lease_expired (self, worker, now_ms);
   return fb_pool_worker_silent (worker, now_ms)
-         && fb_pool_worker_clock_low (worker, now_ms) > worker->lease_ms + LEASE_EXPIRY_SLACK_MS;
+         && fb_pool_worker_clock_min (worker, now_ms) > worker->lease_ms + LEASE_EXPIRY_SLACK_MS;
 }
 
 void
@@ -142,11 +142,11 @@
       worker->unknown_runs_n += (uint32_t) sign;
       return;
     }
-  const fb_work_step *shape = run->step->shape;
-  if (!shape->best_effort)
-    worker->cpu_used += sign * (int64_t) shape->cpu_milli;
-  worker->mem_used += sign * (int64_t) shape->mem_mb;
-  worker->gpu_used += sign * (int64_t) shape->gpu_count;
+  const fb_work_step *spec = run->step->spec;
+  if (!spec->best_effort)
+    worker->cpu_used += sign * (int64_t) spec->cpu_milli;
+  worker->mem_used += sign * (int64_t) spec->mem_mb;
+  worker->gpu_used += sign * (int64_t) spec->gpu_count;
   fb_pool_crash_charge (worker, run, sign);
 }
 
@@ -174,23 +174,23 @@
 }
 
 gboolean
-fb_pool_worker_fits (const FbPoolWorker *worker, const fb_work_step *shape)
+fb_pool_worker_fits (const FbPoolWorker *worker, const fb_work_step *spec)
 {
-  int64_t cpu_milli = shape->best_effort ? 0 : shape->cpu_milli;
+  int64_t cpu_milli = spec->best_effort ? 0 : spec->cpu_milli;
   return worker->unknown_runs_n == 0
          && worker->cpu_used + worker->cpu_reserved + cpu_milli <= worker->cpu_milli
-         && worker->mem_used + worker->mem_reserved + shape->mem_mb <= worker->mem_mb
-         && worker->gpu_used + worker->gpu_reserved + shape->gpu_count <= worker->gpu_count;
+         && worker->mem_used + worker->mem_reserved + spec->mem_mb <= worker->mem_mb
+         && worker->gpu_used + worker->gpu_reserved + spec->gpu_count <= worker->gpu_count;
 }
 
 void
-fb_pool_worker_reserve (FbPoolWorker *worker, const fb_work_step *shape, int sign)
+fb_pool_worker_reserve (FbPoolWorker *worker, const fb_work_step *spec, int sign)
 {
   worker->reserved_n += (guint) sign;
-  if (!shape->best_effort)
-    worker->cpu_reserved += sign * (int64_t) shape->cpu_milli;
-  worker->mem_reserved += sign * (int64_t) shape->mem_mb;
-  worker->gpu_reserved += sign * (int64_t) shape->gpu_count;
+  if (!spec->best_effort)
+    worker->cpu_reserved += sign * (int64_t) spec->cpu_milli;
+  worker->mem_reserved += sign * (int64_t) spec->mem_mb;
+  worker->gpu_reserved += sign * (int64_t) spec->gpu_count;
 }
 
 /* A worker that fails its runs looks free and would therefore get more of them. So it gets one run
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -22,12 +22,12 @@
   fb_pool_report_set_limits (&self->limits);
   self->sink = sink;
   self->user = user;
-  self->began_ms = now_ms;
+  self->created_ms = now_ms;
   self->workers = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, fb_pool_worker_free);
   self->worker_slots = g_ptr_array_new ();
   self->latest = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   self->gained_capacity = g_ptr_array_new ();
-  self->waiting = g_ptr_array_new ();
+  self->queue = g_ptr_array_new ();
   self->unmerged = g_ptr_array_new ();
   self->jobs_to_release = g_hash_table_new (NULL, NULL);
   self->jobs_with_dependencies = g_hash_table_new (NULL, NULL);
@@ -57,7 +57,7 @@
   g_ptr_array_unref (self->worker_slots);
   g_hash_table_unref (self->latest);
   g_ptr_array_unref (self->gained_capacity);
-  g_ptr_array_unref (self->waiting);
+  g_ptr_array_unref (self->queue);
   g_ptr_array_unref (self->unmerged);
   g_hash_table_unref (self->drain_steps);
   g_hash_table_unref (self->jobs_to_release);
@@ -81,9 +81,9 @@
 static gboolean
 should_move (const FbPoolRun *run)
 {
-  if (run->step == NULL || run->state != FB_RUN_RUNNING || run->step->shape->gang)
+  if (run->step == NULL || run->state != FB_RUN_RUNNING || run->step->spec->gang)
     return FALSE;
-  return run->step->shape->long_running || run->step->shape->checkpointing;
+  return run->step->spec->long_running || run->step->spec->checkpointing;
 }
 
 /* Moves long-running and checkpointing tasks off a draining worker before it exits, as soon as they
@@ -124,8 +124,8 @@
   gboolean was_draining = worker->draining;
   gboolean address_changed = g_strcmp0 (worker->address, entry->address) != 0;
   if (address_changed)
-    fb_pool_incarnation_forget (self, worker);
-  fb_pool_worker_describe (worker, entry);
+    fb_pool_incarnation_remove (self, worker);
+  fb_pool_worker_set_entry (worker, entry);
   fb_pool_worker_gained_capacity (self, worker);
   if (is_new || was_draining != worker->draining)
     fb_event_log (FB_EVENT_POOL_WORKER_LISTED, "worker=%s address=%s cpu=%u gpu=%u draining=%d",
@@ -169,7 +169,7 @@
           worker = fb_pool_worker_new (known->id);
           worker->address = g_strdup (known->address);
           fb_pool_worker_slots_add (self, worker);
-          fb_pool_incarnation_known (self, worker, self->began_ms);
+          fb_pool_incarnation_known (self, worker, self->created_ms);
         }
       if (worker != NULL)
         fb_pool_drain_apply (self, worker);
@@ -184,7 +184,7 @@
 }
 
 static void
-forget_worker (FbPool *self, FbPoolWorker *worker)
+remove_worker (FbPool *self, FbPoolWorker *worker)
 {
   fb_pool_worker_slots_remove (self, worker);
   self->workers_dirty = TRUE;
@@ -210,7 +210,7 @@
   if (worker->draining)
     move_runs_off_draining (self, worker, now_ms);
   fb_pool_stop_orphans (self, worker, now_ms);
-  fb_pool_crash_note_silence (self, worker, now_ms);
+  fb_pool_crash_record_silence (self, worker, now_ms);
   fb_pool_crash_clear_long_running (self, worker);
   gboolean accepts_work = fb_pool_worker_accepts_starts (worker, now_ms);
   if (accepts_work && !worker->accepted_work)
@@ -229,7 +229,7 @@
  * The reservation is returned to a worker that never had it, which then gets more than it can hold.
  * Guard: a worker with reserved capacity is not forgotten. */
 static gboolean
-can_be_forgotten (const FbPool *self, const FbPoolWorker *worker)
+can_be_removed (const FbPool *self, const FbPoolWorker *worker)
 {
   if (worker->listed || worker->reserved_n > 0)
     return FALSE;
@@ -246,8 +246,8 @@
   self->majority_answers = fb_pool_holds_majority (self, MAJORITY_ANSWER_MS, now_ms);
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      if (can_be_forgotten (self, worker))
-        forget_worker (self, worker);
+      if (can_be_removed (self, worker))
+        remove_worker (self, worker);
       else
         maintain_worker (self, worker, now_ms);
     }
--- a/tests/test-rounds.c
+++ b/tests/test-rounds.c
@@ -198,7 +198,7 @@
       now_ms += STEP_MS;
     }
   printf ("\nlongest turn with %u waiting steps and %u workers with freed capacity: %u visits\n",
-          play.pool->waiting->len, WORKER_N, most);
+          play.pool->queue->len, WORKER_N, most);
   CU_ASSERT_TRUE (most > WORKER_N);
   CU_ASSERT_TRUE (most <= MAX_TURN_VISITS);
   busy_pool_clear (&play);
--- a/tools/pool-mutants.sh
+++ b/tools/pool-mutants.sh
@@ -15,7 +15,7 @@
 defects() { grep -E "^${ONLY:-[^|]*}\|" <<< "$(all_defects)"; }
 all_defects() { cat <<'TABLE'
 room-not-counted|pool-worker.c|worker->cpu_used + worker->cpu_reserved + cpu_milli <= worker->cpu_milli|TRUE
-stopping-is-free|pool-orders.c|  run->state = FB_RUN_STOPPING;|  run->state = FB_RUN_STOPPING; worker->cpu_used -= run->step != NULL ? run->step->shape->cpu_milli : 0;
+stopping-is-free|pool-orders.c|  run->state = FB_RUN_STOPPING;|  run->state = FB_RUN_STOPPING; worker->cpu_used -= run->step != NULL ? run->step->spec->cpu_milli : 0;
 starts-before-settled|pool.c|  if (!fb_pool_may_place (self) \|\| !may_start)|  if (!may_start)
 silent-worker-ignored|pool-recovery.c|      if ((!worker->answered \|\| worker->has_unknown_end) \&\& !worker->runs_ended|      if (FALSE
 closed-worker-holds-nothing|pool-drain.c|    g_hash_table_add (steps, step_of_task (name));|    g_hash_table_remove (steps, name);
@@ -28,7 +28,7 @@
 lapse-too-early|pool-worker.c|worker->lease_ms + LEASE_EXPIRY_SLACK_MS;|worker->lease_ms - 1500;
 clock-taken-as-exact|pool-worker.c|passed_ms * (1000 - CLOCK_SLOW_PERMILLE) / 1000|passed_ms * 1100 / 1000
 unanswered-start-forgotten|pool-orders.c|  else if (result != FB_ORDER_UNKNOWN)|  else if (TRUE)
-acknowledged-before-durable|pool-report.c|      worker->seen_end = end->number;|      worker->seen_end = worker->acknowledged = end->number;
+acknowledged-before-durable|pool-report.c|      worker->processed_end = end->number;|      worker->processed_end = worker->acknowledged = end->number;
 failure-not-recorded|pool-job.c|          row.failed.failed_len = task->failed->len;|          row.failed.failed_len = 0;
 failures-by-highest-attempt|pool-job.c|      if (g_array_index (task->failed, uint32_t, i) == attempt)|      if (g_array_index (task->failed, uint32_t, i) >= attempt)
 done-not-recorded|pool-job.c|              .done = task->done,|              .done = FALSE,
@@ -59,7 +59,7 @@
 planned-leave-taken-for-a-crash|pool-crash.c|  while (!worker->draining \&\& g_hash|  while (g_hash
 shrunk-room-not-noticed|pool-worker.c|  worker->cpu_milli = entry->cpu_milli;|  worker->cpu_milli = MAX (worker->cpu_milli, entry->cpu_milli);
 grown-room-not-noticed|pool-worker.c|  worker->cpu_milli = entry->cpu_milli;|  worker->cpu_milli = worker->cpu_milli != 0 ? MIN (worker->cpu_milli, entry->cpu_milli) : entry->cpu_milli;
-size-proves-what-ran|pool-recovery.c|  if (!fb_pool_has_labels_for (worker, step->shape))|  if (!fb_pool_worker_could_run (worker, step->shape))
+size-proves-what-ran|pool-recovery.c|  if (!fb_pool_has_labels_for (worker, step->spec))|  if (!fb_pool_worker_could_run (worker, step->spec))
 refusal-of-a-repeat-is-proof|platform/worker.c|  if (fb_http_reply_is_ambiguous (reply) \&\& |  if (FALSE \&\& 
 lease-of-the-owner-before-forgotten|pool-report.c|answer->clock_ms + first_lease_ms (self, worker)|0
 answer-counts-for-any-attempt|pool-orders.c|(*run)->attempt != ref->attempt|FALSE
@@ -81,7 +81,7 @@
 awaited-start-is-no-cause|pool-crash.c|      if (run_may_have_begun (other) \|\| is_start_unconfirmed (other))|      if (run_may_have_begun (other))
 held-worker-forgotten|pool.c|  if (worker->listed \|\| worker->reserved_n > 0)|  if (worker->listed)
 unstored-never-handed|pool-unstored-suspects.c|      else if (is_late \&\& job->unstored_changed)|      else if (FALSE)
-acknowledged-beside-starts|pool-orders.c|(fb_pool_owes_acknowledgement (worker) \&\& !has_unlisted_run (worker))|fb_pool_owes_acknowledgement (worker)
+acknowledged-beside-starts|pool-orders.c|(fb_pool_has_pending_acknowledgement (worker) \&\& !has_unlisted_run (worker))|fb_pool_has_pending_acknowledgement (worker)
 acknowledged-for-good|pool-report.c|  acknowledge_again (worker, answer);|  (void) acknowledge_again;
 second-copy-forgotten|pool-restart.c|(run->listed_ms == 0 \|\| is_open)|(run->listed_ms == 0)
 TABLE
