--- a/include/internal/pool-crash.h
+++ b/include/internal/pool-crash.h
@@ -4,7 +4,7 @@
 
 #include "internal/pool-private.h"
 
-/* A worker on which a suspected task was started, as long as the outcome there is unknown. */
+/* A worker on which a suspected task was started and where the outcome is unknown. */
 typedef struct
 {
   char *worker; /* id of the worker */
@@ -51,7 +51,7 @@
                                 const FbPoolWorker *next, uint64_t now_ms);
 /* Fails jobs that have a task at the crash limit. */
 void fb_pool_crash_end_jobs (FbPool *self, uint64_t now_ms, uint64_t wall_ms);
-/* Drops JOB, which has ended, from the suspects. */
+/* Removes JOB, which has ended, from the suspects. */
 void fb_pool_crash_remove_job (FbPool *self, FbPoolJob *job);
 /* FALSE when TASK is suspected and must not share WORKER with the suspected tasks there. */
 gboolean fb_pool_crash_may_share (const FbPoolWorker *worker, const FbPoolTask *task);
@@ -116,7 +116,7 @@
 gboolean fb_pool_unresolved_start_set_seen (FbPoolTask *task, const char *worker);
 /* The outcome of TASK on WORKER is known: removes the entry. */
 void fb_pool_unresolved_start_drop (FbPoolTask *task, const char *worker);
-/* The same for the worker with that id hash. */
+/* Like fb_pool_unresolved_start_drop(), for the worker with that id hash. */
 void fb_pool_unresolved_start_drop_id_hash (FbPoolTask *task, uint64_t id_hash);
 /* Fills in RECORD, whose strings are borrowed from JOB; clear with fb_pool_crash_record_clear(). */
 void fb_pool_crash_record (const FbPoolJob *job, fb_work_suspects *record);
@@ -128,5 +128,5 @@
 
 /* Crashes or unresolved losses of JOB's tasks have changed. */
 void fb_pool_unstored_suspects_add (FbPool *self, FbPoolJob *job);
-/* Drops JOB, which is about to be freed. */
+/* Removes JOB, which is about to be freed. */
 void fb_pool_unstored_suspects_remove (FbPool *self, const FbPoolJob *job);
--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -45,7 +45,7 @@
 /* Answer of the advice service about one worker for one step. */
 typedef struct
 {
-  uint32_t incarnation; /* FbPoolWorker.incarnation of the worker asked about; 0: none */
+  uint32_t incarnation; /* FbPoolWorker.incarnation of the requested worker; 0: none */
   gboolean allowed;
   char *ticket; /* NULL: not allowed */
   uint64_t valid_until_ms;
@@ -82,8 +82,8 @@
   FbPoolWorkerAdvice *worker_advice; /* by worker slot */
   guint worker_advice_n;             /* entries of WORKER_ADVICE */
   gboolean has_advice;               /* the advice service has answered about some worker */
-  uint64_t advice_until_ms;          /* when the open question is given up; 0: none is open */
-  uint64_t last_advice_ms;           /* when the last question was answered or failed; 0: never */
+  uint64_t advice_until_ms;          /* when the open request times out; 0: none is open */
+  uint64_t last_advice_ms;           /* when the last request was answered or failed; 0: never */
   GPtrArray *reserved_on;       /* ids of workers with reserved capacity, one entry for each task */
   uint64_t reserved_until_ms;   /* when the reservation ends; 0: none */
   gboolean queued;              /* it is in FbPool.queue or FbPool.unmerged */
@@ -106,15 +106,16 @@
   char *id;
   fb_work_admit record;
   fb_work_state state;
-  fb_work_state stored_state;   /* the state last made durable, which callers are told */
+  fb_work_state stored_state;   /* the state last made durable, which is reported to callers */
   fb_work_state flushing_state; /* the state in the open flush */
   gboolean started;             /* a task of the job has been started */
   gboolean restored;      /* an earlier owner may have used attempts that no record mentions */
   gboolean never_started; /* no earlier owner can have started any task of the job */
   gboolean advised_when_stored; /* its queue used the advice service when the job was stored */
   gboolean has_backup;          /* other daemons keep the suspected tasks of the job */
-  gboolean unstored_changed;    /* its suspects have changed since other daemons were told */
-  uint32_t suspects_version;    /* grows with each crash or suspected crash under its tasks */
+  gboolean
+      unstored_changed; /* its suspects have changed since they were last sent to other daemons */
+  uint32_t suspects_version; /* incremented with each crash or suspected crash under its tasks */
   uint32_t suspects_version_flushing; /* value of SUSPECTS_VERSION in the open flush */
   uint32_t suspects_version_stored;   /* value of SUSPECTS_VERSION that is durable */
   /* When the job was added, workers reported ends of unknown jobs, and they have not all answered
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -18,8 +18,8 @@
 /* A worker that has nothing to report delays its answer to a poll for this long, so the lease is
  * also renewed at this interval. */
 #define FB_POOL_POLL_WAIT_MS 500
-/* A replaced owner learns of its replacement within this time, because its polls of a worker are at
- * most this far apart. */
+/* A replaced owner is notified of its replacement within this time, because its polls of a worker
+ * are at most this far apart. */
 #define FB_POOL_STEP_DOWN_MS 2000
 /* A call to a worker that has just ended may wait this long for the next incarnation to listen. */
 #define FB_POOL_DELAYED_CALL_MS 1200
@@ -59,15 +59,15 @@
   GPtrArray *gained_capacity;
   GPtrArray *queue;    /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
   GPtrArray *unmerged; /* of FbPoolStep not merged into QUEUE yet; borrowed */
-  /* Bits of question_kind() in pool-advice.c: questions that no daemon could forward in this turn
-   * of the round. */
-  uint32_t refused_question_kinds;
+  /* Bits of advice_duration_class() in pool-advice.c: requests that no daemon could forward in this
+   * iteration of the round. */
+  uint32_t refused_duration_classes;
   uint64_t round;              /* number of the current placement round */
   guint resume_position;       /* in QUEUE, where the open round continues; 0: none is open */
   guint round_gained_n;        /* entries of GAINED_CAPACITY when the open round began */
-  uint32_t visits_n;           /* workers and runs visited in this turn of the round */
+  uint32_t visits_n;           /* workers and runs visited in this iteration of the round */
   GHashTable *jobs_to_release; /* set of FbPoolJob with occurrences or steps to release; borrowed */
-  /* Set of FbPoolJob whose steps may depend on each other; borrowed. */
+  /* set of FbPoolJob whose steps may depend on each other; borrowed */
   GHashTable *jobs_with_dependencies;
   GHashTable *jobs;    /* id -> FbPoolJob */
   GHashTable *active;  /* set of FbPoolJob that have not ended; borrowed */
@@ -104,12 +104,12 @@
 
 /* pool-worker-advice.c */
 
-/* Returns: (nullable): borrowed; NULL when the advice service was not asked about WORKER. */
+/* Returns: (nullable): borrowed; NULL when no advice was requested for WORKER. */
 const FbPoolWorkerAdvice *fb_pool_worker_advice (const FbPoolStep *step,
                                                  const FbPoolWorker *worker);
-/* The advice service was asked about WORKER, and has allowed it only if
- * fb_pool_worker_advice_allow() follows. */
-void fb_pool_worker_advice_asked (FbPoolStep *step, const FbPoolWorker *worker);
+/* Advice was requested for WORKER; the worker is allowed only if fb_pool_worker_advice_allow()
+ * follows. */
+void fb_pool_worker_advice_set_requested (FbPoolStep *step, const FbPoolWorker *worker);
 void fb_pool_worker_advice_allow (FbPoolStep *step, const FbPoolWorker *worker, const char *ticket,
                                   uint64_t valid_until_ms);
 /* The ticket for WORKER is no longer valid; the worker stays allowed. */
@@ -130,7 +130,8 @@
                           uint32_t attempt, uint64_t now_ms);
 void fb_pool_order_stop (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
 void fb_pool_order_poll (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
-/* TRUE while WORKER, which may restart under its id, has not received an acknowledgement. */
+/* TRUE while WORKER, which may restart under its id, has not received the latest
+ * acknowledgement. */
 gboolean fb_pool_has_pending_acknowledgement (const FbPoolWorker *worker);
 /* FALSE when polling WORKER right after its answer would return nothing new. */
 gboolean fb_pool_may_poll_again (const FbPoolWorker *worker);
@@ -143,9 +144,9 @@
 uint64_t fb_pool_first_poll_retry_ms (const FbPoolWorker *worker, uint64_t now_ms);
 /* Returns: the number of the next attempt at task INDEX. */
 uint32_t fb_pool_next_attempt (const FbPool *self, const FbPoolStep *step, uint32_t index);
-/* RUN has certainly ended or never began: its capacity is free and its task is pending again.  HOW:
- * how it ended, a static text for the log. */
-void fb_pool_run_ended (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *how,
+/* RUN has certainly ended or never began: its capacity is free and its task is pending again.
+ * OUTCOME: how it ended, a static text for the log. */
+void fb_pool_run_ended (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *outcome,
                         uint64_t now_ms);
 
 /* pool-report.c */
@@ -202,7 +203,7 @@
 void fb_pool_unanswered_start_add (FbPool *self, const char *incarnation, const char *address,
                                    const char *task, uint32_t attempt, uint64_t sent_ms,
                                    uint64_t now_ms);
-/* WORKER has answered for the first time: tells it to refuse starts that were sent to earlier
+/* WORKER has answered for the first time: orders it to refuse starts that were sent to earlier
  * incarnations and got no answer. */
 void fb_pool_unanswered_starts_reject (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
 /* TRUE while WORKER may hold a tombstone: a late start of task INDEX that it has to refuse. */
@@ -230,7 +231,7 @@
  * never will be. */
 gboolean fb_pool_restart_is_over (const FbPool *self, const FbPoolWorker *worker,
                                   const FbPoolRun *run, uint64_t clock_ms);
-/* RUN is not reported and may still be started: tells WORKER to refuse it. */
+/* RUN is not reported and may still be started: orders WORKER to refuse it. */
 void fb_pool_restart_reject (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
 
 /* pool-choose.c */
@@ -263,7 +264,7 @@
 const FbPoolWorkerAdvice *fb_pool_valid_ticket (const FbPoolStep *step, const FbPoolWorker *worker,
                                                 uint64_t now_ms);
 /* Returns: (nullable): the best worker for task INDEX.  RACK: only workers of this rack; NULL: of
- * any.  OTHER_THAN: a worker to leave out; NULL: none. */
+ * any.  EXCLUDED: a worker to leave out; NULL: none. */
 FbPoolWorker *fb_pool_best_worker (FbPool *self, const FbPoolStep *step, uint32_t index,
                                    const char *rack, const FbPoolWorker *excluded,
                                    FbPoolTicketRule rule, uint64_t now_ms);
@@ -300,16 +301,16 @@
 
 /* pool-advice.c */
 
-/* Asks the advice service about STEP if there is anything to ask; for a step without advice, only
- * preempts runs for it.  Returns: FALSE when no daemon can forward a question now. */
-gboolean fb_pool_ask_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms);
-/* The same, unless the service was asked about STEP before. */
-gboolean fb_pool_ask_first_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms);
-/* Asks for a new ticket for WORKER, which the advice service allows. */
+/* Requests advice for STEP if any is needed; for a step without advice, only preempts runs for it.
+ * Returns: FALSE when no daemon can forward a request now. */
+gboolean fb_pool_request_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms);
+/* Like fb_pool_request_advice(), unless advice for STEP was requested before. */
+gboolean fb_pool_request_first_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms);
+/* Requests a new ticket for WORKER, which the advice service allows. */
 void fb_pool_renew_ticket (FbPool *self, FbPoolStep *step, const FbPoolWorker *worker,
                            uint64_t now_ms);
-/* Asks about steps of JOB that are about to be released. */
-void fb_pool_ask_ahead (FbPool *self, FbPoolJob *job, uint64_t now_ms);
+/* Requests advice for steps of JOB that are about to be released. */
+void fb_pool_request_advice_ahead (FbPool *self, FbPoolJob *job, uint64_t now_ms);
 
 /* Attaches runs that workers reported before JOB was known; they keep their capacity. */
 void fb_pool_attach_runs (FbPool *self, const FbPoolJob *job);
@@ -346,9 +347,9 @@
 
 /* pool-long-running.c: for long-running steps; calls for other steps have no effect. */
 
-/* The last run of task INDEX has ended; not called for a start that was never carried out.  HOW:
+/* The last run of task INDEX has ended; not called for a start that was never carried out. OUTCOME:
  * how it ended, a static text for the log. */
-void fb_pool_long_running_ended (FbPoolStep *step, uint32_t index, const char *how,
+void fb_pool_long_running_ended (FbPoolStep *step, uint32_t index, const char *outcome,
                                  uint64_t now_ms);
 /* A round could not place all tasks of STEP.  REASON: a static text for the log. */
 void fb_pool_long_running_set_wait_reason (const FbPool *self, FbPoolStep *step, const char *reason,
--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -52,7 +52,7 @@
   /* When the start was transferred to this incarnation because the one that it was sent to ended
    * before it listed the run; the start may still arrive here. 0: not so, or listed since. */
   uint64_t transferred_ms;
-  gboolean is_tombstone; /* late start that the worker is told to refuse */
+  gboolean is_tombstone; /* late start that the worker is ordered to refuse */
   /* Counted if the transferred start never arrives, as the earlier incarnation crashed; worker 0:
    * nothing to count. */
   FbPoolCrash deferred_crash;
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -1,15 +1,15 @@
 /* A pool: the workers of one service and the jobs (graphs of steps) that run on them.
  *
- * One daemon at a time owns a pool and alone decides what starts there.  The pool does no I/O and
- * has no clock or thread: events come in as calls that pass the time, and orders go out through
- * callbacks.  Times are in ms on a clock that also counts while the host is suspended; WALL times
- * are in ms since 1970.
+ * One daemon at a time owns a pool and alone decides what starts there. The pool does no I/O and
+ * has no clock or thread: events are passed in as calls that contain the time, and orders are sent
+ * through callbacks. Times are in ms on a clock that also counts while the host is suspended; WALL
+ * times are in ms since 1970.
  *
- * The workers enforce that only one owner is obeyed.  Every order carries the epoch of its owner,
- * and a worker refuses epochs lower than the highest one it has seen, so a replaced owner learns of
- * its replacement from the first worker that it calls.  What runs is what the workers report;
- * nothing is started before each worker of the pool has answered under the present epoch, or its
- * lease has certainly expired. */
+ * The workers enforce that only one owner is effective. Every order carries the epoch of its owner,
+ * and a worker refuses epochs lower than the highest one it has seen, so a replaced owner is
+ * notified of its replacement by the first worker that it calls. What runs is what the workers
+ * report; nothing is started before each worker of the pool has answered under the present epoch,
+ * or its lease has certainly expired. */
 #pragma once
 
 #include "rpc/work.h"
@@ -86,7 +86,7 @@
   GArray *running;   /* of FbReportedRun; NULL unless RESULT is FB_ORDER_DONE */
   GArray *finished;  /* of FbReportedEnd; NULL unless RESULT is FB_ORDER_DONE */
   /* With FB_ORDER_OTHER_INCARNATION: id of the incarnation that answered, if it accepts calls that
-   * are meant for the one that was asked; NULL otherwise. */
+   * are meant for the addressed one; NULL otherwise. */
   char *incarnation;
 } FbPollAnswer;
 
@@ -125,7 +125,8 @@
   /* New end of the lease, on the worker's clock; 0: the lease is not extended. */
   uint64_t deadline_ms;
   uint32_t wait_ms;   /* how long the worker may delay its answer while it has nothing to report */
-  uint32_t answer_ms; /* the poll has failed when no answer has come this long after WAIT_MS */
+  uint32_t answer_ms; /* timeout: the poll has failed when no answer has arrived this long after
+                         WAIT_MS */
 } FbPollOrder;
 
 /* Callbacks of the pool's owner.  All arguments are borrowed for the duration of the call. */
@@ -134,8 +135,8 @@
   void (*start) (gpointer user, const FbStartOrder *order);
   void (*stop) (gpointer user, const FbStopOrder *order);
   void (*poll) (gpointer user, const FbPollOrder *order);
-  /* Asks the advice service which of the N WORKERS may run STEP.  EXPECTED_MS: time that the
-   * service needs for the answer.  Returns: FALSE when no daemon can forward the question now. */
+  /* Requests advice on which of the N WORKERS may run STEP. EXPECTED_MS: time that the advice
+   * service needs for the answer. Returns: FALSE when no daemon can forward the request now. */
   gboolean (*advise) (gpointer user, const char *step, const char *const *workers, guint n,
                       uint32_t expected_ms);
   /* WORKER has seen a higher epoch: the pool must not be used any more. */
@@ -153,9 +154,9 @@
   /* How long a worker lets a started run wait for the rest of its gang; the pool does not use it.
    */
   uint32_t gang_wait_ms;
-  /* Number of crashed workers at which the job of a task fails; 0: the pool's default.  The first
-   * limit applies when nothing else on one of the workers could have caused its crash and the
-   * evidence is good enough, the second, which is no lower, otherwise; see pool-crash.c. */
+  /* Number of crashed workers at which the job of a task fails; 0: the pool's default. The first
+   * limit applies when no other run on one of the workers could have caused its crash and the
+   * evidence is sufficient, the second, which is no lower, otherwise; see pool-crash.c. */
   uint32_t max_isolated_crashes;
   uint32_t max_shared_crashes;
   /* Ended runs that a worker lists in one answer; 0: the pool's default. */
@@ -184,8 +185,8 @@
 /* Adds a job to the pool; no effect when the pool already has it. */
 void fb_pool_admit (FbPool *self, const char *job, const fb_work_admit *record, uint64_t now_ms,
                     uint64_t wall_ms);
-/* The same without a copy: takes over the contents of RECORD, allocated as XDR does it, and leaves
- * it empty.  When the pool already has the job, RECORD remains the caller's. */
+/* Like fb_pool_admit() without a copy: takes over the contents of RECORD, allocated as XDR does it,
+ * and leaves it empty. When the pool already has the job, RECORD remains the caller's. */
 void fb_pool_admit_owned (FbPool *self, const char *job, fb_work_admit *record, uint64_t now_ms,
                           uint64_t wall_ms);
 /* Restores what an earlier owner recorded of a job.  The job must have been added before, unless it
@@ -193,11 +194,11 @@
 void fb_pool_restore (FbPool *self, const char *job, const fb_work_progress *record,
                       const fb_work_suspects *suspects, uint64_t now_ms);
 /* Every job that was stored before UNTIL_MS has been added: a reported run or end of any other job
- * belongs to a job that does not exist.  Until this call runs and ends of unknown jobs are left
- * alone. */
+ * belongs to a job that does not exist. Until this is called, runs and ends of unknown jobs are
+ * left unchanged. */
 void fb_pool_jobs_read (FbPool *self, uint64_t until_ms);
-/* Adds starts by earlier owners that other daemons remember and that may be missing in the records;
- * starts in other pools are skipped. */
+/* Adds starts by earlier owners that other daemons have relayed and that may be missing in the
+ * records; starts in other pools are skipped. */
 void fb_pool_import_starts (FbPool *self, const fb_recent_starts_reply *reply, uint64_t now_ms);
 /* Ends JOB as cancelled and stops its runs; no effect on a job that has ended. */
 void fb_pool_cancel (FbPool *self, const char *job, uint64_t now_ms, uint64_t wall_ms);
@@ -211,8 +212,8 @@
                              uint64_t now_ms);
 void fb_pool_stop_answered (FbPool *self, uint64_t order, FbOrderResult result, uint64_t clock_ms,
                             uint64_t now_ms);
-/* The advice service answered a question about STEP that named the N workers in ASKED.  REPLY: the
- * answer; NULL: the question failed. */
+/* The advice service answered a request for STEP that listed the N workers in ASKED. REPLY: the
+ * answer; NULL: the request failed. */
 void fb_pool_advised (FbPool *self, const char *step, const char *const *asked, guint n,
                       const fb_advice_reply *reply, uint64_t now_ms);
 
@@ -245,7 +246,7 @@
 } FbPoolUnstoredSuspects;
 
 /* Returns: (transfer full): FbPoolUnstoredSuspects entries that other daemons are to keep for the
- * next owner while the store is unavailable, or to forget; NULL when there is nothing new. */
+ * next owner while the store is unavailable, or to discard; NULL when there is nothing new. */
 GPtrArray *fb_pool_take_unstored_suspects (FbPool *self, uint64_t now_ms);
 /* Another daemon has kept SUSPECTS of JOB for an earlier owner. */
 void fb_pool_import_suspects (FbPool *self, const char *job, const fb_work_suspects *suspects,
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -1,13 +1,13 @@
-/* Decides when to ask the advice service about a step, and about which workers.
+/* Decides when to request advice for a step, and for which workers.
  *
- * A question takes up to 1.7 s.  Which workers a step may use never changes; only the tickets
- * expire, after 2 s.  So the first question names every worker that could ever run the step, up to
- * the limit of one question and those with free capacity first.  Later questions are asked when an
- * allowed worker has free capacity; they name only the workers to be used, and their capacity is
- * reserved until the answer arrives.  Without the reservation smaller tasks took the capacity of a
- * gang before its tickets arrived, and gangs asked 2.1 times in a heavy load test.  While no
- * allowed worker has free capacity, workers that were never named are asked about from time to
- * time. */
+ * A request takes up to 1.7 s. Which workers a step may use never changes; only the tickets expire,
+ * after 2 s. So the first request lists every worker that could ever run the step, up to the limit
+ * of one request, and those with free capacity first. Later requests are sent when an allowed
+ * worker has free capacity; they list only the workers to be used, and capacity on these is
+ * reserved until the answer arrives. Without the reservation, smaller tasks took the capacity of a
+ * gang before its tickets arrived, and gangs needed 2.1 requests each in a heavy load test.
+ * While no allowed worker has free capacity, workers that were never requested are requested at
+ * intervals. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
@@ -17,40 +17,41 @@
 
 /* Advice is requested this long before the preceding steps are expected to end, which is within the
  * 2 s for which a ticket is valid. */
-#define ASK_AHEAD_MS 900
-/* Most workers named in one question. */
-#define MAX_NAMED 100
-/* Renewals name at most this many workers, because the service takes time for each ticket, and work
- * is preempted for at most this many single tasks at once. */
-#define MAX_RENEWED 6
-/* A question without an answer is asked again after ADVICE_TIMEOUT_FACTOR times its expected
- * duration and ADVICE_TIMEOUT_MS: longer than the daemon that calls the service waits for the
- * answer.  With one fixed limit for the whole time, questions of 1.8 s that queued behind others
- * of 1.7 s were asked twice, and the second call delayed the following ones. */
+#define REQUEST_AHEAD_MS 900
+/* Maximum number of workers in one request. */
+#define MAX_WORKERS_PER_REQUEST 100
+/* Maximum number of workers in a request that renews tickets, because the service takes time for
+ * each ticket, and of single tasks for which work is preempted at once. */
+#define MAX_RENEWED_TICKETS 6
+/* A request without an answer is repeated after ADVICE_TIMEOUT_FACTOR times its expected duration
+ * plus ADVICE_TIMEOUT_MS, which is longer than the daemon that calls the service waits for the
+ * answer. With one fixed timeout, requests of 1.8 s that queued behind others of 1.7 s were sent
+ * twice, and the second call delayed the following ones. */
 #define ADVICE_TIMEOUT_MS 4000
 #define ADVICE_TIMEOUT_FACTOR 3
-/* Added to the longest time of a stop: until its end is reported and the gang is started. */
+/* Added to the maximum duration of a stop: the time until the end is reported and the gang is
+ * started. */
 #define STOP_SLACK_MS 600
 
-/* Added to the time of a decision: network latency and the wait behind another question. */
+/* Added to the duration of a decision: network latency and the wait behind another request. */
 #define RESERVATION_SLACK_MS 400
-/* Failure: a question for a restarting task queues behind others for 2 s, its reservation is
- * shorter, and other tasks take the capacity just before the answer arrives, again and again; a
- * long-running task was down for 16 s in a full pool.  Guard: the capacity stays reserved for as
- * long as a question may queue.  At worst a worker is idle for one task for that time. */
+/* A request for a restarting task may queue behind others for 2 s. With a shorter reservation,
+ * other tasks repeatedly took the capacity just before the answer arrived, and a long-running task
+ * was down for 16 s in a full pool. So the capacity stays reserved for as long as a request may
+ * queue. At worst, capacity for one task is idle for that time. */
 #define RESTARTING_RESERVATION_SLACK_MS 3000
-/* Workers that were never named for a step are asked about only after this many times the duration
- * of a question. */
-#define UNNAMED_INTERVAL_FACTOR 3
-/* Least time between two searches for preemptible runs for a step: each search visits every run of
- * the pool. */
+/* Workers that were never requested for a step are requested only after this many times the
+ * duration of a request. */
+#define UNREQUESTED_INTERVAL_FACTOR 3
+/* Minimum interval between two searches for preemptible runs for a step: each search visits every
+ * run of the pool. */
 #define PREEMPTION_INTERVAL_MS 25
 
 typedef struct
 {
   const FbPoolWorker *worker;
   gboolean unconfirmed; /* the step waits for this worker unless the advice forbids it */
-  double free_rank;     /* 0: it has no capacity for the task now; the higher, the better */
+  double free_rank;     /* 0: no free capacity for the task; the higher, the better */
   uint64_t tie_breaker; /* breaks ties, differently for each step */
 } Candidate;
 
@@ -67,15 +68,16 @@
 }
 
 static gboolean
-can_be_named (const FbPoolWorker *worker, const FbPoolStep *step)
+can_be_requested (const FbPoolWorker *worker, const FbPoolStep *step)
 {
   return worker->listed && !worker->draining && !worker->runs_ended
          && fb_pool_worker_could_run (worker, step->spec)
          && fb_pool_worker_advice (step, worker) == NULL;
 }
 
-/* Returns: the rank of WORKER by free capacity.  Members of a gang need whole workers, so the
- * emptiest worker is best; single tasks are spread over all workers with capacity for them. */
+/* Returns: the rank of WORKER by free capacity. Members of a gang need whole workers, so the
+ * emptiest worker ranks highest; single tasks are spread over all workers with capacity for
+ * them. */
 static double
 free_rank_of (const FbPoolWorker *worker, const FbPoolStep *step, uint64_t now_ms)
 {
@@ -84,66 +86,66 @@
   return step->spec->gang ? 1 + fb_pool_worker_free_share (worker) : 1;
 }
 
-/* A restarting long-running task is unavailable to its users until it is placed, and a question
- * about a hundred workers takes 1.8 s on some queues, one about sixteen 0.9 s.  The advice allows
- * three workers of ten there, so that at least one of sixteen is allowed in 997 cases of 1,000. */
-#define NAMED_PER_RESTARTING_TASK 16
-/* Workers named per task: the advice allows at least three workers of ten. */
-#define NAMED_PER_TASK 4
-/* With this many named, a step of one task still has nine allowed workers, from which a fast one
- * can be chosen. */
-#define MIN_NAMED 30
-
-/* Most workers that the first question about STEP names.
+/* A restarting long-running task is unavailable to its users until it is placed, and a request for
+ * a hundred workers takes 1.8 s on some queues, one for sixteen 0.9 s. The advice allows three
+ * workers of ten there, so at least one of sixteen is allowed in 997 cases of 1,000. */
+#define WORKERS_PER_RESTARTING_TASK 16
+/* Workers requested per task: the advice allows at least three workers of ten. */
+#define WORKERS_PER_TASK 4
+/* With this many requested, a step of one task still has nine allowed workers, from which a fast
+ * one can be chosen. */
+#define MIN_WORKERS_PER_REQUEST 30
+
+/* Returns: the maximum number of workers in the first request for STEP.
  *
- * Failure: every first question names a hundred workers, whatever its step needs, and the service
- * takes 0.5 to 9 ms for each.  In load tests with 350 workers and 33 daemons, the daemons were busy
- * with questions for four fifths of the time, and half of the urgent jobs waited half a second for
- * their first start.  Guard: single tasks ask about four workers each.  The value of the jobs
- * completed in time, as a mean of six such load tests, rose from 0.592 to 0.629.  Gangs need many
- * workers that are free at the same moment, and name as many as possible. */
+ * When every first request listed a hundred workers, whatever its step needed, the service took 0.5
+ * to 9 ms for each. In load tests with 350 workers and 33 daemons, the daemons were busy with
+ * requests for four fifths of the time, and half of the urgent jobs waited half a second for their
+ * first start. So single tasks request about four workers each. The value of the jobs completed in
+ * time, as a mean of six such load tests, rose from 0.592 to 0.629. Gangs need many workers that
+ * are free at the same moment, and request as many as possible. */
 static guint
-max_named_first (const FbPoolStep *step)
+max_workers_in_first_request (const FbPoolStep *step)
 {
   if (step->spec->gang || step->spec->long_running)
-    return MAX_NAMED;
-  guint max_n = MIN (step->spec->count, MAX_NAMED) * NAMED_PER_TASK;
-  return CLAMP (max_n, MIN_NAMED, MAX_NAMED);
+    return MAX_WORKERS_PER_REQUEST;
+  guint max_n = MIN (step->spec->count, MAX_WORKERS_PER_REQUEST) * WORKERS_PER_TASK;
+  return CLAMP (max_n, MIN_WORKERS_PER_REQUEST, MAX_WORKERS_PER_REQUEST);
 }
 
 static guint
-max_named (const FbPool *self, const FbPoolStep *step)
+max_workers_in_request (const FbPool *self, const FbPoolStep *step)
 {
   if (step->urgency != FB_URGENCY_RESTARTING)
-    return max_named_first (step);
+    return max_workers_in_first_request (step);
   guint unconfirmed = self->recovered ? 0 : self->unconfirmed_workers->len;
-  guint waiting = MAX (fb_pool_step_pending_n (step), 1);
-  return MIN (MAX_NAMED, NAMED_PER_RESTARTING_TASK * waiting + unconfirmed);
+  guint pending = MAX (fb_pool_step_pending_n (step), 1);
+  return MIN (MAX_WORKERS_PER_REQUEST, WORKERS_PER_RESTARTING_TASK * pending + unconfirmed);
 }
 
-/* TRUE when a later question about STEP may name a worker with this rank by free capacity.  For
+/* TRUE when a later request for STEP may include a worker with this rank by free capacity. For
  * single tasks the worker must have capacity now.
  *
- * Failure: a gang needs fifteen whole workers, 29 are allowed, and each later question, one in
- * three seconds, names the four to twenty other workers that have free capacity at that moment;
- * gangs waited 20 s while smaller ones of their queue were started.  Guard: a gang asks about other
+ * A gang may need fifteen whole workers and have 29 allowed ones. When each later request, one in
+ * three seconds, included only the four to twenty other workers with free capacity at that moment,
+ * gangs waited 20 s while smaller ones of their queue were started. So a gang requests other
  * workers whether they have free capacity or not, because preemption can free it on allowed
  * workers. */
 static gboolean
-is_worth_naming (const FbPoolStep *step, double free_rank)
+is_worth_requesting (const FbPoolStep *step, double free_rank)
 {
   return !step->has_advice || step->spec->gang || free_rank > 0;
 }
 
-/* Returns: (transfer container): ids of workers that were never named for STEP.  For the first
- * question and for gangs these are all workers that could ever run it, otherwise only those with
+/* Returns: (transfer container): ids of workers that were never requested for STEP. For the first
+ * request and for gangs these are all workers that could ever run it, otherwise only those with
  * capacity now.
  *
- * Failure: a pool has more workers than one question names, and each question names the same ones;
- * a third of the workers got all the work, and steps waited while other workers were idle.  Guard:
- * workers with free capacity come first, and ties are broken by a hash of step and worker. */
+ * If a pool has more workers than one request holds and each request lists the same ones, a third
+ * of the workers get all the work, and steps wait while other workers are idle. So workers with
+ * free capacity come first, and ties are broken by a hash of step and worker. */
 static GPtrArray *
-unnamed_workers (FbPool *self, const FbPoolStep *step, uint64_t now_ms)
+unrequested_workers (FbPool *self, const FbPoolStep *step, uint64_t now_ms)
 {
   self->visits_n += self->worker_slots->len;
   g_autoptr (GArray) candidates = g_array_new (FALSE, FALSE, sizeof (Candidate));
@@ -152,23 +154,23 @@
   const FbPoolWorker *worker = NULL;
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      if (!can_be_named (worker, step))
+      if (!can_be_requested (worker, step))
         continue;
       const Candidate candidate
           = { .worker = worker,
               .unconfirmed = !self->recovered && !worker->answered,
               .free_rank = free_rank_of (worker, step, now_ms),
               .tie_breaker = XXH64 (&worker->id_hash, sizeof worker->id_hash, seed) };
-      if (is_worth_naming (step, candidate.free_rank))
+      if (is_worth_requesting (step, candidate.free_rank))
         g_array_append_val (candidates, candidate);
     }
-  guint max_n = max_named (self, step);
+  guint max_n = max_workers_in_request (self, step);
   if (candidates->len > max_n)
     g_array_sort (candidates, compare_candidates);
-  /* Without free capacity preemption has to free it, which is quicker the more workers are
+  /* Without free capacity, preemption has to free it, which takes less time the more workers are
    * allowed. */
   if (candidates->len > max_n && g_array_index (candidates, Candidate, max_n - 1).free_rank == 0)
-    max_n = MAX_NAMED;
+    max_n = MAX_WORKERS_PER_REQUEST;
   GPtrArray *ids = g_ptr_array_new ();
   for (guint i = 0; i < MIN (candidates->len, max_n); i++)
     g_ptr_array_add (ids, g_array_index (candidates, Candidate, i).worker->id);
@@ -176,7 +178,7 @@
 }
 
 static uint64_t
-question_ms (const FbPoolStep *step, guint n)
+advice_request_ms (const FbPoolStep *step, guint n)
 {
   const fb_work_policy *policy = &step->job->record.policy;
   return (policy->advice_decision_us + n * policy->advice_per_worker_us) / 1000;
@@ -189,22 +191,23 @@
                                                 : RESERVATION_SLACK_MS;
 }
 
-/* For how many tasks of STEP other work is preempted at once. */
+/* Returns: for how many tasks of STEP other work is preempted at once. */
 static guint
 max_preempted (const FbPoolStep *step)
 {
-  return step->spec->gang ? step->spec->count : MIN (fb_pool_step_pending_n (step), MAX_RENEWED);
+  return step->spec->gang ? step->spec->count
+                          : MIN (fb_pool_step_pending_n (step), MAX_RENEWED_TICKETS);
 }
 
-/* For how many tasks of STEP one question renews tickets.
+/* Returns: for how many tasks of STEP one request renews tickets.
  *
- * Failure: long-running tasks lose their workers together, and each question renews only six
- * tickets, queues, and takes half a second; the last of 28 tasks ran again after 32 s although most
- * of the workers' capacity was free.  Guard: one question covers all of them. */
+ * Long-running tasks may lose their workers together. When each request renewed only six tickets,
+ * queued, and took half a second, the last of 28 tasks ran again after 32 s although most of the
+ * workers' capacity was free. So one request covers all of them. */
 static guint
-max_renewed (const FbPoolStep *step)
+max_renewed_tickets (const FbPoolStep *step)
 {
-  return step->spec->long_running ? MIN (fb_pool_step_pending_n (step), MAX_NAMED)
+  return step->spec->long_running ? MIN (fb_pool_step_pending_n (step), MAX_WORKERS_PER_REQUEST)
                                   : max_preempted (step);
 }
 
@@ -215,7 +218,7 @@
     return 0;
   step->preemption_tried_ms = now_ms;
   guint max_n = max_preempted (step);
-  uint64_t wait_ms = MAX (self->limits.max_stop_ms, question_ms (step, max_n));
+  uint64_t wait_ms = MAX (self->limits.max_stop_ms, advice_request_ms (step, max_n));
   return fb_pool_preempt (self, step, max_n, chosen,
                           now_ms + wait_ms + MAX (STOP_SLACK_MS, reservation_slack_ms (step)),
                           now_ms);
@@ -234,19 +237,19 @@
   return ids;
 }
 
-/* Adds to IDS workers that were never named, for LEFT more tasks.
+/* Adds to IDS workers that were never requested, for LEFT more tasks.
  *
- * Failure: fewer allowed workers have capacity than a long-running step has pending tasks, and each
- * question is about those few workers only; the other tasks wait until none of these has capacity
- * left, and questions about one to five workers follow each other.  Guard: the same question also
- * names workers that were never named, for the remaining tasks. */
+ * If fewer allowed workers have capacity than a long-running step has pending tasks, requests for
+ * those few workers alone would make the other tasks wait until none of these has capacity left,
+ * and requests for one to five workers would follow each other. So the same request also lists
+ * workers that were never requested, for the remaining tasks. */
 static void
-add_unnamed (FbPool *self, const FbPoolStep *step, GPtrArray *ids, guint left, uint64_t now_ms)
+add_unrequested (FbPool *self, const FbPoolStep *step, GPtrArray *ids, guint left, uint64_t now_ms)
 {
-  g_autoptr (GPtrArray) unnamed = unnamed_workers (self, step, now_ms);
-  guint max_n = MIN (ids->len + NAMED_PER_TASK * left, MAX_NAMED);
-  for (guint i = 0; i < unnamed->len && ids->len < max_n; i++)
-    g_ptr_array_add (ids, unnamed->pdata[i]);
+  g_autoptr (GPtrArray) unrequested = unrequested_workers (self, step, now_ms);
+  guint max_n = MIN (ids->len + WORKERS_PER_TASK * left, MAX_WORKERS_PER_REQUEST);
+  for (guint i = 0; i < unrequested->len && ids->len < max_n; i++)
+    g_ptr_array_add (ids, unrequested->pdata[i]);
 }
 
 /* Chooses allowed workers that have capacity now, whether their tickets are still valid or not, and
@@ -254,16 +257,16 @@
 static GPtrArray *
 workers_to_renew (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
-  guint max_n = max_renewed (step);
+  guint max_n = max_renewed_tickets (step);
   g_autofree FbPoolWorker **chosen = g_new0 (FbPoolWorker *, max_n + 1);
   guint n = fb_pool_choose_step (self, step, max_n, FB_TICKET_ALLOWED, chosen, now_ms);
   GPtrArray *ids = ids_of (chosen, n);
   if (n == 0)
     return ids;
   if (step->spec->long_running && n < max_n)
-    add_unnamed (self, step, ids, max_n - n, now_ms);
+    add_unrequested (self, step, ids, max_n - n, now_ms);
   fb_pool_reserve (self, step, chosen, n,
-                   now_ms + question_ms (step, ids->len) + reservation_slack_ms (step));
+                   now_ms + advice_request_ms (step, ids->len) + reservation_slack_ms (step));
   return ids;
 }
 
@@ -285,9 +288,9 @@
   return TRUE;
 }
 
-/* The same for allowed workers on which preemption frees capacity.  Tickets that stay valid until
- * then are not renewed, because the step would have to wait for the answer; the capacity stays
- * reserved until then. */
+/* Like workers_to_renew(), for allowed workers on which preemption frees capacity. Tickets that
+ * stay valid until then are not renewed, because the step would have to wait for the answer; the
+ * capacity stays reserved until then. */
 static GPtrArray *
 workers_to_renew_after_preemption (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
@@ -300,31 +303,31 @@
   return g_ptr_array_new ();
 }
 
-/* Failure: workers are replaced one after the other, and each pending step asks about each new
- * worker: half a second for one worker, which is allowed in three cases of ten, while the tickets
- * of allowed workers expire and other tasks take the free capacity; gangs waited 8 s with ten
- * questions.  Guard: allowed workers with capacity come first, and new workers are asked about
- * together, at intervals. */
+/* During a rolling replacement of workers, each pending step would request each new worker: half a
+ * second for one worker, which is allowed in three cases of ten, while the tickets of allowed
+ * workers expire and other tasks take the free capacity. Gangs waited 8 s with ten requests. So
+ * allowed workers with capacity come first, and new workers are requested together, at
+ * intervals. */
 static gboolean
-may_ask_about_unnamed (const FbPoolStep *step, uint64_t now_ms)
+may_request_unrequested (const FbPoolStep *step, uint64_t now_ms)
 {
-  return now_ms >= step->last_advice_ms + UNNAMED_INTERVAL_FACTOR * question_ms (step, 1);
+  return now_ms >= step->last_advice_ms + UNREQUESTED_INTERVAL_FACTOR * advice_request_ms (step, 1);
 }
 
-/* Returns: (transfer container): ids of the workers to ask about for STEP now; empty when there is
- * nothing to ask.  Capacity is reserved on those that are allowed. */
+/* Returns: (transfer container): ids of the workers to request for STEP now; empty when there is
+ * nothing to request. Capacity is reserved on those that are allowed. */
 static GPtrArray *
-workers_to_ask (FbPool *self, FbPoolStep *step, uint64_t now_ms)
+workers_to_request (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
   if (!step->has_advice)
-    return unnamed_workers (self, step, now_ms);
+    return unrequested_workers (self, step, now_ms);
   if (!step->released)
     return g_ptr_array_new ();
   GPtrArray *ids = workers_to_renew (self, step, now_ms);
-  if (ids->len == 0 && may_ask_about_unnamed (step, now_ms))
+  if (ids->len == 0 && may_request_unrequested (step, now_ms))
     {
       g_ptr_array_unref (ids);
-      ids = unnamed_workers (self, step, now_ms);
+      ids = unrequested_workers (self, step, now_ms);
     }
   if (ids->len > 0)
     return ids;
@@ -340,28 +343,28 @@
 }
 
 static gboolean
-question_is_open (const FbPoolStep *step, uint64_t now_ms)
+advice_request_is_open (const FbPoolStep *step, uint64_t now_ms)
 {
   return step->advice_until_ms != 0 && now_ms < step->advice_until_ms;
 }
 
-/* Returns: a bit that stands for all questions that take about as long as one about STEP. */
+/* Returns: a bit that represents all requests that take about as long as one for STEP. */
 static uint32_t
-question_kind (const FbPoolStep *step)
+advice_duration_class (const FbPoolStep *step)
 {
-  return 1U << MIN (g_bit_storage ((gulong) question_ms (step, 1)), 31U);
+  return 1U << MIN (g_bit_storage ((gulong) advice_request_ms (step, 1)), 31U);
 }
 
-/* Returns: FALSE when no daemon can forward a question to the advice service now. */
+/* Returns: FALSE when no daemon can forward a request to the advice service now. */
 static gboolean
-send_question (FbPool *self, FbPoolStep *step, const GPtrArray *ids, uint64_t now_ms)
+send_advice_request (FbPool *self, FbPoolStep *step, const GPtrArray *ids, uint64_t now_ms)
 {
   g_autofree char *name = fb_pool_step_name (step);
-  uint32_t expected_ms = (uint32_t) question_ms (step, ids->len);
+  uint32_t expected_ms = (uint32_t) advice_request_ms (step, ids->len);
   if (!self->sink->advise (self->user, name, (const char *const *) ids->pdata, ids->len,
                            expected_ms))
     {
-      self->refused_question_kinds |= question_kind (step);
+      self->refused_duration_classes |= advice_duration_class (step);
       return FALSE;
     }
   step->advice_until_ms = now_ms + ADVICE_TIMEOUT_FACTOR * expected_ms + ADVICE_TIMEOUT_MS;
@@ -369,7 +372,7 @@
 }
 
 gboolean
-fb_pool_ask_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms)
+fb_pool_request_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
   if (!step->job->record.policy.advised)
     {
@@ -377,15 +380,15 @@
         preempt_unadvised (self, step, now_ms);
       return TRUE;
     }
-  if (question_is_open (step, now_ms))
+  if (advice_request_is_open (step, now_ms))
     return TRUE;
   /* Choosing the workers takes a pass over all of them, for each of hundreds of pending steps. */
-  if (self->refused_question_kinds & question_kind (step))
+  if (self->refused_duration_classes & advice_duration_class (step))
     return FALSE;
-  g_autoptr (GPtrArray) ids = workers_to_ask (self, step, now_ms);
+  g_autoptr (GPtrArray) ids = workers_to_request (self, step, now_ms);
   if (ids->len == 0)
     return TRUE;
-  if (send_question (self, step, ids, now_ms))
+  if (send_advice_request (self, step, ids, now_ms))
     return TRUE;
   g_ptr_array_unref (fb_pool_release_reservation (self, step));
   return FALSE;
@@ -394,20 +397,20 @@
 void
 fb_pool_renew_ticket (FbPool *self, FbPoolStep *step, const FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (question_is_open (step, now_ms))
+  if (advice_request_is_open (step, now_ms))
     return;
   g_autoptr (GPtrArray) ids = g_ptr_array_new ();
   g_ptr_array_add (ids, worker->id);
-  /* If no daemon can forward the question, the next round asks again. */
-  (void) send_question (self, step, ids, now_ms);
+  /* If no daemon can forward the request, the next round repeats it. */
+  (void) send_advice_request (self, step, ids, now_ms);
 }
 
 gboolean
-fb_pool_ask_first_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms)
+fb_pool_request_first_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms)
 {
   if (!step->job->record.policy.advised || step->has_advice)
     return TRUE;
-  return fb_pool_ask_advice (self, step, now_ms);
+  return fb_pool_request_advice (self, step, now_ms);
 }
 
 void
@@ -427,7 +430,7 @@
     {
       const FbPoolWorker *worker = g_hash_table_lookup (self->workers, asked[i]);
       if (worker != NULL)
-        fb_pool_worker_advice_asked (step, worker);
+        fb_pool_worker_advice_set_requested (step, worker);
     }
   for (u_int i = 0; i < reply->tickets.tickets_len; i++)
     {
@@ -441,8 +444,8 @@
 }
 
 /* TRUE when the steps before STEP are about to end: none of their tasks is pending, and each run
- * has used most of its estimate.  Asking at that point removes the decision time from the caller's
- * wait: 30 ms of a short job's 250 ms, and half a second for other jobs. */
+ * has used most of its estimate. A request at that point removes the decision time from the
+ * caller's wait: 30 ms of a short job's 250 ms, and half a second for other jobs. */
 static gboolean
 is_about_to_be_released (const FbPoolOccurrence *occurrence, const FbPoolStep *step,
                          uint64_t now_ms)
@@ -458,7 +461,7 @@
           if (task->done)
             continue;
           if (task->run == NULL
-              || now_ms + ASK_AHEAD_MS < task->run->started_ms + before->spec->estimate_ms)
+              || now_ms + REQUEST_AHEAD_MS < task->run->started_ms + before->spec->estimate_ms)
             return FALSE;
         }
     }
@@ -466,7 +469,7 @@
 }
 
 void
-fb_pool_ask_ahead (FbPool *self, FbPoolJob *job, uint64_t now_ms)
+fb_pool_request_advice_ahead (FbPool *self, FbPoolJob *job, uint64_t now_ms)
 {
   for (guint i = 0; job->record.policy.advised && i < job->occurrences->len; i++)
     {
@@ -475,7 +478,7 @@
         {
           FbPoolStep *step = &occurrence->steps[j];
           if (is_about_to_be_released (occurrence, step, now_ms))
-            fb_pool_ask_first_advice (self, step, now_ms);
+            fb_pool_request_first_advice (self, step, now_ms);
         }
     }
 }
--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -9,14 +9,14 @@
  * time on the network and may wait in a slow daemon. */
 #define TICKET_MARGIN_MS 250
 /* Weight of a worker's slowness against its free capacity, multiplied by the square of the job's
- * tightness.  Short jobs may take 1.5 times their work and 250 ms, and workers differ in speed by
- * 0.8 to 1.25.  In load tests this weight raised the value of the jobs completed in time by 0.027
- * in one deployment (0.796 to 0.823, means of four tests each, which spread by 0.017) and by 0.003
- * in another (0.866 to 0.869). */
+ * tightness. Short jobs may take 1.5 times their work and 250 ms, and workers differ in speed by
+ * 0.8 to 1.25. In load tests this weight raised the value of the jobs completed in time by 0.027 in
+ * one deployment (0.796 to 0.823, means of four tests each, with a spread of 0.017) and by 0.003 in
+ * another (0.866 to 0.869). */
 #define SLOWNESS_WEIGHT 6.0
 
-/* Keeps best-effort tasks off the workers of serving steps, which have a latency target, and the
- * other way round. */
+/* TRUE when a task of SPEC must not share WORKER with the runs there: best-effort tasks and serving
+ * steps, which have a latency target, are kept apart. */
 static gboolean
 conflicts_with_serving (const FbPoolWorker *worker, const fb_work_step *spec)
 {
@@ -153,8 +153,8 @@
   return cost;
 }
 
-/* Lower is better.  Long-running tasks are spread, so that the loss of one worker takes few of
- * them. */
+/* Returns: the placement cost of WORKER; lower is better. Long-running tasks are spread, so that
+ * the loss of one worker affects few of them. */
 static double
 cost_of (const FbPoolWorker *worker, const FbPoolStep *step)
 {
@@ -201,8 +201,8 @@
 fb_pool_choose_workers (FbPool *self, FbPoolStep *step, guint max_n, const char *rack,
                         FbPoolTicketRule rule, FbPoolWorker **chosen, uint64_t now_ms)
 {
-  /* Where runs per worker are limited, each choice is represented by a temporary run, so that the
-   * next one counts it; otherwise it suffices to reserve the capacity. */
+  /* Where the number of runs per worker is limited, each choice is represented by a temporary run,
+   * so that the next one counts it; otherwise reserving the capacity suffices. */
   gboolean counted = step->spec->max_per_worker > 0;
   g_autofree FbPoolRun **runs = g_new0 (FbPoolRun *, max_n);
   guint n = 0;
--- a/src/work/pool-copy.c
+++ b/src/work/pool-copy.c
@@ -1,7 +1,7 @@
-/* Speculative copies: second runs of tasks whose step allows two at once.  The first run that ends
- * successfully counts.
+/* Speculative execution: second runs, called copies, of tasks whose step allows two at once. The
+ * first run that ends successfully counts.
  *
- * The last task of a step decides when the step ends.  A copy is started when the first run is on a
+ * The last task of a step decides when the step ends. A copy is started when the first run is on a
  * worker that has stopped answering, or takes clearly longer than the other runs of its step took.
  * Copies are started after the pending tasks, and only into free capacity. */
 #include "internal/pool-crash.h"
@@ -10,8 +10,8 @@
 #include "fb-event.h"
 
 /* Run times of the tasks of one step differ by 0.15 to 0.3 of their mean, and workers by 0.8 to
- * 1.25.  A run that exceeds 2.2 times the mean, plus the time of an order and a poll, is most
- * likely on a worker that is slow for a reason of its own (3 to 8 times). */
+ * 1.25. A run that exceeds 2.2 times the mean, plus the time of an order and a poll, is most likely
+ * on a worker that is slow for another reason (3 to 8 times). */
 #define STRAGGLER_PERCENT 220
 #define STRAGGLER_MS 150
 /* Until other runs have ended only the estimate is known, which is wrong by up to half. */
@@ -69,7 +69,7 @@
       g_hash_table_iter_init (&runs, worker->runs);
       while (g_hash_table_iter_next (&runs, NULL, &run))
         {
-          /* the copy goes to another worker, so it does not change the table that is iterated
+          /* the copy is started on another worker, so it does not change the table that is iterated
            * over */
           if (wants_copy (worker, run, now_ms))
             start_copy (self, worker, run, now_ms);
--- a/src/work/pool-crash-causes.c
+++ b/src/work/pool-crash-causes.c
@@ -1,7 +1,7 @@
 /* Number of tasks that may have caused each crash.
  *
- * A task that has run well elsewhere since a crash did not cause it. Once only one possible cause
- * is left, the crash counts as if that task had been alone on the worker. */
+ * A task that has since run successfully elsewhere did not cause the crash. Once only one possible
+ * cause is left, the crash counts as if that task had been alone on the worker. */
 #include "internal/pool-crash.h"
 
 GHashTable *
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -1,8 +1,8 @@
 /* Tasks that crash their workers.
  *
- * A task may take down its worker, and all other runs there, each time it is started. A run lost
- * with its worker is not a failed run, so the limit on failures never applies, and the task would
- * be started on one worker after the other, which fall silent in series. So the workers that
+ * A task may crash its worker, and with it all other runs there, each time it is started. A run
+ * lost with its worker is not a failed run, so the limit on failures never applies, and the task
+ * would be started on one worker after the other and crash each of them. So the workers that
  * crashed under a task are counted and recorded with its job, and the job fails after
  * MAX_ISOLATED_CRASHES of them.
  *
@@ -25,8 +25,8 @@
 /* Crashes after which a task no longer shares a worker with other suspected tasks, and nothing is
  * started beside it. */
 #define ISOLATE_AFTER_CRASHES 2
-/* A long-running task is cleared after it has run on its worker for this long; otherwise the losses
- * of weeks would add up. */
+/* A long-running task is cleared after it has run on its worker for this long; otherwise crashes
+ * weeks apart would add up. */
 #define LONG_RUNNING_PROVEN_MS 20000
 /* Tasks that crash their worker do so as they begin. A run that has been listed for this long is
  * not considered a cause of a crash while another run is beginning. */
@@ -115,10 +115,10 @@
   return task->crashes != NULL || task->unresolved_losses_n > 0;
 }
 
-/* An owner whose store is unreachable would start a task on one worker after the other; when it is
- * replaced, the next owner would count from zero. So a task with several crashes or unresolved
- * losses starts only once their number is stored, which limits the crashes that a lost owner takes
- * with it. */
+/* An owner whose store is unreachable could start a task on one worker after the other, and the
+ * next owner would count its crashes from zero. So a task with several crashes or unresolved losses
+ * starts only once their number is stored, which limits the number of crashes that a failed owner
+ * leaves unrecorded. */
 static gboolean
 awaits_storing (const FbPoolStep *step, const FbPoolTask *task)
 {
@@ -293,8 +293,8 @@
 }
 
 /* Returns: how certain it is that RUN was on WORKER when WORKER crashed. An unanswered start may
- * have been sent to a worker that had just crashed by itself. That is unlikely if the task is
- * isolated and the worker had answered a moment before. */
+ * have been sent to a worker that had just crashed for another reason. That is unlikely if the task
+ * is isolated and the worker had answered a moment before. */
 static FbCrashEvidence
 evidence_of (const FbPoolWorker *worker, const FbPoolRun *run)
 {
@@ -382,9 +382,9 @@
 }
 
 /* If the owner is replaced within the 4 s in which a crash shows only as silence, the next owner
- * does not know what ran there, and a task goes on crashing workers while owners change. So the
- * runs on a worker that becomes silent are recorded at once. An owner that does not hear from most
- * workers is itself disconnected and records nothing. */
+ * does not know what ran there, and a task could crash further workers while owners change. So the
+ * runs on a worker that becomes silent are recorded at once. An owner that gets no answers from
+ * most workers is itself disconnected and records nothing. */
 void
 fb_pool_crash_record_silence (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
@@ -426,7 +426,7 @@
     }
 }
 
-/* A draining worker ends as planned, so no task is suspected for it. */
+/* A draining worker exits as planned, so no task is suspected for it. */
 void
 fb_pool_crash_worker_lost (FbPool *self, FbPoolWorker *worker, FbPoolLoss loss,
                            const FbPoolWorker *next, uint64_t now_ms)
@@ -437,8 +437,8 @@
   while (!worker->draining && g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbPoolRun *run = value;
-      /* The task is not suspected itself, but the others on the worker are no longer the only
-       * possible cause. */
+      /* This task is not suspected itself, but the others on the worker are no longer the only
+       * possible causes. */
       if (is_start_unconfirmed (run))
         fb_pool_crash_cause_add (self, worker->id_hash);
       if (run->step == NULL || !run_may_have_begun (run))
--- a/src/work/pool-import-starts.c
+++ b/src/work/pool-import-starts.c
@@ -1,4 +1,4 @@
-/* Starts by earlier owners that other daemons remember and that are in no record.
+/* Starts by earlier owners that other daemons have relayed and that are in no record.
  *
  * They are evidence only, no proof of a crash: such a start leaves an unresolved loss, like a
  * worker that was lost with the task on it (pool-unresolved-losses.c), until the worker answers or
--- a/src/work/pool-long-running.c
+++ b/src/work/pool-long-running.c
@@ -13,7 +13,7 @@
 typedef struct
 {
   uint64_t ended_ms; /* when its last run was known to have ended; 0: no run has ended */
-  const char *how;
+  const char *outcome;
 } Interruption;
 
 /* State of a long-running step, allocated when one of its runs ends or a round cannot place it. */
@@ -43,12 +43,12 @@
 }
 
 void
-fb_pool_long_running_ended (FbPoolStep *step, uint32_t index, const char *how, uint64_t now_ms)
+fb_pool_long_running_ended (FbPoolStep *step, uint32_t index, const char *outcome, uint64_t now_ms)
 {
   if (!step->spec->long_running)
     return;
   FbPoolLongRunning *long_running = ensure_state (step);
-  long_running->tasks[index] = (Interruption){ .ended_ms = now_ms, .how = how };
+  long_running->tasks[index] = (Interruption){ .ended_ms = now_ms, .outcome = outcome };
   if (fb_pool_step_pending_n (step) <= 1)
     clear_wait (long_running);
 }
@@ -102,7 +102,7 @@
     return step->long_running->tasks[index];
   const FbPoolJob *job = step->job;
   if (job->restored && !job->never_started && job->admitted_ms < self->created_ms)
-    return (Interruption){ .ended_ms = self->created_ms, .how = "not known" };
+    return (Interruption){ .ended_ms = self->created_ms, .outcome = "not known" };
   return (Interruption){ 0 };
 }
 
@@ -160,6 +160,6 @@
   fb_event_log (FB_EVENT_LASTING_RESTARTED,
                 "task=%s attempt=%u away_ms=%u ended=\"%s\" waited_for=%s for_ms=%u"
                 " epoch=%" G_GUINT64_FORMAT,
-                run->name, run->attempt, (guint) (now_ms - interruption.ended_ms), interruption.how,
-                waited_for, (guint) for_ms, self->epoch);
+                run->name, run->attempt, (guint) (now_ms - interruption.ended_ms),
+                interruption.outcome, waited_for, (guint) for_ms, self->epoch);
 }
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -214,13 +214,13 @@
 }
 
 /* TRUE when WORKER has not listed some run since that run was started. The run may be on a later
- * incarnation, because an answer to a start does not tell which incarnation sent it. */
+ * incarnation, because an answer to a start does not identify the incarnation that sent it. */
 static gboolean
 has_unlisted_run (const FbPoolWorker *worker)
 {
-  /* While has_unknown_end is set, unlisted runs are not dropped, so waiting for them could last for
-   * ever; and a worker with a full list of ends lists further ends only after an acknowledgement.
-   */
+  /* While has_unknown_end is set, unlisted runs are not dropped, so waiting for them might never
+   * end; and a worker with a full list of ends lists further ends only after an
+   * acknowledgement. */
   if (worker->has_unknown_end)
     return FALSE;
   GHashTableIter iter;
@@ -235,7 +235,7 @@
 }
 
 /* A worker may restart under its id while a start and a poll are in flight. The new incarnation
- * carries out the start, and then forgets the end of that run, because the poll acknowledges the
+ * carries out the start, and then discards the end of that run, because the poll acknowledges the
  * same number of the earlier incarnation; the finished task runs again. To prevent this, an end of
  * such a worker is acknowledged only once, by a poll that does not wait, when every run started
  * there has been listed; nothing starts there until then. */
@@ -272,8 +272,8 @@
    * and the last lease runs out. */
   if (worker->answered && !fb_pool_worker_silent (worker, now_ms))
     order.deadline_ms = fb_pool_worker_clock_min (worker, now_ms) + lease_ms;
-  /* While a worker has ends that may not be acknowledged yet, it answers a poll at once, again and
-   * again, so the poll asks for no wait. */
+  /* While a worker has ends that may not be acknowledged yet, it answers each poll at once, so the
+   * poll requests no wait. */
   if (worker->answered && worker->acknowledged == worker->processed_end && !worker->has_unknown_end
       && !fb_pool_has_pending_acknowledgement (worker))
     order.wait_ms = FB_POOL_POLL_WAIT_MS;
@@ -284,7 +284,7 @@
 }
 
 void
-fb_pool_run_ended (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *how,
+fb_pool_run_ended (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *outcome,
                    uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
@@ -296,7 +296,7 @@
   if (!was_current)
     return;
   if (ran)
-    fb_pool_long_running_ended (step, index, how, now_ms);
+    fb_pool_long_running_ended (step, index, outcome, now_ms);
   fb_pool_task_requeue (self, step, index);
 }
 
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -1,7 +1,7 @@
 /* Placement rounds, which start pending tasks.
  *
- * A round visits the steps with pending tasks in their order (pool-queue.c), in one or more turns
- * of the main loop.  A gang is placed as a whole or not at all. */
+ * A round visits the steps with pending tasks in queue order (pool-queue.c), in one or more
+ * iterations of the main loop. A gang is placed as a whole or not at all. */
 #include "internal/pool-crash.h"
 
 /* ---- single tasks ------------------------------------------------------------ */
@@ -36,7 +36,7 @@
   return i;
 }
 
-/* The reservation on WORKER has been used: it must not be restored. */
+/* Removes the reservation on WORKER, which has been used, so that it is not restored. */
 static void
 drop_used_reservation (GPtrArray *reserved_on, const FbPoolWorker *worker)
 {
@@ -45,8 +45,8 @@
     g_ptr_array_remove_index (reserved_on, position);
 }
 
-/* RESERVED_ON: ids of the workers on which capacity was reserved; those that get a task are
- * removed.  Returns: TRUE when no task is left without capacity. */
+/* Places the pending tasks of STEP. RESERVED_ON: ids of the workers on which capacity was reserved;
+ * those that get a task are removed. Returns: TRUE when no task is left without capacity. */
 static gboolean
 place_tasks (FbPool *self, FbPoolStep *step, GPtrArray *reserved_on, uint64_t now_ms)
 {
@@ -125,33 +125,34 @@
 
 /* ---- the round ------------------------------------------------------------------ */
 
-/* A step that could not be placed is tried again after this time, even if nothing has changed: no
- * event reports that a worker has recovered from a refusal or that a question got no answer.  The
- * first hundred steps in the order are tried every 100 ms, the step at position 1,000 once a
- * second.  With 1,000 pending steps this makes some 3,300 tries a second instead of 10,000. */
+/* A step that could not be placed is retried after this time, even if nothing has changed: no event
+ * reports that a worker has recovered from a refusal or that a request got no answer. The first
+ * hundred steps in the order are tried every 100 ms, the step at position 1,000 once a second. With
+ * 1,000 pending steps this makes some 3,300 tries a second instead of 10,000. */
 #define RETRY_MS 100
 #define RETRY_PER_POSITION_MS 1
 
-/* Failure: after a take-over hundreds of steps are pending, each is checked against hundreds of
- * workers in one turn of the main loop, and joins and leases are delayed (a turn took 0.3 to 0.8 s
- * on 0.12 of a core with 950 steps and 250 workers).  The store then takes the owner for dead, and
- * the next owner fails in the same way: owners replace each other every 2 s while nothing runs.
- * Guard: a turn ends after this many visits of workers and runs (17 to 35 ns each) and the next
- * turn continues there; a round ends with the last pending step. */
+/* Maximum number of workers and runs (17 to 35 ns each) visited in one iteration of the main loop;
+ * the next iteration continues there, and a round ends with the last pending step.
+ *
+ * After a take-over hundreds of steps may be pending. When each was checked against hundreds of
+ * workers in one iteration, joins and leases were delayed (an iteration took 0.3 to 0.8 s on 0.12
+ * of a core with 950 steps and 250 workers). The store then considers the owner failed, and the
+ * next owner fails in the same way: owners replaced each other every 2 s while nothing ran. */
 #define VISITS_PER_TURN 50000
 
 /* Returns: what a step that could not be placed waits for, as a static text for the log. "turn":
- * for a daemon that can forward its question to the advice service. */
+ * for a daemon that can forward its request to the advice service. */
 static const char *
-wait_reason (const FbPoolStep *step, gboolean can_ask)
+wait_reason (const FbPoolStep *step, gboolean can_request)
 {
   if (step->advice_until_ms != 0)
     return "advice";
-  return can_ask ? "room" : "turn";
+  return can_request ? "room" : "turn";
 }
 
-/* Tries to place STEP, and asks for advice if that fails.  Returns: FALSE when no daemon can
- * forward a question to the advice service now. */
+/* Tries to place STEP, and requests advice if that fails. Returns: FALSE when no daemon can forward
+ * a request to the advice service now. */
 static gboolean
 try_step (FbPool *self, FbPoolStep *step, guint position, uint64_t now_ms)
 {
@@ -159,10 +160,10 @@
   gboolean unconfirmed = fb_pool_may_run_unconfirmed (self, step);
   if (unconfirmed || (advised && !step->has_advice))
     {
-      gboolean can_ask = fb_pool_ask_first_advice (self, step, now_ms);
+      gboolean can_request = fb_pool_request_first_advice (self, step, now_ms);
       fb_pool_long_running_set_wait_reason (
-          self, step, unconfirmed ? "take-over" : wait_reason (step, can_ask), now_ms);
-      return can_ask;
+          self, step, unconfirmed ? "take-over" : wait_reason (step, can_request), now_ms);
+      return can_request;
     }
   uint64_t reserved_until_ms = step->reserved_until_ms;
   g_autoptr (GPtrArray) reserved_on = fb_pool_release_reservation (self, step);
@@ -180,13 +181,13 @@
                              reserved_until_ms);
       return TRUE;
     }
-  gboolean can_ask = fb_pool_ask_advice (self, step, now_ms);
-  /* a step that could not ask is tried again as soon as a daemon can forward a question */
-  if (can_ask)
+  gboolean can_request = fb_pool_request_advice (self, step, now_ms);
+  /* a step whose request was not sent is retried as soon as a daemon can forward one */
+  if (can_request)
     step->last_failed_round = self->round;
   step->retry_at_ms = now_ms + MAX (RETRY_MS, position * RETRY_PER_POSITION_MS);
-  fb_pool_long_running_set_wait_reason (self, step, wait_reason (step, can_ask), now_ms);
-  return can_ask;
+  fb_pool_long_running_set_wait_reason (self, step, wait_reason (step, can_request), now_ms);
+  return can_request;
 }
 
 static void
@@ -197,8 +198,7 @@
   g_ptr_array_remove_range (self->gained_capacity, 0, n);
 }
 
-/* Tries the step at POSITION if it may succeed.  Returns: FALSE when it could not ask for
- * advice. */
+/* Tries the step at POSITION if it may succeed. Returns: FALSE when it could not request advice. */
 static gboolean
 try_position (FbPool *self, guint position, uint64_t now_ms)
 {
@@ -211,34 +211,34 @@
   return TRUE;
 }
 
-/* Steps that earlier turns of the round have passed are more urgent than the remaining ones, and
- * are tried first where capacity was freed meanwhile.  Half of the turn is left for the remaining
- * steps. */
+/* Retries the steps that earlier iterations of the round have passed: they are more urgent than the
+ * remaining ones, and capacity may have been freed meanwhile. Half of the iteration is left for the
+ * remaining steps. */
 static gboolean
 retry_passed_steps (FbPool *self, uint64_t now_ms)
 {
-  gboolean can_ask = TRUE;
+  gboolean can_request = TRUE;
   for (guint position = 0; position < self->resume_position && position < self->queue->len
                            && !self->fenced && self->visits_n <= VISITS_PER_TURN / 2;
        position++)
-    can_ask &= try_position (self, position, now_ms);
-  return can_ask;
+    can_request &= try_position (self, position, now_ms);
+  return can_request;
 }
 
 static void
-ask_ahead (FbPool *self, uint64_t now_ms)
+request_advice_ahead (FbPool *self, uint64_t now_ms)
 {
   GHashTableIter iter;
   gpointer job;
   g_hash_table_iter_init (&iter, self->jobs_with_dependencies);
   while (g_hash_table_iter_next (&iter, &job, NULL))
-    fb_pool_ask_ahead (self, job, now_ms);
+    fb_pool_request_advice_ahead (self, job, now_ms);
 }
 
 void
 fb_pool_place (FbPool *self, uint64_t now_ms)
 {
-  self->refused_question_kinds = 0;
+  self->refused_duration_classes = 0;
   self->visits_n = 0;
   fb_pool_queue_sort (self, now_ms);
   if (self->resume_position == 0)
@@ -246,11 +246,11 @@
       self->round++;
       self->round_gained_n = self->gained_capacity->len;
     }
-  gboolean can_ask = retry_passed_steps (self, now_ms);
+  gboolean can_request = retry_passed_steps (self, now_ms);
   for (; self->resume_position < self->queue->len && !self->fenced
          && self->visits_n <= VISITS_PER_TURN;
        self->resume_position++)
-    can_ask &= try_position (self, self->resume_position, now_ms);
+    can_request &= try_position (self, self->resume_position, now_ms);
   if (self->resume_position < self->queue->len && !self->fenced)
     {
       self->round_due = TRUE;
@@ -258,6 +258,6 @@
     }
   self->resume_position = 0;
   clear_gained_capacity (self, MIN (self->round_gained_n, self->gained_capacity->len));
-  if (can_ask)
-    ask_ahead (self, now_ms);
+  if (can_request)
+    request_advice_ahead (self, now_ms);
 }
--- a/src/work/pool-preempt.c
+++ b/src/work/pool-preempt.c
@@ -1,9 +1,9 @@
-/* Preemption: frees capacity for large tasks and gangs by stopping work of lower priority that
- * loses nothing.
+/* Preemption: frees capacity for large tasks and gangs by stopping runs of lower priority that lose
+ * no work.
  *
  * A checkpointing task also saves a checkpoint when it is stopped, and continues elsewhere after
- * its restore time (0.1 to 0.25 s).  Without preemption, small tasks that are started one by one
- * into all freed capacity would starve tasks that need a whole worker, and gangs. */
+ * its restore time (0.1 to 0.25 s). Without preemption, small tasks that are started one by one
+ * into all freed capacity would starve gangs and tasks that need a whole worker. */
 #include "internal/pool-private.h"
 
 #include "fb-counter.h"
@@ -23,10 +23,10 @@
 
 /* TRUE when RUN may be preempted for the step TO.
  *
- * Failure: runs that may be preempted any number of times are stopped again and again and never
- * end.  In a heavy load test a queue of lower priority starved: the share of its jobs that
- * ended in time fell from 0.97 to 0.45.  Guard: a task is preempted only once, and only while its
- * job has clearly more slack than the pending one. */
+ * Runs that may be preempted any number of times may be stopped repeatedly and never end. In a
+ * heavy load test this starved a queue of lower priority: the share of its jobs that ended in time
+ * fell from 0.97 to 0.45. So a task is preempted only once, and only while its job has clearly more
+ * slack than the pending one. */
 static gboolean
 is_preemptible (const FbPoolRun *run, const FbPoolStep *to, uint64_t now_ms)
 {
@@ -40,8 +40,8 @@
          && slack_ms (run->step, now_ms) > MAX (slack_ms (to, now_ms), 0) + MIN_EXTRA_SLACK_MS;
 }
 
-/* Takes the preemptible runs off the capacity used on their workers (SIGN -1), or adds them again
- * (1). */
+/* Subtracts the resources of the preemptible runs from those used on their workers (SIGN -1), or
+ * adds them again (1). */
 static void
 charge_preemptible (FbPool *self, const FbPoolStep *to, int sign, uint64_t now_ms)
 {
@@ -61,7 +61,7 @@
     }
 }
 
-/* Returns: (nullable): the preemptible run that loses least when stopped: the one started last. */
+/* Returns: (nullable): the preemptible run that loses the least work: the one started last. */
 static FbPoolRun *
 next_victim (const FbPoolWorker *worker, const FbPoolStep *to, uint64_t now_ms)
 {
--- a/src/work/pool-probe.c
+++ b/src/work/pool-probe.c
@@ -1,11 +1,11 @@
 /* Probing: a step whose tasks have crashed several workers starts one task at a time.
  *
- * A step may have hundreds of tasks that crash their workers. Each time it starts it would take
- * down as many workers as it reaches, three times over, and leave the service without workers for
- * tens of seconds. So once PROBE_WORKERS workers have crashed, its next task waits until the one
- * before has run for PROBE_MS, or has crashed its worker as well and brought the job nearer to the
- * crash limit. A step that only lost its workers to a power failure of a rack is released by the
- * first task that runs this long, which adds most of a second to the seconds without the workers.
+ * A step may have hundreds of tasks that crash their workers. Each time it started, it would crash
+ * as many workers as it reaches, three times over, and leave the service without workers for tens
+ * of seconds. So once PROBE_WORKERS workers have crashed, its next task waits until the one before
+ * has run for PROBE_MS, or has crashed its worker as well and brought the job nearer to the crash
+ * limit. A step that only lost its workers to a power failure of a rack is released by the first
+ * task that runs this long, which adds most of a second to the seconds without the workers.
  *
  * Long-running tasks are never held back: they must not be down for long, and are few. */
 #include "internal/pool-crash.h"
--- a/src/work/pool-queue.c
+++ b/src/work/pool-queue.c
@@ -1,10 +1,10 @@
 /* Queue of the steps with pending tasks, in the order in which they are placed.
  *
  * Restarting long-running tasks come first, and steps whose completion has no value any more last;
- * among the others the priority decides, then the time by which the caller wants the job.  The
- * order is kept between rounds: new steps are sorted among themselves and merged, so that a round
- * takes one pass over the pending steps.  Sorting all of them in each round took a quarter of an
- * owner's processor time once hundreds of steps were pending, so the backlog grew. */
+ * among the others the priority decides, then the time by which the caller wants the job. The order
+ * is kept between rounds: new steps are sorted among themselves and merged, so that a round takes
+ * one pass over the pending steps. Sorting all of them in each round took a quarter of an owner's
+ * processor time once hundreds of steps were pending, so the backlog grew. */
 #include "internal/pool-private.h"
 
 #include <string.h>
@@ -45,10 +45,10 @@
   return FALSE;
 }
 
-/* Failure: a new owner has to ask the advice service again about each step, and a long-running task
- * whose lease expired meanwhile queues behind hundreds of urgent ones; it was down for 11 s while
- * workers were idle.  Guard: restarting tasks go first.  Long-running tasks are few and have enough
- * workers otherwise, so the other steps are delayed by only a few questions. */
+/* A new owner has to request advice again for each step. When a long-running task whose lease had
+ * expired meanwhile queued behind hundreds of urgent ones, it was down for 11 s while workers were
+ * idle. So restarting tasks come first. Long-running tasks are few and have enough workers
+ * otherwise, so the other steps are delayed by only a few requests. */
 static FbPoolUrgency
 urgency_of (const FbPoolStep *step, uint64_t now_ms)
 {
--- a/src/work/pool-record.c
+++ b/src/work/pool-record.c
@@ -5,7 +5,7 @@
 #include "internal/codec.h"
 #include "internal/pool-crash.h"
 
-/* Results are kept this long after a job has ended, for callers that ask late. */
+/* Results are kept this long after a job has ended, for late requests from callers. */
 #define ENDED_JOB_RETENTION_MS 300000
 
 static void
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -47,9 +47,9 @@
     }
 }
 
-/* When workers are replaced one after the other during a take-over, each new one is unconfirmed for
- * its first moments, so that the take-over would never complete. A worker listed after the previous
- * owner had stopped and its last orders had expired cannot hold any of its runs. */
+/* During a rolling replacement of workers, each new worker is unconfirmed for its first moments, so
+ * a take-over would never complete. A worker listed after the previous owner had stopped and its
+ * last orders had expired cannot hold any of its runs. */
 static gboolean
 is_listed_after_takeover (const FbPool *self, const FbPoolWorker *worker)
 {
@@ -115,7 +115,7 @@
   /* The labels of a worker that is not listed are unknown. */
   if (!worker->listed)
     return TRUE;
-  /* Its capacity proves nothing: it may have shrunk since a run began that fitted then. */
+  /* Its capacity proves nothing: it may have shrunk since a run was started that fitted then. */
   if (!fb_pool_has_labels_for (worker, step->spec))
     return FALSE;
   if (!step->job->record.policy.advised || !step->job->advised_when_stored)
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -55,7 +55,7 @@
     fb_pool_order_stop (self, worker, run, now_ms);
 }
 
-typedef gboolean (*RunFilter) (const FbPoolRun *run, gconstpointer of);
+typedef gboolean (*RunFilter) (const FbPoolRun *run, gconstpointer object);
 
 static gboolean
 is_of_job (const FbPoolRun *run, gconstpointer job)
@@ -76,7 +76,7 @@
 }
 
 static void
-stop_runs (FbPool *self, RunFilter filter, gconstpointer of, uint64_t now_ms)
+stop_runs (FbPool *self, RunFilter filter, gconstpointer object, uint64_t now_ms)
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
@@ -87,7 +87,7 @@
       g_hash_table_iter_init (&runs, worker->runs);
       while (g_hash_table_iter_next (&runs, NULL, &run))
         {
-          if (filter (run, of))
+          if (filter (run, object))
             stop_run (self, worker, run, now_ms);
         }
     }
@@ -434,7 +434,7 @@
 }
 
 /* TRUE while END belongs to a job that may not have been read from the store yet. If END were
- * acknowledged, the worker would forget it, and the job would run again once read. */
+ * acknowledged, the worker would discard it, and the job would run again once read. */
 static gboolean
 is_of_unknown_job (const FbPool *self, FbPoolWorker *worker, const FbReportedEnd *end,
                    uint64_t now_ms)
@@ -447,7 +447,7 @@
   return self->jobs_read_ms <= worker->unknown_end_ms;
 }
 
-/* The stored record names the steps that may still run on a draining worker; it is rewritten when
+/* The stored record lists the steps that may still run on a draining worker; it is rewritten when
  * the last run there is over. */
 static void
 mark_workers_dirty_if_emptied (FbPool *self, const FbPoolWorker *worker, guint runs_before)
@@ -467,9 +467,9 @@
              : FB_POOL_LEASE_MS;
 }
 
-/* A worker forgets acknowledged ends. If one is still listed, the acknowledgement was not
- * received: the answer to another poll was taken for the one to the acknowledging poll.
- * Acknowledge it again. */
+/* A worker discards acknowledged ends. If one is still listed, the acknowledgement was not
+ * received: the answer to another poll was taken for the one to the acknowledging poll. Acknowledge
+ * it again. */
 static void
 acknowledge_again (FbPoolWorker *worker, const FbPollAnswer *answer)
 {
--- a/src/work/pool-restart.c
+++ b/src/work/pool-restart.c
@@ -13,8 +13,8 @@
 
 /* An unanswered order is carried out within this time, if at all. */
 #define LATE_ORDER_MAX_MS 15000
-/* Most unanswered starts kept, the newest; bounds the work at a worker's first answer, which scans
- * all of them. */
+/* Maximum number of unanswered starts kept, the newest; bounds the work at a worker's first answer,
+ * which scans all of them. */
 #define UNANSWERED_STARTS_MAX 4096
 
 /* A start that got no answer and may still be carried out. */
@@ -158,15 +158,15 @@
       fb_pool_worker_lost (self, worker, FB_LOSS_OTHER_INCARNATION, NULL, now_ms);
       return;
     }
-  FbPoolWorker *named = next_incarnation (self, worker, incarnation, now_ms);
-  FbPoolWorker *next = fb_pool_incarnation_running (self, named);
+  FbPoolWorker *answering = next_incarnation (self, worker, incarnation, now_ms);
+  FbPoolWorker *next = fb_pool_incarnation_running (self, answering);
   if (worker->runs_ended) /* fb_pool_incarnation_known() found that it had ended */
     return;
-  /* By its start time WORKER began later, but the answer proves that NAMED runs now. */
+  /* By its start time WORKER is newer, but the answer proves that ANSWERING runs now. */
   if (next == worker)
-    next = named;
+    next = answering;
   fb_pool_incarnation_set_latest (self, next);
-  /* Starts that may have reached it are resolved by its answers or by the end of its leases. */
+  /* Starts that may have reached it are resolved by its answers or by the expiry of its leases. */
   next->runs_ended = FALSE;
   next->replaced = FALSE;
   fb_event_log (FB_EVENT_POOL_WORKER_RETURNED,
--- a/src/work/pool-speed.c
+++ b/src/work/pool-speed.c
@@ -1,19 +1,19 @@
 /* Estimates the speed of the workers.
  *
- * Workers differ by 0.8 to 1.25 and more, and they do not report their speed.  The tasks of one
- * step are alike, so once a step has ended each of its runs is compared with the mean of all.  If
- * runs were taken into account as they end, each would be compared with shorter ones only, and
- * every worker would seem slow.  The known speeds of the workers are factored out first; otherwise
- * a step that ran on fast workers only would make each of them seem average. */
+ * Workers differ by 0.8 to 1.25 and more, and they do not report their speed. The tasks of one step
+ * are alike, so once a step has ended each of its runs is compared with the mean of all. If runs
+ * were taken into account as they end, each would be compared with shorter ones only, and every
+ * worker would seem slow. The known speeds of the workers are factored out first; otherwise a step
+ * that ran on fast workers only would make each of them seem average. */
 #include "internal/pool-private.h"
 
 #include <math.h>
 
 /* Weight of one run in the estimate: run times of the tasks of a step differ by 0.15 to 0.3 of
- * their mean, so some ten runs are needed to tell one worker from another. */
+ * their mean, so some ten runs are needed to distinguish one worker from another. */
 #define LEARNING_RATE 0.125
-/* The ratio of a single run is limited to this range: a run far from the others was stuck, or
- * lucky. */
+/* The ratio of a single run is clamped to this range, because outliers say little about the worker:
+ * a much longer run was stuck, and a much shorter one was an exception. */
 #define RATIO_MIN 0.4
 #define RATIO_MAX 4.0
 
--- a/src/work/pool-stuck.c
+++ b/src/work/pool-stuck.c
@@ -1,21 +1,21 @@
 /* Detection of stuck runs.
  *
- * Failure: the tasks on a worker make no progress while the worker still answers; their jobs never
- * end.  Guard: a run that takes far too long is started again elsewhere, and its worker gets less
- * work.  The limit follows from the other runs of the step once some have ended, and from the
- * estimate before.  It doubles with each restart, and after the last one the task is left alone,
- * because it may just be long. */
+ * The tasks on a worker may make no progress while the worker still answers, and their jobs would
+ * never end. So a run that takes far too long is restarted elsewhere, and its worker gets fewer
+ * runs. The limit follows from the other runs of the step once some have ended, and from the
+ * estimate before. It doubles with each restart, and after the last restart the task runs without a
+ * limit, because it may just be long. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
 
 /* A run is stuck when it takes this percentage of the time that the other runs of its step took
- * (they differ by some 15%), plus this time for the start on a slow worker.  The limit doubles with
+ * (they differ by some 15%), plus this time for the start on a slow worker. The limit doubles with
  * each restart. */
 #define STUCK_PERCENT 250
 #define STUCK_MS 800
 /* Until other runs have ended only the estimate is known, which is wrong by a factor of up to 1.9,
- * while run times spread to 2.5 times their mean.  A factor of 5 restarted sound runs in load
+ * while run times spread to 2.5 times their mean. A factor of 5 restarted healthy runs in load
  * tests without faults. */
 #define STUCK_ESTIMATE_FACTOR 10
 #define MAX_STUCK_RESTARTS 3
--- a/src/work/pool-worker-advice.c
+++ b/src/work/pool-worker-advice.c
@@ -1,8 +1,8 @@
 /* Answers of the advice service about the workers of a step.
  *
  * Which workers a step may use never changes during the life of a worker process; only the tickets
- * expire.  The answers are stored in an array indexed by worker slot, because a round reads them
- * for each pair of worker and pending step. */
+ * expire. The answers are stored in an array indexed by worker slot, because a round reads them for
+ * each pair of worker and pending step. */
 #include "internal/pool-private.h"
 
 #include <string.h>
@@ -37,7 +37,7 @@
 }
 
 void
-fb_pool_worker_advice_asked (FbPoolStep *step, const FbPoolWorker *worker)
+fb_pool_worker_advice_set_requested (FbPoolStep *step, const FbPoolWorker *worker)
 {
   (void) advice_slot (step, worker);
   step->has_advice = TRUE;
--- a/src/work/pool-worker-slots.c
+++ b/src/work/pool-worker-slots.c
@@ -1,8 +1,8 @@
 /* The workers of a pool in a dense array, and the list of workers whose capacity has grown.
  *
  * A round checks the free capacity of each worker for each pending step, so it iterates over an
- * array instead of a hash table.  A slot is used again after its worker is forgotten;
- * FbPoolWorker.incarnation, which never repeats, tells the two workers apart. */
+ * array instead of a hash table. A slot is reused after its worker has been removed;
+ * FbPoolWorker.incarnation, which is never reused, distinguishes the two workers. */
 #include "internal/pool-private.h"
 
 void
--- a/src/work/pool-worker.c
+++ b/src/work/pool-worker.c
@@ -1,7 +1,7 @@
 /* Workers of a pool: their resources, clocks and leases.
  *
  * A run is charged for its resources from the start order until its end is listed or it certainly
- * never began: a worker that does not check its own capacity starts whatever it is told to. */
+ * never began: a worker that does not check its own capacity carries out every start. */
 #include "internal/pool-crash.h"
 
 #include <string.h>
@@ -10,7 +10,7 @@
 /* A worker that has not answered for this long gets no new work: a poll takes up to
  * FB_POOL_POLL_WAIT_MS, the rest allows for the network and a slow daemon. */
 #define SILENT_MS 1300
-/* Most by which a worker's clock may run slow, in 1/1000. */
+/* Maximum by which a worker's clock may run slow, in 1/1000. */
 #define CLOCK_SLOW_PERMILLE 20
 /* Safety margin added to a lease that must certainly have ended. */
 #define LEASE_EXPIRY_SLACK_MS 100
@@ -193,9 +193,9 @@
   worker->gpu_reserved += sign * (int64_t) spec->gpu_count;
 }
 
-/* A worker that fails its runs looks free and would therefore get more of them. So it gets one run
- * a second until one succeeds. A limit on the number of its runs would not do, since one
- * long-running task would keep the worker out of use for good. */
+/* A worker that fails its runs seems to have free capacity and would therefore get more of them. So
+ * it gets one run a second until one succeeds. A limit on the number of its runs would not do,
+ * since one long-running task would keep the worker out of use indefinitely. */
 void
 fb_pool_worker_throttle (FbPoolWorker *worker, uint64_t now_ms)
 {
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -6,8 +6,8 @@
 
 /* A stop order without an answer is sent again after this time. */
 #define STOP_REPEAT_MS 600
-/* An owner that heard from a majority of its workers within this time is taken to be connected, so
- * a silent worker is not explained by a failure of the owner's own network. */
+/* An owner that got answers from a majority of its workers within this time is considered
+ * connected, so the silence of a worker is not attributed to the owner's own network. */
 #define MAJORITY_ANSWER_MS 1500
 
 FbPool *
@@ -89,11 +89,10 @@
 /* Moves long-running and checkpointing tasks off a draining worker before it exits, as soon as they
  * may start elsewhere.
  *
- * Failure: the owner of the pool changes while a worker begins to drain, and each new owner sees
- * the worker draining from the beginning.  If tasks were moved only at the transition to draining,
- * a long-running task would end with its worker and start again only after the next owner has
- * recovered, 12 s later.  Guard: the runs on a draining worker are checked in every maintenance
- * pass. */
+ * Called in every maintenance pass, because the owner of the pool may change while a worker begins
+ * to drain, and a new owner only ever sees the worker draining. If tasks were moved only at the
+ * transition to draining, a long-running task would end with its worker and start again only after
+ * the next owner has recovered, 12 s later. */
 static void
 move_runs_off_draining (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
@@ -151,10 +150,10 @@
                 g_hash_table_size (worker->runs), (guint) (now_ms - worker->last_answer_ms));
 }
 
-/* Failure: a worker's entry in the platform's list expires while the store is unavailable, the
- * owner changes, and the new owner does not know of the worker; tasks that still run there are
- * started a second time.  Guard: the owner records its own list of workers, which the next owner
- * reads here. */
+/* A worker's entry in the platform's list may expire while the store is unavailable. If the owner
+ * then changes, the new owner would not know of the worker and would start tasks that still run
+ * there a second time. So the owner records its own list of workers, which the next owner reads
+ * here. */
 void
 fb_pool_restore_workers (FbPool *self, const fb_work_workers *record)
 {
@@ -222,12 +221,12 @@
 
 /* TRUE when WORKER has left and need not be polled any more: either all runs of this incarnation
  * have certainly ended, or this owner has recovered, so that it knows everything that runs in the
- * pool, and nothing runs there.  A later owner would otherwise wait for the worker for a whole
+ * pool, and nothing runs there. A later owner would otherwise wait for the worker for a whole
  * lease.
  *
- * Failure: a worker on which capacity is reserved is forgotten and then listed again as a new one.
- * The reservation is returned to a worker that never had it, which then gets more than it can hold.
- * Guard: a worker with reserved capacity is not forgotten. */
+ * A worker with reserved capacity is kept. If it were removed and then listed again as a new one,
+ * the reservation would be returned to a worker that never had it, which would then get more runs
+ * than it has capacity for. */
 static gboolean
 can_be_removed (const FbPool *self, const FbPoolWorker *worker)
 {
@@ -435,7 +434,7 @@
   if (job == NULL)
     return FALSE;
   /* A job is reported as ended only once the end is durable: a later owner must not run the job
-   * again after its caller has been told that it is done. */
+   * again after its caller has been notified of the end. */
   if (job->stored_state >= FB_WORK_COMPLETED)
     *state = job->stored_state;
   else
