--- a/bench/pool-crashes.c
+++ b/bench/pool-crashes.c
@@ -16,8 +16,8 @@
 #define WALL_CLOCK_OFFSET_MS 1000000000
 #define SIMULATED_MS 90000
 #define SUBMIT_FOR_MS 60000
-#define CRASHERS_FROM_MS 5000
-#define CRASHER_EVERY_MS 500
+#define CRASHING_JOBS_FROM_MS 5000
+#define CRASHING_JOB_INTERVAL_MS 500
 #define ENTRY_TTL_MS 4500
 #define CALL_TIMEOUT_MS 600
 #define WORKER_CPU 64000
@@ -64,12 +64,12 @@
 
 typedef struct
 {
-  gboolean crasher;   /* its tasks crash their workers */
-  uint32_t crasher_n; /* number of its tasks that crash their workers, the first ones */
+  gboolean is_crashing;      /* its tasks crash their workers */
+  uint32_t crashing_tasks_n; /* its first tasks, this many, crash their workers */
   const JobKind *kind;
   uint64_t submitted_ms;
-  uint64_t started_ms; /* of its first task; 0: none was started */
-  guint crashed;       /* workers that its tasks crashed */
+  uint64_t started_ms;     /* of its first task; 0: none was started */
+  guint crashed_workers_n; /* workers that its tasks crashed */
 } Job;
 
 typedef enum
@@ -88,7 +88,7 @@
   char task[64];
   uint32_t attempt;
   uint64_t acknowledged;
-  uint64_t answer_by_ms;  /* when it is answered at the latest */
+  uint64_t answer_by_ms;  /* when it is answered, unless earlier */
   uint64_t timeout_at_ms; /* when it fails if the worker is down */
 } Call;
 
@@ -103,7 +103,7 @@
   GArray *calls;   /* of Call */
   uint64_t cpu_ns; /* of the pool's calls */
   uint64_t starts;
-  double lost_core_s; /* work of innocent tasks lost in crashes */
+  double lost_core_s; /* work of other jobs that was lost in crashes */
   double down_s;      /* of workers */
 } Simulation;
 
@@ -193,15 +193,15 @@
 }
 
 static void
-host_crash (Simulation *sim, Host *host, const Run *by)
+host_crash (Simulation *sim, Host *host, const Run *cause)
 {
-  Job *crasher = &g_array_index (sim->jobs, Job, by->job);
-  crasher->crashed++;
+  Job *causing_job = &g_array_index (sim->jobs, Job, cause->job);
+  causing_job->crashed_workers_n++;
   for (guint i = 0; i < host->runs->len; i++)
     {
       const Run *run = &g_array_index (host->runs, Run, i);
       const Job *job = &g_array_index (sim->jobs, Job, run->job);
-      if (!job->crasher)
+      if (!job->is_crashing)
         sim->lost_core_s
             += (double) (sim->now_ms - run->started_ms) / 1000 * job->kind->cpu_milli / 1000;
     }
@@ -214,12 +214,12 @@
 }
 
 static void
-add_end (Host *host, const Run *run, FbEndReason how)
+add_end (Host *host, const Run *run, FbEndReason reason)
 {
   const FbReportedEnd end = { .number = ++host->next_end,
                               .task = g_strdup (run->task),
                               .attempt = run->attempt,
-                              .how = how,
+                              .how = reason,
                               .checkpoint = g_strdup ("") };
   g_array_append_val (host->ends, end);
 }
@@ -262,7 +262,7 @@
   run.ends_ms = sim->now_ms
                 + job->kind->run_ms * (80 + (uint64_t) g_rand_int_range (sim->rand, 0, 45)) / 100;
   guint index = (guint) atoi (strrchr (call->task, '.') + 1);
-  if (index < job->crasher_n)
+  if (index < job->crashing_tasks_n)
     run.crash_ms = sim->now_ms + (uint64_t) g_rand_int_range (sim->rand, 10, job->kind->run_ms);
   if (job->started_ms == 0)
     job->started_ms = sim->now_ms;
@@ -371,15 +371,17 @@
 
 /* ---- jobs --------------------------------------------------------------------------------- */
 
-/* CRASHER_N: tasks of a job that all crash their workers; 0: an innocent job. */
+/* Submits a job.  CRASHING_TASKS_N: its number of tasks, which all crash their workers; 0: a job
+ * whose tasks crash no worker. */
 static void
-submit (Simulation *sim, const JobKind *kind, uint32_t crasher_n)
+submit (Simulation *sim, const JobKind *kind, uint32_t crashing_tasks_n)
 {
-  const Job job = {
-    .crasher = crasher_n > 0, .crasher_n = crasher_n, .kind = kind, .submitted_ms = sim->now_ms
-  };
+  const Job job = { .is_crashing = crashing_tasks_n > 0,
+                    .crashing_tasks_n = crashing_tasks_n,
+                    .kind = kind,
+                    .submitted_ms = sim->now_ms };
   g_array_append_val (sim->jobs, job);
-  fb_work_step step = { .count = crasher_n > 0 ? crasher_n : kind->tasks,
+  fb_work_step step = { .count = crashing_tasks_n > 0 ? crashing_tasks_n : kind->tasks,
                         .cpu_milli = kind->cpu_milli,
                         .mem_mb = 500,
                         .estimate_ms = kind->run_ms,
@@ -410,7 +412,7 @@
 }
 
 static void
-submit_due (Simulation *sim, guint crasher_n, uint32_t tasks)
+submit_due (Simulation *sim, guint crashing_jobs_n, uint32_t crashing_tasks_n)
 {
   uint64_t passed_ms = sim->now_ms - FIRST_CLOCK_MS;
   if (passed_ms > SUBMIT_FOR_MS)
@@ -421,14 +423,17 @@
       submit (sim, &kinds[g_rand_int_range (sim->rand, 0, G_N_ELEMENTS (kinds))], 0);
       due -= 1;
     }
-  guint crashers_due = passed_ms < CRASHERS_FROM_MS
-                           ? 0
-                           : (guint) ((passed_ms - CRASHERS_FROM_MS) / CRASHER_EVERY_MS) + 1;
-  guint before = passed_ms < CRASHERS_FROM_MS + STEP_MS
-                     ? 0
-                     : (guint) ((passed_ms - STEP_MS - CRASHERS_FROM_MS) / CRASHER_EVERY_MS) + 1;
-  if (crashers_due > before && crashers_due <= crasher_n)
-    submit (sim, &kinds[0], tasks);
+  guint crashing_jobs_due
+      = passed_ms < CRASHING_JOBS_FROM_MS
+            ? 0
+            : (guint) ((passed_ms - CRASHING_JOBS_FROM_MS) / CRASHING_JOB_INTERVAL_MS) + 1;
+  guint before
+      = passed_ms < CRASHING_JOBS_FROM_MS + STEP_MS
+            ? 0
+            : (guint) ((passed_ms - STEP_MS - CRASHING_JOBS_FROM_MS) / CRASHING_JOB_INTERVAL_MS)
+                  + 1;
+  if (crashing_jobs_due > before && crashing_jobs_due <= crashing_jobs_n)
+    submit (sim, &kinds[0], crashing_tasks_n);
 }
 
 /* ---- simulation --------------------------------------------------------------------------- */
@@ -442,12 +447,12 @@
 }
 
 static void
-tick (Simulation *sim, guint crasher_n, uint32_t tasks)
+tick (Simulation *sim, guint crashing_jobs_n, uint32_t crashing_tasks_n)
 {
   sim->now_ms += STEP_MS;
   for (guint i = 0; i < sim->host_n; i++)
     host_tick (sim, i);
-  submit_due (sim, crasher_n, tasks);
+  submit_due (sim, crashing_jobs_n, crashing_tasks_n);
   uint64_t from_ns = cpu_ns ();
   calls_tick (sim);
   fb_pool_tick (sim->pool, TRUE, sim->now_ms, WALL_CLOCK_OFFSET_MS + sim->now_ms);
@@ -469,12 +474,12 @@
 }
 
 static void
-report (const Simulation *sim, guint crasher_n, uint32_t tasks)
+report (const Simulation *sim, guint crashing_jobs_n, uint32_t crashing_tasks_n)
 {
   g_autoptr (GArray) waits = g_array_new (FALSE, FALSE, sizeof (uint64_t));
   guint crashed = 0;
-  guint most_crashed = 0;
-  guint innocent_failed = 0;
+  guint max_crashed = 0;
+  guint other_jobs_failed = 0;
   guint unfinished = 0;
   for (guint i = 0; i < sim->jobs->len; i++)
     {
@@ -482,24 +487,25 @@
       fb_work_state state = FB_WORK_QUEUED;
       g_autofree char *id = g_strdup_printf ("%016x", i + 1);
       (void) fb_pool_job_state (sim->pool, id, &state);
-      crashed += job->crashed;
-      most_crashed = MAX (most_crashed, job->crashed);
+      crashed += job->crashed_workers_n;
+      max_crashed = MAX (max_crashed, job->crashed_workers_n);
       unfinished += state < FB_WORK_COMPLETED;
-      innocent_failed += !job->crasher && state == FB_WORK_FAILED;
+      other_jobs_failed += !job->is_crashing && state == FB_WORK_FAILED;
       uint64_t wait_ms = (job->started_ms != 0 ? job->started_ms : sim->now_ms) - job->submitted_ms;
-      if (!job->crasher)
+      if (!job->is_crashing)
         g_array_append_val (waits, wait_ms);
     }
   g_array_sort (waits, compare_waits);
-  printf ("%7u %8u %5u %6u %9.2f %4u %8u %10u %9.0f %8.0f %6u %6.1f\n", sim->host_n, crasher_n,
-          tasks, sim->jobs->len, crasher_n > 0 ? (double) crashed / crasher_n : 0, most_crashed,
-          innocent_failed, unfinished, sim->lost_core_s, sim->down_s,
+  printf ("%7u %8u %5u %6u %9.2f %4u %8u %10u %9.0f %8.0f %6u %6.1f\n", sim->host_n,
+          crashing_jobs_n, crashing_tasks_n, sim->jobs->len,
+          crashing_jobs_n > 0 ? (double) crashed / crashing_jobs_n : 0, max_crashed,
+          other_jobs_failed, unfinished, sim->lost_core_s, sim->down_s,
           (guint) g_array_index (waits, uint64_t, waits->len * 99 / 100),
           (double) sim->cpu_ns / 1000 / (double) MAX (sim->starts, 1));
 }
 
 static void
-simulate (guint host_n, guint crasher_n, uint32_t tasks, guint32 seed)
+simulate (guint host_n, guint crashing_jobs_n, uint32_t crashing_tasks_n, guint32 seed)
 {
   static const FbPoolLimits limits
       = { .max_lease_ms = 6000, .max_stop_ms = 200, .gang_wait_ms = 3000 };
@@ -519,8 +525,8 @@
   fb_pool_workers_complete (sim.pool);
   fb_pool_jobs_read (sim.pool, sim.now_ms);
   while (sim.now_ms < FIRST_CLOCK_MS + SIMULATED_MS)
-    tick (&sim, crasher_n, tasks);
-  report (&sim, crasher_n, tasks);
+    tick (&sim, crashing_jobs_n, crashing_tasks_n);
+  report (&sim, crashing_jobs_n, crashing_tasks_n);
   fb_pool_free (sim.pool);
   for (guint i = 0; i < host_n; i++)
     {
@@ -537,23 +543,23 @@
 main (int argc, char **argv)
 {
   static const guint sizes[] = { 13, 48, 350 };
-  static const guint crashers[] = { 0, 1, 5, 20 };
+  static const guint crashing_jobs[] = { 0, 1, 5, 20 };
   if (argc > 2 || (argc == 2 && atoi (argv[1]) <= 0))
     {
       fprintf (stderr, "usage: flamingobarrow-bench-crashes [SEED]\n");
       return 2;
     }
   fb_event_set_quiet (TRUE);
-  printf ("workers crashers tasks   jobs  crashed/ most innocent unfinished lost core  workers    "
-          "p99     "
-          "us\n"
-          "                                crasher      given up               s   down s  wait  "
-          "start\n");
+  printf (
+      "workers crashing tasks   jobs  crashed/  max   others unfinished lost core  workers    p99 "
+      "    us\n"
+      "            jobs                    job        failed                    s   down s   wait "
+      " start\n");
   guint32 seed = argc == 2 ? (guint32) atoi (argv[1]) : 1;
   for (guint i = 0; i < G_N_ELEMENTS (sizes); i++)
     {
-      for (guint j = 0; j < G_N_ELEMENTS (crashers); j++)
-        simulate (sizes[i], crashers[j], 1, seed);
+      for (guint j = 0; j < G_N_ELEMENTS (crashing_jobs); j++)
+        simulate (sizes[i], crashing_jobs[j], 1, seed);
       simulate (sizes[i], 1, MANY_CRASHING_TASKS, seed);
     }
   return 0;
--- a/fuzz/fuzz-node.c
+++ b/fuzz/fuzz-node.c
@@ -1,8 +1,8 @@
-/* Stateful fuzzing of whole nodes: the input is decoded to a sequence of events on
- * several daemons, workers and a log, and the oracle checks the invariants after each.
+/* Stateful fuzzing of whole nodes: the input is decoded to a sequence of events on several daemons,
+ * workers and a log, and the oracle checks the invariants after each.
  *
- * Two bytes per step: the event and its target.  Every step also advances the clock.
- * At the end all faults are healed and recovery has to complete. */
+ * Two bytes per step: the event and its target. Every step also advances the clock. At the end all
+ * faults are healed and recovery has to complete. */
 #include "../tests/world.h"
 
 #include "fb-event.h"
@@ -29,29 +29,29 @@
 {
   static const uint64_t run_times_ms[] = { 100, 400, 1500, 6000 };
   static const uint64_t deadlines_ms[] = { 0, 2000, 5000, 20000 };
-  gboolean again = run->next_job > 1 && target % 7 == 0;
-  if (!again && run->next_job > JOB_MAX)
+  gboolean is_repeat = run->next_job > 1 && target % 7 == 0;
+  if (!is_repeat && run->next_job > JOB_MAX)
     return;
-  uint64_t id = again ? 1 + target % (run->next_job - 1) : run->next_job++;
+  uint64_t id = is_repeat ? 1 + target % (run->next_job - 1) : run->next_job++;
   /* The job's parameters depend on its id alone, so that a repeated submission is identical. */
-  guint shape = (guint) (id * 2654435761u >> 7);
-  WorldJob job = { .id = id, .partner = shape % FB_PARTNER_N };
-  job.kind = (FbKind) (shape / 2 % FB_KIND_N);
+  guint hash = (guint) (id * 2654435761u >> 7);
+  WorldJob job = { .id = id, .partner = hash % FB_PARTNER_N };
+  job.kind = (FbKind) (hash / 2 % FB_KIND_N);
   if (job.kind == FB_KIND_SERVICE)
     job.kind = FB_KIND_BATCH;
-  job.flags = (shape / 8 % 3 == 0)   ? FB_FLAG_AT_MOST_ONCE
-              : (shape / 8 % 3 == 1) ? FB_FLAG_PREEMPTIBLE
-                                     : 0;
-  job.count = job.kind == FB_KIND_GANG ? 2 + shape / 24 % 3 : 1 + shape / 24 % 4;
-  /* A gang whose tasks need a whole host each could wait forever next to services. */
+  job.flags = (hash / 8 % 3 == 0)   ? FB_FLAG_AT_MOST_ONCE
+              : (hash / 8 % 3 == 1) ? FB_FLAG_PREEMPTIBLE
+                                    : 0;
+  job.count = job.kind == FB_KIND_GANG ? 2 + hash / 24 % 3 : 1 + hash / 24 % 4;
+  /* A gang whose tasks need a whole host each might never start next to services. */
   guint cpu_max = job.kind == FB_KIND_GANG ? 2 : 3;
-  job.demand = (fb_res){ { 1000 * (1 + shape / 96 % cpu_max), 1ull << 30, 0, 1 } };
-  job.run_ms = run_times_ms[shape / 288 % 4];
-  job.deadline_ms = deadlines_ms[shape / 1152 % 4];
-  if (shape / 4608 % 5 == 0 && job.kind != FB_KIND_GANG)
+  job.demand = (fb_res){ { 1000 * (1 + hash / 96 % cpu_max), 1ull << 30, 0, 1 } };
+  job.run_ms = run_times_ms[hash / 288 % 4];
+  job.deadline_ms = deadlines_ms[hash / 1152 % 4];
+  if (hash / 4608 % 5 == 0 && job.kind != FB_KIND_GANG)
     {
       /* The daemon generates the ids of ephemeral jobs, and they never repeat. */
-      if (again)
+      if (is_repeat)
         return;
       job.flags |= FB_FLAG_EPHEMERAL;
     }
@@ -59,7 +59,7 @@
 }
 
 static void
-fault_daemon (Run *run, guint event, guint target)
+inject_daemon_fault (Run *run, guint event, guint target)
 {
   guint node = target % MEMBER_N;
   gboolean on = (target / MEMBER_N) % 2 == 0;
@@ -87,7 +87,7 @@
 }
 
 static void
-fault_host (Run *run, guint event, guint target)
+inject_host_fault (Run *run, guint event, guint target)
 {
   guint rack = target % RACK_N;
   guint host = target / RACK_N % HOST_N;
@@ -139,11 +139,11 @@
       break;
     case 5:
     case 6:
-      fault_daemon (run, event / 16, target);
+      inject_daemon_fault (run, event / 16, target);
       break;
     case 7:
     case 8:
-      fault_host (run, event / 16, target);
+      inject_host_fault (run, event / 16, target);
       break;
     case 9:
       world_set_message_faults (run->world, fault_rates[target % 4], fault_rates[target / 4 % 4],
@@ -156,8 +156,8 @@
       if (run->next_job > 1)
         {
           uint64_t id = 1 + target % (run->next_job - 1);
-          guint shape = (guint) (id * 2654435761u >> 7);
-          world_cancel (run->world, event / 16 % MEMBER_N, shape % FB_PARTNER_N, id);
+          guint hash = (guint) (id * 2654435761u >> 7);
+          world_cancel (run->world, event / 16 % MEMBER_N, hash % FB_PARTNER_N, id);
         }
       break;
     case 12:
@@ -176,14 +176,14 @@
 guint64
 fuzz_node_run (const uint8_t *data, size_t size, char **violation)
 {
-  WorldSize shape = { .member_n = MEMBER_N,
-                      .rack_n = RACK_N,
-                      .host_n = HOST_N,
-                      .range_n = 4,
-                      .host_capacity = { { 4000, 8ull << 30, 0, 4 } },
-                      .retention_ms = 60000,
-                      .seed = size > 0 ? data[0] : 0 };
-  Run run = { .world = world_new (&shape), .next_job = 1 };
+  WorldSize world_size = { .member_n = MEMBER_N,
+                           .rack_n = RACK_N,
+                           .host_n = HOST_N,
+                           .range_n = 4,
+                           .host_capacity = { { 4000, 8ull << 30, 0, 4 } },
+                           .retention_ms = 60000,
+                           .seed = size > 0 ? data[0] : 0 };
+  Run run = { .world = world_new (&world_size), .next_job = 1 };
   guint64 steps = 0;
   world_run (run.world, 6000);
   for (size_t i = 1; i + 1 < size && steps < STEP_MAX && world_violation (run.world) == NULL;
--- a/fuzz/fuzz-pool.c
+++ b/fuzz/fuzz-pool.c
@@ -77,12 +77,12 @@
 }
 
 static void
-fault_worker (World *world)
+inject_worker_fault (World *world)
 {
   guint i = world_random (world, WORKER_N);
   Worker *worker = &world->workers[i];
-  /* A draining worker may exit at any time, which an owner cannot tell from a crash: the modes
-   * with crashing tasks do not drain workers. */
+  /* A draining worker may exit at any time, which an owner cannot distinguish from a crash: the
+   * modes with crashing tasks do not drain workers. */
   switch (world_random (world, world->crashing ? 3 : 4))
     {
     case 0:
@@ -93,8 +93,9 @@
       world_worker_start (world, i);
       break;
     case 2:
-      worker->cut = !worker->cut;
-      world_trace (world, "%s is %s", worker->id, worker->cut ? "cut off" : "reachable again");
+      worker->unreachable = !worker->unreachable;
+      world_trace (world, "%s is %s", worker->id,
+                   worker->unreachable ? "unreachable" : "reachable again");
       break;
     default:
       worker->draining = TRUE;
@@ -113,7 +114,7 @@
 }
 
 static void
-fault_owner (World *world)
+inject_owner_fault (World *world)
 {
   guint i = world_random (world, OWNER_N);
   Owner *owner = &world->owners[i];
@@ -123,14 +124,14 @@
     {
     case 0:
       world_owner_stop (world, i);
-      world_peer_die (world);
+      world_peer_fail (world);
       break;
     default:
       owner->paused = !owner->paused;
       owner->resume_ms = 0;
       world_trace (world, "daemon %u %s", i, owner->paused ? "is paused" : "is resumed");
     }
-  world->disturbed_ms[i] = world->now_ms;
+  world->last_fault_ms[i] = world->now_ms;
 }
 
 /* An owner's main loop stalls for a moment, while its membership is still renewed. */
@@ -147,7 +148,7 @@
 /* A worker fails half of its calls until the next change, all connections break for less than
  * 500 ms, or the owner stalls. */
 static void
-fault_connections (World *world)
+inject_connection_faults (World *world)
 {
   Worker *worker = &world->workers[world_random (world, WORKER_N)];
   if (world_random (world, 200) == 0)
@@ -161,27 +162,29 @@
 static void
 inject_faults (World *world)
 {
-  /* A job or cancel is accepted once the store has it, so none is accepted while it is away. */
-  if (world_random (world, 30) == 0 && !world->store_away)
+  /* A job or cancel is accepted once the store has it, so none is accepted while the store is
+   * unavailable. */
+  if (world_random (world, 30) == 0 && !world->store_unavailable)
     submit (world);
-  if (world_random (world, 400) == 0 && !world->store_away)
+  if (world_random (world, 400) == 0 && !world->store_unavailable)
     cancel (world);
-  /* In the crashing modes tasks already crash workers often.  The runs lost with a worker are known
+  /* In the crashing modes tasks already crash workers often. The runs lost with a worker are known
    * 4 s later, and never if the owner changes within each of these periods. */
   if (world_random (world, world->crashing ? 450 : 150) == 0)
-    fault_worker (world);
-  if (world->shrinking && world_random (world, 100) == 0 && !world->store_away)
+    inject_worker_fault (world);
+  if (world->shrinking && world_random (world, 100) == 0 && !world->store_unavailable)
     resize_worker (world);
   if (world->repeats)
-    fault_connections (world);
-  if (world->owners_steady)
+    inject_connection_faults (world);
+  if (world->owners_stable)
     return;
   if (world_random (world, world->crashing ? 2500 : 250) == 0)
-    fault_owner (world);
+    inject_owner_fault (world);
   if (world_random (world, 500) == 0)
     {
-      world->store_away = !world->store_away;
-      world_trace (world, "the store is %s", world->store_away ? "away" : "back");
+      world->store_unavailable = !world->store_unavailable;
+      world_trace (world, "the store is %s",
+                   world->store_unavailable ? "unavailable" : "available again");
     }
 }
 
@@ -189,32 +192,32 @@
 heal (World *world)
 {
   world->healing = TRUE;
-  world->store_away = FALSE;
+  world->store_unavailable = FALSE;
   for (guint i = 0; i < WORKER_N; i++)
     {
       if (!world->workers[i].up || world->workers[i].draining)
         world_worker_start (world, i);
       world_worker_resize (world, &world->workers[i], WORKER_CPU_MILLI);
-      world->workers[i].cut = FALSE;
+      world->workers[i].unreachable = FALSE;
       world->workers[i].failing = FALSE;
     }
   for (guint i = 0; i < OWNER_N; i++)
     world->owners[i].paused = FALSE;
 }
 
-/* The platform lists a worker until it has not heard it for UNLIST_DELAY_MS. */
+/* The platform lists a worker until it has had no messages from it for UNLIST_DELAY_MS. */
 static void
 list_tick (World *world)
 {
-  for (guint i = 0; i < WORKER_N && !world->store_away; i++)
+  for (guint i = 0; i < WORKER_N && !world->store_unavailable; i++)
     {
       Worker *worker = &world->workers[i];
-      gboolean heard = worker->up && !worker->cut;
-      if (heard)
-        worker->unheard_since_ms = 0;
-      else if (worker->unheard_since_ms == 0)
-        worker->unheard_since_ms = world->now_ms;
-      worker->listed = heard || world->now_ms < worker->unheard_since_ms + UNLIST_DELAY_MS;
+      gboolean is_reachable = worker->up && !worker->unreachable;
+      if (is_reachable)
+        worker->silent_since_ms = 0;
+      else if (worker->silent_since_ms == 0)
+        worker->silent_since_ms = world->now_ms;
+      worker->listed = is_reachable || world->now_ms < worker->silent_since_ms + UNLIST_DELAY_MS;
     }
 }
 
@@ -269,8 +272,8 @@
   World *world = g_new0 (World, 1);
   world->repeats = g_str_equal (mode, "repeats");
   world->uses_advice = world->repeats || g_str_equal (mode, "advised");
-  world->owners_steady = g_str_equal (mode, "crashing-steady");
-  world->crashing = world->owners_steady || g_str_equal (mode, "crashing");
+  world->owners_stable = g_str_equal (mode, "crashing-steady");
+  world->crashing = world->owners_stable || g_str_equal (mode, "crashing");
   world->shrinking = g_str_equal (mode, "shrinking");
   world->traced = getenv ("FUZZ_LOG") != NULL;
   world->rand = g_rand_new_with_seed (seed);
@@ -286,7 +289,7 @@
       Worker *worker = &world->workers[i];
       worker->runs = g_array_new (FALSE, TRUE, sizeof (Run));
       worker->ends = g_array_new (FALSE, TRUE, sizeof (End));
-      worker->highest = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+      worker->highest_attempts = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
       world_worker_start (world, i);
     }
   for (guint i = 0; i < PEER_N; i++)
@@ -307,7 +310,7 @@
     {
       g_array_unref (world->workers[i].runs);
       g_array_unref (world->workers[i].ends);
-      g_hash_table_unref (world->workers[i].highest);
+      g_hash_table_unref (world->workers[i].highest_attempts);
     }
   for (guint i = 0; i < world->job_n; i++)
     {
@@ -336,10 +339,10 @@
 world_tick (World *world)
 {
   world->now_ms += TICK_MS;
-  if (world->store_away)
-    world->store_away_ms = world->now_ms;
+  if (world->store_unavailable)
+    world->store_unavailable_ms = world->now_ms;
   /* The grace period of a capacity change begins once the list can show the change. */
-  for (guint i = 0; world->store_away && i < WORKER_N; i++)
+  for (guint i = 0; world->store_unavailable && i < WORKER_N; i++)
     world->workers[i].cpu_changed_ms = world->now_ms;
   for (guint i = 0; i < OWNER_N; i++)
     {
@@ -347,7 +350,7 @@
       if (owner->resume_ms != 0 && world->now_ms >= owner->resume_ms)
         owner->paused = FALSE;
       if (owner->paused)
-        world->disturbed_ms[i] = world->now_ms;
+        world->last_fault_ms[i] = world->now_ms;
     }
   for (guint i = 0; i < WORKER_N; i++)
     world_worker_tick (world, &world->workers[i]);
@@ -378,10 +381,10 @@
     check_end (world);
   if (world->violation != NULL)
     printf ("seed %u: %s\n", seed, world->violation);
-  gboolean is_broken = world->violation != NULL;
+  gboolean violated = world->violation != NULL;
   *starts += world->starts;
   world_free (world);
-  return is_broken;
+  return violated;
 }
 
 int
@@ -406,14 +409,14 @@
   fb_event_set_quiet (getenv ("FUZZ_LOG") == NULL);
   guint32 first = (guint32) atoi (argv[1]);
   guint32 n = (guint32) atoi (argv[2]);
-  guint broken_n = 0;
+  guint violations_n = 0;
   uint64_t starts = 0;
   guint mode_index = 0;
   while (restart_mode_names[mode_index + 1] != NULL
          && !g_str_equal (restart_mode_names[mode_index], restart_mode))
     mode_index++;
   for (guint32 i = 0; i < n; i++)
-    broken_n += run_seed (first + i, mode, (RestartMode) mode_index, &starts);
-  printf ("%u seeds, %u starts, %u broken\n", n, (unsigned) starts, broken_n);
-  return broken_n > 0;
+    violations_n += run_seed (first + i, mode, (RestartMode) mode_index, &starts);
+  printf ("%u seeds, %u starts, %u broken\n", n, (unsigned) starts, violations_n);
+  return violations_n > 0;
 }
--- a/fuzz/fuzz-readers-target.c
+++ b/fuzz/fuzz-readers-target.c
@@ -19,15 +19,15 @@
     abort (); /* an error without a message */
 }
 
-/* A decoded message must encode again.  The result may be shorter, because a string ends at
+/* Checks that a decoded message can be encoded. The result may be shorter, because a string ends at
  * its first NUL byte. */
 static void
 check_message (size_t len, const fb_msg *msg)
 {
-  GBytes *again = fb_codec_encode_msg (msg);
-  if (again == NULL || g_bytes_get_size (again) > len)
+  GBytes *encoded = fb_codec_encode_msg (msg);
+  if (encoded == NULL || g_bytes_get_size (encoded) > len)
     abort ();
-  g_bytes_unref (again);
+  g_bytes_unref (encoded);
 }
 
 static void
--- a/fuzz/fuzz-readers.c
+++ b/fuzz/fuzz-readers.c
@@ -1,4 +1,4 @@
-/* Runs the readers on inputs from a fixed seed: valid messages with a few bytes changed, because
+/* Runs the parsers on inputs from a fixed seed: valid messages with a few bytes changed, because
  * random bytes are mostly rejected at the first field. */
 #include "fuzz-readers.h"
 
@@ -60,13 +60,13 @@
   g_autofree uint8_t *input = g_malloc (len + 1);
   input[0] = (uint8_t) kind;
   memcpy (input + 1, data, len);
-  guint changes = (guint) g_rand_int_range (rand, 0, 6);
-  for (guint i = 0; i < changes; i++)
+  guint changed_bytes = (guint) g_rand_int_range (rand, 0, 6);
+  for (guint i = 0; i < changed_bytes; i++)
     input[1 + (gsize) g_rand_int_range (rand, 0, (gint32) len)]
         = (uint8_t) g_rand_int_range (rand, 0, 256);
-  gsize cut
+  gsize truncated_bytes
       = g_rand_int_range (rand, 0, 4) == 0 ? (gsize) g_rand_int_range (rand, 0, (gint32) len) : 0;
-  fuzz_readers_run (input, len + 1 - cut);
+  fuzz_readers_run (input, len + 1 - truncated_bytes);
   g_bytes_unref (valid);
   g_rand_free (rand);
 }
--- a/fuzz/fuzz-steps.c
+++ b/fuzz/fuzz-steps.c
@@ -26,7 +26,7 @@
         { NULL, 0, 0, 0, NULL, NULL, NULL } };
 
 static guint64 steps;
-static guint broken_n;
+static guint violations_n;
 
 static void
 run_input (const char *name, const uint8_t *data, gsize size)
@@ -35,7 +35,7 @@
   steps += fuzz_node_run (data, size, &violation);
   if (violation == NULL)
     return;
-  broken_n++;
+  violations_n++;
   printf ("%s: %s (step %" G_GUINT64_FORMAT ")\n", name, violation, steps);
   if (save_dir != NULL)
     {
@@ -83,13 +83,13 @@
       return 2;
     }
   fb_event_init ("fuzz", g_getenv ("FB_FUZZ_LOG") == NULL);
-  for (guint i = 0; files != NULL && files[i] != NULL && !(stop_at_first && broken_n > 0); i++)
+  for (guint i = 0; files != NULL && files[i] != NULL && !(stop_at_first && violations_n > 0); i++)
     {
       if (!run_file (files[i]))
         return 2;
     }
-  for (int i = 0; files == NULL && i < input_n && !(stop_at_first && broken_n > 0); i++)
+  for (int i = 0; files == NULL && i < input_n && !(stop_at_first && violations_n > 0); i++)
     run_seed ((guint32) (first_seed + i));
-  printf ("%" G_GUINT64_FORMAT " steps, %u broken\n", steps, broken_n);
-  return broken_n == 0 ? 0 : 1;
+  printf ("%" G_GUINT64_FORMAT " steps, %u broken\n", steps, violations_n);
+  return violations_n == 0 ? 0 : 1;
 }
--- a/fuzz/pool-world-calls.c
+++ b/fuzz/pool-world-calls.c
@@ -54,7 +54,7 @@
       reply.status = FB_HTTP_TIMEOUT;
       return reply;
     }
-  if (result == FB_ORDER_NO_LISTENER || order->unsent)
+  if (result == FB_ORDER_NO_LISTENER || order->not_sent)
     {
       reply.status = FB_HTTP_UNREACHABLE;
       reply.refused = result == FB_ORDER_NO_LISTENER;
@@ -96,8 +96,7 @@
   g_clear_pointer (&reply.body, g_bytes_unref);
 }
 
-/* ---- connection faults
- * --------------------------------------------------------------------------- */
+/* ---- connection faults ------------------------------------------------------------- */
 
 /* The copy that is answered is refused without being executed. */
 static void
@@ -106,8 +105,8 @@
   static const struct
   {
     FbOrderResult result;
-    guint code;      /* status code; 0: the usual one of RESULT */
-    gboolean unsent; /* no connection was made */
+    guint code;        /* status code; 0: the usual one of RESULT */
+    gboolean not_sent; /* no connection was made */
     gboolean of_start;
     gboolean of_ticket;
   } table[] = { { FB_ORDER_NOT_DONE, 0, FALSE, FALSE, FALSE },
@@ -123,22 +122,22 @@
     i = 0;
   order->refusal = table[i].result;
   order->refusal_code = table[i].code;
-  order->unsent = table[i].unsent;
+  order->not_sent = table[i].not_sent;
 }
 
 /* Sends a copy whose connection breaks before the reply: it is executed now, late or never. */
 static void
 send_unanswered_copy (World *world, const Order *order)
 {
-  guint fate = world_random (world, 4);
-  if (fate == 0)
+  guint outcome = world_random (world, 4);
+  if (outcome == 0)
     return;
   Order *lost = g_memdup2 (order, sizeof *order);
   lost->answer_lost = TRUE;
   lost->timeout_at_ms = G_MAXUINT64;
-  if (fate == 1)
+  if (outcome == 1)
     lost->received_ms = world->now_ms + 2;
-  if (fate == 1)
+  if (outcome == 1)
     lost->arrives_ms = world->now_ms + 2 + world_random (world, MAX_LATE_MS);
   g_ptr_array_add (world->orders, lost);
 }
--- a/fuzz/pool-world-incarnations.c
+++ b/fuzz/pool-world-incarnations.c
@@ -49,8 +49,9 @@
   worker->incarnation_started_ms = WALL_MS + world->now_ms;
   worker->up = TRUE;
   worker->restart_ms = 0;
-  /* A worker may restart while it is cut off. */
-  worker->cut = keeps_id && !world->healing && worker->cut && world_restart_random (world, 2) == 0;
+  /* A worker may restart while it is unreachable. */
+  worker->unreachable
+      = keeps_id && !world->healing && worker->unreachable && world_restart_random (world, 2) == 0;
   worker->draining = FALSE;
   worker->failing = FALSE;
   worker->cpu_milli = WORKER_CPU_MILLI;
@@ -62,11 +63,11 @@
   worker->lease_until_ms = 0;
   worker->last_end_number = 0;
   worker->acknowledged = 0;
-  worker->unheard_since_ms = 0;
+  worker->silent_since_ms = 0;
   worker->listed = TRUE;
   g_array_set_size (worker->runs, 0);
   g_array_set_size (worker->ends, 0);
-  g_hash_table_remove_all (worker->highest);
+  g_hash_table_remove_all (worker->highest_attempts);
   world_trace (world, "%s, incarnation %u, starts", worker->id, worker->incarnation);
 }
 
--- a/fuzz/pool-world-owners.c
+++ b/fuzz/pool-world-owners.c
@@ -1,4 +1,4 @@
-/* The owners: each drives a pool as a daemon does, with a store that may be away and that
+/* The owners: each drives a pool as a daemon does, with a store that may be unavailable and that
  * accepts the writes of one owner at a time. */
 #include "pool-world.h"
 
@@ -10,8 +10,8 @@
 gboolean
 world_is_stable (const World *world, guint i)
 {
-  uint64_t disturbed_ms = MAX (world->disturbed_ms[i], world->store_away_ms);
-  return disturbed_ms == 0 || world->now_ms > disturbed_ms + STABLE_AFTER_MS;
+  uint64_t last_fault_ms = MAX (world->last_fault_ms[i], world->store_unavailable_ms);
+  return last_fault_ms == 0 || world->now_ms > last_fault_ms + STABLE_AFTER_MS;
 }
 
 static guint
@@ -49,9 +49,9 @@
 }
 
 void
-world_peer_die (World *world)
+world_peer_fail (World *world)
 {
-  guint i = world->peer_deaths_n++ % PEER_N;
+  guint i = world->peer_failures_n++ % PEER_N;
   fb_recent_starts_free (world->recent_starts[i]);
   world->recent_starts[i] = fb_recent_starts_new ();
   fb_suspect_backups_free (world->suspect_backups[i]);
@@ -227,24 +227,24 @@
 }
 
 static void
-show_list (World *world, guint i)
+pass_worker_list (World *world, guint i)
 {
   Owner *owner = &world->owners[i];
   for (guint j = 0; j < WORKER_N; j++)
     {
       const Worker *worker = &world->workers[j];
       FbListedWorker *listed = worker->listed ? listed_worker (world, j) : NULL;
-      if (owner->is_shown[j]
-          && (listed == NULL || !g_str_equal (owner->shown_ids[j], listed->entry.id)))
+      if (owner->is_listed[j]
+          && (listed == NULL || !g_str_equal (owner->listed_ids[j], listed->entry.id)))
         {
-          fb_pool_worker_unlisted (owner->pool, owner->shown_ids[j], world->now_ms);
-          owner->is_shown[j] = FALSE;
+          fb_pool_worker_unlisted (owner->pool, owner->listed_ids[j], world->now_ms);
+          owner->is_listed[j] = FALSE;
         }
       if (listed == NULL)
         continue;
       fb_pool_worker_listed (owner->pool, &listed->entry, world->now_ms);
-      owner->is_shown[j] = TRUE;
-      g_strlcpy (owner->shown_ids[j], listed->entry.id, sizeof owner->shown_ids[j]);
+      owner->is_listed[j] = TRUE;
+      g_strlcpy (owner->listed_ids[j], listed->entry.id, sizeof owner->listed_ids[j]);
       fb_listed_worker_free (listed);
     }
   if (!owner->list_complete)
@@ -433,7 +433,7 @@
       owner->flush = fb_pool_flush (owner->pool, world->now_ms, WALL_MS + world->now_ms);
       owner->flush_done_ms = world->now_ms + 10;
     }
-  else if (!world->store_away && world->now_ms >= owner->flush_done_ms)
+  else if (!world->store_unavailable && world->now_ms >= owner->flush_done_ms)
     store_flush (world, owner);
 }
 
@@ -442,7 +442,7 @@
 {
   Owner *owner = &world->owners[i];
   gboolean is_current = i == world->current_owner && owner->epoch == world->store_epoch;
-  gboolean member = is_current && !world->store_away;
+  gboolean member = is_current && !world->store_unavailable;
   gboolean stalls = owner->paused && owner->resume_ms != 0;
   if (owner->pool == NULL || (owner->paused && !stalls))
     return;
@@ -450,9 +450,9 @@
     world->current_owner_seen_ms = world->now_ms;
   if (stalls)
     return;
-  if (is_current && !world->store_away && world->now_ms >= owner->list_read_ms + LIST_LAG_MS)
+  if (is_current && !world->store_unavailable && world->now_ms >= owner->list_read_ms + LIST_LAG_MS)
     {
-      show_list (world, i);
+      pass_worker_list (world, i);
       read_jobs (world, owner);
     }
   answer_advice_requests (owner);
@@ -473,7 +473,7 @@
   Owner *owner = &world->owners[world->current_owner];
   gboolean alive = owner->pool != NULL && (!owner->paused || owner->resume_ms != 0)
                    && owner->epoch == world->store_epoch;
-  if (world->store_away || (alive && world->now_ms <= world->current_owner_seen_ms + TTL_MS))
+  if (world->store_unavailable || (alive && world->now_ms <= world->current_owner_seen_ms + TTL_MS))
     return;
   if (!alive && world->now_ms > world->current_owner_seen_ms + TTL_MS)
     world_owner_start (world, (world->current_owner + 1) % OWNER_N);
--- a/fuzz/pool-world-workers.c
+++ b/fuzz/pool-world-workers.c
@@ -90,11 +90,11 @@
 }
 
 void
-world_worker_crash (World *world, Worker *worker, const Run *by)
+world_worker_crash (World *world, Worker *worker, const Run *cause)
 {
   worker->up = FALSE;
   world_trace (world, "%s, incarnation %u, crashes%s%s", worker->id, worker->incarnation,
-               by != NULL ? " by " : "", by != NULL ? by->task : "");
+               cause != NULL ? " by " : "", cause != NULL ? cause->task : "");
   for (guint i = 0; i < worker->runs->len; i++)
     {
       guint step = 0;
@@ -102,9 +102,9 @@
       const Run *run = &g_array_index (worker->runs, Run, i);
       Job *job = find_job (world, run->task, &step, &index);
       world_trace (world, "%s, attempt %u, was running on it", run->task, run->attempt);
-      job->plain_crashes[step][index] += by == NULL;
-      job->own_crashes[step][index] += by == run;
-      job->other_crashes[step][index] += by != NULL && by != run;
+      job->plain_crashes[step][index] += cause == NULL;
+      job->own_crashes[step][index] += cause == run;
+      job->other_crashes[step][index] += cause != NULL && cause != run;
     }
   g_array_set_size (worker->runs, 0);
 }
@@ -118,7 +118,8 @@
               .at_ms = world->now_ms };
   memcpy (end.task, run->task, sizeof end.task);
   g_array_append_val (worker->ends, end);
-  g_hash_table_replace (worker->highest, g_strdup (run->task), GUINT_TO_POINTER (run->attempt));
+  g_hash_table_replace (worker->highest_attempts, g_strdup (run->task),
+                        GUINT_TO_POINTER (run->attempt));
 }
 
 static void
@@ -174,8 +175,7 @@
     }
 }
 
-/* ---- checks of starts
- * ---------------------------------------------------------------------------- */
+/* ---- checks of starts --------------------------------------------------------------- */
 
 static void
 check_start (World *world, const Worker *worker, const Order *order)
@@ -232,8 +232,7 @@
     world_report_violation (world, "%s started after its job was cancelled", order->task);
 }
 
-/* ---- execution of orders
- * --------------------------------------------------------------------------- */
+/* ---- execution of orders ------------------------------------------------------------ */
 
 /* A worker shortens a lease to the longest that it grants. */
 static void
@@ -246,14 +245,15 @@
 static FbOrderResult
 handle_start (World *world, Worker *worker, const Order *order)
 {
-  guint highest = GPOINTER_TO_UINT (g_hash_table_lookup (worker->highest, order->task));
+  guint highest_attempt
+      = GPOINTER_TO_UINT (g_hash_table_lookup (worker->highest_attempts, order->task));
   for (guint i = 0; i < worker->runs->len; i++)
     {
       const Run *run = &g_array_index (worker->runs, Run, i);
       if (g_str_equal (run->task, order->task))
         return run->attempt == order->attempt ? FB_ORDER_DONE : FB_ORDER_SUPERSEDED;
     }
-  if (highest >= order->attempt)
+  if (highest_attempt >= order->attempt)
     return FB_ORDER_SUPERSEDED;
   if (worker_clock_ms (world, worker) >= order->deadline_ms)
     return FB_ORDER_PAST_DEADLINE;
@@ -292,9 +292,10 @@
 static void
 handle_stop (World *world, Worker *worker, const Order *order)
 {
-  guint highest = GPOINTER_TO_UINT (g_hash_table_lookup (worker->highest, order->task));
-  g_hash_table_replace (worker->highest, g_strdup (order->task),
-                        GUINT_TO_POINTER (MAX (highest, order->attempt)));
+  guint highest_attempt
+      = GPOINTER_TO_UINT (g_hash_table_lookup (worker->highest_attempts, order->task));
+  g_hash_table_replace (worker->highest_attempts, g_strdup (order->task),
+                        GUINT_TO_POINTER (MAX (highest_attempt, order->attempt)));
   for (guint i = 0; i < worker->runs->len; i++)
     {
       Run *run = &g_array_index (worker->runs, Run, i);
@@ -309,10 +310,11 @@
 {
   /* A second start is allowed when the lease expired before the end was acknowledged, and for a
    * copy of a speculative task.  One that is already sent may arrive after the acknowledgement. */
-  gboolean excused = end->lease_expired || job->record.spec.steps.steps_val[step].speculative;
-  if (!excused && job->started_ms[step][index] > end->at_ms)
+  gboolean second_start_allowed
+      = end->lease_expired || job->record.spec.steps.steps_val[step].speculative;
+  if (!second_start_allowed && job->started_ms[step][index] > end->at_ms)
     world_report_violation (world, "%s started after the end that was acknowledged", end->task);
-  if (!excused)
+  if (!second_start_allowed)
     job->late_start_limit_ms[step][index] = 0;
   else if (!job->end_acknowledged[step][index])
     job->late_start_limit_ms[step][index] = world->now_ms;
@@ -345,19 +347,19 @@
   return owner->pool != NULL && owner->incarnation == order->owner_incarnation ? owner : NULL;
 }
 
-/* The peer that relays ORDER gets the reply, also when its sender is gone. */
+/* The peer that relays ORDER gets the reply, even when its sender has stopped. */
 static void
 notify_recent_starts (World *world, const Order *order)
 {
-  FbRecentStarts *carrier = world_recent_starts (world, order->worker);
+  FbRecentStarts *recent_starts = world_recent_starts (world, order->worker);
   if (order->kind == ORDER_POLL)
-    fb_recent_starts_polled (carrier, order->worker_name, &order->answer);
+    fb_recent_starts_polled (recent_starts, order->worker_name, &order->answer);
   else if (order->kind == ORDER_START)
-    fb_recent_starts_answered (carrier, order->worker_name, order->task, order->attempt,
+    fb_recent_starts_answered (recent_starts, order->worker_name, order->task, order->attempt,
                                order->answer.result);
 }
 
-/* The sender of ORDER gets the reply, unless it is gone. */
+/* The sender of ORDER gets the reply, unless it has stopped. */
 static void
 deliver (World *world, Order *order)
 {
@@ -390,7 +392,7 @@
         = (FbPollAnswer){ .result = world_reply (order, result, &clock_ms), .clock_ms = clock_ms };
 }
 
-/* Replies may overtake each other on the way back. */
+/* Replies may arrive out of order. */
 static void
 send_answer (World *world, Order *order, FbOrderResult result, uint64_t clock_ms)
 {
@@ -411,7 +413,8 @@
   if (order->received_ms == 0 || order->received_incarnation != 0
       || world->now_ms < order->received_ms)
     return;
-  order->received_incarnation = worker->up && !worker->cut ? worker->incarnation : G_MAXUINT;
+  order->received_incarnation
+      = worker->up && !worker->unreachable ? worker->incarnation : G_MAXUINT;
 }
 
 static gboolean
@@ -444,7 +447,7 @@
       send_answer (world, order, FB_ORDER_NO_LISTENER, 0);
       return TRUE;
     }
-  if (!worker->up || worker->cut)
+  if (!worker->up || worker->unreachable)
     return !waits_for_listener (world, order);
   gboolean is_same = g_str_equal (worker->id, order->worker_id);
   /* The incarnation that received the order has ended, and its connection with it. */
--- a/fuzz/pool-world.h
+++ b/fuzz/pool-world.h
@@ -1,5 +1,5 @@
-/* The environment of a fuzzing run: workers, a store and owners, all of which fail, and a record
- * of every run on the workers.  It shares no code with the pool under test, except that the
+/* The simulated environment of a fuzzing run: workers, a store and owners, all of which fail, and a
+ * record of every run on the workers. It shares no code with the pool under test, except that the
  * recent starts and the suspect backups at peers are kept by the daemon's own modules. */
 #pragma once
 
@@ -31,7 +31,7 @@
 #define MAX_STALL_MS 3000
 #define MAX_REPORTED_ENDS 6 /* ends in one poll reply, in mode "repeats" */
 #define LIST_LAG_MS 300
-#define UNLIST_DELAY_MS 4500 /* how long the list keeps a worker that is not heard */
+#define UNLIST_DELAY_MS 4500 /* how long the list keeps a silent worker */
 #define WALL_MS 1000000000
 #define MAX_RESTART_MS 2000    /* a process that exited restarts within this time */
 #define ENTRY_INTERVAL_MS 1500 /* at least this often a worker writes its entry in the list */
@@ -49,7 +49,7 @@
 {
   char task[64];
   uint32_t attempt;
-  uint64_t end_ms;   /* when it ends by itself */
+  uint64_t end_ms;   /* when it ends unless it is stopped before */
   uint64_t stop_ms;  /* when an ordered stop takes effect; 0: none was ordered */
   uint64_t crash_ms; /* when it crashes its worker; 0: never */
   gboolean fails;
@@ -84,7 +84,7 @@
   uint64_t stale_entry_ms;
   uint64_t second_crash_ms; /* when it crashes again after a restart; 0: never */
   gboolean up;
-  gboolean cut; /* nothing reaches it or comes from it */
+  gboolean unreachable; /* no messages to or from it are delivered */
   gboolean listed;
   gboolean draining;
   gboolean failing;           /* it breaks connections and refuses calls */
@@ -92,16 +92,16 @@
   int64_t previous_cpu_milli; /* the largest allowed use before the last change */
   uint64_t cpu_changed_ms;    /* when the list last showed a change of the capacity */
   uint64_t restart_ms;        /* when it starts again after a crash; 0: no restart is due */
-  uint64_t unheard_since_ms;  /* since when the platform has not heard it; 0: it is heard */
+  uint64_t silent_since_ms;   /* since when the platform gets no messages from it; 0: it does */
   uint64_t started_ms;
-  uint32_t slow_permille;   /* by how much its clock is slow */
-  uint64_t fence_epoch;     /* orders with a lower epoch are fenced */
-  uint64_t lease_until_ms;  /* by its clock */
-  uint64_t last_end_number; /* 0: no end yet */
-  uint64_t acknowledged;    /* highest number of an acknowledged end; 0: none */
-  GArray *runs;             /* of Run */
-  GArray *ends;             /* of End */
-  GHashTable *highest;      /* task -> highest attempt stopped or ended here */
+  uint32_t slow_permille;       /* by how much its clock is slow */
+  uint64_t fence_epoch;         /* orders with a lower epoch are fenced */
+  uint64_t lease_until_ms;      /* on its clock */
+  uint64_t last_end_number;     /* 0: no end yet */
+  uint64_t acknowledged;        /* highest number of an acknowledged end; 0: none */
+  GArray *runs;                 /* of Run */
+  GArray *ends;                 /* of End */
+  GHashTable *highest_attempts; /* task -> highest attempt stopped or ended here */
 } Worker;
 
 typedef struct
@@ -165,7 +165,7 @@
   guint copies;          /* number of times it had been sent when this copy was */
   FbOrderResult refusal; /* result without execution; FB_ORDER_DONE: it is executed */
   guint refusal_code;    /* status code of the refusal; 0: the usual one of REFUSAL */
-  gboolean unsent;       /* no connection was made for this copy */
+  gboolean not_sent;     /* no connection was made for this copy */
   gboolean answer_lost;
   FbPollAnswer answer; /* the reply on its way back; only a poll's has lists */
   uint64_t answer_ms;  /* when the reply arrives; 0: there is none */
@@ -185,7 +185,7 @@
 typedef struct
 {
   World *world;
-  FbPool *pool; /* NULL: the daemon is dead */
+  FbPool *pool; /* NULL: the daemon is not running */
   uint64_t incarnation;
   uint64_t epoch;
   gboolean paused;
@@ -197,8 +197,8 @@
   uint64_t list_read_ms;
   uint64_t store_fenced_ms; /* when it fenced the previous writer at the store */
   gboolean list_complete;   /* it has read the whole list of workers once */
-  gboolean is_shown[WORKER_N];
-  char shown_ids[WORKER_N][64];
+  gboolean is_listed[WORKER_N];
+  char listed_ids[WORKER_N][64];
   GPtrArray *advice_requests; /* of AdviceRequest */
 } Owner;
 
@@ -220,7 +220,7 @@
   GRand *restart_rand; /* separate, so that RESTART_MODE does not change the other draws */
   RestartMode restart_mode;
   GHashTable *ids;        /* a worker's name in the pool -> the id that calls to it address */
-  gboolean owners_steady; /* owners and the store do not fail */
+  gboolean owners_stable; /* owners and the store do not fail */
   gboolean shrinking;     /* the capacity of workers shrinks and grows */
   gboolean crashing;      /* an eighth of the jobs crash the workers that start them */
   gboolean repeats;       /* connections break, and calls on them are sent again */
@@ -228,17 +228,17 @@
   uint64_t now_ms;
   uint64_t connections_break_until_ms;
   gboolean healing;
-  gboolean store_away;
-  uint64_t store_away_ms;         /* when it was last away; 0: never */
-  uint64_t disturbed_ms[OWNER_N]; /* when the daemon was last killed or paused; 0: never */
+  gboolean store_unavailable;
+  uint64_t store_unavailable_ms;   /* when it was last unavailable; 0: never */
+  uint64_t last_fault_ms[OWNER_N]; /* when the daemon was last killed or paused; 0: never */
   Worker workers[WORKER_N];
   Job jobs[JOB_MAX];
   guint job_n;
   Owner owners[OWNER_N];
-  guint current_owner;                       /* the owner by the store */
+  guint current_owner;                       /* the owner according to the store */
   FbRecentStarts *recent_starts[PEER_N];     /* the starts that each peer has relayed */
   FbSuspectBackups *suspect_backups[PEER_N]; /* of the same peers */
-  guint peer_deaths_n;
+  guint peer_failures_n;
   uint64_t store_epoch;
   uint64_t current_owner_seen_ms;
   GHashTable *progress; /* job -> GBytes */
@@ -259,8 +259,8 @@
 /* Returns: a number below N, drawn from the seed. */
 guint world_random (World *world, guint n);
 
-/* Returns: whether the advice service allows TASK, a task or a step, on WORKER.  It never changes.
- */
+/* Returns: whether the advice service allows TASK, a task or a step, on WORKER; always the same for
+ * the same arguments. */
 gboolean world_allows (const char *task, guint worker);
 
 /* ---- incarnations: pool-world-incarnations.c ------------------------------------------------- */
@@ -269,7 +269,7 @@
 guint world_restart_random (World *world, guint n);
 /* Starts a new, empty incarnation of worker I, under a new id or its previous one. */
 void world_worker_start (World *world, guint i);
-/* The process of WORKER exits by itself; it may restart soon. */
+/* The process of WORKER exits without being stopped; it may restart soon. */
 void world_worker_fail (World *world, Worker *worker);
 /* Returns: what the list has of WORKER now. */
 Entry world_worker_entry (const World *world, const Worker *worker);
@@ -278,8 +278,8 @@
 
 /* Changes the capacity that WORKER reports. */
 void world_worker_resize (World *world, Worker *worker, int64_t cpu_milli);
-/* WORKER dies with all its runs.  BY: the run that crashed it, or NULL. */
-void world_worker_crash (World *world, Worker *worker, const Run *by);
+/* WORKER crashes with all its runs. CAUSE: the run that crashed it, or NULL. */
+void world_worker_crash (World *world, Worker *worker, const Run *cause);
 void world_worker_tick (World *world, Worker *worker);
 /* Executes the orders that have arrived, and delivers their replies and timeouts. */
 void world_orders_tick (World *world);
@@ -301,8 +301,8 @@
 
 /* Returns: the recent starts of the peer that relays orders to WORKER. */
 FbRecentStarts *world_recent_starts (World *world, guint worker);
-/* One of the peers, each in turn, dies with the owner and loses what it keeps. */
-void world_peer_die (World *world);
+/* One of the peers, in round-robin order, fails with the owner and loses what it stores. */
+void world_peer_fail (World *world);
 void world_owner_start (World *world, guint i);
 void world_owner_stop (World *world, guint i);
 void world_owner_tick (World *world, guint i);
