--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -51,7 +51,8 @@
   GHashTable *workers;       /* id -> FbPoolWorker */
   GPtrArray *worker_slots;   /* of FbPoolWorker by slot; NULL: the slot is free; borrowed */
   uint32_t last_incarnation; /* last FbPoolWorker.incarnation that was assigned; 0: none yet */
-  GHashTable *latest; /* address -> FbPoolWorker, the incarnation there that began last; borrowed */
+  GHashTable *latest_incarnations; /* address -> FbPoolWorker, the incarnation there that began
+                                      last; borrowed */
   /* Id of a worker -> set of steps, for FbPoolWorker.drain_steps: from the record of the previous
    * owner. */
   GHashTable *drain_steps;
@@ -69,16 +70,18 @@
   GHashTable *jobs_to_release; /* set of FbPoolJob with occurrences or steps to release; borrowed */
   /* set of FbPoolJob whose steps may depend on each other; borrowed */
   GHashTable *jobs_with_dependencies;
-  GHashTable *jobs;    /* id -> FbPoolJob */
-  GHashTable *active;  /* set of FbPoolJob that have not ended; borrowed */
-  GHashTable *ended;   /* set of FbPoolJob whose results are kept for late callers; borrowed */
-  GHashTable *dirty;   /* set of FbPoolJob with changes that are not recorded yet; borrowed */
-  GPtrArray *in_flush; /* of FbPoolJob: the jobs in the open flush; borrowed */
-  GHashTable *orders;  /* number of an order without an answer -> FbPoolOrderRef */
+  GHashTable *jobs;        /* id -> FbPoolJob */
+  GHashTable *active_jobs; /* set of FbPoolJob that have not ended; borrowed */
+  GHashTable *ended_jobs;  /* set of FbPoolJob whose results are kept for late callers; borrowed */
+  GHashTable *dirty;       /* set of FbPoolJob with changes that are not recorded yet; borrowed */
+  GPtrArray *in_flush;     /* of FbPoolJob: the jobs in the open flush; borrowed */
+  GHashTable *open_orders; /* number of an order without an answer -> FbPoolOrderRef */
   GQueue *unanswered_starts; /* of FbPoolUnansweredStart; the oldest at its head */
-  GHashTable *suspects;      /* set of FbPoolStep with tasks whose crashes are counted; borrowed */
-  GHashTable *unstored; /* set of FbPoolJob with suspects to be kept by other daemons; borrowed */
-  GHashTable *causes; /* id hash of a crashed worker -> how many tasks may have caused the crash */
+  GHashTable *suspect_steps; /* set of FbPoolStep with tasks whose crashes are counted; borrowed */
+  GHashTable
+      *unstored_suspects; /* set of FbPoolJob with suspects to be kept by other daemons; borrowed */
+  GHashTable
+      *crash_causes; /* id hash of a crashed worker -> how many tasks may have caused the crash */
   /* Id of a lost worker -> the tasks that were on it: see pool-unresolved-losses.c. */
   GHashTable *unresolved_losses;
   /* The list of workers or UNRESOLVED_LOSSES has changed, so some losses may be resolved now. */
@@ -371,5 +374,5 @@
 
 /* pool-orders.c */
 
-/* Returns: (transfer full): an empty table for FbPool.orders. */
+/* Returns: (transfer full): an empty table for FbPool.open_orders. */
 GHashTable *fb_pool_orders_new (void);
--- a/src/work/pool-crash-causes.c
+++ b/src/work/pool-crash-causes.c
@@ -13,7 +13,7 @@
 static guint
 cause_count (const FbPool *self, uint64_t worker)
 {
-  return GPOINTER_TO_UINT (g_hash_table_lookup (self->causes, &worker));
+  return GPOINTER_TO_UINT (g_hash_table_lookup (self->crash_causes, &worker));
 }
 
 void
@@ -21,7 +21,7 @@
 {
   uint64_t *key = g_new (uint64_t, 1);
   *key = worker;
-  g_hash_table_insert (self->causes, key, GUINT_TO_POINTER (cause_count (self, worker) + 1));
+  g_hash_table_insert (self->crash_causes, key, GUINT_TO_POINTER (cause_count (self, worker) + 1));
 }
 
 void
@@ -30,12 +30,12 @@
   guint n = cause_count (self, worker);
   if (n <= 1)
     {
-      g_hash_table_remove (self->causes, &worker);
+      g_hash_table_remove (self->crash_causes, &worker);
       return;
     }
   uint64_t *key = g_new (uint64_t, 1);
   *key = worker;
-  g_hash_table_insert (self->causes, key, GUINT_TO_POINTER (n - 1));
+  g_hash_table_insert (self->crash_causes, key, GUINT_TO_POINTER (n - 1));
 }
 
 gboolean
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -244,7 +244,7 @@
   step->job->suspects_version++;
   fb_pool_unstored_suspects_add (self, step->job);
   fb_pool_task_update_withheld (self, step, index);
-  g_hash_table_add (self->suspects, step);
+  g_hash_table_add (self->suspect_steps, step);
   self->limit_reached |= fb_pool_task_crashes_n (task) >= self->limits.max_isolated_crashes;
   fb_pool_job_changed (self, step->job);
   fb_event_log (FB_EVENT_TASK_SUSPECTED,
@@ -486,7 +486,7 @@
   if (!self->limit_reached)
     return;
   self->limit_reached = FALSE;
-  g_autoptr (GList) steps = g_hash_table_get_keys (self->suspects);
+  g_autoptr (GList) steps = g_hash_table_get_keys (self->suspect_steps);
   for (GList *l = steps; l != NULL; l = l->next)
     {
       FbPoolStep *step = l->data;
@@ -502,7 +502,7 @@
     {
       FbPoolOccurrence *occurrence = job->occurrences->pdata[i];
       for (guint j = 0; j < job->record.spec.steps.steps_len; j++)
-        g_hash_table_remove (self->suspects, &occurrence->steps[j]);
+        g_hash_table_remove (self->suspect_steps, &occurrence->steps[j]);
     }
 }
 
--- a/src/work/pool-incarnations.c
+++ b/src/work/pool-incarnations.c
@@ -19,7 +19,7 @@
 static FbPoolWorker *
 latest_at (const FbPool *self, const char *address)
 {
-  return address != NULL ? g_hash_table_lookup (self->latest, address) : NULL;
+  return address != NULL ? g_hash_table_lookup (self->latest_incarnations, address) : NULL;
 }
 
 void
@@ -27,7 +27,7 @@
 {
   worker->superseded = FALSE;
   if (self->sink->is_newer_incarnation != NULL && worker->address != NULL)
-    g_hash_table_replace (self->latest, g_strdup (worker->address), worker);
+    g_hash_table_replace (self->latest_incarnations, g_strdup (worker->address), worker);
 }
 
 void
@@ -71,5 +71,5 @@
 fb_pool_incarnation_remove (FbPool *self, const FbPoolWorker *worker)
 {
   if (latest_at (self, worker->address) == worker)
-    g_hash_table_remove (self->latest, worker->address);
+    g_hash_table_remove (self->latest_incarnations, worker->address);
 }
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -60,7 +60,7 @@
 gboolean
 fb_pool_order_is_open (const FbPool *self, uint64_t order)
 {
-  return order != 0 && g_hash_table_contains (self->orders, &order);
+  return order != 0 && g_hash_table_contains (self->open_orders, &order);
 }
 
 static uint64_t
@@ -72,7 +72,7 @@
   ref->attempt = run->attempt;
   uint64_t *key = g_new (uint64_t, 1);
   *key = ++self->last_order;
-  g_hash_table_insert (self->orders, key, ref);
+  g_hash_table_insert (self->open_orders, key, ref);
   return *key;
 }
 
@@ -83,7 +83,7 @@
 static FbPoolWorker *
 remove_order (FbPool *self, uint64_t order, FbPoolRun **run)
 {
-  FbPoolOrderRef *ref = g_hash_table_lookup (self->orders, &order);
+  FbPoolOrderRef *ref = g_hash_table_lookup (self->open_orders, &order);
   *run = NULL;
   if (ref == NULL)
     return NULL;
@@ -92,7 +92,7 @@
     *run = g_hash_table_lookup (worker->runs, ref->task);
   if (*run != NULL && (*run)->attempt != ref->attempt)
     *run = NULL;
-  g_hash_table_remove (self->orders, &order);
+  g_hash_table_remove (self->open_orders, &order);
   return worker;
 }
 
@@ -102,7 +102,7 @@
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, self->orders);
+  g_hash_table_iter_init (&iter, self->open_orders);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbPoolOrderRef *ref = value;
--- a/src/work/pool-record.c
+++ b/src/work/pool-record.c
@@ -115,7 +115,7 @@
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, self->ended);
+  g_hash_table_iter_init (&iter, self->ended_jobs);
   while (g_hash_table_iter_next (&iter, &value, NULL))
     {
       FbPoolJob *job = value;
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -29,7 +29,7 @@
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, self->active);
+  g_hash_table_iter_init (&iter, self->active_jobs);
   while (g_hash_table_iter_next (&iter, &value, NULL))
     {
       FbPoolJob *job = value;
@@ -88,7 +88,7 @@
   fb_event_log (FB_EVENT_POOL_SETTLED,
                 "service=%s epoch=%" G_GUINT64_FORMAT " workers=%u jobs=%u active=%u took_ms=%u",
                 self->service, self->epoch, g_hash_table_size (self->workers),
-                g_hash_table_size (self->jobs), g_hash_table_size (self->active),
+                g_hash_table_size (self->jobs), g_hash_table_size (self->active_jobs),
                 (guint) (now_ms - self->created_ms));
 }
 
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -130,10 +130,10 @@
       job->ended_wall_ms = wall_ms;
       fb_pool_job_changed (self, job);
     }
-  g_hash_table_remove (self->active, job);
+  g_hash_table_remove (self->active_jobs, job);
   g_hash_table_remove (self->jobs_to_release, job);
   g_hash_table_remove (self->jobs_with_dependencies, job);
-  g_hash_table_add (self->ended, job);
+  g_hash_table_add (self->ended_jobs, job);
   fb_pool_crash_remove_job (self, job);
   release_reservations (self, job);
   fb_event_log (FB_EVENT_JOB_OVER, "job=%s queue=%s state=%d age_ms=%" G_GUINT64_FORMAT, job->id,
--- a/src/work/pool-unstored-suspects.c
+++ b/src/work/pool-unstored-suspects.c
@@ -23,14 +23,14 @@
 void
 fb_pool_unstored_suspects_add (FbPool *self, FbPoolJob *job)
 {
-  g_hash_table_add (self->unstored, job);
+  g_hash_table_add (self->unstored_suspects, job);
   job->unstored_changed = TRUE;
 }
 
 void
 fb_pool_unstored_suspects_remove (FbPool *self, const FbPoolJob *job)
 {
-  g_hash_table_remove (self->unstored, job);
+  g_hash_table_remove (self->unstored_suspects, job);
 }
 
 static gboolean
@@ -66,13 +66,13 @@
 GPtrArray *
 fb_pool_take_unstored_suspects (FbPool *self, uint64_t now_ms)
 {
-  if (g_hash_table_size (self->unstored) == 0)
+  if (g_hash_table_size (self->unstored_suspects) == 0)
     return NULL;
   gboolean is_late = self->flushing && now_ms > self->flush_started_ms + SLOW_WRITE_MS;
   GPtrArray *all = g_ptr_array_new_with_free_func (unstored_suspects_free);
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, self->unstored);
+  g_hash_table_iter_init (&iter, self->unstored_suspects);
   while (g_hash_table_iter_next (&iter, &value, NULL))
     {
       FbPoolJob *job = value;
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -25,25 +25,25 @@
   self->created_ms = now_ms;
   self->workers = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, fb_pool_worker_free);
   self->worker_slots = g_ptr_array_new ();
-  self->latest = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  self->latest_incarnations = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   self->gained_capacity = g_ptr_array_new ();
   self->queue = g_ptr_array_new ();
   self->unmerged = g_ptr_array_new ();
   self->jobs_to_release = g_hash_table_new (NULL, NULL);
   self->jobs_with_dependencies = g_hash_table_new (NULL, NULL);
   self->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, fb_pool_job_free);
-  self->active = g_hash_table_new (NULL, NULL);
-  self->ended = g_hash_table_new (NULL, NULL);
+  self->active_jobs = g_hash_table_new (NULL, NULL);
+  self->ended_jobs = g_hash_table_new (NULL, NULL);
   self->dirty = g_hash_table_new (NULL, NULL);
-  self->suspects = g_hash_table_new (NULL, NULL);
-  self->unstored = g_hash_table_new (NULL, NULL);
-  self->causes = fb_pool_crash_causes_new ();
+  self->suspect_steps = g_hash_table_new (NULL, NULL);
+  self->unstored_suspects = g_hash_table_new (NULL, NULL);
+  self->crash_causes = fb_pool_crash_causes_new ();
   self->unresolved_losses = fb_pool_unresolved_losses_new ();
   self->drain_steps = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                              (GDestroyNotify) g_hash_table_unref);
   self->in_flush = g_ptr_array_new ();
   self->unconfirmed_workers = g_ptr_array_new ();
-  self->orders = fb_pool_orders_new ();
+  self->open_orders = fb_pool_orders_new ();
   self->unanswered_starts = fb_pool_unanswered_starts_new ();
   return self;
 }
@@ -51,23 +51,23 @@
 void
 fb_pool_free (FbPool *self)
 {
-  g_hash_table_unref (self->orders);
+  g_hash_table_unref (self->open_orders);
   fb_pool_unanswered_starts_free (self->unanswered_starts);
   g_hash_table_unref (self->workers); /* before the jobs: runs point to their steps */
   g_ptr_array_unref (self->worker_slots);
-  g_hash_table_unref (self->latest);
+  g_hash_table_unref (self->latest_incarnations);
   g_ptr_array_unref (self->gained_capacity);
   g_ptr_array_unref (self->queue);
   g_ptr_array_unref (self->unmerged);
   g_hash_table_unref (self->drain_steps);
   g_hash_table_unref (self->jobs_to_release);
   g_hash_table_unref (self->jobs_with_dependencies);
-  g_hash_table_unref (self->active);
-  g_hash_table_unref (self->ended);
+  g_hash_table_unref (self->active_jobs);
+  g_hash_table_unref (self->ended_jobs);
   g_hash_table_unref (self->dirty);
-  g_hash_table_unref (self->suspects);
-  g_hash_table_unref (self->unstored);
-  g_hash_table_unref (self->causes);
+  g_hash_table_unref (self->suspect_steps);
+  g_hash_table_unref (self->unstored_suspects);
+  g_hash_table_unref (self->crash_causes);
   g_hash_table_unref (self->unresolved_losses);
   g_ptr_array_unref (self->in_flush);
   g_ptr_array_unref (self->unconfirmed_workers);
@@ -283,7 +283,7 @@
   job->advised_when_stored = job->record.policy.advised;
   fb_pool_await_unknown_ends (self, job, now_ms);
   g_hash_table_insert (self->jobs, job->id, job);
-  g_hash_table_add (self->active, job);
+  g_hash_table_add (self->active_jobs, job);
   (void) fb_pool_job_release (self, job, wall_ms); /* cannot complete: no task has ended yet */
   if (job->record.spec.occurrences > 0)
     g_hash_table_add (self->jobs_to_release, job);
@@ -332,8 +332,8 @@
     }
   g_hash_table_remove (self->jobs_to_release, job);
   g_hash_table_remove (self->jobs_with_dependencies, job);
-  g_hash_table_remove (self->active, job);
-  g_hash_table_add (self->ended, job);
+  g_hash_table_remove (self->active_jobs, job);
+  g_hash_table_add (self->ended_jobs, job);
 }
 
 void
@@ -370,7 +370,7 @@
 {
   GHashTableIter iter;
   gpointer job;
-  g_hash_table_iter_init (&iter, self->active);
+  g_hash_table_iter_init (&iter, self->active_jobs);
   while (g_hash_table_iter_next (&iter, &job, NULL))
     {
       const fb_work_policy *policy
@@ -448,7 +448,7 @@
   uint32_t pending = 0;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, self->active);
+  g_hash_table_iter_init (&iter, self->active_jobs);
   while (g_hash_table_iter_next (&iter, &value, NULL))
     {
       const FbPoolJob *job = value;
