--- a/bench/pool-crashes.c
+++ b/bench/pool-crashes.c
@@ -139,7 +139,7 @@
 on_poll (gpointer user, const FbPollOrder *order)
 {
   Call call = { .kind = CALL_POLL, .acknowledged = order->acknowledged };
-  add_call (user, &call, order->worker, order->wait_ms, order->answer_ms);
+  add_call (user, &call, order->worker, order->wait_ms, order->timeout_ms);
 }
 
 static gboolean
@@ -161,7 +161,7 @@
   (void) worker;
 }
 
-static const FbPoolSink sink = { on_start, on_stop, on_poll, on_advise, on_fenced, NULL };
+static const FbPoolCallbacks callbacks = { on_start, on_stop, on_poll, on_advise, on_fenced, NULL };
 
 /* ---- workers ----------------------------------------------------------------------- */
 
@@ -219,7 +219,7 @@
   const FbReportedEnd end = { .number = ++host->next_end,
                               .task = g_strdup (run->task),
                               .attempt = run->attempt,
-                              .how = reason,
+                              .reason = reason,
                               .checkpoint = g_strdup ("") };
   g_array_append_val (host->ends, end);
 }
@@ -396,7 +396,7 @@
                                  .spec = { .payload = (char *) "p", .steps = { 1, &step } },
                                  .accepted_ms = WALL_CLOCK_OFFSET_MS + sim->now_ms };
   g_autofree char *id = g_strdup_printf ("%016x", sim->jobs->len);
-  fb_pool_admit (sim->pool, id, &record, sim->now_ms, WALL_CLOCK_OFFSET_MS + sim->now_ms);
+  fb_pool_add_job (sim->pool, id, &record, sim->now_ms, WALL_CLOCK_OFFSET_MS + sim->now_ms);
 }
 
 /* Returns: jobs per second that use LOAD_PERCENT of the capacity. */
@@ -511,7 +511,7 @@
       = { .max_lease_ms = 6000, .max_stop_ms = 200, .gang_wait_ms = 3000 };
   Simulation sim
       = { .now_ms = FIRST_CLOCK_MS, .host_n = host_n, .rand = g_rand_new_with_seed (seed) };
-  sim.pool = fb_pool_new ("svc", 1, &limits, &sink, &sim, sim.now_ms);
+  sim.pool = fb_pool_new ("svc", 1, &limits, &callbacks, &sim, sim.now_ms);
   sim.hosts = g_new0 (Host, host_n);
   sim.jobs = g_array_new (FALSE, TRUE, sizeof (Job));
   sim.calls = g_array_new (FALSE, TRUE, sizeof (Call));
@@ -523,7 +523,7 @@
       host_start (&sim, i);
     }
   fb_pool_workers_complete (sim.pool);
-  fb_pool_jobs_read (sim.pool, sim.now_ms);
+  fb_pool_jobs_complete (sim.pool, sim.now_ms);
   while (sim.now_ms < FIRST_CLOCK_MS + SIMULATED_MS)
     tick (&sim, crashing_jobs_n, crashing_tasks_n);
   report (&sim, crashing_jobs_n, crashing_tasks_n);
--- a/fuzz/fuzz-pool.c
+++ b/fuzz/fuzz-pool.c
@@ -54,8 +54,8 @@
     {
       /* The other owners read the job from the store up to LIST_LAG_MS later. */
       if (world->owners[i].pool != NULL && !world->owners[i].paused && world_random (world, 2) == 0)
-        fb_pool_admit (world->owners[i].pool, job->id, record, world->now_ms,
-                       WALL_MS + world->now_ms);
+        fb_pool_add_job (world->owners[i].pool, job->id, record, world->now_ms,
+                         WALL_MS + world->now_ms);
     }
 }
 
@@ -72,7 +72,7 @@
   for (guint i = 0; i < OWNER_N; i++)
     {
       if (world->owners[i].pool != NULL && !world->owners[i].paused)
-        fb_pool_cancel (world->owners[i].pool, job->id, world->now_ms, WALL_MS + world->now_ms);
+        fb_pool_cancel_job (world->owners[i].pool, job->id, world->now_ms, WALL_MS + world->now_ms);
     }
 }
 
@@ -214,10 +214,11 @@
       Worker *worker = &world->workers[i];
       gboolean is_reachable = worker->up && !worker->unreachable;
       if (is_reachable)
-        worker->silent_since_ms = 0;
-      else if (worker->silent_since_ms == 0)
-        worker->silent_since_ms = world->now_ms;
-      worker->listed = is_reachable || world->now_ms < worker->silent_since_ms + UNLIST_DELAY_MS;
+        worker->unanswered_since_ms = 0;
+      else if (worker->unanswered_since_ms == 0)
+        worker->unanswered_since_ms = world->now_ms;
+      worker->listed
+          = is_reachable || world->now_ms < worker->unanswered_since_ms + UNLIST_DELAY_MS;
     }
 }
 
--- a/fuzz/pool-world-incarnations.c
+++ b/fuzz/pool-world-incarnations.c
@@ -11,7 +11,7 @@
 
 /* The next incarnation of WORKER keeps its id; the list still has the previous entry. */
 static void
-keep_id (World *world, Worker *worker)
+reuse_id (World *world, Worker *worker)
 {
   worker->previous_entry = (Entry){ .incarnation_started_ms = worker->incarnation_started_ms };
   g_strlcpy (worker->previous_entry.id, worker->id, sizeof worker->previous_entry.id);
@@ -38,12 +38,12 @@
 world_worker_start (World *world, guint i)
 {
   Worker *worker = &world->workers[i];
-  gboolean keeps_id = world->restart_mode != RESTART_NEW_ID && worker->incarnation > 0
-                      && world_restart_random (world, 2) == 0;
+  gboolean reuses_id = world->restart_mode != RESTART_NEW_ID && worker->incarnation > 0
+                       && world_restart_random (world, 2) == 0;
   worker->incarnation++;
   worker->second_crash_ms = 0;
-  if (keeps_id)
-    keep_id (world, worker);
+  if (reuses_id)
+    reuse_id (world, worker);
   else
     assign_new_id (worker, i);
   worker->incarnation_started_ms = WALL_MS + world->now_ms;
@@ -51,7 +51,7 @@
   worker->restart_ms = 0;
   /* A worker may restart while it is unreachable. */
   worker->unreachable
-      = keeps_id && !world->healing && worker->unreachable && world_restart_random (world, 2) == 0;
+      = reuses_id && !world->healing && worker->unreachable && world_restart_random (world, 2) == 0;
   worker->draining = FALSE;
   worker->failing = FALSE;
   worker->cpu_milli = WORKER_CPU_MILLI;
@@ -63,7 +63,7 @@
   worker->lease_until_ms = 0;
   worker->last_end_number = 0;
   worker->acknowledged = 0;
-  worker->silent_since_ms = 0;
+  worker->unanswered_since_ms = 0;
   worker->listed = TRUE;
   g_array_set_size (worker->runs, 0);
   g_array_set_size (worker->ends, 0);
--- a/fuzz/pool-world-owners.c
+++ b/fuzz/pool-world-owners.c
@@ -122,7 +122,7 @@
   order->acknowledged = poll->acknowledged;
   order->deadline_ms = poll->deadline_ms;
   order->wait_ms = poll->wait_ms;
-  send_order (user, order, poll->worker, poll->wait_ms + poll->answer_ms);
+  send_order (user, order, poll->worker, poll->wait_ms + poll->timeout_ms);
 }
 
 static void
@@ -161,8 +161,9 @@
       if (world_allows (request->step, worker_index (id)))
         tickets[reply.tickets.tickets_len++] = (fb_ticket){ id, "t" };
     }
-  fb_pool_advised (owner->pool, request->step, (const char *const *) request->workers->pdata,
-                   request->workers->len, &reply, owner->world->now_ms);
+  fb_pool_advice_answered (owner->pool, request->step,
+                           (const char *const *) request->workers->pdata, request->workers->len,
+                           &reply, owner->world->now_ms);
 }
 
 static void
@@ -189,7 +190,7 @@
   owner->fenced = TRUE;
 }
 
-static const FbPoolSink sink
+static const FbPoolCallbacks callbacks
     = { on_start, on_stop, on_poll, on_advise, on_fenced, fb_wire_incarnation_is_newer };
 
 /* ---- owners --------------------------------------------------------------------- */
@@ -257,13 +258,13 @@
 static void
 read_jobs (World *world, Owner *owner)
 {
-  fb_pool_jobs_read (owner->pool, world->now_ms);
+  fb_pool_jobs_complete (owner->pool, world->now_ms);
   for (guint i = 0; i < world->job_n; i++)
     {
       const Job *job = &world->jobs[i];
-      fb_pool_admit (owner->pool, job->id, &job->record, world->now_ms, WALL_MS + world->now_ms);
+      fb_pool_add_job (owner->pool, job->id, &job->record, world->now_ms, WALL_MS + world->now_ms);
       if (job->cancelled)
-        fb_pool_cancel (owner->pool, job->id, world->now_ms, WALL_MS + world->now_ms);
+        fb_pool_cancel_job (owner->pool, job->id, world->now_ms, WALL_MS + world->now_ms);
     }
 }
 
@@ -278,7 +279,8 @@
       gboolean late = !g_hash_table_contains (world->progress, job->id)
                       && world->now_ms < job->record.accepted_ms - WALL_MS + 1000;
       if ((!late || world_random (world, 2) == 0) && !job->admission_dropped)
-        fb_pool_admit (owner->pool, job->id, &job->record, world->now_ms, WALL_MS + world->now_ms);
+        fb_pool_add_job (owner->pool, job->id, &job->record, world->now_ms,
+                         WALL_MS + world->now_ms);
     }
   GHashTableIter iter;
   gpointer key;
@@ -292,13 +294,13 @@
       fb_work_suspects suspects;
       if (!fb_codec_decode_progress (data, len, &progress, &suspects))
         abort ();
-      fb_pool_restore (owner->pool, key, &progress, &suspects, world->now_ms);
+      fb_pool_restore_job (owner->pool, key, &progress, &suspects, world->now_ms);
       fb_codec_clear_progress (&progress, &suspects);
     }
   for (guint i = 0; i < world->job_n; i++)
     {
       if (world->jobs[i].cancelled)
-        fb_pool_cancel (owner->pool, world->jobs[i].id, world->now_ms, WALL_MS + world->now_ms);
+        fb_pool_cancel_job (owner->pool, world->jobs[i].id, world->now_ms, WALL_MS + world->now_ms);
     }
   fb_work_workers known;
   gsize len = 0;
@@ -380,7 +382,7 @@
   owner->advice_requests = g_ptr_array_new_with_free_func (advice_request_free);
   owner->authority_ms = world->now_ms;
   owner->store_fenced_ms = world->now_ms;
-  owner->pool = fb_pool_new ("svc", owner->epoch, &limits, &sink, owner, world->now_ms);
+  owner->pool = fb_pool_new ("svc", owner->epoch, &limits, &callbacks, owner, world->now_ms);
   world->current_owner = i;
   world->current_owner_seen_ms = world->now_ms;
   world_trace (world, "daemon %u owns the pool under epoch %u", i, (unsigned) owner->epoch);
@@ -456,8 +458,7 @@
       read_jobs (world, owner);
     }
   answer_advice_requests (owner);
-  gboolean has_authority
-      = member || fb_pool_holds_majority (owner->pool, MAJORITY_MS, world->now_ms);
+  gboolean has_authority = member || fb_pool_has_majority (owner->pool, MAJORITY_MS, world->now_ms);
   if (has_authority)
     owner->authority_ms = world->now_ms;
   fb_pool_tick (owner->pool, has_authority, world->now_ms, WALL_MS + world->now_ms);
--- a/fuzz/pool-world.h
+++ b/fuzz/pool-world.h
@@ -87,12 +87,12 @@
   gboolean unreachable; /* no messages to or from it are delivered */
   gboolean listed;
   gboolean draining;
-  gboolean failing;           /* it breaks connections and refuses calls */
-  int64_t cpu_milli;          /* its capacity, which may shrink and grow */
-  int64_t previous_cpu_milli; /* the largest allowed use before the last change */
-  uint64_t cpu_changed_ms;    /* when the list last showed a change of the capacity */
-  uint64_t restart_ms;        /* when it starts again after a crash; 0: no restart is due */
-  uint64_t silent_since_ms;   /* since when the platform gets no messages from it; 0: it does */
+  gboolean failing;             /* it breaks connections and refuses calls */
+  int64_t cpu_milli;            /* its capacity, which may shrink and grow */
+  int64_t previous_cpu_milli;   /* the largest allowed use before the last change */
+  uint64_t cpu_changed_ms;      /* when the list last showed a change of the capacity */
+  uint64_t restart_ms;          /* when it starts again after a crash; 0: no restart is due */
+  uint64_t unanswered_since_ms; /* since when the platform gets no messages from it; 0: it does */
   uint64_t started_ms;
   uint32_t slow_permille;       /* by how much its clock is slow */
   uint64_t fence_epoch;         /* orders with a lower epoch are fenced */
--- a/include/internal/pool-crash.h
+++ b/include/internal/pool-crash.h
@@ -38,7 +38,7 @@
                                 uint32_t index);
 /* A run of task INDEX ended on WORKER, which is still up. */
 void fb_pool_crash_task_ended (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
-                               uint32_t index, FbEndReason how);
+                               uint32_t index, FbEndReason reason);
 /* Task INDEX was started on WORKER: records the start if the task is suspected. */
 void fb_pool_crash_task_ordered (FbPool *self, FbPoolWorker *worker, FbPoolStep *step,
                                  uint32_t index);
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -36,7 +36,7 @@
   char *service;
   uint64_t epoch;
   FbPoolLimits limits;
-  const FbPoolSink *sink;
+  const FbPoolCallbacks *callbacks;
   gpointer user;
   uint64_t created_ms;       /* when the pool was created */
   uint64_t majority_ms;      /* when a majority of the workers had answered; 0: not yet */
@@ -60,11 +60,11 @@
   GPtrArray *gained_capacity;
   GPtrArray *queue;    /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
   GPtrArray *unmerged; /* of FbPoolStep not merged into QUEUE yet; borrowed */
-  /* Bits of advice_duration_class() in pool-advice.c: requests that no daemon could forward in this
+  /* Bits of request_kind() in pool-advice.c: requests that no daemon could forward in this
    * iteration of the round. */
-  uint32_t refused_duration_classes;
+  uint32_t refused_request_kinds;
   uint64_t round;              /* number of the current placement round */
-  guint resume_position;       /* in QUEUE, where the open round continues; 0: none is open */
+  guint round_position;        /* in QUEUE, where the open round continues; 0: none is open */
   guint round_gained_n;        /* entries of GAINED_CAPACITY when the open round began */
   uint32_t visits_n;           /* workers and runs visited in this iteration of the round */
   GHashTable *jobs_to_release; /* set of FbPoolJob with occurrences or steps to release; borrowed */
@@ -88,7 +88,7 @@
   gboolean unresolved_losses_due;
   gboolean majority_answers; /* a majority has answered within MAJORITY_ANSWER_MS (pool.c) */
   gboolean limit_reached;    /* a task may have reached its limit of crashes */
-  uint64_t jobs_read_ms;     /* every job stored before this time is known */
+  uint64_t jobs_complete_ms; /* every job stored before this time is known */
   gboolean workers_dirty;    /* the record of workers is out of date */
   /* At the last tick the owner was certain of its ownership, and not stopping. */
   gboolean may_start;
@@ -112,7 +112,7 @@
                                                  const FbPoolWorker *worker);
 /* Advice was requested for WORKER; the worker is allowed only if fb_pool_worker_advice_allow()
  * follows. */
-void fb_pool_worker_advice_set_requested (FbPoolStep *step, const FbPoolWorker *worker);
+void fb_pool_worker_advice_requested (FbPoolStep *step, const FbPoolWorker *worker);
 void fb_pool_worker_advice_allow (FbPoolStep *step, const FbPoolWorker *worker, const char *ticket,
                                   uint64_t valid_until_ms);
 /* The ticket for WORKER is no longer valid; the worker stays allowed. */
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -56,7 +56,7 @@
   uint64_t number; /* grows during one incarnation of the worker */
   char *task;
   uint32_t attempt;
-  FbEndReason how;
+  FbEndReason reason;
   char *checkpoint; /* as in FbReportedRun */
 } FbReportedEnd;
 
@@ -124,9 +124,9 @@
   uint64_t acknowledged; /* the worker need not list ends up to this number any more; 0: none */
   /* New end of the lease, on the worker's clock; 0: the lease is not extended. */
   uint64_t deadline_ms;
-  uint32_t wait_ms;   /* how long the worker may delay its answer while it has nothing to report */
-  uint32_t answer_ms; /* timeout: the poll has failed when no answer has arrived this long after
-                         WAIT_MS */
+  uint32_t wait_ms;    /* how long the worker may delay its answer while it has nothing to report */
+  uint32_t timeout_ms; /* timeout: the poll has failed when no answer has arrived this long after
+                          WAIT_MS */
 } FbPollOrder;
 
 /* Callbacks of the pool's owner.  All arguments are borrowed for the duration of the call. */
@@ -137,14 +137,14 @@
   void (*poll) (gpointer user, const FbPollOrder *order);
   /* Requests advice on which of the N WORKERS may run STEP. EXPECTED_MS: time that the advice
    * service needs for the answer. Returns: FALSE when no daemon can forward the request now. */
-  gboolean (*advise) (gpointer user, const char *step, const char *const *workers, guint n,
-                      uint32_t expected_ms);
+  gboolean (*request_advice) (gpointer user, const char *step, const char *const *workers, guint n,
+                              uint32_t expected_ms);
   /* WORKER has seen a higher epoch: the pool must not be used any more. */
   void (*fenced) (gpointer user, const char *worker);
   /* Returns: TRUE when INCARNATION began after OTHER, under the same id.  NULL: no worker restarts
    * under its id. */
   gboolean (*is_newer_incarnation) (const char *incarnation, const char *other);
-} FbPoolSink;
+} FbPoolCallbacks;
 
 /* Limits that are configured for the deployment. */
 typedef struct
@@ -166,7 +166,7 @@
 /* ---- creation -------------------------------------------------------------- */
 
 FbPool *fb_pool_new (const char *service, uint64_t epoch, const FbPoolLimits *limits,
-                     const FbPoolSink *sink, gpointer user, uint64_t now_ms);
+                     const FbPoolCallbacks *callbacks, gpointer user, uint64_t now_ms);
 void fb_pool_free (FbPool *self);
 
 /* ---- events ---------------------------------------------------------------- */
@@ -183,28 +183,28 @@
 void fb_pool_restore_workers (FbPool *self, const fb_work_workers *record);
 
 /* Adds a job to the pool; no effect when the pool already has it. */
-void fb_pool_admit (FbPool *self, const char *job, const fb_work_admit *record, uint64_t now_ms,
-                    uint64_t wall_ms);
-/* Like fb_pool_admit() without a copy: takes over the contents of RECORD, allocated as XDR does it,
- * and leaves it empty. When the pool already has the job, RECORD remains the caller's. */
-void fb_pool_admit_owned (FbPool *self, const char *job, fb_work_admit *record, uint64_t now_ms,
-                          uint64_t wall_ms);
+void fb_pool_add_job (FbPool *self, const char *job, const fb_work_admit *record, uint64_t now_ms,
+                      uint64_t wall_ms);
+/* Like fb_pool_add_job() without a copy: takes over the contents of RECORD, allocated as XDR does
+ * it, and leaves it empty. When the pool already has the job, RECORD remains the caller's. */
+void fb_pool_add_job_take (FbPool *self, const char *job, fb_work_admit *record, uint64_t now_ms,
+                           uint64_t wall_ms);
 /* Restores what an earlier owner recorded of a job.  The job must have been added before, unless it
  * has ended. */
-void fb_pool_restore (FbPool *self, const char *job, const fb_work_progress *record,
-                      const fb_work_suspects *suspects, uint64_t now_ms);
+void fb_pool_restore_job (FbPool *self, const char *job, const fb_work_progress *record,
+                          const fb_work_suspects *suspects, uint64_t now_ms);
 /* Every job that was stored before UNTIL_MS has been added: a reported run or end of any other job
  * belongs to a job that does not exist. Until this is called, runs and ends of unknown jobs are
  * left unchanged. */
-void fb_pool_jobs_read (FbPool *self, uint64_t until_ms);
+void fb_pool_jobs_complete (FbPool *self, uint64_t until_ms);
 /* Adds starts by earlier owners that other daemons have relayed and that may be missing in the
  * records; starts in other pools are skipped. */
 void fb_pool_import_starts (FbPool *self, const fb_recent_starts_reply *reply, uint64_t now_ms);
 /* Ends JOB as cancelled and stops its runs; no effect on a job that has ended. */
-void fb_pool_cancel (FbPool *self, const char *job, uint64_t now_ms, uint64_t wall_ms);
+void fb_pool_cancel_job (FbPool *self, const char *job, uint64_t now_ms, uint64_t wall_ms);
 /* Replaces the policies of queues.  POLICIES: name of a queue -> fb_work_policy; a queue that is
  * not in the table keeps its policy. */
-void fb_pool_policies (FbPool *self, GHashTable *policies);
+void fb_pool_set_policies (FbPool *self, GHashTable *policies);
 
 void fb_pool_poll_answered (FbPool *self, const char *worker, const FbPollAnswer *answer,
                             uint64_t now_ms, uint64_t wall_ms);
@@ -214,8 +214,8 @@
                             uint64_t now_ms);
 /* The advice service answered a request for STEP that listed the N workers in ASKED. REPLY: the
  * answer; NULL: the request failed. */
-void fb_pool_advised (FbPool *self, const char *step, const char *const *asked, guint n,
-                      const fb_advice_reply *reply, uint64_t now_ms);
+void fb_pool_advice_answered (FbPool *self, const char *step, const char *const *asked, guint n,
+                              const fb_advice_reply *reply, uint64_t now_ms);
 
 /* Advances the pool to NOW_MS and, with MAY_START, starts the tasks that can start.  To be called
  * after events and at least every 100 ms. */
@@ -257,8 +257,8 @@
 /* Returns: FALSE when the pool does not know the job. */
 gboolean fb_pool_job_state (const FbPool *self, const char *job, fb_work_state *state);
 /* Returns: how many jobs of QUEUE have no scheduled occurrences and no task that was started. */
-uint32_t fb_pool_pending (const FbPool *self, const char *queue);
+uint32_t fb_pool_pending_jobs_n (const FbPool *self, const char *queue);
 /* TRUE while a majority of the listed workers has answered polls that were sent under this epoch
  * within the last WITHIN_MS.  As long as this holds, no other daemon can have passed its own check
  * for a majority, because workers refuse the lower of two epochs. */
-gboolean fb_pool_holds_majority (const FbPool *self, uint32_t within_ms, uint64_t now_ms);
+gboolean fb_pool_has_majority (const FbPool *self, uint32_t within_ms, uint64_t now_ms);
--- a/rpc/work-xdr.c
+++ b/rpc/work-xdr.c
@@ -839,7 +839,7 @@
 		 return FALSE;
 	 if (!xdr_u_int (xdrs, &objp->attempt))
 		 return FALSE;
-	 if (!xdr_u_int (xdrs, &objp->how))
+	 if (!xdr_u_int (xdrs, &objp->reason))
 		 return FALSE;
 	 if (!xdr_string (xdrs, &objp->checkpoint, FB_WORK_MAX_NAME))
 		 return FALSE;
--- a/rpc/work.h
+++ b/rpc/work.h
@@ -360,7 +360,7 @@
 	u_quad_t number;
 	char *task;
 	u_int attempt;
-	u_int how;
+	u_int reason;
 	char *checkpoint;
 };
 typedef struct fb_reported_end fb_reported_end;
--- a/rpc/work.x
+++ b/rpc/work.x
@@ -288,7 +288,7 @@
   unsigned hyper number;
   string task<FB_WORK_MAX_NAME>;
   unsigned int attempt;
-  unsigned int how; /* FbEndReason */
+  unsigned int reason; /* FbEndReason */
   string checkpoint<FB_WORK_MAX_NAME>;
 };
 
--- a/src/entry/owner/owner-load.c
+++ b/src/entry/owner/owner-load.c
@@ -25,8 +25,8 @@
       fb_event_log (FB_EVENT_LOG_RECORD_SKIPPED, "job=%s malformed", job);
       return;
     }
-  fb_pool_admit_owned (fb_owner_pool_for (self, record.policy.service)->pool, job, &record,
-                       fb_clock_ms (), fb_clock_wall_ms ());
+  fb_pool_add_job_take (fb_owner_pool_for (self, record.policy.service)->pool, job, &record,
+                        fb_clock_ms (), fb_clock_wall_ms ());
   xdr_free ((xdrproc_t) xdr_fb_work_admit, (char *) &record);
 }
 
@@ -39,8 +39,8 @@
   gpointer service_pool;
   g_hash_table_iter_init (&iter, self->service_pools);
   while (g_hash_table_iter_next (&iter, NULL, &service_pool))
-    fb_pool_cancel (((FbServicePool *) service_pool)->pool, job, fb_clock_ms (),
-                    fb_clock_wall_ms ());
+    fb_pool_cancel_job (((FbServicePool *) service_pool)->pool, job, fb_clock_ms (),
+                        fb_clock_wall_ms ());
 }
 
 static void
@@ -79,8 +79,8 @@
   gpointer service_pool;
   g_hash_table_iter_init (&iter, self->service_pools);
   while (g_hash_table_iter_next (&iter, NULL, &service_pool))
-    fb_pool_restore (((FbServicePool *) service_pool)->pool, job, &record, &suspects,
-                     fb_clock_ms ());
+    fb_pool_restore_job (((FbServicePool *) service_pool)->pool, job, &record, &suspects,
+                         fb_clock_ms ());
   fb_codec_clear_progress (&record, &suspects);
 }
 
--- a/src/entry/owner/owner-orders.c
+++ b/src/entry/owner/owner-orders.c
@@ -175,7 +175,7 @@
                                           .deadline_ms = order->deadline_ms,
                                           .acknowledged = order->acknowledged,
                                           .wait_ms = order->wait_ms,
-                                          .answer_ms = order->answer_ms };
+                                          .answer_ms = order->timeout_ms };
   send_order (user, &peer_request, 0);
 }
 
@@ -205,5 +205,5 @@
   fb_owner_step_down (((FbServicePool *) user)->owner, "a worker has seen a later owner");
 }
 
-const FbPoolSink fb_owner_sink
+const FbPoolCallbacks fb_owner_pool_callbacks
     = { sink_start, sink_stop, sink_poll, sink_advise, sink_fenced, fb_wire_incarnation_is_newer };
--- a/src/entry/owner/owner-private.h
+++ b/src/entry/owner/owner-private.h
@@ -48,7 +48,7 @@
 #define FB_KEY_WORKERS "workers."
 
 /* owner-orders.c: sends the orders of pools and passes the answers back. */
-extern const FbPoolSink fb_owner_sink;
+extern const FbPoolCallbacks fb_owner_pool_callbacks;
 /* Marks SELF as no longer the owner: it stops acting at once, and the daemon frees it soon. */
 void fb_owner_step_down (FbOwner *self, const char *why);
 
--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -59,8 +59,8 @@
   service_pool = g_new0 (FbServicePool, 1);
   service_pool->owner = self;
   service_pool->service = g_strdup (service);
-  service_pool->pool
-      = fb_pool_new (service, self->epoch, &limits, &fb_owner_sink, service_pool, fb_clock_ms ());
+  service_pool->pool = fb_pool_new (service, self->epoch, &limits, &fb_owner_pool_callbacks,
+                                    service_pool, fb_clock_ms ());
   g_hash_table_insert (self->service_pools, service_pool->service, service_pool);
   list_known_workers (service_pool);
   if (self->workers_known)
@@ -167,7 +167,7 @@
 confirm_ownership (FbOwner *self, const FbServicePool *service_pool, uint64_t now_ms)
 {
   if (!fb_group_is_member (self->entry->group, now_ms)
-      && !fb_pool_holds_majority (service_pool->pool, MAJORITY_MS, now_ms))
+      && !fb_pool_has_majority (service_pool->pool, MAJORITY_MS, now_ms))
     return FALSE;
   self->confirmed_ms = now_ms;
   return TRUE;
@@ -205,7 +205,7 @@
     {
       FbServicePool *service_pool = value;
       gboolean may_start = confirm_ownership (self, service_pool, now_ms) && !self->quiesced;
-      fb_pool_jobs_read (service_pool->pool, fb_topic_reader_fresh_ms (self->job_reader));
+      fb_pool_jobs_complete (service_pool->pool, fb_topic_reader_fresh_ms (self->job_reader));
       fb_pool_tick (service_pool->pool, may_start, now_ms, fb_clock_wall_ms ());
       flush_pool (service_pool);
       fb_owner_back_up_suspects (service_pool);
@@ -314,7 +314,7 @@
   gpointer service_pool;
   g_hash_table_iter_init (&iter, self->service_pools);
   while (g_hash_table_iter_next (&iter, NULL, &service_pool))
-    fb_pool_policies (((FbServicePool *) service_pool)->pool, policies);
+    fb_pool_set_policies (((FbServicePool *) service_pool)->pool, policies);
 }
 
 void
@@ -343,8 +343,8 @@
   gpointer service_pool;
   g_hash_table_iter_init (&iter, self->service_pools);
   while (g_hash_table_iter_next (&iter, NULL, &service_pool))
-    fb_pool_advised (((FbServicePool *) service_pool)->pool, step, asked, n, peer_reply,
-                     fb_clock_ms ());
+    fb_pool_advice_answered (((FbServicePool *) service_pool)->pool, step, asked, n, peer_reply,
+                             fb_clock_ms ());
   fb_owner_schedule_tick (self);
 }
 
@@ -387,7 +387,7 @@
       = g_hash_table_lookup (self->service_pools, peer_request->service);
   peer_reply->type = FB_REPLY_PENDING_COUNT;
   peer_reply->fb_peer_reply_u.pending
-      = service_pool != NULL ? fb_pool_pending (service_pool->pool, peer_request->queue) : 0;
+      = service_pool != NULL ? fb_pool_pending_jobs_n (service_pool->pool, peer_request->queue) : 0;
 }
 
 void
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -122,7 +122,7 @@
                                    .acknowledged = order->acknowledged,
                                    .deadline_ms = order->deadline_ms,
                                    .wait_ms = order->wait_ms,
-                                   .answer_ms = order->answer_ms };
+                                   .timeout_ms = order->answer_ms };
         fb_wire_poll (call, &poll);
         break;
       }
@@ -340,7 +340,7 @@
     {
       const FbReportedEnd *end = &g_array_index (answer->finished, FbReportedEnd, i);
       ends[i]
-          = (fb_reported_end){ end->number, end->task, end->attempt, end->how, end->checkpoint };
+          = (fb_reported_end){ end->number, end->task, end->attempt, end->reason, end->checkpoint };
     }
   peer_reply->running.running_len = answer->running->len;
   peer_reply->running.running_val = rows;
@@ -438,7 +438,7 @@
       FbReportedEnd end = { .number = row->number,
                             .task = row->task,
                             .attempt = row->attempt,
-                            .how = (FbEndReason) MIN (row->how, FB_END_GANG_TIMEOUT),
+                            .reason = (FbEndReason) MIN (row->reason, FB_END_GANG_TIMEOUT),
                             .checkpoint = row->checkpoint };
       g_array_append_val (answer->finished, end);
     }
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -178,7 +178,7 @@
 }
 
 static uint64_t
-advice_request_ms (const FbPoolStep *step, guint n)
+request_ms (const FbPoolStep *step, guint n)
 {
   const fb_work_policy *policy = &step->job->record.policy;
   return (policy->advice_decision_us + n * policy->advice_per_worker_us) / 1000;
@@ -218,7 +218,7 @@
     return 0;
   step->preemption_tried_ms = now_ms;
   guint max_n = max_preempted (step);
-  uint64_t wait_ms = MAX (self->limits.max_stop_ms, advice_request_ms (step, max_n));
+  uint64_t wait_ms = MAX (self->limits.max_stop_ms, request_ms (step, max_n));
   return fb_pool_preempt (self, step, max_n, chosen,
                           now_ms + wait_ms + MAX (STOP_SLACK_MS, reservation_slack_ms (step)),
                           now_ms);
@@ -266,7 +266,7 @@
   if (step->spec->long_running && n < max_n)
     add_unrequested (self, step, ids, max_n - n, now_ms);
   fb_pool_reserve (self, step, chosen, n,
-                   now_ms + advice_request_ms (step, ids->len) + reservation_slack_ms (step));
+                   now_ms + request_ms (step, ids->len) + reservation_slack_ms (step));
   return ids;
 }
 
@@ -311,7 +311,7 @@
 static gboolean
 may_request_unrequested (const FbPoolStep *step, uint64_t now_ms)
 {
-  return now_ms >= step->last_advice_ms + UNREQUESTED_INTERVAL_FACTOR * advice_request_ms (step, 1);
+  return now_ms >= step->last_advice_ms + UNREQUESTED_INTERVAL_FACTOR * request_ms (step, 1);
 }
 
 /* Returns: (transfer container): ids of the workers to request for STEP now; empty when there is
@@ -343,28 +343,28 @@
 }
 
 static gboolean
-advice_request_is_open (const FbPoolStep *step, uint64_t now_ms)
+request_is_open (const FbPoolStep *step, uint64_t now_ms)
 {
   return step->advice_until_ms != 0 && now_ms < step->advice_until_ms;
 }
 
 /* Returns: a bit that represents all requests that take about as long as one for STEP. */
 static uint32_t
-advice_duration_class (const FbPoolStep *step)
+request_kind (const FbPoolStep *step)
 {
-  return 1U << MIN (g_bit_storage ((gulong) advice_request_ms (step, 1)), 31U);
+  return 1U << MIN (g_bit_storage ((gulong) request_ms (step, 1)), 31U);
 }
 
 /* Returns: FALSE when no daemon can forward a request to the advice service now. */
 static gboolean
-send_advice_request (FbPool *self, FbPoolStep *step, const GPtrArray *ids, uint64_t now_ms)
+send_request (FbPool *self, FbPoolStep *step, const GPtrArray *ids, uint64_t now_ms)
 {
   g_autofree char *name = fb_pool_step_name (step);
-  uint32_t expected_ms = (uint32_t) advice_request_ms (step, ids->len);
-  if (!self->sink->advise (self->user, name, (const char *const *) ids->pdata, ids->len,
-                           expected_ms))
+  uint32_t expected_ms = (uint32_t) request_ms (step, ids->len);
+  if (!self->callbacks->request_advice (self->user, name, (const char *const *) ids->pdata,
+                                        ids->len, expected_ms))
     {
-      self->refused_duration_classes |= advice_duration_class (step);
+      self->refused_request_kinds |= request_kind (step);
       return FALSE;
     }
   step->advice_until_ms = now_ms + ADVICE_TIMEOUT_FACTOR * expected_ms + ADVICE_TIMEOUT_MS;
@@ -380,15 +380,15 @@
         preempt_unadvised (self, step, now_ms);
       return TRUE;
     }
-  if (advice_request_is_open (step, now_ms))
+  if (request_is_open (step, now_ms))
     return TRUE;
   /* Choosing the workers takes a pass over all of them, for each of hundreds of pending steps. */
-  if (self->refused_duration_classes & advice_duration_class (step))
+  if (self->refused_request_kinds & request_kind (step))
     return FALSE;
   g_autoptr (GPtrArray) ids = workers_to_request (self, step, now_ms);
   if (ids->len == 0)
     return TRUE;
-  if (send_advice_request (self, step, ids, now_ms))
+  if (send_request (self, step, ids, now_ms))
     return TRUE;
   g_ptr_array_unref (fb_pool_release_reservation (self, step));
   return FALSE;
@@ -397,12 +397,12 @@
 void
 fb_pool_renew_ticket (FbPool *self, FbPoolStep *step, const FbPoolWorker *worker, uint64_t now_ms)
 {
-  if (advice_request_is_open (step, now_ms))
+  if (request_is_open (step, now_ms))
     return;
   g_autoptr (GPtrArray) ids = g_ptr_array_new ();
   g_ptr_array_add (ids, worker->id);
   /* If no daemon can forward the request, the next round repeats it. */
-  (void) send_advice_request (self, step, ids, now_ms);
+  (void) send_request (self, step, ids, now_ms);
 }
 
 gboolean
@@ -414,8 +414,8 @@
 }
 
 void
-fb_pool_advised (FbPool *self, const char *name, const char *const *asked, guint n,
-                 const fb_advice_reply *reply, uint64_t now_ms)
+fb_pool_advice_answered (FbPool *self, const char *name, const char *const *asked, guint n,
+                         const fb_advice_reply *reply, uint64_t now_ms)
 {
   FbPoolStep *step = fb_pool_find_step (self, name);
   if (step == NULL)
@@ -430,7 +430,7 @@
     {
       const FbPoolWorker *worker = g_hash_table_lookup (self->workers, asked[i]);
       if (worker != NULL)
-        fb_pool_worker_advice_set_requested (step, worker);
+        fb_pool_worker_advice_requested (step, worker);
     }
   for (u_int i = 0; i < reply->tickets.tickets_len; i++)
     {
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -202,12 +202,12 @@
 
 void
 fb_pool_crash_task_ended (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
-                          uint32_t index, FbEndReason how)
+                          uint32_t index, FbEndReason reason)
 {
   fb_pool_crash_task_absent (self, worker, step, index);
-  if (how == FB_END_DONE)
+  if (reason == FB_END_DONE)
     fb_pool_probe_passed (step);
-  if (how == FB_END_DONE || how == FB_END_FAILED)
+  if (reason == FB_END_DONE || reason == FB_END_FAILED)
     fb_pool_crash_clear (self, step, index, "ended");
 }
 
--- a/src/work/pool-incarnations.c
+++ b/src/work/pool-incarnations.c
@@ -11,8 +11,8 @@
 is_newer_incarnation (const FbPool *self, const FbPoolWorker *incarnation,
                       const FbPoolWorker *other)
 {
-  return self->sink->is_newer_incarnation != NULL
-         && self->sink->is_newer_incarnation (incarnation->id, other->id);
+  return self->callbacks->is_newer_incarnation != NULL
+         && self->callbacks->is_newer_incarnation (incarnation->id, other->id);
 }
 
 /* Returns: (nullable): borrowed. */
@@ -26,7 +26,7 @@
 fb_pool_incarnation_set_latest (FbPool *self, FbPoolWorker *worker)
 {
   worker->superseded = FALSE;
-  if (self->sink->is_newer_incarnation != NULL && worker->address != NULL)
+  if (self->callbacks->is_newer_incarnation != NULL && worker->address != NULL)
     g_hash_table_replace (self->latest_incarnations, g_strdup (worker->address), worker);
 }
 
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -164,7 +164,7 @@
                                .checkpoint = task->checkpoint != NULL ? task->checkpoint : "",
                                .ticket = ticket != NULL ? ticket->ticket : NULL,
                                .deadline_ms = run->deadline_ms };
-  self->sink->start (self->user, &order);
+  self->callbacks->start (self->user, &order);
 }
 
 void
@@ -181,7 +181,7 @@
                               .epoch = self->epoch,
                               .task = run->name,
                               .attempt = run->attempt };
-  self->sink->stop (self->user, &order);
+  self->callbacks->stop (self->user, &order);
 }
 
 /* Returns: the timeout of the next poll. */
@@ -265,7 +265,7 @@
                         .address = worker->address,
                         .epoch = self->epoch,
                         .acknowledged = acknowledges ? worker->acknowledged : 0,
-                        .answer_ms = poll_timeout_ms (worker) };
+                        .timeout_ms = poll_timeout_ms (worker) };
   worker->poll_acknowledges = worker->may_restart ? order.acknowledged : 0;
   /* If each poll extended the lease of a silent worker, which may still receive it, the lease would
    * never end and its tasks would never start again. So a silent worker is polled without a lease,
@@ -280,7 +280,7 @@
   worker->lease_ms = MAX (worker->lease_ms, order.deadline_ms);
   worker->poll_open = TRUE;
   worker->poll_sent_ms = now_ms;
-  self->sink->poll (self->user, &order);
+  self->callbacks->poll (self->user, &order);
 }
 
 void
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -139,7 +139,7 @@
  * workers in one iteration, joins and leases were delayed (an iteration took 0.3 to 0.8 s on 0.12
  * of a core with 950 steps and 250 workers). The store then considers the owner failed, and the
  * next owner fails in the same way: owners replaced each other every 2 s while nothing ran. */
-#define VISITS_PER_TURN 50000
+#define VISITS_PER_ITERATION 50000
 
 /* Returns: what a step that could not be placed waits for, as a static text for the log. "turn":
  * for a daemon that can forward its request to the advice service. */
@@ -218,8 +218,8 @@
 retry_passed_steps (FbPool *self, uint64_t now_ms)
 {
   gboolean can_request = TRUE;
-  for (guint position = 0; position < self->resume_position && position < self->queue->len
-                           && !self->fenced && self->visits_n <= VISITS_PER_TURN / 2;
+  for (guint position = 0; position < self->round_position && position < self->queue->len
+                           && !self->fenced && self->visits_n <= VISITS_PER_ITERATION / 2;
        position++)
     can_request &= try_position (self, position, now_ms);
   return can_request;
@@ -238,25 +238,25 @@
 void
 fb_pool_place (FbPool *self, uint64_t now_ms)
 {
-  self->refused_duration_classes = 0;
+  self->refused_request_kinds = 0;
   self->visits_n = 0;
   fb_pool_queue_sort (self, now_ms);
-  if (self->resume_position == 0)
+  if (self->round_position == 0)
     {
       self->round++;
       self->round_gained_n = self->gained_capacity->len;
     }
   gboolean can_request = retry_passed_steps (self, now_ms);
-  for (; self->resume_position < self->queue->len && !self->fenced
-         && self->visits_n <= VISITS_PER_TURN;
-       self->resume_position++)
-    can_request &= try_position (self, self->resume_position, now_ms);
-  if (self->resume_position < self->queue->len && !self->fenced)
+  for (; self->round_position < self->queue->len && !self->fenced
+         && self->visits_n <= VISITS_PER_ITERATION;
+       self->round_position++)
+    can_request &= try_position (self, self->round_position, now_ms);
+  if (self->round_position < self->queue->len && !self->fenced)
     {
       self->round_due = TRUE;
       return;
     }
-  self->resume_position = 0;
+  self->round_position = 0;
   clear_gained_capacity (self, MIN (self->round_gained_n, self->gained_capacity->len));
   if (can_request)
     request_advice_ahead (self, now_ms);
--- a/src/work/pool-queue.c
+++ b/src/work/pool-queue.c
@@ -115,9 +115,9 @@
   gpointer *unmerged = self->unmerged->pdata;
   while (added > 0)
     {
-      gboolean from_kept = kept > 0 && compare_steps (all[kept - 1], unmerged[added - 1]) > 0;
-      all[kept + added - 1] = from_kept ? all[kept - 1] : unmerged[added - 1];
-      if (from_kept)
+      gboolean from_sorted = kept > 0 && compare_steps (all[kept - 1], unmerged[added - 1]) > 0;
+      all[kept + added - 1] = from_sorted ? all[kept - 1] : unmerged[added - 1];
+      if (from_sorted)
         kept--;
       else
         added--;
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -75,7 +75,7 @@
 {
   if (self->recovered || !self->workers_complete)
     return;
-  if (self->majority_ms == 0 && fb_pool_holds_majority (self, G_MAXUINT32, now_ms))
+  if (self->majority_ms == 0 && fb_pool_has_majority (self, G_MAXUINT32, now_ms))
     self->majority_ms = now_ms;
   if (self->majority_ms == 0)
     return;
@@ -101,10 +101,10 @@
 gboolean
 fb_pool_has_no_earlier_starts (const FbPool *self)
 {
-  /* A job received now was stored after jobs_read_ms, or it would be known. */
+  /* A job received now was stored after jobs_complete_ms, or it would be known. */
   return self->recovered
          || (self->majority_ms != 0
-             && self->jobs_read_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);
+             && self->jobs_complete_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);
 }
 
 static gboolean
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -35,7 +35,7 @@
   if (self->fenced)
     return;
   self->fenced = TRUE;
-  self->sink->fenced (self->user, worker != NULL ? worker->id : "");
+  self->callbacks->fenced (self->user, worker != NULL ? worker->id : "");
 }
 
 void
@@ -175,15 +175,15 @@
 }
 
 static void
-update_failure_streak (FbPoolWorker *worker, const FbPoolStep *step, FbEndReason how,
+update_failure_streak (FbPoolWorker *worker, const FbPoolStep *step, FbEndReason reason,
                        uint64_t now_ms)
 {
-  if (how == FB_END_DONE)
+  if (reason == FB_END_DONE)
     {
       worker->failure_streak = 0;
       worker->throttled_until_ms = 0;
     }
-  else if (how == FB_END_FAILED && g_strcmp0 (worker->last_failed_job, step->job->id) != 0)
+  else if (reason == FB_END_FAILED && g_strcmp0 (worker->last_failed_job, step->job->id) != 0)
     {
       worker->failure_streak++;
       fb_pool_worker_throttle (worker, now_ms);
@@ -214,29 +214,30 @@
   task->attempt = MAX (task->attempt, end->attempt);
   step->gang_attempt = MAX (step->gang_attempt, end->attempt);
   step->job->started = TRUE;
-  update_failure_streak (worker, step, end->how, now_ms);
-  fb_pool_crash_task_ended (self, worker, step, index, end->how);
-  if (run != NULL && run->step == step && run->attempt == end->attempt && end->how == FB_END_DONE)
+  update_failure_streak (worker, step, end->reason, now_ms);
+  fb_pool_crash_task_ended (self, worker, step, index, end->reason);
+  if (run != NULL && run->step == step && run->attempt == end->attempt
+      && end->reason == FB_END_DONE)
     record_run_time (worker, run, now_ms);
   if (run != NULL && run->attempt <= end->attempt)
-    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);
+    fb_pool_run_ended (self, worker, run, end_names[end->reason], now_ms);
   if (task->run == NULL)
-    fb_pool_long_running_ended (step, index, end_names[end->how], now_ms);
+    fb_pool_long_running_ended (step, index, end_names[end->reason], now_ms);
   if (fb_pool_job_ended (step->job))
     return;
-  if (end->how == FB_END_DONE && step->spec->gang)
+  if (end->reason == FB_END_DONE && step->spec->gang)
     {
       for (uint32_t i = 0; i < step->spec->count; i++)
         mark_task_done (self, step, i, now_ms);
     }
-  else if (end->how == FB_END_DONE)
+  else if (end->reason == FB_END_DONE)
     mark_task_done (self, step, index, now_ms);
-  else if (end->how == FB_END_FAILED)
+  else if (end->reason == FB_END_FAILED)
     count_failure (self, step, index, end, now_ms, wall_ms);
-  if (step->spec->gang && end->how != FB_END_DONE && end->attempt == step->gang_attempt
+  if (step->spec->gang && end->reason != FB_END_DONE && end->attempt == step->gang_attempt
       && !fb_pool_step_done (step) && !fb_pool_job_ended (step->job))
     fb_pool_stop_gang (self, step, now_ms);
-  if (end->how == FB_END_DONE)
+  if (end->reason == FB_END_DONE)
     {
       if (fb_pool_step_done (step))
         fb_pool_speed_update (step);
@@ -253,14 +254,14 @@
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, end->task, &index);
   fb_event_log (FB_EVENT_TASK_ENDED, "task=%s attempt=%u worker=%s how=%s known=%d number=%u",
-                end->task, end->attempt, worker->id, end_names[end->how], step != NULL,
+                end->task, end->attempt, worker->id, end_names[end->reason], step != NULL,
                 (guint) end->number);
   static const FbCounter counters[] = {
     [FB_END_DONE] = FB_COUNTER_TASKS_DONE,         [FB_END_FAILED] = FB_COUNTER_TASKS_FAILED,
     [FB_END_STOPPED] = FB_COUNTER_TASKS_OTHER,     [FB_END_LEASE_EXPIRED] = FB_COUNTER_TASKS_OTHER,
     [FB_END_GANG_BROKEN] = FB_COUNTER_TASKS_OTHER, [FB_END_GANG_TIMEOUT] = FB_COUNTER_TASKS_OTHER
   };
-  fb_counter_add (counters[end->how], 1);
+  fb_counter_add (counters[end->reason], 1);
   if (step != NULL)
     {
       process_task_end (self, worker, step, index, end, now_ms, wall_ms);
@@ -268,7 +269,7 @@
     }
   FbPoolRun *run = g_hash_table_lookup (worker->runs, end->task);
   if (run != NULL && run->attempt <= end->attempt)
-    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);
+    fb_pool_run_ended (self, worker, run, end_names[end->reason], now_ms);
 }
 
 /* ---- listed runs ------------------------------------------------------------------- */
@@ -362,7 +363,7 @@
     {
       FbPoolRun *run = value;
       if (run->step == NULL && run->state != FB_RUN_STOPPING
-          && (self->jobs_read_ms > run->first_listed_ms
+          && (self->jobs_complete_ms > run->first_listed_ms
               || fb_pool_find_job (self, run->name) != NULL))
         stop_run (self, worker, run, now_ms);
     }
@@ -444,7 +445,7 @@
   if (worker->unknown_end != end->number)
     worker->unknown_end_ms = now_ms;
   worker->unknown_end = end->number;
-  return self->jobs_read_ms <= worker->unknown_end_ms;
+  return self->jobs_complete_ms <= worker->unknown_end_ms;
 }
 
 /* The stored record lists the steps that may still run on a draining worker; it is rewritten when
--- a/src/work/pool-worker-advice.c
+++ b/src/work/pool-worker-advice.c
@@ -37,7 +37,7 @@
 }
 
 void
-fb_pool_worker_advice_set_requested (FbPoolStep *step, const FbPoolWorker *worker)
+fb_pool_worker_advice_requested (FbPoolStep *step, const FbPoolWorker *worker)
 {
   (void) advice_slot (step, worker);
   step->has_advice = TRUE;
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -12,7 +12,7 @@
 
 FbPool *
 fb_pool_new (const char *service, uint64_t epoch, const FbPoolLimits *limits,
-             const FbPoolSink *sink, gpointer user, uint64_t now_ms)
+             const FbPoolCallbacks *callbacks, gpointer user, uint64_t now_ms)
 {
   FbPool *self = g_new0 (FbPool, 1);
   self->service = g_strdup (service);
@@ -20,7 +20,7 @@
   self->limits = *limits;
   fb_pool_crash_set_limits (&self->limits);
   fb_pool_report_set_limits (&self->limits);
-  self->sink = sink;
+  self->callbacks = callbacks;
   self->user = user;
   self->created_ms = now_ms;
   self->workers = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, fb_pool_worker_free);
@@ -242,7 +242,7 @@
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  self->majority_answers = fb_pool_holds_majority (self, MAJORITY_ANSWER_MS, now_ms);
+  self->majority_answers = fb_pool_has_majority (self, MAJORITY_ANSWER_MS, now_ms);
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
       if (can_be_removed (self, worker))
@@ -253,7 +253,7 @@
 }
 
 gboolean
-fb_pool_holds_majority (const FbPool *self, uint32_t within_ms, uint64_t now_ms)
+fb_pool_has_majority (const FbPool *self, uint32_t within_ms, uint64_t now_ms)
 {
   guint listed = 0;
   guint answered_n = 0;
@@ -272,8 +272,8 @@
 /* ---- jobs ---------------------------------------------------------------------------- */
 
 void
-fb_pool_admit_owned (FbPool *self, const char *id, fb_work_admit *record, uint64_t now_ms,
-                     uint64_t wall_ms)
+fb_pool_add_job_take (FbPool *self, const char *id, fb_work_admit *record, uint64_t now_ms,
+                      uint64_t wall_ms)
 {
   if (g_hash_table_contains (self->jobs, id))
     return;
@@ -298,19 +298,19 @@
 }
 
 void
-fb_pool_admit (FbPool *self, const char *id, const fb_work_admit *record, uint64_t now_ms,
-               uint64_t wall_ms)
+fb_pool_add_job (FbPool *self, const char *id, const fb_work_admit *record, uint64_t now_ms,
+                 uint64_t wall_ms)
 {
   if (g_hash_table_contains (self->jobs, id))
     return;
   fb_work_admit copy;
   fb_pool_job_copy_record (record, &copy);
-  fb_pool_admit_owned (self, id, &copy, now_ms, wall_ms);
+  fb_pool_add_job_take (self, id, &copy, now_ms, wall_ms);
 }
 
 void
-fb_pool_restore (FbPool *self, const char *id, const fb_work_progress *record,
-                 const fb_work_suspects *suspects, uint64_t now_ms)
+fb_pool_restore_job (FbPool *self, const char *id, const fb_work_progress *record,
+                     const fb_work_suspects *suspects, uint64_t now_ms)
 {
   FbPoolJob *job = g_hash_table_lookup (self->jobs, id);
   if (job == NULL && record->state < FB_WORK_COMPLETED)
@@ -337,13 +337,13 @@
 }
 
 void
-fb_pool_jobs_read (FbPool *self, uint64_t until_ms)
+fb_pool_jobs_complete (FbPool *self, uint64_t until_ms)
 {
-  self->jobs_read_ms = until_ms;
+  self->jobs_complete_ms = until_ms;
 }
 
 void
-fb_pool_cancel (FbPool *self, const char *id, uint64_t now_ms, uint64_t wall_ms)
+fb_pool_cancel_job (FbPool *self, const char *id, uint64_t now_ms, uint64_t wall_ms)
 {
   FbPoolJob *job = g_hash_table_lookup (self->jobs, id);
   if (job != NULL && !fb_pool_job_ended (job))
@@ -366,7 +366,7 @@
 }
 
 void
-fb_pool_policies (FbPool *self, GHashTable *policies)
+fb_pool_set_policies (FbPool *self, GHashTable *policies)
 {
   GHashTableIter iter;
   gpointer job;
@@ -421,7 +421,7 @@
     return;
   self->round_due = FALSE;
   fb_pool_place (self, now_ms);
-  if (maintenance_due && self->resume_position == 0)
+  if (maintenance_due && self->round_position == 0)
     fb_pool_place_copies (self, now_ms);
 }
 
@@ -443,7 +443,7 @@
 }
 
 uint32_t
-fb_pool_pending (const FbPool *self, const char *queue)
+fb_pool_pending_jobs_n (const FbPool *self, const char *queue)
 {
   uint32_t pending = 0;
   GHashTableIter iter;
--- a/tests/busy-pool.c
+++ b/tests/busy-pool.c
@@ -62,7 +62,8 @@
   (void) worker;
 }
 
-static const FbPoolSink busy_pool_sink = { on_start, on_stop, on_look, on_advise, on_fenced, NULL };
+static const FbPoolCallbacks busy_pool_callbacks
+    = { on_start, on_stop, on_look, on_advise, on_fenced, NULL };
 
 static void
 answer_look (BusyPool *busy, guint i, GArray *finished, uint64_t now_ms)
@@ -97,7 +98,7 @@
   const FbReportedRun *run = &g_array_index (runs, FbReportedRun, 0);
   g_autofree char *task = g_strdup (run->task);
   const FbReportedEnd end = {
-    .number = number, .task = task, .attempt = run->attempt, .how = FB_END_DONE, .checkpoint = ""
+    .number = number, .task = task, .attempt = run->attempt, .reason = FB_END_DONE, .checkpoint = ""
   };
   g_array_append_val (finished, end);
   g_array_remove_index (runs, 0);
@@ -142,7 +143,7 @@
   record.policy.priority = priority;
   step.count = tasks;
   step.required_label = (char *) label;
-  fb_pool_admit (busy->pool, id, &record, now_ms, WALL_MS + now_ms);
+  fb_pool_add_job (busy->pool, id, &record, now_ms, WALL_MS + now_ms);
 }
 
 void
@@ -161,7 +162,7 @@
   static const FbPoolLimits limits
       = { .max_lease_ms = 6000, .max_stop_ms = 200, .gang_wait_ms = 3000 };
   busy->starts = g_array_new (FALSE, FALSE, sizeof (uint64_t));
-  busy->pool = fb_pool_new (SERVICE, 1, &limits, &busy_pool_sink, busy, now_ms);
+  busy->pool = fb_pool_new (SERVICE, 1, &limits, &busy_pool_callbacks, busy, now_ms);
   for (guint i = 0; i < WORKER_N; i++)
     {
       busy->workers[i].runs = g_array_new (FALSE, TRUE, sizeof (FbReportedRun));
--- a/tests/test-daemons.c
+++ b/tests/test-daemons.c
@@ -165,7 +165,7 @@
   CU_ASSERT_EQUAL_FATAL (answer.running->len, 1);
   CU_ASSERT_EQUAL_FATAL (answer.finished->len, 1);
   CU_ASSERT_STRING_EQUAL (g_array_index (answer.running, FbReportedRun, 0).checkpoint, "c1");
-  CU_ASSERT_EQUAL (g_array_index (answer.finished, FbReportedEnd, 0).how, FB_END_LEASE_EXPIRED);
+  CU_ASSERT_EQUAL (g_array_index (answer.finished, FbReportedEnd, 0).reason, FB_END_LEASE_EXPIRED);
   fb_poll_answer_clear (&answer);
   xdr_free ((xdrproc_t) xdr_fb_peer_reply, (char *) &decoded);
 }
--- a/tests/test-pool.c
+++ b/tests/test-pool.c
@@ -28,7 +28,7 @@
   GHashTable *used_workers; /* set of ids of workers on which something was started */
   GPtrArray *flush;         /* the open flush; NULL: none */
   gboolean show_polls;
-  uint64_t questions_left; /* how many more questions for advice are accepted */
+  uint64_t advice_requests_left; /* how many more questions for advice are accepted */
   char **args;
   const char *line;
 } Script;
@@ -128,9 +128,9 @@
 on_advise (gpointer user, const char *step, const char *const *workers, guint n,
            uint32_t expected_ms)
 {
-  if (((Script *) user)->questions_left == 0)
+  if (((Script *) user)->advice_requests_left == 0)
     return FALSE;
-  ((Script *) user)->questions_left--;
+  ((Script *) user)->advice_requests_left--;
   printf ("  ask advice for %s on %u workers, takes %u ms", strip_zeros (step), n, expected_ms);
   guint used_n = 0;
   for (guint i = 0; i < n; i++)
@@ -158,7 +158,7 @@
          && atoi (parts[1]) > atoi (other_parts[1]);
 }
 
-static const FbPoolSink sink
+static const FbPoolCallbacks callbacks
     = { on_start, on_stop, on_look, on_advise, on_fenced, is_newer_incarnation };
 
 /* ---- pools ------------------------------------------------------------------------ */
@@ -189,7 +189,7 @@
   static const FbPoolLimits limits
       = { .max_lease_ms = 6000, .max_stop_ms = 200, .gang_wait_ms = 3000, .max_reported_ends = 10 };
   g_clear_pointer (&script->pool, fb_pool_free);
-  script->pool = fb_pool_new ("svc", epoch, &limits, &sink, script, script->now_ms);
+  script->pool = fb_pool_new ("svc", epoch, &limits, &callbacks, script, script->now_ms);
   if (script->flush != NULL)
     g_clear_pointer (&script->flush, g_ptr_array_unref);
 }
@@ -224,7 +224,7 @@
   gpointer value;
   g_hash_table_iter_init (&iter, script->admitted);
   while (g_hash_table_iter_next (&iter, &key, &value))
-    fb_pool_admit (script->pool, key, value, script->now_ms, wall_ms (script));
+    fb_pool_add_job (script->pool, key, value, script->now_ms, wall_ms (script));
   g_hash_table_iter_init (&iter, script->progress);
   while (g_hash_table_iter_next (&iter, &key, &value))
     {
@@ -234,7 +234,7 @@
       fb_work_suspects suspects;
       if (!fb_codec_decode_progress (data, len, &progress, &suspects))
         fail (script, "the recorded progress is malformed");
-      fb_pool_restore (script->pool, key, &progress, &suspects, script->now_ms);
+      fb_pool_restore_job (script->pool, key, &progress, &suspects, script->now_ms);
       fb_codec_clear_progress (&progress, &suspects);
     }
   g_hash_table_iter_init (&iter, script->workers);
@@ -354,14 +354,14 @@
     }
   char *id = pad_job_id (script->args[1]);
   g_hash_table_replace (script->admitted, id, record);
-  fb_pool_admit (script->pool, id, record, script->now_ms, wall_ms (script));
+  fb_pool_add_job (script->pool, id, record, script->now_ms, wall_ms (script));
 }
 
 static void
 do_cancel (Script *script)
 {
   g_autofree char *id = pad_job_id (script->args[1]);
-  fb_pool_cancel (script->pool, id, script->now_ms, wall_ms (script));
+  fb_pool_cancel_job (script->pool, id, script->now_ms, wall_ms (script));
 }
 
 static void
@@ -377,7 +377,7 @@
 static void
 do_pending (Script *script)
 {
-  printf ("  %u pending\n", fb_pool_pending (script->pool, script->args[1]));
+  printf ("  %u pending\n", fb_pool_pending_jobs_n (script->pool, script->args[1]));
 }
 
 /* ---- reports of workers ------------------------------------------------------------------ */
@@ -422,15 +422,15 @@
   for (guint i = 0; items[i] != NULL; i++)
     {
       g_auto (GStrv) parts = g_strsplit (items[i], "/", 5);
-      guint how = 0;
-      while (reasons[how] != NULL && !g_str_equal (reasons[how], parts[3]))
-        how++;
-      if (reasons[how] == NULL)
+      guint reason = 0;
+      while (reasons[reason] != NULL && !g_str_equal (reasons[reason], parts[3]))
+        reason++;
+      if (reasons[reason] == NULL)
         fail (script, "unknown end");
       FbReportedEnd end = { .number = g_ascii_strtoull (parts[0], NULL, 10),
                             .task = pad_job_id (parts[1]),
                             .attempt = (uint32_t) atoi (parts[2]),
-                            .how = (FbEndReason) how,
+                            .reason = (FbEndReason) reason,
                             .checkpoint = g_strdup (parts[4] != NULL ? parts[4] : "") };
       g_array_append_val (finished, end);
     }
@@ -494,8 +494,8 @@
       reply.tickets.tickets_val[i].worker = allowed[i];
       reply.tickets.tickets_val[i].ticket = "t";
     }
-  fb_pool_advised (script->pool, step, (const char *const *) asked, g_strv_length (asked), &reply,
-                   script->now_ms);
+  fb_pool_advice_answered (script->pool, step, (const char *const *) asked, g_strv_length (asked),
+                           &reply, script->now_ms);
   free (reply.tickets.tickets_val);
 }
 
@@ -564,7 +564,7 @@
 static void
 do_read (Script *script)
 {
-  fb_pool_jobs_read (script->pool, script->now_ms);
+  fb_pool_jobs_complete (script->pool, script->now_ms);
 }
 
 /* recall TASK/ATTEMPT on=WORKER [address=ADDRESS] [seen]: another daemon remembers the start. */
@@ -653,7 +653,7 @@
 static void
 do_advice (Script *script)
 {
-  script->questions_left = flag (script, "busy") ? 0 : number (script, "slots", G_MAXUINT64);
+  script->advice_requests_left = flag (script, "busy") ? 0 : number (script, "slots", G_MAXUINT64);
 }
 
 static const struct
@@ -696,7 +696,7 @@
     }
   fb_event_set_quiet (TRUE);
   g_log_set_writer_func (print_event, NULL, NULL);
-  Script script = { .now_ms = BEGIN_MS, .questions_left = G_MAXUINT64 };
+  Script script = { .now_ms = BEGIN_MS, .advice_requests_left = G_MAXUINT64 };
   script.suspect_backups
       = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, (GDestroyNotify) g_bytes_unref);
   script.admitted = g_hash_table_new (g_str_hash, g_str_equal);
--- a/tests/test-rounds.c
+++ b/tests/test-rounds.c
@@ -38,7 +38,7 @@
 static uint64_t
 advance_to_open_round (BusyPool *play, uint64_t now_ms)
 {
-  for (uint64_t end_ms = now_ms + 3000; play->pool->resume_position < 20 && now_ms < end_ms;)
+  for (uint64_t end_ms = now_ms + 3000; play->pool->round_position < 20 && now_ms < end_ms;)
     now_ms = tick_once (play, now_ms);
   return now_ms;
 }
@@ -100,7 +100,7 @@
         now_ms = tick_once (&play, now_ms);
       others += !runs (&play, "f");
       /* End the urgent job, wherever it runs, before the next one. */
-      fb_pool_cancel (play.pool, id, now_ms, WALL_MS + now_ms);
+      fb_pool_cancel_job (play.pool, id, now_ms, WALL_MS + now_ms);
       for (guint k = 0; k < WORKER_N; k++)
         for (guint r = 0; r < play.workers[k].runs->len; r++)
           if (g_array_index (play.workers[k].runs, FbReportedRun, r).task[0] == 'f')
@@ -144,16 +144,16 @@
   guint missed = 0;
   for (guint i = 0; i < 3; i++)
     {
-      for (uint64_t end_ms = now_ms + 3000; play.pool->resume_position < 60 && now_ms < end_ms;)
+      for (uint64_t end_ms = now_ms + 3000; play.pool->round_position < 60 && now_ms < end_ms;)
         {
-          if (play.pool->resume_position == 0)
+          if (play.pool->round_position == 0)
             busy_pool_list_worker (&play, UNUSABLE_WORKER, "none", now_ms);
           now_ms = tick_once (&play, now_ms);
         }
       guint before = play.started_n;
       busy_pool_end_run (&play, URGENT_WORKER, i + 1, now_ms);
       fb_pool_worker_unlisted (play.pool, "1", now_ms);
-      while (play.pool->resume_position > 0)
+      while (play.pool->round_position > 0)
         now_ms = tick_once (&play, now_ms);
       const FbPoolWorker *urgent = g_hash_table_lookup (play.pool->workers, "0");
       missed += play.started_n == before && !urgent->gained_capacity;
@@ -189,7 +189,7 @@
   guint most = 0;
   for (uint64_t end_ms = now_ms + 12000; now_ms < end_ms;)
     {
-      if (play.pool->resume_position == 0)
+      if (play.pool->round_position == 0)
         for (guint i = 0; i < WORKER_N; i++)
           busy_pool_list_worker (&play, i, "a", now_ms);
       fb_pool_tick (play.pool, TRUE, now_ms, WALL_MS + now_ms);
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -108,10 +108,10 @@
   return (uint64_t) g_get_monotonic_time () / 1000;
 }
 
-void __real_fb_pool_admit_owned (FbPool *self, const char *job, fb_work_admit *record,
-                                 uint64_t now_ms, uint64_t wall_ms);
-void __wrap_fb_pool_admit_owned (FbPool *self, const char *job, fb_work_admit *record,
-                                 uint64_t now_ms, uint64_t wall_ms);
+void __real_fb_pool_add_job_take (FbPool *self, const char *job, fb_work_admit *record,
+                                  uint64_t now_ms, uint64_t wall_ms);
+void __wrap_fb_pool_add_job_take (FbPool *self, const char *job, fb_work_admit *record,
+                                  uint64_t now_ms, uint64_t wall_ms);
 void __real_fb_wire_join (FbHttpCall *call, const char *store, const char *group,
                           const char *member, const char *const *topics, uint32_t ttl_ms,
                           uint64_t generation);
@@ -120,8 +120,8 @@
                           uint64_t generation);
 
 void
-__wrap_fb_pool_admit_owned (FbPool *self, const char *job, fb_work_admit *record, uint64_t now_ms,
-                            uint64_t wall_ms)
+__wrap_fb_pool_add_job_take (FbPool *self, const char *job, fb_work_admit *record, uint64_t now_ms,
+                             uint64_t wall_ms)
 {
   if (load.is_counting)
     {
@@ -129,7 +129,7 @@
       load.jobs++;
       g_usleep (JOB_DELAY_US);
     }
-  __real_fb_pool_admit_owned (self, job, record, now_ms, wall_ms);
+  __real_fb_pool_add_job_take (self, job, record, now_ms, wall_ms);
 }
 
 static void
--- a/tools/pool-mutants.sh
+++ b/tools/pool-mutants.sh
@@ -24,7 +24,7 @@
 absent-behind-an-unread-end|pool-report.c|  if (!worker->has_unknown_end)|  if (TRUE)
 unheard-holds-nothing|pool-recovery.c|      if (may_run_on (self->unconfirmed_workers->pdata[i], step))|      if (FALSE)
 not-asked-is-not-allowed|pool-recovery.c|  return advice == NULL \|\| advice->allowed;|  return advice != NULL ? advice->allowed : FALSE;
-untouched-too-soon|pool-recovery.c|             \&\& self->jobs_read_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);|             );
+untouched-too-soon|pool-recovery.c|             \&\& self->jobs_complete_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);|             );
 lapse-too-early|pool-worker.c|worker->lease_ms + LEASE_EXPIRY_SLACK_MS;|worker->lease_ms - 1500;
 clock-taken-as-exact|pool-worker.c|passed_ms * (1000 - CLOCK_SLOW_PERMILLE) / 1000|passed_ms * 1100 / 1000
 unanswered-start-forgotten|pool-orders.c|  else if (result != FB_ORDER_UNKNOWN)|  else if (TRUE)
@@ -64,7 +64,7 @@
 lease-of-the-owner-before-forgotten|pool-report.c|answer->clock_ms + first_lease_ms (self, worker)|0
 answer-counts-for-any-attempt|pool-orders.c|(*run)->attempt != ref->attempt|FALSE
 full-answer-taken-for-all|pool-report.c|  if (answer->finished->len >= self->limits.max_reported_ends)|  if (FALSE)
-any-end-of-a-job-that-is-over|pool-report.c|  if (run != NULL \&\& run->attempt <= end->attempt)\n    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);\n}|  if (run != NULL)\n    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);\n}
+any-end-of-a-job-that-is-over|pool-report.c|  if (run != NULL \&\& run->attempt <= end->attempt)\n    fb_pool_run_ended (self, worker, run, end_names[end->reason], now_ms);\n}|  if (run != NULL)\n    fb_pool_run_ended (self, worker, run, end_names[end->reason], now_ms);\n}
 refused-start-stays-in-the-record|pool-orders.c|  fb_pool_crash_task_absent (self, worker, step, run->index);|
 settled-doubt-stays-in-the-record|pool-unresolved-losses.c|  fb_pool_job_changed (self, step->job);|
 end-shown-at-once|pool.c|  if (job->stored_state >= FB_WORK_COMPLETED)|  if (job->state >= FB_WORK_COMPLETED) { *state = job->state; return TRUE; } if (0)
