--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -123,7 +123,7 @@
   gboolean awaits_unknown_ends;
   uint64_t added_ms;        /* when it was added to this pool */
   uint64_t admitted_ms;     /* when it was accepted, on the pool's clock */
-  uint64_t objective_ms;    /* when its caller wants it, on the pool's clock */
+  uint64_t objective_ms;    /* when it should be completed, on the pool's clock */
   uint64_t no_value_ms;     /* when its completion has no value any more */
   double tightness;         /* its critical path as a share of its objective, 0 to 1 */
   uint64_t ended_wall_ms;   /* when it ended; 0: it has not */
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -6,14 +6,14 @@
 
 /* ---- times and limits ---------------------------------------------------- */
 
-/* Lease granted with each poll.  Long enough for a take-over (a silent owner is replaced after
- * about 2 s), short enough that work on an unreachable worker is started again while its caller
- * still waits. */
+/* Lease granted with each poll. Long enough for a takeover (a silent owner is replaced after about
+ * 2 s), short enough that work on an unreachable worker is started again while its caller still
+ * waits. */
 #define FB_POOL_LEASE_MS 4000
 /* A start must be carried out within this time; a worker that handles the order seconds later
- * refuses it.  Answers take some 10 ms, and a task whose order got no answer can be started again
- * after this time and one poll.  With 1,200 ms, and polls of 800 ms, the mean value of the jobs
- * completed in time was 0.02 lower in the standard load tests of two deployments. */
+ * refuses it. Answers take some 10 ms, and a task whose order got no answer can be started again
+ * after this time and one poll, so a longer window (1,200 ms, with polls of 800 ms) delays jobs
+ * whose starts get no answer, and fewer are completed in time. */
 #define FB_POOL_START_WINDOW_MS 700
 /* A worker that has nothing to report delays its answer to a poll for this long, so the lease is
  * also renewed at this interval. */
@@ -41,7 +41,7 @@
   uint64_t created_ms;       /* when the pool was created */
   uint64_t majority_ms;      /* when a majority of the workers had answered; 0: not yet */
   gboolean workers_complete; /* fb_pool_workers_complete() was called */
-  gboolean recovered;        /* recovery is complete: this owner knows everything that can run */
+  gboolean recovered; /* recovery is complete: this owner has found everything that can run */
   /* Of FbPoolWorker that may have unknown runs, as of this tick; borrowed. */
   GPtrArray *unconfirmed_workers;
   gboolean fenced;   /* a worker has seen a higher epoch: the pool must not be used any more */
@@ -168,7 +168,7 @@
 
 /* pool-loss.c */
 
-/* How the owner knows that all runs of an incarnation of a worker have ended. */
+/* Evidence that all runs of an incarnation of a worker have ended. */
 typedef enum
 {
   FB_LOSS_LEASE_ENDED,       /* the worker may still be up, but without runs */
@@ -337,7 +337,7 @@
 /* TRUE when a majority of the workers has answered under this epoch: tasks that certainly run
  * nowhere may start. */
 gboolean fb_pool_may_place (const FbPool *self);
-/* TRUE when no earlier owner can have started a job that this owner does not know yet. */
+/* TRUE when no earlier owner can have started a job that this owner has not read yet. */
 gboolean fb_pool_has_no_earlier_starts (const FbPool *self);
 /* JOB is being added: its tasks wait for ends that workers have reported and that belonged to no
  * known job. */
--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -10,7 +10,7 @@
   FB_RUN_STOPPING
 } FbRunState;
 
-/* How it is known that a task was on a worker when that worker crashed. */
+/* Evidence that a task was on a worker when that worker crashed. */
 typedef enum
 {
   FB_CRASH_REPORTED, /* a stored record or another daemon reports that it was started there */
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -254,7 +254,7 @@
 
 /* ---- queries ------------------------------------------------------------------ */
 
-/* Returns: FALSE when the pool does not know the job. */
+/* Returns: FALSE when the pool does not have the job. */
 gboolean fb_pool_job_state (const FbPool *self, const char *job, fb_work_state *state);
 /* Returns: how many jobs of QUEUE have no scheduled occurrences and no task that was started. */
 uint32_t fb_pool_pending_jobs_n (const FbPool *self, const char *queue);
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -98,12 +98,12 @@
 
 /* Returns: the maximum number of workers in the first request for STEP.
  *
- * When every first request listed a hundred workers, whatever its step needed, the service took 0.5
- * to 9 ms for each. In load tests with 350 workers and 33 daemons, the daemons were busy with
- * requests for four fifths of the time, and half of the urgent jobs waited half a second for their
- * first start. So single tasks request about four workers each. The value of the jobs completed in
- * time, as a mean of six such load tests, rose from 0.592 to 0.629. Gangs need many workers that
- * are free at the same moment, and request as many as possible. */
+ * The service takes 0.5 to 9 ms for each worker. When every first request listed a hundred workers,
+ * whatever its step needed, the daemons were busy with requests for four fifths of the time in load
+ * tests with 350 workers and 33 daemons, and half of the urgent jobs waited half a second for their
+ * first start. So single tasks request about four workers each, and more jobs are completed in
+ * time. Gangs need many workers that are free at the same moment, and request as many as
+ * possible. */
 static guint
 max_workers_in_first_request (const FbPoolStep *step)
 {
--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -10,9 +10,7 @@
 #define TICKET_MARGIN_MS 250
 /* Weight of a worker's slowness against its free capacity, multiplied by the square of the job's
  * tightness. Short jobs may take 1.5 times their work and 250 ms, and workers differ in speed by
- * 0.8 to 1.25. In load tests this weight raised the value of the jobs completed in time by 0.027 in
- * one deployment (0.796 to 0.823, means of four tests each, with a spread of 0.017) and by 0.003 in
- * another (0.866 to 0.869). */
+ * 0.8 to 1.25, so a job with little slack is completed in time only on a fast worker. */
 #define SLOWNESS_WEIGHT 6.0
 
 /* TRUE when a task of SPEC must not share WORKER with the runs there: best-effort tasks and serving
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -382,8 +382,8 @@
 }
 
 /* If the owner is replaced within the 4 s in which a crash shows only as silence, the next owner
- * does not know what ran there, and a task could crash further workers while owners change. So the
- * runs on a worker that becomes silent are recorded at once. An owner that gets no answers from
+ * has no record of what ran there, and a task could crash further workers while owners change. So
+ * the runs on a worker that becomes silent are recorded at once. An owner that gets no answers from
  * most workers is itself disconnected and records nothing. */
 void
 fb_pool_crash_record_silence (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
--- a/src/work/pool-drain.c
+++ b/src/work/pool-drain.c
@@ -1,12 +1,12 @@
 /* Record of the steps that may still run on draining workers, for the next owner.
  *
  * A worker may drain and leave at about the time its pool changes owners. Its host does not answer,
- * and the new owner, which knows the worker from the record or an outdated list, would wait 6 s for
+ * and the new owner, which has the worker from the record or an outdated list, would wait 6 s for
  * its lease and meanwhile start nothing that the worker had capacity for. During a rolling
  * replacement of workers every change of owner is affected, and callers with a timeout of a few
- * seconds get no result in time. Nothing new is started on a draining worker, so what its owner
- * knows to run there when it begins to drain is all that can ever run there. This is recorded, and
- * the next owner holds back only these steps. */
+ * seconds get no result in time. Nothing new is started on a draining worker, so the runs that its
+ * owner has recorded there when it begins to drain are all that can ever run there. Their steps are
+ * stored, and the next owner holds back only these steps. */
 #include "internal/pool-private.h"
 
 #include <string.h>
--- a/src/work/pool-incarnations.c
+++ b/src/work/pool-incarnations.c
@@ -1,10 +1,10 @@
 /* Several incarnations of one worker that are known at the same time.
  *
- * List entries and answers arrive late and out of order, so an owner may know two incarnations
- * under one id and send work to both, while all of it reaches the one that runs. That worker would
- * then hold more than its capacity, and tasks would wait for an incarnation that has ended. So as
- * soon as the latest incarnation at an address is known, it takes over everything meant for earlier
- * ones, and nothing is started on any other. */
+ * List entries and answers arrive late and out of order, so an owner may have two incarnations
+ * under one id and send work to both, while all of it is delivered to the one that runs. That
+ * worker would then get more than its capacity, and tasks would wait for an incarnation that has
+ * ended. So as soon as the latest incarnation at an address is known, it takes over everything
+ * meant for earlier ones, and nothing is started on any other. */
 #include "internal/pool-private.h"
 
 static gboolean
--- a/src/work/pool-long-running.c
+++ b/src/work/pool-long-running.c
@@ -5,7 +5,7 @@
 #include "fb-event.h"
 #include "fb-histogram.h"
 
-/* Waits of this length are logged; the loss of a worker together with a take-over explains shorter
+/* Waits of this length are logged; the loss of a worker together with a takeover explains shorter
  * ones. */
 #define LOGGED_WAIT_MS 5000
 
@@ -94,7 +94,7 @@
 }
 
 /* Returns: the interruption of task INDEX.  For a job that an earlier owner accepted, and of which
- * this owner has found no run, only the time since the take-over is known. */
+ * this owner has found no run, only the time since the takeover is known. */
 static Interruption
 interruption_of (const FbPool *self, const FbPoolStep *step, uint32_t index)
 {
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -11,8 +11,8 @@
 
 /* Timeout of a poll: answers take some 10 ms, the rest allows for a slow daemon or network. */
 #define POLL_TIMEOUT_MS 600
-/* Timeout of the first poll of a worker. A take-over waits for each worker's first answer; with
- * POLL_TIMEOUT_MS one lost answer delayed it by 0.7 s (the 95th percentile of take-overs). Each
+/* Timeout of the first poll of a worker. A takeover waits for each worker's first answer; with
+ * POLL_TIMEOUT_MS one lost answer delayed it by 0.7 s (the 95th percentile of takeovers). Each
  * retry doubles the timeout. */
 #define FIRST_POLL_TIMEOUT_MS 150
 /* Pause after a worker refused a start or left it unanswered. */
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -135,7 +135,7 @@
 /* Maximum number of workers and runs (17 to 35 ns each) visited in one iteration of the main loop;
  * the next iteration continues there, and a round ends with the last pending step.
  *
- * After a take-over hundreds of steps may be pending. When each was checked against hundreds of
+ * After a takeover hundreds of steps may be pending. When each was checked against hundreds of
  * workers in one iteration, joins and leases were delayed (an iteration took 0.3 to 0.8 s on 0.12
  * of a core with 950 steps and 250 workers). The store then considers the owner failed, and the
  * next owner fails in the same way: owners replaced each other every 2 s while nothing ran. */
--- a/src/work/pool-preempt.c
+++ b/src/work/pool-preempt.c
@@ -13,7 +13,7 @@
  * wait for other capacity and a restore take about a second. */
 #define MIN_EXTRA_SLACK_MS 2000
 
-/* Returns: the time left until the caller wants the job, less the estimated run time of the step;
+/* Returns: the time left until the job's objective, less the estimated run time of the step;
  * negative when the job is already late. */
 static int64_t
 slack_ms (const FbPoolStep *step, uint64_t now_ms)
--- a/src/work/pool-queue.c
+++ b/src/work/pool-queue.c
@@ -1,10 +1,10 @@
 /* Queue of the steps with pending tasks, in the order in which they are placed.
  *
  * Restarting long-running tasks come first, and steps whose completion has no value any more last;
- * among the others the priority decides, then the time by which the caller wants the job. The order
- * is kept between rounds: new steps are sorted among themselves and merged, so that a round takes
- * one pass over the pending steps. Sorting all of them in each round took a quarter of an owner's
- * processor time once hundreds of steps were pending, so the backlog grew. */
+ * among the others the priority decides, then the objective of the job. The order is kept between
+ * rounds: new steps are sorted among themselves and merged, so that a round takes one pass over the
+ * pending steps. Sorting all of them in each round took a quarter of an owner's processor time once
+ * hundreds of steps were pending, so the backlog grew. */
 #include "internal/pool-private.h"
 
 #include <string.h>
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -1,4 +1,4 @@
-/* Take-over by a new owner: which runs may exist that it does not know of.
+/* Takeover by a new owner: which runs may exist that it has not found yet.
  *
  * A new owner must not start a task that still runs on a worker that has not answered yet, as the
  * task would run twice. So a task starts only when no worker without an answer under the new epoch
@@ -6,7 +6,7 @@
  * leases have certainly ended.
  *
  * A worker that is unreachable at that moment takes up to 6.2 s until its lease ends, and holding
- * back everything for it kept whole pools idle. Until then tasks that certainly do not run there
+ * back everything for it left whole pools idle. Until then tasks that certainly do not run there
  * may start: those of steps that did not run there when the worker began to drain, of steps for
  * which the worker lacks a label, of steps that the advice service does not allow on it (its
  * permissions never change, and workers refuse starts without its ticket), and of jobs that were
@@ -48,7 +48,7 @@
 }
 
 /* During a rolling replacement of workers, each new worker is unconfirmed for its first moments, so
- * a take-over would never complete. A worker listed after the previous owner had stopped and its
+ * a takeover would never complete. A worker listed after the previous owner had stopped and its
  * last orders had expired cannot hold any of its runs. */
 static gboolean
 is_listed_after_takeover (const FbPool *self, const FbPoolWorker *worker)
@@ -124,9 +124,10 @@
   return advice == NULL || advice->allowed;
 }
 
-/* If reads of the store lag, the new owner may see the end of a task at a worker before it reads
- * the task's job, and would then run the finished task again. So a job that is read while a worker
- * lists an end of an unknown job waits until these workers have answered again. */
+/* If reads of the store lag, a worker may report the end of a task to the new owner before the
+ * owner has read the task's job, and the owner would then run the finished task again. So a job
+ * that is read while a worker lists an end of an unknown job waits until these workers have
+ * answered again. */
 static gboolean
 may_have_unknown_end (const FbPool *self, FbPoolJob *job)
 {
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -1,7 +1,7 @@
 /* Handles what workers report: the runs they list and the ends of runs.
  *
- * Each end is processed once by its number and counted once by its attempt: a new owner sees ends
- * again that the previous owner had recorded but could no longer acknowledge. */
+ * Each end is processed once by its number and counted once by its attempt: a new owner receives
+ * ends again that the previous owner had recorded but could no longer acknowledge. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
@@ -539,11 +539,11 @@
     fb_pool_order_poll (self, worker, now_ms);
 }
 
-/* If a worker leaves during a take-over, the new owner knows it from the previous owner's record
- * and would wait for its lease, 6 s with the whole pool idle (seen when a worker left 1 s before).
+/* If a worker leaves during a takeover, the new owner has it from the previous owner's record and
+ * would wait for its lease, 6 s with the whole pool idle (observed when a worker left 1 s before).
  * A worker that is missing from a list read under this epoch, and whose host answers that nothing
- * listens at the address, has left with all its runs. Neither sign alone is proof: lists can lose
- * live workers, and a network partition may refuse connections. */
+ * listens at the address, has left with all its runs. Neither condition alone is proof: lists can
+ * lose live workers, and a network partition may refuse connections. */
 static gboolean
 has_left (const FbPool *self, const FbPoolWorker *worker)
 {
--- a/src/work/pool-unresolved-losses.c
+++ b/src/work/pool-unresolved-losses.c
@@ -1,10 +1,10 @@
 /* Lost workers that may have crashed, and the tasks that were on them.
  *
  * A silent worker may still be running on the other side of a network partition, be suspended, or
- * be permanently lost with its rack; the end of its leases does not tell which. Its tasks start
- * again elsewhere, and the loss stays unresolved until the worker answers again or another
- * incarnation is found at its address. A loss that stays unresolved for UNRESOLVED_LOSS_MAX_MS is
- * not counted for any task. */
+ * be permanently lost with its rack; the end of its leases does not distinguish these cases. Its
+ * tasks start again elsewhere, and the loss stays unresolved until the worker answers again or
+ * another incarnation is found at its address. A loss that stays unresolved for
+ * UNRESOLVED_LOSS_MAX_MS is not counted for any task. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -90,9 +90,9 @@
  * may start elsewhere.
  *
  * Called in every maintenance pass, because the owner of the pool may change while a worker begins
- * to drain, and a new owner only ever sees the worker draining. If tasks were moved only at the
- * transition to draining, a long-running task would end with its worker and start again only after
- * the next owner has recovered, 12 s later. */
+ * to drain, and for the new owner the worker is draining from the first list on. If tasks were
+ * moved only at the transition to draining, a long-running task would end with its worker and start
+ * again only after the next owner has recovered, 12 s later. */
 static void
 move_runs_off_draining (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
@@ -151,8 +151,8 @@
 }
 
 /* A worker's entry in the platform's list may expire while the store is unavailable. If the owner
- * then changes, the new owner would not know of the worker and would start tasks that still run
- * there a second time. So the owner records its own list of workers, which the next owner reads
+ * then changes, the new owner would have no entry for the worker and would start tasks that still
+ * run there a second time. So the owner records its own list of workers, which the next owner reads
  * here. */
 void
 fb_pool_restore_workers (FbPool *self, const fb_work_workers *record)
@@ -220,8 +220,8 @@
 }
 
 /* TRUE when WORKER has left and need not be polled any more: either all runs of this incarnation
- * have certainly ended, or this owner has recovered, so that it knows everything that runs in the
- * pool, and nothing runs there. A later owner would otherwise wait for the worker for a whole
+ * have certainly ended, or this owner has recovered, so that it has found everything that runs in
+ * the pool, and nothing runs there. A later owner would otherwise wait for the worker for a whole
  * lease.
  *
  * A worker with reserved capacity is kept. If it were removed and then listed again as a new one,
