--- a/fuzz/fuzz-pool.c
+++ b/fuzz/fuzz-pool.c
@@ -2,7 +2,9 @@
  * are checked against the actual runs on the workers.
  *
  * The environment records every run and shares no code with the pool.  After the fault phase
- * all faults are healed, and every accepted job has to end.  A seed always gives the same run. */
+ * all faults are healed, and every accepted job has to end.  A seed gives the same run as long as
+ * memory has the same addresses (setarch -R), since the pool iterates over hash tables that are
+ * keyed by pointers. */
 #include "pool-world.h"
 
 #include "fb-event.h"
--- a/fuzz/pool-world-workers.c
+++ b/fuzz/pool-world-workers.c
@@ -73,7 +73,7 @@
 
 /* ---- workers ------------------------------------------------------------------------- */
 
-/* Returns: the most CPU that the runs on WORKER may use now. */
+/* Returns: the maximum CPU that the runs on WORKER may use now. */
 static int64_t
 capacity_bound (const World *world, const Worker *worker)
 {
--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -113,8 +113,8 @@
   gboolean never_started; /* no earlier owner can have started any task of the job */
   gboolean advised_when_stored; /* its queue used the advice service when the job was stored */
   gboolean has_backup;          /* other daemons keep the suspected tasks of the job */
-  gboolean
-      unstored_changed; /* its suspects have changed since they were last sent to other daemons */
+  /* Its suspects have changed since they were last sent to other daemons. */
+  gboolean unstored_changed;
   uint32_t suspects_version; /* incremented with each crash or suspected crash under its tasks */
   uint32_t suspects_version_flushing; /* value of SUSPECTS_VERSION in the open flush */
   uint32_t suspects_version_stored;   /* value of SUSPECTS_VERSION that is durable */
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -51,8 +51,8 @@
   GHashTable *workers;       /* id -> FbPoolWorker */
   GPtrArray *worker_slots;   /* of FbPoolWorker by slot; NULL: the slot is free; borrowed */
   uint32_t last_incarnation; /* last FbPoolWorker.incarnation that was assigned; 0: none yet */
-  GHashTable *latest_incarnations; /* address -> FbPoolWorker, the incarnation there that began
-                                      last; borrowed */
+  /* Address -> FbPoolWorker, the incarnation there that began last; borrowed. */
+  GHashTable *latest_incarnations;
   /* Id of a worker -> set of steps, for FbPoolWorker.drain_steps: from the record of the previous
    * owner. */
   GHashTable *drain_steps;
@@ -68,7 +68,7 @@
   guint round_gained_n;        /* entries of GAINED_CAPACITY when the open round began */
   uint32_t visits_n;           /* workers and runs visited in this iteration of the round */
   GHashTable *jobs_to_release; /* set of FbPoolJob with occurrences or steps to release; borrowed */
-  /* set of FbPoolJob whose steps may depend on each other; borrowed */
+  /* Set of FbPoolJob whose steps may depend on each other; borrowed. */
   GHashTable *jobs_with_dependencies;
   GHashTable *jobs;        /* id -> FbPoolJob */
   GHashTable *active_jobs; /* set of FbPoolJob that have not ended; borrowed */
@@ -78,10 +78,10 @@
   GHashTable *open_orders; /* number of an order without an answer -> FbPoolOrderRef */
   GQueue *unanswered_starts; /* of FbPoolUnansweredStart; the oldest at its head */
   GHashTable *suspect_steps; /* set of FbPoolStep with tasks whose crashes are counted; borrowed */
-  GHashTable
-      *unstored_suspects; /* set of FbPoolJob with suspects to be kept by other daemons; borrowed */
-  GHashTable
-      *crash_causes; /* id hash of a crashed worker -> how many tasks may have caused the crash */
+  /* Set of FbPoolJob with suspects to be kept by other daemons; borrowed. */
+  GHashTable *unstored_suspects;
+  /* Id hash of a crashed worker -> how many tasks may have caused the crash. */
+  GHashTable *crash_causes;
   /* Id of a lost worker -> the tasks that were on it: see pool-unresolved-losses.c. */
   GHashTable *unresolved_losses;
   /* The list of workers or UNRESOLVED_LOSSES has changed, so some losses may be resolved now. */
--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -228,7 +228,7 @@
   return n;
 }
 
-/* Tries the racks one after the other.  CHOSEN holds the workers only when the result is TRUE. */
+/* Tries each rack in turn. CHOSEN holds the workers only when the result is TRUE. */
 static gboolean
 choose_one_rack (FbPool *self, FbPoolStep *step, FbPoolTicketRule rule, FbPoolWorker **chosen,
                  uint64_t now_ms)
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -16,7 +16,7 @@
  * meanwhile. */
 #define POLL_INTERVAL_MS 120
 
-/* Most ends that a worker lists in one answer; later ends are listed once these are
+/* Maximum number of ends that a worker lists in one answer; later ends are listed once these are
  * acknowledged. */
 #define MAX_REPORTED_ENDS 500
 
