--- a/fuzz/pool-world-owners.c
+++ b/fuzz/pool-world-owners.c
@@ -1,4 +1,4 @@
-/* The owners: each drives a pool as a daemon does, with a store that may be away and that
+/* The owners: each drives a pool as a daemon does, with a store that may be unavailable and that
  * accepts the writes of one owner at a time. */
 #include "pool-world.h"
 
@@ -10,8 +10,8 @@
 gboolean
 world_is_stable (const World *world, guint i)
 {
-  uint64_t disturbed_ms = MAX (world->disturbed_ms[i], world->store_away_ms);
-  return disturbed_ms == 0 || world->now_ms > disturbed_ms + STABLE_AFTER_MS;
+  uint64_t last_fault_ms = MAX (world->last_fault_ms[i], world->store_unavailable_ms);
+  return last_fault_ms == 0 || world->now_ms > last_fault_ms + STABLE_AFTER_MS;
 }
 
 static guint
@@ -49,9 +49,9 @@
 }
 
 void
-world_peer_die (World *world)
+world_peer_fail (World *world)
 {
-  guint i = world->peer_deaths_n++ % PEER_N;
+  guint i = world->peer_failures_n++ % PEER_N;
   fb_recent_starts_free (world->recent_starts[i]);
   world->recent_starts[i] = fb_recent_starts_new ();
   fb_suspect_backups_free (world->suspect_backups[i]);
@@ -122,7 +122,7 @@
   order->acknowledged = poll->acknowledged;
   order->deadline_ms = poll->deadline_ms;
   order->wait_ms = poll->wait_ms;
-  send_order (user, order, poll->worker, poll->wait_ms + poll->answer_ms);
+  send_order (user, order, poll->worker, poll->wait_ms + poll->timeout_ms);
 }
 
 static void
@@ -161,8 +161,9 @@
       if (world_allows (request->step, worker_index (id)))
         tickets[reply.tickets.tickets_len++] = (fb_ticket){ id, "t" };
     }
-  fb_pool_advised (owner->pool, request->step, (const char *const *) request->workers->pdata,
-                   request->workers->len, &reply, owner->world->now_ms);
+  fb_pool_advice_answered (owner->pool, request->step,
+                           (const char *const *) request->workers->pdata, request->workers->len,
+                           &reply, owner->world->now_ms);
 }
 
 static void
@@ -189,7 +190,7 @@
   owner->fenced = TRUE;
 }
 
-static const FbPoolSink sink
+static const FbPoolCallbacks callbacks
     = { on_start, on_stop, on_poll, on_advise, on_fenced, fb_wire_incarnation_is_newer };
 
 /* ---- owners --------------------------------------------------------------------- */
@@ -227,24 +228,24 @@
 }
 
 static void
-show_list (World *world, guint i)
+pass_worker_list (World *world, guint i)
 {
   Owner *owner = &world->owners[i];
   for (guint j = 0; j < WORKER_N; j++)
     {
       const Worker *worker = &world->workers[j];
       FbListedWorker *listed = worker->listed ? listed_worker (world, j) : NULL;
-      if (owner->is_shown[j]
-          && (listed == NULL || !g_str_equal (owner->shown_ids[j], listed->entry.id)))
+      if (owner->is_listed[j]
+          && (listed == NULL || !g_str_equal (owner->listed_ids[j], listed->entry.id)))
         {
-          fb_pool_worker_unlisted (owner->pool, owner->shown_ids[j], world->now_ms);
-          owner->is_shown[j] = FALSE;
+          fb_pool_worker_unlisted (owner->pool, owner->listed_ids[j], world->now_ms);
+          owner->is_listed[j] = FALSE;
         }
       if (listed == NULL)
         continue;
       fb_pool_worker_listed (owner->pool, &listed->entry, world->now_ms);
-      owner->is_shown[j] = TRUE;
-      g_strlcpy (owner->shown_ids[j], listed->entry.id, sizeof owner->shown_ids[j]);
+      owner->is_listed[j] = TRUE;
+      g_strlcpy (owner->listed_ids[j], listed->entry.id, sizeof owner->listed_ids[j]);
       fb_listed_worker_free (listed);
     }
   if (!owner->list_complete)
@@ -257,13 +258,13 @@
 static void
 read_jobs (World *world, Owner *owner)
 {
-  fb_pool_jobs_read (owner->pool, world->now_ms);
+  fb_pool_jobs_complete (owner->pool, world->now_ms);
   for (guint i = 0; i < world->job_n; i++)
     {
       const Job *job = &world->jobs[i];
-      fb_pool_admit (owner->pool, job->id, &job->record, world->now_ms, WALL_MS + world->now_ms);
+      fb_pool_add_job (owner->pool, job->id, &job->record, world->now_ms, WALL_MS + world->now_ms);
       if (job->cancelled)
-        fb_pool_cancel (owner->pool, job->id, world->now_ms, WALL_MS + world->now_ms);
+        fb_pool_cancel_job (owner->pool, job->id, world->now_ms, WALL_MS + world->now_ms);
     }
 }
 
@@ -278,7 +279,8 @@
       gboolean late = !g_hash_table_contains (world->progress, job->id)
                       && world->now_ms < job->record.accepted_ms - WALL_MS + 1000;
       if ((!late || world_random (world, 2) == 0) && !job->admission_dropped)
-        fb_pool_admit (owner->pool, job->id, &job->record, world->now_ms, WALL_MS + world->now_ms);
+        fb_pool_add_job (owner->pool, job->id, &job->record, world->now_ms,
+                         WALL_MS + world->now_ms);
     }
   GHashTableIter iter;
   gpointer key;
@@ -292,13 +294,13 @@
       fb_work_suspects suspects;
       if (!fb_codec_decode_progress (data, len, &progress, &suspects))
         abort ();
-      fb_pool_restore (owner->pool, key, &progress, &suspects, world->now_ms);
+      fb_pool_restore_job (owner->pool, key, &progress, &suspects, world->now_ms);
       fb_codec_clear_progress (&progress, &suspects);
     }
   for (guint i = 0; i < world->job_n; i++)
     {
       if (world->jobs[i].cancelled)
-        fb_pool_cancel (owner->pool, world->jobs[i].id, world->now_ms, WALL_MS + world->now_ms);
+        fb_pool_cancel_job (owner->pool, world->jobs[i].id, world->now_ms, WALL_MS + world->now_ms);
     }
   fb_work_workers known;
   gsize len = 0;
@@ -380,7 +382,7 @@
   owner->advice_requests = g_ptr_array_new_with_free_func (advice_request_free);
   owner->authority_ms = world->now_ms;
   owner->store_fenced_ms = world->now_ms;
-  owner->pool = fb_pool_new ("svc", owner->epoch, &limits, &sink, owner, world->now_ms);
+  owner->pool = fb_pool_new ("svc", owner->epoch, &limits, &callbacks, owner, world->now_ms);
   world->current_owner = i;
   world->current_owner_seen_ms = world->now_ms;
   world_trace (world, "daemon %u owns the pool under epoch %u", i, (unsigned) owner->epoch);
@@ -433,7 +435,7 @@
       owner->flush = fb_pool_flush (owner->pool, world->now_ms, WALL_MS + world->now_ms);
       owner->flush_done_ms = world->now_ms + 10;
     }
-  else if (!world->store_away && world->now_ms >= owner->flush_done_ms)
+  else if (!world->store_unavailable && world->now_ms >= owner->flush_done_ms)
     store_flush (world, owner);
 }
 
@@ -442,7 +444,7 @@
 {
   Owner *owner = &world->owners[i];
   gboolean is_current = i == world->current_owner && owner->epoch == world->store_epoch;
-  gboolean member = is_current && !world->store_away;
+  gboolean member = is_current && !world->store_unavailable;
   gboolean stalls = owner->paused && owner->resume_ms != 0;
   if (owner->pool == NULL || (owner->paused && !stalls))
     return;
@@ -450,14 +452,13 @@
     world->current_owner_seen_ms = world->now_ms;
   if (stalls)
     return;
-  if (is_current && !world->store_away && world->now_ms >= owner->list_read_ms + LIST_LAG_MS)
+  if (is_current && !world->store_unavailable && world->now_ms >= owner->list_read_ms + LIST_LAG_MS)
     {
-      show_list (world, i);
+      pass_worker_list (world, i);
       read_jobs (world, owner);
     }
   answer_advice_requests (owner);
-  gboolean has_authority
-      = member || fb_pool_holds_majority (owner->pool, MAJORITY_MS, world->now_ms);
+  gboolean has_authority = member || fb_pool_has_majority (owner->pool, MAJORITY_MS, world->now_ms);
   if (has_authority)
     owner->authority_ms = world->now_ms;
   fb_pool_tick (owner->pool, has_authority, world->now_ms, WALL_MS + world->now_ms);
@@ -473,7 +474,7 @@
   Owner *owner = &world->owners[world->current_owner];
   gboolean alive = owner->pool != NULL && (!owner->paused || owner->resume_ms != 0)
                    && owner->epoch == world->store_epoch;
-  if (world->store_away || (alive && world->now_ms <= world->current_owner_seen_ms + TTL_MS))
+  if (world->store_unavailable || (alive && world->now_ms <= world->current_owner_seen_ms + TTL_MS))
     return;
   if (!alive && world->now_ms > world->current_owner_seen_ms + TTL_MS)
     world_owner_start (world, (world->current_owner + 1) % OWNER_N);
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -6,20 +6,20 @@
 
 /* ---- times and limits ---------------------------------------------------- */
 
-/* Lease granted with each poll.  Long enough for a take-over (a silent owner is replaced after
- * about 2 s), short enough that work on an unreachable worker is started again while its caller
- * still waits. */
+/* Lease granted with each poll. Long enough for a takeover (a silent owner is replaced after about
+ * 2 s), short enough that work on an unreachable worker is started again while its caller still
+ * waits. */
 #define FB_POOL_LEASE_MS 4000
 /* A start must be carried out within this time; a worker that handles the order seconds later
- * refuses it.  Answers take some 10 ms, and a task whose order got no answer can be started again
- * after this time and one poll.  With 1,200 ms, and polls of 800 ms, the mean value of the jobs
- * completed in time was 0.02 lower in the standard load tests of two deployments. */
+ * refuses it. Answers take some 10 ms, and a task whose order got no answer can be started again
+ * after this time and one poll, so a longer window (1,200 ms, with polls of 800 ms) delays jobs
+ * whose starts get no answer, and fewer are completed in time. */
 #define FB_POOL_START_WINDOW_MS 700
 /* A worker that has nothing to report delays its answer to a poll for this long, so the lease is
  * also renewed at this interval. */
 #define FB_POOL_POLL_WAIT_MS 500
-/* A replaced owner learns of its replacement within this time, because its polls of a worker are at
- * most this far apart. */
+/* A replaced owner is notified of its replacement within this time, because its polls of a worker
+ * are at most this far apart. */
 #define FB_POOL_STEP_DOWN_MS 2000
 /* A call to a worker that has just ended may wait this long for the next incarnation to listen. */
 #define FB_POOL_DELAYED_CALL_MS 1200
@@ -36,56 +36,59 @@
   char *service;
   uint64_t epoch;
   FbPoolLimits limits;
-  const FbPoolSink *sink;
+  const FbPoolCallbacks *callbacks;
   gpointer user;
-  uint64_t began_ms;         /* when the pool was created */
+  uint64_t created_ms;       /* when the pool was created */
   uint64_t majority_ms;      /* when a majority of the workers had answered; 0: not yet */
   gboolean workers_complete; /* fb_pool_workers_complete() was called */
-  gboolean recovered;        /* recovery is complete: this owner knows everything that can run */
+  gboolean recovered; /* recovery is complete: this owner has found everything that can run */
   /* Of FbPoolWorker that may have unknown runs, as of this tick; borrowed. */
   GPtrArray *unconfirmed_workers;
   gboolean fenced;   /* a worker has seen a higher epoch: the pool must not be used any more */
   gboolean flushing; /* a flush is open */
-  uint64_t flush_began_ms;   /* when the last flush began */
+  uint64_t flush_started_ms; /* when the last flush began */
   uint64_t last_order;       /* number of the last order; 0: none was sent yet */
   GHashTable *workers;       /* id -> FbPoolWorker */
   GPtrArray *worker_slots;   /* of FbPoolWorker by slot; NULL: the slot is free; borrowed */
   uint32_t last_incarnation; /* last FbPoolWorker.incarnation that was assigned; 0: none yet */
-  GHashTable *latest; /* address -> FbPoolWorker, the incarnation there that began last; borrowed */
+  /* Address -> FbPoolWorker, the incarnation there that began last; borrowed. */
+  GHashTable *latest_incarnations;
   /* Id of a worker -> set of steps, for FbPoolWorker.drain_steps: from the record of the previous
    * owner. */
   GHashTable *drain_steps;
   /* Of FbPoolWorker that can take more than in the last round; borrowed. */
   GPtrArray *gained_capacity;
-  GPtrArray *waiting;  /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
-  GPtrArray *unmerged; /* of FbPoolStep not merged into WAITING yet; borrowed */
-  /* Bits of question_kind() in pool-advice.c: questions that no daemon could forward in this turn
-   * of the round. */
-  uint32_t refused_question_kinds;
+  GPtrArray *queue;    /* of FbPoolStep with pending tasks, in the order of placement; borrowed */
+  GPtrArray *unmerged; /* of FbPoolStep not merged into QUEUE yet; borrowed */
+  /* Bits of request_kind() in pool-advice.c: requests that no daemon could forward in this
+   * iteration of the round. */
+  uint32_t refused_request_kinds;
   uint64_t round;              /* number of the current placement round */
-  guint resume_position;       /* in WAITING, where the open round continues; 0: none is open */
+  guint round_position;        /* in QUEUE, where the open round continues; 0: none is open */
   guint round_gained_n;        /* entries of GAINED_CAPACITY when the open round began */
-  uint32_t visits_n;           /* workers and runs visited in this turn of the round */
+  uint32_t visits_n;           /* workers and runs visited in this iteration of the round */
   GHashTable *jobs_to_release; /* set of FbPoolJob with occurrences or steps to release; borrowed */
   /* Set of FbPoolJob whose steps may depend on each other; borrowed. */
   GHashTable *jobs_with_dependencies;
-  GHashTable *jobs;    /* id -> FbPoolJob */
-  GHashTable *active;  /* set of FbPoolJob that have not ended; borrowed */
-  GHashTable *ended;   /* set of FbPoolJob whose results are kept for late callers; borrowed */
-  GHashTable *dirty;   /* set of FbPoolJob with changes that are not recorded yet; borrowed */
-  GPtrArray *in_flush; /* of FbPoolJob: the jobs in the open flush; borrowed */
-  GHashTable *orders;  /* number of an order without an answer -> FbPoolOrderRef */
+  GHashTable *jobs;        /* id -> FbPoolJob */
+  GHashTable *active_jobs; /* set of FbPoolJob that have not ended; borrowed */
+  GHashTable *ended_jobs;  /* set of FbPoolJob whose results are kept for late callers; borrowed */
+  GHashTable *dirty;       /* set of FbPoolJob with changes that are not recorded yet; borrowed */
+  GPtrArray *in_flush;     /* of FbPoolJob: the jobs in the open flush; borrowed */
+  GHashTable *open_orders; /* number of an order without an answer -> FbPoolOrderRef */
   GQueue *unanswered_starts; /* of FbPoolUnansweredStart; the oldest at its head */
-  GHashTable *suspects;      /* set of FbPoolStep with tasks whose crashes are counted; borrowed */
-  GHashTable *unstored; /* set of FbPoolJob with suspects to be kept by other daemons; borrowed */
-  GHashTable *causes; /* id hash of a crashed worker -> how many tasks may have caused the crash */
+  GHashTable *suspect_steps; /* set of FbPoolStep with tasks whose crashes are counted; borrowed */
+  /* Set of FbPoolJob with suspects to be kept by other daemons; borrowed. */
+  GHashTable *unstored_suspects;
+  /* Id hash of a crashed worker -> how many tasks may have caused the crash. */
+  GHashTable *crash_causes;
   /* Id of a lost worker -> the tasks that were on it: see pool-unresolved-losses.c. */
   GHashTable *unresolved_losses;
   /* The list of workers or UNRESOLVED_LOSSES has changed, so some losses may be resolved now. */
   gboolean unresolved_losses_due;
   gboolean majority_answers; /* a majority has answered within MAJORITY_ANSWER_MS (pool.c) */
   gboolean limit_reached;    /* a task may have reached its limit of crashes */
-  uint64_t jobs_read_ms;     /* every job stored before this time is known */
+  uint64_t jobs_complete_ms; /* every job stored before this time is known */
   gboolean workers_dirty;    /* the record of workers is out of date */
   /* At the last tick the owner was certain of its ownership, and not stopping. */
   gboolean may_start;
@@ -104,12 +107,12 @@
 
 /* pool-worker-advice.c */
 
-/* Returns: (nullable): borrowed; NULL when the advice service was not asked about WORKER. */
+/* Returns: (nullable): borrowed; NULL when no advice was requested for WORKER. */
 const FbPoolWorkerAdvice *fb_pool_worker_advice (const FbPoolStep *step,
                                                  const FbPoolWorker *worker);
-/* The advice service was asked about WORKER, and has allowed it only if
- * fb_pool_worker_advice_allow() follows. */
-void fb_pool_worker_advice_asked (FbPoolStep *step, const FbPoolWorker *worker);
+/* Advice was requested for WORKER; the worker is allowed only if fb_pool_worker_advice_allow()
+ * follows. */
+void fb_pool_worker_advice_requested (FbPoolStep *step, const FbPoolWorker *worker);
 void fb_pool_worker_advice_allow (FbPoolStep *step, const FbPoolWorker *worker, const char *ticket,
                                   uint64_t valid_until_ms);
 /* The ticket for WORKER is no longer valid; the worker stays allowed. */
@@ -123,15 +126,16 @@
 /* Sorts the queue and removes steps without pending tasks. */
 void fb_pool_queue_sort (FbPool *self, uint64_t now_ms);
 /* Removes the steps of JOB, which is about to be freed. */
-void fb_pool_queue_forget (FbPool *self, const FbPoolJob *job);
+void fb_pool_queue_remove_job (FbPool *self, const FbPoolJob *job);
 
 /* pool-orders.c */
 void fb_pool_order_start (FbPool *self, FbPoolWorker *worker, FbPoolStep *step, uint32_t index,
                           uint32_t attempt, uint64_t now_ms);
 void fb_pool_order_stop (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
 void fb_pool_order_poll (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
-/* TRUE while WORKER, which may restart under its id, has not received an acknowledgement. */
-gboolean fb_pool_owes_acknowledgement (const FbPoolWorker *worker);
+/* TRUE while WORKER, which may restart under its id, has not received the latest
+ * acknowledgement. */
+gboolean fb_pool_has_pending_acknowledgement (const FbPoolWorker *worker);
 /* FALSE when polling WORKER right after its answer would return nothing new. */
 gboolean fb_pool_may_poll_again (const FbPoolWorker *worker);
 /* TRUE while ORDER has no answer. */
@@ -143,9 +147,9 @@
 uint64_t fb_pool_first_poll_retry_ms (const FbPoolWorker *worker, uint64_t now_ms);
 /* Returns: the number of the next attempt at task INDEX. */
 uint32_t fb_pool_next_attempt (const FbPool *self, const FbPoolStep *step, uint32_t index);
-/* RUN has certainly ended or never began: its capacity is free and its task is pending again.  HOW:
- * how it ended, a static text for the log. */
-void fb_pool_run_ended (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *how,
+/* RUN has certainly ended or never began: its capacity is free and its task is pending again.
+ * OUTCOME: how it ended, a static text for the log. */
+void fb_pool_run_ended (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *outcome,
                         uint64_t now_ms);
 
 /* pool-report.c */
@@ -164,7 +168,7 @@
 
 /* pool-loss.c */
 
-/* How the owner knows that all runs of an incarnation of a worker have ended. */
+/* Evidence that all runs of an incarnation of a worker have ended. */
 typedef enum
 {
   FB_LOSS_LEASE_ENDED,       /* the worker may still be up, but without runs */
@@ -187,7 +191,7 @@
 void fb_pool_incarnation_set_latest (FbPool *self, FbPoolWorker *worker);
 /* Returns: the incarnation that runs in place of WORKER, which may be WORKER itself. */
 FbPoolWorker *fb_pool_incarnation_running (const FbPool *self, FbPoolWorker *worker);
-void fb_pool_incarnation_forget (FbPool *self, const FbPoolWorker *worker);
+void fb_pool_incarnation_remove (FbPool *self, const FbPoolWorker *worker);
 
 /* pool-restart.c */
 
@@ -202,7 +206,7 @@
 void fb_pool_unanswered_start_add (FbPool *self, const char *incarnation, const char *address,
                                    const char *task, uint32_t attempt, uint64_t sent_ms,
                                    uint64_t now_ms);
-/* WORKER has answered for the first time: tells it to refuse starts that were sent to earlier
+/* WORKER has answered for the first time: orders it to refuse starts that were sent to earlier
  * incarnations and got no answer. */
 void fb_pool_unanswered_starts_reject (FbPool *self, FbPoolWorker *worker, uint64_t now_ms);
 /* TRUE while WORKER may hold a tombstone: a late start of task INDEX that it has to refuse. */
@@ -230,7 +234,7 @@
  * never will be. */
 gboolean fb_pool_restart_is_over (const FbPool *self, const FbPoolWorker *worker,
                                   const FbPoolRun *run, uint64_t clock_ms);
-/* RUN is not reported and may still be started: tells WORKER to refuse it. */
+/* RUN is not reported and may still be started: orders WORKER to refuse it. */
 void fb_pool_restart_reject (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, uint64_t now_ms);
 
 /* pool-choose.c */
@@ -243,10 +247,10 @@
   FB_TICKET_ALLOWED
 } FbPoolTicketRule;
 
-/* TRUE when the labels of WORKER, which do not change while it lives, allow a task of SHAPE. */
-gboolean fb_pool_has_labels_for (const FbPoolWorker *worker, const fb_work_step *shape);
+/* TRUE when the labels of WORKER, which do not change while it lives, allow a task of SPEC. */
+gboolean fb_pool_has_labels_for (const FbPoolWorker *worker, const fb_work_step *spec);
 /* TRUE when WORKER could run such a task if it were empty.  Its size may change. */
-gboolean fb_pool_worker_could_run (const FbPoolWorker *worker, const fb_work_step *shape);
+gboolean fb_pool_worker_could_run (const FbPoolWorker *worker, const fb_work_step *spec);
 /* Returns: the weighted sum of the free shares of CPU, memory and GPUs of WORKER; the higher, the
  * emptier. */
 double fb_pool_worker_free_share (const FbPoolWorker *worker);
@@ -263,13 +267,13 @@
 const FbPoolWorkerAdvice *fb_pool_valid_ticket (const FbPoolStep *step, const FbPoolWorker *worker,
                                                 uint64_t now_ms);
 /* Returns: (nullable): the best worker for task INDEX.  RACK: only workers of this rack; NULL: of
- * any.  OTHER_THAN: a worker to leave out; NULL: none. */
+ * any.  EXCLUDED: a worker to leave out; NULL: none. */
 FbPoolWorker *fb_pool_best_worker (FbPool *self, const FbPoolStep *step, uint32_t index,
-                                   const char *rack, const FbPoolWorker *other_than,
+                                   const char *rack, const FbPoolWorker *excluded,
                                    FbPoolTicketRule rule, uint64_t now_ms);
-/* Finds workers for up to MOST pending tasks, each in addition to those before it.  Returns: for
+/* Finds workers for up to MAX_N pending tasks, each in addition to those before it.  Returns: for
  * how many tasks a worker was found. */
-guint fb_pool_choose_workers (FbPool *self, FbPoolStep *step, guint most, const char *rack,
+guint fb_pool_choose_workers (FbPool *self, FbPoolStep *step, guint max_n, const char *rack,
                               FbPoolTicketRule rule, FbPoolWorker **chosen, uint64_t now_ms);
 /* Finds workers for all members of a gang, in one rack if the step asks for that and it is
  * possible.  Returns: FALSE unless every member got one. */
@@ -277,39 +281,39 @@
                               FbPoolWorker **chosen, uint64_t now_ms);
 /* Calls fb_pool_choose_workers() or, for a gang, fb_pool_choose_gang().  Returns: for how many
  * tasks a worker was found; for a gang all or none. */
-guint fb_pool_choose_step (FbPool *self, FbPoolStep *step, guint most, FbPoolTicketRule rule,
+guint fb_pool_choose_step (FbPool *self, FbPoolStep *step, guint max_n, FbPoolTicketRule rule,
                            FbPoolWorker **chosen, uint64_t now_ms);
-guint fb_pool_step_waiting_n (const FbPoolStep *step);
+guint fb_pool_step_pending_n (const FbPoolStep *step);
 /* Reserves capacity for N tasks of STEP on the workers in CHOSEN. */
 void fb_pool_reserve (FbPool *self, FbPoolStep *step, FbPoolWorker **chosen, guint n,
                       uint64_t until_ms);
 /* Releases the capacity reserved for STEP.  Returns: (transfer full): ids of the workers on which
  * it was reserved, for fb_pool_reserve_again(). */
 GPtrArray *fb_pool_release_reservation (FbPool *self, FbPoolStep *step);
-/* Reserves again what was released, for at most MOST tasks, because some may have been placed
+/* Reserves again what was released, for at most MAX_N tasks, because some may have been placed
  * meanwhile. */
-void fb_pool_reserve_again (FbPool *self, FbPoolStep *step, GPtrArray *reserved_on, guint most,
+void fb_pool_reserve_again (FbPool *self, FbPoolStep *step, GPtrArray *reserved_on, guint max_n,
                             uint64_t until_ms);
 
 /* pool-preempt.c */
 
 /* Stops preemptible runs, reserves their capacity for STEP until UNTIL_MS and stores the workers in
- * CHOSEN.  Returns: for how many tasks, at most MOST; all or none for a gang. */
-guint fb_pool_preempt (FbPool *self, FbPoolStep *step, guint most, FbPoolWorker **chosen,
+ * CHOSEN.  Returns: for how many tasks, at most MAX_N; all or none for a gang. */
+guint fb_pool_preempt (FbPool *self, FbPoolStep *step, guint max_n, FbPoolWorker **chosen,
                        uint64_t until_ms, uint64_t now_ms);
 
 /* pool-advice.c */
 
-/* Asks the advice service about STEP if there is anything to ask; for a step without advice, only
- * preempts runs for it.  Returns: FALSE when no daemon can forward a question now. */
-gboolean fb_pool_ask_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms);
-/* The same, unless the service was asked about STEP before. */
-gboolean fb_pool_ask_first_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms);
-/* Asks for a new ticket for WORKER, which the advice service allows. */
+/* Requests advice for STEP if any is needed; for a step without advice, only preempts runs for it.
+ * Returns: FALSE when no daemon can forward a request now. */
+gboolean fb_pool_request_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms);
+/* Like fb_pool_request_advice(), unless advice for STEP was requested before. */
+gboolean fb_pool_request_first_advice (FbPool *self, FbPoolStep *step, uint64_t now_ms);
+/* Requests a new ticket for WORKER, which the advice service allows. */
 void fb_pool_renew_ticket (FbPool *self, FbPoolStep *step, const FbPoolWorker *worker,
                            uint64_t now_ms);
-/* Asks about steps of JOB that are about to be released. */
-void fb_pool_ask_ahead (FbPool *self, FbPoolJob *job, uint64_t now_ms);
+/* Requests advice for steps of JOB that are about to be released. */
+void fb_pool_request_advice_ahead (FbPool *self, FbPoolJob *job, uint64_t now_ms);
 
 /* Attaches runs that workers reported before JOB was known; they keep their capacity. */
 void fb_pool_attach_runs (FbPool *self, const FbPoolJob *job);
@@ -333,7 +337,7 @@
 /* TRUE when a majority of the workers has answered under this epoch: tasks that certainly run
  * nowhere may start. */
 gboolean fb_pool_may_place (const FbPool *self);
-/* TRUE when no earlier owner can have started a job that this owner does not know yet. */
+/* TRUE when no earlier owner can have started a job that this owner has not read yet. */
 gboolean fb_pool_has_no_earlier_starts (const FbPool *self);
 /* JOB is being added: its tasks wait for ends that workers have reported and that belonged to no
  * known job. */
@@ -346,14 +350,14 @@
 
 /* pool-long-running.c: for long-running steps; calls for other steps have no effect. */
 
-/* The last run of task INDEX has ended; not called for a start that was never carried out.  HOW:
+/* The last run of task INDEX has ended; not called for a start that was never carried out. OUTCOME:
  * how it ended, a static text for the log. */
-void fb_pool_long_running_ended (FbPoolStep *step, uint32_t index, const char *how,
+void fb_pool_long_running_ended (FbPoolStep *step, uint32_t index, const char *outcome,
                                  uint64_t now_ms);
 /* A round could not place all tasks of STEP.  REASON: a static text for the log. */
-void fb_pool_long_running_waits (const FbPool *self, FbPoolStep *step, const char *reason,
-                                 uint64_t now_ms);
-void fb_pool_long_running_wait_over (FbPoolStep *step);
+void fb_pool_long_running_set_wait_reason (const FbPool *self, FbPoolStep *step, const char *reason,
+                                           uint64_t now_ms);
+void fb_pool_long_running_clear_wait (FbPoolStep *step);
 /* SKIPPED: set of tasks to leave out; NULL: none.  Returns: the index of the pending task of STEP
  * that has been down for longest, or of one that never ran if there is no other; the number of
  * tasks when none is pending. */
@@ -370,5 +374,5 @@
 
 /* pool-orders.c */
 
-/* Returns: (transfer full): an empty table for FbPool.orders. */
+/* Returns: (transfer full): an empty table for FbPool.open_orders. */
 GHashTable *fb_pool_orders_new (void);
--- a/src/entry/owner/owner-private.h
+++ b/src/entry/owner/owner-private.h
@@ -49,7 +49,7 @@
 #define FB_KEY_WORKERS "workers."
 
 /* owner-orders.c: sends the orders of pools and passes the answers back. */
-extern const FbPoolSink fb_owner_sink;
+extern const FbPoolCallbacks fb_owner_pool_callbacks;
 /* Ends the ownership: SELF takes no further action, and the daemon frees it soon. */
 void fb_owner_step_down (FbOwner *self, const char *reason);
 
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -1,8 +1,8 @@
 /* Tasks that crash their workers.
  *
- * A task may take down its worker, and all other runs there, each time it is started. A run lost
- * with its worker is not a failed run, so the limit on failures never applies, and the task would
- * be started on one worker after the other, which fall silent in series. So the workers that
+ * A task may crash its worker, and with it all other runs there, each time it is started. A run
+ * lost with its worker is not a failed run, so the limit on failures never applies, and the task
+ * would be started on one worker after the other and crash each of them. So the workers that
  * crashed under a task are counted and recorded with its job, and the job fails after
  * MAX_ISOLATED_CRASHES of them.
  *
@@ -25,8 +25,8 @@
 /* Crashes after which a task no longer shares a worker with other suspected tasks, and nothing is
  * started beside it. */
 #define ISOLATE_AFTER_CRASHES 2
-/* A long-running task is cleared after it has run on its worker for this long; otherwise the losses
- * of weeks would add up. */
+/* A long-running task is cleared after it has run on its worker for this long; otherwise crashes
+ * weeks apart would add up. */
 #define LONG_RUNNING_PROVEN_MS 20000
 /* Tasks that crash their worker do so as they begin. A run that has been listed for this long is
  * not considered a cause of a crash while another run is beginning. */
@@ -115,10 +115,10 @@
   return task->crashes != NULL || task->unresolved_losses_n > 0;
 }
 
-/* An owner whose store is unreachable would start a task on one worker after the other; when it is
- * replaced, the next owner would count from zero. So a task with several crashes or unresolved
- * losses starts only once their number is stored, which limits the crashes that a lost owner takes
- * with it. */
+/* An owner whose store is unreachable could start a task on one worker after the other, and the
+ * next owner would count its crashes from zero. So a task with several crashes or unresolved losses
+ * starts only once their number is stored, which limits the number of crashes that a failed owner
+ * leaves unrecorded. */
 static gboolean
 awaits_storing (const FbPoolStep *step, const FbPoolTask *task)
 {
@@ -149,7 +149,7 @@
       for (guint j = 0; j < job->record.spec.steps.steps_len; j++)
         {
           FbPoolStep *step = &occurrence->steps[j];
-          for (uint32_t k = 0; k < step->shape->count; k++)
+          for (uint32_t k = 0; k < step->spec->count; k++)
             {
               if (!step->tasks[k].withheld)
                 continue;
@@ -202,12 +202,12 @@
 
 void
 fb_pool_crash_task_ended (FbPool *self, const FbPoolWorker *worker, FbPoolStep *step,
-                          uint32_t index, FbEndReason how)
+                          uint32_t index, FbEndReason reason)
 {
   fb_pool_crash_task_absent (self, worker, step, index);
-  if (how == FB_END_DONE)
+  if (reason == FB_END_DONE)
     fb_pool_probe_passed (step);
-  if (how == FB_END_DONE || how == FB_END_FAILED)
+  if (reason == FB_END_DONE || reason == FB_END_FAILED)
     fb_pool_crash_clear (self, step, index, "ended");
 }
 
@@ -240,11 +240,11 @@
   fb_pool_crash_cause_add (self, crash.worker);
   if (fb_pool_job_ended (step->job))
     return;
-  fb_pool_probe_note_crash (step, crash.worker, now_ms);
+  fb_pool_probe_record_crash (step, crash.worker, now_ms);
   step->job->suspects_version++;
   fb_pool_unstored_suspects_add (self, step->job);
   fb_pool_task_update_withheld (self, step, index);
-  g_hash_table_add (self->suspects, step);
+  g_hash_table_add (self->suspect_steps, step);
   self->limit_reached |= fb_pool_task_crashes_n (task) >= self->limits.max_isolated_crashes;
   fb_pool_job_changed (self, step->job);
   fb_event_log (FB_EVENT_TASK_SUSPECTED,
@@ -279,7 +279,7 @@
 static gboolean
 is_proven_harmless (const FbPoolWorker *worker, const FbPoolRun *run)
 {
-  return run->step != NULL && run->step->shape->long_running
+  return run->step != NULL && run->step->spec->long_running
          && ran_ms (worker, run) >= LONG_RUNNING_PROVEN_MS;
 }
 
@@ -293,8 +293,8 @@
 }
 
 /* Returns: how certain it is that RUN was on WORKER when WORKER crashed. An unanswered start may
- * have been sent to a worker that had just crashed by itself. That is unlikely if the task is
- * isolated and the worker had answered a moment before. */
+ * have been sent to a worker that had just crashed for another reason. That is unlikely if the task
+ * is isolated and the worker had answered a moment before. */
 static FbCrashEvidence
 evidence_of (const FbPoolWorker *worker, const FbPoolRun *run)
 {
@@ -369,7 +369,7 @@
 }
 
 static void
-note_silence (FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run, gboolean silent)
+record_silence (FbPool *self, const FbPoolWorker *worker, const FbPoolRun *run, gboolean silent)
 {
   FbPoolTask *task = &run->step->tasks[run->index];
   if (silent)
@@ -382,11 +382,11 @@
 }
 
 /* If the owner is replaced within the 4 s in which a crash shows only as silence, the next owner
- * does not know what ran there, and a task goes on crashing workers while owners change. So the
- * runs on a worker that becomes silent are recorded at once. An owner that does not hear from most
- * workers is itself disconnected and records nothing. */
+ * has no record of what ran there, and a task could crash further workers while owners change. So
+ * the runs on a worker that becomes silent are recorded at once. An owner that gets no answers from
+ * most workers is itself disconnected and records nothing. */
 void
-fb_pool_crash_note_silence (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
+fb_pool_crash_record_silence (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
   gboolean silent = worker->answered && fb_pool_worker_silent (worker, now_ms);
   if (silent == worker->silence_recorded || worker->draining)
@@ -402,7 +402,7 @@
       const FbPoolRun *run = value;
       /* A start transferred from an earlier incarnation is recorded for that one. */
       if (run->step != NULL && run_may_have_begun (run) && run->transferred_ms == 0)
-        note_silence (self, worker, run, silent);
+        record_silence (self, worker, run, silent);
     }
 }
 
@@ -426,7 +426,7 @@
     }
 }
 
-/* A draining worker ends as planned, so no task is suspected for it. */
+/* A draining worker exits as planned, so no task is suspected for it. */
 void
 fb_pool_crash_worker_lost (FbPool *self, FbPoolWorker *worker, FbPoolLoss loss,
                            const FbPoolWorker *next, uint64_t now_ms)
@@ -437,8 +437,8 @@
   while (!worker->draining && g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbPoolRun *run = value;
-      /* The task is not suspected itself, but the others on the worker are no longer the only
-       * possible cause. */
+      /* This task is not suspected itself, but the others on the worker are no longer the only
+       * possible causes. */
       if (is_start_unconfirmed (run))
         fb_pool_crash_cause_add (self, worker->id_hash);
       if (run->step == NULL || !run_may_have_begun (run))
@@ -470,7 +470,7 @@
 static void
 end_job_at_limit (FbPool *self, FbPoolStep *step, uint64_t now_ms, uint64_t wall_ms)
 {
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
       if (fb_pool_task_crashes_n (task) < crash_limit (self, task, TRUE))
@@ -486,7 +486,7 @@
   if (!self->limit_reached)
     return;
   self->limit_reached = FALSE;
-  g_autoptr (GList) steps = g_hash_table_get_keys (self->suspects);
+  g_autoptr (GList) steps = g_hash_table_get_keys (self->suspect_steps);
   for (GList *l = steps; l != NULL; l = l->next)
     {
       FbPoolStep *step = l->data;
@@ -496,13 +496,13 @@
 }
 
 void
-fb_pool_crash_forget (FbPool *self, FbPoolJob *job)
+fb_pool_crash_remove_job (FbPool *self, FbPoolJob *job)
 {
   for (guint i = 0; i < job->occurrences->len; i++)
     {
       FbPoolOccurrence *occurrence = job->occurrences->pdata[i];
       for (guint j = 0; j < job->record.spec.steps.steps_len; j++)
-        g_hash_table_remove (self->suspects, &occurrence->steps[j]);
+        g_hash_table_remove (self->suspect_steps, &occurrence->steps[j]);
     }
 }
 
--- a/src/work/pool-incarnations.c
+++ b/src/work/pool-incarnations.c
@@ -1,33 +1,33 @@
 /* Several incarnations of one worker that are known at the same time.
  *
- * List entries and answers arrive late and out of order, so an owner may know two incarnations
- * under one id and send work to both, while all of it reaches the one that runs. That worker would
- * then hold more than its capacity, and tasks would wait for an incarnation that has ended. So as
- * soon as the latest incarnation at an address is known, it takes over everything meant for earlier
- * ones, and nothing is started on any other. */
+ * List entries and answers arrive late and out of order, so an owner may have two incarnations
+ * under one id and send work to both, while all of it is delivered to the one that runs. That
+ * worker would then get more than its capacity, and tasks would wait for an incarnation that has
+ * ended. So as soon as the latest incarnation at an address is known, it takes over everything
+ * meant for earlier ones, and nothing is started on any other. */
 #include "internal/pool-private.h"
 
 static gboolean
 is_newer_incarnation (const FbPool *self, const FbPoolWorker *incarnation,
                       const FbPoolWorker *other)
 {
-  return self->sink->is_newer_incarnation != NULL
-         && self->sink->is_newer_incarnation (incarnation->id, other->id);
+  return self->callbacks->is_newer_incarnation != NULL
+         && self->callbacks->is_newer_incarnation (incarnation->id, other->id);
 }
 
 /* Returns: (nullable): borrowed. */
 static FbPoolWorker *
 latest_at (const FbPool *self, const char *address)
 {
-  return address != NULL ? g_hash_table_lookup (self->latest, address) : NULL;
+  return address != NULL ? g_hash_table_lookup (self->latest_incarnations, address) : NULL;
 }
 
 void
 fb_pool_incarnation_set_latest (FbPool *self, FbPoolWorker *worker)
 {
   worker->superseded = FALSE;
-  if (self->sink->is_newer_incarnation != NULL && worker->address != NULL)
-    g_hash_table_replace (self->latest, g_strdup (worker->address), worker);
+  if (self->callbacks->is_newer_incarnation != NULL && worker->address != NULL)
+    g_hash_table_replace (self->latest_incarnations, g_strdup (worker->address), worker);
 }
 
 void
@@ -68,8 +68,8 @@
 }
 
 void
-fb_pool_incarnation_forget (FbPool *self, const FbPoolWorker *worker)
+fb_pool_incarnation_remove (FbPool *self, const FbPoolWorker *worker)
 {
   if (latest_at (self, worker->address) == worker)
-    g_hash_table_remove (self->latest, worker->address);
+    g_hash_table_remove (self->latest_incarnations, worker->address);
 }
--- a/src/work/pool-orders.c
+++ b/src/work/pool-orders.c
@@ -11,8 +11,8 @@
 
 /* Timeout of a poll: answers take some 10 ms, the rest allows for a slow daemon or network. */
 #define POLL_TIMEOUT_MS 600
-/* Timeout of the first poll of a worker. A take-over waits for each worker's first answer; with
- * POLL_TIMEOUT_MS one lost answer delayed it by 0.7 s (the 95th percentile of take-overs). Each
+/* Timeout of the first poll of a worker. A takeover waits for each worker's first answer; with
+ * POLL_TIMEOUT_MS one lost answer delayed it by 0.7 s (the 95th percentile of takeovers). Each
  * retry doubles the timeout. */
 #define FIRST_POLL_TIMEOUT_MS 150
 /* Pause after a worker refused a start or left it unanswered. */
@@ -60,7 +60,7 @@
 gboolean
 fb_pool_order_is_open (const FbPool *self, uint64_t order)
 {
-  return order != 0 && g_hash_table_contains (self->orders, &order);
+  return order != 0 && g_hash_table_contains (self->open_orders, &order);
 }
 
 static uint64_t
@@ -72,7 +72,7 @@
   ref->attempt = run->attempt;
   uint64_t *key = g_new (uint64_t, 1);
   *key = ++self->last_order;
-  g_hash_table_insert (self->orders, key, ref);
+  g_hash_table_insert (self->open_orders, key, ref);
   return *key;
 }
 
@@ -83,7 +83,7 @@
 static FbPoolWorker *
 remove_order (FbPool *self, uint64_t order, FbPoolRun **run)
 {
-  FbPoolOrderRef *ref = g_hash_table_lookup (self->orders, &order);
+  FbPoolOrderRef *ref = g_hash_table_lookup (self->open_orders, &order);
   *run = NULL;
   if (ref == NULL)
     return NULL;
@@ -92,7 +92,7 @@
     *run = g_hash_table_lookup (worker->runs, ref->task);
   if (*run != NULL && (*run)->attempt != ref->attempt)
     *run = NULL;
-  g_hash_table_remove (self->orders, &order);
+  g_hash_table_remove (self->open_orders, &order);
   return worker;
 }
 
@@ -102,7 +102,7 @@
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, self->orders);
+  g_hash_table_iter_init (&iter, self->open_orders);
   while (g_hash_table_iter_next (&iter, NULL, &value))
     {
       FbPoolOrderRef *ref = value;
@@ -132,7 +132,7 @@
   FbPoolTask *task = &step->tasks[index];
   FbPoolRun *run = fb_pool_worker_add_run (worker, step, index, name, attempt);
   run->state = FB_RUN_STARTING;
-  run->deadline_ms = fb_pool_worker_clock_low (worker, now_ms) + FB_POOL_START_WINDOW_MS;
+  run->deadline_ms = fb_pool_worker_clock_min (worker, now_ms) + FB_POOL_START_WINDOW_MS;
   run->started_ms = now_ms;
   run->from_start = task->checkpoint == NULL;
   run->order = add_order (self, worker, run);
@@ -164,7 +164,7 @@
                                .checkpoint = task->checkpoint != NULL ? task->checkpoint : "",
                                .ticket = ticket != NULL ? ticket->ticket : NULL,
                                .deadline_ms = run->deadline_ms };
-  self->sink->start (self->user, &order);
+  self->callbacks->start (self->user, &order);
 }
 
 void
@@ -181,7 +181,7 @@
                               .epoch = self->epoch,
                               .task = run->name,
                               .attempt = run->attempt };
-  self->sink->stop (self->user, &order);
+  self->callbacks->stop (self->user, &order);
 }
 
 /* Returns: the timeout of the next poll. */
@@ -208,19 +208,19 @@
 }
 
 gboolean
-fb_pool_owes_acknowledgement (const FbPoolWorker *worker)
+fb_pool_has_pending_acknowledgement (const FbPoolWorker *worker)
 {
   return worker->may_restart && worker->acknowledged > worker->confirmed_acknowledged;
 }
 
 /* TRUE when WORKER has not listed some run since that run was started. The run may be on a later
- * incarnation, because an answer to a start does not tell which incarnation sent it. */
+ * incarnation, because an answer to a start does not identify the incarnation that sent it. */
 static gboolean
 has_unlisted_run (const FbPoolWorker *worker)
 {
-  /* While has_unknown_end is set, unlisted runs are not dropped, so waiting for them could last for
-   * ever; and a worker with a full list of ends lists further ends only after an acknowledgement.
-   */
+  /* While has_unknown_end is set, unlisted runs are not dropped, so waiting for them might never
+   * end; and a worker with a full list of ends lists further ends only after an
+   * acknowledgement. */
   if (worker->has_unknown_end)
     return FALSE;
   GHashTableIter iter;
@@ -235,7 +235,7 @@
 }
 
 /* A worker may restart under its id while a start and a poll are in flight. The new incarnation
- * carries out the start, and then forgets the end of that run, because the poll acknowledges the
+ * carries out the start, and then discards the end of that run, because the poll acknowledges the
  * same number of the earlier incarnation; the finished task runs again. To prevent this, an end of
  * such a worker is acknowledged only once, by a poll that does not wait, when every run started
  * there has been listed; nothing starts there until then. */
@@ -245,13 +245,13 @@
   if (worker->poll_failed)
     return FALSE;
   return !worker->may_restart
-         || (fb_pool_owes_acknowledgement (worker) && !has_unlisted_run (worker));
+         || (fb_pool_has_pending_acknowledgement (worker) && !has_unlisted_run (worker));
 }
 
 gboolean
 fb_pool_may_poll_again (const FbPoolWorker *worker)
 {
-  return !fb_pool_owes_acknowledgement (worker) || !has_unlisted_run (worker);
+  return !fb_pool_has_pending_acknowledgement (worker) || !has_unlisted_run (worker);
 }
 
 void
@@ -265,26 +265,26 @@
                         .address = worker->address,
                         .epoch = self->epoch,
                         .acknowledged = acknowledges ? worker->acknowledged : 0,
-                        .answer_ms = poll_timeout_ms (worker) };
+                        .timeout_ms = poll_timeout_ms (worker) };
   worker->poll_acknowledges = worker->may_restart ? order.acknowledged : 0;
   /* If each poll extended the lease of a silent worker, which may still receive it, the lease would
    * never end and its tasks would never start again. So a silent worker is polled without a lease,
    * and the last lease runs out. */
   if (worker->answered && !fb_pool_worker_silent (worker, now_ms))
-    order.deadline_ms = fb_pool_worker_clock_low (worker, now_ms) + lease_ms;
-  /* While a worker has ends that may not be acknowledged yet, it answers a poll at once, again and
-   * again, so the poll asks for no wait. */
-  if (worker->answered && worker->acknowledged == worker->seen_end && !worker->has_unknown_end
-      && !fb_pool_owes_acknowledgement (worker))
+    order.deadline_ms = fb_pool_worker_clock_min (worker, now_ms) + lease_ms;
+  /* While a worker has ends that may not be acknowledged yet, it answers each poll at once, so the
+   * poll requests no wait. */
+  if (worker->answered && worker->acknowledged == worker->processed_end && !worker->has_unknown_end
+      && !fb_pool_has_pending_acknowledgement (worker))
     order.wait_ms = FB_POOL_POLL_WAIT_MS;
   worker->lease_ms = MAX (worker->lease_ms, order.deadline_ms);
   worker->poll_open = TRUE;
   worker->poll_sent_ms = now_ms;
-  self->sink->poll (self->user, &order);
+  self->callbacks->poll (self->user, &order);
 }
 
 void
-fb_pool_run_ended (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *how,
+fb_pool_run_ended (FbPool *self, FbPoolWorker *worker, FbPoolRun *run, const char *outcome,
                    uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
@@ -296,7 +296,7 @@
   if (!was_current)
     return;
   if (ran)
-    fb_pool_long_running_ended (step, index, how, now_ms);
+    fb_pool_long_running_ended (step, index, outcome, now_ms);
   fb_pool_task_requeue (self, step, index);
 }
 
@@ -313,7 +313,7 @@
     fb_pool_worker_advice_expire_ticket (step, worker);
   if (result != FB_ORDER_SUPERSEDED && result != FB_ORDER_BAD_TICKET)
     worker->paused_until_ms = now_ms + REFUSAL_PAUSE_MS;
-  gboolean gang = step->shape->gang;
+  gboolean gang = step->spec->gang;
   fb_pool_crash_task_absent (self, worker, step, run->index);
   fb_pool_run_ended (self, worker, run, "refused", now_ms);
   if (gang)
@@ -369,7 +369,7 @@
         fb_pool_unanswered_start_add (self, worker->id, worker->address, run->name, run->attempt,
                                       run->started_ms, now_ms);
       /* The other members would wait for this one until their own timeout. */
-      if (run->step->shape->gang)
+      if (run->step->spec->gang)
         fb_pool_stop_gang (self, run->step, now_ms);
     }
 }
--- a/src/work/pool-preempt.c
+++ b/src/work/pool-preempt.c
@@ -1,9 +1,9 @@
-/* Preemption: frees capacity for large tasks and gangs by stopping work of lower priority that
- * loses nothing.
+/* Preemption: frees capacity for large tasks and gangs by stopping runs of lower priority that lose
+ * no work.
  *
  * A checkpointing task also saves a checkpoint when it is stopped, and continues elsewhere after
- * its restore time (0.1 to 0.25 s).  Without preemption, small tasks that are started one by one
- * into all freed capacity would starve tasks that need a whole worker, and gangs. */
+ * its restore time (0.1 to 0.25 s). Without preemption, small tasks that are started one by one
+ * into all freed capacity would starve gangs and tasks that need a whole worker. */
 #include "internal/pool-private.h"
 
 #include "fb-counter.h"
@@ -13,35 +13,35 @@
  * wait for other capacity and a restore take about a second. */
 #define MIN_EXTRA_SLACK_MS 2000
 
-/* Returns: the time left until the caller wants the job, less the estimated run time of the step;
+/* Returns: the time left until the job's objective, less the estimated run time of the step;
  * negative when the job is already late. */
 static int64_t
 slack_ms (const FbPoolStep *step, uint64_t now_ms)
 {
-  return (int64_t) step->job->objective_ms - (int64_t) now_ms - (int64_t) step->shape->estimate_ms;
+  return (int64_t) step->job->objective_ms - (int64_t) now_ms - (int64_t) step->spec->estimate_ms;
 }
 
 /* TRUE when RUN may be preempted for the step TO.
  *
- * Failure: runs that may be preempted any number of times are stopped again and again and never
- * end.  In a heavy load test a queue of lower priority starved: the share of its jobs that
- * ended in time fell from 0.97 to 0.45.  Guard: a task is preempted only once, and only while its
- * job has clearly more slack than the pending one. */
+ * Runs that may be preempted any number of times may be stopped repeatedly and never end. In a
+ * heavy load test this starved a queue of lower priority: the share of its jobs that ended in time
+ * fell from 0.97 to 0.45. So a task is preempted only once, and only while its job has clearly more
+ * slack than the pending one. */
 static gboolean
 is_preemptible (const FbPoolRun *run, const FbPoolStep *to, uint64_t now_ms)
 {
   if (run->step == NULL || run->state != FB_RUN_RUNNING || run->abandoned)
     return FALSE;
-  const fb_work_step *shape = run->step->shape;
-  if (!shape->checkpointing || shape->gang || shape->long_running
+  const fb_work_step *spec = run->step->spec;
+  if (!spec->checkpointing || spec->gang || spec->long_running
       || run->step->tasks[run->index].was_preempted)
     return FALSE;
   return run->step->job->record.policy.priority > to->job->record.policy.priority
          && slack_ms (run->step, now_ms) > MAX (slack_ms (to, now_ms), 0) + MIN_EXTRA_SLACK_MS;
 }
 
-/* Takes the preemptible runs off the capacity used on their workers (SIGN -1), or adds them again
- * (1). */
+/* Subtracts the resources of the preemptible runs from those used on their workers (SIGN -1), or
+ * adds them again (1). */
 static void
 charge_preemptible (FbPool *self, const FbPoolStep *to, int sign, uint64_t now_ms)
 {
@@ -61,7 +61,7 @@
     }
 }
 
-/* Returns: (nullable): the preemptible run that loses least when stopped: the one started last. */
+/* Returns: (nullable): the preemptible run that loses the least work: the one started last. */
 static FbPoolRun *
 next_victim (const FbPoolWorker *worker, const FbPoolStep *to, uint64_t now_ms)
 {
@@ -111,11 +111,11 @@
 }
 
 guint
-fb_pool_preempt (FbPool *self, FbPoolStep *step, guint most, FbPoolWorker **chosen,
+fb_pool_preempt (FbPool *self, FbPoolStep *step, guint max_n, FbPoolWorker **chosen,
                  uint64_t until_ms, uint64_t now_ms)
 {
   charge_preemptible (self, step, -1, now_ms);
-  guint n = fb_pool_choose_step (self, step, most, FB_TICKET_ALLOWED, chosen, now_ms);
+  guint n = fb_pool_choose_step (self, step, max_n, FB_TICKET_ALLOWED, chosen, now_ms);
   charge_preemptible (self, step, 1, now_ms);
   if (n == 0)
     return 0;
--- a/src/work/pool-probe.c
+++ b/src/work/pool-probe.c
@@ -1,11 +1,11 @@
 /* Probing: a step whose tasks have crashed several workers starts one task at a time.
  *
- * A step may have hundreds of tasks that crash their workers. Each time it starts it would take
- * down as many workers as it reaches, three times over, and leave the service without workers for
- * tens of seconds. So once PROBE_WORKERS workers have crashed, its next task waits until the one
- * before has run for PROBE_MS, or has crashed its worker as well and brought the job nearer to the
- * crash limit. A step that only lost its workers to a power failure of a rack is released by the
- * first task that runs this long, which adds most of a second to the seconds without the workers.
+ * A step may have hundreds of tasks that crash their workers. Each time it started, it would crash
+ * as many workers as it reaches, three times over, and leave the service without workers for tens
+ * of seconds. So once PROBE_WORKERS workers have crashed, its next task waits until the one before
+ * has run for PROBE_MS, or has crashed its worker as well and brought the job nearer to the crash
+ * limit. A step that only lost its workers to a power failure of a rack is released by the first
+ * task that runs this long, which adds most of a second to the seconds without the workers.
  *
  * Long-running tasks are never held back: they must not be down for long, and are few. */
 #include "internal/pool-crash.h"
@@ -19,11 +19,11 @@
 #define PROBE_MS 1000
 
 void
-fb_pool_probe_note_crash (FbPoolStep *step, uint64_t worker, uint64_t now_ms)
+fb_pool_probe_record_crash (FbPoolStep *step, uint64_t worker, uint64_t now_ms)
 {
-  if (step->shape->long_running || step->shape->gang || worker == step->crashed_last)
+  if (step->spec->long_running || step->spec->gang || worker == step->last_crashed_worker)
     return;
-  step->crashed_last = worker;
+  step->last_crashed_worker = worker;
   step->crashed_n++;
   step->crashed_ms = now_ms;
 }
@@ -50,7 +50,7 @@
 {
   const FbPoolRun *open = NULL;
   *passed = FALSE;
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       const FbPoolRun *run = step->tasks[i].run;
       if (run == NULL)
@@ -71,12 +71,12 @@
   if (passed)
     fb_pool_probe_passed (step);
   if (!passed && open != NULL)
-    return step->shape->count;
-  uint32_t next = step->shape->count;
-  for (uint32_t i = 0; i < step->shape->count; i++)
+    return step->spec->count;
+  uint32_t next = step->spec->count;
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
-      if (fb_pool_task_waits (&step->tasks[i])
-          && (next == step->shape->count
+      if (fb_pool_task_is_pending (&step->tasks[i])
+          && (next == step->spec->count
               || fb_pool_task_crashes_n (&step->tasks[i])
                      > fb_pool_task_crashes_n (&step->tasks[next])))
         next = i;
--- a/src/work/pool-queue.c
+++ b/src/work/pool-queue.c
@@ -1,10 +1,10 @@
 /* Queue of the steps with pending tasks, in the order in which they are placed.
  *
  * Restarting long-running tasks come first, and steps whose completion has no value any more last;
- * among the others the priority decides, then the time by which the caller wants the job.  The
- * order is kept between rounds: new steps are sorted among themselves and merged, so that a round
- * takes one pass over the pending steps.  Sorting all of them in each round took a quarter of an
- * owner's processor time once hundreds of steps were pending, so the backlog grew. */
+ * among the others the priority decides, then the objective of the job. The order is kept between
+ * rounds: new steps are sorted among themselves and merged, so that a round takes one pass over the
+ * pending steps. Sorting all of them in each round took a quarter of an owner's processor time once
+ * hundreds of steps were pending, so the backlog grew. */
 #include "internal/pool-private.h"
 
 #include <string.h>
@@ -36,27 +36,27 @@
 is_restarting (const FbPoolStep *step)
 {
   gboolean may_have_run = step->job->restored && !step->job->never_started;
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
-      if (fb_pool_task_waits (task) && (may_have_run || task->attempt > 0))
+      if (fb_pool_task_is_pending (task) && (may_have_run || task->attempt > 0))
         return TRUE;
     }
   return FALSE;
 }
 
-/* Failure: a new owner has to ask the advice service again about each step, and a long-running task
- * whose lease expired meanwhile queues behind hundreds of urgent ones; it was down for 11 s while
- * workers were idle.  Guard: restarting tasks go first.  Long-running tasks are few and have enough
- * workers otherwise, so the other steps are delayed by only a few questions. */
+/* A new owner has to request advice again for each step. When a long-running task whose lease had
+ * expired meanwhile queued behind hundreds of urgent ones, it was down for 11 s while workers were
+ * idle. So restarting tasks come first. Long-running tasks are few and have enough workers
+ * otherwise, so the other steps are delayed by only a few requests. */
 static FbPoolUrgency
 urgency_of (const FbPoolStep *step, uint64_t now_ms)
 {
   const FbPoolJob *job = step->job;
-  if (step->shape->long_running)
+  if (step->spec->long_running)
     return is_restarting (step) ? FB_URGENCY_RESTARTING : FB_URGENCY_NORMAL;
-  if (job->record.spec.occurrences == 0 && now_ms > job->worthless_ms)
-    return FB_URGENCY_WORTHLESS;
+  if (job->record.spec.occurrences == 0 && now_ms > job->no_value_ms)
+    return FB_URGENCY_NO_VALUE;
   return FB_URGENCY_NORMAL;
 }
 
@@ -75,17 +75,17 @@
 remove_changed (FbPool *self, uint64_t now_ms)
 {
   guint n = 0;
-  for (guint i = 0; i < self->waiting->len; i++)
+  for (guint i = 0; i < self->queue->len; i++)
     {
-      FbPoolStep *step = self->waiting->pdata[i];
-      if (!fb_pool_step_waits (step))
+      FbPoolStep *step = self->queue->pdata[i];
+      if (!fb_pool_step_is_pending (step))
         step->queued = FALSE;
       else if (step->urgency != urgency_of (step, now_ms))
         g_ptr_array_add (self->unmerged, step);
       else
-        self->waiting->pdata[n++] = step;
+        self->queue->pdata[n++] = step;
     }
-  g_ptr_array_set_size (self->waiting, (gint) n);
+  g_ptr_array_set_size (self->queue, (gint) n);
 }
 
 /* Sorts FbPool.unmerged and removes steps without pending tasks from it. */
@@ -97,7 +97,7 @@
     {
       FbPoolStep *step = self->unmerged->pdata[i];
       step->urgency = urgency_of (step, now_ms);
-      step->queued = fb_pool_step_waits (step);
+      step->queued = fb_pool_step_is_pending (step);
       if (step->queued)
         self->unmerged->pdata[n++] = step;
     }
@@ -108,16 +108,16 @@
 static void
 merge_unmerged (FbPool *self)
 {
-  guint kept = self->waiting->len;
+  guint kept = self->queue->len;
   guint added = self->unmerged->len;
-  g_ptr_array_set_size (self->waiting, (gint) (kept + added));
-  gpointer *all = self->waiting->pdata;
+  g_ptr_array_set_size (self->queue, (gint) (kept + added));
+  gpointer *all = self->queue->pdata;
   gpointer *unmerged = self->unmerged->pdata;
   while (added > 0)
     {
-      gboolean from_kept = kept > 0 && compare_steps (all[kept - 1], unmerged[added - 1]) > 0;
-      all[kept + added - 1] = from_kept ? all[kept - 1] : unmerged[added - 1];
-      if (from_kept)
+      gboolean from_sorted = kept > 0 && compare_steps (all[kept - 1], unmerged[added - 1]) > 0;
+      all[kept + added - 1] = from_sorted ? all[kept - 1] : unmerged[added - 1];
+      if (from_sorted)
         kept--;
       else
         added--;
@@ -146,8 +146,8 @@
 }
 
 void
-fb_pool_queue_forget (FbPool *self, const FbPoolJob *job)
+fb_pool_queue_remove_job (FbPool *self, const FbPoolJob *job)
 {
-  remove_steps_of (self->waiting, job);
+  remove_steps_of (self->queue, job);
   remove_steps_of (self->unmerged, job);
 }
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -1,4 +1,4 @@
-/* Take-over by a new owner: which runs may exist that it does not know of.
+/* Takeover by a new owner: which runs may exist that it has not found yet.
  *
  * A new owner must not start a task that still runs on a worker that has not answered yet, as the
  * task would run twice. So a task starts only when no worker without an answer under the new epoch
@@ -6,7 +6,7 @@
  * leases have certainly ended.
  *
  * A worker that is unreachable at that moment takes up to 6.2 s until its lease ends, and holding
- * back everything for it kept whole pools idle. Until then tasks that certainly do not run there
+ * back everything for it left whole pools idle. Until then tasks that certainly do not run there
  * may start: those of steps that did not run there when the worker began to drain, of steps for
  * which the worker lacks a label, of steps that the advice service does not allow on it (its
  * permissions never change, and workers refuse starts without its ticket), and of jobs that were
@@ -19,7 +19,7 @@
 running_n (const FbPoolStep *step)
 {
   guint n = 0;
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     n += step->tasks[i].run != NULL;
   return n;
 }
@@ -29,7 +29,7 @@
 {
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, self->active);
+  g_hash_table_iter_init (&iter, self->active_jobs);
   while (g_hash_table_iter_next (&iter, &value, NULL))
     {
       FbPoolJob *job = value;
@@ -39,17 +39,17 @@
           for (guint j = 0; j < job->record.spec.steps.steps_len; j++)
             {
               FbPoolStep *step = &occurrence->steps[j];
-              guint runs = step->shape->gang ? running_n (step) : 0;
-              if (runs > 0 && runs < step->shape->count && !fb_pool_step_done (step))
+              guint runs = step->spec->gang ? running_n (step) : 0;
+              if (runs > 0 && runs < step->spec->count && !fb_pool_step_done (step))
                 fb_pool_stop_gang (self, step, now_ms);
             }
         }
     }
 }
 
-/* When workers are replaced one after the other during a take-over, each new one is unconfirmed for
- * its first moments, so that the take-over would never complete. A worker listed after the previous
- * owner had stopped and its last orders had expired cannot hold any of its runs. */
+/* During a rolling replacement of workers, each new worker is unconfirmed for its first moments, so
+ * a takeover would never complete. A worker listed after the previous owner had stopped and its
+ * last orders had expired cannot hold any of its runs. */
 static gboolean
 is_listed_after_takeover (const FbPool *self, const FbPoolWorker *worker)
 {
@@ -75,7 +75,7 @@
 {
   if (self->recovered || !self->workers_complete)
     return;
-  if (self->majority_ms == 0 && fb_pool_holds_majority (self, G_MAXUINT32, now_ms))
+  if (self->majority_ms == 0 && fb_pool_has_majority (self, G_MAXUINT32, now_ms))
     self->majority_ms = now_ms;
   if (self->majority_ms == 0)
     return;
@@ -88,8 +88,8 @@
   fb_event_log (FB_EVENT_POOL_SETTLED,
                 "service=%s epoch=%" G_GUINT64_FORMAT " workers=%u jobs=%u active=%u took_ms=%u",
                 self->service, self->epoch, g_hash_table_size (self->workers),
-                g_hash_table_size (self->jobs), g_hash_table_size (self->active),
-                (guint) (now_ms - self->began_ms));
+                g_hash_table_size (self->jobs), g_hash_table_size (self->active_jobs),
+                (guint) (now_ms - self->created_ms));
 }
 
 gboolean
@@ -101,10 +101,10 @@
 gboolean
 fb_pool_has_no_earlier_starts (const FbPool *self)
 {
-  /* A job received now was stored after jobs_read_ms, or it would be known. */
+  /* A job received now was stored after jobs_complete_ms, or it would be known. */
   return self->recovered
          || (self->majority_ms != 0
-             && self->jobs_read_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);
+             && self->jobs_complete_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);
 }
 
 static gboolean
@@ -115,8 +115,8 @@
   /* The labels of a worker that is not listed are unknown. */
   if (!worker->listed)
     return TRUE;
-  /* Its capacity proves nothing: it may have shrunk since a run began that fitted then. */
-  if (!fb_pool_has_labels_for (worker, step->shape))
+  /* Its capacity proves nothing: it may have shrunk since a run was started that fitted then. */
+  if (!fb_pool_has_labels_for (worker, step->spec))
     return FALSE;
   if (!step->job->record.policy.advised || !step->job->advised_when_stored)
     return TRUE;
@@ -124,9 +124,10 @@
   return advice == NULL || advice->allowed;
 }
 
-/* If reads of the store lag, the new owner may see the end of a task at a worker before it reads
- * the task's job, and would then run the finished task again. So a job that is read while a worker
- * lists an end of an unknown job waits until these workers have answered again. */
+/* If reads of the store lag, a worker may report the end of a task to the new owner before the
+ * owner has read the task's job, and the owner would then run the finished task again. So a job
+ * that is read while a worker lists an end of an unknown job waits until these workers have
+ * answered again. */
 static gboolean
 may_have_unknown_end (const FbPool *self, FbPoolJob *job)
 {
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -1,7 +1,7 @@
 /* Handles what workers report: the runs they list and the ends of runs.
  *
- * Each end is processed once by its number and counted once by its attempt: a new owner sees ends
- * again that the previous owner had recorded but could no longer acknowledge. */
+ * Each end is processed once by its number and counted once by its attempt: a new owner receives
+ * ends again that the previous owner had recorded but could no longer acknowledge. */
 #include "internal/pool-crash.h"
 
 #include "fb-counter.h"
@@ -16,7 +16,7 @@
  * meanwhile. */
 #define POLL_INTERVAL_MS 120
 
-/* Most ends that a worker lists in one answer; later ends are listed once these are
+/* Maximum number of ends that a worker lists in one answer; later ends are listed once these are
  * acknowledged. */
 #define MAX_REPORTED_ENDS 500
 
@@ -35,7 +35,7 @@
   if (self->fenced)
     return;
   self->fenced = TRUE;
-  self->sink->fenced (self->user, worker != NULL ? worker->id : "");
+  self->callbacks->fenced (self->user, worker != NULL ? worker->id : "");
 }
 
 void
@@ -55,7 +55,7 @@
     fb_pool_order_stop (self, worker, run, now_ms);
 }
 
-typedef gboolean (*RunFilter) (const FbPoolRun *run, gconstpointer of);
+typedef gboolean (*RunFilter) (const FbPoolRun *run, gconstpointer object);
 
 static gboolean
 is_of_job (const FbPoolRun *run, gconstpointer job)
@@ -76,7 +76,7 @@
 }
 
 static void
-stop_runs (FbPool *self, RunFilter filter, gconstpointer of, uint64_t now_ms)
+stop_runs (FbPool *self, RunFilter filter, gconstpointer object, uint64_t now_ms)
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
@@ -87,7 +87,7 @@
       g_hash_table_iter_init (&runs, worker->runs);
       while (g_hash_table_iter_next (&runs, NULL, &run))
         {
-          if (filter (run, of))
+          if (filter (run, object))
             stop_run (self, worker, run, now_ms);
         }
     }
@@ -130,11 +130,11 @@
       job->ended_wall_ms = wall_ms;
       fb_pool_job_changed (self, job);
     }
-  g_hash_table_remove (self->active, job);
+  g_hash_table_remove (self->active_jobs, job);
   g_hash_table_remove (self->jobs_to_release, job);
   g_hash_table_remove (self->jobs_with_dependencies, job);
-  g_hash_table_add (self->ended, job);
-  fb_pool_crash_forget (self, job);
+  g_hash_table_add (self->ended_jobs, job);
+  fb_pool_crash_remove_job (self, job);
   release_reservations (self, job);
   fb_event_log (FB_EVENT_JOB_OVER, "job=%s queue=%s state=%d age_ms=%" G_GUINT64_FORMAT, job->id,
                 job->record.policy.queue, job->state, now_ms - job->admitted_ms);
@@ -151,13 +151,13 @@
 mark_task_done (FbPool *self, FbPoolStep *step, uint32_t index, uint64_t now_ms)
 {
   FbPoolTask *task = &step->tasks[index];
-  if (task->done || step->shape->long_running)
+  if (task->done || step->spec->long_running)
     return;
   task->done = TRUE;
   step->done_n++;
   if (task->run != NULL && task->run->state != FB_RUN_STOPPING)
     task->run->abandoned = TRUE;
-  if (step->shape->speculative)
+  if (step->spec->speculative)
     stop_runs (self, is_of_task, task, now_ms);
 }
 
@@ -166,8 +166,8 @@
                uint64_t now_ms, uint64_t wall_ms)
 {
   /* A gang fails as a whole; the failures are counted at its first task. */
-  FbPoolTask *task = &step->tasks[step->shape->gang ? 0 : index];
-  if (step->shape->long_running || task->done || !fb_pool_task_count_failed (task, end->attempt))
+  FbPoolTask *task = &step->tasks[step->spec->gang ? 0 : index];
+  if (step->spec->long_running || task->done || !fb_pool_task_count_failed (task, end->attempt))
     return;
   fb_pool_job_changed (self, step->job);
   if (fb_pool_task_failed_n (task) >= step->job->record.policy.max_attempts)
@@ -175,15 +175,15 @@
 }
 
 static void
-update_failure_streak (FbPoolWorker *worker, const FbPoolStep *step, FbEndReason how,
+update_failure_streak (FbPoolWorker *worker, const FbPoolStep *step, FbEndReason reason,
                        uint64_t now_ms)
 {
-  if (how == FB_END_DONE)
+  if (reason == FB_END_DONE)
     {
       worker->failure_streak = 0;
       worker->throttled_until_ms = 0;
     }
-  else if (how == FB_END_FAILED && g_strcmp0 (worker->last_failed_job, step->job->id) != 0)
+  else if (reason == FB_END_FAILED && g_strcmp0 (worker->last_failed_job, step->job->id) != 0)
     {
       worker->failure_streak++;
       fb_pool_worker_throttle (worker, now_ms);
@@ -196,12 +196,12 @@
 record_run_time (FbPoolWorker *worker, const FbPoolRun *run, uint64_t now_ms)
 {
   FbPoolStep *step = run->step;
-  uint32_t took_ms = (uint32_t) (now_ms - run->started_ms);
+  uint32_t duration_ms = (uint32_t) (now_ms - run->started_ms);
   step->timed_runs_n++;
-  step->timed_total_ms += took_ms;
+  step->timed_total_ms += duration_ms;
   /* Members of a gang end together, so their times say nothing about single workers. */
-  if (run->from_start && !step->shape->gang)
-    fb_pool_speed_record_run (&step->tasks[run->index], worker->speed, took_ms);
+  if (run->from_start && !step->spec->gang)
+    fb_pool_speed_record_run (&step->tasks[run->index], worker->speed, duration_ms);
 }
 
 static void
@@ -214,32 +214,33 @@
   task->attempt = MAX (task->attempt, end->attempt);
   step->gang_attempt = MAX (step->gang_attempt, end->attempt);
   step->job->started = TRUE;
-  update_failure_streak (worker, step, end->how, now_ms);
-  fb_pool_crash_task_ended (self, worker, step, index, end->how);
-  if (run != NULL && run->step == step && run->attempt == end->attempt && end->how == FB_END_DONE)
+  update_failure_streak (worker, step, end->reason, now_ms);
+  fb_pool_crash_task_ended (self, worker, step, index, end->reason);
+  if (run != NULL && run->step == step && run->attempt == end->attempt
+      && end->reason == FB_END_DONE)
     record_run_time (worker, run, now_ms);
   if (run != NULL && run->attempt <= end->attempt)
-    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);
+    fb_pool_run_ended (self, worker, run, end_names[end->reason], now_ms);
   if (task->run == NULL)
-    fb_pool_long_running_ended (step, index, end_names[end->how], now_ms);
+    fb_pool_long_running_ended (step, index, end_names[end->reason], now_ms);
   if (fb_pool_job_ended (step->job))
     return;
-  if (end->how == FB_END_DONE && step->shape->gang)
+  if (end->reason == FB_END_DONE && step->spec->gang)
     {
-      for (uint32_t i = 0; i < step->shape->count; i++)
+      for (uint32_t i = 0; i < step->spec->count; i++)
         mark_task_done (self, step, i, now_ms);
     }
-  else if (end->how == FB_END_DONE)
+  else if (end->reason == FB_END_DONE)
     mark_task_done (self, step, index, now_ms);
-  else if (end->how == FB_END_FAILED)
+  else if (end->reason == FB_END_FAILED)
     count_failure (self, step, index, end, now_ms, wall_ms);
-  if (step->shape->gang && end->how != FB_END_DONE && end->attempt == step->gang_attempt
+  if (step->spec->gang && end->reason != FB_END_DONE && end->attempt == step->gang_attempt
       && !fb_pool_step_done (step) && !fb_pool_job_ended (step->job))
     fb_pool_stop_gang (self, step, now_ms);
-  if (end->how == FB_END_DONE)
+  if (end->reason == FB_END_DONE)
     {
       if (fb_pool_step_done (step))
-        fb_pool_speed_learn (step);
+        fb_pool_speed_update (step);
       fb_pool_job_changed (self, step->job);
       if (fb_pool_job_release (self, step->job, wall_ms))
         fb_pool_job_end (self, step->job, FB_WORK_COMPLETED, now_ms, wall_ms);
@@ -253,14 +254,14 @@
   uint32_t index = 0;
   FbPoolStep *step = fb_pool_find_task (self, end->task, &index);
   fb_event_log (FB_EVENT_TASK_ENDED, "task=%s attempt=%u worker=%s how=%s known=%d number=%u",
-                end->task, end->attempt, worker->id, end_names[end->how], step != NULL,
+                end->task, end->attempt, worker->id, end_names[end->reason], step != NULL,
                 (guint) end->number);
   static const FbCounter counters[] = {
     [FB_END_DONE] = FB_COUNTER_TASKS_DONE,         [FB_END_FAILED] = FB_COUNTER_TASKS_FAILED,
     [FB_END_STOPPED] = FB_COUNTER_TASKS_OTHER,     [FB_END_LEASE_EXPIRED] = FB_COUNTER_TASKS_OTHER,
     [FB_END_GANG_BROKEN] = FB_COUNTER_TASKS_OTHER, [FB_END_GANG_TIMEOUT] = FB_COUNTER_TASKS_OTHER
   };
-  fb_counter_add (counters[end->how], 1);
+  fb_counter_add (counters[end->reason], 1);
   if (step != NULL)
     {
       process_task_end (self, worker, step, index, end, now_ms, wall_ms);
@@ -268,7 +269,7 @@
     }
   FbPoolRun *run = g_hash_table_lookup (worker->runs, end->task);
   if (run != NULL && run->attempt <= end->attempt)
-    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);
+    fb_pool_run_ended (self, worker, run, end_names[end->reason], now_ms);
 }
 
 /* ---- listed runs ------------------------------------------------------------------- */
@@ -281,7 +282,7 @@
   FbPoolTask *task = &step->tasks[run->index];
   gboolean wanted = !task->done && !fb_pool_job_ended (step->job);
   if (wanted && task->run != NULL && task->run != run)
-    wanted = step->shape->speculative ? task->copy == NULL : task->run->attempt <= run->attempt;
+    wanted = step->spec->speculative ? task->copy == NULL : task->run->attempt <= run->attempt;
   fb_event_log (FB_EVENT_RUN_ADOPTED, "task=%s attempt=%u worker=%s wanted=%d", run->name,
                 run->attempt, worker->id, wanted);
   if (!wanted)
@@ -289,7 +290,7 @@
       stop_run (self, worker, run, now_ms);
       return;
     }
-  if (task->run == NULL || step->shape->speculative)
+  if (task->run == NULL || step->spec->speculative)
     fb_pool_task_attach_run (task, run);
   task->attempt = MAX (task->attempt, run->attempt);
   step->gang_attempt = MAX (step->gang_attempt, run->attempt);
@@ -307,7 +308,7 @@
   FbPoolRun *run = fb_pool_worker_add_run (worker, step, index, seen->task, seen->attempt);
   run->state = FB_RUN_RUNNING;
   run->started_ms = now_ms;
-  run->seen_ms = now_ms;
+  run->first_listed_ms = now_ms;
   fb_pool_restart_found (self, worker, run, now_ms);
   if (step != NULL)
     assign_run (self, worker, run, now_ms);
@@ -362,7 +363,8 @@
     {
       FbPoolRun *run = value;
       if (run->step == NULL && run->state != FB_RUN_STOPPING
-          && (self->jobs_read_ms > run->seen_ms || fb_pool_find_job (self, run->name) != NULL))
+          && (self->jobs_complete_ms > run->first_listed_ms
+              || fb_pool_find_job (self, run->name) != NULL))
         stop_run (self, worker, run, now_ms);
     }
 }
@@ -426,14 +428,14 @@
         fb_pool_crash_task_absent (self, worker, step, run->index);
       fb_pool_restart_count_crash (self, run, now_ms);
       fb_pool_run_ended (self, worker, run, "absent", now_ms);
-      if (step != NULL && step->shape->gang && !fb_pool_step_done (step)
+      if (step != NULL && step->spec->gang && !fb_pool_step_done (step)
           && !fb_pool_job_ended (step->job))
         fb_pool_stop_gang (self, step, now_ms);
     }
 }
 
 /* TRUE while END belongs to a job that may not have been read from the store yet. If END were
- * acknowledged, the worker would forget it, and the job would run again once read. */
+ * acknowledged, the worker would discard it, and the job would run again once read. */
 static gboolean
 is_of_unknown_job (const FbPool *self, FbPoolWorker *worker, const FbReportedEnd *end,
                    uint64_t now_ms)
@@ -443,10 +445,10 @@
   if (worker->unknown_end != end->number)
     worker->unknown_end_ms = now_ms;
   worker->unknown_end = end->number;
-  return self->jobs_read_ms <= worker->unknown_end_ms;
+  return self->jobs_complete_ms <= worker->unknown_end_ms;
 }
 
-/* The stored record names the steps that may still run on a draining worker; it is rewritten when
+/* The stored record lists the steps that may still run on a draining worker; it is rewritten when
  * the last run there is over. */
 static void
 mark_workers_dirty_if_emptied (FbPool *self, const FbPoolWorker *worker, guint runs_before)
@@ -466,9 +468,9 @@
              : FB_POOL_LEASE_MS;
 }
 
-/* A worker forgets acknowledged ends. If one is still listed, the acknowledgement was not
- * received: the answer to another poll was taken for the one to the acknowledging poll.
- * Acknowledge it again. */
+/* A worker discards acknowledged ends. If one is still listed, the acknowledgement was not
+ * received: the answer to another poll was taken for the one to the acknowledging poll. Acknowledge
+ * it again. */
 static void
 acknowledge_again (FbPoolWorker *worker, const FbPollAnswer *answer)
 {
@@ -516,12 +518,12 @@
   for (guint i = 0; i < answer->finished->len; i++)
     {
       const FbReportedEnd *end = &g_array_index (answer->finished, FbReportedEnd, i);
-      if (end->number <= worker->seen_end)
+      if (end->number <= worker->processed_end)
         continue;
       worker->has_unknown_end = is_of_unknown_job (self, worker, end, now_ms);
       if (worker->has_unknown_end)
         break;
-      worker->seen_end = end->number;
+      worker->processed_end = end->number;
       process_end (self, worker, end, now_ms, wall_ms);
     }
   if (answer->finished->len >= self->limits.max_reported_ends)
@@ -533,15 +535,15 @@
   mark_workers_dirty_if_emptied (self, worker, runs_before);
   if (worker->has_unknown_end)
     worker->next_poll_ms = now_ms + UNKNOWN_END_POLL_INTERVAL_MS;
-  else if (worker->acknowledged == worker->seen_end && fb_pool_may_poll_again (worker))
+  else if (worker->acknowledged == worker->processed_end && fb_pool_may_poll_again (worker))
     fb_pool_order_poll (self, worker, now_ms);
 }
 
-/* If a worker leaves during a take-over, the new owner knows it from the previous owner's record
- * and would wait for its lease, 6 s with the whole pool idle (seen when a worker left 1 s before).
+/* If a worker leaves during a takeover, the new owner has it from the previous owner's record and
+ * would wait for its lease, 6 s with the whole pool idle (observed when a worker left 1 s before).
  * A worker that is missing from a list read under this epoch, and whose host answers that nothing
- * listens at the address, has left with all its runs. Neither sign alone is proof: lists can lose
- * live workers, and a network partition may refuse connections. */
+ * listens at the address, has left with all its runs. Neither condition alone is proof: lists can
+ * lose live workers, and a network partition may refuse connections. */
 static gboolean
 has_left (const FbPool *self, const FbPoolWorker *worker)
 {
--- a/src/work/pool-speed.c
+++ b/src/work/pool-speed.c
@@ -1,19 +1,19 @@
 /* Estimates the speed of the workers.
  *
- * Workers differ by 0.8 to 1.25 and more, and they do not report their speed.  The tasks of one
- * step are alike, so once a step has ended each of its runs is compared with the mean of all.  If
- * runs were taken into account as they end, each would be compared with shorter ones only, and
- * every worker would seem slow.  The known speeds of the workers are factored out first; otherwise
- * a step that ran on fast workers only would make each of them seem average. */
+ * Workers differ by 0.8 to 1.25 and more, and they do not report their speed. The tasks of one step
+ * are alike, so once a step has ended each of its runs is compared with the mean of all. If runs
+ * were taken into account as they end, each would be compared with shorter ones only, and every
+ * worker would seem slow. The known speeds of the workers are factored out first; otherwise a step
+ * that ran on fast workers only would make each of them seem average. */
 #include "internal/pool-private.h"
 
 #include <math.h>
 
 /* Weight of one run in the estimate: run times of the tasks of a step differ by 0.15 to 0.3 of
- * their mean, so some ten runs are needed to tell one worker from another. */
+ * their mean, so some ten runs are needed to distinguish one worker from another. */
 #define LEARNING_RATE 0.125
-/* The ratio of a single run is limited to this range: a run far from the others was stuck, or
- * lucky. */
+/* The ratio of a single run is clamped to this range, because outliers say little about the worker:
+ * a much longer run was stuck, and a much shorter one was an exception. */
 #define RATIO_MIN 0.4
 #define RATIO_MAX 4.0
 
@@ -41,11 +41,11 @@
 }
 
 void
-fb_pool_speed_record_run (FbPoolTask *task, FbPoolSpeed *speed, uint32_t took_ms)
+fb_pool_speed_record_run (FbPoolTask *task, FbPoolSpeed *speed, uint32_t duration_ms)
 {
   fb_pool_speed_unref (task->worker_speed);
   task->worker_speed = speed_ref (speed);
-  task->took_ms = took_ms;
+  task->duration_ms = duration_ms;
 }
 
 /* Returns: the run time on a worker of slowness 1, estimated from the recorded runs of STEP; 0 when
@@ -53,19 +53,19 @@
 static double
 baseline_ms (const FbPoolStep *step)
 {
-  double took_ms = 0;
+  double duration_ms = 0;
   double slowness = 0;
   guint n = 0;
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
       if (task->worker_speed == NULL)
         continue;
-      took_ms += task->took_ms;
+      duration_ms += task->duration_ms;
       slowness += task->worker_speed->slowness;
       n++;
     }
-  return n > 1 ? took_ms / slowness : 0;
+  return n > 1 ? duration_ms / slowness : 0;
 }
 
 /* Updates the slowness of a worker from all its runs of one step together: one by one, those taken
@@ -83,18 +83,18 @@
 }
 
 void
-fb_pool_speed_learn (FbPoolStep *step)
+fb_pool_speed_update (FbPoolStep *step)
 {
   double baseline = baseline_ms (step);
-  for (uint32_t i = 0; baseline > 0 && i < step->shape->count; i++)
+  for (uint32_t i = 0; baseline > 0 && i < step->spec->count; i++)
     {
       const FbPoolTask *task = &step->tasks[i];
       if (task->worker_speed == NULL)
         continue;
-      task->worker_speed->step_ratio += CLAMP (task->took_ms / baseline, RATIO_MIN, RATIO_MAX);
+      task->worker_speed->step_ratio += CLAMP (task->duration_ms / baseline, RATIO_MIN, RATIO_MAX);
       task->worker_speed->step_runs++;
     }
-  for (uint32_t i = 0; i < step->shape->count; i++)
+  for (uint32_t i = 0; i < step->spec->count; i++)
     {
       FbPoolTask *task = &step->tasks[i];
       if (task->worker_speed != NULL)
--- a/src/work/pool-stuck.c
+++ b/src/work/pool-stuck.c
@@ -1,21 +1,21 @@
 /* Detection of stuck runs.
  *
- * Failure: the tasks on a worker make no progress while the worker still answers; their jobs never
- * end.  Guard: a run that takes far too long is started again elsewhere, and its worker gets less
- * work.  The limit follows from the other runs of the step once some have ended, and from the
- * estimate before.  It doubles with each restart, and after the last one the task is left alone,
- * because it may just be long. */
+ * The tasks on a worker may make no progress while the worker still answers, and their jobs would
+ * never end. So a run that takes far too long is restarted elsewhere, and its worker gets fewer
+ * runs. The limit follows from the other runs of the step once some have ended, and from the
+ * estimate before. It doubles with each restart, and after the last restart the task runs without a
+ * limit, because it may just be long. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
 
 /* A run is stuck when it takes this percentage of the time that the other runs of its step took
- * (they differ by some 15%), plus this time for the start on a slow worker.  The limit doubles with
+ * (they differ by some 15%), plus this time for the start on a slow worker. The limit doubles with
  * each restart. */
 #define STUCK_PERCENT 250
 #define STUCK_MS 800
 /* Until other runs have ended only the estimate is known, which is wrong by a factor of up to 1.9,
- * while run times spread to 2.5 times their mean.  A factor of 5 restarted sound runs in load
+ * while run times spread to 2.5 times their mean. A factor of 5 restarted healthy runs in load
  * tests without faults. */
 #define STUCK_ESTIMATE_FACTOR 10
 #define MAX_STUCK_RESTARTS 3
@@ -30,8 +30,8 @@
 is_stuck (const FbPoolRun *run, uint64_t now_ms)
 {
   const FbPoolStep *step = run->step;
-  if (step == NULL || run->state != FB_RUN_RUNNING || step->shape->long_running
-      || step->shape->estimate_ms == 0)
+  if (step == NULL || run->state != FB_RUN_RUNNING || step->spec->long_running
+      || step->spec->estimate_ms == 0)
     return FALSE;
   uint32_t stuck_restarts = step->tasks[run->index].stuck_restarts;
   return stuck_restarts < MAX_STUCK_RESTARTS
@@ -43,11 +43,11 @@
 {
   fb_event_log (FB_EVENT_TASK_STUCK, "task=%s attempt=%u worker=%s ran_ms=%u estimate_ms=%u",
                 run->name, run->attempt, worker->id, (guint) (now_ms - run->started_ms),
-                run->step->shape->estimate_ms);
+                run->step->spec->estimate_ms);
   run->step->tasks[run->index].stuck_restarts++;
   worker->failure_streak++;
   fb_pool_worker_throttle (worker, now_ms);
-  if (run->step->shape->gang)
+  if (run->step->spec->gang)
     fb_pool_stop_gang (self, run->step, now_ms);
   else
     fb_pool_order_stop (self, worker, run, now_ms);
--- a/src/work/pool-worker-slots.c
+++ b/src/work/pool-worker-slots.c
@@ -1,8 +1,8 @@
 /* The workers of a pool in a dense array, and the list of workers whose capacity has grown.
  *
  * A round checks the free capacity of each worker for each pending step, so it iterates over an
- * array instead of a hash table.  A slot is used again after its worker is forgotten;
- * FbPoolWorker.incarnation, which never repeats, tells the two workers apart. */
+ * array instead of a hash table. A slot is reused after its worker has been removed;
+ * FbPoolWorker.incarnation, which is never reused, distinguishes the two workers. */
 #include "internal/pool-private.h"
 
 void
@@ -37,7 +37,7 @@
 fb_pool_worker_slots_remove (FbPool *self, FbPoolWorker *worker)
 {
   self->worker_slots->pdata[worker->slot] = NULL;
-  fb_pool_incarnation_forget (self, worker);
+  fb_pool_incarnation_remove (self, worker);
   remove_gained_capacity (self, worker);
   g_hash_table_remove (self->workers, worker->id);
 }
--- a/src/work/pool.c
+++ b/src/work/pool.c
@@ -6,13 +6,13 @@
 
 /* A stop order without an answer is sent again after this time. */
 #define STOP_REPEAT_MS 600
-/* An owner that heard from a majority of its workers within this time is taken to be connected, so
- * a silent worker is not explained by a failure of the owner's own network. */
+/* An owner that got answers from a majority of its workers within this time is considered
+ * connected, so the silence of a worker is not attributed to the owner's own network. */
 #define MAJORITY_ANSWER_MS 1500
 
 FbPool *
 fb_pool_new (const char *service, uint64_t epoch, const FbPoolLimits *limits,
-             const FbPoolSink *sink, gpointer user, uint64_t now_ms)
+             const FbPoolCallbacks *callbacks, gpointer user, uint64_t now_ms)
 {
   FbPool *self = g_new0 (FbPool, 1);
   self->service = g_strdup (service);
@@ -20,30 +20,30 @@
   self->limits = *limits;
   fb_pool_crash_set_limits (&self->limits);
   fb_pool_report_set_limits (&self->limits);
-  self->sink = sink;
+  self->callbacks = callbacks;
   self->user = user;
-  self->began_ms = now_ms;
+  self->created_ms = now_ms;
   self->workers = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, fb_pool_worker_free);
   self->worker_slots = g_ptr_array_new ();
-  self->latest = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  self->latest_incarnations = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
   self->gained_capacity = g_ptr_array_new ();
-  self->waiting = g_ptr_array_new ();
+  self->queue = g_ptr_array_new ();
   self->unmerged = g_ptr_array_new ();
   self->jobs_to_release = g_hash_table_new (NULL, NULL);
   self->jobs_with_dependencies = g_hash_table_new (NULL, NULL);
   self->jobs = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, fb_pool_job_free);
-  self->active = g_hash_table_new (NULL, NULL);
-  self->ended = g_hash_table_new (NULL, NULL);
+  self->active_jobs = g_hash_table_new (NULL, NULL);
+  self->ended_jobs = g_hash_table_new (NULL, NULL);
   self->dirty = g_hash_table_new (NULL, NULL);
-  self->suspects = g_hash_table_new (NULL, NULL);
-  self->unstored = g_hash_table_new (NULL, NULL);
-  self->causes = fb_pool_crash_causes_new ();
+  self->suspect_steps = g_hash_table_new (NULL, NULL);
+  self->unstored_suspects = g_hash_table_new (NULL, NULL);
+  self->crash_causes = fb_pool_crash_causes_new ();
   self->unresolved_losses = fb_pool_unresolved_losses_new ();
   self->drain_steps = g_hash_table_new_full (g_str_hash, g_str_equal, g_free,
                                              (GDestroyNotify) g_hash_table_unref);
   self->in_flush = g_ptr_array_new ();
   self->unconfirmed_workers = g_ptr_array_new ();
-  self->orders = fb_pool_orders_new ();
+  self->open_orders = fb_pool_orders_new ();
   self->unanswered_starts = fb_pool_unanswered_starts_new ();
   return self;
 }
@@ -51,23 +51,23 @@
 void
 fb_pool_free (FbPool *self)
 {
-  g_hash_table_unref (self->orders);
+  g_hash_table_unref (self->open_orders);
   fb_pool_unanswered_starts_free (self->unanswered_starts);
   g_hash_table_unref (self->workers); /* before the jobs: runs point to their steps */
   g_ptr_array_unref (self->worker_slots);
-  g_hash_table_unref (self->latest);
+  g_hash_table_unref (self->latest_incarnations);
   g_ptr_array_unref (self->gained_capacity);
-  g_ptr_array_unref (self->waiting);
+  g_ptr_array_unref (self->queue);
   g_ptr_array_unref (self->unmerged);
   g_hash_table_unref (self->drain_steps);
   g_hash_table_unref (self->jobs_to_release);
   g_hash_table_unref (self->jobs_with_dependencies);
-  g_hash_table_unref (self->active);
-  g_hash_table_unref (self->ended);
+  g_hash_table_unref (self->active_jobs);
+  g_hash_table_unref (self->ended_jobs);
   g_hash_table_unref (self->dirty);
-  g_hash_table_unref (self->suspects);
-  g_hash_table_unref (self->unstored);
-  g_hash_table_unref (self->causes);
+  g_hash_table_unref (self->suspect_steps);
+  g_hash_table_unref (self->unstored_suspects);
+  g_hash_table_unref (self->crash_causes);
   g_hash_table_unref (self->unresolved_losses);
   g_ptr_array_unref (self->in_flush);
   g_ptr_array_unref (self->unconfirmed_workers);
@@ -81,19 +81,18 @@
 static gboolean
 should_move (const FbPoolRun *run)
 {
-  if (run->step == NULL || run->state != FB_RUN_RUNNING || run->step->shape->gang)
+  if (run->step == NULL || run->state != FB_RUN_RUNNING || run->step->spec->gang)
     return FALSE;
-  return run->step->shape->long_running || run->step->shape->checkpointing;
+  return run->step->spec->long_running || run->step->spec->checkpointing;
 }
 
 /* Moves long-running and checkpointing tasks off a draining worker before it exits, as soon as they
  * may start elsewhere.
  *
- * Failure: the owner of the pool changes while a worker begins to drain, and each new owner sees
- * the worker draining from the beginning.  If tasks were moved only at the transition to draining,
- * a long-running task would end with its worker and start again only after the next owner has
- * recovered, 12 s later.  Guard: the runs on a draining worker are checked in every maintenance
- * pass. */
+ * Called in every maintenance pass, because the owner of the pool may change while a worker begins
+ * to drain, and for the new owner the worker is draining from the first list on. If tasks were
+ * moved only at the transition to draining, a long-running task would end with its worker and start
+ * again only after the next owner has recovered, 12 s later. */
 static void
 move_runs_off_draining (FbPool *self, FbPoolWorker *worker, uint64_t now_ms)
 {
@@ -124,8 +123,8 @@
   gboolean was_draining = worker->draining;
   gboolean address_changed = g_strcmp0 (worker->address, entry->address) != 0;
   if (address_changed)
-    fb_pool_incarnation_forget (self, worker);
-  fb_pool_worker_describe (worker, entry);
+    fb_pool_incarnation_remove (self, worker);
+  fb_pool_worker_set_entry (worker, entry);
   fb_pool_worker_gained_capacity (self, worker);
   if (is_new || was_draining != worker->draining)
     fb_event_log (FB_EVENT_POOL_WORKER_LISTED, "worker=%s address=%s cpu=%u gpu=%u draining=%d",
@@ -151,10 +150,10 @@
                 g_hash_table_size (worker->runs), (guint) (now_ms - worker->last_answer_ms));
 }
 
-/* Failure: a worker's entry in the platform's list expires while the store is unavailable, the
- * owner changes, and the new owner does not know of the worker; tasks that still run there are
- * started a second time.  Guard: the owner records its own list of workers, which the next owner
- * reads here. */
+/* A worker's entry in the platform's list may expire while the store is unavailable. If the owner
+ * then changes, the new owner would have no entry for the worker and would start tasks that still
+ * run there a second time. So the owner records its own list of workers, which the next owner reads
+ * here. */
 void
 fb_pool_restore_workers (FbPool *self, const fb_work_workers *record)
 {
@@ -169,7 +168,7 @@
           worker = fb_pool_worker_new (known->id);
           worker->address = g_strdup (known->address);
           fb_pool_worker_slots_add (self, worker);
-          fb_pool_incarnation_known (self, worker, self->began_ms);
+          fb_pool_incarnation_known (self, worker, self->created_ms);
         }
       if (worker != NULL)
         fb_pool_drain_apply (self, worker);
@@ -184,7 +183,7 @@
 }
 
 static void
-forget_worker (FbPool *self, FbPoolWorker *worker)
+remove_worker (FbPool *self, FbPoolWorker *worker)
 {
   fb_pool_worker_slots_remove (self, worker);
   self->workers_dirty = TRUE;
@@ -210,7 +209,7 @@
   if (worker->draining)
     move_runs_off_draining (self, worker, now_ms);
   fb_pool_stop_orphans (self, worker, now_ms);
-  fb_pool_crash_note_silence (self, worker, now_ms);
+  fb_pool_crash_record_silence (self, worker, now_ms);
   fb_pool_crash_clear_long_running (self, worker);
   gboolean accepts_work = fb_pool_worker_accepts_starts (worker, now_ms);
   if (accepts_work && !worker->accepted_work)
@@ -221,15 +220,15 @@
 }
 
 /* TRUE when WORKER has left and need not be polled any more: either all runs of this incarnation
- * have certainly ended, or this owner has recovered, so that it knows everything that runs in the
- * pool, and nothing runs there.  A later owner would otherwise wait for the worker for a whole
+ * have certainly ended, or this owner has recovered, so that it has found everything that runs in
+ * the pool, and nothing runs there. A later owner would otherwise wait for the worker for a whole
  * lease.
  *
- * Failure: a worker on which capacity is reserved is forgotten and then listed again as a new one.
- * The reservation is returned to a worker that never had it, which then gets more than it can hold.
- * Guard: a worker with reserved capacity is not forgotten. */
+ * A worker with reserved capacity is kept. If it were removed and then listed again as a new one,
+ * the reservation would be returned to a worker that never had it, which would then get more runs
+ * than it has capacity for. */
 static gboolean
-can_be_forgotten (const FbPool *self, const FbPoolWorker *worker)
+can_be_removed (const FbPool *self, const FbPoolWorker *worker)
 {
   if (worker->listed || worker->reserved_n > 0)
     return FALSE;
@@ -243,18 +242,18 @@
 {
   guint slot = 0;
   FbPoolWorker *worker = NULL;
-  self->majority_answers = fb_pool_holds_majority (self, MAJORITY_ANSWER_MS, now_ms);
+  self->majority_answers = fb_pool_has_majority (self, MAJORITY_ANSWER_MS, now_ms);
   while ((worker = fb_pool_worker_slots_next (self, &slot)) != NULL)
     {
-      if (can_be_forgotten (self, worker))
-        forget_worker (self, worker);
+      if (can_be_removed (self, worker))
+        remove_worker (self, worker);
       else
         maintain_worker (self, worker, now_ms);
     }
 }
 
 gboolean
-fb_pool_holds_majority (const FbPool *self, uint32_t within_ms, uint64_t now_ms)
+fb_pool_has_majority (const FbPool *self, uint32_t within_ms, uint64_t now_ms)
 {
   guint listed = 0;
   guint answered_n = 0;
@@ -273,8 +272,8 @@
 /* ---- jobs ---------------------------------------------------------------------------- */
 
 void
-fb_pool_admit_owned (FbPool *self, const char *id, fb_work_admit *record, uint64_t now_ms,
-                     uint64_t wall_ms)
+fb_pool_add_job_take (FbPool *self, const char *id, fb_work_admit *record, uint64_t now_ms,
+                      uint64_t wall_ms)
 {
   if (g_hash_table_contains (self->jobs, id))
     return;
@@ -284,7 +283,7 @@
   job->advised_when_stored = job->record.policy.advised;
   fb_pool_await_unknown_ends (self, job, now_ms);
   g_hash_table_insert (self->jobs, job->id, job);
-  g_hash_table_add (self->active, job);
+  g_hash_table_add (self->active_jobs, job);
   (void) fb_pool_job_release (self, job, wall_ms); /* cannot complete: no task has ended yet */
   if (job->record.spec.occurrences > 0)
     g_hash_table_add (self->jobs_to_release, job);
@@ -299,19 +298,19 @@
 }
 
 void
-fb_pool_admit (FbPool *self, const char *id, const fb_work_admit *record, uint64_t now_ms,
-               uint64_t wall_ms)
+fb_pool_add_job (FbPool *self, const char *id, const fb_work_admit *record, uint64_t now_ms,
+                 uint64_t wall_ms)
 {
   if (g_hash_table_contains (self->jobs, id))
     return;
   fb_work_admit copy;
   fb_pool_job_copy_record (record, &copy);
-  fb_pool_admit_owned (self, id, &copy, now_ms, wall_ms);
+  fb_pool_add_job_take (self, id, &copy, now_ms, wall_ms);
 }
 
 void
-fb_pool_restore (FbPool *self, const char *id, const fb_work_progress *record,
-                 const fb_work_suspects *suspects, uint64_t now_ms)
+fb_pool_restore_job (FbPool *self, const char *id, const fb_work_progress *record,
+                     const fb_work_suspects *suspects, uint64_t now_ms)
 {
   FbPoolJob *job = g_hash_table_lookup (self->jobs, id);
   if (job == NULL && record->state < FB_WORK_COMPLETED)
@@ -333,18 +332,18 @@
     }
   g_hash_table_remove (self->jobs_to_release, job);
   g_hash_table_remove (self->jobs_with_dependencies, job);
-  g_hash_table_remove (self->active, job);
-  g_hash_table_add (self->ended, job);
+  g_hash_table_remove (self->active_jobs, job);
+  g_hash_table_add (self->ended_jobs, job);
 }
 
 void
-fb_pool_jobs_read (FbPool *self, uint64_t until_ms)
+fb_pool_jobs_complete (FbPool *self, uint64_t until_ms)
 {
-  self->jobs_read_ms = until_ms;
+  self->jobs_complete_ms = until_ms;
 }
 
 void
-fb_pool_cancel (FbPool *self, const char *id, uint64_t now_ms, uint64_t wall_ms)
+fb_pool_cancel_job (FbPool *self, const char *id, uint64_t now_ms, uint64_t wall_ms)
 {
   FbPoolJob *job = g_hash_table_lookup (self->jobs, id);
   if (job != NULL && !fb_pool_job_ended (job))
@@ -367,11 +366,11 @@
 }
 
 void
-fb_pool_policies (FbPool *self, GHashTable *policies)
+fb_pool_set_policies (FbPool *self, GHashTable *policies)
 {
   GHashTableIter iter;
   gpointer job;
-  g_hash_table_iter_init (&iter, self->active);
+  g_hash_table_iter_init (&iter, self->active_jobs);
   while (g_hash_table_iter_next (&iter, &job, NULL))
     {
       const fb_work_policy *policy
@@ -422,7 +421,7 @@
     return;
   self->round_due = FALSE;
   fb_pool_place (self, now_ms);
-  if (maintenance_due && self->resume_position == 0)
+  if (maintenance_due && self->round_position == 0)
     fb_pool_place_copies (self, now_ms);
 }
 
@@ -435,7 +434,7 @@
   if (job == NULL)
     return FALSE;
   /* A job is reported as ended only once the end is durable: a later owner must not run the job
-   * again after its caller has been told that it is done. */
+   * again after its caller has been notified of the end. */
   if (job->stored_state >= FB_WORK_COMPLETED)
     *state = job->stored_state;
   else
@@ -444,12 +443,12 @@
 }
 
 uint32_t
-fb_pool_pending (const FbPool *self, const char *queue)
+fb_pool_pending_jobs_n (const FbPool *self, const char *queue)
 {
   uint32_t pending = 0;
   GHashTableIter iter;
   gpointer value;
-  g_hash_table_iter_init (&iter, self->active);
+  g_hash_table_iter_init (&iter, self->active_jobs);
   while (g_hash_table_iter_next (&iter, &value, NULL))
     {
       const FbPoolJob *job = value;
--- a/tests/test-pool.c
+++ b/tests/test-pool.c
@@ -30,7 +30,7 @@
   GHashTable *used_workers; /* set of ids of workers on which something was started */
   GPtrArray *flush;         /* the open flush; NULL: none */
   gboolean show_polls;
-  uint64_t advice_requests_left; /* how many more advice requests are accepted */
+  uint64_t advice_requests_left; /* reason many more advice requests are accepted */
   char **args;
   const char *line;
 } Script;
@@ -161,7 +161,7 @@
          && atoi (parts[1]) > atoi (other_parts[1]);
 }
 
-static const FbPoolSink sink
+static const FbPoolCallbacks callbacks
     = { on_start, on_stop, on_poll, on_request_advice, on_fenced, is_newer_incarnation };
 
 /* ---- pools ------------------------------------------------------------------------ */
@@ -192,7 +192,7 @@
   static const FbPoolLimits limits
       = { .max_lease_ms = 6000, .max_stop_ms = 200, .gang_wait_ms = 3000, .max_reported_ends = 10 };
   g_clear_pointer (&script->pool, fb_pool_free);
-  script->pool = fb_pool_new ("svc", epoch, &limits, &sink, script, script->now_ms);
+  script->pool = fb_pool_new ("svc", epoch, &limits, &callbacks, script, script->now_ms);
   if (script->flush != NULL)
     g_clear_pointer (&script->flush, g_ptr_array_unref);
 }
@@ -228,7 +228,7 @@
   gpointer value;
   g_hash_table_iter_init (&iter, script->admitted);
   while (g_hash_table_iter_next (&iter, &key, &value))
-    fb_pool_admit (script->pool, key, value, script->now_ms, wall_ms (script));
+    fb_pool_add_job (script->pool, key, value, script->now_ms, wall_ms (script));
   g_hash_table_iter_init (&iter, script->progress);
   while (g_hash_table_iter_next (&iter, &key, &value))
     {
@@ -238,7 +238,7 @@
       fb_work_suspects suspects;
       if (!fb_codec_decode_progress (data, len, &progress, &suspects))
         fail (script, "the recorded progress is malformed");
-      fb_pool_restore (script->pool, key, &progress, &suspects, script->now_ms);
+      fb_pool_restore_job (script->pool, key, &progress, &suspects, script->now_ms);
       fb_codec_clear_progress (&progress, &suspects);
     }
   g_hash_table_iter_init (&iter, script->workers);
@@ -365,14 +365,14 @@
     }
   char *id = pad_job_id (script->args[1]);
   g_hash_table_replace (script->admitted, id, record);
-  fb_pool_admit (script->pool, id, record, script->now_ms, wall_ms (script));
+  fb_pool_add_job (script->pool, id, record, script->now_ms, wall_ms (script));
 }
 
 static void
 do_cancel (Script *script)
 {
   g_autofree char *id = pad_job_id (script->args[1]);
-  fb_pool_cancel (script->pool, id, script->now_ms, wall_ms (script));
+  fb_pool_cancel_job (script->pool, id, script->now_ms, wall_ms (script));
 }
 
 static void
@@ -388,7 +388,7 @@
 static void
 do_pending (Script *script)
 {
-  printf ("  %u pending\n", fb_pool_pending (script->pool, script->args[1]));
+  printf ("  %u pending\n", fb_pool_pending_jobs_n (script->pool, script->args[1]));
 }
 
 /* ---- reports of workers ------------------------------------------------------------------ */
@@ -433,15 +433,15 @@
   for (guint i = 0; items[i] != NULL; i++)
     {
       g_auto (GStrv) parts = g_strsplit (items[i], "/", 5);
-      guint how = 0;
-      while (reasons[how] != NULL && !g_str_equal (reasons[how], parts[3]))
-        how++;
-      if (reasons[how] == NULL)
+      guint reason = 0;
+      while (reasons[reason] != NULL && !g_str_equal (reasons[reason], parts[3]))
+        reason++;
+      if (reasons[reason] == NULL)
         fail (script, "unknown end reason");
       FbReportedEnd end = { .number = g_ascii_strtoull (parts[0], NULL, 10),
                             .task = pad_job_id (parts[1]),
                             .attempt = (uint32_t) atoi (parts[2]),
-                            .how = (FbEndReason) how,
+                            .reason = (FbEndReason) reason,
                             .checkpoint = g_strdup (parts[4] != NULL ? parts[4] : "") };
       g_array_append_val (finished, end);
     }
@@ -508,8 +508,8 @@
       reply.tickets.tickets_val[i].worker = allowed[i];
       reply.tickets.tickets_val[i].ticket = "t";
     }
-  fb_pool_advised (script->pool, step, (const char *const *) requested, g_strv_length (requested),
-                   &reply, script->now_ms);
+  fb_pool_advice_answered (script->pool, step, (const char *const *) requested,
+                           g_strv_length (requested), &reply, script->now_ms);
   free (reply.tickets.tickets_val);
 }
 
@@ -581,7 +581,7 @@
 static void
 do_jobs_complete (Script *script)
 {
-  fb_pool_jobs_read (script->pool, script->now_ms);
+  fb_pool_jobs_complete (script->pool, script->now_ms);
 }
 
 /* import-start TASK/ATTEMPT on=WORKER [address=ADDRESS] [seen]: another daemon reports a start by
--- a/tests/test-rounds.c
+++ b/tests/test-rounds.c
@@ -39,7 +39,7 @@
 static uint64_t
 advance_to_open_round (BusyPool *busy, uint64_t now_ms)
 {
-  for (uint64_t end_ms = now_ms + 3000; busy->pool->resume_position < 20 && now_ms < end_ms;)
+  for (uint64_t end_ms = now_ms + 3000; busy->pool->round_position < 20 && now_ms < end_ms;)
     now_ms = tick_once (busy, now_ms);
   return now_ms;
 }
@@ -101,7 +101,7 @@
         now_ms = tick_once (&busy, now_ms);
       misplaced += !is_running (&busy, "f");
       /* End the urgent job, wherever it runs, before the next one. */
-      fb_pool_cancel (busy.pool, id, now_ms, WALL_OFFSET_MS + now_ms);
+      fb_pool_cancel_job (busy.pool, id, now_ms, WALL_OFFSET_MS + now_ms);
       for (guint k = 0; k < WORKER_N; k++)
         for (guint r = 0; r < busy.workers[k].runs->len; r++)
           if (g_array_index (busy.workers[k].runs, FbReportedRun, r).task[0] == 'f')
@@ -146,16 +146,16 @@
   guint missed = 0;
   for (guint i = 0; i < 3; i++)
     {
-      for (uint64_t end_ms = now_ms + 3000; busy.pool->resume_position < 60 && now_ms < end_ms;)
+      for (uint64_t end_ms = now_ms + 3000; busy.pool->round_position < 60 && now_ms < end_ms;)
         {
-          if (busy.pool->resume_position == 0)
+          if (busy.pool->round_position == 0)
             busy_pool_list_worker (&busy, UNUSABLE_WORKER, "unused", now_ms);
           now_ms = tick_once (&busy, now_ms);
         }
       guint before = busy.started_n;
       busy_pool_end_run (&busy, URGENT_WORKER, i + 1, now_ms);
       fb_pool_worker_unlisted (busy.pool, "1", now_ms);
-      while (busy.pool->resume_position > 0)
+      while (busy.pool->round_position > 0)
         now_ms = tick_once (&busy, now_ms);
       const FbPoolWorker *urgent = g_hash_table_lookup (busy.pool->workers, "0");
       missed += busy.started_n == before && !urgent->gained_capacity;
@@ -191,7 +191,7 @@
   guint max_visits = 0;
   for (uint64_t end_ms = now_ms + 12000; now_ms < end_ms;)
     {
-      if (busy.pool->resume_position == 0)
+      if (busy.pool->round_position == 0)
         for (guint i = 0; i < WORKER_N; i++)
           busy_pool_list_worker (&busy, i, "a", now_ms);
       fb_pool_tick (busy.pool, TRUE, now_ms, WALL_OFFSET_MS + now_ms);
@@ -201,7 +201,7 @@
     }
   printf (
       "\nlongest iteration with %u waiting steps and %u workers with freed capacity: %u visits\n",
-      busy.pool->waiting->len, WORKER_N, max_visits);
+      busy.pool->queue->len, WORKER_N, max_visits);
   CU_ASSERT_TRUE (max_visits > WORKER_N);
   CU_ASSERT_TRUE (max_visits <= MAX_ROUND_VISITS_PER_ITERATION);
   busy_pool_clear (&busy);
--- a/tools/pool-mutants.sh
+++ b/tools/pool-mutants.sh
@@ -15,7 +15,7 @@
 mutants() { grep -E "^${ONLY:-[^|]*}\|" <<< "$(all_mutants)"; }
 all_mutants() { cat <<'TABLE'
 capacity-not-checked|pool-worker.c|worker->cpu_used + worker->cpu_reserved + cpu_milli <= worker->cpu_milli|TRUE
-stopping-run-frees-capacity|pool-orders.c|  run->state = FB_RUN_STOPPING;|  run->state = FB_RUN_STOPPING; worker->cpu_used -= run->step != NULL ? run->step->shape->cpu_milli : 0;
+stopping-run-frees-capacity|pool-orders.c|  run->state = FB_RUN_STOPPING;|  run->state = FB_RUN_STOPPING; worker->cpu_used -= run->step != NULL ? run->step->spec->cpu_milli : 0;
 starts-before-recovery|pool.c|  if (!fb_pool_may_place (self) \|\| !may_start)|  if (!may_start)
 unresponsive-worker-ignored|pool-recovery.c|      if ((!worker->answered \|\| worker->has_unknown_end) \&\& !worker->runs_ended|      if (FALSE
 draining-worker-has-no-steps|pool-drain.c|    g_hash_table_add (steps, step_of_task (name));|    g_hash_table_remove (steps, name);
@@ -24,11 +24,11 @@
 absent-despite-an-unknown-end|pool-report.c|  if (!worker->has_unknown_end)|  if (TRUE)
 unconfirmed-worker-ignored|pool-recovery.c|      if (may_run_on (self->unconfirmed_workers->pdata[i], step))|      if (FALSE)
 no-advice-is-a-denial|pool-recovery.c|  return advice == NULL \|\| advice->allowed;|  return advice != NULL ? advice->allowed : FALSE;
-no-earlier-starts-too-soon|pool-recovery.c|             \&\& self->jobs_read_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);|             );
+no-earlier-starts-too-soon|pool-recovery.c|             \&\& self->jobs_complete_ms > self->majority_ms + FB_POOL_STEP_DOWN_MS);|             );
 lease-expires-too-early|pool-worker.c|worker->lease_ms + LEASE_EXPIRY_SLACK_MS;|worker->lease_ms - 1500;
 clock-drift-ignored|pool-worker.c|passed_ms * (1000 - CLOCK_SLOW_PERMILLE) / 1000|passed_ms * 1100 / 1000
 unanswered-start-dropped|pool-orders.c|  else if (result != FB_ORDER_UNKNOWN)|  else if (TRUE)
-acknowledged-before-durable|pool-report.c|      worker->seen_end = end->number;|      worker->seen_end = worker->acknowledged = end->number;
+acknowledged-before-durable|pool-report.c|      worker->processed_end = end->number;|      worker->processed_end = worker->acknowledged = end->number;
 failure-not-recorded|pool-job.c|          row.failed.failed_len = task->failed->len;|          row.failed.failed_len = 0;
 failures-by-highest-attempt|pool-job.c|      if (g_array_index (task->failed, uint32_t, i) == attempt)|      if (g_array_index (task->failed, uint32_t, i) >= attempt)
 done-not-recorded|pool-job.c|              .done = task->done,|              .done = FALSE,
@@ -59,12 +59,12 @@
 drain-taken-for-a-crash|pool-crash.c|  while (!worker->draining \&\& g_hash|  while (g_hash
 shrunk-capacity-ignored|pool-worker.c|  worker->cpu_milli = entry->cpu_milli;|  worker->cpu_milli = MAX (worker->cpu_milli, entry->cpu_milli);
 grown-capacity-ignored|pool-worker.c|  worker->cpu_milli = entry->cpu_milli;|  worker->cpu_milli = worker->cpu_milli != 0 ? MIN (worker->cpu_milli, entry->cpu_milli) : entry->cpu_milli;
-size-is-proof-of-no-run|pool-recovery.c|  if (!fb_pool_has_labels_for (worker, step->shape))|  if (!fb_pool_worker_could_run (worker, step->shape))
+size-is-proof-of-no-run|pool-recovery.c|  if (!fb_pool_has_labels_for (worker, step->spec))|  if (!fb_pool_worker_could_run (worker, step->spec))
 rejection-of-a-repeat-is-proof|platform/worker.c|  if (fb_http_reply_is_ambiguous (reply) \&\& |  if (FALSE \&\& 
 lease-of-the-previous-owner-ignored|pool-report.c|answer->clock_ms + first_lease_ms (self, worker)|0
 answer-counts-for-any-attempt|pool-orders.c|(*run)->attempt != ref->attempt|FALSE
 full-answer-taken-as-complete|pool-report.c|  if (answer->finished->len >= self->limits.max_reported_ends)|  if (FALSE)
-any-end-of-an-ended-job|pool-report.c|  if (run != NULL \&\& run->attempt <= end->attempt)\n    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);\n}|  if (run != NULL)\n    fb_pool_run_ended (self, worker, run, end_names[end->how], now_ms);\n}
+any-end-of-an-ended-job|pool-report.c|  if (run != NULL \&\& run->attempt <= end->attempt)\n    fb_pool_run_ended (self, worker, run, end_names[end->reason], now_ms);\n}|  if (run != NULL)\n    fb_pool_run_ended (self, worker, run, end_names[end->reason], now_ms);\n}
 rejected-start-stays-in-the-record|pool-orders.c|  fb_pool_crash_task_absent (self, worker, step, run->index);|
 resolved-loss-stays-in-the-record|pool-unresolved-losses.c|  fb_pool_job_changed (self, step->job);|
 end-visible-before-durable|pool.c|  if (job->stored_state >= FB_WORK_COMPLETED)|  if (job->state >= FB_WORK_COMPLETED) { *state = job->state; return TRUE; } if (0)
@@ -81,7 +81,7 @@
 unconfirmed-start-is-no-cause|pool-crash.c|      if (run_may_have_begun (other) \|\| is_start_unconfirmed (other))|      if (run_may_have_begun (other))
 reserved-worker-dropped|pool.c|  if (worker->listed \|\| worker->reserved_n > 0)|  if (worker->listed)
 unstored-suspects-never-backed-up|pool-unstored-suspects.c|      else if (is_late \&\& job->unstored_changed)|      else if (FALSE)
-acknowledged-together-with-starts|pool-orders.c|(fb_pool_owes_acknowledgement (worker) \&\& !has_unlisted_run (worker))|fb_pool_owes_acknowledgement (worker)
+acknowledged-together-with-starts|pool-orders.c|(fb_pool_has_pending_acknowledgement (worker) \&\& !has_unlisted_run (worker))|fb_pool_has_pending_acknowledgement (worker)
 not-acknowledged-again|pool-report.c|  acknowledge_again (worker, answer);|  (void) acknowledge_again;
 second-copy-ignored|pool-restart.c|(run->listed_ms == 0 \|\| is_open)|(run->listed_ms == 0)
 TABLE
