--- a/src/base/ini.c
+++ b/src/base/ini.c
@@ -16,7 +16,8 @@
       char *line = g_strstrip (lines[i]);
       if (line[0] != '[' || g_hash_table_add (seen, line))
         continue;
-      fb_status_set_message ("%s: line %u: %s: duplicate group", file, i + 1, line);
+      fb_status_set_message ("%s: line %u: %s stands twice, expected each group once", file, i + 1,
+                             line);
       return TRUE;
     }
   return FALSE;
--- a/src/core/node-config.c
+++ b/src/core/node-config.c
@@ -98,8 +98,8 @@
   const FbConfigState *state = &self->config[revision->partner];
   if (revision->serial <= state->serial)
     {
-      fb_status_set_message ("revision %" G_GUINT64_FORMAT " of partner %s is already in force; "
-                             "compare with \"diff\" and apply the change on top of it",
+      fb_status_set_message ("revision %" G_GUINT64_FORMAT " of partner %s is in force already; "
+                             "look at it with diff and apply on top of it",
                              state->serial, self->cell->partners[revision->partner].name);
       return FB_NODE_CONFIG_CONFLICT;
     }
--- a/src/core/rack-query.c
+++ b/src/core/rack-query.c
@@ -103,11 +103,10 @@
       fits = fits || (fb_worker_takes_work (w) && fb_res_fits (&task->spec.demand, &free));
     }
   if (!fits)
-    return "no worker has enough free capacity";
+    return "no worker has the room";
   if (task->spec.partner != self->home)
-    return "the rack lends no more capacity, or work of its own partner has precedence";
-  return "the quota of its team is used up, or the free capacity is held for urgent, older or "
-         "accelerator work";
+    return "the rack lends no more, or its own partner's work goes first";
+  return "its team's quota is used, or the room is kept for urgent, older or accelerator work";
 }
 
 char *
--- a/src/daemon/frontend-commands.c
+++ b/src/daemon/frontend-commands.c
@@ -130,7 +130,7 @@
   if (self->closed)
     {
       submit_free (command);
-      fb_frontend_refuse (call, SOUP_STATUS_SERVICE_UNAVAILABLE, "this daemon is shutting down");
+      fb_frontend_refuse (call, SOUP_STATUS_SERVICE_UNAVAILABLE, "this daemon is leaving");
       return;
     }
   command->class_name = g_strdup (class_name);
@@ -146,7 +146,7 @@
   const FbFrontendCoreRequest *command = data;
   if (!fb_node_cancel (node, now_ms, command->frontend->partner, command->job))
     fb_frontend_post_error (command->frontend, command->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                            "the range of this job currently has no owner");
+                            "the range of this job has no owner now");
 }
 
 static void
@@ -201,7 +201,7 @@
   if (!fb_codec_decode_record (bytes, len, &record))
     {
       fb_frontend_post_error (publish->frontend, publish->call_id, SOUP_STATUS_UNPROCESSABLE_ENTITY,
-                              "expected an encoded revision, as sent by flamingobarrow apply");
+                              "expected an encoded revision, as made by flamingobarrow apply");
       return;
     }
   FbNodeConfigStatus status = FB_NODE_CONFIG_MALFORMED;
--- a/src/daemon/frontend-queries.c
+++ b/src/daemon/frontend-queries.c
@@ -17,7 +17,7 @@
   const FbFrontendCoreRequest *request = data;
   if (!fb_node_query_job (node, now_ms, request->frontend->partner, request->job))
     fb_frontend_post_error (request->frontend, request->call_id, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                            "the range of this job currently has no owner");
+                            "the range of this job has no owner now");
 }
 
 static void
@@ -38,7 +38,7 @@
       = owner >= 0 ? fb_cell_member (request->frontend->cell, (guint) owner) : NULL;
   if (member == NULL || (guint) owner == request->frontend->self_index)
     fb_frontend_post_text (request->frontend, request->call_id, SOUP_STATUS_NOT_FOUND, "text/plain",
-                           g_strdup ("no such job, or its range currently has no owner\n"));
+                           g_strdup ("no such job, or its range has no owner now\n"));
   else
     fb_frontend_post_text (
         request->frontend, request->call_id, SOUP_STATUS_MISDIRECTED_REQUEST, "text/plain",
--- a/src/entry/frontend/frontend-store.c
+++ b/src/entry/frontend/frontend-store.c
@@ -44,7 +44,7 @@
     {
       fb_counter_add (FB_COUNTER_JOBS_IN_DOUBT, 1);
       fb_entry_frontend_finish (request, SOUP_STATUS_GATEWAY_TIMEOUT,
-                                "{\"error\":\"unknown whether the request is stored\"}");
+                                "{\"error\":\"not known whether it is stored\"}");
     }
   else
     {
--- a/src/entry/frontend/frontend.c
+++ b/src/entry/frontend/frontend.c
@@ -154,7 +154,7 @@
     }
   else
     fb_entry_frontend_finish (request, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                              "{\"error\":\"the owner is unavailable\"}");
+                              "{\"error\":\"the owner is away\"}");
 }
 
 static void
@@ -182,7 +182,7 @@
     }
   else
     fb_entry_frontend_finish (data, SOUP_STATUS_SERVICE_UNAVAILABLE,
-                              "{\"error\":\"the owner is unavailable\"}");
+                              "{\"error\":\"the owner is away\"}");
 }
 
 static void
@@ -242,8 +242,7 @@
   if (entry->refusing_callers || entry->routes == NULL)
     {
       refuse (entry, message, SOUP_STATUS_SERVICE_UNAVAILABLE,
-              entry->refusing_callers ? "the daemon is shutting down"
-                                      : "no configuration has been read");
+              entry->refusing_callers ? "the daemon is about to end" : "no configuration yet");
       return;
     }
   SoupMessageHeaders *headers = soup_server_message_get_request_headers (message);
--- a/src/work/spec.c
+++ b/src/work/spec.c
@@ -9,7 +9,7 @@
     {
       if (step->after.after_val[i] < index)
         continue;
-      fb_status_set_message ("step %u depends on step %u, expected only earlier steps", index,
+      fb_status_set_message ("step %u comes after step %u, expected only earlier steps", index,
                              step->after.after_val[i]);
       return FALSE;
     }
@@ -25,7 +25,7 @@
       const fb_work_step *step = &spec->steps.steps_val[i];
       if (step->count == 0)
         {
-          fb_status_set_message ("step %u has no tasks", i);
+          fb_status_set_message ("step %u has no task", i);
           return FALSE;
         }
       if (!check_order (step, i))
