--- a/bench/driver.c
+++ b/bench/driver.c
@@ -64,7 +64,7 @@
   BenchResult result;
   fb_res total;
   double samples;
-  double unused_accel; /* unused */
+  double unused_accel;
 } Bench;
 
 typedef struct
@@ -91,8 +91,7 @@
   fb_record record = { .format = FB_REC_VERSION, .writer = range_user->index, .seq = 1 };
   record.body = *body;
   GBytes *bytes = fb_codec_encode_record (&record);
-  /* A record is delivered after the messages that are already queued.  NULL marks it as a record.
-   */
+  /* A record is delivered after the messages queued before it.  NULL marks it as a record. */
   g_queue_push_tail (&range_user->bench->inbox, bytes);
   g_queue_push_tail (&range_user->bench->inbox, NULL);
 }
@@ -412,7 +411,7 @@
   g_free (job);
 }
 
-/* As in a cell, each range serves one partner. */
+/* Each range serves one partner, as in a real cell. */
 static FbRange *
 range_of (Bench *self, uint32_t partner, uint64_t job)
 {
@@ -545,7 +544,7 @@
     }
 }
 
-/* Replaces the owner of one rack; the new owner gets the state of the workers from the workers. */
+/* Replaces the owner of one rack; the new owner reads the state of the workers from them. */
 static void
 replace_owner (Bench *self, guint rack)
 {
--- a/bench/driver.h
+++ b/bench/driver.h
@@ -20,7 +20,7 @@
   fb_res demand;
   uint32_t tasks;
   double jobs_per_s;    /* each of TASKS tasks */
-  uint64_t from_ms;     /* begin of the load, since the start of the scenario */
+  uint64_t from_ms;     /* start of the load, relative to the start of the scenario */
   uint64_t until_ms;    /* end of the load, likewise */
   uint64_t run_ms;      /* declared run time of a task */
   uint64_t deadline_ms; /* after submission; 0: none */
--- a/bench/pool-crashes.c
+++ b/bench/pool-crashes.c
@@ -1,5 +1,5 @@
-/* Measures what tasks that crash their workers cost other tasks: a pool with simulated workers on a
- * fake clock, under a load of short and long jobs.
+/* Measures the impact of tasks that crash their workers on other tasks: a pool with simulated
+ * workers and a simulated clock, under a load of short and long jobs.
  *
  * A worker that crashes is down for 2 to 8 s and restarts under a new id; its old entry stays
  * listed for 4.5 s.  The CPU time printed is that of the calls of the pool. */
@@ -65,7 +65,7 @@
 typedef struct
 {
   gboolean is_crashing;      /* its tasks crash their workers */
-  uint32_t crashing_tasks_n; /* its first tasks, this many, crash their workers */
+  uint32_t crashing_tasks_n; /* number of its first tasks that crash their workers */
   const JobKind *kind;
   uint64_t submitted_ms;
   uint64_t started_ms;     /* of its first task; 0: none was started */
@@ -88,7 +88,7 @@
   char task[64];
   uint32_t attempt;
   uint64_t acknowledged;
-  uint64_t answer_by_ms;  /* when it is answered, unless earlier */
+  uint64_t answer_by_ms;  /* latest time of its answer if the worker is up */
   uint64_t timeout_at_ms; /* when it fails if the worker is down */
 } Call;
 
@@ -103,7 +103,7 @@
   GArray *calls;   /* of Call */
   uint64_t cpu_ns; /* of the pool's calls */
   uint64_t starts;
-  double lost_core_s; /* work of other jobs that was lost in crashes */
+  double lost_core_s; /* work of jobs that crash no worker, lost in crashes */
   double down_s;      /* of workers */
 } Simulation;
 
@@ -365,7 +365,7 @@
       if (!execute_call (sim, &call))
         g_array_index (sim->calls, Call, remaining_n++) = call;
     }
-  /* Calls that the answers led to were added after the first N. */
+  /* Calls made while the answers were handled were appended after the first N. */
   g_array_remove_range (sim->calls, remaining_n, n - remaining_n);
 }
 
--- a/tests/takeover.sh
+++ b/tests/takeover.sh
@@ -3,10 +3,10 @@
 #
 # After such a kill one service made no progress for the rest of the day although it had capacity, and
 # its long-running tasks did not run.  Each new owner loaded the pool, completed recovery and lost the
-# pool 1 to 2 s later, 100 times in 80 s.  The longer the backlog was, the longer the iterations of the
-# main loop took in which a daemon loads jobs and places tasks, so the daemon's group joins came later
-# than its membership's time to live.  Each POOL_LOST followed four iterations of 37 to 85 ms of CPU
-# time, 1.7 s with 12% of a core; with 60% of a core the same backlog was taken over once and kept.
+# pool 1 to 2 s later, 100 times in 80 s.  The main loop iterations in which a daemon loads jobs and
+# places tasks grew with the backlog, which delayed its group joins beyond the time to live of its
+# membership.  Each POOL_LOST followed four iterations of 37 to 85 ms of CPU time, 1.7 s with 12% of a
+# core; with 60% of a core the same backlog was taken over once and kept.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 B=build OUT=out/takeover
--- a/tests/test-pool.c
+++ b/tests/test-pool.c
@@ -30,7 +30,7 @@
   GHashTable *used_workers; /* set of ids of workers on which something was started */
   GPtrArray *flush;         /* the open flush; NULL: none */
   gboolean show_polls;
-  uint64_t advice_requests_left; /* reason many more advice requests are accepted */
+  uint64_t advice_requests_left; /* number of advice requests that are still accepted */
   char **args;
   const char *line;
 } Script;
@@ -515,7 +515,7 @@
 
 /* ---- time and records ---------------------------------------------------------------------- */
 
-/* tick [MS]: advances the clock by MS, then the pool. */
+/* tick [MS]: advances the clock by MS and calls fb_pool_tick(). */
 static void
 do_tick (Script *script)
 {
@@ -585,7 +585,7 @@
 }
 
 /* import-start TASK/ATTEMPT on=WORKER [address=ADDRESS] [seen]: another daemon reports a start by
- * an earlier owner. */
+ * an earlier owner; with seen, the worker has confirmed the run. */
 static void
 do_import_start (Script *script)
 {
--- a/tests/test-rounds.c
+++ b/tests/test-rounds.c
@@ -124,7 +124,7 @@
 #define UNUSABLE_WORKER 1 /* a worker on which nothing may run */
 
 /* A slot is freed during a round, and an idle worker that was listed when the round began leaves:
- * the next round must still know of the freed slot. */
+ * the next round must still consider the freed slot. */
 static void
 test_freed_capacity_is_not_missed (void)
 {
--- a/tests/test-takeover.c
+++ b/tests/test-takeover.c
@@ -1,10 +1,10 @@
 /* Counts the work of one iteration of a daemon's main loop while the daemon takes a pool over. It
  * must have a bound that does not depend on the backlog.
  *
- * After its owner died, a pool with about a thousand waiting jobs made no progress for the rest of
- * the day. Each new owner loaded all jobs in one iteration of its main loop and went through all
- * waiting tasks in each of the next iterations. Its group join, which takes several iterations, was
- * therefore later than the membership's time to live; the store assigned the pool to the next
+ * A pool with about a thousand waiting jobs made no progress for the rest of the day after its
+ * owner had failed. Each new owner loaded all jobs in one iteration of its main loop and visited
+ * all waiting tasks in each of the next iterations. Its group join, which takes several iterations,
+ * was therefore later than the membership's time to live; the store assigned the pool to the next
  * daemon, where the same happened. With 12% of a core, 250 workers and 1,000 jobs of 20 tasks, the
  * iteration that loaded the jobs used 15 to 33 ms of CPU time and the four iterations after
  * recovery used 37, 40, 42 and 85 ms, which takes 1.7 s of real time; the pool was lost right after
@@ -293,8 +293,7 @@
   (void) rmdir (folder);
   g_string_append_printf (report,
                           "loading: %u jobs, at most %u in one iteration, expected at most %d; %u "
-                          "joins, longest without "
-                          "one %u ms, expected less than %d\n",
+                          "joins, longest gap %u ms, expected less than %d\n",
                           load.jobs, load.max_jobs_per_iteration, MAX_JOBS_PER_ITERATION,
                           load.joins, (guint) load.longest_gap_ms, MEMBER_TTL_MS);
   CU_ASSERT_EQUAL (load.jobs, STORED_JOB_N);
