--- a/tools/cell-lib.sh
+++ b/tools/cell-lib.sh
@@ -7,7 +7,7 @@
 cleanup() { kill "${PIDS[@]}" 2> /dev/null || true; wait 2> /dev/null || true; }
 trap cleanup EXIT
 
-# Sleeps SECONDS with the shell's own read, without starting a process.
+# Sleeps SECONDS: a read with a timeout from a pipe that never has data.
 pause() { read -rt "$1" <> <(:) || true; }
 
 # Runs COMMAND up to 300 times at intervals of 0.1 s until it succeeds; fails when it does not.
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -23,7 +23,7 @@
 pause 4;  echo " 18 s: the log goes down";                 control $log '{"outage":true}'
 pause 6;  echo " 24 s: the log is up, the worker resumes"; control $log '{"outage":false}'; control $worker '{"pause":false}'
 pause 2;  echo " 26 s: the killed daemon is restarted";    start_daemon lima-entry-3
-pause 4;  echo " 30 s: another daemon gets SIGTERM";       kill -TERM "${DAEMON[sofia-entry-2]}"
+pause 4;  echo " 30 s: another daemon leaves as planned";  kill -TERM "${DAEMON[sofia-entry-2]}"
 pause 4;  echo " 34 s: the log drops responses for 2 s";   control $log '{"lose_answers":true}'
 pause 2;                                                   control $log '{"lose_answers":false}'
 code=0
