--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -45,7 +45,7 @@
 /* Answer of the advice service about one worker for one step. */
 typedef struct
 {
-  uint32_t incarnation; /* FbPoolWorker.incarnation of the requested worker; 0: none */
+  uint32_t incarnation; /* FbPoolWorker.incarnation of the worker that was requested; 0: none */
   gboolean allowed;
   char *ticket; /* NULL: not allowed */
   uint64_t valid_until_ms;
@@ -178,7 +178,7 @@
 /* pool-speed.c */
 FbPoolSpeed *fb_pool_speed_new (void);
 void fb_pool_speed_unref (FbPoolSpeed *speed);
-/* TASK ran for TOOK_MS on the worker with SPEED. */
+/* TASK ran for DURATION_MS on the worker with SPEED. */
 void fb_pool_speed_record_run (FbPoolTask *task, FbPoolSpeed *speed, uint32_t duration_ms);
 /* STEP has ended: updates the speeds of the workers of its runs. */
 void fb_pool_speed_update (FbPoolStep *step);
--- a/include/internal/pool-private.h
+++ b/include/internal/pool-private.h
@@ -18,8 +18,8 @@
 /* A worker that has nothing to report delays its answer to a poll for this long, so the lease is
  * also renewed at this interval. */
 #define FB_POOL_POLL_WAIT_MS 500
-/* A replaced owner is notified of its replacement within this time, because its polls of a worker
- * are at most this far apart. */
+/* A replaced owner detects its replacement within this time, because its polls of a worker are at
+ * most this far apart. */
 #define FB_POOL_STEP_DOWN_MS 2000
 /* A call to a worker that has just ended may wait this long for the next incarnation to listen. */
 #define FB_POOL_DELAYED_CALL_MS 1200
@@ -315,6 +315,8 @@
 /* Requests advice for steps of JOB that are about to be released. */
 void fb_pool_request_advice_ahead (FbPool *self, FbPoolJob *job, uint64_t now_ms);
 
+/* pool-report.c */
+
 /* Attaches runs that workers reported before JOB was known; they keep their capacity. */
 void fb_pool_attach_runs (FbPool *self, const FbPoolJob *job);
 /* Stops runs on WORKER that certainly belong to no job. */
--- a/include/internal/pool-worker-private.h
+++ b/include/internal/pool-worker-private.h
@@ -93,7 +93,7 @@
   uint32_t first_poll_timeout_ms; /* timeout of the last initial poll; 0: none sent */
   uint64_t next_poll_ms;          /* when the next poll is due */
   uint64_t poll_sent_ms;          /* when the last poll was sent */
-  gboolean poll_failed;           /* the last poll was not answered */
+  gboolean poll_failed;           /* the last poll did not succeed */
   uint64_t answered_poll_sent_ms; /* when the last answered poll had been sent */
   uint64_t last_answer_ms;        /* when the last answer arrived; 0: never */
   uint64_t clock_ms;              /* worker's clock, as read no later than last_answer_ms */
--- a/include/internal/pool.h
+++ b/include/internal/pool.h
@@ -5,11 +5,11 @@
  * through callbacks. Times are in ms on a clock that also counts while the host is suspended; WALL
  * times are in ms since 1970.
  *
- * The workers enforce that only one owner is effective. Every order carries the epoch of its owner,
- * and a worker refuses epochs lower than the highest one it has seen, so a replaced owner is
- * notified of its replacement by the first worker that it calls. What runs is what the workers
- * report; nothing is started before each worker of the pool has answered under the present epoch,
- * or its lease has certainly expired. */
+ * The workers carry out the orders of one owner only. Every order carries the epoch of its owner,
+ * and a worker refuses epochs lower than the highest one it has seen, so the first worker that a
+ * replaced owner calls reports the replacement. What runs is what the workers report; a task is not
+ * started while a worker may still run it that has not answered under the present epoch and whose
+ * lease may be valid. */
 #pragma once
 
 #include "rpc/work.h"
@@ -125,8 +125,7 @@
   /* New end of the lease, on the worker's clock; 0: the lease is not extended. */
   uint64_t deadline_ms;
   uint32_t wait_ms;    /* how long the worker may delay its answer while it has nothing to report */
-  uint32_t timeout_ms; /* timeout: the poll has failed when no answer has arrived this long after
-                          WAIT_MS */
+  uint32_t timeout_ms; /* the poll has failed when no answer has arrived this long after WAIT_MS */
 } FbPollOrder;
 
 /* Callbacks of the pool's owner.  All arguments are borrowed for the duration of the call. */
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -5,9 +5,9 @@
  * of one request, and those with free capacity first. Later requests are sent when an allowed
  * worker has free capacity; they list only the workers to be used, and capacity on these is
  * reserved until the answer arrives. Without the reservation, smaller tasks took the capacity of a
- * gang before its tickets arrived, and gangs needed 2.1 requests each in a heavy load test.
- * While no allowed worker has free capacity, workers that were never requested are requested at
- * intervals. */
+ * gang before its tickets arrived, and gangs needed 2.1 requests each in a heavy load test. While
+ * no allowed worker has free capacity, workers that no request for the step has listed yet are
+ * requested at intervals. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
@@ -303,11 +303,11 @@
   return g_ptr_array_new ();
 }
 
-/* During a rolling replacement of workers, each pending step would request each new worker: half a
- * second for one worker, which is allowed in three cases of ten, while the tickets of allowed
- * workers expire and other tasks take the free capacity. Gangs waited 8 s with ten requests. So
- * allowed workers with capacity come first, and new workers are requested together, at
- * intervals. */
+/* During a rolling replacement of workers, each pending step would send a request for each new
+ * worker. Such a request takes half a second, and the worker is allowed in three cases of ten;
+ * meanwhile the tickets of allowed workers expire and other tasks take the free capacity. Gangs
+ * waited 8 s with ten requests. So allowed workers with capacity come first, and new workers are
+ * requested together, at intervals. */
 static gboolean
 may_request_unrequested (const FbPoolStep *step, uint64_t now_ms)
 {
--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -10,7 +10,8 @@
 #define TICKET_MARGIN_MS 250
 /* Weight of a worker's slowness against its free capacity, multiplied by the square of the job's
  * tightness. Short jobs may take 1.5 times their work and 250 ms, and workers differ in speed by
- * 0.8 to 1.25, so a job with little slack is completed in time only on a fast worker. */
+ * 0.8 to 1.25, so the speed of the worker can decide whether a job with little slack is completed
+ * in time. */
 #define SLOWNESS_WEIGHT 6.0
 
 /* TRUE when a task of SPEC must not share WORKER with the runs there: best-effort tasks and serving
--- a/src/work/pool-copy.c
+++ b/src/work/pool-copy.c
@@ -11,7 +11,7 @@
 
 /* Run times of the tasks of one step differ by 0.15 to 0.3 of their mean, and workers by 0.8 to
  * 1.25. A run that exceeds 2.2 times the mean, plus the time of an order and a poll, is most likely
- * on a worker that is slow for another reason (3 to 8 times). */
+ * on an abnormally slow worker (3 to 8 times). */
 #define STRAGGLER_PERCENT 220
 #define STRAGGLER_MS 150
 /* Until other runs have ended only the estimate is known, which is wrong by up to half. */
--- a/src/work/pool-crash-record.c
+++ b/src/work/pool-crash-record.c
@@ -273,10 +273,9 @@
   restore_unresolved_starts (self, step, suspect, now_ms);
 }
 
-/* If the owner is replaced between a crash and the moment when it detects it, and the next owner
- * never listed the run, the task could be started more often than the limit allows. So each start
- * of a suspected task is recorded, and what happens to its worker counts for the task under the
- * next owner too. */
+/* If the owner is replaced before it detects a crash, and the run was never reported to the next
+ * owner, the task could be started more often than the limit allows. So each start of a suspected
+ * task is recorded, and what happens to its worker counts for the task under the next owner too. */
 void
 fb_pool_crash_restore (FbPool *self, FbPoolJob *job, const fb_work_suspects *record,
                        uint64_t now_ms)
--- a/src/work/pool-crash.c
+++ b/src/work/pool-crash.c
@@ -6,8 +6,8 @@
  * crashed under a task are counted and recorded with its job, and the job fails after
  * MAX_ISOLATED_CRASHES of them.
  *
- * Other tasks on a crashed worker are counted as well, but must not be failed for it. So only proof
- * of a crash counts: another incarnation answers, or is listed, at the address. Silence alone
+ * Other tasks on a crashed worker are counted as well, but their jobs must not fail for it. So only
+ * proof of a crash counts: another incarnation answers, or is listed, at the address. Silence alone
  * leaves the loss unresolved (pool-unresolved-losses.c); an unresolved loss holds back starts that
  * could exceed the limit. A task with ISOLATE_AFTER_CRASHES crashes is kept apart from all other
  * suspected tasks and nothing is started beside it, so that a further crash has fewer possible
--- a/src/work/pool-drain.c
+++ b/src/work/pool-drain.c
@@ -4,8 +4,8 @@
  * and the new owner, which has the worker from the record or an outdated list, would wait 6 s for
  * its lease and meanwhile start nothing that the worker had capacity for. During a rolling
  * replacement of workers every change of owner is affected, and callers with a timeout of a few
- * seconds get no result in time. Nothing new is started on a draining worker, so the runs that its
- * owner has recorded there when it begins to drain are all that can ever run there. Their steps are
+ * seconds get no result in time. Nothing new is started on a draining worker, so only the runs that
+ * its owner tracks there when it begins to drain can run there from then on. Their steps are
  * stored, and the next owner holds back only these steps. */
 #include "internal/pool-private.h"
 
--- a/src/work/pool-place.c
+++ b/src/work/pool-place.c
@@ -137,8 +137,8 @@
  *
  * After a takeover hundreds of steps may be pending. When each was checked against hundreds of
  * workers in one iteration, joins and leases were delayed (an iteration took 0.3 to 0.8 s on 0.12
- * of a core with 950 steps and 250 workers). The store then considers the owner failed, and the
- * next owner fails in the same way: owners replaced each other every 2 s while nothing ran. */
+ * of a core with 950 steps and 250 workers). The store then considered the owner failed, and the
+ * next owner failed in the same way: owners replaced each other every 2 s while nothing ran. */
 #define VISITS_PER_ITERATION 50000
 
 /* Returns: what a step that could not be placed waits for, as a static text for the log. "turn":
--- a/src/work/pool-recovery.c
+++ b/src/work/pool-recovery.c
@@ -1,4 +1,4 @@
-/* Takeover by a new owner: which runs may exist that it has not found yet.
+/* Takeover by a new owner: which runs may exist that the new owner has not found yet.
  *
  * A new owner must not start a task that still runs on a worker that has not answered yet, as the
  * task would run twice. So a task starts only when no worker without an answer under the new epoch
--- a/src/work/pool-report.c
+++ b/src/work/pool-report.c
@@ -320,8 +320,8 @@
 
 /* The previous owner may have received a job directly and started it, and this owner finds the run
  * in a worker's list before it has read the job. Stopping the run as an orphan would lose its work,
- * and the job would start a second time once read. So a run of an unknown job keeps its worker to
- * itself until the job is read, or certainly does not exist. */
+ * and the job would start a second time once read. So a run of an unknown job is left running, and
+ * nothing else is started on its worker, until the job is read or certainly does not exist. */
 void
 fb_pool_attach_runs (FbPool *self, const FbPoolJob *job)
 {
--- a/src/work/pool-restart.c
+++ b/src/work/pool-restart.c
@@ -13,8 +13,8 @@
 
 /* An unanswered order is carried out within this time, if at all. */
 #define LATE_ORDER_MAX_MS 15000
-/* Maximum number of unanswered starts kept, the newest; bounds the work at a worker's first answer,
- * which scans all of them. */
+/* Maximum number of unanswered starts kept; the oldest are dropped. It bounds the work at a
+ * worker's first answer, which scans all of them. */
 #define UNANSWERED_STARTS_MAX 4096
 
 /* A start that got no answer and may still be carried out. */
--- a/src/work/pool-speed.c
+++ b/src/work/pool-speed.c
@@ -13,7 +13,7 @@
  * their mean, so some ten runs are needed to distinguish one worker from another. */
 #define LEARNING_RATE 0.125
 /* The ratio of a single run is clamped to this range, because outliers say little about the worker:
- * a much longer run was stuck, and a much shorter one was an exception. */
+ * a run far from the others was stuck, or short by chance. */
 #define RATIO_MIN 0.4
 #define RATIO_MAX 4.0
 
