--- a/bench/pool-crashes.c
+++ b/bench/pool-crashes.c
@@ -65,7 +65,7 @@
 typedef struct
 {
   gboolean is_crashing;      /* its tasks crash their workers */
-  uint32_t crashing_tasks_n; /* its first tasks, this many, crash their workers */
+  uint32_t crashing_tasks_n; /* number of its tasks, from the first on, that crash their workers */
   const JobKind *kind;
   uint64_t submitted_ms;
   uint64_t started_ms;     /* of its first task; 0: none was started */
@@ -88,7 +88,7 @@
   char task[64];
   uint32_t attempt;
   uint64_t acknowledged;
-  uint64_t answer_by_ms;  /* when it is answered, unless earlier */
+  uint64_t answer_by_ms;  /* when it is answered at the latest while the worker is up */
   uint64_t timeout_at_ms; /* when it fails if the worker is down */
 } Call;
 
--- a/fuzz/fuzz-node.c
+++ b/fuzz/fuzz-node.c
@@ -1,8 +1,8 @@
 /* Stateful fuzzing of whole nodes: the input is decoded to a sequence of events on several daemons,
  * workers and a log, and the oracle checks the invariants after each.
  *
- * Two bytes per step: the event and its target. Every step also advances the clock. At the end all
- * faults are healed and recovery has to complete. */
+ * The first byte is a seed, and each step takes two bytes: the event and its target. Every step
+ * also advances the clock. At the end all faults are healed and recovery has to complete. */
 #include "../tests/world.h"
 
 #include "fb-event.h"
--- a/fuzz/fuzz-pool.c
+++ b/fuzz/fuzz-pool.c
@@ -104,7 +104,8 @@
     }
 }
 
-/* Half of the changes reduce the capacity below what some tasks need, some to 0. */
+/* Half of the changes restore the full capacity; the others set a random one, which may be less
+ * than some tasks need, or 0. */
 static void
 resize_worker (World *world)
 {
@@ -170,8 +171,9 @@
     submit (world);
   if (world_random (world, 400) == 0 && !world->store_unavailable)
     cancel (world);
-  /* In the crashing modes tasks already crash workers often. The runs lost with a worker are known
-   * 4 s later, and never if the owner changes within each of these periods. */
+  /* In the crashing modes tasks already crash workers often, so workers and owners fail less often:
+   * the loss of a run becomes known 4 s after the crash of its worker, and never if the owner
+   * changes within each of these periods. */
   if (world_random (world, world->crashing ? 450 : 150) == 0)
     inject_worker_fault (world);
   if (world->shrinking && world_random (world, 100) == 0 && !world->store_unavailable)
--- a/fuzz/fuzz-readers-target.c
+++ b/fuzz/fuzz-readers-target.c
@@ -19,8 +19,8 @@
     abort (); /* an error without a message */
 }
 
-/* Checks that a decoded message can be encoded. The result may be shorter, because a string ends at
- * its first NUL byte. */
+/* Checks that a decoded message can be encoded, to no more bytes than before. The result may be
+ * shorter, because a string ends at its first NUL byte. */
 static void
 check_message (size_t len, const fb_msg *msg)
 {
--- a/fuzz/pool-world.h
+++ b/fuzz/pool-world.h
@@ -18,7 +18,7 @@
 #define MAX_ATTEMPTS 3
 /* A daemon is stable when neither it nor the store had a fault for this long. */
 #define STABLE_AFTER_MS 3000
-#define MAX_CRASHES 2 /* a task may be abandoned after this many crashes */
+#define MAX_CRASHES 2 /* a job may fail after this many crashes under a task */
 /* After this many crashes of its workers, this many more starts of a task are a violation. */
 #define CRASHED_START_LIMIT 3
 #define WORKER_CPU_MILLI 16000
@@ -92,7 +92,7 @@
   int64_t previous_cpu_milli;   /* the largest allowed use before the last change */
   uint64_t cpu_changed_ms;      /* when the list last showed a change of the capacity */
   uint64_t restart_ms;          /* when it starts again after a crash; 0: no restart is due */
-  uint64_t unanswered_since_ms; /* since when the platform gets no messages from it; 0: it does */
+  uint64_t unanswered_since_ms; /* since when no message from it arrives; 0: not so */
   uint64_t started_ms;
   uint32_t slow_permille;       /* by how much its clock is slow */
   uint64_t fence_epoch;         /* orders with a lower epoch are fenced */
--- a/include/internal/pool-crash.h
+++ b/include/internal/pool-crash.h
@@ -14,7 +14,7 @@
 
 /* pool-crash.c: crash counts, the limit, placement */
 
-/* Returns: how many workers crashed while running TASK. */
+/* Returns: how many worker crashes are counted for TASK. */
 guint fb_pool_task_crashes_n (const FbPoolTask *task);
 /* TRUE when the crash of the worker with id hash WORKER is counted for TASK. */
 gboolean fb_pool_task_has_crash (const FbPoolTask *task, uint64_t worker);
@@ -94,7 +94,7 @@
 
 /* pool-probe.c: steps that start one task at a time */
 
-/* The worker with id hash WORKER has certainly crashed while running a task of STEP. */
+/* The crash of the worker with id hash WORKER was counted for a task of STEP. */
 void fb_pool_probe_record_crash (FbPoolStep *step, uint64_t worker, uint64_t now_ms);
 /* A task of STEP has run without crashing its worker: ends the probe. */
 void fb_pool_probe_passed (FbPoolStep *step);
--- a/src/work/pool-crash-causes.c
+++ b/src/work/pool-crash-causes.c
@@ -1,7 +1,8 @@
 /* Number of tasks that may have caused each crash.
  *
- * A task that has since run successfully elsewhere did not cause the crash. Once only one possible
- * cause is left, the crash counts as if that task had been alone on the worker. */
+ * A task whose crashes were cleared, because a later run ended or lasted without crashing its
+ * worker, did not cause the crash. Once only one possible cause is left, the crash counts as if
+ * that task had been alone on the worker. */
 #include "internal/pool-crash.h"
 
 GHashTable *
