--- a/include/internal/pool-job-private.h
+++ b/include/internal/pool-job-private.h
@@ -45,7 +45,7 @@
 /* Answer of the advice service about one worker for one step. */
 typedef struct
 {
-  uint32_t incarnation; /* FbPoolWorker.incarnation of the worker that was requested; 0: none */
+  uint32_t incarnation; /* FbPoolWorker.incarnation of the worker; 0: no advice was requested */
   gboolean allowed;
   char *ticket; /* NULL: not allowed */
   uint64_t valid_until_ms;
--- a/src/work/pool-advice.c
+++ b/src/work/pool-advice.c
@@ -1,4 +1,5 @@
-/* Decides when to request advice for a step, and for which workers.
+/* Decides when to request advice for a step, and for which workers. A worker is requested for a
+ * step when a request for that step lists it.
  *
  * A request takes up to 1.7 s. Which workers a step may use never changes; only the tickets expire,
  * after 2 s. So the first request lists every worker that could ever run the step, up to the limit
@@ -6,8 +7,8 @@
  * worker has free capacity; they list only the workers to be used, and capacity on these is
  * reserved until the answer arrives. Without the reservation, smaller tasks took the capacity of a
  * gang before its tickets arrived, and gangs needed 2.1 requests each in a heavy load test. While
- * no allowed worker has free capacity, workers that no request for the step has listed yet are
- * requested at intervals. */
+ * no allowed worker has free capacity, workers that were never requested are requested at
+ * intervals. */
 #include "internal/pool-private.h"
 
 #include "fb-event.h"
--- a/src/work/spec.h
+++ b/src/work/spec.h
@@ -5,7 +5,7 @@
 
 #include <glib.h>
 
-/* Limit of the tasks of all steps of one occurrence together. */
+/* Maximum number of tasks of one occurrence, in all its steps together. */
 #define FB_SPEC_MAX_TASKS 10000
 #define FB_SPEC_MAX_OCCURRENCES 100000
 
