--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -1,8 +1,10 @@
 /* Chooses the worker for a task.
  *
- * can_start_now() is the only place that decides whether a task may start on a worker now.  Of the
- * workers that qualify, the one with the least free capacity is taken (best fit), so that workers
- * with much free capacity remain for large tasks.  Long-running tasks are spread instead. */
+ * can_start_now() decides whether a worker qualifies for the tasks of a step now;
+ * fb_pool_best_worker() adds the conditions of the single task. Of the workers that qualify, the
+ * one with the lowest cost is taken: among otherwise equal workers the one with the least free
+ * capacity (best fit), so that workers with much free capacity remain for large tasks. Long-running
+ * tasks are spread instead. */
 #include "internal/pool-crash.h"
 
 /* A ticket is not used when less than this is left of its validity, because the start order takes
