--- a/src/work/pool-choose.c
+++ b/src/work/pool-choose.c
@@ -1,8 +1,10 @@
 /* Chooses the worker for a task.
  *
- * can_start_now() is the only place that decides whether a task may start on a worker now.  Of the
- * workers that qualify, the one with the least free capacity is taken (best fit), so that workers
- * with much free capacity remain for large tasks.  Long-running tasks are spread instead. */
+ * can_start_now() decides whether a worker qualifies for the tasks of a step now;
+ * fb_pool_best_worker() adds the conditions of the single task. Of the workers that qualify, the
+ * one with the lowest cost is taken: among otherwise equal workers the one with the least free
+ * capacity (best fit), so that workers with much free capacity remain for large tasks. Long-running
+ * tasks are spread instead. */
 #include "internal/pool-crash.h"
 
 /* A ticket is not used when less than this is left of its validity, because the start order takes
@@ -10,7 +12,8 @@
 #define TICKET_MARGIN_MS 250
 /* Weight of a worker's slowness against its free capacity, multiplied by the square of the job's
  * tightness. Short jobs may take 1.5 times their work and 250 ms, and workers differ in speed by
- * 0.8 to 1.25, so a job with little slack is completed in time only on a fast worker. */
+ * 0.8 to 1.25, so the speed of the worker can decide whether a job with little slack is completed
+ * in time. */
 #define SLOWNESS_WEIGHT 6.0
 
 /* TRUE when a task of SPEC must not share WORKER with the runs there: best-effort tasks and serving
