--- a/src/entry/owner/owner-load.c
+++ b/src/entry/owner/owner-load.c
@@ -230,7 +230,7 @@
   FbOwner *self = data;
   if (result != FB_APPEND_STORED)
     {
-      fb_owner_step_down (self, "fenced by a later owner");
+      fb_owner_step_down (self, "append rejected because a later owner has written");
       return;
     }
   self->fenced_ms = fb_clock_ms ();
--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -93,7 +93,7 @@
       if (result == FB_APPEND_STORED && service_pool != NULL)
         fb_pool_flushed (service_pool->pool, fb_clock_ms ());
       else if (result != FB_APPEND_STORED)
-        fb_owner_step_down (owner, "fenced by a later owner");
+        fb_owner_step_down (owner, "append rejected because a later owner has written");
       fb_owner_schedule_tick (owner);
     }
   g_clear_pointer (&flush->ended, g_ptr_array_unref);
