--- a/soak/plan.c
+++ b/soak/plan.c
@@ -6,8 +6,8 @@
 #define FIRST_FAULT_AFTER_MS 1000
 /* Longer than a lease and than the time to live of a consumer group member. */
 #define MAX_DURATION_MS 7000
-/* Percentage of each kind of fault. PLAIN_WEIGHTS has no faults of worker calls and of links
- * between daemons. */
+/* Percentage of each kind of fault.  PLAIN_WEIGHTS has no faults of single calls, of links to
+ * workers and of links between daemons. */
 static const guint plain_weights[SOAK_FAULT_N] = { [SOAK_KILL] = 12,
                                                    [SOAK_TERM] = 10,
                                                    [SOAK_FREEZE] = 12,
--- a/soak/plan.h
+++ b/soak/plan.h
@@ -11,7 +11,7 @@
   SOAK_RELOAD,     /* SIGHUP to a daemon */
   SOAK_STORE_LINK, /* of a daemon to the store: slow, partitioned or one-way */
   SOAK_STORE_RESET,
-  SOAK_STORE_BLACKHOLE, /* open connections of that link stop forwarding for good */
+  SOAK_STORE_BLACKHOLE, /* open connections of that link stop forwarding permanently */
   SOAK_CALLER_LINK,
   SOAK_CALLER_RESET,
   SOAK_STORE_DOWN,         /* the store rejects all calls with 503 */
--- a/src/entry/advice/advice-balancer.c
+++ b/src/entry/advice/advice-balancer.c
@@ -9,10 +9,6 @@
  * waiting behind a request of half its own length costs a caller little more than its own
  * duration. */
 #define CLASS_DISTANCE 2
-/* Long requests are assigned from the end of the list of daemons, short ones from the beginning
- * (FB_ADVICE_LONG_MS).  Two owners are not aware of each other's requests, so that otherwise a
- * short request of one queues behind a long one of the other and its callers get late answers. */
-
 /* Maximum number of short requests open at one daemon.  With one, when another owner has a long
  * request at every daemon, a daemon that has answered a short request begins a long one while the
  * next short one is in transit, so that only one short request is answered for each long one.  With
@@ -31,7 +27,7 @@
 struct _FbAdviceBalancer
 {
   Load loads[CLASS_N];
-  GHashTable *open; /* address -> Open */
+  GHashTable *open; /* address -> OpenRequests */
 };
 
 /* Open requests at one daemon: one, or several short ones. */
@@ -128,6 +124,9 @@
   return NULL;
 }
 
+/* Assigns long requests from the end of the list of daemons and short ones from the beginning
+ * (FB_ADVICE_LONG_MS).  Two owners are not aware of each other's requests, so that otherwise a
+ * short request of one queues behind a long one of the other and its callers get late answers. */
 const char *
 fb_advice_balancer_choose (FbAdviceBalancer *self, const GPtrArray *daemons, uint32_t expected_ms,
                            uint64_t now_ms)
--- a/src/entry/entry-private.h
+++ b/src/entry/entry-private.h
@@ -98,7 +98,7 @@
 /* To be called with the REPLY to a membership renewal that was sent at SENT_MS: updates
  * store_health. */
 void fb_entry_membership_renewed (FbEntryDaemon *self, const FbHttpReply *reply, uint64_t sent_ms);
-/* To be called with the REPLY to a call of the store: records whether the store serves. */
+/* To be called with the REPLY to a call of the store: records whether the store is available. */
 void fb_entry_store_answered (FbEntryDaemon *self, const FbHttpReply *reply);
 /* Returns: TRUE when the store has not answered for so long that a call would probably time out;
  * callers are then refused before anything is sent. */
--- a/src/entry/frontend/append-proxy.c
+++ b/src/entry/frontend/append-proxy.c
@@ -7,8 +7,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Maximum number of daemons that append their own records: nine appends of 120 ms take 1.1 s, which
- * is within the time for which callers wait until the store is known to be slow. */
+/* Maximum number of daemons with which each one appends its own records: nine appends of 120 ms
+ * take 1.1 s, for which callers can wait until the store is known to be slow. */
 #define DIRECT_MAX 9
 /* Number of daemons per partition that append for the others.  Four appends of 120 ms take half a
  * second; with only one daemon, its failure would block all callers until it is detected. */
--- a/src/entry/frontend/append-proxy.h
+++ b/src/entry/frontend/append-proxy.h
@@ -35,7 +35,7 @@
 {
   FbAppendStep step;
   const char *address; /* of the other daemon for FB_APPEND_ROUTE_PROXY, borrowed; else NULL */
-  uint32_t timeout_ms; /* time limit of its reply */
+  uint32_t timeout_ms; /* timeout of the call to it */
 } FbAppendRoute;
 
 /* Returns: TRUE when a daemon with STORE_HEALTH should not append records itself. */
@@ -51,7 +51,7 @@
  * known, a daemon that is chosen alike by all.  MEMBERS: of FbDaemon.  OWNER: address of the
  * partition's owner; NULL: not known.  TRIED: addresses that are excluded.
  *
- * Returns: (nullable): the address of the daemon, borrowed. */
+ * Returns: (nullable): the address of the daemon, borrowed; NULL when there is none. */
 const char *fb_append_proxy_choose (const GPtrArray *members, const char *owner,
                                     const char *receiver, const GPtrArray *tried,
                                     uint32_t partition, uint64_t now_ms);
--- a/src/entry/frontend/frontend-store.c
+++ b/src/entry/frontend/frontend-store.c
@@ -108,9 +108,9 @@
   store_by_peer (request);
 }
 
-/* Sends the record to peers for storing, one after the other, because the store may reject this
- * daemon's calls while it serves other daemons; otherwise callers would be refused while workers
- * are idle.  The record has a key, so storing it again is harmless. */
+/* Has the record stored by peers, which are tried one after the other, because the store may reject
+ * this daemon's calls while it serves other daemons; otherwise callers would be refused while
+ * workers are idle.  The record has a key, so storing it again is harmless. */
 static void
 store_by_peer (FbFrontendRequest *request)
 {
@@ -160,8 +160,7 @@
 
 static void store_by_proxy (FbFrontendRequest *request);
 
-/* Makes the proxy that was tried last be skipped for a while, because it did not store the
- * record. */
+/* Excludes the proxy that was tried last for a while, because it did not store the record. */
 static void
 back_off_last_proxy (FbFrontendRequest *request)
 {
--- a/src/entry/frontend/frontend.c
+++ b/src/entry/frontend/frontend.c
@@ -1,9 +1,9 @@
 /* HTTP front end for callers: accepts jobs and cancels, and returns states and counts.
  *
- * Any daemon stores a job itself and answers when the store has confirmed it, so that jobs are
- * accepted while an owner is being replaced.  An error that says that the job is not stored is sent
- * only when this is certain.  Otherwise the caller gets status 504 and submits the job again under
- * the same id. */
+ * Every daemon stores the jobs that it receives, itself or through a proxy, and answers when the
+ * store has confirmed it, so that jobs are accepted while an owner is being replaced.  An error
+ * that says that the job is not stored is sent only when this is certain.  Otherwise the caller
+ * gets status 504 and submits the job again under the same id. */
 #include "frontend-private.h"
 
 #include "fb-counter.h"
@@ -16,7 +16,7 @@
 #include <string.h>
 #include <talloc.h>
 
-/* Time limit of a request to the owner: callers wait about 3 s for the answer. */
+/* Timeout of a request to the owner: callers wait about 3 s for the answer. */
 #define OWNER_TIMEOUT_MS 2000
 #define BODY_MAX_BYTES (256 * 1024)
 /* Bounds of Retry-After, which is set to the time for which the store has been unavailable, so that
--- a/src/entry/link-monitor.c
+++ b/src/entry/link-monitor.c
@@ -25,6 +25,7 @@
   g_free (self);
 }
 
+/* Bits per millisecond are equal to kilobits per second. */
 static uint32_t
 rate_kbit_s (uint64_t bytes, uint64_t span_ms)
 {
--- a/src/entry/owner/owner-import.c
+++ b/src/entry/owner/owner-import.c
@@ -2,8 +2,8 @@
  * earlier owners, and crash suspects that those owners could not store. */
 #include "owner-private.h"
 
-/* Time limit of an answer, which is needed before the first tasks are restarted, some 1 s after a
- * takeover. */
+/* Timeout of a request, whose answer is needed before the first tasks are restarted, some 1 s after
+ * a takeover. */
 #define ANSWER_TIMEOUT_MS 1000
 /* Delay of the second request.  A daemon detects an unresponsive worker only when its last poll of
  * that worker times out. */
--- a/src/entry/peers/link-connection.c
+++ b/src/entry/peers/link-connection.c
@@ -147,7 +147,7 @@
 
 /* Returns: TRUE when a call has timed out before any of it was written.  The connection is then
  * closed, because a daemon that was suspended would otherwise write the call after it resumes,
- * although the caller has given it up, and a task could run twice. */
+ * although its caller no longer waits for the answer, and a task could run twice. */
 static gboolean
 has_expired_unwritten_call (const FbLinkConnection *self)
 {
--- a/src/entry/peers/links-private.h
+++ b/src/entry/peers/links-private.h
@@ -72,5 +72,6 @@
 gboolean fb_link_connection_call (FbLinkConnection *self, GBytes *body, uint32_t timeout_ms,
                                   FbLinkDone done, gpointer user);
 /* Ends calls that have timed out.
- * Returns: FALSE when nothing was received in time and the connection is to be closed. */
+ * Returns: FALSE when nothing was received since a call that has timed out was sent, and the
+ * connection is to be closed. */
 gboolean fb_link_connection_check_timeouts (FbLinkConnection *self, uint64_t now_ms);
--- a/src/entry/peers/recent-starts.c
+++ b/src/entry/peers/recent-starts.c
@@ -24,7 +24,7 @@
 typedef struct
 {
   GQueue starts;         /* of Start, borrowed, oldest first */
-  gboolean unresponsive; /* the last order to the worker got no answer */
+  gboolean unresponsive; /* the result of the last order does not imply that it is running */
 } WorkerStarts;
 
 struct _FbRecentStarts
--- a/src/entry/peers/relay.c
+++ b/src/entry/peers/relay.c
@@ -236,7 +236,7 @@
 static void on_peer_reply (gpointer data, const fb_peer_reply *peer_reply);
 
 /* Sends the order again with its payload, because the relay has restarted or evicted the payload.
- * Returns: FALSE when the order has timed out. */
+ * Returns: FALSE when the order has timed out or already contained its payload. */
 static gboolean
 send_with_payload (RelayedOrder *relayed)
 {
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -201,7 +201,7 @@
 typedef struct
 {
   uint64_t generation; /* generation of the group at the last takeover */
-  uint64_t n;          /* index of the last epoch used in that generation */
+  uint64_t n;          /* index of the last epoch used in that generation, from 0 */
 } FbPartitionEpochs;
 
 uint32_t
@@ -300,7 +300,7 @@
   fb_owner_free (owner);
 }
 
-/* TRUE when a configured service maps to PARTITION; other partitions need no owner. */
+/* Returns: TRUE when a configured service maps to PARTITION; other partitions need no owner. */
 static gboolean
 has_service (const FbEntryDaemon *self, uint32_t partition)
 {
--- a/src/entry/store/appender.c
+++ b/src/entry/store/appender.c
@@ -11,7 +11,7 @@
 #include "fb-event.h"
 #include "fb-histogram.h"
 
-/* Time limit of an append through another daemon. */
+/* Timeout of an append through another daemon. */
 #define PEER_TIMEOUT_MS 900
 #define RETRY_MIN_MS 40
 #define RETRY_MAX_MS 300
--- a/src/entry/store/daemons.c
+++ b/src/entry/store/daemons.c
@@ -25,14 +25,14 @@
 #define READ_AFTER_CHANGE_MS 300
 /* Retry interval until a list is accepted, because pools wait for it. */
 #define READ_RETRY_MS 100
-/* A list is accepted only if it contains the reader's address.  A list without it was made after
- * the old members expired and before the reader was added: when all daemons start at the same time,
- * the first list that each one reads contains two of 33, and each daemon concludes that it has
- * enough processor time to own partitions.  Daemons of 0.12 of a core then take over pools and lose
- * them 0.5 to 1.3 s later to those of 0.5 of a core, which start loading again.  A list that
- * contains the reader's previous process is accepted, because it was made before that process
- * expired.  After this time any list is accepted, because the store may never assign a partition to
- * the reader. */
+/* Time after which any list is accepted, because the store may never assign a partition to the
+ * reader.  Until then a list is accepted only if it contains the reader's address.  A list without
+ * it was made after the old members expired and before the reader was added: when all daemons start
+ * at the same time, the first list that each one reads contains two of 33, and each daemon
+ * concludes that it has enough processor time to own partitions.  Daemons of 0.12 of a core then
+ * take over pools and lose them 0.5 to 1.3 s later to those of 0.5 of a core, which start loading
+ * again.  A list that contains the reader's previous process is accepted, because it was made
+ * before that process expired. */
 #define ANY_LIST_AFTER_MS 1500
 /* Initial number of topics whose partitions the group assigns.  The store lists only members that
  * hold a partition, so there have to be more partitions than daemons; see
@@ -56,7 +56,7 @@
   uint64_t generation;
   uint64_t read_generation; /* generation at the last request for the members; 0: they have to be
                              * requested again */
-  uint64_t read_ms;         /* when the members were last requested */
+  uint64_t read_ms;         /* time at which the members were last requested */
   gboolean read_open;
   gboolean leaving;
   guint timer;
--- a/src/entry/store/group-leave.h
+++ b/src/entry/store/group-leave.h
@@ -10,8 +10,8 @@
 
 /* GROUP: a static string.  NAME: this process's member name, borrowed while SELF exists. */
 FbGroupLeave *fb_group_leave_new (FbEntryDaemon *entry, const char *group, const char *name);
-/* Removes this process.  DONE, which may be NULL, is called with the store's answer or after a
- * timeout. */
+/* Removes this process.  DONE, which may be NULL, is called with the store's answer, or when the
+ * call has failed. */
 void fb_group_leave_self (FbGroupLeave *self, FbHttpReplyDone done, gpointer user);
 /* Removes MEMBER if it is a previous process of this daemon.
  * Returns: FALSE when it is not one, or was already removed. */
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -81,7 +81,7 @@
     }
 }
 
-/* ---- earlier processes of this daemon ------------------------------------------ */
+/* ---- previous processes of this daemon ----------------------------------------- */
 
 /* Removes the previous processes of this daemon from the group.  When a daemon is killed and
  * restarts within its time to live, the store still regards the previous process as the owner of
@@ -122,7 +122,7 @@
 
 /* Requests the owners from a peer, for the case that the store rejects this daemon's calls but
  * serves the peer.  Otherwise, after partitions have new owners, callers of this daemon that
- * request a job's state wait for 2 s and are answered that the owner is unavailable. */
+ * request a job's state wait for 2 s and get the answer that the owner is unavailable. */
 static void
 request_owners_from_peer (FbGroup *self)
 {
@@ -381,7 +381,7 @@
 on_left (gpointer data, const FbHttpReply *reply)
 {
   FbGroup *self = data;
-  (void) reply; /* without an answer the membership ends after its time to live */
+  (void) reply; /* without an answer the membership expires after its time to live */
   self->on_released (self->on_released_user);
 }
 
--- a/src/entry/store/group.h
+++ b/src/entry/store/group.h
@@ -7,7 +7,7 @@
 typedef struct _FbGroup FbGroup;
 
 FbGroup *fb_group_new (FbEntryDaemon *entry);
-/* Releases all partitions.  DONE is called with the store's answer or after a timeout. */
+/* Releases all partitions.  DONE is called when the store has answered or the call has failed. */
 void fb_group_release_partitions (FbGroup *self, void (*done) (gpointer user), gpointer user);
 /* Returns: TRUE while no other daemon can have been assigned this daemon's partitions. */
 gboolean fb_group_is_member (const FbGroup *self, uint64_t now_ms);
--- a/src/entry/store/keepalive.h
+++ b/src/entry/store/keepalive.h
@@ -5,7 +5,7 @@
  * longer than the time to live, the store assigns the pool to the next daemon, where the same
  * happens: two daemons take a pool from each other every few seconds, leases expire, callers of
  * that service get no results, and the pool does not recover.  When the process crashes or is
- * suspended, the thread stops too, and it stops renewing beside a main loop that hangs for
+ * suspended, the thread stops too, and it stops renewing when the main loop has hung for
  * HANG_TIMEOUT_MS. */
 #pragma once
 
--- a/src/entry/store/topic-reader.c
+++ b/src/entry/store/topic-reader.c
@@ -123,8 +123,8 @@
   else
     {
       /* A listing is as old as its first page: a record may be stored at a key that an earlier page
-       * has passed.  With the time of the last page, the listing would prove that there is no such
-       * job, and its caller would get that answer. */
+       * has passed.  If the listing were dated by its last page, it would appear to prove that
+       * there is no such job, and the job's caller would get that answer. */
       self->listing = FALSE;
       self->synced_ms = self->listing_ms;
       self->ops->listed (self->user);
--- a/tests/test-entry.c
+++ b/tests/test-entry.c
@@ -13,7 +13,7 @@
 #define SHORT_MS 30
 #define RETRY_MS 25
 
-/* Of two pools that share one daemon, none may starve.  Pool 1 sends a request as soon as its
+/* Of two pools that share one daemon, neither may starve.  Pool 1 sends a request as soon as its
  * answer arrives, and pool 2, which retries every 25 ms, always finds the daemon busy; without fair
  * sharing it got no answers and started nothing for 40 s.  Pool 2 has to be served first once it
  * has used less time. */
