--- a/src/entry/frontend/frontend-private.h
+++ b/src/entry/frontend/frontend-private.h
@@ -5,7 +5,7 @@
 
 #include "src/entry/entry-private.h"
 
-/* One HTTP request of a caller; talloc context of all its data. */
+/* One HTTP request of a caller; talloc context of its strings. */
 typedef struct
 {
   FbEntryDaemon *entry;
--- a/src/entry/peers/peers.c
+++ b/src/entry/peers/peers.c
@@ -273,7 +273,7 @@
   FbTraffic traffic;
 } ServedRequest;
 
-/* Sends the reply and frees DATA, the Answer.  PEER_REPLY: NULL when none is available. */
+/* Sends the reply and frees DATA, the ServedRequest.  PEER_REPLY: NULL when none is available. */
 static void
 send_reply (gpointer data, const fb_peer_reply *peer_reply)
 {
--- a/src/entry/settings.h
+++ b/src/entry/settings.h
@@ -19,8 +19,7 @@
   uint64_t max_lease_ms;    /* limits of workers; see FbPoolLimits */
   uint64_t max_stop_ms;
   uint64_t gang_wait_ms;
-  uint64_t max_isolated_crashes; /* crashed workers at which a task's job fails; 0: default; see
-                                    FbPoolLimits */
+  uint64_t max_isolated_crashes; /* crashed workers at which a task's job fails; 0: default */
   uint64_t max_shared_crashes;   /* the same if other tasks may be the cause; 0: default */
   uint64_t grace_ms;             /* time between the stop signal and the kill of the process */
   uint64_t link_kbit_s; /* capacity of the network link, each way; Mbit/s in the file; 0: unknown */
--- a/tests/test-advice.c
+++ b/tests/test-advice.c
@@ -152,8 +152,9 @@
 /* Short requests of one owner must not wait for long ones of another at every daemon.  Each owner
  * has a request open at each daemon, and the service handles a daemon's calls one after the other.
  * While one service had a backlog, after all daemons had been killed, hundreds of short jobs of the
- * other started 10 s late, and long-running tasks did not run for as long.  The two owners got 48
- * to 69 answers a second each during 8 s, and 198 to 335 after the long backlog was processed. */
+ * other started 10 s late, and long-running tasks were stopped for the same time.  The two owners
+ * got 48 to 69 answers a second each during 8 s, and 198 to 335 after the long backlog was
+ * processed. */
 static void
 test_long_requests_of_another_owner (void)
 {
--- a/tests/test-http.c
+++ b/tests/test-http.c
@@ -302,7 +302,7 @@
 }
 
 /* A callback may cancel the calls of its own user, as a topic reader does when its listing is
- * complete. The call was freed twice, and every daemon that took over a pool crashed. */
+ * complete. Such a call was once freed twice, and every daemon that took over a pool crashed. */
 static void
 test_callback_cancels_its_calls (void)
 {
