--- a/soak/callers.h
+++ b/soak/callers.h
@@ -20,7 +20,7 @@
 /* Submits a job at random ticks, and sends the calls that are due.  NO_NEW_JOBS: submits no more
  * jobs. */
 void soak_callers_tick (SoakCallers *self, gboolean no_new_jobs);
-/* Returns: TRUE when every accepted job was reported in a final state. */
+/* Returns: TRUE when every job was reported in a final state or abandoned as never accepted. */
 gboolean soak_callers_all_ended (const SoakCallers *self);
 /* Returns: (transfer full): ids of the jobs all of whose submissions were rejected,
  * NULL-terminated. */
@@ -28,5 +28,6 @@
 /* Returns: (nullable): the text of the first violation; borrowed. */
 const char *soak_callers_violation (const SoakCallers *self);
 SoakCounts soak_callers_counts (const SoakCallers *self);
-/* Returns: (nullable) (transfer full): the id of a job that was not reported in a final state. */
+/* Returns: (nullable) (transfer full): the id of a job that was neither reported in a final state
+ * nor abandoned. */
 char *soak_callers_unfinished_job (const SoakCallers *self);
--- a/soak/processes.c
+++ b/soak/processes.c
@@ -211,7 +211,7 @@
       (void) g_subprocess_wait (self->platform, NULL, NULL);
       g_object_unref (self->platform);
     }
-  /* SELF and its daemons are not freed: callbacks of their ends may still be pending. */
+  /* SELF and its daemons are not freed: callbacks of their exits may still be pending. */
 }
 
 SoakLink *
--- a/src/entry/entry.c
+++ b/src/entry/entry.c
@@ -27,6 +27,7 @@
 #define LINK_CHECK_MS 2000
 /* Phases of a planned stop: progress is flushed, then partitions are released, then callers on open
  * connections are served until shortly before the process would be killed. */
+
 /* Interval of the checks whether the process can exit; must be shorter than STOP_SETTLE_MS, the
  * period without answers that they require.  With an interval of 50 ms and a caller that sends a
  * request every 50 ms, each check saw a recent answer, and the process ran until it had to refuse
--- a/tests/test-slow-store.c
+++ b/tests/test-slow-store.c
@@ -307,8 +307,8 @@
   CU_ASSERT_PTR_NULL (fb_append_proxy_choose (nobody, NULL, "10.0.0.1:7", tried, PARTITION, 1000));
 }
 
-/* With many daemons at most four append for all. When one of them cannot reach the store, the
- * daemons that chose it all choose the same next one. */
+/* With many daemons at most four append for all. When one of them cannot reach the store, another
+ * one is chosen until its backoff has passed. */
 static void
 test_few_append_for_many (void)
 {
