--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -17,7 +17,7 @@
 #define UNCONFIRMED_MAX_MS 2000
 /* Interval at which records of ended jobs are deleted in a batch. */
 #define DELETE_INTERVAL_MS 1000
-/* Maximum age of the list of jobs for answering that a job does not exist. */
+/* Maximum age of the list of jobs by which the owner answers that a job does not exist. */
 #define JOBS_MAX_AGE_MS 1500
 
 /* ---- pools --------------------------------------------------------------------- */
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -24,7 +24,7 @@
 /* Number of epochs that one daemon can use for a partition within one generation of the group: at
  * one takeover every 350 ms they suffice for 6 minutes. */
 #define EPOCHS_PER_GENERATION 1024
-/* Pause between polls of the worker list.  Every worker rewrites its entry each 1.5 s, and a poll
+/* Pause between polls of the worker list.  Every worker rewrites its entry every 1.5 s, and a poll
  * returns at the first change, so that without a pause 48 workers would cause 32 polls a second.  A
  * worker that leaves has to be detected within 2 s. */
 #define WORKER_LIST_PAUSE_MS 300
--- a/src/entry/store/appender.c
+++ b/src/entry/store/appender.c
@@ -4,7 +4,7 @@
  * An append without an answer may have been stored, or may be stored later.  With a writer, it is
  * repeated under its sequence number until the outcome is known.  Without a writer the records are
  * keyed, so that a repeat is harmless: it is repeated too, and if the outcome is still unknown at
- * the end, the caller is informed of that and not that nothing was stored. */
+ * the end, the caller is informed that it is unknown, never that nothing was stored. */
 #include "src/entry/entry-private.h"
 
 #include "fb-counter.h"
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -214,7 +214,7 @@
 
 /* Includes the owners, which the store lists separately from the members.  A daemon whose calls
  * were rejected for 2 s is not listed as a member.  A daemon that reads the members at that moment,
- * and is rejected next, would know no peer that could append for it, and would report no end of a
+ * and is rejected next, would have no peer that could append for it, and would report no end of a
  * job until the store serves it again. */
 GPtrArray *
 fb_group_daemons (const FbGroup *self)
--- a/src/entry/store/store-health.h
+++ b/src/entry/store/store-health.h
@@ -1,11 +1,11 @@
 /* Latency and failures of the store, as measured in this daemon's own calls.  No I/O, clock or
  * thread.
  *
- * The latency of membership renewals and failed appends are included, because successful appends
- * alone are not sufficient: while the store is slow, a partition takes 100 ms and more for one
- * append, the appends of all daemons queue up, and the first ones of each daemon time out in that
- * queue.  With successful appends alone, nine of ten callers got no answer for as long as the store
- * was slow (33 daemons, 50 jobs a second). */
+ * Membership renewals and failed appends are included, because successful appends alone are not
+ * sufficient: while the store is slow, a partition takes 100 ms and more for one append, the
+ * appends of all daemons queue up, and the first ones of each daemon time out in that queue.  With
+ * successful appends alone, nine of ten callers got no answer for as long as the store was slow (33
+ * daemons, 50 jobs a second). */
 #pragma once
 
 #include <glib.h>
