--- a/src/entry/owner/owner.c
+++ b/src/entry/owner/owner.c
@@ -17,7 +17,7 @@
 #define UNCONFIRMED_MAX_MS 2000
 /* Interval at which records of ended jobs are deleted in a batch. */
 #define DELETE_INTERVAL_MS 1000
-/* Maximum age of the list of jobs for answering that a job does not exist. */
+/* Maximum age of the list of jobs by which the owner answers that a job does not exist. */
 #define JOBS_MAX_AGE_MS 1500
 
 /* ---- pools --------------------------------------------------------------------- */
@@ -93,7 +93,7 @@
       if (result == FB_APPEND_STORED && service_pool != NULL)
         fb_pool_flushed (service_pool->pool, fb_clock_ms ());
       else if (result != FB_APPEND_STORED)
-        fb_owner_step_down (owner, "fenced by a later owner");
+        fb_owner_step_down (owner, "append rejected because a later owner has written");
       fb_owner_schedule_tick (owner);
     }
   g_clear_pointer (&flush->ended, g_ptr_array_unref);
--- a/src/entry/state.c
+++ b/src/entry/state.c
@@ -24,7 +24,7 @@
 /* Number of epochs that one daemon can use for a partition within one generation of the group: at
  * one takeover every 350 ms they suffice for 6 minutes. */
 #define EPOCHS_PER_GENERATION 1024
-/* Pause between polls of the worker list.  Every worker rewrites its entry each 1.5 s, and a poll
+/* Pause between polls of the worker list.  Every worker rewrites its entry every 1.5 s, and a poll
  * returns at the first change, so that without a pause 48 workers would cause 32 polls a second.  A
  * worker that leaves has to be detected within 2 s. */
 #define WORKER_LIST_PAUSE_MS 300
@@ -201,7 +201,7 @@
 typedef struct
 {
   uint64_t generation; /* generation of the group at the last takeover */
-  uint64_t n;          /* index of the last epoch used in that generation */
+  uint64_t n;          /* index of the last epoch used in that generation, from 0 */
 } FbPartitionEpochs;
 
 uint32_t
@@ -300,7 +300,7 @@
   fb_owner_free (owner);
 }
 
-/* TRUE when a configured service maps to PARTITION; other partitions need no owner. */
+/* Returns: TRUE when a configured service maps to PARTITION; other partitions need no owner. */
 static gboolean
 has_service (const FbEntryDaemon *self, uint32_t partition)
 {
--- a/src/entry/store/group.c
+++ b/src/entry/store/group.c
@@ -81,7 +81,7 @@
     }
 }
 
-/* ---- earlier processes of this daemon ------------------------------------------ */
+/* ---- previous processes of this daemon ----------------------------------------- */
 
 /* Removes the previous processes of this daemon from the group.  When a daemon is killed and
  * restarts within its time to live, the store still regards the previous process as the owner of
@@ -122,7 +122,7 @@
 
 /* Requests the owners from a peer, for the case that the store rejects this daemon's calls but
  * serves the peer.  Otherwise, after partitions have new owners, callers of this daemon that
- * request a job's state wait for 2 s and are answered that the owner is unavailable. */
+ * request a job's state wait for 2 s and get the answer that the owner is unavailable. */
 static void
 request_owners_from_peer (FbGroup *self)
 {
@@ -214,7 +214,7 @@
 
 /* Includes the owners, which the store lists separately from the members.  A daemon whose calls
  * were rejected for 2 s is not listed as a member.  A daemon that reads the members at that moment,
- * and is rejected next, would know no peer that could append for it, and would report no end of a
+ * and is rejected next, would have no peer that could append for it, and would report no end of a
  * job until the store serves it again. */
 GPtrArray *
 fb_group_daemons (const FbGroup *self)
@@ -381,7 +381,7 @@
 on_left (gpointer data, const FbHttpReply *reply)
 {
   FbGroup *self = data;
-  (void) reply; /* without an answer the membership ends after its time to live */
+  (void) reply; /* without an answer the membership expires after its time to live */
   self->on_released (self->on_released_user);
 }
 
