--- a/src/entry/peers/links.c
+++ b/src/entry/peers/links.c
@@ -1,6 +1,6 @@
 /* Connections between daemons.
  *
- * A daemon on a quarter of a core answers about a hundred calls from its peers per second.  Over
+ * A daemon on a quarter of a core answers some hundreds of calls from its peers per second.  Over
  * HTTP each call took 0.3 ms of processor time, and each connection added a source that the main
  * loop checks in every iteration.  Here one epoll descriptor covers all connections, and the frames
  * for a peer from one iteration are written in one system call.
