--- a/include/internal/rack.h
+++ b/include/internal/rack.h
@@ -2,9 +2,9 @@
  * are made by this object.
  *
  * It has no clock, I/O or threads. The caller passes in the time and all incoming messages
- * through the functions below; outgoing requests and reports leave through FbRackCallbacks. Because
- * the capacity of every start is charged here first, it can check locally that no worker is
- * given more than its capacity. Read-only functions are in rack-query.h. */
+ * through the functions below; outgoing requests and reports leave through FbRackCallbacks.
+ * Because the capacity of every start is charged here first, it can check locally that no worker
+ * is given more than its capacity. Read-only functions are in rack-query.h. */
 #pragma once
 
 #include "fb-types.h"
@@ -38,8 +38,8 @@
 {
   fb_spec spec; /* payload not set; borrowed */
   FbSyncState state;
-  FbRunStatus
-      run_status;     /* if state is ENDED: COMPLETED, FAILED, STOPPED or LOST (lease expired) */
+  /* If state is ENDED: COMPLETED, FAILED, STOPPED or LOST (lease expired). */
+  FbRunStatus run_status;
   fb_res usage;       /* measured; raises the charge above the declared demand */
   const char *answer; /* borrowed */
   uint32_t answer_len;
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -84,10 +84,9 @@
   gboolean active; /* sends and answers; FALSE: only applies records read from the log */
   gboolean log_ok; /* the last append to the log succeeded */
   uint64_t epoch;
-  gboolean *reconciled_racks; /* one for each rack: it has replied without unknown runs; NULL unless
-                                 reconciling */
+  gboolean *reconciled_racks; /* for each rack: it has no unknown runs; NULL unless reconciling */
   guint reconcile_rack_n;     /* number of racks in reconciled_racks */
-  guint reconcile_remaining;  /* number of racks that have not replied */
+  guint reconcile_remaining;  /* number of racks that are not reconciled yet */
   uint64_t reconcile_at_ms;   /* when the request to the racks is repeated */
   uint64_t next_due_ms;       /* earliest expiry of the timers set since the last dispatch */
   uint64_t history_gap_until_ms; /* until then, jobs and keys from before may be unknown */
--- a/include/internal/range-query.h
+++ b/include/internal/range-query.h
@@ -8,7 +8,7 @@
 
 /* Returns: for how long jobs and keys from before may be unknown, in ms. */
 uint64_t fb_range_history_gap_ms (const FbRange *self, uint64_t now_ms);
-/* Returns: TRUE while the reconciliation is in progress, that is, some rack has not replied. */
+/* Returns: TRUE while some rack has not replied, or has runs that this range does not know. */
 gboolean fb_range_is_reconciling (const FbRange *self);
 
 /* Returns: the offset of the oldest full record of a job that is still needed, or NEXT if
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -2,8 +2,8 @@
  *
  * This code has no clock, I/O or threads. The owner of a range admits jobs, sends each task to a
  * rack in numbered attempts, one at a time, and decides the final outcome. Everything that has
- * to survive the process goes to the log through callbacks->append() and takes effect only when the
- * log returns it, in log order, through fb_range_apply(). A successor that applies the same
+ * to survive the process goes to the log through callbacks->append() and takes effect only when
+ * the log returns it, in log order, through fb_range_apply(). A successor that applies the same
  * records reaches the same state.
  *
  * A range without a log (ephemeral) uses the same code, but its records are applied at once: its
@@ -21,9 +21,8 @@
 #define FB_RANGE_GANG_RESERVE_MS 15000 /* for all members of a gang to reserve capacity */
 #define FB_RANGE_JOB_MAX 20000  /* jobs in one range, including ended ones that are still kept */
 #define FB_RANGE_TASK_MAX 20000 /* tasks of one job */
-#define FB_RANGE_JOB_RETENTION_MS                                                                  \
-  (60 * 60 * 1000)              /* how long ended jobs and their keys are kept                     \
-                                 */
+/* How long ended jobs and their keys are kept. */
+#define FB_RANGE_JOB_RETENTION_MS (60 * 60 * 1000)
 #define FB_RANGE_FAIL_RETRIES 1 /* of a task that its target failed */
 #define FB_RANGE_LOST_RETRIES 8 /* of a task whose worker was lost */
 
@@ -75,7 +74,8 @@
 void fb_range_deactivate (FbRange *self);
 
 /* Requests the runs of this range from RACK_N racks, because records that are still needed may
- * be missing; see reconcile.c. No job is admitted until all racks have replied. */
+ * be missing; see reconcile.c. No job is admitted until all racks have replied and have no run
+ * that this range does not know. */
 void fb_range_begin_reconciliation (FbRange *self, uint64_t now_ms, guint rack_n);
 /* Marks that jobs from before may be unknown for another HISTORY_GAP_MS, as at the predecessor. */
 void fb_range_set_history_gap (FbRange *self, uint64_t now_ms, uint64_t history_gap_ms);
--- a/include/internal/stream.h
+++ b/include/internal/stream.h
@@ -14,9 +14,10 @@
   /* RECORD is a claim that is in force from now on, or a RENEW that made known which claim is in
    * force */
   FB_STREAM_CLAIMED,
-  FB_STREAM_DUPLICATE,  /* duplicate of a record from a repeated append */
-  FB_STREAM_SUPERSEDED, /* from an epoch that a later claim has ended, or a claim that came second
-                         */
+  FB_STREAM_DUPLICATE, /* duplicate of a record from a repeated append */
+  /* RECORD is of an epoch that a later claim has ended, or is a claim that does not follow the one
+   * in force */
+  FB_STREAM_SUPERSEDED,
   FB_STREAM_MALFORMED,
   FB_STREAM_OLD /* offset before the next one to read */
 } FbStreamResult;
--- a/src/core/member.c
+++ b/src/core/member.c
@@ -1,10 +1,10 @@
 /* Membership by heartbeats, and preferred owners by rendezvous hashing.
  *
  * Membership only determines which daemon tries to own a shard; it does not grant ownership. If
- * two daemons with different views both claim a shard, the log accepts only one claim. Plain
- * heartbeats with a fixed suspicion timeout are therefore sufficient: a wrong suspicion costs a
- * move of a shard, but not safety. With rendezvous hashing, only the shards of a member that
- * leaves are moved. */
+ * two daemons with different views both claim a shard, only the first claim in the log takes
+ * effect (stream.c). Plain heartbeats with a fixed suspicion timeout are therefore sufficient: a
+ * wrong suspicion moves a shard unnecessarily, but does not affect safety. With rendezvous hashing,
+ * only the shards of a member that leaves are moved. */
 #include "internal/member.h"
 
 #include "fb-event.h"
--- a/src/core/node-config.c
+++ b/src/core/node-config.c
@@ -148,6 +148,7 @@
  * until the daemon has caught up, that is, until all daemons are alive and none has a higher
  * serial number in force. If the log then has a revision that none of them has in force, the
  * first one with the highest serial number is applied. */
+
 static void
 clear_candidate (FbConfigState *state)
 {
--- a/src/core/node-shards.c
+++ b/src/core/node-shards.c
@@ -1,6 +1,6 @@
 /* Ownership of shards: claims through the log, handovers without it, and stepping down.
  *
- * A daemon that is the preferred owner of a shard by rendezvous hashing, while the shard has no
+ * A daemon that is the preferred owner of a shard by rendezvous hashing, and has no record of a
  * live owner, reads the shard's stream to its end and appends a claim. It owns the shard once it
  * has read its own claim back as the one in force. Ownership does not expire: only a later claim
  * or a handover ends it, so owners are not affected by an outage of the log.
@@ -263,7 +263,8 @@
   fb_node_append (self, shard->id, previous, &body);
 }
 
-/* The stream has been read to its end, by a read that was requested at READ_REQUESTED_MS. */
+/* Called when the stream has been read to its end. shard->read_requested_ms is the time at which
+ * that read was requested. */
 void
 fb_node_shard_read_end (FbNode *self, FbShard *shard)
 {
--- a/src/core/node.c
+++ b/src/core/node.c
@@ -340,9 +340,9 @@
   fb_node_flush_log (user);
 }
 
-/* Delays all starts until the host list has been read again. A process that resumes after a
- * suspension has outdated state and could start work on a host that began to leave in the
- * meantime. */
+/* Delays all starts by HOST_LIST_REFRESH_MS, in which the host list is read again. A process that
+ * resumes after a suspension has outdated state and could start work on a host that began to leave
+ * in the meantime. */
 static void
 delay_starts_after_suspension (FbNode *self)
 {
--- a/src/core/preempt.c
+++ b/src/core/preempt.c
@@ -47,7 +47,7 @@
 }
 
 /* Returns: (transfer full): runs on W that have to be stopped so that FOR_TASK fits, given that
- * CAPACITY is free or being freed; NULL if stopping all candidates is not enough. *LOSS_MS is
+ * AVAILABLE is free or being freed; NULL if stopping all candidates is not enough. *LOSS_MS is
  * the run time lost. */
 static GPtrArray *
 find_victims (const FbRack *self, const FbWorker *w, const fb_res *available,
--- a/src/core/rack-sync.c
+++ b/src/core/rack-sync.c
@@ -187,7 +187,7 @@
 /* Handles a start that the worker has refused. The refusal counts only if no later request was
  * sent, since that one may have contained the start as well: after a timeout the start is
  * repeated, and the worker may refuse it in the first request, which arrived too late, and
- * execute it in the second. The run would be reported as not run although it executes. */
+ * execute it in the second. Otherwise the run would be reported as not run although it executes. */
 static void
 handle_refused_start (FbRack *self, uint64_t now_ms, guint index, const FbSyncReply *reply,
                       const FbSyncRun *run)
--- a/src/core/range-apply.c
+++ b/src/core/range-apply.c
@@ -21,8 +21,8 @@
 {
   const fb_job *spec = &admit->job;
   FbJob *job = fb_range_find (self, spec->id);
-  /* An update does not contain the complete job, so it is not applied if the earlier records are
-   * missing. */
+  /* An update has no state of the tasks. It is not applied if the earlier records are missing, as
+   * the job would otherwise be taken for a new one. */
   if (job == NULL && admit->update)
     return;
   if (job == NULL)
--- a/src/core/reconcile.c
+++ b/src/core/reconcile.c
@@ -4,8 +4,8 @@
  * owner finds the stream without some of its jobs. It could then start a service in addition to
  * tasks that still run, or send a reminder again under a key that was used. Lost records cannot
  * be recovered, so the successor makes no assumption about them:
- * - before it admits or sends anything, it requests the runs of this range from every rack,
- *   and stops those that it does not know;
+ * - before it admits or sends anything, it requests the runs of this range from every rack, and
+ *   stops those that it does not know, until every rack has replied without such runs;
  * - for as long as keys are kept, it answers "unknown" to an at-most-once job whose id it
  *   does not know, and to a query about one.
  *
@@ -77,8 +77,9 @@
   (void) self->callbacks->send (self->user, self, rack, &ack);
 }
 
-/* The job may be known from a late record although its earlier records are missing, so it is the
- * run that has to be known. Its attempt number is not used again in either case. */
+/* Returns: TRUE if RUN is the last attempt of its task. It is not enough that the job is known: a
+ * late record may remain while the earlier ones are missing. The attempt number of an unknown run
+ * is not used again. */
 static gboolean
 is_known_run (const FbRange *self, uint32_t rack, const fb_run *run)
 {
--- a/src/core/router.c
+++ b/src/core/router.c
@@ -22,11 +22,11 @@
  * racks to those of the other partner, and, for work without accelerators, racks that have none
  * to racks that have some.
  *
- * Preemptible work may run on the other partner's racks, but queues at its own partner's racks
- * first; its range moves it when there is free capacity elsewhere. A gang keeps its reservations
- * while it queues, and none of its members can move alone. For a gang, free capacity of the
- * other partner is therefore preferred to queueing at its own: otherwise a gang whose own racks
- * had permanently lost a host waited although the other partner's racks were idle. */
+ * Preemptible work may run on the other partner's racks, but is queued at its own partner's racks
+ * in preference to that; its range moves it when there is free capacity elsewhere. A gang keeps its
+ * reservations while it queues, and none of its members can move alone. For a gang, free capacity
+ * of the other partner is therefore preferred to queueing at its own: otherwise a gang whose own
+ * racks had permanently lost a host waited although the other partner's racks were idle. */
 #include "internal/router.h"
 
 #include <string.h>
--- a/src/core/stream.c
+++ b/src/core/stream.c
@@ -20,9 +20,10 @@
  * the first to name its predecessor, this has no consequences, since its writer appends nothing
  * under it.
  *
- * If no RENEW is left, a claim names the offset at which its writer began to read. A reader that
- * has the whole stream accepts it exactly if a reader that began there could not have known the
- * epoch: if there is no claim and no RENEW whose writer had read as far. */
+ * If no record is left from which the epoch can be taken, a claim names the offset at which its
+ * writer began to read. A reader that has the whole stream accepts it exactly if a reader that
+ * began there could not have known the epoch: if there is no claim and no RENEW whose writer had
+ * read as far. */
 #include "internal/stream.h"
 
 #include <string.h>
