--- a/rpc/peer.x
+++ b/rpc/peer.x
@@ -1,8 +1,7 @@
 /* The protocol between daemons: batches of one-way messages.
  *
- * One procedure carries a batch; its reply only acknowledges receipt. Answers are
- * messages of their own, matched by run and attempt, so the loss of a reply never affects
- * a decision. Times that refer to a deadline are sent as the remaining time in ms. */
+ * One procedure carries a batch; its reply only acknowledges receipt. Answers are separate
+ * messages, matched by run and attempt, so the loss of a reply never affects a decision. Times that refer to a deadline are sent as the remaining time in ms. */
 
 const FB_MAX_PAYLOAD = 65536;
 const FB_MAX_NAME = 64;
@@ -106,7 +105,8 @@
 /* State of a job, from the owner of its range to the daemon that serves its caller. OUTCOME is an
  * FbOutcome, PENDING until the job has ended; REASON is an FbReason. BODY: output of the last task
  * that had one. REFUSED_COPY: number of the copy that was refused, if no job was admitted;
- * otherwise 0. WAIT_MS: time from arrival to the first start, or until now if nothing has started. */
+ * otherwise 0. WAIT_MS: time from arrival to the first start, or until now if no task has
+ * started. */
 struct fb_answer {
   unsigned int refused_copy;
   unsigned hyper job;
--- a/rpc/work.x
+++ b/rpc/work.x
@@ -128,7 +128,7 @@
   fb_step_name steps<FB_WORK_MAX_RUNS>;
 };
 
-/* The workers of a pool that may have runs, as its owner knew them.  The platform's list loses
+/* The workers of a pool that may have runs, as known to its owner.  The platform's list loses
  * entries while the store is unavailable. */
 struct fb_work_workers {
   fb_work_known_worker workers<FB_WORK_MAX_WORKERS>;
@@ -296,7 +296,7 @@
 struct fb_relay_reply {
   unsigned int result;     /* FbOrderResult */
   unsigned hyper clock_ms; /* the worker's clock; 0: not known */
-  string incarnation<FB_WORK_MAX_NAME>; /* that answered instead of the addressed; "": unknown */
+  string incarnation<FB_WORK_MAX_NAME>; /* which answered in place of the addressed one; "": unknown */
   fb_reported_run running<FB_WORK_MAX_REPORTED>;
   fb_reported_end finished<FB_WORK_MAX_REPORTED>;
 };
--- a/src/daemon/frontend-private.h
+++ b/src/daemon/frontend-private.h
@@ -16,7 +16,7 @@
   FB_CALL_REQUEST,    /* answered with the final outcome of its job */
   FB_CALL_JOB,        /* answered when its job is admitted */
   FB_CALL_JOB_QUERY,  /* answered with the current state of its job */
-  FB_CALL_WITHOUT_JOB /* no answer depends on a job: status, configuration, metrics, explanation */
+  FB_CALL_WITHOUT_JOB /* does not wait for a job: status, configuration, metrics, explanation */
 } FbCallMode;
 
 /* One HTTP request, owned by the front-end thread until it is answered. */
