--- a/include/fb-settings.h
+++ b/include/fb-settings.h
@@ -19,7 +19,7 @@
   char *name; /* name of this daemon, a member of the cell */
   char *cell_path;
   gboolean quiet;    /* writes no event lines */
-  uint64_t drain_ms; /* time limit of a planned stop */
+  uint64_t drain_ms; /* time limit of a graceful shutdown */
 } FbSettings;
 
 /* Returns: FB_SETTINGS_OK and sets *SETTINGS and *CELL (both transfer full); else the last message
--- a/include/fb-types.h
+++ b/include/fb-types.h
@@ -89,7 +89,7 @@
   FB_REASON_OVERLOAD,       /* the range has FB_RANGE_JOB_MAX jobs */
   FB_REASON_KEY_MISMATCH,   /* the key was used for a different job */
   FB_REASON_LOG_DOWN,       /* appends to the log fail */
-  FB_REASON_RETENTION,      /* the job may have run before: the log dropped records */
+  FB_REASON_RETENTION,      /* the log dropped records, perhaps some of this job */
   FB_REASON_N
 } FbReason;
 
--- a/include/internal/member.h
+++ b/include/internal/member.h
@@ -14,7 +14,7 @@
 {
   FB_MEMBER_NO_CONTACT, /* no heartbeat has arrived yet */
   FB_MEMBER_ALIVE,
-  FB_MEMBER_LEAVING,  /* begins a planned stop: gets no shards */
+  FB_MEMBER_LEAVING,  /* shuts down gracefully: gets no shards */
   FB_MEMBER_SUSPECTED /* no heartbeat for FB_MEMBER_SUSPECT_MS */
 } FbMemberState;
 
--- a/include/internal/node.h
+++ b/include/internal/node.h
@@ -120,5 +120,5 @@
 } FbNodeConfigStatus;
 FbNodeConfigStatus fb_node_publish (FbNode *self, uint64_t now_ms, const fb_rec_config *config);
 
-/* Begins a planned stop: hands the shards over to other daemons. */
+/* Begins a graceful shutdown: hands the shards over to other daemons. */
 void fb_node_drain (FbNode *self, uint64_t now_ms);
--- a/include/internal/range-private.h
+++ b/include/internal/range-private.h
@@ -89,7 +89,7 @@
   guint reconcile_remaining;  /* number of racks that are not reconciled yet */
   uint64_t reconcile_at_ms;   /* when the request to the racks is repeated */
   uint64_t next_due_ms;       /* earliest expiry of the timers set since the last dispatch */
-  uint64_t history_gap_until_ms; /* until then, jobs and keys from before may be unknown */
+  uint64_t history_gap_until_ms; /* until then, older jobs and keys may be missing */
   GHashTable *jobs;              /* &job->spec.id -> FbJob owned */
   GSequence *timers[FB_KIND_N];  /* FbJobTask borrowed, earliest first */
   GQueue cancelling;             /* FbJob whose tasks are not all cancelled yet */
--- a/include/internal/range-query.h
+++ b/include/internal/range-query.h
@@ -6,7 +6,7 @@
 uint32_t fb_range_id (const FbRange *self);
 guint fb_range_open_count (const FbRange *self);
 
-/* Returns: for how long jobs and keys from before may be unknown, in ms. */
+/* Returns: for how long jobs and keys from before a loss of records may be unknown, in ms. */
 uint64_t fb_range_history_gap_ms (const FbRange *self, uint64_t now_ms);
 /* Returns: TRUE while some rack has not replied, or has runs that this range does not know. */
 gboolean fb_range_is_reconciling (const FbRange *self);
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -77,7 +77,8 @@
  * be missing; see reconcile.c. No job is admitted until all racks have replied and have no run
  * that this range does not know. */
 void fb_range_begin_reconciliation (FbRange *self, uint64_t now_ms, guint rack_n);
-/* Marks that jobs from before may be unknown for another HISTORY_GAP_MS, as at the predecessor. */
+/* Marks that jobs from before a loss of records may be unknown for another HISTORY_GAP_MS, as they
+ * were to the predecessor. */
 void fb_range_set_history_gap (FbRange *self, uint64_t now_ms, uint64_t history_gap_ms);
 void fb_range_handle_run_list (FbRange *self, uint64_t now_ms, const fb_run_list *run_list);
 
--- a/include/internal/router.h
+++ b/include/internal/router.h
@@ -64,7 +64,7 @@
 void fb_router_update_summary (FbRouter *self, uint64_t now_ms, const fb_summary *summary);
 /* Excludes a rack without a known owner until its next summary. */
 void fb_router_disable_rack (FbRouter *self, uint32_t rack);
-/* Excludes a rack that has refused a task for a short time, see router.c. */
+/* Excludes, for a short time, a rack that has refused a task; see router.c. */
 void fb_router_record_refusal (FbRouter *self, uint64_t now_ms, uint32_t rack, FbReason reason);
 
 /* Returns: TRUE and fills CHOICE, or FALSE if no rack is suitable now. Unless the request is
--- a/rpc/record.x
+++ b/rpc/record.x
@@ -36,9 +36,9 @@
 
 /* Renewal of a claim, which an owner writes periodically. READ_TO: the epoch was in force up to
  * this offset. OLDEST: no job that is still needed has its full record before this offset of the
- * stream. HISTORY_GAP_MS, RECONCILING: for how long jobs from before may still be unknown (in
- * ms), and whether the reconciliation with the racks is in progress; both are 0 if no record was
- * lost. */
+ * stream. HISTORY_GAP_MS, RECONCILING: for how long jobs from before a loss of records may still be
+ * unknown (in ms), and whether the reconciliation with the racks is in progress; both are 0 if no
+ * record was lost. */
 struct fb_rec_renew {
   fb_rec_claim claim;
   unsigned hyper read_to;
--- a/src/core/rack.c
+++ b/src/core/rack.c
@@ -230,7 +230,6 @@
   fb_rack_mark_dirty (self, task->worker);
 }
 
-/* A start that no request has contained cannot have reached the worker. */
 gboolean
 fb_task_never_sent (const FbTask *task)
 {
--- a/src/daemon/daemon.c
+++ b/src/daemon/daemon.c
@@ -56,7 +56,7 @@
   g_main_context_invoke (NULL, quit, data);
 }
 
-/* Graceful shutdown: rejects new requests, hands shards over and answers open calls. */
+/* Graceful shutdown: rejects new jobs, hands shards over and answers open calls. */
 static gboolean
 on_stop_signal (gpointer data)
 {
--- a/src/daemon/frontend.h
+++ b/src/daemon/frontend.h
@@ -20,5 +20,5 @@
                                   FbFrontend **frontend);
 void fb_frontend_free (FbFrontend *self);
 
-/* Rejects new requests from now on; open ones are still answered. */
+/* Rejects new jobs from now on; queries and open calls are still answered. */
 void fb_frontend_close (FbFrontend *self);
--- a/src/net/http-client.c
+++ b/src/net/http-client.c
@@ -410,7 +410,7 @@
   const char *data = g_bytes_get_data (call->body, &len);
   fb_counter_add (FB_COUNTER_PLATFORM_BYTES, len);
   curl_easy_setopt (call->easy, CURLOPT_POSTFIELDSIZE, (long) len);
-  /* Without a body, Content-Length: 0 is sent. */
+  /* An empty body is sent with Content-Length: 0. */
   curl_easy_setopt (call->easy, CURLOPT_POSTFIELDS, data != NULL ? data : "");
   call->headers = add_header (call->headers, "Content-Type", request->content_type);
   /* Disables "Expect: 100-continue", so that large bodies are sent at once. */
--- a/tests/world.h
+++ b/tests/world.h
@@ -1,4 +1,4 @@
-/* Fakes of everything that a node talks to: network, workers, log, host list, callers.
+/* Fakes of everything that a node communicates with: network, workers, log, host list, callers.
  *
  * This is not a simulator: load, bandwidth and hosts are not modelled.  The fakes
  * implement their side of each protocol and inject faults on request; an oracle that
