--- a/include/fb-cell.h
+++ b/include/fb-cell.h
@@ -68,8 +68,9 @@
 uint32_t fb_cell_shard_partner (const FbCell *self, uint32_t shard);
 /* Returns: the shard number of the range that JOB of PARTNER belongs to. */
 uint32_t fb_cell_range_of_job (const FbCell *self, uint32_t partner, uint64_t job);
-/* Returns: the part of a team's QUOTA that may be used on RACK: in proportion to the rack's
- * share of its partner's hosts, so that all racks together never exceed the quota. */
+/* Returns: the part of a team's QUOTA that may be used on RACK: in proportion to the rack's share
+ * of its partner's capacity, so that all racks together do not exceed the quota; but at least 1,
+ * because 0 means no limit. */
 fb_res fb_cell_quota_slice (const FbCell *self, const FbCellRack *rack, const fb_res *quota);
 /* Returns: the index of the partner, or -1 if there is none of that NAME. */
 int fb_cell_partner_by_name (const FbCell *self, const char *name);
--- a/include/internal/range.h
+++ b/include/internal/range.h
@@ -87,7 +87,7 @@
 void fb_range_set_log_ok (FbRange *self, gboolean ok);
 
 /* Requests of the daemons that serve callers; FRONTEND is the name of the daemon. A refusal of a
- * submission has the value of COPY, see fb_answer. */
+ * submission returns COPY in fb_answer.refused_copy. */
 void fb_range_submit (FbRange *self, uint64_t now_ms, const fb_job *job, uint32_t copy,
                       const char *frontend);
 void fb_range_query_job (FbRange *self, uint64_t now_ms, const fb_job_command *command,
--- a/src/cli/cli-private.h
+++ b/src/cli/cli-private.h
@@ -49,8 +49,8 @@
 /* Returns: the JSON object at PATH, owned by *PARSER (transfer full); NULL when the daemon did not
  * respond with one. */
 JsonObject *fb_cli_get (const FbCliOptions *options, const char *path, JsonParser **parser);
-/* Sends a request and prints the response. Returns: FB_CLI_FAILED when the response has an "error"
- * member, which is printed on stderr; FB_CLI_OK for any outcome of a job. */
+/* Sends a request and prints the response. Returns: FB_CLI_OK for any outcome of a job; after a
+ * message on stderr, FB_CLI_FAILED when the daemon refused the request, or FB_CLI_UNREACHABLE. */
 FbCliExit fb_cli_call_and_print (const FbCliOptions *options, const char *method, const char *path,
                                  GBytes *request);
 FbCliExit fb_cli_unreachable (const FbCliOptions *options);
--- a/src/core/worker-health.c
+++ b/src/core/worker-health.c
@@ -1,17 +1,17 @@
 /* Quarantine of workers that fail the work they start.
  *
  * A broken worker that fails every run at once always has free capacity and would attract all
- * work of its rack. It is recognized by a series of quick failures of different jobs: after
- * FAILURES_MAX failures in a row, of more than one job, the worker is quarantined. It then gets
- * one idempotent task at a time as a probe, at growing intervals, until one completes.
+ * work of its rack. It is recognized by failures of different jobs: after FAILURES_MAX of them in
+ * a row, the worker is quarantined. It then gets one idempotent task at a time as a probe, at
+ * growing intervals, until one completes.
  *
  * If no task that could serve as a probe arrives for UNPROBED_MAX_MS, the worker is restored for
  * all work, one failure short of the next quarantine; otherwise a worker that is never probed
- * would remain quarantined forever. Failures of a single job do not count as a series, since
- * that job may fail everywhere. At most half of the workers of a rack are quarantined: beyond
- * that the fault is more likely in the work, and a rack without usable workers is of no use. A
- * worker that has failures in a row but is not quarantined yet has a higher placement cost, most
- * of all for the job that failed there last. */
+ * would remain quarantined forever. Repeated failures of one job count once, since that job may
+ * fail everywhere. At most half of the workers of a rack are quarantined: beyond that the fault is
+ * more likely in the work, and a rack without usable workers is of no use. A worker that has
+ * failures in a row but is not quarantined yet has a higher placement cost, most of all for the
+ * job that failed there last. */
 #include "internal/rack-private.h"
 
 #include "fb-counter.h"
--- a/src/daemon/daemon.h
+++ b/src/daemon/daemon.h
@@ -1,4 +1,5 @@
-/* The daemon: starts its components and runs until it receives SIGTERM or SIGINT. */
+/* The daemon: starts its components and runs until SIGTERM or SIGINT, then shuts down gracefully.
+ */
 #pragma once
 
 /* Returns: the exit code of the process. */
--- a/src/net/http-client.c
+++ b/src/net/http-client.c
@@ -55,7 +55,7 @@
   FbHttpClient *client;
   FbTraffic traffic;
   guint transmissions;
-  uint64_t deadline_ms; /* by clock_ms() */
+  uint64_t deadline_ms; /* by clock_ms(), which also counts while the host is suspended */
   guint idle_timeout_ms;
   GSource *idle_timer; /* NULL: no idle timeout */
 } Call;
