--- a/src/daemon/frontend-queries.c
+++ b/src/daemon/frontend-queries.c
@@ -200,7 +200,7 @@
   fb_core_query (self->core, func, fb_frontend_core_request_new (call), g_free);
 }
 
-/* Resource usage of the process as reported by the kernel, under the standard Prometheus names. */
+/* Resource usage of the process as reported by the kernel, in the text exposition format. */
 static char *
 process_metrics (gint64 started_us)
 {
