--- a/src/daemon/frontend-private.h
+++ b/src/daemon/frontend-private.h
@@ -39,7 +39,7 @@
   uint64_t job; /* 0: none */
 } FbFrontendCoreRequest;
 
-struct _FbFront
+struct _FbFrontend
 {
   const FbCell *cell;
   guint self_index;
--- a/src/daemon/frontend.h
+++ b/src/daemon/frontend.h
@@ -6,7 +6,7 @@
 
 #include "core.h"
 
-typedef struct _FbFront FbFrontend;
+typedef struct _FbFrontend FbFrontend;
 
 typedef enum
 {
